--- a/src/cluster/loan_records.rs
+++ b/src/cluster/loan_records.rs
@@ -70,8 +70,7 @@
 
 /// Takes over a record of borrowed tasks.
 pub(super) fn load_borrowed(fleet: &mut Fleet, row: Row, now: Steady, wall: Wall) {
-    let unreadable =
-        |error: serde_json::Error| tracing::error!(key = %row.key, %error, "a record cannot be read");
+    let unreadable = |error: serde_json::Error| tracing::error!(key = %row.key, %error, "record unreadable");
     let mut parts = row.key.split('/').skip(1);
     match (parts.next(), parts.next(), parts.next()) {
         (Some("job"), Some(id), None) => match serde_json::from_value::<BorrowedJob>(row.value) {
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-use serde_json::json;
+use serde_json::{json, Value};
 
 use crate::config::Config;
 use crate::fleet::Fleet;
@@ -178,73 +178,91 @@
     Ok(fleet)
 }
 
-/// A packed value with its number.
-fn packed<T: serde::de::DeserializeOwned>(slot: &str, value: serde_json::Value) -> anyhow::Result<(u32, T)> {
+/// A packed value with its slot number, as stored under `<prefix>/<slot>`.
+fn packed<T: serde::de::DeserializeOwned>(slot: &str, value: Value) -> anyhow::Result<(u32, T)> {
     Ok((slot.parse()?, serde_json::from_value(value)?))
 }
 
-/// Takes records over into a new owner's world.
+/// Logs a record that cannot be decoded; the load goes on without it.
+fn unreadable(key: &str, error: &dyn std::fmt::Display) {
+    tracing::error!(key, %error, "record unreadable");
+}
+
+/// Takes records over into a new leader's fleet, after a claim or a take over.
 pub fn load(fleet: &mut Fleet, mut rows: Vec<Row>, now: Steady, wall: Wall) {
     // Values of many machines go first, so that single records of earlier versions fill them up.
     rows.sort_by_key(|r| !r.key.starts_with("machines/"));
-    let unreadable =
-        |key: &str, e: &dyn std::fmt::Display| tracing::error!(key, error = %e, "a record cannot be read");
-    for r in rows {
-        let mut parts = r.key.split('/');
-        match (parts.next(), parts.next(), parts.next()) {
-            (Some("job"), Some(_), None) => match serde_json::from_value::<JobRecord>(r.value) {
-                Ok(j) => fleet.job_put(j, r.stamp, now),
-                Err(e) => unreadable(&r.key, &e),
-            },
-            (Some("machine"), Some(id), None) => {
-                // One that cannot be read may hold tasks all the same: it stays unheard until it
-                // reports or is returned.
-                let m = serde_json::from_value::<MachineRecord>(r.value).unwrap_or_else(|e| {
-                    unreadable(&r.key, &e);
-                    MachineRecord::default()
-                });
-                fleet.inherit_machine(id, &m, r.stamp, now);
+    for row in rows {
+        load_row(fleet, row, now, wall);
+    }
+    fleet.split_oversized();
+}
+
+/// Takes one record over, by the form of its key.
+fn load_row(fleet: &mut Fleet, row: Row, now: Steady, wall: Wall) {
+    let mut parts = row.key.split('/');
+    match (parts.next(), parts.next(), parts.next()) {
+        (Some("job"), Some(_), None) => match serde_json::from_value::<JobRecord>(row.value) {
+            Ok(job) => fleet.job_put(job, row.stamp, now),
+            Err(e) => unreadable(&row.key, &e),
+        },
+        (Some("machine"), Some(id), None) => load_machine(fleet, id, &row.key, row.value, row.stamp, now),
+        (Some(MACHINES), Some(slot), None) => match packed(slot, row.value) {
+            Ok((slot, machines)) => fleet.inherit_machines(slot, machines, row.stamp, now),
+            Err(e) => {
+                unreadable(&row.key, &e);
+                slot.parse().into_iter().for_each(|s| fleet.packs.keep_unreadable(s));
             }
-            (Some(MACHINES), Some(slot), None) => match packed(slot, r.value) {
-                Ok((slot, m)) => fleet.inherit_machines(slot, m, r.stamp, now),
-                Err(e) => {
-                    unreadable(&r.key, &e);
-                    slot.parse().into_iter().for_each(|s| fleet.packs.keep_unreadable(s));
-                }
-            },
-            (Some(MARKS), Some(slot), None) => match packed(slot, r.value) {
-                Ok((slot, m)) => fleet.inherit_marks(slot, m, r.stamp),
-                Err(e) => {
-                    unreadable(&r.key, &e);
-                    slot.parse().into_iter().for_each(|s| fleet.marks.keep_unreadable(s));
-                }
-            },
-            (Some(BORROWED), ..) => loan_records::load_borrowed(fleet, r, now, wall),
-            (Some("done"), Some(id), Some(chunk)) => {
-                if let (Ok(chunk), Some(text)) = (chunk.parse(), r.value.as_str()) {
-                    fleet.inherit_done(id, chunk, text, r.stamp);
-                }
+        },
+        (Some(MARKS), Some(slot), None) => match packed(slot, row.value) {
+            Ok((slot, marks)) => fleet.inherit_marks(slot, marks, row.stamp),
+            Err(e) => {
+                unreadable(&row.key, &e);
+                slot.parse().into_iter().for_each(|s| fleet.marks.keep_unreadable(s));
             }
-            (Some(RECENT_KEY), None, None) => match serde_json::from_value(r.value) {
-                Ok(list) => fleet.inherit_recent(list, now, wall),
-                Err(e) => unreadable(&r.key, &e),
-            },
-            (Some(HISTORY), Some(bucket), None) => match packed::<Vec<Record>>(bucket, r.value) {
-                Ok((bucket, list)) => {
-                    list.into_iter().for_each(|h| fleet.history.load(h));
-                    fleet.history.learn(bucket, r.stamp);
-                }
-                Err(e) => unreadable(&r.key, &e),
-            },
-            // As earlier versions wrote it.
-            (Some(HISTORY), Some(_), Some(_)) => match serde_json::from_value::<Record>(r.value) {
-                Ok(h) => fleet.history.load_old(h),
-                Err(e) => unreadable(&r.key, &e),
-            },
-            _ => {}
+        },
+        (Some(BORROWED), ..) => loan_records::load_borrowed(fleet, row, now, wall),
+        (Some("done"), Some(id), Some(chunk)) => {
+            if let (Ok(chunk), Some(text)) = (chunk.parse(), row.value.as_str()) {
+                fleet.inherit_done(id, chunk, text, row.stamp);
+            }
+        }
+        (Some(RECENT_KEY), None, None) => match serde_json::from_value(row.value) {
+            Ok(list) => fleet.inherit_recent(list, now, wall),
+            Err(e) => unreadable(&row.key, &e),
+        },
+        (Some(HISTORY), Some(bucket), None) => {
+            load_history_bucket(fleet, bucket, &row.key, row.value, row.stamp)
         }
+        // As earlier versions wrote it.
+        (Some(HISTORY), Some(_), Some(_)) => match serde_json::from_value::<Record>(row.value) {
+            Ok(record) => fleet.history.load_old(record),
+            Err(e) => unreadable(&row.key, &e),
+        },
+        _ => {}
+    }
+}
+
+/// Takes a single machine's record over, as versions before packed records wrote it.
+fn load_machine(fleet: &mut Fleet, id: &str, key: &str, value: Value, stamp: u64, now: Steady) {
+    // One that cannot be read may hold tasks all the same: it stays unheard until it reports or
+    // is returned.
+    let machine = serde_json::from_value::<MachineRecord>(value).unwrap_or_else(|e| {
+        unreadable(key, &e);
+        MachineRecord::default()
+    });
+    fleet.inherit_machine(id, &machine, stamp, now);
+}
+
+/// Takes a packed bucket of history records over.
+fn load_history_bucket(fleet: &mut Fleet, bucket: &str, key: &str, value: Value, stamp: u64) {
+    match packed::<Vec<Record>>(bucket, value) {
+        Ok((bucket, list)) => {
+            list.into_iter().for_each(|h| fleet.history.load(h));
+            fleet.history.learn(bucket, stamp);
+        }
+        Err(e) => unreadable(key, &e),
     }
-    fleet.split_oversized();
 }
 
 /// Learns how a key stands after a conflict or an unknown outcome.
