--- a/src/cluster/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -3,11 +3,11 @@
 use milletlock_cells::{BorrowedJob, GuestChange};
 use serde_json::json;
 
-use super::PART;
+use super::SHARD_KEY;
 use crate::fleet::{Fleet, LoanWrite};
 use crate::keys::{borrowed_key, final_key, job_key, lender_key, BORROWED};
 use crate::records::{FinalRecord, JobRecord, LenderRecord};
-use crate::state::{StateClient, StateError, Urgency};
+use crate::state::{RequestPriority, StateClient, StateError};
 use crate::time::{Steady, Wall};
 use crate::wire::{Change, Guard, Row, Stage, Txn};
 
@@ -23,7 +23,7 @@
             guest_txn(change, *job_stamp, *lender, *lender_stamp)
         }
     };
-    txn.guards.push(guard(PART.into(), part));
+    txn.guards.push(guard(SHARD_KEY.into(), part));
     txn
 }
 
@@ -116,5 +116,5 @@
         LoanWrite::Home { job, .. } => vec![job_key(job)],
         LoanWrite::Guest { change, .. } => vec![borrowed_key(&change.job), lender_key(&change.home)],
     };
-    keys.into_iter().map(|key| Ok((key.clone(), state.get(&key, Urgency::User)?))).collect()
+    keys.into_iter().map(|key| Ok((key.clone(), state.get(&key, RequestPriority::User)?))).collect()
 }
--- a/src/cluster/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,6 +1,7 @@
-//! Who owns what. A claim is one guarded transaction that raises the term, takes the leader's
-//! leased record and takes the parts; the term is the only source of tokens. Today all parts are
-//! one and are taken over whole.
+//! Leadership: leader election by a lease, fencing tokens, and the take over of the stored
+//! records. A claim is one compare-and-swap transaction that raises the term (the source of
+//! fencing tokens), puts the leader's record on a fresh lease and takes the shard. Today there is
+//! one shard, taken over whole.
 
 mod loan_records;
 mod writes;
@@ -15,35 +16,41 @@
 use crate::history::Record;
 use crate::keys::{BORROWED, HISTORY, MACHINES, MARKS, RECENT_KEY};
 use crate::records::{JobRecord, MachineRecord};
-use crate::state::{Applied, StateClient, StateError, Urgency};
+use crate::state::{RequestPriority, StateClient, StateError, TxnOutcome};
 use crate::time::{wall, Micros, Steady, Wall};
 use crate::wire::{Change, Guard, MachineType, Row, Txn};
 
 pub use loan_records::{loan_txn, read_loan_records};
 pub use writes::{batches, Batch};
 
-/// Key of the leader's leased record.
-pub const LEADER: &str = "leader";
-/// Key of the term.
-pub const TERM: &str = "term";
-/// Key of the one part there is.
-pub const PART: &str = "part/0";
-/// Key that names the oldest form of the records that still reads them. No version has written it so
-/// far: a later one will, before it writes anything that this one would misread.
-pub const FORMAT: &str = "format";
-/// The form of the records that this version reads and writes.
+/// Key of the leader's record, which hangs on the leader's lease.
+pub const LEADER_KEY: &str = "leader";
+/// Key of the term, whose number is the latest fencing token.
+pub const TERM_KEY: &str = "term";
+/// Key of the one shard there is; its revision guards every write of the leader.
+pub const SHARD_KEY: &str = "part/0";
+/// Key that names the oldest format of the records that still reads them. No version has written it
+/// so far: a later one will, before it writes anything that this one would misread.
+pub const FORMAT_KEY: &str = "format";
+/// The format of the records that this version reads and writes.
 pub const FORMAT_VERSION: u32 = 1;
 /// Key of the machine types, for controllers that start while the cloud is out.
-pub const CATALOG: &str = "catalog";
+pub const CATALOG_KEY: &str = "catalog";
 
-/// The leader's record, and the part's.
+pub use self::CATALOG_KEY as CATALOG; // join alias: remove
+pub use self::FORMAT_KEY as FORMAT; // join alias: remove
+pub use self::LEADER_KEY as LEADER; // join alias: remove
+pub use self::SHARD_KEY as PART; // join alias: remove
+pub use self::TERM_KEY as TERM; // join alias: remove
+
+/// The leader's record (under [`LEADER_KEY`]), and the shard's (under [`SHARD_KEY`]).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Owner {
-    /// Its label.
+pub struct LeaderRecord {
+    /// The controller's label.
     pub label: String,
     /// Its incarnation: a process may be back under the same label, remembering nothing.
     pub incarnation: u64,
-    /// Its token.
+    /// Its fencing token.
     pub token: u64,
     /// The lease that the leader's record hangs on. It tells two claims of one process apart: with an
     /// unanswered one carried out late, the process would take it for the next, renew the other lease
@@ -52,79 +59,77 @@
     pub lease: u64,
 }
 
-/// The form of the records.
+/// Old name of [`LeaderRecord`].
+pub type Owner = LeaderRecord; // join alias: remove
+
+/// The format record (under [`FORMAT_KEY`]).
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Format {
-    /// A version reads them if it knows this form or a later one.
+pub struct FormatRecord {
+    /// A version reads the records if it knows this format or a later one.
     pub reader: u32,
 }
 
+/// Old name of [`FormatRecord`].
+pub type Format = FormatRecord; // join alias: remove
+
+/// The term record (under [`TERM_KEY`]).
 #[derive(Serialize, Deserialize)]
-struct Term {
-    n: u64,
+struct TermRecord {
+    /// The term's number: the fencing token of its leader.
+    #[serde(rename = "n")]
+    number: u64,
 }
 
-/// A successful claim.
+/// A won election: what the new leader acts under.
 #[derive(Clone, Debug)]
-pub struct Claim {
-    /// The token.
+pub struct Leadership {
+    /// The fencing token.
     pub token: u64,
     /// The lease that the leader's record hangs on.
     pub lease: u64,
-    /// The part's version: the guard of every write of this owner.
+    /// The shard's revision: the guard of every write of this leader.
     pub part: u64,
     /// Whether this is the first term.
     pub first: bool,
 }
 
-/// Tries to take everything over, given the version of the leader's record that is to be
-/// replaced (0: there is none). `None`: another was faster.
-pub fn claim(
+/// Old name of [`Leadership`].
+pub type Claim = Leadership; // join alias: remove
+
+pub use self::read_catalog as catalog;
+pub use self::try_become_leader as claim; // join alias: remove // join alias: remove
+
+/// Tries to become leader by a claim, given the revision of the leader's record that is to be
+/// replaced (0: there is none). `Ok(None)`: another controller was faster.
+///
+/// # Errors
+/// [`StateError::NewerRecords`] if the records are of a later format; otherwise as any call to
+/// the state store, after the fresh lease is ended.
+pub fn try_become_leader(
     state: &StateClient,
     label: &str,
     incarnation: u64,
     ttl: Micros,
     seen: u64,
-) -> Result<Option<Claim>, StateError> {
+) -> Result<Option<Leadership>, StateError> {
     check_format(state)?;
     let lease = state.lease(ttl)?;
-    let term = state.get(TERM, Urgency::Ownership)?;
-    let part = state.get(PART, Urgency::Ownership)?;
-    let last = match &term {
-        Some(r) => {
-            let t: Term =
-                serde_json::from_value(r.value.clone()).map_err(|e| StateError::Malformed(e.to_string()))?;
-            t.n
-        }
-        None => 0,
-    };
-    let token = last + 1;
-    let owner = Owner { label: label.to_string(), incarnation, token, lease };
-    let value = json!(owner);
-    let guard = |key: &str, stamp: u64| Guard { key: key.into(), stamp };
-    let txn = Txn {
-        guards: vec![
-            guard(LEADER, seen),
-            guard(TERM, term.map_or(0, |r| r.stamp)),
-            guard(PART, part.map_or(0, |r| r.stamp)),
-        ],
-        then: vec![
-            Change::Put { put: LEADER.into(), value: value.clone(), lease: Some(lease) },
-            Change::put(TERM, json!(Term { n: token })),
-            Change::put(PART, value),
-        ],
-    };
-    let claimed = |part| Ok(Some(Claim { token, lease, part, first: token == 1 }));
-    match state.txn(&txn, Urgency::Ownership) {
-        Ok(Applied::Yes(revision)) => claimed(revision),
-        Ok(Applied::Conflict(_)) => {
+    let term = state.get(TERM_KEY, RequestPriority::Ownership)?;
+    let shard = state.get(SHARD_KEY, RequestPriority::Ownership)?;
+    let token = last_term(term.as_ref())? + 1;
+    let leader = LeaderRecord { label: label.to_string(), incarnation, token, lease };
+    let txn = election_txn(&leader, seen, term.map_or(0, |r| r.stamp), shard.map_or(0, |r| r.stamp));
+    let elected = |part| Ok(Some(Leadership { token, lease, part, first: token == 1 }));
+    match state.txn(&txn, RequestPriority::Ownership) {
+        Ok(TxnOutcome::Yes(revision)) => elected(revision),
+        Ok(TxnOutcome::Conflict(_)) => {
             let _ = state.end_lease(lease);
             Ok(None)
         }
-        // It may have been executed: the part tells.
-        Err(StateError::Unknown(_)) => match state.get(PART, Urgency::Ownership)? {
-            Some(r) if serde_json::from_value::<Owner>(r.value.clone()).is_ok_and(|o| o == owner) => {
-                claimed(r.stamp)
+        // It may have been executed: the shard tells.
+        Err(StateError::Unknown(_)) => match state.get(SHARD_KEY, RequestPriority::Ownership)? {
+            Some(r) if serde_json::from_value::<LeaderRecord>(r.value.clone()).is_ok_and(|o| o == leader) => {
+                elected(r.stamp)
             }
             _ => {
                 // A late copy then fails, whatever else still holds.
@@ -139,24 +144,54 @@
     }
 }
 
+/// The number of the latest term (0: there is none).
+fn last_term(term: Option<&Row>) -> Result<u64, StateError> {
+    let Some(row) = term else { return Ok(0) };
+    let term: TermRecord =
+        serde_json::from_value(row.value.clone()).map_err(|e| StateError::Malformed(e.to_string()))?;
+    Ok(term.number)
+}
+
+/// The election's compare-and-swap: guarded by the revisions of the leader's record, the term
+/// and the shard as they were read, it raises the term, puts the leader's record on its lease and
+/// takes the shard.
+fn election_txn(leader: &LeaderRecord, seen: u64, term_revision: u64, shard_revision: u64) -> Txn {
+    let value = json!(leader);
+    let guard = |key: &str, stamp: u64| Guard { key: key.into(), stamp };
+    Txn {
+        guards: vec![
+            guard(LEADER_KEY, seen),
+            guard(TERM_KEY, term_revision),
+            guard(SHARD_KEY, shard_revision),
+        ],
+        then: vec![
+            Change::Put { put: LEADER_KEY.into(), value: value.clone(), lease: Some(leader.lease) },
+            Change::put(TERM_KEY, json!(TermRecord { number: leader.token })),
+            Change::put(SHARD_KEY, value),
+        ],
+    }
+}
+
 /// Refuses records of a later form: an old process that is back after all others have moved on must
 /// neither misread nor overwrite them.
 fn check_format(state: &StateClient) -> Result<(), StateError> {
-    let Some(row) = state.get(FORMAT, Urgency::Ownership)? else { return Ok(()) };
-    let needed = serde_json::from_value::<Format>(row.value.clone()).map(|f| f.reader);
+    let Some(row) = state.get(FORMAT_KEY, RequestPriority::Ownership)? else { return Ok(()) };
+    let needed = serde_json::from_value::<FormatRecord>(row.value.clone()).map(|f| f.reader);
     match needed {
         Ok(reader) if reader <= FORMAT_VERSION => Ok(()),
         _ => Err(StateError::NewerRecords { found: row.value.to_string(), known: FORMAT_VERSION }),
     }
 }
 
-/// Machine types as last written.
-pub fn catalog(state: &StateClient) -> Result<Option<Vec<MachineType>>, StateError> {
-    let row = state.get(CATALOG, Urgency::Ownership)?;
+/// Machine types as last written (under [`CATALOG_KEY`]); `None` if there are none or they cannot
+/// be read.
+pub fn read_catalog(state: &StateClient) -> Result<Option<Vec<MachineType>>, StateError> {
+    let row = state.get(CATALOG_KEY, RequestPriority::Ownership)?;
     Ok(row.and_then(|r| serde_json::from_value(r.value).ok()))
 }
 
-/// Reads everything back after a claim; it is `now`, after the claim was answered.
+/// Reads all records back after a won election into a new fleet under the fencing `token`; it
+/// is `now`, after the election was answered.
 pub fn rebuild(
     state: &StateClient,
     cfg: Arc<Config>,
--- a/src/cluster/writes.rs
+++ b/src/leadership/writes.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 
-use super::PART;
+use super::SHARD_KEY;
 use crate::fleet::{Fleet, Packed, Pending, WriteContents};
 use crate::history::Key;
 use crate::jobs::JobId;
@@ -35,7 +35,7 @@
 impl Batch {
     /// One without changes yet, guarded by the part.
     fn new(part: u64, urgent: bool) -> Batch {
-        let guards = vec![Guard { key: PART.into(), stamp: part }];
+        let guards = vec![Guard { key: SHARD_KEY.into(), stamp: part }];
         Batch { txn: Txn { guards, then: Vec::new() }, items: Vec::new(), urgent, bytes: 0 }
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,7 +8,8 @@
 pub mod capacity;
 pub mod cli;
 pub mod cloud;
-pub mod cluster;
+pub mod leadership;
+pub use leadership as cluster; // join alias: remove
 pub mod config;
 pub mod direct_command;
 pub mod fleet;
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -140,7 +140,8 @@
     }
 
     /// A refusal for the rate (429): pauses all calls briefly and empties the request bucket;
-    /// once such refusals show that the coming limits hold, the rates follow them.
+    /// once such refusals show that the coming limits hold, the rates follow them. The log
+    /// line's message is the one that the operations guide names.
     pub(super) fn rate_refused(&mut self) {
         self.pause_until = steady() + PAUSE_AFTER_RATE_REFUSAL;
         self.requests.level = self.requests.level.min(0.0);
@@ -148,7 +149,7 @@
             tracing::info!(
                 requests_share = self.next.shares.0,
                 writes_share = self.next.shares.1,
-                "state store rate limits lowered"
+                "the state service has its new limits"
             );
             self.set_rates();
         }
