--- a/src/cluster/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -3,11 +3,11 @@
 use milletlock_cells::{BorrowedJob, GuestChange};
 use serde_json::json;
 
-use super::PART;
+use super::SHARD_KEY;
 use crate::fleet::{Fleet, LoanWrite};
 use crate::keys::{borrowed_key, final_key, job_key, lender_key, BORROWED};
 use crate::records::{FinalRecord, JobRecord, LenderRecord};
-use crate::state::{StateClient, StateError, Urgency};
+use crate::state::{RequestPriority, StateClient, StateError};
 use crate::time::{Steady, Wall};
 use crate::wire::{Change, Guard, Row, Stage, Txn};
 
@@ -23,7 +23,7 @@
             guest_txn(change, *job_stamp, *lender, *lender_stamp)
         }
     };
-    txn.guards.push(guard(PART.into(), part));
+    txn.guards.push(guard(SHARD_KEY.into(), part));
     txn
 }
 
@@ -70,8 +70,7 @@
 
 /// Takes over a record of borrowed tasks.
 pub(super) fn load_borrowed(fleet: &mut Fleet, row: Row, now: Steady, wall: Wall) {
-    let unreadable =
-        |error: serde_json::Error| tracing::error!(key = %row.key, %error, "a record cannot be read");
+    let unreadable = |error: serde_json::Error| tracing::error!(key = %row.key, %error, "record unreadable");
     let mut parts = row.key.split('/').skip(1);
     match (parts.next(), parts.next(), parts.next()) {
         (Some("job"), Some(id), None) => match serde_json::from_value::<BorrowedJob>(row.value) {
@@ -117,5 +116,5 @@
         LoanWrite::Home { job, .. } => vec![job_key(job)],
         LoanWrite::Guest { change, .. } => vec![borrowed_key(&change.job), lender_key(&change.home)],
     };
-    keys.into_iter().map(|key| Ok((key.clone(), state.get(&key, Urgency::User)?))).collect()
+    keys.into_iter().map(|key| Ok((key.clone(), state.get(&key, RequestPriority::User)?))).collect()
 }
