--- a/src/sched/gangs.rs
+++ b/src/sched/gangs.rs
@@ -1,7 +1,6 @@
 //! Gangs: all tasks start together or none does.
 
-use super::limits::Claim;
-use super::state::PlanState;
+use super::state::{PlanState, QuotaReservation};
 use super::{Plan, Start};
 use crate::time::Micros;
 
@@ -42,7 +41,8 @@
         let stops = self.preempt_within_limit(class_index);
         let at = if stops.is_empty() { self.limit_allows_at(class_index) } else { Micros::ZERO };
         plan.preempt.extend(stops);
-        self.limit_claims[class.team] = Some(Claim { need: class.need, count: class.count, at });
+        self.quota_reservations[class.team] =
+            Some(QuotaReservation { need: class.need, count: class.count, at });
         if plan.reservation.is_none() && self.snapshot.reserve {
             plan.reservation = Some(self.reserve_rooms(class_index, at, rooms));
         }
--- a/src/sched/limits.rs
+++ b/src/sched/limits.rs
@@ -1,32 +1,10 @@
 //! The limits of teams: how much of a class they let start, and when.
 
-use super::preemption::yields_to;
-use super::state::PlanState;
-use super::{Held, Need};
+use super::preemptible::may_preempt;
+use super::state::{PlanState, StatedEnd};
+use super::Held;
 use crate::time::Micros;
 
-/// A gang's claim on its team's limit.
-#[derive(Clone, Copy)]
-pub(super) struct Claim {
-    /// What each of its tasks takes.
-    pub(super) need: Need,
-    /// How many tasks.
-    pub(super) count: u32,
-    /// When, by stated ends, the limit lets it start.
-    pub(super) at: Micros,
-}
-
-/// Tasks that end at a time, by their stated run time.
-#[derive(Clone, Copy)]
-pub(super) struct StatedEnd {
-    /// When.
-    pub(super) at: Micros,
-    /// What each takes.
-    pub(super) need: Need,
-    /// How many.
-    pub(super) count: u32,
-}
-
 /// A task that may be stopped. Victims compare by their fields in this order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Victim {
@@ -48,10 +26,10 @@
         let class = &self.snapshot.classes[class_index];
         let Some(team_use) = self.teams.get(class.team) else { return class.count };
         let mut team_use = *team_use;
-        if let Some(claim) = self.limit_claims[class.team]
+        if let Some(reservation) = self.quota_reservations[class.team]
             .filter(|x| class.adjusted + self.snapshot.low_rank_delay_step > x.at)
         {
-            team_use.used = team_use.used.plus(&claim.need, claim.count);
+            team_use.used = team_use.used.plus(&reservation.need, reservation.count);
         }
         class.count.min(team_use.allows(&class.need))
     }
@@ -90,7 +68,7 @@
             for (held, task) in room.held.iter().enumerate().filter(|(_, task)| task.team == class.team) {
                 if task.stopping {
                     team_use.used = team_use.used.less(&task.need, 1);
-                } else if yields_to(task, class) {
+                } else if may_preempt(task, class) {
                     victims.push(Victim { lost_work: task.lost_work, room: room_index, held });
                 }
             }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -10,6 +10,7 @@
 mod gangs;
 mod limits;
 mod placement;
+mod preemptible;
 mod preemption;
 mod queue;
 mod reservation;
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -1,8 +1,9 @@
 //! Preemption: which running tasks are stopped so that a class of higher rank can start.
 
 use super::placement::{allowed, fetch_seconds, lacks_awaited_image};
+use super::preemptible::preemptible_for;
 use super::state::PlanState;
-use super::{Class, Held, Plan, Room};
+use super::{Class, Plan};
 use crate::time::Micros;
 
 /// A room that the class can have, and what is stopped for it. Options compare by their fields in this
@@ -81,7 +82,7 @@
         let mut lost = Micros::from_secs(fetch_seconds(class, room) * class.need.cpus.max(0.1));
         let mut stops = Vec::new();
         if free.fits(&class.need) == 0 {
-            for held in stoppable_for(class, room) {
+            for held in preemptible_for(class, room) {
                 if free.fits(&class.need) > 0 {
                     break;
                 }
@@ -94,18 +95,3 @@
         (fits > 0).then_some(PreemptionOption { lost, room: room_index, stops, fits })
     }
 }
-
-/// The tasks in a room that may be stopped for the class, by their place in its list, those that lose
-/// least work first.
-pub(super) fn stoppable_for(class: &Class, room: &Room) -> Vec<usize> {
-    let mut victims: Vec<usize> =
-        (0..room.held.len()).filter(|&held| yields_to(&room.held[held], class)).collect();
-    victims.sort_by_key(|&held| room.held[held].lost_work);
-    victims
-}
-
-/// Whether a task may be stopped for the class. What goes before it in the queue, by its team's guarantee,
-/// is not: it would begin again at once, and be stopped again.
-pub(super) fn yields_to(task: &Held, class: &Class) -> bool {
-    task.stoppable && task.rank < class.rank && (class.guaranteed || !task.guaranteed)
-}
--- a/src/sched/services.rs
+++ b/src/sched/services.rs
@@ -3,7 +3,7 @@
 //! costs little time. Where no room is free soon enough, tasks of lower rank are stopped at once.
 
 use super::placement::{allowed, delay, fetch_seconds};
-use super::preemption::stoppable_for;
+use super::preemptible::preemptible_for;
 use super::state::PlanState;
 use super::{Class, Held, Need, Room, Start};
 use crate::time::Micros;
@@ -148,7 +148,7 @@
             return None;
         }
         let (mut stops, mut lost) = (Vec::new(), Micros::ZERO);
-        for held in stoppable_for(class, room).into_iter().filter(|&held| !stopped(held)) {
+        for held in preemptible_for(class, room).into_iter().filter(|&held| !stopped(held)) {
             free = free.plus(&room.held[held].need, 1);
             lost = lost + room.held[held].lost_work;
             stops.push(held);
--- a/src/sched/state.rs
+++ b/src/sched/state.rs
@@ -2,7 +2,6 @@
 
 use std::collections::BTreeSet;
 
-use super::limits::{Claim, StatedEnd};
 use super::placement::{allowed, delay, lacks_awaited_image};
 use super::{Class, Need, Room, Snapshot, TeamUse};
 use crate::time::Micros;
@@ -32,14 +31,38 @@
     pub(super) stops_for_replicas: BTreeSet<(usize, usize)>,
     /// By room: what this plan has given to replicas, which never end.
     pub(super) endless: Vec<Need>,
-    /// By team: what its first gang that is held back by the limit takes of it, and when.
-    pub(super) limit_claims: Vec<Option<Claim>>,
+    /// By team: what its first gang that is held back by the quota reserves of it, and when.
+    pub(super) quota_reservations: Vec<Option<QuotaReservation>>,
     /// By team: a gang is held back by the limit, whether it has room or not.
     pub(super) gang_at_limit: Vec<bool>,
     /// By team: stated ends of what this plan starts.
     pub(super) planned_ends: Vec<Vec<StatedEnd>>,
 }
 
+/// What a gang that is held back by its team's quota alone reserves of that quota, so that the
+/// team's lower jobs do not take what frees of it first.
+#[derive(Clone, Copy)]
+pub(super) struct QuotaReservation {
+    /// What each of the gang's tasks takes.
+    pub(super) need: Need,
+    /// How many tasks the gang has.
+    pub(super) count: u32,
+    /// When, by the stated ends of the team's tasks, the quota lets the gang start.
+    pub(super) at: Micros,
+}
+
+/// Tasks that end at a time, by their stated run time (not the adjusted one): quota frees by what
+/// users stated.
+#[derive(Clone, Copy)]
+pub(super) struct StatedEnd {
+    /// When, from now.
+    pub(super) at: Micros,
+    /// What each of the tasks takes.
+    pub(super) need: Need,
+    /// How many tasks end then.
+    pub(super) count: u32,
+}
+
 /// A room that could take tasks of a class. Candidates compare by their fields in this order, and the
 /// least is the best.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -91,7 +114,7 @@
             being_cleared: vec![false; snapshot.rooms.len()],
             stops_for_replicas: BTreeSet::new(),
             endless: vec![Need::default(); snapshot.rooms.len()],
-            limit_claims: vec![None; snapshot.teams.len()],
+            quota_reservations: vec![None; snapshot.teams.len()],
             gang_at_limit: vec![false; snapshot.teams.len()],
             planned_ends: vec![Vec::new(); snapshot.teams.len()],
         }
