--- a/src/history.rs
+++ b/src/history.rs
@@ -1,5 +1,10 @@
-//! A, the factor between stated and adjusted run times (section 4.2.3 of the paper): the 85th
-//! percentile of past actual-to-stated ratios, each capped at 1, and never under one half.
+//! A, the runtime-estimate adjustment factor between stated and adjusted run times (section 4.2.3
+//! of the paper): the 85th percentile of past actual-to-stated ratios, each capped at 1, and never
+//! under one half. Pure: finished jobs go in, factors and the records to store come out; the caller
+//! does the reads and compare-and-swap writes of the state store.
+//!
+//! Keys are packed into `BUCKETS` stored values by a hash that must stay the same between versions,
+//! since it names the stored value.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,144 +12,171 @@
 
 use crate::time::{Micros, Wall};
 
-/// The least that A may be.
+/// The least that A may be: estimates are never scaled below half.
 pub const FLOOR: f64 = 0.5;
-/// The percentile.
+/// The percentile of past ratios that A is.
 pub const PERCENTILE: f64 = 0.85;
-/// Fewer past jobs than this and the stated time stands.
+/// With fewer finished jobs than this within `WINDOW`, A is 1 and the stated time stands.
 pub const FEWEST: usize = 10;
-/// How far back jobs count.
+/// How far back finished jobs count: 30 days.
 pub const WINDOW: Micros = Micros(30 * 86_400 * 1_000_000);
-
-/// What past jobs must share: team and stated run time.
+/// The largest ratio stored: a job that ran far over its estimate says little more beyond this.
+const MOST_RATIO: f64 = 100.0;
+/// Ratios are stored rounded to this many parts of one (four decimals), to keep records small.
+const RATIO_PARTS: f64 = 1e4;
+/// Offset basis of 32-bit FNV-1a.
+const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
+/// Prime of 32-bit FNV-1a.
+const FNV_PRIME: u32 = 0x0100_0193;
+/// Microseconds in a second, for the end times that records keep in seconds.
+const MICROS_PER_SECOND: i64 = 1_000_000;
+
+/// What finished jobs must share to inform each other's A: team and stated run time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key {
+pub struct EstimateKey {
     /// The team.
     pub team: String,
-    /// The stated run time.
+    /// The stated run time (the user's estimate).
     pub stated: Micros,
 }
 
-/// How many values the history is packed into.
+/// How many stored values the history is packed into.
 pub const BUCKETS: u32 = 32;
-/// Most keys kept; those that ended longest ago go.
+/// Most keys kept in memory; the keys whose latest job ended longest ago go first.
 const MOST_KEYS: usize = 4096;
 
-impl Key {
-    /// The value that the key is packed into (FNV-1a: it must not change between versions).
+impl EstimateKey {
+    /// The stored value, in `0..BUCKETS`, that the key is packed into (FNV-1a over the team's bytes
+    /// and the stated micros in little-endian: it must not change between versions).
     pub fn bucket(&self) -> u32 {
         let bytes = self.team.bytes().chain(self.stated.0.to_le_bytes());
-        let hash = bytes.fold(0x811c_9dc5_u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
+        let hash = bytes.fold(FNV_OFFSET_BASIS, |h, b| (h ^ u32::from(b)).wrapping_mul(FNV_PRIME));
         hash % BUCKETS
     }
 }
 
-/// One finished job.
+/// One finished job, as stored.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Past {
-    /// When it ended, in seconds of the time of day.
+pub struct FinishedJob {
+    /// When it ended, in seconds of wall-clock time.
     pub end_s: i64,
-    /// Actual over stated run time.
+    /// Actual over stated run time, at most `MOST_RATIO`, rounded to four decimals.
     pub ratio: f64,
 }
 
-/// What is written for a key.
+/// What is stored for a key; a stored value is a list of these. The form is stored data and must
+/// stay readable by earlier versions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Record {
+pub struct HistoryRecord {
     /// The team.
     pub team: String,
     /// The stated run time in microseconds.
     pub stated_us: i64,
-    /// The latest jobs, oldest first.
-    pub past: Vec<Past>,
+    /// The latest finished jobs, oldest first.
+    pub past: Vec<FinishedJob>,
 }
 
-/// Past jobs by key, a bounded number for each.
+/// Finished jobs by key, a bounded number for each, with what of them is still to be stored.
 #[derive(Debug)]
 pub struct History {
-    most: usize,
-    past: BTreeMap<Key, Vec<Past>>,
+    /// Most finished jobs kept for each key.
+    jobs_per_key: usize,
+    /// By key: its latest finished jobs, oldest first.
+    jobs: BTreeMap<EstimateKey, Vec<FinishedJob>>,
+    /// Buckets changed since they were last written.
     dirty: BTreeSet<u32>,
-    stamps: BTreeMap<u32, u64>,
+    /// By bucket: the state store's revision of it, for compare-and-swap writes.
+    revisions: BTreeMap<u32, u64>,
 }
 
 impl History {
     /// An empty history that keeps `most` jobs for each key.
     pub fn new(most: usize) -> History {
-        History { most, past: BTreeMap::new(), dirty: BTreeSet::new(), stamps: BTreeMap::new() }
+        History {
+            jobs_per_key: most,
+            jobs: BTreeMap::new(),
+            dirty: BTreeSet::new(),
+            revisions: BTreeMap::new(),
+        }
     }
 
-    /// Takes a key over from its record.
-    pub fn load(&mut self, r: Record) {
-        let mut past = r.past;
-        past.retain(|p| p.ratio.is_finite() && p.ratio >= 0.0);
-        let from = past.len().saturating_sub(self.most);
-        self.past.insert(Key { team: r.team, stated: Micros(r.stated_us) }, past.split_off(from));
+    /// Takes a key over from its stored record, dropping ratios that are not finite or negative and
+    /// keeping the latest `most` jobs.
+    pub fn load(&mut self, record: HistoryRecord) {
+        let mut jobs = record.past;
+        jobs.retain(|job| job.ratio.is_finite() && job.ratio >= 0.0);
+        let from = jobs.len().saturating_sub(self.jobs_per_key);
+        let key = EstimateKey { team: record.team, stated: Micros(record.stated_us) };
+        self.jobs.insert(key, jobs.split_off(from));
     }
 
-    /// Adds a finished job; its key's value is to be written.
-    pub fn add(&mut self, key: &Key, end: Wall, ratio: f64) {
-        if self.past.len() >= MOST_KEYS && !self.past.contains_key(key) {
-            let ended = |v: &Vec<Past>| v.last().map_or(0, |p| p.end_s);
-            if let Some(old) = self.past.iter().min_by_key(|x| ended(x.1)).map(|x| x.0.clone()) {
-                self.past.remove(&old);
+    /// Adds a finished job with its actual-to-stated `ratio`; its key's bucket is to be written.
+    pub fn add(&mut self, key: &EstimateKey, end: Wall, ratio: f64) {
+        if self.jobs.len() >= MOST_KEYS && !self.jobs.contains_key(key) {
+            let ended = |v: &Vec<FinishedJob>| v.last().map_or(0, |p| p.end_s);
+            if let Some(old) = self.jobs.iter().min_by_key(|x| ended(x.1)).map(|x| x.0.clone()) {
+                self.jobs.remove(&old);
             }
         }
-        let list = self.past.entry(key.clone()).or_default();
-        let ratio = (ratio.clamp(0.0, 100.0) * 1e4).round() / 1e4;
-        list.push(Past { end_s: end.0 / 1_000_000, ratio });
-        if list.len() > self.most {
+        let list = self.jobs.entry(key.clone()).or_default();
+        let ratio = (ratio.clamp(0.0, MOST_RATIO) * RATIO_PARTS).round() / RATIO_PARTS;
+        list.push(FinishedJob { end_s: end.0 / MICROS_PER_SECOND, ratio });
+        if list.len() > self.jobs_per_key {
             list.remove(0);
         }
         self.dirty.insert(key.bucket());
     }
 
-    /// Values that have changed since they were written.
+    /// Buckets that have changed since they were last written.
     pub fn dirty(&self) -> impl Iterator<Item = u32> + '_ {
         self.dirty.iter().copied()
     }
 
-    /// The version of a value in the state service.
+    /// The state store's revision of a bucket; 0 if none is known.
     pub fn stamp(&self, bucket: u32) -> u64 {
-        self.stamps.get(&bucket).copied().unwrap_or(0)
+        self.revisions.get(&bucket).copied().unwrap_or(0)
     }
 
-    /// A value was found, or read back, at a version.
+    /// A bucket was found, or read back, at a revision.
     pub fn learn(&mut self, bucket: u32, stamp: u64) {
-        self.stamps.insert(bucket, stamp);
+        self.revisions.insert(bucket, stamp);
     }
 
-    /// A value was written at a revision.
+    /// A bucket was written at a revision: it is clean again.
     pub fn written(&mut self, bucket: u32, revision: u64) {
-        self.stamps.insert(bucket, revision);
+        self.revisions.insert(bucket, revision);
         self.dirty.remove(&bucket);
     }
 
-    /// Takes a key over from a record of its own, as earlier versions wrote it.
-    pub fn load_old(&mut self, r: Record) {
-        let bucket = Key { team: r.team.clone(), stated: Micros(r.stated_us) }.bucket();
-        self.load(r);
+    /// Takes a key over from a record stored under a key of its own, as earlier versions wrote it;
+    /// its bucket is to be written in the present form.
+    pub fn load_old(&mut self, record: HistoryRecord) {
+        let bucket = EstimateKey { team: record.team.clone(), stated: Micros(record.stated_us) }.bucket();
+        self.load(record);
         self.dirty.insert(bucket);
     }
 
-    /// What is written of a value: the keys that ended last, no more than fit the bytes. Of a key that
-    /// does not fit whole the latest jobs are written: with half the bytes to a value a full key would
-    /// otherwise keep its whole value from being written.
-    pub fn value(&self, bucket: u32, bytes: usize) -> Vec<Record> {
-        let mut all: Vec<(&Key, &Vec<Past>)> = self.past.iter().filter(|x| x.0.bucket() == bucket).collect();
+    /// The records to store for a bucket: the keys whose latest job ended last, no more than fit
+    /// `bytes` bytes of JSON (one separator byte counted for each). Of a key that does not fit whole
+    /// the latest jobs are written: with half the bytes to a value a full key would otherwise keep
+    /// its whole value from being written.
+    pub fn value(&self, bucket: u32, bytes: usize) -> Vec<HistoryRecord> {
+        let mut all: Vec<(&EstimateKey, &Vec<FinishedJob>)> =
+            self.jobs.iter().filter(|x| x.0.bucket() == bucket).collect();
         all.sort_by_key(|x| std::cmp::Reverse(x.1.last().map_or(0, |p| p.end_s)));
         let mut left = bytes;
         let mut out = Vec::new();
-        for (key, past) in all {
-            let mut record = Record { team: key.team.clone(), stated_us: key.stated.0, past: Vec::new() };
+        for (key, jobs) in all {
+            let mut record =
+                HistoryRecord { team: key.team.clone(), stated_us: key.stated.0, past: Vec::new() };
             left = left.saturating_sub(json_size(&record) + 1);
-            for p in past.iter().rev() {
-                let size = json_size(p) + 1;
+            for job in jobs.iter().rev() {
+                let size = json_size(job) + 1;
                 if size > left {
                     break;
                 }
                 left -= size;
-                record.past.insert(0, *p);
+                record.past.insert(0, *job);
             }
             if record.past.is_empty() {
                 break;
@@ -154,25 +186,32 @@
         out
     }
 
-    /// A for a waiting job.
-    pub fn factor(&self, key: &Key, now: Wall) -> f64 {
-        let Some(list) = self.past.get(key) else { return 1.0 };
-        let oldest = (now - WINDOW).0 / 1_000_000;
-        let mut r: Vec<f64> = list.iter().filter(|p| p.end_s >= oldest).map(|p| p.ratio.min(1.0)).collect();
-        if r.len() < FEWEST {
+    /// A for a waiting job of the key at wall time `now`: 1 with fewer than `FEWEST` jobs within
+    /// `WINDOW`, else the `PERCENTILE` of their ratios capped at 1, floored at `FLOOR`.
+    pub fn factor(&self, key: &EstimateKey, now: Wall) -> f64 {
+        let Some(list) = self.jobs.get(key) else { return 1.0 };
+        let oldest = (now - WINDOW).0 / MICROS_PER_SECOND;
+        let mut ratios: Vec<f64> =
+            list.iter().filter(|p| p.end_s >= oldest).map(|p| p.ratio.min(1.0)).collect();
+        if ratios.len() < FEWEST {
             return 1.0;
         }
-        r.sort_by(f64::total_cmp);
-        let nth = (PERCENTILE * r.len() as f64).ceil() as usize;
-        r[nth.clamp(1, r.len()) - 1].max(FLOOR)
+        ratios.sort_by(f64::total_cmp);
+        let nth = (PERCENTILE * ratios.len() as f64).ceil() as usize;
+        ratios[nth.clamp(1, ratios.len()) - 1].max(FLOOR)
     }
 
-    /// All keys with their A and how many jobs it rests on.
-    pub fn factors(&self, now: Wall) -> Vec<(Key, f64, usize)> {
-        self.past.iter().map(|(k, v)| (k.clone(), self.factor(k, now), v.len())).collect()
+    /// All keys with their A and how many jobs are kept for them (within the window or not).
+    pub fn factors(&self, now: Wall) -> Vec<(EstimateKey, f64, usize)> {
+        self.jobs.iter().map(|(k, v)| (k.clone(), self.factor(k, now), v.len())).collect()
     }
 }
 
+/// Bytes of the JSON form; a form that fails counts as too large to fit anywhere.
 fn json_size(v: &impl Serialize) -> usize {
     serde_json::to_string(v).map_or(usize::MAX / 4, |s| s.len())
 }
+
+pub use self::EstimateKey as Key; // join alias: remove
+pub use self::FinishedJob as Past; // join alias: remove
+pub use self::HistoryRecord as Record; // join alias: remove
