--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -2,12 +2,12 @@
 
 use super::offers::{add_scale_out, FittingOffer};
 use super::{CapacityView, ScaleOut};
-use crate::sched::{allowed, Class};
+use crate::sched::{allowed, JobClass};
 
 /// Waiting arrays that can use the same machines.
 struct ArrayDemand<'a> {
     /// The first of them.
-    class: &'a Class,
+    class: &'a JobClass,
     /// Processor seconds of waiting work, weighted up for what has waited long.
     work: f64,
     /// Processors of all their waiting tasks.
@@ -41,7 +41,7 @@
 
     /// Processors of machines that boot and that a class may use. Without counting them, a few tasks that
     /// had waited for long had machines rented for them again and again until the first was up.
-    fn coming_cpus(&self, class: &Class) -> f64 {
+    fn coming_cpus(&self, class: &JobClass) -> f64 {
         let rooms = self.snapshot.rooms.iter().enumerate();
         let coming =
             rooms.filter(|(index, _)| self.upkeep[*index].booting && self.serves_array(class, *index));
@@ -62,7 +62,7 @@
             // wait. What has waited long counts for more.
             let pressed = (class.waited.secs() / (self.policy.drain.secs() / 2.0)).max(1.0);
             let work = cpus * class.adjusted.secs() * pressed;
-            let alike = |other: &Class| {
+            let alike = |other: &JobClass| {
                 other.types == class.types && other.spot == class.spot && other.zone == class.zone
             };
             match demands.iter_mut().find(|demand| alike(demand.class)) {
@@ -77,7 +77,7 @@
     }
 
     /// Whether an array's tasks can count on a room.
-    fn serves_array(&self, class: &Class, index: usize) -> bool {
+    fn serves_array(&self, class: &JobClass, index: usize) -> bool {
         let room = &self.snapshot.rooms[index];
         let kept = self.snapshot.kept(room.ty, room.spot).is_some_and(|kept| class.rank < kept.rank);
         let stays = room.until.is_none() && self.coming(index);
@@ -85,7 +85,7 @@
     }
 
     /// Processor seconds that the rooms there are have for a class within so many seconds.
-    fn array_supply(&self, class: &Class, horizon_s: f64) -> f64 {
+    fn array_supply(&self, class: &JobClass, horizon_s: f64) -> f64 {
         let mut supply = 0.0;
         for (index, room) in self.snapshot.rooms.iter().enumerate() {
             if !self.serves_array(class, index) {
--- a/src/capacity/gangs.rs
+++ b/src/capacity/gangs.rs
@@ -2,7 +2,7 @@
 
 use super::offers::scale_out_for_tasks;
 use super::{CapacityView, ScaleOut};
-use crate::sched::{allowed, Class};
+use crate::sched::{allowed, JobClass};
 use crate::time::Micros;
 
 /// When a room has place for one more task of a gang. Slots compare by their fields in this order.
@@ -15,7 +15,7 @@
 impl CapacityView<'_> {
     /// When each room has place for tasks of a gang, by stated ends, soonest first: one entry for
     /// each task it takes beyond those in `used`.
-    fn slots(&self, class: &Class, used: &[u32], most: u32) -> Vec<GangSlot> {
+    fn slots(&self, class: &JobClass, used: &[u32], most: u32) -> Vec<GangSlot> {
         let mut slots = Vec::new();
         for (index, room) in self.snapshot.rooms.iter().enumerate() {
             let total = room.total.fits(&class.need);
@@ -65,7 +65,7 @@
                     found += 1;
                 }
             }
-            // Room rented for an earlier class in this same round has not been asked for it.
+            // Machines scaled out for an earlier class in this same round were not asked for this one.
             scale_out_for_tasks(rents, left - found, offers.first());
         }
     }
--- a/src/capacity/offers.rs
+++ b/src/capacity/offers.rs
@@ -1,7 +1,7 @@
 //! Cloud offers on whose machines tasks of a class fit, and adding machines to the scale-out list.
 
 use super::{CapacityView, Offer, ScaleOut};
-use crate::sched::{Class, Need};
+use crate::sched::{JobClass, Resources};
 
 /// An offer on whose machines tasks of a class fit.
 pub(super) struct FittingOffer {
@@ -15,11 +15,11 @@
 
 impl CapacityView<'_> {
     /// Offers for a class, cheapest per task first.
-    pub(super) fn offers(&self, class: &Class) -> Vec<FittingOffer> {
+    pub(super) fn offers(&self, class: &JobClass) -> Vec<FittingOffer> {
         let mut offers: Vec<FittingOffer> = Vec::new();
         for &ty in &class.types {
             let machine = &self.types[ty];
-            let total = Need { cpus: machine.cpus, gpus: machine.gpus, memory: machine.memory_gb };
+            let total = Resources { cpus: machine.cpus, gpus: machine.gpus, memory: machine.memory_gb };
             let fits = total.fits(&class.need);
             for &zone in &self.zones[ty] {
                 if fits == 0 || class.zone.is_some_and(|only| only != zone) {
--- a/src/capacity/services.rs
+++ b/src/capacity/services.rs
@@ -2,7 +2,7 @@
 
 use super::offers::scale_out_for_tasks;
 use super::{CapacityView, ScaleOut};
-use crate::sched::{allowed, Need};
+use crate::sched::{allowed, Resources};
 
 impl CapacityView<'_> {
     /// Scales out for replicas that found no place: whole machines, on-demand ones if they are offered,
@@ -10,10 +10,10 @@
     pub(super) fn scale_out_for_services(&self, rents: &mut Vec<ScaleOut>) {
         let rooms = &self.snapshot.rooms;
         let booting = |index: usize| self.upkeep[index].booting && self.coming(index);
-        let mut coming: Vec<Need> = rooms
+        let mut coming: Vec<Resources> = rooms
             .iter()
             .enumerate()
-            .map(|(index, room)| if booting(index) { room.free } else { Need::default() })
+            .map(|(index, room)| if booting(index) { room.free } else { Resources::default() })
             .collect();
         for &(class_index, left) in &self.plan.unmet {
             let class = &self.snapshot.classes[class_index];
--- a/src/sched/availability.rs
+++ b/src/sched/availability.rs
@@ -1,40 +1,40 @@
 //! When room becomes free, by the stated ends of the tasks that run.
 
 use super::state::PlanState;
-use super::{Class, Need};
+use super::{JobClass, Resources};
 use crate::time::Micros;
 
 /// A room opens, or a task on it ends.
-struct RoomEvent {
+struct CapacityEvent {
     at: Micros,
     room: usize,
     /// What comes free.
-    freed: Need,
+    freed: Resources,
 }
 
 /// The room for a class as time goes on, counted in tasks by zone.
-struct Availability<'a> {
+struct AvailabilityProfile<'a> {
     state: &'a PlanState<'a>,
-    need: Need,
+    need: Resources,
     /// By room: what is free; none before it opens.
-    free: Vec<Option<Need>>,
+    free: Vec<Option<Resources>>,
     /// By room: what ended on it before it opened. It counts from then on.
-    freed_early: Vec<Need>,
+    freed_early: Vec<Resources>,
     /// By room: how many tasks of the class fit.
     fits: Vec<u32>,
     /// By zone: how many tasks of the class fit.
     by_zone: Vec<u64>,
 }
 
-impl<'a> Availability<'a> {
+impl<'a> AvailabilityProfile<'a> {
     /// As things stand now.
-    fn new(state: &'a PlanState<'a>, class: &Class, rooms: &[usize]) -> Availability<'a> {
+    fn new(state: &'a PlanState<'a>, class: &JobClass, rooms: &[usize]) -> AvailabilityProfile<'a> {
         let room_count = state.snapshot.rooms.len();
-        let mut availability = Availability {
+        let mut availability = AvailabilityProfile {
             state,
             need: class.need,
             free: vec![None; room_count],
-            freed_early: vec![Need::default(); room_count],
+            freed_early: vec![Resources::default(); room_count],
             fits: vec![0; room_count],
             by_zone: vec![0; state.snapshot.zones.max(1)],
         };
@@ -48,7 +48,7 @@
     }
 
     /// Applies an event.
-    fn apply(&mut self, event: &RoomEvent) {
+    fn apply(&mut self, event: &CapacityEvent) {
         let room = event.room;
         if let Some(free) = self.free[room] {
             self.free[room] = Some(free.plus(&event.freed, 1));
@@ -73,10 +73,10 @@
 
 impl PlanState<'_> {
     /// What is free on a room at a time, by stated ends.
-    pub(super) fn free_at(&self, room_index: usize, at: Micros) -> Need {
+    pub(super) fn free_at(&self, room_index: usize, at: Micros) -> Resources {
         let room = &self.snapshot.rooms[room_index];
         if room.opens_in > at && !room.open {
-            return Need::default();
+            return Resources::default();
         }
         let ended = room.held.iter().filter(|task| task.left <= at);
         ended.fold(self.free[room_index], |free, task| free.plus(&task.need, 1))
@@ -86,7 +86,7 @@
     /// gang, one task of an array. One sweep over the ends, with the room counted by zone.
     pub(super) fn earliest_start(&self, class_index: usize, rooms: &[usize]) -> Option<Micros> {
         let class = &self.snapshot.classes[class_index];
-        let mut availability = Availability::new(self, class, rooms);
+        let mut availability = AvailabilityProfile::new(self, class, rooms);
         let events = self.room_events(rooms);
         for simultaneous in events.chunk_by(|a, b| a.at == b.at) {
             for event in simultaneous {
@@ -100,15 +100,23 @@
     }
 
     /// When each of the rooms opens and the tasks on them end, in this order.
-    fn room_events(&self, rooms: &[usize]) -> Vec<RoomEvent> {
+    fn room_events(&self, rooms: &[usize]) -> Vec<CapacityEvent> {
         let mut events = Vec::new();
         for &room_index in rooms {
             let room = &self.snapshot.rooms[room_index];
             if !room.open {
-                events.push(RoomEvent { at: room.opens_in, room: room_index, freed: Need::default() });
+                events.push(CapacityEvent {
+                    at: room.opens_in,
+                    room: room_index,
+                    freed: Resources::default(),
+                });
             }
             let ends = room.held.iter();
-            events.extend(ends.map(|task| RoomEvent { at: task.left, room: room_index, freed: task.need }));
+            events.extend(ends.map(|task| CapacityEvent {
+                at: task.left,
+                room: room_index,
+                freed: task.need,
+            }));
         }
         events.sort_unstable_by_key(|event| (event.at, event.room));
         events
--- a/src/sched/limits.rs
+++ b/src/sched/limits.rs
@@ -2,12 +2,12 @@
 
 use super::preemptible::may_preempt;
 use super::state::{PlanState, StatedEnd};
-use super::Held;
+use super::PlacedTask;
 use crate::time::Micros;
 
 /// A task that may be stopped. Victims compare by their fields in this order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Victim {
+struct PreemptibleTask {
     /// Work that is lost.
     lost_work: Micros,
     /// Its room.
@@ -39,7 +39,7 @@
         let class = &self.snapshot.classes[class_index];
         let Some(mut team_use) = self.teams.get(class.team).copied() else { return Micros::ZERO };
         let held = self.snapshot.rooms.iter().flat_map(|room| &room.held).filter(|h| h.team == class.team);
-        let end = |task: &Held| {
+        let end = |task: &PlacedTask| {
             let at = if task.stopping { Micros::ZERO } else { task.left };
             StatedEnd { at, need: task.need, count: 1 }
         };
@@ -63,13 +63,13 @@
         if class.patience.0 > 0 {
             return Vec::new();
         }
-        let mut victims: Vec<Victim> = Vec::new();
+        let mut victims: Vec<PreemptibleTask> = Vec::new();
         for (room_index, room) in self.snapshot.rooms.iter().enumerate() {
             for (held, task) in room.held.iter().enumerate().filter(|(_, task)| task.team == class.team) {
                 if task.stopping {
                     team_use.used = team_use.used.less(&task.need, 1);
                 } else if may_preempt(task, class) {
-                    victims.push(Victim { lost_work: task.lost_work, room: room_index, held });
+                    victims.push(PreemptibleTask { lost_work: task.lost_work, room: room_index, held });
                 }
             }
         }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -21,9 +21,19 @@
 
 pub(crate) use placement::allowed;
 pub use queue::{order, score};
-pub use services::{runs_in, ReportedRoom};
-pub use top_up::TopUp;
-pub use types::{Class, Held, KeptRoom, Need, Plan, Reservation, Room, Snapshot, Start, TeamUse};
+pub use services::{runs_in, HeartbeatMachine};
+pub use top_up::IncrementalBackfill;
+pub use types::{
+    JobClass, Machine, PlacedTask, Plan, Reservation, ReservedHeadroom, Resources, Snapshot, Start, TeamUse,
+};
+
+pub use self::HeartbeatMachine as ReportedRoom; // join alias: remove
+pub use self::IncrementalBackfill as TopUp; // join alias: remove
+pub use self::JobClass as Class; // join alias: remove
+pub use self::Machine as Room; // join alias: remove
+pub use self::PlacedTask as Held; // join alias: remove
+pub use self::ReservedHeadroom as KeptRoom; // join alias: remove
+pub use self::Resources as Need; // join alias: remove
 
 use gangs::GangOutcome;
 use state::PlanState;
@@ -69,7 +79,7 @@
     }
 
     /// Notes on which types tasks of this class wait for the room that is kept for them.
-    fn mark_contended_types(&mut self, class: &Class) {
+    fn mark_contended_types(&mut self, class: &JobClass) {
         for &ty in &class.types {
             let kept = self.snapshot.kept(ty, false).is_some_and(|kept| class.rank >= kept.rank);
             if let (true, Some(contended)) = (kept, self.contended_types.get_mut(ty)) {
--- a/src/sched/preemptible.rs
+++ b/src/sched/preemptible.rs
@@ -2,11 +2,11 @@
 //! preemption for room, preemption within a team's quota and service placement; it sits below the
 //! planning state so that those modules depend on it, and it on none of them.
 
-use super::{Class, Held, Room};
+use super::{JobClass, Machine, PlacedTask};
 
 /// Indices into `room.held` of the tasks that may be preempted for the class, those that lose the
 /// least work first.
-pub(super) fn preemptible_for(class: &Class, room: &Room) -> Vec<usize> {
+pub(super) fn preemptible_for(class: &JobClass, room: &Machine) -> Vec<usize> {
     let mut victims: Vec<usize> =
         (0..room.held.len()).filter(|&held| may_preempt(&room.held[held], class)).collect();
     victims.sort_by_key(|&held| room.held[held].lost_work);
@@ -15,6 +15,6 @@
 
 /// Whether a task may be preempted for the class. A task that goes before the class in the queue by
 /// its team's guarantee (fair share) may not: it would be queued again at once, and preempted again.
-pub(super) fn may_preempt(task: &Held, class: &Class) -> bool {
+pub(super) fn may_preempt(task: &PlacedTask, class: &JobClass) -> bool {
     task.stoppable && task.rank < class.rank && (class.guaranteed || !task.guaranteed)
 }
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -3,7 +3,7 @@
 use super::placement::{allowed, fetch_seconds, lacks_awaited_image};
 use super::preemptible::preemptible_for;
 use super::state::PlanState;
-use super::{Class, Plan};
+use super::{JobClass, Plan};
 use crate::time::Micros;
 
 /// A room that the class can have, and what is stopped for it. Options compare by their fields in this
@@ -69,7 +69,7 @@
     }
 
     /// What it takes for at least one task of the class to fit into a room; `None` if it cannot.
-    fn preemption_option(&self, class: &Class, room_index: usize) -> Option<PreemptionOption> {
+    fn preemption_option(&self, class: &JobClass, room_index: usize) -> Option<PreemptionOption> {
         let room = &self.snapshot.rooms[room_index];
         if !room.open || room.until.is_some() || self.being_cleared[room_index] {
             return None;
--- a/src/sched/queue.rs
+++ b/src/sched/queue.rs
@@ -1,9 +1,9 @@
 //! The order in which jobs are considered.
 
-use super::Class;
+use super::JobClass;
 
 /// The queue's score within a rank: (wait / adjusted time)^3 x size.
-pub fn score(class: &Class) -> f64 {
+pub fn score(class: &JobClass) -> f64 {
     let wait = class.waited.secs().max(0.001);
     let time = class.adjusted.secs().max(0.001);
     let size = class.need.cpus.max(class.need.gpus).max(0.1) * f64::from(class.count.max(1));
@@ -11,7 +11,7 @@
 }
 
 /// The queue's order: guaranteed work, then rank, then fewest aims missed, then score.
-pub fn order(classes: &[Class]) -> Vec<usize> {
+pub fn order(classes: &[JobClass]) -> Vec<usize> {
     let scores: Vec<f64> = classes.iter().map(score).collect();
     let mut indexes: Vec<usize> = (0..classes.len()).collect();
     indexes.sort_by(|&a, &b| {
--- a/src/sched/services.rs
+++ b/src/sched/services.rs
@@ -5,7 +5,7 @@
 use super::placement::{allowed, delay, fetch_seconds};
 use super::preemptible::preemptible_for;
 use super::state::PlanState;
-use super::{Class, Held, Need, Room, Start};
+use super::{JobClass, Machine, PlacedTask, Resources, Start};
 use crate::time::Micros;
 
 /// Delays of replicas that differ by less count as alike.
@@ -24,7 +24,7 @@
 const SAME_MACHINE: Micros = Micros::from_millis(600_000);
 
 /// A room that could take a replica.
-struct Candidate {
+struct ReplicaCandidate {
     /// When the replica would run, with all that speaks against the room added.
     cost: Micros,
     /// Work that is lost by stopping tasks.
@@ -37,7 +37,7 @@
 }
 
 /// What it takes to have room for one more replica.
-struct Clearing {
+struct ReplicaPreemption {
     /// Tasks to stop, by their place in the room's list.
     stops: Vec<usize>,
     /// Work that is lost by it.
@@ -83,18 +83,18 @@
         class.count - (limited - left)
     }
 
-    fn service_candidates(&self, class_index: usize, occupied: &[usize]) -> Vec<Candidate> {
+    fn service_candidates(&self, class_index: usize, occupied: &[usize]) -> Vec<ReplicaCandidate> {
         let rooms = 0..self.snapshot.rooms.len();
         rooms.filter_map(|room_index| self.service_candidate(class_index, room_index, occupied)).collect()
     }
 
     /// The candidate to take next: its cost counts in steps, and with the zones as they stand.
-    fn best_candidate(&self, class_index: usize, candidates: &[Candidate]) -> usize {
+    fn best_candidate(&self, class_index: usize, candidates: &[ReplicaCandidate]) -> usize {
         let class = &self.snapshot.classes[class_index];
         let crowded = |room_index: usize| {
             self.zones[class_index][self.snapshot.rooms[room_index].zone] >= class.tasks.div_ceil(2)
         };
-        let key = |x: &Candidate| {
+        let key = |x: &ReplicaCandidate| {
             let zone = if crowded(x.room) { CROWDED_ZONE } else { Micros::ZERO };
             ((x.cost + zone).0 / STEP.0, x.lost, x.free_tenths, x.room)
         };
@@ -108,13 +108,13 @@
         class_index: usize,
         room_index: usize,
         occupied: &[usize],
-    ) -> Option<Candidate> {
+    ) -> Option<ReplicaCandidate> {
         let class = &self.snapshot.classes[class_index];
         let room = &self.snapshot.rooms[room_index];
         if !room.open || room.until.is_some() || !allowed(class, room) {
             return None;
         }
-        let Clearing { stops, lost, ready_in } = self.make_room(class, room_index)?;
+        let ReplicaPreemption { stops, lost, ready_in } = self.preemption_for_replica(class, room_index)?;
         let mut cost = ready_in + Micros::from_secs(fetch_seconds(class, room)) + room.penalty;
         if !stops.is_empty() {
             cost = cost + STOPPING_COSTS;
@@ -122,26 +122,30 @@
         if occupied.contains(&room_index) {
             cost = cost + SAME_MACHINE;
         }
-        cost = cost + self.kept_room_cost(class, room_index);
+        cost = cost + self.headroom_cost(class, room_index);
         let free_tenths = (self.free[room_index].cpus * 10.0) as i64;
-        Some(Candidate { cost, lost, free_tenths, room: room_index, stops })
+        Some(ReplicaCandidate { cost, lost, free_tenths, room: room_index, stops })
     }
 
     /// Which tasks have to be stopped for one more replica, the work that is lost by it, and when the
     /// machine can take the start.
-    fn make_room(&self, class: &Class, room_index: usize) -> Option<Clearing> {
+    fn preemption_for_replica(&self, class: &JobClass, room_index: usize) -> Option<ReplicaPreemption> {
         let room = &self.snapshot.rooms[room_index];
         let stopped = |held: usize| self.stops_for_replicas.contains(&(room_index, held));
         let stopping = room.held.iter().any(|h| h.stopping);
         let soon = if stopping { room.opens_in.min(STOPPED_WITHIN) } else { room.opens_in };
         if self.free[room_index].fits(&class.need) > 0 {
-            return Some(Clearing { stops: Vec::new(), lost: Micros::ZERO, ready_in: soon });
+            return Some(ReplicaPreemption { stops: Vec::new(), lost: Micros::ZERO, ready_in: soon });
         }
         // What this plan stops here for another replica may leave room for this one.
         let ending = room.held.iter().enumerate().filter(|(held, task)| task.stopping || stopped(*held));
         let mut free = ending.fold(self.free[room_index], |n, (_, task)| n.plus(&task.need, 1));
         if free.fits(&class.need) > 0 {
-            return Some(Clearing { stops: Vec::new(), lost: Micros::ZERO, ready_in: STOPPED_WITHIN });
+            return Some(ReplicaPreemption {
+                stops: Vec::new(),
+                lost: Micros::ZERO,
+                ready_in: STOPPED_WITHIN,
+            });
         }
         let cleared_for_replicas = (0..room.held.len()).any(stopped);
         if self.being_cleared[room_index] && !cleared_for_replicas {
@@ -153,7 +157,7 @@
             lost = lost + room.held[held].lost_work;
             stops.push(held);
             if free.fits(&class.need) > 0 {
-                return Some(Clearing { stops, lost, ready_in: STOPPED_WITHIN });
+                return Some(ReplicaPreemption { stops, lost, ready_in: STOPPED_WITHIN });
             }
         }
         None
@@ -161,13 +165,13 @@
 
     /// What a replica on a machine of a type that is kept for larger tasks costs: replicas never end,
     /// so the larger task would have no whole machine any more.
-    fn kept_room_cost(&self, class: &Class, room_index: usize) -> Micros {
+    fn headroom_cost(&self, class: &JobClass, room_index: usize) -> Micros {
         let room = &self.snapshot.rooms[room_index];
         let Some(keep) = self.snapshot.kept(room.ty, room.spot) else { return Micros::ZERO };
         if class.need.fits(&keep.need) > 0 {
             return Micros::ZERO;
         }
-        let beside = endless_room(room).less(&self.endless[room_index], 1);
+        let beside = capacity_beside_endless(room).less(&self.endless[room_index], 1);
         if beside.less(&class.need, 1).fits(&keep.need) > 0 {
             KEPT_TYPE
         } else {
@@ -177,28 +181,30 @@
 }
 
 /// What a machine has beside the tasks on it that never end.
-fn endless_room(room: &Room) -> Need {
-    let endless = room.held.iter().filter(|h: &&Held| h.endless);
+fn capacity_beside_endless(room: &Machine) -> Resources {
+    let endless = room.held.iter().filter(|h: &&PlacedTask| h.endless);
     endless.fold(room.total, |n, h| n.less(&h.need, 1))
 }
 
-/// A room that has just reported, for replicas that wait.
-pub struct ReportedRoom<'a> {
+/// A machine that has just sent a heartbeat, for replicas that wait: whether one may start on it
+/// ahead of the next plan.
+pub struct HeartbeatMachine<'a> {
     /// The room.
-    pub room: &'a Room,
+    pub room: &'a Machine,
     /// What a larger task takes for which its type is kept.
-    pub kept: Option<Need>,
+    pub kept: Option<Resources>,
     /// Whether the service has half of its replicas in the room's zone already.
     pub crowded_zone: bool,
 }
 
-impl ReportedRoom<'_> {
+impl HeartbeatMachine<'_> {
     /// Whether one more replica may start here ahead of the next plan: it runs sooner than in `planned`,
     /// in the place that the plan gave it, if it gave it one. A place in another zone is waited for if
     /// there are many replicas in this one.
-    pub fn runs_sooner(&self, class: &Class, planned: Option<Micros>) -> bool {
+    pub fn runs_sooner(&self, class: &JobClass, planned: Option<Micros>) -> bool {
         let room = self.room;
-        let fits_beside = self.kept.is_none_or(|k| endless_room(room).less(&class.need, 1).fits(&k) > 0);
+        let fits_beside =
+            self.kept.is_none_or(|k| capacity_beside_endless(room).less(&class.need, 1).fits(&k) > 0);
         let here = Micros::from_secs(fetch_seconds(class, room)) + room.penalty;
         let sooner = planned.is_none_or(|planned| !self.crowded_zone && here < planned);
         allowed(class, room)
@@ -210,6 +216,6 @@
 }
 
 /// When a replica would run in a room, by its next report and its image.
-pub fn runs_in(class: &Class, room: &Room) -> Micros {
+pub fn runs_in(class: &JobClass, room: &Machine) -> Micros {
     delay(class, room)
 }
--- a/src/sched/state.rs
+++ b/src/sched/state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::placement::{allowed, delay, lacks_awaited_image};
-use super::{Class, Need, Room, Snapshot, TeamUse};
+use super::{JobClass, Machine, Resources, Snapshot, TeamUse};
 use crate::time::Micros;
 use crate::wire::Rank;
 
@@ -12,13 +12,13 @@
     /// What is planned for.
     pub(super) snapshot: &'a Snapshot,
     /// By room: what is free.
-    pub(super) free: Vec<Need>,
-    /// Room that low ranks may still take where some is kept for others.
-    pub(super) free_beside_kept: Vec<Option<Need>>,
+    pub(super) free: Vec<Resources>,
+    /// By machine: capacity that low ranks may still take where headroom is reserved for others.
+    pub(super) free_beside_kept: Vec<Option<Resources>>,
     /// What each team uses, with what this plan starts.
     pub(super) teams: Vec<TeamUse>,
     /// With a reservation: what is left at its time on its rooms.
-    pub(super) shadow: Vec<Option<Need>>,
+    pub(super) shadow: Vec<Option<Resources>>,
     /// When the reservation begins.
     pub(super) reserved_at: Micros,
     /// By class: its tasks in each zone, with what this plan starts.
@@ -30,7 +30,7 @@
     /// Tasks that this plan stops for replicas: room and place in its list.
     pub(super) stops_for_replicas: BTreeSet<(usize, usize)>,
     /// By room: what this plan has given to replicas, which never end.
-    pub(super) endless: Vec<Need>,
+    pub(super) endless: Vec<Resources>,
     /// By team: what its first gang that is held back by the quota reserves of it, and when.
     pub(super) quota_reservations: Vec<Option<QuotaReservation>>,
     /// By team: a gang is held back by the limit, whether it has room or not.
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct QuotaReservation {
     /// What each of the gang's tasks takes.
-    pub(super) need: Need,
+    pub(super) need: Resources,
     /// How many tasks the gang has.
     pub(super) count: u32,
     /// When, by the stated ends of the team's tasks, the quota lets the gang start.
@@ -58,7 +58,7 @@
     /// When, from now.
     pub(super) at: Micros,
     /// What each of the tasks takes.
-    pub(super) need: Need,
+    pub(super) need: Resources,
     /// How many tasks end then.
     pub(super) count: u32,
 }
@@ -66,8 +66,8 @@
 /// A room that could take tasks of a class. Candidates compare by their fields in this order, and the
 /// least is the best.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Candidate {
-    /// Room in it is kept for tasks of a higher rank.
+struct MachineCandidate {
+    /// Capacity on it is reserved for tasks of a higher rank.
     kept_for_others: bool,
     /// How long until a task would run there, in steps within which delays count as alike.
     delay_steps: i64,
@@ -113,7 +113,7 @@
             contended_types: vec![false; snapshot.keep.len()],
             being_cleared: vec![false; snapshot.rooms.len()],
             stops_for_replicas: BTreeSet::new(),
-            endless: vec![Need::default(); snapshot.rooms.len()],
+            endless: vec![Resources::default(); snapshot.rooms.len()],
             quota_reservations: vec![None; snapshot.teams.len()],
             gang_at_limit: vec![false; snapshot.teams.len()],
             planned_ends: vec![Vec::new(); snapshot.teams.len()],
@@ -121,12 +121,12 @@
     }
 
     /// Whether room on that machine is kept for tasks of a higher rank than the class.
-    fn is_below_kept_rank(&self, class: &Class, room: &Room) -> bool {
+    fn is_below_kept_rank(&self, class: &JobClass, room: &Machine) -> bool {
         self.snapshot.kept(room.ty, room.spot).is_some_and(|kept| class.rank < kept.rank)
     }
 
     /// How many tasks of the class could start there now.
-    pub(super) fn fits_now(&self, class: &Class, room_index: usize) -> u32 {
+    pub(super) fn fits_now(&self, class: &JobClass, room_index: usize) -> u32 {
         let room = &self.snapshot.rooms[room_index];
         if !room.open || !allowed(class, room) || lacks_awaited_image(class, room) {
             return 0;
@@ -177,7 +177,7 @@
     }
 
     /// The rooms for a class, best first.
-    pub(super) fn candidates(&self, class: &Class) -> Vec<usize> {
+    pub(super) fn candidates(&self, class: &JobClass) -> Vec<usize> {
         // Reports come every few seconds anyway: within that, cheap and small rooms go before large
         // ones and full ones before empty ones, so that others empty and can be returned.
         let step = match class.rank {
@@ -187,7 +187,7 @@
         let tenths = |cpus: f64| (cpus * 10.0) as i64;
         let candidate = |index: usize| {
             let room = &self.snapshot.rooms[index];
-            Candidate {
+            MachineCandidate {
                 kept_for_others: self.is_below_kept_rank(class, room),
                 delay_steps: delay(class, room).0 / step.0.max(1),
                 rate: room.rate,
@@ -197,7 +197,7 @@
             }
         };
         let fitting = (0..self.snapshot.rooms.len()).filter(|&index| self.fits_now(class, index) > 0);
-        let mut candidates: Vec<Candidate> = fitting.map(candidate).collect();
+        let mut candidates: Vec<MachineCandidate> = fitting.map(candidate).collect();
         candidates.sort_unstable();
         candidates.into_iter().map(|candidate| candidate.room).collect()
     }
--- a/src/sched/top_up.rs
+++ b/src/sched/top_up.rs
@@ -1,8 +1,9 @@
-//! Starts between two plans, on a machine that has room now.
+//! Incremental backfill: starts between two plans, on a machine that has free capacity now (it has
+//! just sent a heartbeat).
 
 use super::placement::{allowed, delay, lacks_awaited_image};
 use super::types::EPS;
-use super::{Class, Need, Room, Snapshot, TeamUse};
+use super::{JobClass, Machine, Resources, Snapshot, TeamUse};
 use crate::time::Micros;
 
 /// A class without a deadline that waited longer than this is not passed over for one whose image is
@@ -18,7 +19,7 @@
 /// zones, and teams a gang of which waits for their limit, are left to the next plan. So are all teams
 /// with a limit where a gang waits for room on such a machine: what they start beyond the plan would
 /// keep a wide gang from it, behind work within a guarantee.
-pub struct TopUp<'a> {
+pub struct IncrementalBackfill<'a> {
     /// What the latest plan was made for.
     pub snapshot: &'a Snapshot,
     /// By type, whether tasks wait that it is kept for.
@@ -28,18 +29,18 @@
     /// By team, what it uses now; none for teams that are not limited.
     pub team_uses: Vec<TeamUse>,
     /// The machine.
-    pub room: &'a Room,
+    pub room: &'a Machine,
     /// Whether a gang waits that may use the machine.
     pub gang_waits: bool,
 }
 
-impl TopUp<'_> {
+impl IncrementalBackfill<'_> {
     /// Which of the array tasks that found no room start on the machine, by class; they are taken off
     /// `unmet`. It goes in the queue's order, but among jobs of one rank that missed as many aims, those
     /// whose image the machine has go first: where all machines are in use, each would otherwise fetch
     /// every image, and fetching takes as much of its time as running.
     pub fn starts(mut self, unmet: &mut [(usize, u32)]) -> Vec<(usize, u32)> {
-        let group = |c: &Class| (c.guaranteed, c.queue_rank(), c.missed_aims);
+        let group = |c: &JobClass| (c.guaranteed, c.queue_rank(), c.missed_aims);
         let classes = &self.snapshot.classes;
         let mut starts = Vec::new();
         let mut free = self.room.free;
@@ -60,7 +61,7 @@
         &mut self,
         unmet: &mut [(usize, u32)],
         goes_first: bool,
-        free: &mut Need,
+        free: &mut Resources,
         starts: &mut Vec<(usize, u32)>,
     ) {
         for (class_index, left) in unmet.iter_mut().filter(|u| u.1 > 0) {
@@ -79,7 +80,7 @@
     }
 
     /// Whether the class goes before others of its group.
-    fn goes_first(&self, class: &Class) -> bool {
+    fn goes_first(&self, class: &JobClass) -> bool {
         let has_image = class.image.is_none_or(|image| self.room.images.contains(&image));
         let is_pressed = match class.slack {
             Some(slack) => slack < class.adjusted.scale(LEAST_SLACK),
@@ -89,7 +90,7 @@
     }
 
     /// Whether tasks of the class may start on the machine before the next plan.
-    fn may_start(&self, class: &Class) -> bool {
+    fn may_start(&self, class: &JobClass) -> bool {
         let room = self.room;
         let below_kept = self.snapshot.kept(room.ty, room.spot).is_some_and(|kept| class.rank < kept.rank);
         let contended = self.contended_types.get(room.ty).copied().unwrap_or(false);
@@ -104,12 +105,12 @@
     }
 
     /// How many more tasks of the class its team's limit allows.
-    fn limit_allows(&self, class: &Class) -> u32 {
+    fn limit_allows(&self, class: &JobClass) -> u32 {
         self.team_uses.get(class.team).map_or(u32::MAX, |team_use| team_use.allows(&class.need))
     }
 
     /// Counts started tasks against their team's limit.
-    fn add_use(&mut self, class: &Class, count: u32) {
+    fn add_use(&mut self, class: &JobClass, count: u32) {
         if let Some(team_use) = self.team_uses.get_mut(class.team) {
             team_use.used = team_use.used.plus(&class.need, count);
         }
--- a/src/sched/types.rs
+++ b/src/sched/types.rs
@@ -6,20 +6,20 @@
 /// Amounts below this count as nothing.
 pub(super) const EPS: f64 = 1e-6;
 
-/// What a task takes, or a machine has.
+/// Resources that a task takes or a machine has: processors, GPUs, and memory in GB.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Need {
+pub struct Resources {
     /// Processors.
     pub cpus: f64,
-    /// Cards.
+    /// GPUs.
     pub gpus: f64,
     /// Memory in GB.
     pub memory: f64,
 }
 
-impl Need {
+impl Resources {
     /// How many tasks of need `task` fit into this.
-    pub fn fits(&self, task: &Need) -> u32 {
+    pub fn fits(&self, task: &Resources) -> u32 {
         let one = |have: f64, need: f64| {
             if need <= EPS {
                 u32::MAX
@@ -31,9 +31,9 @@
     }
 
     /// This less `count` tasks of need `task`.
-    pub fn less(&self, task: &Need, count: u32) -> Need {
+    pub fn less(&self, task: &Resources, count: u32) -> Resources {
         let count = f64::from(count);
-        Need {
+        Resources {
             cpus: self.cpus - task.cpus * count,
             gpus: self.gpus - task.gpus * count,
             memory: self.memory - task.memory * count,
@@ -41,9 +41,9 @@
     }
 
     /// This and `count` tasks of need `task`.
-    pub fn plus(&self, task: &Need, count: u32) -> Need {
+    pub fn plus(&self, task: &Resources, count: u32) -> Resources {
         let count = f64::from(count);
-        Need {
+        Resources {
             cpus: self.cpus + task.cpus * count,
             gpus: self.gpus + task.gpus * count,
             memory: self.memory + task.memory * count,
@@ -51,11 +51,11 @@
     }
 }
 
-/// A task that is, or may be, on a machine.
+/// A task that runs, or may be about to run, on a machine (placed, in `Machine::held`).
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct PlacedTask {
     /// What it takes.
-    pub need: Need,
+    pub need: Resources,
     /// Its job's rank.
     pub rank: Rank,
     /// Its job fits its team's guarantee.
@@ -74,10 +74,10 @@
     pub endless: bool,
 }
 
-impl Held {
+impl PlacedTask {
     /// A replica of a service that is about to start.
-    pub fn replica(class: &Class) -> Held {
-        Held {
+    pub fn replica(class: &JobClass) -> PlacedTask {
+        PlacedTask {
             need: class.need,
             rank: class.rank,
             guaranteed: class.guaranteed,
@@ -91,9 +91,9 @@
     }
 }
 
-/// A machine.
+/// A machine (node) as the planner sees it; indices are into `Snapshot::rooms`.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct Machine {
     /// Index of its type.
     pub ty: usize,
     /// Index of its zone.
@@ -101,9 +101,9 @@
     /// Spot machine.
     pub spot: bool,
     /// All it has.
-    pub total: Need,
+    pub total: Resources,
     /// What is free.
-    pub free: Need,
+    pub free: Resources,
     /// Whether tasks may start on it now.
     pub open: bool,
     /// When it is expected to take a start: its next report, or the end of its boot.
@@ -119,12 +119,12 @@
     /// Only tasks that end within this may start (a spot notice).
     pub until: Option<Micros>,
     /// The tasks on it.
-    pub held: Vec<Held>,
+    pub held: Vec<PlacedTask>,
 }
 
-/// A job with tasks that could start.
+/// A job's tasks that could start, taken together: all tasks of a job are alike (a job class).
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct JobClass {
     /// Rank.
     pub rank: Rank,
     /// It has waited so long that the queue counts it with this rank, if that is higher: otherwise more
@@ -142,7 +142,7 @@
     /// All or none.
     pub gang: bool,
     /// What a task takes.
-    pub need: Need,
+    pub need: Resources,
     /// Allowed types by index; empty: none at all.
     pub types: Vec<usize>,
     /// The only allowed zone.
@@ -177,18 +177,18 @@
     pub replicas: Option<Vec<usize>>,
 }
 
-impl Class {
+impl JobClass {
     /// The rank that counts in the queue.
     pub fn queue_rank(&self) -> Rank {
         self.raised.map_or(self.rank, |r| r.max(self.rank))
     }
 }
 
-/// A team's use and limit.
+/// A team's use and quota (limit).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TeamUse {
     /// What its tasks take, those possibly there included.
-    pub used: Need,
+    pub used: Resources,
     /// Most processors; 0: no limit.
     pub cpus_max: f64,
     /// Most cards; 0: no limit.
@@ -197,7 +197,7 @@
 
 impl TeamUse {
     /// How many more tasks of need `task` the limit allows.
-    pub fn allows(&self, task: &Need) -> u32 {
+    pub fn allows(&self, task: &Resources) -> u32 {
         let one = |max: f64, used: f64, need: f64| {
             if max <= 0.0 || need <= EPS {
                 u32::MAX
@@ -209,30 +209,30 @@
     }
 }
 
-/// Room of a type kept for tasks of this need and at least this rank.
+/// Headroom reserved on machines of a type for tasks of this size and at least this rank.
 #[derive(Clone, Copy, Debug)]
-pub struct KeptRoom {
+pub struct ReservedHeadroom {
     /// What such a task takes.
-    pub need: Need,
+    pub need: Resources,
     /// Its rank.
     pub rank: Rank,
     /// Whether such tasks may use spot machines; if not, none of those is kept for them.
     pub spot: bool,
 }
 
-/// All that the planner sees.
+/// Everything the planner sees: its only input.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// Number of zones.
     pub zones: usize,
     /// The machines.
-    pub rooms: Vec<Room>,
+    pub rooms: Vec<Machine>,
     /// The jobs.
-    pub classes: Vec<Class>,
+    pub classes: Vec<JobClass>,
     /// The teams.
     pub teams: Vec<TeamUse>,
     /// By type, what lower ranks leave free.
-    pub keep: Vec<Option<KeptRoom>>,
+    pub keep: Vec<Option<ReservedHeadroom>>,
     /// Whether the blocked head job gets a reservation.
     pub reserve: bool,
     /// Delays that differ by less than this count as alike for the lowest rank: it waits politely,
@@ -247,7 +247,7 @@
 
 impl Snapshot {
     /// What is kept on machines of a type and kind, if anything is.
-    pub fn kept(&self, ty: usize, spot: bool) -> Option<KeptRoom> {
+    pub fn kept(&self, ty: usize, spot: bool) -> Option<ReservedHeadroom> {
         self.keep.get(ty).copied().flatten().filter(|kept| kept.spot || !spot)
     }
 }
@@ -274,7 +274,7 @@
     pub rooms: Vec<(usize, u32)>,
 }
 
-/// The planner's decisions.
+/// The planner's decisions: its only output.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     /// Tasks to start now.
