--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -55,9 +55,8 @@
             let fit = |room: usize| by_room[room].map_or(0, |option| option.fits);
             self.place_gang(class_index, &rooms, &fit)
         } else {
-            let zone_takes =
-                |room: usize| self.zone_allowance(class_index, self.snapshot.rooms[room].zone) > 0;
-            rooms.iter().find(|&&room| zone_takes(room)).map(|&room| vec![(room, 1)])
+            let first = rooms.iter().find(|&&room| self.zone_takes(class_index, room));
+            first.map(|&room| vec![(room, 1)])
         };
         let mut stopped = Vec::new();
         for (room, _) in places.unwrap_or_default() {
--- a/src/sched/reservation.rs
+++ b/src/sched/reservation.rs
@@ -20,9 +20,7 @@
         let places = if class.gang {
             self.place_gang(class_index, &rooms, &fit)?
         } else {
-            let zone_takes =
-                |room: usize| self.zone_allowance(class_index, self.snapshot.rooms[room].zone) > 0;
-            let first = rooms.iter().find(|&&room| fit(room) > 0 && zone_takes(room))?;
+            let first = rooms.iter().find(|&&room| fit(room) > 0 && self.zone_takes(class_index, room))?;
             vec![(*first, 1)]
         };
         Some(self.reserve_rooms(class_index, at, places))
--- a/src/sched/services.rs
+++ b/src/sched/services.rs
@@ -5,6 +5,7 @@
 use super::placement::{allowed, delay, fetch_seconds};
 use super::preemptible::preemptible_for;
 use super::state::PlanState;
+use super::types::cpu_tenths;
 use super::{JobClass, Machine, PlacedTask, Resources, Start};
 use crate::time::Micros;
 
@@ -123,7 +124,7 @@
             cost = cost + SAME_MACHINE;
         }
         cost = cost + self.headroom_cost(class, room_index);
-        let free_tenths = (self.free[room_index].cpus * 10.0) as i64;
+        let free_tenths = cpu_tenths(self.free[room_index].cpus);
         Some(ReplicaCandidate { cost, lost, free_tenths, room: room_index, stops })
     }
 
--- a/src/sched/state.rs
+++ b/src/sched/state.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::placement::{allowed, delay, lacks_awaited_image};
-use super::{JobClass, Machine, Resources, Snapshot, TeamUse};
+use super::types::cpu_tenths;
+use super::{JobClass, Resources, Snapshot, TeamUse};
 use crate::time::Micros;
 use crate::wire::Rank;
 
@@ -120,11 +121,6 @@
         }
     }
 
-    /// Whether room on that machine is kept for tasks of a higher rank than the class.
-    fn is_below_kept_rank(&self, class: &JobClass, room: &Machine) -> bool {
-        self.snapshot.kept(room.ty, room.spot).is_some_and(|kept| class.rank < kept.rank)
-    }
-
     /// How many tasks of the class could start there now.
     pub(super) fn fits_now(&self, class: &JobClass, room_index: usize) -> u32 {
         let room = &self.snapshot.rooms[room_index];
@@ -132,7 +128,7 @@
             return 0;
         }
         let mut count = self.free[room_index].fits(&class.need);
-        if count > 0 && self.is_below_kept_rank(class, room) {
+        if count > 0 && self.snapshot.is_below_reserved_rank(class, room) {
             if self.contended_types[room.ty] {
                 return 0;
             }
@@ -155,7 +151,7 @@
         let class = &self.snapshot.classes[class_index];
         let room = &self.snapshot.rooms[room_index];
         self.free[room_index] = self.free[room_index].less(&class.need, count);
-        if self.is_below_kept_rank(class, room) {
+        if self.snapshot.is_below_reserved_rank(class, room) {
             self.free_beside_kept[room_index] =
                 self.free_beside_kept[room_index].map(|free| free.less(&class.need, count));
         }
@@ -184,15 +180,14 @@
             Rank::Idle => self.snapshot.low_rank_delay_step,
             _ => self.snapshot.delay_step,
         };
-        let tenths = |cpus: f64| (cpus * 10.0) as i64;
         let candidate = |index: usize| {
             let room = &self.snapshot.rooms[index];
             MachineCandidate {
-                kept_for_others: self.is_below_kept_rank(class, room),
+                kept_for_others: self.snapshot.is_below_reserved_rank(class, room),
                 delay_steps: delay(class, room).0 / step.0.max(1),
                 rate: room.rate,
-                total_tenths: tenths(room.total.cpus),
-                free_tenths: tenths(self.free[index].cpus),
+                total_tenths: cpu_tenths(room.total.cpus),
+                free_tenths: cpu_tenths(self.free[index].cpus),
                 room: index,
             }
         };
@@ -202,6 +197,11 @@
         candidates.into_iter().map(|candidate| candidate.room).collect()
     }
 
+    /// Whether one more task of the class may go to the machine's zone.
+    pub(super) fn zone_takes(&self, class_index: usize, room_index: usize) -> bool {
+        self.zone_allowance(class_index, self.snapshot.rooms[room_index].zone) > 0
+    }
+
     /// How many tasks of the class may still go to the zone.
     pub(super) fn zone_allowance(&self, class_index: usize, zone: usize) -> u32 {
         let class = &self.snapshot.classes[class_index];
--- a/src/sched/top_up.rs
+++ b/src/sched/top_up.rs
@@ -92,7 +92,7 @@
     /// Whether tasks of the class may start on the machine before the next plan.
     fn may_start(&self, class: &JobClass) -> bool {
         let room = self.room;
-        let below_kept = self.snapshot.kept(room.ty, room.spot).is_some_and(|kept| class.rank < kept.rank);
+        let below_kept = self.snapshot.is_below_reserved_rank(class, room);
         let contended = self.contended_types.get(room.ty).copied().unwrap_or(false);
         let left_clear = below_kept && (self.snapshot.clear_rooms > 0 || contended);
         let claimed = self.claimed_limits.get(class.team).copied().unwrap_or(false);
--- a/src/sched/types.rs
+++ b/src/sched/types.rs
@@ -6,6 +6,12 @@
 /// Amounts below this count as nothing.
 pub(super) const EPS: f64 = 1e-6;
 
+/// Processors in whole tenths, truncated: machines are ordered by this, so that tiny differences of
+/// free capacity do not decide.
+pub(super) fn cpu_tenths(cpus: f64) -> i64 {
+    (cpus * 10.0) as i64
+}
+
 /// Resources that a task takes or a machine has: processors, GPUs, and memory in GB.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
@@ -250,6 +256,11 @@
     pub fn kept(&self, ty: usize, spot: bool) -> Option<ReservedHeadroom> {
         self.keep.get(ty).copied().flatten().filter(|kept| kept.spot || !spot)
     }
+
+    /// Whether headroom on the machine is reserved for tasks of a higher rank than the class's.
+    pub fn is_below_reserved_rank(&self, class: &JobClass, machine: &Machine) -> bool {
+        self.kept(machine.ty, machine.spot).is_some_and(|kept| class.rank < kept.rank)
+    }
 }
 
 /// Tasks of a class to start on a room.
