--- a/src/sched/types.rs
+++ b/src/sched/types.rs
@@ -62,19 +62,19 @@
 pub struct PlacedTask {
     /// What it takes.
     pub need: Resources,
-    /// Its job's rank.
+    /// Its job's rank (priority).
     pub rank: Rank,
-    /// Its job fits its team's guarantee.
+    /// Whether its job is within its team's guarantee (fair share).
     pub guaranteed: bool,
-    /// Its team.
+    /// Index into `Snapshot::teams`.
     pub team: usize,
     /// Until its stated end; overrunning tasks have a little left.
     pub left: Micros,
-    /// Work lost if it is stopped now.
+    /// Work lost if it is preempted now, in processor time (zero for jobs that checkpoint).
     pub lost_work: Micros,
     /// Whether it may be stopped for others: it runs and is not being stopped already.
     pub stoppable: bool,
-    /// Whether it is being stopped.
+    /// Whether it is being preempted or cancelled already.
     pub stopping: bool,
     /// Whether it runs until its job is cancelled.
     pub endless: bool,
@@ -100,75 +100,75 @@
 /// A machine (node) as the planner sees it; indices are into `Snapshot::rooms`.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Index of its type.
+    /// Index into the machine types.
     pub ty: usize,
-    /// Index of its zone.
+    /// Index into the zones, below `Snapshot::zones`.
     pub zone: usize,
-    /// Spot machine.
+    /// Whether it is a spot (preemptible) instance.
     pub spot: bool,
-    /// All it has.
+    /// All resources it has.
     pub total: Resources,
-    /// What is free.
+    /// Resources that no task takes.
     pub free: Resources,
     /// Whether tasks may start on it now.
     pub open: bool,
     /// When it is expected to take a start: its next report, or the end of its boot.
     pub opens_in: Micros,
-    /// Images it has or is fetching.
+    /// Ids of the images it has or is fetching.
     pub images: Vec<u32>,
     /// Image fetch rate in GB a second.
     pub fetch_rate: f64,
     /// Price an hour of a processor, in thousandths.
     pub rate: i64,
-    /// Added to its cost, for machines that did badly.
+    /// Time added to its delay for machines that did badly, so that others go first.
     pub penalty: Micros,
     /// Only tasks that end within this may start (a spot notice).
     pub until: Option<Micros>,
-    /// The tasks on it.
+    /// The tasks placed on it; `Plan::preempt` points into this list.
     pub held: Vec<PlacedTask>,
 }
 
 /// A job's tasks that could start, taken together: all tasks of a job are alike (a job class).
 #[derive(Clone, Debug)]
 pub struct JobClass {
-    /// Rank.
+    /// The job's rank (priority).
     pub rank: Rank,
     /// It has waited so long that the queue counts it with this rank, if that is higher: otherwise more
     /// work of higher ranks than there is room would keep a wide gang waiting for ever. Nothing is
     /// stopped by it.
     pub raised: Option<Rank>,
-    /// The team's index.
+    /// Index into `Snapshot::teams`.
     pub team: usize,
-    /// Whether the job fits its team's guarantee.
+    /// Whether the job is within its team's guarantee (fair share).
     pub guaranteed: bool,
     /// Tasks that could start now.
     pub count: u32,
     /// All tasks of the job.
     pub tasks: u32,
-    /// All or none.
+    /// Whether it is a gang: all its tasks start together or none does.
     pub gang: bool,
     /// What a task takes.
     pub need: Resources,
-    /// Allowed types by index; empty: none at all.
+    /// Indices of the machine types it may use; empty: none at all.
     pub types: Vec<usize>,
-    /// The only allowed zone.
+    /// The only zone it may use, if it is tied to one.
     pub zone: Option<usize>,
-    /// All tasks in one zone.
+    /// Whether all its tasks must be in one zone.
     pub one_zone: bool,
-    /// At most half in one zone.
+    /// Whether at most half of its tasks may be in one zone.
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether it may use spot machines.
     pub spot: bool,
-    /// The image.
+    /// Id of its image, if it has one.
     pub image: Option<u32>,
-    /// Its size in GB.
+    /// The image's size in GB.
     pub image_gb: f64,
     /// It starts only where its image is, for now: with the fetch it would miss its aim anyway, and
     /// machines that have the image come free.
     pub waits_for_image: bool,
-    /// Adjusted run time of a task.
+    /// Adjusted run time of a task: the stated one times the factor A (`history::History::factor`).
     pub adjusted: Micros,
-    /// Time since it was accepted.
+    /// Time since the job was accepted.
     pub waited: Micros,
     /// Its tasks that are or may be somewhere, by zone.
     pub zones: Vec<u32>,
@@ -195,9 +195,9 @@
 pub struct TeamUse {
     /// What its tasks take, those possibly there included.
     pub used: Resources,
-    /// Most processors; 0: no limit.
+    /// Processor quota; 0: no limit.
     pub cpus_max: f64,
-    /// Most cards; 0: no limit.
+    /// GPU quota; 0: no limit.
     pub gpus_max: f64,
 }
 
@@ -218,9 +218,9 @@
 /// Headroom reserved on machines of a type for tasks of this size and at least this rank.
 #[derive(Clone, Copy, Debug)]
 pub struct ReservedHeadroom {
-    /// What such a task takes.
+    /// Resources that such a task takes.
     pub need: Resources,
-    /// Its rank.
+    /// The least rank of the tasks it is reserved for.
     pub rank: Rank,
     /// Whether such tasks may use spot machines; if not, none of those is kept for them.
     pub spot: bool,
@@ -231,13 +231,13 @@
 pub struct Snapshot {
     /// Number of zones.
     pub zones: usize,
-    /// The machines.
+    /// The machines; their index is used everywhere in the plan.
     pub rooms: Vec<Machine>,
-    /// The jobs.
+    /// The jobs with tasks that could start, as job classes.
     pub classes: Vec<JobClass>,
-    /// The teams.
+    /// The teams' use and quota.
     pub teams: Vec<TeamUse>,
-    /// By type, what lower ranks leave free.
+    /// By machine type: the headroom that lower ranks leave free, if any.
     pub keep: Vec<Option<ReservedHeadroom>>,
     /// Whether the blocked head job gets a reservation.
     pub reserve: bool,
@@ -263,25 +263,25 @@
     }
 }
 
-/// Tasks of a class to start on a room.
+/// Tasks of a class to start on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Start {
-    /// The class.
+    /// Index into `Snapshot::classes`.
     pub class: usize,
-    /// The room.
+    /// Index into `Snapshot::rooms`.
     pub room: usize,
-    /// How many.
+    /// How many tasks.
     pub count: u32,
 }
 
-/// The blocked head job's reservation.
+/// The blocked head job's reservation (backfilling): later jobs may not delay it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// The class.
+    /// Index into `Snapshot::classes`.
     pub class: usize,
-    /// When its room is free.
+    /// When, from now, its machines are free by the stated ends of the tasks on them.
     pub at: Micros,
-    /// The rooms, with the tasks on each.
+    /// The machines by index, with the number of tasks on each.
     pub rooms: Vec<(usize, u32)>,
 }
 
@@ -290,9 +290,9 @@
 pub struct Plan {
     /// Tasks to start now.
     pub starts: Vec<Start>,
-    /// The reservation.
+    /// The reservation for the blocked head job, if there is one.
     pub reservation: Option<Reservation>,
-    /// Tasks to stop: room and place in its `held`.
+    /// Tasks to preempt: index of the machine and place in its `held`.
     pub preempt: Vec<(usize, usize)>,
     /// Tasks that found no room, by class, in queue order.
     pub unmet: Vec<(usize, u32)>,
