--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -107,8 +107,8 @@
 pub use self::CapacityView as View; // join alias: remove
 pub use self::MachineStatus as Upkeep; // join alias: remove
 pub use self::ScaleOut as Rent; // join alias: remove
-pub use self::ScalingDecision as Decision;
-pub use self::ScalingPolicy as Policy; // join alias: remove // join alias: remove
+pub use self::ScalingDecision as Decision; // join alias: remove
+pub use self::ScalingPolicy as Policy; // join alias: remove
 
 impl CapacityView<'_> {
     /// Whether a machine can be counted on: it is up, or it boots no longer than the policy allows.
