--- a/src/sched/gangs.rs
+++ b/src/sched/gangs.rs
@@ -11,7 +11,7 @@
     /// It finds no room.
     NoRoom,
     /// Its team's limit alone holds it back, or it is behind another gang of its team for which that is so.
-    AtLimit,
+    AtQuota,
 }
 
 impl PlanState<'_> {
@@ -23,12 +23,12 @@
             return if started { GangOutcome::Started } else { GangOutcome::NoRoom };
         }
         if self.gang_at_limit[class.team] {
-            return GangOutcome::AtLimit;
+            return GangOutcome::AtQuota;
         }
         self.gang_at_limit[class.team] = true;
         let Some(rooms) = self.find_gang_rooms(class_index) else { return GangOutcome::NoRoom };
         self.claim_limit(class_index, rooms, plan);
-        GangOutcome::AtLimit
+        GangOutcome::AtQuota
     }
 
     /// Claims what frees of the team's limit for a gang that has room and is held back by that limit
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -60,7 +60,7 @@
             match self.plan_gang(class_index, plan) {
                 GangOutcome::Started => 0,
                 GangOutcome::NoRoom => class.count,
-                GangOutcome::AtLimit => return,
+                GangOutcome::AtQuota => return,
             }
         } else if class.replicas.is_some() {
             self.start_service(class_index, &mut plan.starts, &mut plan.preempt)
@@ -74,7 +74,7 @@
         self.mark_contended_types(class);
         // All that can be stopped for a service is by now; what it needs beyond that has to be rented.
         if class.replicas.is_none() {
-            self.make_way(class_index, plan);
+            self.reserve_or_preempt(class_index, plan);
         }
     }
 
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -23,7 +23,7 @@
 impl PlanState<'_> {
     /// Reserves room for a blocked class if none is reserved yet, and stops others for it if it cannot
     /// wait that long.
-    pub(super) fn make_way(&mut self, class_index: usize, plan: &mut Plan) {
+    pub(super) fn reserve_or_preempt(&mut self, class_index: usize, plan: &mut Plan) {
         let class = &self.snapshot.classes[class_index];
         if plan.reservation.is_none() && self.snapshot.reserve {
             plan.reservation = self.reserve(class_index);
@@ -60,7 +60,7 @@
         };
         let mut stopped = Vec::new();
         for (room, _) in places.unwrap_or_default() {
-            self.being_cleared[room] = true;
+            self.being_preempted_for[room] = true;
             let stops = by_room[room].iter().flat_map(|option| &option.stops);
             stopped.extend(stops.map(|&held| (room, held)));
         }
@@ -70,7 +70,7 @@
     /// What it takes for at least one task of the class to fit into a room; `None` if it cannot.
     fn preemption_option(&self, class: &JobClass, room_index: usize) -> Option<PreemptionOption> {
         let room = &self.snapshot.rooms[room_index];
-        if !room.open || room.until.is_some() || self.being_cleared[room_index] {
+        if !room.open || room.until.is_some() || self.being_preempted_for[room_index] {
             return None;
         }
         if !allowed(class, room) || lacks_awaited_image(class, room) {
--- a/src/sched/services.rs
+++ b/src/sched/services.rs
@@ -72,9 +72,9 @@
                 continue;
             }
             self.allocate(class_index, chosen.room, 1);
-            self.being_cleared[chosen.room] |= !chosen.stops.is_empty();
+            self.being_preempted_for[chosen.room] |= !chosen.stops.is_empty();
             preempt.extend(chosen.stops.iter().map(|&held| (chosen.room, held)));
-            self.stops_for_replicas.extend(chosen.stops.iter().map(|&held| (chosen.room, held)));
+            self.preemptions_for_replicas.extend(chosen.stops.iter().map(|&held| (chosen.room, held)));
             starts.push(Start { class: class_index, room: chosen.room, count: 1 });
             occupied.push(chosen.room);
             left -= 1;
@@ -132,7 +132,7 @@
     /// machine can take the start.
     fn preemption_for_replica(&self, class: &JobClass, room_index: usize) -> Option<ReplicaPreemption> {
         let room = &self.snapshot.rooms[room_index];
-        let stopped = |held: usize| self.stops_for_replicas.contains(&(room_index, held));
+        let stopped = |held: usize| self.preemptions_for_replicas.contains(&(room_index, held));
         let stopping = room.held.iter().any(|h| h.stopping);
         let soon = if stopping { room.opens_in.min(STOPPED_WITHIN) } else { room.opens_in };
         if self.free[room_index].fits(&class.need) > 0 {
@@ -149,7 +149,7 @@
             });
         }
         let cleared_for_replicas = (0..room.held.len()).any(stopped);
-        if self.being_cleared[room_index] && !cleared_for_replicas {
+        if self.being_preempted_for[room_index] && !cleared_for_replicas {
             return None;
         }
         let (mut stops, mut lost) = (Vec::new(), Micros::ZERO);
--- a/src/sched/state.rs
+++ b/src/sched/state.rs
@@ -15,7 +15,7 @@
     /// By room: what is free.
     pub(super) free: Vec<Resources>,
     /// By machine: capacity that low ranks may still take where headroom is reserved for others.
-    pub(super) free_beside_kept: Vec<Option<Resources>>,
+    pub(super) free_beside_headroom: Vec<Option<Resources>>,
     /// What each team uses, with what this plan starts.
     pub(super) teams: Vec<TeamUse>,
     /// With a reservation: what is left at its time on its rooms.
@@ -27,9 +27,9 @@
     /// Types for whose kept tasks some wait: nothing lower starts on them now.
     pub(super) contended_types: Vec<bool>,
     /// Rooms on which tasks are being stopped for a class already.
-    pub(super) being_cleared: Vec<bool>,
+    pub(super) being_preempted_for: Vec<bool>,
     /// Tasks that this plan stops for replicas: room and place in its list.
-    pub(super) stops_for_replicas: BTreeSet<(usize, usize)>,
+    pub(super) preemptions_for_replicas: BTreeSet<(usize, usize)>,
     /// By room: what this plan has given to replicas, which never end.
     pub(super) endless: Vec<Resources>,
     /// By team: what its first gang that is held back by the quota reserves of it, and when.
@@ -87,7 +87,7 @@
     pub(super) fn new(snapshot: &'a Snapshot) -> PlanState<'a> {
         // Of each type, the first few rooms that could take the kept task stay clear for it.
         let mut clear = vec![0usize; snapshot.keep.len()];
-        let free_beside_kept = snapshot
+        let free_beside_headroom = snapshot
             .rooms
             .iter()
             .map(|room| {
@@ -106,14 +106,14 @@
         PlanState {
             snapshot,
             free: snapshot.rooms.iter().map(|room| room.free).collect(),
-            free_beside_kept,
+            free_beside_headroom,
             teams: snapshot.teams.clone(),
             shadow: vec![None; snapshot.rooms.len()],
             reserved_at: Micros::ZERO,
             zones: snapshot.classes.iter().map(|class| class.zones.clone()).collect(),
             contended_types: vec![false; snapshot.keep.len()],
-            being_cleared: vec![false; snapshot.rooms.len()],
-            stops_for_replicas: BTreeSet::new(),
+            being_preempted_for: vec![false; snapshot.rooms.len()],
+            preemptions_for_replicas: BTreeSet::new(),
             endless: vec![Resources::default(); snapshot.rooms.len()],
             quota_reservations: vec![None; snapshot.teams.len()],
             gang_at_limit: vec![false; snapshot.teams.len()],
@@ -132,7 +132,7 @@
             if self.contended_types[room.ty] {
                 return 0;
             }
-            let beside_kept = self.free_beside_kept[room_index];
+            let beside_kept = self.free_beside_headroom[room_index];
             count = count.min(beside_kept.map_or(count, |free| free.fits(&class.need)));
         }
         let ends_in = delay(class, room) + class.adjusted;
@@ -152,8 +152,8 @@
         let room = &self.snapshot.rooms[room_index];
         self.free[room_index] = self.free[room_index].less(&class.need, count);
         if self.snapshot.is_below_reserved_rank(class, room) {
-            self.free_beside_kept[room_index] =
-                self.free_beside_kept[room_index].map(|free| free.less(&class.need, count));
+            self.free_beside_headroom[room_index] =
+                self.free_beside_headroom[room_index].map(|free| free.less(&class.need, count));
         }
         if delay(class, room) + class.adjusted > self.reserved_at {
             self.shadow[room_index] = self.shadow[room_index].map(|free| free.less(&class.need, count));
