--- a/src/sched/gangs.rs
+++ b/src/sched/gangs.rs
@@ -1,7 +1,6 @@
 //! Gangs: all tasks start together or none does.
 
-use super::limits::Claim;
-use super::state::PlanState;
+use super::state::{PlanState, QuotaReservation};
 use super::{Plan, Start};
 use crate::time::Micros;
 
@@ -12,7 +11,7 @@
     /// It finds no room.
     NoRoom,
     /// Its team's limit alone holds it back, or it is behind another gang of its team for which that is so.
-    AtLimit,
+    AtQuota,
 }
 
 impl PlanState<'_> {
@@ -24,12 +23,12 @@
             return if started { GangOutcome::Started } else { GangOutcome::NoRoom };
         }
         if self.gang_at_limit[class.team] {
-            return GangOutcome::AtLimit;
+            return GangOutcome::AtQuota;
         }
         self.gang_at_limit[class.team] = true;
         let Some(rooms) = self.find_gang_rooms(class_index) else { return GangOutcome::NoRoom };
         self.claim_limit(class_index, rooms, plan);
-        GangOutcome::AtLimit
+        GangOutcome::AtQuota
     }
 
     /// Claims what frees of the team's limit for a gang that has room and is held back by that limit
@@ -42,7 +41,8 @@
         let stops = self.preempt_within_limit(class_index);
         let at = if stops.is_empty() { self.limit_allows_at(class_index) } else { Micros::ZERO };
         plan.preempt.extend(stops);
-        self.limit_claims[class.team] = Some(Claim { need: class.need, count: class.count, at });
+        self.quota_reservations[class.team] =
+            Some(QuotaReservation { need: class.need, count: class.count, at });
         if plan.reservation.is_none() && self.snapshot.reserve {
             plan.reservation = Some(self.reserve_rooms(class_index, at, rooms));
         }
--- a/src/sched/limits.rs
+++ b/src/sched/limits.rs
@@ -1,35 +1,13 @@
 //! The limits of teams: how much of a class they let start, and when.
 
-use super::preemption::yields_to;
-use super::state::PlanState;
-use super::{Held, Need};
+use super::preemptible::may_preempt;
+use super::state::{PlanState, StatedEnd};
+use super::PlacedTask;
 use crate::time::Micros;
 
-/// A gang's claim on its team's limit.
-#[derive(Clone, Copy)]
-pub(super) struct Claim {
-    /// What each of its tasks takes.
-    pub(super) need: Need,
-    /// How many tasks.
-    pub(super) count: u32,
-    /// When, by stated ends, the limit lets it start.
-    pub(super) at: Micros,
-}
-
-/// Tasks that end at a time, by their stated run time.
-#[derive(Clone, Copy)]
-pub(super) struct StatedEnd {
-    /// When.
-    pub(super) at: Micros,
-    /// What each takes.
-    pub(super) need: Need,
-    /// How many.
-    pub(super) count: u32,
-}
-
 /// A task that may be stopped. Victims compare by their fields in this order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Victim {
+struct PreemptibleTask {
     /// Work that is lost.
     lost_work: Micros,
     /// Its room.
@@ -48,10 +26,10 @@
         let class = &self.snapshot.classes[class_index];
         let Some(team_use) = self.teams.get(class.team) else { return class.count };
         let mut team_use = *team_use;
-        if let Some(claim) = self.limit_claims[class.team]
+        if let Some(reservation) = self.quota_reservations[class.team]
             .filter(|x| class.adjusted + self.snapshot.low_rank_delay_step > x.at)
         {
-            team_use.used = team_use.used.plus(&claim.need, claim.count);
+            team_use.used = team_use.used.plus(&reservation.need, reservation.count);
         }
         class.count.min(team_use.allows(&class.need))
     }
@@ -61,7 +39,7 @@
         let class = &self.snapshot.classes[class_index];
         let Some(mut team_use) = self.teams.get(class.team).copied() else { return Micros::ZERO };
         let held = self.snapshot.rooms.iter().flat_map(|room| &room.held).filter(|h| h.team == class.team);
-        let end = |task: &Held| {
+        let end = |task: &PlacedTask| {
             let at = if task.stopping { Micros::ZERO } else { task.left };
             StatedEnd { at, need: task.need, count: 1 }
         };
@@ -85,13 +63,13 @@
         if class.patience.0 > 0 {
             return Vec::new();
         }
-        let mut victims: Vec<Victim> = Vec::new();
+        let mut victims: Vec<PreemptibleTask> = Vec::new();
         for (room_index, room) in self.snapshot.rooms.iter().enumerate() {
             for (held, task) in room.held.iter().enumerate().filter(|(_, task)| task.team == class.team) {
                 if task.stopping {
                     team_use.used = team_use.used.less(&task.need, 1);
-                } else if yields_to(task, class) {
-                    victims.push(Victim { lost_work: task.lost_work, room: room_index, held });
+                } else if may_preempt(task, class) {
+                    victims.push(PreemptibleTask { lost_work: task.lost_work, room: room_index, held });
                 }
             }
         }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -10,6 +10,7 @@
 mod gangs;
 mod limits;
 mod placement;
+mod preemptible;
 mod preemption;
 mod queue;
 mod reservation;
@@ -20,9 +21,19 @@
 
 pub(crate) use placement::allowed;
 pub use queue::{order, score};
-pub use services::{runs_in, ReportedRoom};
-pub use top_up::TopUp;
-pub use types::{Class, Held, KeptRoom, Need, Plan, Reservation, Room, Snapshot, Start, TeamUse};
+pub use services::{runs_in, HeartbeatMachine};
+pub use top_up::IncrementalBackfill;
+pub use types::{
+    JobClass, Machine, PlacedTask, Plan, Reservation, ReservedHeadroom, Resources, Snapshot, Start, TeamUse,
+};
+
+pub use self::HeartbeatMachine as ReportedRoom; // join alias: remove
+pub use self::IncrementalBackfill as TopUp; // join alias: remove
+pub use self::JobClass as Class; // join alias: remove
+pub use self::Machine as Room; // join alias: remove
+pub use self::PlacedTask as Held; // join alias: remove
+pub use self::ReservedHeadroom as KeptRoom; // join alias: remove
+pub use self::Resources as Need; // join alias: remove
 
 use gangs::GangOutcome;
 use state::PlanState;
@@ -49,7 +60,7 @@
             match self.plan_gang(class_index, plan) {
                 GangOutcome::Started => 0,
                 GangOutcome::NoRoom => class.count,
-                GangOutcome::AtLimit => return,
+                GangOutcome::AtQuota => return,
             }
         } else if class.replicas.is_some() {
             self.start_service(class_index, &mut plan.starts, &mut plan.preempt)
@@ -63,12 +74,12 @@
         self.mark_contended_types(class);
         // All that can be stopped for a service is by now; what it needs beyond that has to be rented.
         if class.replicas.is_none() {
-            self.make_way(class_index, plan);
+            self.reserve_or_preempt(class_index, plan);
         }
     }
 
     /// Notes on which types tasks of this class wait for the room that is kept for them.
-    fn mark_contended_types(&mut self, class: &Class) {
+    fn mark_contended_types(&mut self, class: &JobClass) {
         for &ty in &class.types {
             let kept = self.snapshot.kept(ty, false).is_some_and(|kept| class.rank >= kept.rank);
             if let (true, Some(contended)) = (kept, self.contended_types.get_mut(ty)) {
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -1,8 +1,9 @@
 //! Preemption: which running tasks are stopped so that a class of higher rank can start.
 
 use super::placement::{allowed, fetch_seconds, lacks_awaited_image};
+use super::preemptible::preemptible_for;
 use super::state::PlanState;
-use super::{Class, Held, Plan, Room};
+use super::{JobClass, Plan};
 use crate::time::Micros;
 
 /// A room that the class can have, and what is stopped for it. Options compare by their fields in this
@@ -22,7 +23,7 @@
 impl PlanState<'_> {
     /// Reserves room for a blocked class if none is reserved yet, and stops others for it if it cannot
     /// wait that long.
-    pub(super) fn make_way(&mut self, class_index: usize, plan: &mut Plan) {
+    pub(super) fn reserve_or_preempt(&mut self, class_index: usize, plan: &mut Plan) {
         let class = &self.snapshot.classes[class_index];
         if plan.reservation.is_none() && self.snapshot.reserve {
             plan.reservation = self.reserve(class_index);
@@ -54,13 +55,12 @@
             let fit = |room: usize| by_room[room].map_or(0, |option| option.fits);
             self.place_gang(class_index, &rooms, &fit)
         } else {
-            let zone_takes =
-                |room: usize| self.zone_allowance(class_index, self.snapshot.rooms[room].zone) > 0;
-            rooms.iter().find(|&&room| zone_takes(room)).map(|&room| vec![(room, 1)])
+            let first = rooms.iter().find(|&&room| self.zone_takes(class_index, room));
+            first.map(|&room| vec![(room, 1)])
         };
         let mut stopped = Vec::new();
         for (room, _) in places.unwrap_or_default() {
-            self.being_cleared[room] = true;
+            self.being_preempted_for[room] = true;
             let stops = by_room[room].iter().flat_map(|option| &option.stops);
             stopped.extend(stops.map(|&held| (room, held)));
         }
@@ -68,9 +68,9 @@
     }
 
     /// What it takes for at least one task of the class to fit into a room; `None` if it cannot.
-    fn preemption_option(&self, class: &Class, room_index: usize) -> Option<PreemptionOption> {
+    fn preemption_option(&self, class: &JobClass, room_index: usize) -> Option<PreemptionOption> {
         let room = &self.snapshot.rooms[room_index];
-        if !room.open || room.until.is_some() || self.being_cleared[room_index] {
+        if !room.open || room.until.is_some() || self.being_preempted_for[room_index] {
             return None;
         }
         if !allowed(class, room) || lacks_awaited_image(class, room) {
@@ -81,7 +81,7 @@
         let mut lost = Micros::from_secs(fetch_seconds(class, room) * class.need.cpus.max(0.1));
         let mut stops = Vec::new();
         if free.fits(&class.need) == 0 {
-            for held in stoppable_for(class, room) {
+            for held in preemptible_for(class, room) {
                 if free.fits(&class.need) > 0 {
                     break;
                 }
@@ -94,18 +94,3 @@
         (fits > 0).then_some(PreemptionOption { lost, room: room_index, stops, fits })
     }
 }
-
-/// The tasks in a room that may be stopped for the class, by their place in its list, those that lose
-/// least work first.
-pub(super) fn stoppable_for(class: &Class, room: &Room) -> Vec<usize> {
-    let mut victims: Vec<usize> =
-        (0..room.held.len()).filter(|&held| yields_to(&room.held[held], class)).collect();
-    victims.sort_by_key(|&held| room.held[held].lost_work);
-    victims
-}
-
-/// Whether a task may be stopped for the class. What goes before it in the queue, by its team's guarantee,
-/// is not: it would begin again at once, and be stopped again.
-pub(super) fn yields_to(task: &Held, class: &Class) -> bool {
-    task.stoppable && task.rank < class.rank && (class.guaranteed || !task.guaranteed)
-}
--- a/src/sched/state.rs
+++ b/src/sched/state.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use super::limits::{Claim, StatedEnd};
 use super::placement::{allowed, delay, lacks_awaited_image};
-use super::{Class, Need, Room, Snapshot, TeamUse};
+use super::types::cpu_tenths;
+use super::{JobClass, Resources, Snapshot, TeamUse};
 use crate::time::Micros;
 use crate::wire::Rank;
 
@@ -13,13 +13,13 @@
     /// What is planned for.
     pub(super) snapshot: &'a Snapshot,
     /// By room: what is free.
-    pub(super) free: Vec<Need>,
-    /// Room that low ranks may still take where some is kept for others.
-    pub(super) free_beside_kept: Vec<Option<Need>>,
+    pub(super) free: Vec<Resources>,
+    /// By machine: capacity that low ranks may still take where headroom is reserved for others.
+    pub(super) free_beside_headroom: Vec<Option<Resources>>,
     /// What each team uses, with what this plan starts.
     pub(super) teams: Vec<TeamUse>,
     /// With a reservation: what is left at its time on its rooms.
-    pub(super) shadow: Vec<Option<Need>>,
+    pub(super) shadow: Vec<Option<Resources>>,
     /// When the reservation begins.
     pub(super) reserved_at: Micros,
     /// By class: its tasks in each zone, with what this plan starts.
@@ -27,24 +27,48 @@
     /// Types for whose kept tasks some wait: nothing lower starts on them now.
     pub(super) contended_types: Vec<bool>,
     /// Rooms on which tasks are being stopped for a class already.
-    pub(super) being_cleared: Vec<bool>,
+    pub(super) being_preempted_for: Vec<bool>,
     /// Tasks that this plan stops for replicas: room and place in its list.
-    pub(super) stops_for_replicas: BTreeSet<(usize, usize)>,
+    pub(super) preemptions_for_replicas: BTreeSet<(usize, usize)>,
     /// By room: what this plan has given to replicas, which never end.
-    pub(super) endless: Vec<Need>,
-    /// By team: what its first gang that is held back by the limit takes of it, and when.
-    pub(super) limit_claims: Vec<Option<Claim>>,
+    pub(super) endless: Vec<Resources>,
+    /// By team: what its first gang that is held back by the quota reserves of it, and when.
+    pub(super) quota_reservations: Vec<Option<QuotaReservation>>,
     /// By team: a gang is held back by the limit, whether it has room or not.
     pub(super) gang_at_limit: Vec<bool>,
     /// By team: stated ends of what this plan starts.
     pub(super) planned_ends: Vec<Vec<StatedEnd>>,
 }
 
+/// What a gang that is held back by its team's quota alone reserves of that quota, so that the
+/// team's lower jobs do not take what frees of it first.
+#[derive(Clone, Copy)]
+pub(super) struct QuotaReservation {
+    /// What each of the gang's tasks takes.
+    pub(super) need: Resources,
+    /// How many tasks the gang has.
+    pub(super) count: u32,
+    /// When, by the stated ends of the team's tasks, the quota lets the gang start.
+    pub(super) at: Micros,
+}
+
+/// Tasks that end at a time, by their stated run time (not the adjusted one): quota frees by what
+/// users stated.
+#[derive(Clone, Copy)]
+pub(super) struct StatedEnd {
+    /// When, from now.
+    pub(super) at: Micros,
+    /// What each of the tasks takes.
+    pub(super) need: Resources,
+    /// How many tasks end then.
+    pub(super) count: u32,
+}
+
 /// A room that could take tasks of a class. Candidates compare by their fields in this order, and the
 /// least is the best.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Candidate {
-    /// Room in it is kept for tasks of a higher rank.
+struct MachineCandidate {
+    /// Capacity on it is reserved for tasks of a higher rank.
     kept_for_others: bool,
     /// How long until a task would run there, in steps within which delays count as alike.
     delay_steps: i64,
@@ -63,7 +87,7 @@
     pub(super) fn new(snapshot: &'a Snapshot) -> PlanState<'a> {
         // Of each type, the first few rooms that could take the kept task stay clear for it.
         let mut clear = vec![0usize; snapshot.keep.len()];
-        let free_beside_kept = snapshot
+        let free_beside_headroom = snapshot
             .rooms
             .iter()
             .map(|room| {
@@ -82,38 +106,33 @@
         PlanState {
             snapshot,
             free: snapshot.rooms.iter().map(|room| room.free).collect(),
-            free_beside_kept,
+            free_beside_headroom,
             teams: snapshot.teams.clone(),
             shadow: vec![None; snapshot.rooms.len()],
             reserved_at: Micros::ZERO,
             zones: snapshot.classes.iter().map(|class| class.zones.clone()).collect(),
             contended_types: vec![false; snapshot.keep.len()],
-            being_cleared: vec![false; snapshot.rooms.len()],
-            stops_for_replicas: BTreeSet::new(),
-            endless: vec![Need::default(); snapshot.rooms.len()],
-            limit_claims: vec![None; snapshot.teams.len()],
+            being_preempted_for: vec![false; snapshot.rooms.len()],
+            preemptions_for_replicas: BTreeSet::new(),
+            endless: vec![Resources::default(); snapshot.rooms.len()],
+            quota_reservations: vec![None; snapshot.teams.len()],
             gang_at_limit: vec![false; snapshot.teams.len()],
             planned_ends: vec![Vec::new(); snapshot.teams.len()],
         }
     }
 
-    /// Whether room on that machine is kept for tasks of a higher rank than the class.
-    fn is_below_kept_rank(&self, class: &Class, room: &Room) -> bool {
-        self.snapshot.kept(room.ty, room.spot).is_some_and(|kept| class.rank < kept.rank)
-    }
-
     /// How many tasks of the class could start there now.
-    pub(super) fn fits_now(&self, class: &Class, room_index: usize) -> u32 {
+    pub(super) fn fits_now(&self, class: &JobClass, room_index: usize) -> u32 {
         let room = &self.snapshot.rooms[room_index];
         if !room.open || !allowed(class, room) || lacks_awaited_image(class, room) {
             return 0;
         }
         let mut count = self.free[room_index].fits(&class.need);
-        if count > 0 && self.is_below_kept_rank(class, room) {
+        if count > 0 && self.snapshot.is_below_reserved_rank(class, room) {
             if self.contended_types[room.ty] {
                 return 0;
             }
-            let beside_kept = self.free_beside_kept[room_index];
+            let beside_kept = self.free_beside_headroom[room_index];
             count = count.min(beside_kept.map_or(count, |free| free.fits(&class.need)));
         }
         let ends_in = delay(class, room) + class.adjusted;
@@ -132,9 +151,9 @@
         let class = &self.snapshot.classes[class_index];
         let room = &self.snapshot.rooms[room_index];
         self.free[room_index] = self.free[room_index].less(&class.need, count);
-        if self.is_below_kept_rank(class, room) {
-            self.free_beside_kept[room_index] =
-                self.free_beside_kept[room_index].map(|free| free.less(&class.need, count));
+        if self.snapshot.is_below_reserved_rank(class, room) {
+            self.free_beside_headroom[room_index] =
+                self.free_beside_headroom[room_index].map(|free| free.less(&class.need, count));
         }
         if delay(class, room) + class.adjusted > self.reserved_at {
             self.shadow[room_index] = self.shadow[room_index].map(|free| free.less(&class.need, count));
@@ -154,31 +173,35 @@
     }
 
     /// The rooms for a class, best first.
-    pub(super) fn candidates(&self, class: &Class) -> Vec<usize> {
+    pub(super) fn candidates(&self, class: &JobClass) -> Vec<usize> {
         // Reports come every few seconds anyway: within that, cheap and small rooms go before large
         // ones and full ones before empty ones, so that others empty and can be returned.
         let step = match class.rank {
             Rank::Idle => self.snapshot.low_rank_delay_step,
             _ => self.snapshot.delay_step,
         };
-        let tenths = |cpus: f64| (cpus * 10.0) as i64;
         let candidate = |index: usize| {
             let room = &self.snapshot.rooms[index];
-            Candidate {
-                kept_for_others: self.is_below_kept_rank(class, room),
+            MachineCandidate {
+                kept_for_others: self.snapshot.is_below_reserved_rank(class, room),
                 delay_steps: delay(class, room).0 / step.0.max(1),
                 rate: room.rate,
-                total_tenths: tenths(room.total.cpus),
-                free_tenths: tenths(self.free[index].cpus),
+                total_tenths: cpu_tenths(room.total.cpus),
+                free_tenths: cpu_tenths(self.free[index].cpus),
                 room: index,
             }
         };
         let fitting = (0..self.snapshot.rooms.len()).filter(|&index| self.fits_now(class, index) > 0);
-        let mut candidates: Vec<Candidate> = fitting.map(candidate).collect();
+        let mut candidates: Vec<MachineCandidate> = fitting.map(candidate).collect();
         candidates.sort_unstable();
         candidates.into_iter().map(|candidate| candidate.room).collect()
     }
 
+    /// Whether one more task of the class may go to the machine's zone.
+    pub(super) fn zone_takes(&self, class_index: usize, room_index: usize) -> bool {
+        self.zone_allowance(class_index, self.snapshot.rooms[room_index].zone) > 0
+    }
+
     /// How many tasks of the class may still go to the zone.
     pub(super) fn zone_allowance(&self, class_index: usize, zone: usize) -> u32 {
         let class = &self.snapshot.classes[class_index];
