--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -7,14 +7,16 @@
 mod admission;
 mod borrowing;
 mod demand;
+mod heartbeats;
 mod lending;
 mod loans;
 mod machines;
+mod planner_input;
 mod planning;
+mod reconciliation;
 mod records;
 mod recovery;
 mod replicas;
-mod reports;
 mod starts;
 mod status;
 mod tasks;
