--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -24,26 +24,26 @@
     }
 
     /// Takes a report and says what to answer.
-    pub fn check_in(&mut self, r: &Report, now: Steady, wall: Wall) -> CheckIn {
+    pub fn check_in(&mut self, r: &Report, now: Steady, wall: Wall) -> HeartbeatOutcome {
         if r.token > self.token {
-            return CheckIn::Superseded(r.token);
+            return HeartbeatOutcome::Superseded(r.token);
         }
         let id: MachineId = r.machine.as_str().into();
         if self.gone.contains_key(&id) {
-            return CheckIn::Refuse;
+            return HeartbeatOutcome::Refuse;
         }
         if !self.machines.contains_key(&id) {
             if r.machine.is_empty()
                 || r.machine.len() > 100
                 || r.machine.contains([' ', '/', '?', '&', '%', '#'])
             {
-                return CheckIn::Refuse;
+                return HeartbeatOutcome::Refuse;
             }
             if !r.tasks.is_empty() {
                 // Nothing is started on a machine without a record, and it has none: a late copy
                 // from a machine that was returned before this owner came.
                 tracing::info!(machine = %id, "a late report of a machine that is gone");
-                return CheckIn::Refuse;
+                return HeartbeatOutcome::Refuse;
             }
             tracing::info!(machine = %id, ty = %r.ty, zone = %r.zone, "a machine reports for the first time");
             self.machines.insert(id.clone(), Machine::new(&id, now));
@@ -52,7 +52,7 @@
         if !self.take_report(&id, r, now) {
             // A copy, or one that was overtaken: it renews nothing and revives nothing, and the
             // worker does not wait for its answer.
-            return CheckIn::Refuse;
+            return HeartbeatOutcome::Refuse;
         }
         if let Some(m) = self.machines.get_mut(&id) {
             m.answered = Some(now);
@@ -61,7 +61,7 @@
             m.missing = false;
         }
         let orders = self.orders(&id, now, wall);
-        CheckIn::Reply(ReportReply { token: self.token, orders })
+        HeartbeatOutcome::Reply(ReportReply { token: self.token, orders })
     }
 
     /// Takes the report that a direct command returned: it only tells that our token has arrived.
@@ -169,7 +169,7 @@
     /// run, and nothing was said to it, so that a start which comes up meanwhile can leave at once.
     pub fn may_wait(&self, id: &str, now: Steady) -> bool {
         let Some(m) = self.machines.get(id).filter(|m| m.usable(now)) else { return false };
-        let steady_replica = |k: &TaskKey, e: &Entry| {
+        let steady_replica = |k: &TaskKey, e: &TaskEntry| {
             let service = self.jobs.get(&k.0).is_some_and(|j| j.spec.is_service());
             service && e.stage == Some(TaskStage::Running) && e.stop.is_none()
         };
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -4,7 +4,7 @@
 
 /// A task that is or may be on a machine.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct TaskEntry {
     /// Where it stands; none: its start has left and no newer report has come.
     pub stage: Option<TaskStage>,
     /// What it takes; none if its job is not known.
@@ -21,10 +21,18 @@
     pub ended: Option<Why>,
 }
 
-impl Entry {
+impl TaskEntry {
     /// A task whose start leaves now, or that is seen for the first time.
-    pub(super) fn new(need: Option<Need>, now: Steady) -> Entry {
-        Entry { stage: None, need, since: now, running: None, stop: None, stop_at_once: false, ended: None }
+    pub(super) fn new(need: Option<Need>, now: Steady) -> TaskEntry {
+        TaskEntry {
+            stage: None,
+            need,
+            since: now,
+            running: None,
+            stop: None,
+            stop_at_once: false,
+            ended: None,
+        }
     }
 
     /// Whether the task has not ended.
@@ -87,7 +95,7 @@
     /// Its lease ran out here.
     pub expired: bool,
     /// The tasks.
-    pub tasks: BTreeMap<TaskKey, Entry>,
+    pub tasks: BTreeMap<TaskKey, TaskEntry>,
     /// Images, the most recently used last.
     pub images: Vec<(u32, f64)>,
     /// Since when it has had no task.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -23,12 +23,16 @@
 mod team_use;
 mod upkeep;
 
+pub use self::HeartbeatOutcome as CheckIn; // join alias: remove
+pub use self::JobProgress as Counts; // join alias: remove
 pub use admission::never_runs;
 pub use borrowing::BorrowedTasks;
 pub use lending::LendingCandidate;
 pub use loans::{LoanWrite, Loans};
-pub use machines::{Entry, Machine};
-pub use records::{Packed, Pending, WriteContents};
+pub use machines::{Machine, TaskEntry};
+pub use records::PackKind as Packed; // join alias: remove
+pub use records::PendingWrite as Pending; // join alias: remove
+pub use records::{PackKind, PendingWrite, WriteContents};
 pub use status::{FactorView, JobView, MachineView, StatusView};
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,23 +64,24 @@
 /// A task on a machine, by job, number and attempt.
 pub type TaskKey = (JobId, u32, u64);
 
-/// Outcome of a check-in.
+/// What to do with a worker's heartbeat, as decided by [`Fleet::check_in`].
 #[derive(Debug, PartialEq)]
-pub enum CheckIn {
-    /// Answer 200 with this.
+pub enum HeartbeatOutcome {
+    /// Answer 200 with this reply: this leader's fencing token and the orders for the machine.
     Reply(ReportReply),
-    /// Another has a higher token: this owner is replaced.
+    /// The heartbeat carries this higher fencing token: another leader has taken over.
     Superseded(u64),
-    /// Not to be answered with 200.
+    /// Not to be answered with 200: the machine is gone, its name is malformed, or the heartbeat is a
+    /// copy or was overtaken by a newer one.
     Refuse,
 }
 
-/// Numbers for polls.
+/// Progress of a job's tasks, as answered to a poll.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct JobProgress {
     /// Tasks done.
     pub done: u32,
-    /// Tasks running.
+    /// Tasks running or saving a checkpoint.
     pub running: u32,
 }
 
@@ -289,10 +294,11 @@
         self.cfg.platform.settings.teams.iter().enumerate().find(|t| t.1.name == name)
     }
 
-    /// Numbers for a poll.
-    pub fn counts(&self, id: &str) -> Option<Counts> {
+    /// Progress of a job for a poll; `None` if the job is not known here or is cancelled.
+    pub fn counts(&self, id: &str) -> Option<JobProgress> {
         let j = self.jobs.get(id).filter(|j| !j.cancelled)?;
-        let runs = |e: &Entry| e.live() && matches!(e.stage, Some(TaskStage::Running | TaskStage::Saving));
+        let runs =
+            |e: &TaskEntry| e.live() && matches!(e.stage, Some(TaskStage::Running | TaskStage::Saving));
         let running = j
             .live
             .iter()
@@ -303,7 +309,7 @@
                 })
             })
             .count();
-        Some(Counts { done: j.done.len(), running: running as u32 })
+        Some(JobProgress { done: j.done.len(), running: running as u32 })
     }
 
     /// Types that a job's tasks may use and fit.
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -54,7 +54,8 @@
 }
 
 impl Fleet {
-    /// A for a waiting job.
+    /// The run time expected of a waiting job's tasks: the stated one, scaled by its team's history of
+    /// actual to stated run times when the operator setting `adjust` is on.
     pub fn adjusted(&self, s: &JobSpec, wall: Wall) -> Micros {
         let stated = stated(s);
         if !self.cfg.operator.adjust {
@@ -64,7 +65,7 @@
     }
 
     /// Until the stated end of a task; overrunning ones have a tenth of it, at least a second.
-    pub(super) fn stated_left(&self, e: &Entry, s: Option<&JobSpec>, now: Steady) -> Micros {
+    pub(super) fn stated_left(&self, e: &TaskEntry, s: Option<&JobSpec>, now: Steady) -> Micros {
         let stated = s.map_or(Micros::from_secs(60.0), stated);
         let fetch =
             if matches!(e.stage, None | Some(TaskStage::Fetching | TaskStage::Waiting)) { 5.0 } else { 0.0 };
@@ -258,7 +259,7 @@
     }
 
     /// A task on a machine as the planner sees it.
-    fn held(&self, k: &TaskKey, e: &Entry, now: Steady) -> Held {
+    fn held(&self, k: &TaskKey, e: &TaskEntry, now: Steady) -> Held {
         let spec = self.jobs.get(&k.0).map(|j| &j.spec);
         // The fetch of its image counts as well: stopped for others as soon as it was placed, a wide job
         // would never get beyond it.
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -4,9 +4,12 @@
 use super::planner_input::PlannerInput;
 use super::*;
 
-/// A task that is to be stopped.
-struct TaskStop {
+/// A task to be evicted from its machine: preempted for other work, checkpointed before its spot
+/// machine is reclaimed, or a service replica that moves.
+struct Eviction {
+    /// The machine the task is on.
     machine: MachineId,
+    /// The task, by job, number and attempt.
     task: TaskKey,
     /// Seconds it is given to save.
     grace_s: f64,
@@ -155,7 +158,7 @@
         for (machine, task) in self.replicas_to_move(now) {
             tracing::info!(machine = %machine, job = %task.0, task = task.1, "a replica moves");
             let grace_s = self.grace(&task.0);
-            stops.push(TaskStop { machine, task, grace_s, at_once: true });
+            stops.push(Eviction { machine, task, grace_s, at_once: true });
         }
         for stop in &stops {
             self.stop_task(stop);
@@ -168,7 +171,7 @@
     }
 
     /// The tasks that the plan preempts.
-    fn preempted_tasks(&self, plan: &Plan, machines: &[MachineId]) -> Vec<TaskStop> {
+    fn preempted_tasks(&self, plan: &Plan, machines: &[MachineId]) -> Vec<Eviction> {
         let mut stops = Vec::new();
         for &(room, held) in &plan.preempt {
             let id = &machines[room];
@@ -176,7 +179,7 @@
             // The planner's `held` lists the live tasks in this very order.
             if let Some((k, _)) = m.tasks.iter().filter(|x| x.1.live()).nth(held) {
                 let grace_s = self.grace(&k.0);
-                stops.push(TaskStop { machine: id.clone(), task: k.clone(), grace_s, at_once: true });
+                stops.push(Eviction { machine: id.clone(), task: k.clone(), grace_s, at_once: true });
                 tracing::info!(machine = %id, job = %k.0, task = k.1, "preempted");
             }
         }
@@ -184,7 +187,7 @@
     }
 
     /// Tasks that can save and have to begin with it now, before their spot machine is taken.
-    fn tasks_to_save(&self, now: Steady) -> Vec<TaskStop> {
+    fn tasks_to_save(&self, now: Steady) -> Vec<Eviction> {
         let report = self.cfg.platform.settings.workers.report_s;
         let mut stops = Vec::new();
         for m in self.machines.values() {
@@ -192,7 +195,7 @@
             for (k, e) in m.tasks.iter().filter(|x| x.1.live() && x.1.stop.is_none()) {
                 let grace_s = self.grace(&k.0);
                 if grace_s > 0.0 && (notice - now).secs() < grace_s + 2.5 * report && e.stage.is_some() {
-                    stops.push(TaskStop { machine: m.id.clone(), task: k.clone(), grace_s, at_once: false });
+                    stops.push(Eviction { machine: m.id.clone(), task: k.clone(), grace_s, at_once: false });
                 }
             }
         }
@@ -200,7 +203,7 @@
     }
 
     /// Marks a task as to be stopped, and with a gang's task its whole attempt.
-    fn stop_task(&mut self, stop: &TaskStop) {
+    fn stop_task(&mut self, stop: &Eviction) {
         let (job, attempt) = (&stop.task.0, stop.task.2);
         if self.jobs.get(job).is_some_and(|j| j.spec.is_gang()) {
             self.stop_all(job, Some(attempt), stop.grace_s, false);
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -21,9 +21,9 @@
     jobs.get(&task.0).is_none_or(|j| j.cancelled)
 }
 
-/// How a task ended.
-pub(super) struct Ended {
-    /// Why.
+/// How a task ended, as taken from a heartbeat.
+pub(super) struct TaskEnd {
+    /// Why it exited, as the worker reported.
     why: Why,
     /// How long it ran, if that was seen whole.
     ran: Option<Micros>,
@@ -31,11 +31,11 @@
     lived: Micros,
 }
 
-impl Entry {
+impl TaskEntry {
     /// Marks the task as ended.
-    fn end(&mut self, why: Why, now: Steady) -> Ended {
+    fn end(&mut self, why: Why, now: Steady) -> TaskEnd {
         self.ended = Some(why);
-        Ended { why, ran: self.running.map(|r| now - r), lived: now - self.since }
+        TaskEnd { why, ran: self.running.map(|r| now - r), lived: now - self.since }
     }
 }
 
@@ -196,7 +196,7 @@
         // Withdrawn, or done while this task was out of sight.
         let job_is_over = job.is_none_or(|j| j.cancelled);
         let Some(m) = self.machines.get_mut(id) else { return };
-        let e = m.tasks.entry(key.clone()).or_insert_with(|| Entry::new(need, now));
+        let e = m.tasks.entry(key.clone()).or_insert_with(|| TaskEntry::new(need, now));
         if job_is_over {
             e.stop = Some(0.0);
         }
@@ -233,7 +233,7 @@
     }
 
     /// Takes the end of a task into its machine and job.
-    fn exited(&mut self, id: &MachineId, key: &TaskKey, ended: Ended, now: Steady) {
+    fn exited(&mut self, id: &MachineId, key: &TaskKey, ended: TaskEnd, now: Steady) {
         let why = ended.why;
         tracing::debug!(machine = %id, job = %key.0, task = key.1, ?why, "a task ended");
         self.end_on_machine(id, &key.0, &ended, now);
@@ -250,7 +250,7 @@
     }
 
     /// What a task's end says of its machine.
-    fn end_on_machine(&mut self, id: &MachineId, job: &JobId, ended: &Ended, now: Steady) {
+    fn end_on_machine(&mut self, id: &MachineId, job: &JobId, ended: &TaskEnd, now: Steady) {
         let succeeds_elsewhere = self.jobs.get(job).is_some_and(|j| !j.done.is_empty());
         let Some(m) = self.machines.get_mut(id) else { return };
         match ended.why {
@@ -273,7 +273,7 @@
     }
 
     /// What a task's end says of its job, which is no service.
-    fn end_in_job(&mut self, key: &TaskKey, id: &MachineId, ended: &Ended, now: Steady) {
+    fn end_in_job(&mut self, key: &TaskKey, id: &MachineId, ended: &TaskEnd, now: Steady) {
         let Some(j) = self.jobs.get_mut(&key.0) else { return };
         match ended.why {
             Why::Done if key.1 < j.spec.tasks => {
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -5,7 +5,7 @@
 
 /// Something to write for the owner.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Pending {
+pub enum PendingWrite {
     /// A job is over: all tasks are done.
     Final(JobId),
     /// A value of machines' records, before the first start on a machine in it.
@@ -15,7 +15,7 @@
     /// A chunk of done ranges.
     Done(JobId, u32),
     /// A value of records from which only some have gone.
-    Tidy(Packed, u32),
+    Tidy(PackKind, u32),
     /// A value of the history.
     History(u32),
     /// A machine is gone that has a record of its own, as earlier versions wrote it.
@@ -26,16 +26,16 @@
     Recent,
 }
 
-impl Pending {
+impl PendingWrite {
     /// Whether somebody waits for it: a start, or a job's user.
     pub fn urgent(&self) -> bool {
-        matches!(self, Pending::Final(_) | Pending::Machines(_) | Pending::Marks(_))
+        matches!(self, PendingWrite::Final(_) | PendingWrite::Machines(_) | PendingWrite::Marks(_))
     }
 }
 
 /// What is packed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Packed {
+pub enum PackKind {
     /// Machines' records.
     Machines,
     /// Jobs' marks.
@@ -199,35 +199,35 @@
 
     /// What waits to be written, the most urgent first. Done ranges of a job that goes on are
     /// written again after `batch`: until then its workers keep the results and report them.
-    pub fn pending(&mut self, now: Steady, batch: Micros, chunk: u32) -> Vec<Pending> {
+    pub fn pending(&mut self, now: Steady, batch: Micros, chunk: u32) -> Vec<PendingWrite> {
         self.pack();
         let mut v = self.pending_of_jobs(now, batch, chunk);
-        v.extend(self.packs.pending(true).map(Pending::Machines));
-        v.extend(self.marks.pending(true).map(Pending::Marks));
+        v.extend(self.packs.pending(true).map(PendingWrite::Machines));
+        v.extend(self.marks.pending(true).map(PendingWrite::Marks));
         if now - self.lazily_written > LAZY_WRITE_INTERVAL {
-            v.extend(self.packs.pending(false).map(|s| Pending::Tidy(Packed::Machines, s)));
-            v.extend(self.marks.pending(false).map(|s| Pending::Tidy(Packed::Marks, s)));
-            v.extend(self.history.dirty().map(Pending::History));
+            v.extend(self.packs.pending(false).map(|s| PendingWrite::Tidy(PackKind::Machines, s)));
+            v.extend(self.marks.pending(false).map(|s| PendingWrite::Tidy(PackKind::Marks, s)));
+            v.extend(self.history.dirty().map(PendingWrite::History));
         }
-        v.extend(self.unenrol.iter().map(|(id, s)| Pending::Unenrol(id.clone(), *s)));
+        v.extend(self.unenrol.iter().map(|(id, s)| PendingWrite::Unenrol(id.clone(), *s)));
         if self.submitted_count > self.recent_jobs_written.1
             && now - self.recent_jobs_written.0 > RECENT_JOBS_INTERVAL
         {
-            v.push(Pending::Recent);
+            v.push(PendingWrite::Recent);
         }
-        v.extend(self.orphans.iter().map(|(k, s)| Pending::Orphan(k.clone(), *s)));
+        v.extend(self.orphans.iter().map(|(k, s)| PendingWrite::Orphan(k.clone(), *s)));
         v.sort();
         v
     }
 
     /// Records of jobs that are complete, and chunks of done tasks that are due.
-    fn pending_of_jobs(&self, now: Steady, batch: Micros, chunk: u32) -> Vec<Pending> {
+    fn pending_of_jobs(&self, now: Steady, batch: Micros, chunk: u32) -> Vec<PendingWrite> {
         let mut v = Vec::new();
         for j in self.jobs.values().filter(|j| !j.cancelled) {
             // The end of a borrowed job is its home's to write, which waits for what is done here.
             let is_own = j.borrowed_from.is_none();
             if is_own && j.complete() {
-                v.push(Pending::Final(j.id.clone()));
+                v.push(PendingWrite::Final(j.id.clone()));
                 continue;
             }
             let batch = if is_own { batch } else { batch.min(BORROWED_DONE_INTERVAL) };
@@ -236,7 +236,7 @@
                     let number = chunk_number(chunk, index);
                     let (a, b) = chunk_span(number);
                     if j.done.within(a, b) != j.done_written.within(a, b) {
-                        v.push(Pending::Done(j.id.clone(), number));
+                        v.push(PendingWrite::Done(j.id.clone(), number));
                     }
                 }
             }
@@ -245,9 +245,9 @@
     }
 
     /// A write has been applied at a revision.
-    pub fn written(&mut self, p: &Pending, revision: u64, contents: &WriteContents, now: Steady) {
+    pub fn written(&mut self, p: &PendingWrite, revision: u64, contents: &WriteContents, now: Steady) {
         match p {
-            Pending::Final(id) => {
+            PendingWrite::Final(id) => {
                 // Chunks that did not go in the same transaction become orphans to be removed. Those
                 // that did would each cost a failed transaction and a read.
                 if let (WriteContents::DroppedChunks(chunks), Some(j)) = (contents, self.jobs.get_mut(id)) {
@@ -255,23 +255,23 @@
                 }
                 self.job_over(id, revision);
             }
-            Pending::Orphan(key, _) => {
+            PendingWrite::Orphan(key, _) => {
                 self.orphans.remove(key);
             }
-            Pending::Recent => self.recent_jobs_written = (now, self.submitted_count),
-            Pending::Machines(slot) | Pending::Tidy(Packed::Machines, slot) => {
+            PendingWrite::Recent => self.recent_jobs_written = (now, self.submitted_count),
+            PendingWrite::Machines(slot) | PendingWrite::Tidy(PackKind::Machines, slot) => {
                 self.machines_written(*slot, revision, contents);
             }
-            Pending::Marks(slot) | Pending::Tidy(Packed::Marks, slot) => {
+            PendingWrite::Marks(slot) | PendingWrite::Tidy(PackKind::Marks, slot) => {
                 self.marks_written(*slot, revision, contents);
             }
-            Pending::Done(id, chunk) => self.done_chunk_written(id, *chunk, revision, contents, now),
-            Pending::History(bucket) => self.history.written(*bucket, revision),
-            Pending::Unenrol(id, _) => {
+            PendingWrite::Done(id, chunk) => self.done_chunk_written(id, *chunk, revision, contents, now),
+            PendingWrite::History(bucket) => self.history.written(*bucket, revision),
+            PendingWrite::Unenrol(id, _) => {
                 self.unenrol.remove(id);
             }
         }
-        if matches!(p, Pending::Tidy(..) | Pending::History(_)) {
+        if matches!(p, PendingWrite::Tidy(..) | PendingWrite::History(_)) {
             self.lazily_written = now;
         }
         self.dirty |= p.urgent();
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -19,12 +19,13 @@
 /// For so long after a takeover it says so, and orders are counted.
 const RECOVERY_LOGGED_FOR: Micros = Micros(60_000_000);
 
-/// The jobs as the records had them at the takeover, and as they stand now.
-struct Recorded<'a> {
+/// A read-only view of this leader's jobs for the recovery tracker: the jobs as the records had them
+/// at the failover, and as they stand now.
+struct JobRecordsView<'a> {
     jobs: &'a BTreeMap<JobId, Job>,
 }
 
-impl RecordedJobs for Recorded<'_> {
+impl RecordedJobs for JobRecordsView<'_> {
     fn job(&self, job: &str) -> JobRecordState {
         match self.jobs.get(job) {
             Some(job) if job.cancelled => JobRecordState::Over,
@@ -60,7 +61,7 @@
     /// A machine's first report after the takeover, before it is taken into the jobs.
     pub(super) fn compare_with_records(&mut self, id: &MachineId, report: &Report) {
         let tasks: Vec<ReportedTask<'_>> = report.tasks.iter().filter_map(reported).collect();
-        let records = Recorded { jobs: &self.jobs };
+        let records = JobRecordsView { jobs: &self.jobs };
         for (job, task, difference) in self.recovery.compare(id, &tasks, &records) {
             tracing::debug!(machine = %id, %job, task, ?difference, "differs from the records");
         }
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -117,7 +117,7 @@
     pub(super) fn replicas_to_move(&self, now: Steady) -> Vec<(MachineId, TaskKey)> {
         let report = self.cfg.platform.settings.workers.report_s;
         let last_moment = Micros::from_secs(report * REPORTS_BEFORE_NOTICE_ENDS);
-        let mut replacements = Replacements::default();
+        let mut replacements = ReplicaReservations::default();
         let mut out = Vec::new();
         for m in self.machines.values() {
             let Some(notice) = m.notice else { continue };
@@ -142,7 +142,7 @@
 
     /// A machine with room for a replica, its image and none of its service's replicas, beside what
     /// has been promised to other replicas.
-    fn replacement(&self, j: &Job, promised: &Replacements, now: Steady) -> Option<MachineId> {
+    fn replacement(&self, j: &Job, promised: &ReplicaReservations, now: Steady) -> Option<MachineId> {
         let types = self.allowed_types(&j.spec);
         let need = need_of(&j.spec);
         let image = j.spec.image.as_ref().and_then(|name| self.images.get(name));
@@ -163,11 +163,12 @@
     }
 }
 
-/// Room that replicas about to move are to take, by machine, with their services.
+/// Capacity that replicas about to move are to take, by machine, with their services, so that two
+/// moves do not count on the same free capacity.
 #[derive(Default)]
-struct Replacements(BTreeMap<MachineId, Vec<(JobId, Need)>>);
+struct ReplicaReservations(BTreeMap<MachineId, Vec<(JobId, Need)>>);
 
-impl Replacements {
+impl ReplicaReservations {
     fn take(&mut self, machine: &MachineId, job: &JobId, need: Need) {
         self.0.entry(machine.clone()).or_default().push((job.clone(), need));
     }
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -150,7 +150,7 @@
         let team = j.spec.team.clone();
         self.add_use(&team, &need);
         if let Some(m) = self.machines.get_mut(id) {
-            m.tasks.insert((job.clone(), n, attempt), Entry::new(Some(need), now));
+            m.tasks.insert((job.clone(), n, attempt), TaskEntry::new(Some(need), now));
             m.sent.push((job.clone(), n, attempt));
             m.idle = now;
         }
--- a/src/fleet/upkeep.rs
+++ b/src/fleet/upkeep.rs
@@ -33,8 +33,8 @@
 /// How long a machine that is gone is remembered, so that late reports from it are refused.
 const GONE_KEPT: Micros = Micros(900_000_000);
 
-/// The bounds that a check of the leases holds each machine to.
-struct LeaseCheck {
+/// The bounds that a check for lease expiry holds each machine to.
+struct LeaseExpiryBounds {
     now: Steady,
     /// When this owner took over.
     taken_over: Steady,
@@ -50,7 +50,7 @@
     few_silent: Vec<bool>,
 }
 
-impl LeaseCheck {
+impl LeaseExpiryBounds {
     /// Takes a machine that was not heard for expired once no earlier owner's lease can hold on
     /// it, and returns whether that is so now.
     fn outlive_earlier_owners(&self, m: &mut Machine) -> bool {
@@ -189,7 +189,7 @@
     }
 
     /// The bounds for a check of the leases at a moment.
-    fn lease_check(&self, now: Steady) -> LeaseCheck {
+    fn lease_check(&self, now: Steady) -> LeaseExpiryBounds {
         let fence = Micros::from_secs(self.cfg.operator.fence_after_s);
         // A few silent machines hold up all that was started: once the others are heard, the cloud
         // is asked to end them. Where many are silent a zone is cut off, and they are waited for.
@@ -197,7 +197,7 @@
         let report_interval = Micros::from_secs(self.cfg.platform.settings.workers.report_s);
         let silence = report_interval.scale(SILENT_REPORTS_AFTER_NOTICE);
         let soon = Micros::from_secs(self.cfg.platform.settings.workers.report_s + 5.0).max(MIN_EARLY_FENCE);
-        LeaseCheck {
+        LeaseExpiryBounds {
             now,
             taken_over: self.taken,
             confirmed: self.confirmed,
