--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -42,10 +42,10 @@
             if !r.tasks.is_empty() {
                 // Nothing is started on a machine without a record, and it has none: a late copy
                 // from a machine that was returned before this owner came.
-                tracing::info!(machine = %id, "a late report of a machine that is gone");
+                tracing::info!(machine = %id, "late heartbeat of a gone machine refused");
                 return HeartbeatOutcome::Refuse;
             }
-            tracing::info!(machine = %id, ty = %r.ty, zone = %r.zone, "a machine reports for the first time");
+            tracing::info!(machine = %id, ty = %r.ty, zone = %r.zone, "first heartbeat");
             self.machines.insert(id.clone(), Machine::new(&id, now));
         }
         self.describe(&id, &r.addr, &r.ty, &r.zone, r.spot);
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -156,7 +156,7 @@
         let mut stops = self.preempted_tasks(plan, machines);
         stops.extend(self.tasks_to_save(now));
         for (machine, task) in self.replicas_to_move(now) {
-            tracing::info!(machine = %machine, job = %task.0, task = task.1, "a replica moves");
+            tracing::info!(machine = %machine, job = %task.0, task = task.1, "replica moved");
             let grace_s = self.grace(&task.0);
             stops.push(Eviction { machine, task, grace_s, at_once: true });
         }
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -100,7 +100,7 @@
         let mut there: Vec<TaskKey> = Vec::with_capacity(r.tasks.len());
         for t in r.tasks.iter().take(MAX_REPORTED_TASKS) {
             let Some((job, n)) = split_task(&t.task) else {
-                tracing::error!(machine = %id, task = %t.task, "a report names a malformed task");
+                tracing::error!(machine = %id, task = %t.task, "heartbeat names a malformed task");
                 continue;
             };
             let job = self.jobs.get_key_value(job).map_or_else(|| job.into(), |j| j.0.clone());
@@ -141,7 +141,7 @@
             let Some(e) = self.machines.get_mut(id).and_then(|m| m.tasks.remove(&k)) else { continue };
             if e.live() {
                 // The start did not arrive, or the worker's lease ran out and it forgot all.
-                tracing::debug!(machine = %id, job = %k.0, task = k.1, "a task is not there");
+                tracing::debug!(machine = %id, job = %k.0, task = k.1, "task missing from heartbeat");
                 self.vanished(&k, id);
             }
         }
@@ -172,9 +172,9 @@
         if m.undelivered >= 2 {
             m.not_before = m.not_before.max(now + report.scale(f64::from(1u32 << m.undelivered.min(4))));
         }
-        tracing::info!(machine = %id, times = m.undelivered, "an answer did not arrive");
+        tracing::info!(machine = %id, undelivered = m.undelivered, "heartbeat reply not delivered");
         if m.undelivered >= MAX_UNDELIVERED_ANSWERS && !m.leaving {
-            tracing::info!(machine = %id, "returned: it reports, but answers do not reach it");
+            tracing::info!(machine = %id, reason = "replies not delivered", "scale in");
             m.leaving = true;
         }
         self.dirty = true;
@@ -204,7 +204,7 @@
         let changed = before != Some(t.stage);
         if t.stage == TaskStage::Running && e.running.is_none() && !fresh && changed {
             e.running = Some(now);
-            tracing::debug!(machine = %id, job = %key.0, task = key.1, "runs");
+            tracing::debug!(machine = %id, job = %key.0, task = key.1, "task running");
         }
         let ended = (t.stage == TaskStage::Exited).then(|| e.end(t.why.unwrap_or(Why::Other), now));
         if changed {
@@ -235,7 +235,7 @@
     /// Takes the end of a task into its machine and job.
     fn exited(&mut self, id: &MachineId, key: &TaskKey, ended: TaskEnd, now: Steady) {
         let why = ended.why;
-        tracing::debug!(machine = %id, job = %key.0, task = key.1, ?why, "a task ended");
+        tracing::debug!(machine = %id, job = %key.0, task = key.1, reason = ?why, "task exited");
         self.end_on_machine(id, &key.0, &ended, now);
         let service = self.jobs.get(&key.0).is_some_and(|j| j.spec.is_service());
         if service {
@@ -263,7 +263,7 @@
                     // Errors across different jobs, or of one that is not mistaken: the machine is at
                     // fault.
                     let jobs = m.failed.len();
-                    tracing::info!(machine = %id, jobs, "returned: tasks failed on it");
+                    tracing::info!(machine = %id, jobs, reason = "tasks failed", "scale in");
                     m.leaving = true;
                 }
             }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -132,7 +132,7 @@
         tracing::info!(
             bytes = self.value_limit,
             changes = self.txn_limit,
-            "values and transactions are kept smaller"
+            "state store value and transaction limits reduced"
         );
         self.packs.limit_to(self.value_limit);
         self.marks.limit_to(self.value_limit);
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -63,7 +63,7 @@
         let tasks: Vec<ReportedTask<'_>> = report.tasks.iter().filter_map(reported).collect();
         let records = JobRecordsView { jobs: &self.jobs };
         for (job, task, difference) in self.recovery.compare(id, &tasks, &records) {
-            tracing::debug!(machine = %id, %job, task, ?difference, "differs from the records");
+            tracing::debug!(machine = %id, %job, task, ?difference, "reconciliation difference");
         }
     }
 
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -133,7 +133,7 @@
                 g.sent.insert(n);
                 g.since.get_or_insert(now);
                 if g.sent.len() as usize == g.places.len() {
-                    tracing::debug!(job = %job, "all of the gang's starts have left");
+                    tracing::debug!(job = %job, "all gang starts sent");
                 }
                 g.attempt
             }
@@ -145,7 +145,7 @@
         let need = need_of(&j.spec);
         if j.first_start.is_none() {
             j.first_start = Some(now);
-            tracing::debug!(job = %job, machine = %id, "first start");
+            tracing::debug!(job = %job, machine = %id, "first task start");
         }
         let team = j.spec.team.clone();
         self.add_use(&team, &need);
@@ -155,7 +155,7 @@
             m.idle = now;
         }
         self.refresh(job, n, id);
-        tracing::debug!(machine = %id, job = %job, task = n, "a start leaves");
+        tracing::debug!(machine = %id, job = %job, task = n, "task start sent");
         out.push(Order::Start { task: format!("{job}/{n}"), attempt });
         true
     }
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -47,7 +47,7 @@
         let lending = (!record.lending.is_empty()).then(|| record.clone());
         let mut job = Job::new(record, stamp, now);
         let JobSpec { class, tasks, cpus, estimate_s, deadline_s, .. } = &job.spec;
-        tracing::debug!(job = %id, ?class, tasks, cpus, estimate_s, ?deadline_s, "a job is known");
+        tracing::debug!(job = %id, ?class, tasks, cpus, estimate_s, ?deadline_s, "job added");
         if job.spec.is_service() {
             // All its replicas are to run at once: their mark need not wait for a plan.
             job.high_wanted = job.spec.tasks;
--- a/src/fleet/upkeep.rs
+++ b/src/fleet/upkeep.rs
@@ -59,7 +59,7 @@
         }
         // Not heard and, with the cloud out, not returned: no earlier owner's command or
         // answer can still count on it.
-        tracing::info!(machine = %m.id, "leases of earlier owners have run out");
+        tracing::info!(machine = %m.id, "lease expiry of earlier leaders");
         (m.heard, m.expired) = (true, true);
         true
     }
@@ -68,7 +68,7 @@
     fn return_unheard(&self, m: &mut Machine) {
         let silent = self.now - self.taken_over;
         if silent > self.unheard_limit || (m.missing && silent > UNLISTED_GRACE) {
-            tracing::info!(machine = %m.id, "returned: silent since the takeover");
+            tracing::info!(machine = %m.id, reason = "silent since failover", "scale in");
             m.leaving = true;
         }
     }
@@ -84,7 +84,7 @@
         if m.expired || self.now - renewed <= self.lease || self.confirmed - renewed <= self.lease {
             return false;
         }
-        tracing::info!(machine = %m.id, "its lease ran out");
+        tracing::info!(machine = %m.id, "lease expiry");
         m.expired = true;
         // The worker is in its next session, or will be: a late copy of a report from
         // this one must not bring back what has ended.
@@ -100,14 +100,14 @@
                 // It has shown this owner's token in answer to a direct command, and is bound to
                 // report within moments.
                 if self.now - m.known > self.lease + PARTITION_GRACE {
-                    tracing::info!(machine = %m.id, "returned: it does not report");
+                    tracing::info!(machine = %m.id, reason = "no heartbeat", "scale in");
                     m.leaving = true;
                 }
             }
             None => {
                 let age = m.age + (self.now - m.known);
                 if m.missing || age.secs() > (boot_s * 2.5).max(60.0) {
-                    tracing::info!(machine = %m.id, age = age.secs(), "returned: it never came up");
+                    tracing::info!(machine = %m.id, age_s = age.secs(), reason = "never came up", "scale in");
                     m.leaving = true;
                 }
             }
@@ -119,13 +119,13 @@
         let silent = self.now - renewed.max(m.alive);
         if m.expired && silent > self.lease + PARTITION_GRACE {
             // The cloud says it runs: cut off, most likely, and good again afterwards.
-            tracing::info!(machine = %m.id, "returned: silent for long");
+            tracing::info!(machine = %m.id, reason = "silent for long", "scale in");
             m.leaving = true;
         } else if m.missing && silent > self.report_interval.scale(3.0) {
-            tracing::info!(machine = %m.id, "returned: silent and not in the cloud's list");
+            tracing::info!(machine = %m.id, reason = "silent and not listed by the cloud", "scale in");
             m.leaving = true;
         } else if self.is_taken(m, silent) {
-            tracing::info!(machine = %m.id, "returned: a silent spot machine");
+            tracing::info!(machine = %m.id, reason = "silent spot instance", "scale in");
             m.leaving = true;
         }
     }
@@ -227,7 +227,11 @@
         if (self.silent == 0) != self.all_heard {
             self.all_heard = self.silent == 0;
             let after = (now - self.taken).secs();
-            tracing::info!(after, unheard = self.silent, "machines of the earlier owner are heard or ended");
+            tracing::info!(
+                after_s = after,
+                unheard = self.silent,
+                "all machines of the earlier leader heard or expired"
+            );
         }
     }
 
@@ -258,7 +262,7 @@
         for ((ty, spot), u) in by {
             let (machines, booting, idle) = (u.machines, u.booting, u.idle);
             let (placed, running) = (u.placed / u.cpus.max(0.1), u.running / u.cpus.max(0.1));
-            tracing::info!(ty, spot, machines, booting, idle, placed, running, "use of machines");
+            tracing::info!(ty, spot, machines, booting, idle, placed, running, "machine utilization");
         }
         let waiting: u32 = self.plan.unmet.iter().map(|u| u.1).sum();
         tracing::info!(jobs = self.jobs.len(), waiting, "queue");
@@ -347,7 +351,7 @@
     /// Marks a machine as leaving if nothing is on it.
     fn return_idle(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id).filter(|m| m.tasks.is_empty()) {
-            tracing::info!(machine = %m.id, "returned: idle");
+            tracing::info!(machine = %m.id, reason = "idle", "scale in");
             m.leaving = true;
         }
     }
