--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -105,7 +105,7 @@
                 let Some(grace_s) = e.stop else { continue };
                 if e.stop_at_once || (is_overdue && grace_s == 0.0 && is_over(&self.jobs, k)) {
                     e.stop_at_once = false;
-                    orders.push(Order::Halt { task: format!("{}/{}", k.0, k.1), attempt: k.2, grace_s });
+                    orders.push(Order::Halt { task: task_name(&k.0, k.1), attempt: k.2, grace_s });
                 }
             }
             if !orders.is_empty() {
@@ -138,7 +138,7 @@
                 if out.len() >= MAX_ORDERS {
                     break;
                 }
-                let task = format!("{}/{}", k.0, k.1);
+                let task = task_name(&k.0, k.1);
                 match (e.ended, e.stop) {
                     (Some(why), _) => {
                         let written = match self.jobs.get(&k.0) {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -283,6 +283,11 @@
         }
     }
 
+    /// The interval at which workers send heartbeats, from the platform settings.
+    fn heartbeat_interval(&self) -> Micros {
+        Micros::from_secs(self.cfg.platform.settings.workers.report_s)
+    }
+
     fn total(&self, ty: usize) -> Need {
         self.types
             .get(ty)
@@ -318,6 +323,11 @@
     }
 }
 
+/// A task's name on the wire: `JOB/NUMBER`, the form that `split_task` reads.
+fn task_name(job: &JobId, number: u32) -> String {
+    format!("{job}/{number}")
+}
+
 /// What a task of the job takes.
 pub fn need_of(s: &JobSpec) -> Need {
     Need { cpus: s.cpus, gpus: s.gpus, memory: s.memory_gb }
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -237,7 +237,7 @@
         let ty = m.ty?;
         let t = &self.types[ty];
         let total = self.total(ty);
-        let report = Micros::from_secs(self.cfg.platform.settings.workers.report_s);
+        let heartbeat_interval = self.heartbeat_interval();
         let live_tasks = m.tasks.iter().filter(|x| x.1.live());
         let free = if promised > 0 { m.free(total).less(&promise, 1) } else { m.free(total) };
         Some(Room {
@@ -246,7 +246,7 @@
             spot: m.spot,
             total,
             free,
-            open: m.usable(now) && now - m.report < report.scale(2.5),
+            open: m.usable(now) && now - m.report < heartbeat_interval.scale(2.5),
             opens_in: self.opens_in(m, t, now),
             images: m.images.iter().map(|i| i.0).collect(),
             fetch_rate: t.fetch_gb_per_s,
@@ -290,15 +290,15 @@
             let boot = Micros::from_secs(t.boot_s);
             return (boot.scale(1.1) - (m.age + (now - m.known))).max(Micros::from_secs(2.0));
         }
-        let report = Micros::from_secs(self.cfg.platform.settings.workers.report_s);
+        let heartbeat_interval = self.heartbeat_interval();
         // A silent machine is not counted on until it reports again.
         let silent = now - m.report;
-        if silent > report.scale(2.5) {
-            report.scale(3.0)
+        if silent > heartbeat_interval.scale(2.5) {
+            heartbeat_interval.scale(3.0)
         } else if now < m.deferred_until {
             Micros::ZERO
         } else {
-            (report - silent).max(Micros::ZERO)
+            (heartbeat_interval - silent).max(Micros::ZERO)
         }
     }
 
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -58,7 +58,7 @@
     /// whose starts have left is stopped then.
     pub(super) fn drop_unsent_gangs(&mut self, now: Steady) {
         let wait = Micros::from_secs(self.cfg.platform.settings.workers.gang_wait_s);
-        let report = Micros::from_secs(self.cfg.platform.settings.workers.report_s);
+        let heartbeat_interval = self.heartbeat_interval();
         let mut broken = Vec::new();
         for j in self.jobs.values_mut() {
             let Some(g) = &j.gang else { continue };
@@ -68,7 +68,7 @@
                         m.leaving || m.expired || m.missing || m.notice.is_some() || !m.usable(now)
                     })
             });
-            let stale = lost || now - g.placed > report.scale(1.5);
+            let stale = lost || now - g.placed > heartbeat_interval.scale(1.5);
             let over = g.stopping.is_some() || (g.sent.is_empty() && stale);
             if over && j.live.is_empty() {
                 j.gang = None;
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -151,7 +151,7 @@
     /// come through while answers do not would have the same work promised to it for ever, and
     /// nothing of it run: it gets nothing for longer and longer, and is returned if it stays so.
     pub(super) fn arrived(&mut self, id: &MachineId, there: &[TaskKey], lost_lease: bool, now: Steady) {
-        let report = Micros::from_secs(self.cfg.platform.settings.workers.report_s);
+        let heartbeat_interval = self.heartbeat_interval();
         let Some(m) = self.machines.get_mut(id) else { return };
         // Unless this owner itself let the lease run out, since it might not answer.
         let answered = m.answered.is_some_and(|a| now - a < self.lease && m.alive <= a);
@@ -170,7 +170,8 @@
         }
         // One may be lost on the way: only the next says that something is wrong.
         if m.undelivered >= 2 {
-            m.not_before = m.not_before.max(now + report.scale(f64::from(1u32 << m.undelivered.min(4))));
+            m.not_before =
+                m.not_before.max(now + heartbeat_interval.scale(f64::from(1u32 << m.undelivered.min(4))));
         }
         tracing::info!(machine = %id, undelivered = m.undelivered, "heartbeat reply not delivered");
         if m.undelivered >= MAX_UNDELIVERED_ANSWERS && !m.leaving {
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -45,8 +45,9 @@
     /// for work that may have room there: after a takeover the first urgent job would otherwise stop what
     /// happens to be heard first.
     pub(super) fn is_hearing_machines(&self, now: Steady) -> bool {
-        let report = Micros::from_secs(self.cfg.platform.settings.workers.report_s);
-        self.recovery.is_gathering(self.since_takeover(now), report.scale(REPORTS_TO_HEAR_ALL).std())
+        let heartbeat_interval = self.heartbeat_interval();
+        self.recovery
+            .is_gathering(self.since_takeover(now), heartbeat_interval.scale(REPORTS_TO_HEAR_ALL).std())
     }
 
     /// How far the recovery has come.
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -156,7 +156,7 @@
         }
         self.refresh(job, n, id);
         tracing::debug!(machine = %id, job = %job, task = n, "task start sent");
-        out.push(Order::Start { task: format!("{job}/{n}"), attempt });
+        out.push(Order::Start { task: task_name(job, n), attempt });
         true
     }
 
--- a/src/fleet/upkeep.rs
+++ b/src/fleet/upkeep.rs
@@ -45,7 +45,7 @@
     earlier_owners_limit: Micros,
     /// So long after the takeover a machine that was not heard is returned.
     unheard_limit: Micros,
-    report_interval: Micros,
+    heartbeat_interval: Micros,
     /// By zone, whether few machines are silent: neither it nor this owner is cut off.
     few_silent: Vec<bool>,
 }
@@ -121,7 +121,7 @@
             // The cloud says it runs: cut off, most likely, and good again afterwards.
             tracing::info!(machine = %m.id, reason = "silent for long", "scale in");
             m.leaving = true;
-        } else if m.missing && silent > self.report_interval.scale(3.0) {
+        } else if m.missing && silent > self.heartbeat_interval.scale(3.0) {
             tracing::info!(machine = %m.id, reason = "silent and not listed by the cloud", "scale in");
             m.leaving = true;
         } else if self.is_taken(m, silent) {
@@ -134,7 +134,7 @@
     fn is_taken(&self, m: &Machine, silent: Micros) -> bool {
         let reports = if m.notice.is_some() { SILENT_REPORTS_AFTER_NOTICE } else { SILENT_REPORTS };
         let few_silent = self.few_silent.get(m.zone).copied().unwrap_or(false);
-        m.spot && few_silent && silent > self.report_interval.scale(reports).max(LEAST_SILENCE)
+        m.spot && few_silent && silent > self.heartbeat_interval.scale(reports).max(LEAST_SILENCE)
     }
 }
 
@@ -194,8 +194,8 @@
         // A few silent machines hold up all that was started: once the others are heard, the cloud
         // is asked to end them. Where many are silent a zone is cut off, and they are waited for.
         let few = self.silent * 10 <= self.machines.len();
-        let report_interval = Micros::from_secs(self.cfg.platform.settings.workers.report_s);
-        let silence = report_interval.scale(SILENT_REPORTS_AFTER_NOTICE);
+        let heartbeat_interval = self.heartbeat_interval();
+        let silence = heartbeat_interval.scale(SILENT_REPORTS_AFTER_NOTICE);
         let soon = Micros::from_secs(self.cfg.platform.settings.workers.report_s + 5.0).max(MIN_EARLY_FENCE);
         LeaseExpiryBounds {
             now,
@@ -206,7 +206,7 @@
             // had taken over, and that was before this owner's claim.
             earlier_owners_limit: self.cfg.blind_bound().scale(1.001) + self.lease,
             unheard_limit: if few { fence.min(soon) } else { fence },
-            report_interval,
+            heartbeat_interval,
             few_silent: (0..self.zones.len()).map(|zone| self.are_few_silent(zone, silence, now)).collect(),
         }
     }
@@ -331,9 +331,9 @@
 
     /// Whether most of a zone's machines are silent.
     fn is_cut_off(&self, zone: usize, now: Steady) -> bool {
-        let report = Micros::from_secs(self.cfg.platform.settings.workers.report_s);
+        let heartbeat_interval = self.heartbeat_interval();
         let up = || self.machines.values().filter(|m| m.up && m.zone == zone && !m.leaving);
-        let silent = up().filter(|m| now - m.report > report.scale(3.0)).count();
+        let silent = up().filter(|m| now - m.report > heartbeat_interval.scale(3.0)).count();
         silent >= 2 && silent * 2 > up().count()
     }
 
