--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -192,7 +192,7 @@
 impl Fleet {
     /// Machines that may hold commands of an earlier owner.
     pub fn unheard(&self) -> usize {
-        self.silent
+        self.unheard_machines
     }
 
     /// Machines that the cloud rented to this owner.
@@ -255,7 +255,7 @@
             self.emptied(&id);
             self.machine_given_up(&id, now);
             if let Some(m) = self.machines.remove(&id) {
-                self.silent = self.silent.saturating_sub(usize::from(!m.heard));
+                self.unheard_machines = self.unheard_machines.saturating_sub(usize::from(!m.heard));
                 self.uses.clear();
                 self.packs.remove(&id);
                 if m.stamp > 0 {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -107,8 +107,10 @@
     types: Vec<MachineType>,
     zones: Vec<String>,
     images: BTreeMap<String, u32>,
-    counter: u64,
-    taken: Steady,
+    /// Attempts numbered by this leader; the low bits of each attempt number.
+    attempt_counter: u64,
+    /// When this leader took over (the failover).
+    failover_at: Steady,
     planned: Steady,
     planned_jobs: Vec<JobId>,
     /// Services with replicas that wait for a start.
@@ -125,7 +127,7 @@
     /// Use of teams with limits, by index; counted anew when emptied.
     uses: Vec<Need>,
     /// How many machines have not been heard since the takeover.
-    silent: usize,
+    unheard_machines: usize,
     /// Whether the log said last that all machines are heard.
     all_heard: bool,
     /// Bytes that a value may hold.
@@ -141,7 +143,7 @@
     /// Later revisions at which jobs ended, so that a late message does not bring them back.
     over: BTreeMap<JobId, u64>,
     /// At this moment nobody had taken over from this owner.
-    confirmed: Steady,
+    lease_confirmed_at: Steady,
     /// When the log last said how the machines are used.
     usage_logged: Steady,
     /// When the log last said how far the recovery has come.
@@ -181,8 +183,8 @@
             zones: cfg.platform.settings.zones.clone(),
             types,
             images: BTreeMap::new(),
-            counter: 0,
-            taken: now,
+            attempt_counter: 0,
+            failover_at: now,
             planned: Steady(0),
             planned_jobs: Vec::new(),
             waiting_services: Vec::new(),
@@ -192,7 +194,7 @@
             planned_for: Snapshot::default(),
             closed: BTreeSet::new(),
             uses: Vec::new(),
-            silent: 0,
+            unheard_machines: 0,
             all_heard: false,
             value_limit: cfg.value_bytes(),
             txn_limit: cfg.txn_ops(),
@@ -209,7 +211,7 @@
             lazily_written: now,
             usage_logged: now,
             recovery_logged: now,
-            confirmed: now,
+            lease_confirmed_at: now,
             submitted_count: 0,
             lease,
             cfg,
@@ -235,7 +237,7 @@
 
     /// Learns that this owner's lease stood at a moment: a renewal begun then was granted.
     pub fn confirm(&mut self, at: Steady) {
-        self.confirmed = self.confirmed.max(at);
+        self.lease_confirmed_at = self.lease_confirmed_at.max(at);
     }
 
     /// Bytes that a value may hold.
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -221,7 +221,7 @@
         if now < j.not_before || (gang && (j.gang.is_some() || !j.live.is_empty())) {
             return 0;
         }
-        if self.silent == 0 || !self.may_be_on_unheard(&j.spec) {
+        if self.unheard_machines == 0 || !self.may_be_on_unheard(&j.spec) {
             return j.waiting.len();
         }
         let tied = j.spec.one_zone || j.spec.spread || gang;
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -112,7 +112,7 @@
     /// Has a job's mark written that allows as many of its waiting tasks to start.
     fn raise_mark(&mut self, job: &JobId, count: u32) {
         let Some(j) = self.jobs.get(job) else { return };
-        let from = if self.silent > 0 && self.may_be_on_unheard(&j.spec) { j.inherited } else { 0 };
+        let from = if self.unheard_machines > 0 && self.may_be_on_unheard(&j.spec) { j.inherited } else { 0 };
         let top = j.waiting.iter().filter(|n| *n >= from).nth(count.saturating_sub(1) as usize);
         let Some(j) = self.jobs.get_mut(job) else { return };
         if let Some(top) = top.filter(|t| *t >= j.high) {
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -77,7 +77,7 @@
         let is_heard_now = !m.heard && r.token == self.token;
         if is_heard_now {
             m.heard = true;
-            self.silent = self.silent.saturating_sub(1);
+            self.unheard_machines = self.unheard_machines.saturating_sub(1);
             self.uses.clear();
             self.dirty = true;
         }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -78,7 +78,7 @@
         (m.enrolled, m.stamp, m.inherited, m.heard) = (true, stamp, true, false);
         let id = m.id.clone();
         if self.machines.insert(id.clone(), m).is_none_or(|old| old.heard) {
-            self.silent += 1;
+            self.unheard_machines += 1;
         }
         self.recovery.expect(&id);
         if stamp > 0 {
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -56,7 +56,7 @@
     }
 
     fn since_takeover(&self, now: Steady) -> Duration {
-        (now - self.taken).max(Micros::ZERO).std()
+        (now - self.failover_at).max(Micros::ZERO).std()
     }
 
     /// A machine's first report after the takeover, before it is taken into the jobs.
@@ -80,7 +80,7 @@
 
     /// Counts orders that leave, as long as the recovery is of interest.
     pub(super) fn count_orders<'a>(&mut self, orders: impl IntoIterator<Item = &'a Order>, now: Steady) {
-        if now - self.taken > RECOVERY_LOGGED_FOR {
+        if now - self.failover_at > RECOVERY_LOGGED_FOR {
             return;
         }
         for order in orders {
@@ -94,7 +94,7 @@
 
     /// Says now and then how far the recovery has come.
     pub(super) fn log_recovery(&mut self, now: Steady) {
-        if now - self.recovery_logged < PROGRESS_INTERVAL || now - self.taken > RECOVERY_LOGGED_FOR {
+        if now - self.recovery_logged < PROGRESS_INTERVAL || now - self.failover_at > RECOVERY_LOGGED_FOR {
             return;
         }
         self.recovery_logged = now;
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -160,22 +160,22 @@
         true
     }
 
-    /// Attempt numbers come from token and counter: never reused, without a write.
+    /// Attempt numbers come from the fencing token and the attempt counter: never reused, without a write.
     pub(super) fn next_attempt(&mut self) -> u64 {
-        self.counter += 1;
-        (self.token << ATTEMPT_BITS) | (self.counter & MAX_ATTEMPTS)
+        self.attempt_counter += 1;
+        (self.token << ATTEMPT_BITS) | (self.attempt_counter & MAX_ATTEMPTS)
     }
 
     /// Whether this owner has hardly an attempt number left. It starts nothing more: under a higher
     /// token there are as many again. Four thousand machines that each start a task a second get here
     /// within little more than an hour.
     pub fn attempts_exhausted(&self) -> bool {
-        self.counter + ATTEMPTS_RESERVED > MAX_ATTEMPTS
+        self.attempt_counter + ATTEMPTS_RESERVED > MAX_ATTEMPTS
     }
 
     /// As if so many attempt numbers had been used: for tests.
     pub fn use_attempts(&mut self, count: u64) {
-        self.counter += count;
+        self.attempt_counter += count;
     }
 
     /// The one place where a start is checked, with everything that is possibly there counted.
@@ -200,7 +200,7 @@
         if n >= j.high || now < j.not_before {
             return false;
         }
-        if self.silent > 0 && !self.startable_blind(j, n) && self.may_be_on_unheard(&j.spec) {
+        if self.unheard_machines > 0 && !self.startable_blind(j, n) && self.may_be_on_unheard(&j.spec) {
             return false;
         }
         if self.attempts_exhausted() {
@@ -237,7 +237,7 @@
     /// Whether a job's started tasks may be on a machine that is not heard. Only on one that the
     /// job may use: an old owner checked that as this one does.
     pub(super) fn may_be_on_unheard(&self, s: &JobSpec) -> bool {
-        if self.silent == 0 {
+        if self.unheard_machines == 0 {
             return false;
         }
         let types = self.allowed_types(s);
--- a/src/fleet/upkeep.rs
+++ b/src/fleet/upkeep.rs
@@ -177,7 +177,7 @@
             }
         }
         if outlasted > 0 {
-            self.silent = self.silent.saturating_sub(outlasted);
+            self.unheard_machines = self.unheard_machines.saturating_sub(outlasted);
             self.uses.clear();
         }
         for id in given_up {
@@ -193,14 +193,14 @@
         let fence = Micros::from_secs(self.cfg.operator.fence_after_s);
         // A few silent machines hold up all that was started: once the others are heard, the cloud
         // is asked to end them. Where many are silent a zone is cut off, and they are waited for.
-        let few = self.silent * 10 <= self.machines.len();
+        let few = self.unheard_machines * 10 <= self.machines.len();
         let heartbeat_interval = self.heartbeat_interval();
         let silence = heartbeat_interval.scale(SILENT_REPORTS_AFTER_NOTICE);
         let soon = Micros::from_secs(self.cfg.platform.settings.workers.report_s + 5.0).max(MIN_EARLY_FENCE);
         LeaseExpiryBounds {
             now,
-            taken_over: self.taken,
-            confirmed: self.confirmed,
+            taken_over: self.failover_at,
+            confirmed: self.lease_confirmed_at,
             lease: self.lease,
             // An earlier owner answers no longer than `blind_bound` after it last knew that nobody
             // had taken over, and that was before this owner's claim.
@@ -224,12 +224,12 @@
 
     /// Logs when all machines of the earlier owner are heard or ended, and when no longer.
     fn log_takeover_progress(&mut self, now: Steady) {
-        if (self.silent == 0) != self.all_heard {
-            self.all_heard = self.silent == 0;
-            let after = (now - self.taken).secs();
+        if (self.unheard_machines == 0) != self.all_heard {
+            self.all_heard = self.unheard_machines == 0;
+            let after = (now - self.failover_at).secs();
             tracing::info!(
                 after_s = after,
-                unheard = self.silent,
+                unheard = self.unheard_machines,
                 "all machines of the earlier leader heard or expired"
             );
         }
