--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -14,16 +14,16 @@
 const MAX_OVERDUE_HALTS: usize = 6;
 
 impl Fleet {
-    /// A report came while this owner may answer none. Without this a machine whose lease ended for
-    /// that would be taken for silent and returned as soon as the owner may act again: after a long
-    /// outage of the state service all of them.
+    /// A heartbeat came while this leader may answer none (its own lease is not confirmed). Without
+    /// this a machine whose lease expired for that would be taken for silent and scaled in as soon as
+    /// the leader may act again: after a long outage of the state store all of them.
     pub fn not_answered(&mut self, machine: &str, now: Steady) {
         if let Some(m) = self.machines.get_mut(machine) {
             m.alive = now;
         }
     }
 
-    /// Takes a report and says what to answer.
+    /// Takes a worker's heartbeat: reconciles it with what is held and says what to answer.
     pub fn check_in(&mut self, r: &Report, now: Steady, wall: Wall) -> HeartbeatOutcome {
         if r.token > self.token {
             return HeartbeatOutcome::Superseded(r.token);
@@ -64,9 +64,9 @@
         HeartbeatOutcome::Reply(ReportReply { token: self.token, orders })
     }
 
-    /// Takes the report that a direct command returned: it only tells that our token has arrived.
-    /// Its task list may be older than a start on its way, so once the machine is heard it is not
-    /// used at all. Returns a higher token, if one shows.
+    /// Takes the heartbeat that a direct command returned: it only tells that this leader's fencing
+    /// token has arrived. Its task list may be older than a start on its way, so once the machine is
+    /// heard it is not used at all. Returns a higher fencing token, if one shows (a newer leader).
     pub fn raised(&mut self, r: &Report, now: Steady) -> Option<u64> {
         if r.token > self.token {
             return Some(r.token);
@@ -83,15 +83,17 @@
         None
     }
 
-    /// Commands without orders to the machines to which this owner's token has to be brought.
+    /// Direct commands without orders to the machines to which this leader's fencing token has to be
+    /// brought.
     pub fn to_raise(&self, now: Steady) -> Vec<DirectCommand> {
         let due = self.machines.values().filter(|m| m.to_raise(now) && !m.addr.is_empty());
         due.map(|m| m.direct_command(Vec::new())).collect()
     }
 
-    /// Halts of tasks in whose place others wait, and of what is left of jobs that are over on machines
-    /// whose report is overdue. The answer to a report carries the same halts; a machine that
-    /// reaches no controller, or whose owner may no longer answer, has them from here.
+    /// Direct commands with halts of tasks in whose place others wait, and of what is left of jobs
+    /// that are over on machines whose heartbeat is overdue. The reply to a heartbeat carries the same
+    /// halts; a machine that reaches no controller, or whose leader may no longer answer, has them
+    /// from here.
     pub fn to_halt(&mut self, now: Steady) -> Vec<DirectCommand> {
         let overdue = self.overdue_with_remains(now);
         let mut out = Vec::new();
@@ -165,8 +167,8 @@
         out
     }
 
-    /// Whether a report may be answered a little later: nothing is on the machine but replicas that
-    /// run, and nothing was said to it, so that a start which comes up meanwhile can leave at once.
+    /// Whether a heartbeat's reply may be deferred: nothing is on the machine but service replicas that
+    /// run, and there is nothing to tell it, so that a start which comes up meanwhile can leave at once.
     pub fn may_wait(&self, id: &str, now: Steady) -> bool {
         let Some(m) = self.machines.get(id).filter(|m| m.usable(now)) else { return false };
         let steady_replica = |k: &TaskKey, e: &TaskEntry| {
@@ -176,20 +178,22 @@
         m.notice.is_none() && m.tasks.iter().all(|(k, e)| steady_replica(k, e))
     }
 
-    /// The answer to a machine's report waits for a start: one that comes up before leaves at once.
+    /// The reply to a machine's heartbeat is deferred until `until`: a start that comes up before
+    /// leaves at once.
     pub fn reply_deferred(&mut self, id: &str, until: Steady) {
         if let Some(m) = self.machines.get_mut(id) {
             m.deferred_until = until;
         }
     }
 
-    /// Whether a start for the machine may leave now.
+    /// Whether a start for the machine may leave now: a gang place or an assigned job on it whose mark
+    /// (how many tasks may start) is written.
     pub fn start_waits(&self, id: &str) -> bool {
         let gang = || self.promised.get(id).is_some_and(|l| l.iter().any(|(j, n)| self.marked(j, *n)));
         gang() || self.assigned.get(id).is_some_and(|l| l.iter().any(|(j, _)| self.marked(j, 0)))
     }
 
-    /// What a report that was kept waiting is answered, unless a newer one has come.
+    /// The orders with which a deferred heartbeat is answered; empty if a newer heartbeat has come.
     pub fn later(&mut self, r: &Report, now: Steady, wall: Wall) -> Vec<Order> {
         let id: MachineId = r.machine.as_str().into();
         if self.machines.get(&id).is_none_or(|m| m.seen != (r.season, r.tally)) {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! The owner's world: its jobs, its machines, and what workers report. No I/O and no clock; the
-//! moments are handed in. What has to be written or asked of the cloud is collected by others.
+//! The leader's model of the cluster: its jobs, its machines, the tasks on them and what workers'
+//! heartbeats say. No I/O and no clock; the moments are handed in. What has to be written to the
+//! state store or asked of the cloud is collected here and carried out by others.
 //!
 //! A task is *possibly there* from the moment a start may leave until a newer report lacks it or
 //! shows it exited, or the machine is gone for certain. Nothing is started elsewhere before.
@@ -61,7 +62,7 @@
 use replicas::WaitingService;
 use starts::MAX_ORDERS;
 
-/// A task on a machine, by job, number and attempt.
+/// A task on a machine: (job, task number within the job, attempt number).
 pub type TaskKey = (JobId, u32, u64);
 
 /// What to do with a worker's heartbeat, as decided by [`Fleet::check_in`].
@@ -85,9 +86,9 @@
     pub running: u32,
 }
 
-/// The owner's world.
+/// The leader's model of the cluster: jobs, machines, loans and the latest plan.
 pub struct Fleet {
-    /// This owner's token.
+    /// This leader's fencing token.
     pub token: u64,
     /// Jobs that are not over, or whose tasks are not all gone.
     pub jobs: BTreeMap<JobId, Job>,
@@ -95,13 +96,13 @@
     pub machines: BTreeMap<MachineId, Machine>,
     /// Tasks lent to other cells and borrowed from them.
     pub loans: Loans,
-    /// What is known of the machines that the earlier owner left.
+    /// What is known of the machines that the earlier leader left, during reconciliation after failover.
     pub recovery: Recovery,
-    /// Past jobs.
+    /// Run times of past jobs, for the expected run time of new ones.
     pub history: History,
     /// The latest plan's unmet tasks and reservation, for renting and the log.
     pub plan: Plan,
-    /// Something changed since the last plan.
+    /// Something changed since the last plan, so the next `replan` plans anew.
     pub dirty: bool,
     cfg: Arc<Config>,
     types: Vec<MachineType>,
@@ -134,9 +135,9 @@
     value_limit: usize,
     /// Changes that a transaction may hold.
     txn_limit: usize,
-    /// Packed records.
+    /// Machine records, packed into state-store values.
     pub packs: Packs<MachineRecord>,
-    /// Packed marks.
+    /// Jobs' marks (how many tasks may start), packed into state-store values.
     pub marks: Packs<u32>,
     /// All changes of jobs up to this revision are known here.
     read_to: u64,
@@ -164,11 +165,12 @@
     lease: Micros,
 }
 
-/// Safety margin added to a worker's lease before this owner counts it as ended.
+/// Safety margin added to a worker's lease before this leader counts it as expired.
 const LEASE_MARGIN: Micros = Micros(1_500_000);
 
 impl Fleet {
-    /// A new owner's world; records are loaded into it before anything is placed.
+    /// An empty model for a new leader with fencing token `token`; records are loaded into it before
+    /// anything is placed.
     pub fn new(cfg: Arc<Config>, types: Vec<MachineType>, token: u64, now: Steady) -> Fleet {
         let lease = cfg.lease().scale(1.001) + LEASE_MARGIN;
         Fleet {
@@ -235,17 +237,17 @@
         self.dirty = true;
     }
 
-    /// Learns that this owner's lease stood at a moment: a renewal begun then was granted.
+    /// Learns that this leader's lease stood at a moment: a renewal begun then was granted.
     pub fn confirm(&mut self, at: Steady) {
         self.lease_confirmed_at = self.lease_confirmed_at.max(at);
     }
 
-    /// Bytes that a value may hold.
+    /// Bytes that a state-store value may hold; halved by `write_rejected`.
     pub fn value_bytes(&self) -> usize {
         self.value_limit
     }
 
-    /// Changes that a transaction may hold.
+    /// Changes that a state-store transaction may hold.
     pub fn txn_ops(&self) -> usize {
         self.txn_limit
     }
