--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -49,7 +49,7 @@
             self.machines.insert(id.clone(), Machine::new(&id, now));
         }
         self.describe(&id, &r.addr, &r.ty, &r.zone, r.spot);
-        if !self.take_report(&id, r, now) {
+        if !self.reconcile_heartbeat(&id, r, now) {
             // A copy, or one that was overtaken: it renews nothing and revives nothing, and the
             // worker does not wait for its answer.
             return HeartbeatOutcome::Refuse;
@@ -60,7 +60,7 @@
             m.expired = false;
             m.missing = false;
         }
-        let orders = self.orders(&id, now, wall);
+        let orders = self.reply_orders(&id, now, wall);
         HeartbeatOutcome::Reply(ReportReply { token: self.token, orders })
     }
 
@@ -73,7 +73,7 @@
         }
         let id: MachineId = r.machine.as_str().into();
         if self.machines.get(&id).is_some_and(|m| !m.heard) {
-            self.take_report(&id, r, now);
+            self.reconcile_heartbeat(&id, r, now);
             // What an earlier owner answered was reported before this. A machine that never reports
             // would otherwise hold its tasks until it is returned.
             if let Some(m) = self.machines.get_mut(&id).filter(|_| r.token == self.token) {
@@ -132,8 +132,9 @@
         machines.into_iter().take(MAX_OVERDUE_HALTS).map(|m| m.id.clone()).collect()
     }
 
-    /// The orders with which a machine's report is answered.
-    pub(super) fn orders(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<Order> {
+    /// The orders with which a machine's heartbeat is answered: forgets of ended tasks whose end is
+    /// written, halts, and the starts of the plan (at most `MAX_ORDERS`).
+    pub(super) fn reply_orders(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<Order> {
         let mut out = Vec::new();
         if let Some(m) = self.machines.get(id) {
             for (k, e) in &m.tasks {
@@ -199,6 +200,6 @@
         if self.machines.get(&id).is_none_or(|m| m.seen != (r.season, r.tally)) {
             return Vec::new();
         }
-        self.orders(&id, now, wall)
+        self.reply_orders(&id, now, wall)
     }
 }
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -40,9 +40,9 @@
 }
 
 impl Fleet {
-    /// Takes what a report says of its machine and tasks, unless it is no newer than the last one;
-    /// returns whether it was taken.
-    pub(super) fn take_report(&mut self, id: &MachineId, r: &Report, now: Steady) -> bool {
+    /// Reconciles what a heartbeat says of its machine and tasks, unless it is no newer (by agent
+    /// epoch and sequence number) than the last one; returns whether it was taken.
+    pub(super) fn reconcile_heartbeat(&mut self, id: &MachineId, r: &Report, now: Steady) -> bool {
         let Some(m) = self.machines.get_mut(id) else { return false };
         if (r.season, r.tally) <= m.seen {
             return false;
@@ -50,12 +50,12 @@
         let lost_lease = m.seen.0 > 0 && r.season > m.seen.0;
         m.seen = (r.season, r.tally);
         let had_notice = m.notice.is_some();
-        self.take_machine_state(id, r, now);
-        let mut there = self.take_tasks(id, r, now);
+        self.reconcile_machine_state(id, r, now);
+        let mut there = self.reconcile_tasks(id, r, now);
         if !had_notice {
             self.stop_unfinishable(id, now);
         }
-        self.arrived(id, &there, lost_lease, now);
+        self.note_reply_delivery(id, &there, lost_lease, now);
         there.sort_unstable();
         self.drop_absent_tasks(id, &there);
         if let Some(m) = self.machines.get_mut(id).filter(|m| !m.tasks.is_empty()) {
@@ -64,9 +64,9 @@
         true
     }
 
-    /// Takes what a report says of the machine itself: that it is up, whose token it has, and any
-    /// spot notice.
-    fn take_machine_state(&mut self, id: &MachineId, r: &Report, now: Steady) {
+    /// Reconciles what a heartbeat says of the machine itself: that it is up, whose fencing token it
+    /// has, and any spot notice.
+    fn reconcile_machine_state(&mut self, id: &MachineId, r: &Report, now: Steady) {
         let Some(m) = self.machines.get_mut(id) else { return };
         let is_first = !m.up;
         if is_first {
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Takes the tasks that a report lists, and returns their keys.
-    fn take_tasks(&mut self, id: &MachineId, r: &Report, now: Steady) -> Vec<TaskKey> {
+    /// Reconciles the tasks that a heartbeat lists, and returns their keys.
+    fn reconcile_tasks(&mut self, id: &MachineId, r: &Report, now: Steady) -> Vec<TaskKey> {
         let mut there: Vec<TaskKey> = Vec::with_capacity(r.tasks.len());
         for t in r.tasks.iter().take(MAX_REPORTED_TASKS) {
             let Some((job, n)) = split_task(&t.task) else {
@@ -105,7 +105,7 @@
             };
             let job = self.jobs.get_key_value(job).map_or_else(|| job.into(), |j| j.0.clone());
             let key: TaskKey = (job, n, t.attempt);
-            self.take_task(id, &key, t, now);
+            self.reconcile_task(id, &key, t, now);
             there.push(key);
         }
         there
@@ -147,10 +147,16 @@
         }
     }
 
-    /// Whether the last answer arrived, by what the report after it shows. A machine whose reports
-    /// come through while answers do not would have the same work promised to it for ever, and
-    /// nothing of it run: it gets nothing for longer and longer, and is returned if it stays so.
-    pub(super) fn arrived(&mut self, id: &MachineId, there: &[TaskKey], lost_lease: bool, now: Steady) {
+    /// Whether the last reply arrived, by what the heartbeat after it shows. A machine whose
+    /// heartbeats come through while replies do not would have the same work promised to it for ever,
+    /// and nothing of it run: it gets nothing for longer and longer, and is scaled in if it stays so.
+    pub(super) fn note_reply_delivery(
+        &mut self,
+        id: &MachineId,
+        there: &[TaskKey],
+        lost_lease: bool,
+        now: Steady,
+    ) {
         let heartbeat_interval = self.heartbeat_interval();
         let Some(m) = self.machines.get_mut(id) else { return };
         // Unless this owner itself let the lease run out, since it might not answer.
@@ -181,8 +187,8 @@
         self.dirty = true;
     }
 
-    /// Takes what a report says of one task.
-    pub(super) fn take_task(&mut self, id: &MachineId, key: &TaskKey, t: &TaskReport, now: Steady) {
+    /// Reconciles what a heartbeat says of one task.
+    pub(super) fn reconcile_task(&mut self, id: &MachineId, key: &TaskKey, t: &TaskReport, now: Steady) {
         // Most of a report says what is known already.
         let known = self.machines.get(id).and_then(|m| m.tasks.get(key));
         if known.is_some_and(|e| e.ended.is_some() || (e.stage == Some(t.stage) && e.need.is_some())) {
@@ -212,7 +218,7 @@
             self.note_cached_image(id, &key.0);
         }
         if let Some(ended) = ended {
-            self.exited(id, key, ended, now);
+            self.task_exited(id, key, ended, now);
         } else if before.is_none() {
             self.refresh(&key.0, key.1, id);
         }
@@ -234,7 +240,7 @@
     }
 
     /// Takes the end of a task into its machine and job.
-    fn exited(&mut self, id: &MachineId, key: &TaskKey, ended: TaskEnd, now: Steady) {
+    fn task_exited(&mut self, id: &MachineId, key: &TaskKey, ended: TaskEnd, now: Steady) {
         let why = ended.why;
         tracing::debug!(machine = %id, job = %key.0, task = key.1, reason = ?why, "task exited");
         self.end_on_machine(id, &key.0, &ended, now);
