--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! The owner's world: its jobs, its machines, and what workers report. No I/O and no clock; the
-//! moments are handed in. What has to be written or asked of the cloud is collected by others.
+//! The leader's model of the cluster: its jobs, its machines, the tasks on them and what workers'
+//! heartbeats say. No I/O and no clock; the moments are handed in. What has to be written to the
+//! state store or asked of the cloud is collected here and carried out by others.
 //!
 //! A task is *possibly there* from the moment a start may leave until a newer report lacks it or
 //! shows it exited, or the machine is gone for certain. Nothing is started elsewhere before.
@@ -7,26 +8,32 @@
 mod admission;
 mod borrowing;
 mod demand;
+mod heartbeats;
 mod lending;
 mod loans;
 mod machines;
+mod planner_input;
 mod planning;
+mod reconciliation;
 mod records;
 mod recovery;
 mod replicas;
-mod reports;
 mod starts;
 mod status;
 mod tasks;
 mod team_use;
 mod upkeep;
 
+pub use self::HeartbeatOutcome as CheckIn; // join alias: remove
+pub use self::JobProgress as Counts; // join alias: remove
 pub use admission::never_runs;
 pub use borrowing::BorrowedTasks;
 pub use lending::LendingCandidate;
 pub use loans::{LoanWrite, Loans};
-pub use machines::{Entry, Machine};
-pub use records::{Packed, Pending, WriteContents};
+pub use machines::{Machine, TaskEntry};
+pub use records::PackKind as Packed; // join alias: remove
+pub use records::PendingWrite as Pending; // join alias: remove
+pub use records::{PackKind, PendingWrite, WriteContents};
 pub use status::{FactorView, JobView, MachineView, StatusView};
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,32 +62,33 @@
 use replicas::WaitingService;
 use starts::MAX_ORDERS;
 
-/// A task on a machine, by job, number and attempt.
+/// A task on a machine: (job, task number within the job, attempt number).
 pub type TaskKey = (JobId, u32, u64);
 
-/// Outcome of a check-in.
+/// What to do with a worker's heartbeat, as decided by [`Fleet::check_in`].
 #[derive(Debug, PartialEq)]
-pub enum CheckIn {
-    /// Answer 200 with this.
+pub enum HeartbeatOutcome {
+    /// Answer 200 with this reply: this leader's fencing token and the orders for the machine.
     Reply(ReportReply),
-    /// Another has a higher token: this owner is replaced.
+    /// The heartbeat carries this higher fencing token: another leader has taken over.
     Superseded(u64),
-    /// Not to be answered with 200.
+    /// Not to be answered with 200: the machine is gone, its name is malformed, or the heartbeat is a
+    /// copy or was overtaken by a newer one.
     Refuse,
 }
 
-/// Numbers for polls.
+/// Progress of a job's tasks, as answered to a poll.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct JobProgress {
     /// Tasks done.
     pub done: u32,
-    /// Tasks running.
+    /// Tasks running or saving a checkpoint.
     pub running: u32,
 }
 
-/// The owner's world.
+/// The leader's model of the cluster: jobs, machines, loans and the latest plan.
 pub struct Fleet {
-    /// This owner's token.
+    /// This leader's fencing token.
     pub token: u64,
     /// Jobs that are not over, or whose tasks are not all gone.
     pub jobs: BTreeMap<JobId, Job>,
@@ -88,20 +96,22 @@
     pub machines: BTreeMap<MachineId, Machine>,
     /// Tasks lent to other cells and borrowed from them.
     pub loans: Loans,
-    /// What is known of the machines that the earlier owner left.
+    /// What is known of the machines that the earlier leader left, during reconciliation after failover.
     pub recovery: Recovery,
-    /// Past jobs.
+    /// Run times of past jobs, for the expected run time of new ones.
     pub history: History,
     /// The latest plan's unmet tasks and reservation, for renting and the log.
     pub plan: Plan,
-    /// Something changed since the last plan.
+    /// Something changed since the last plan, so the next `replan` plans anew.
     pub dirty: bool,
     cfg: Arc<Config>,
     types: Vec<MachineType>,
     zones: Vec<String>,
     images: BTreeMap<String, u32>,
-    counter: u64,
-    taken: Steady,
+    /// Attempts numbered by this leader; the low bits of each attempt number.
+    attempt_counter: u64,
+    /// When this leader took over (the failover).
+    failover_at: Steady,
     planned: Steady,
     planned_jobs: Vec<JobId>,
     /// Services with replicas that wait for a start.
@@ -118,23 +128,23 @@
     /// Use of teams with limits, by index; counted anew when emptied.
     uses: Vec<Need>,
     /// How many machines have not been heard since the takeover.
-    silent: usize,
+    unheard_machines: usize,
     /// Whether the log said last that all machines are heard.
     all_heard: bool,
     /// Bytes that a value may hold.
     value_limit: usize,
     /// Changes that a transaction may hold.
     txn_limit: usize,
-    /// Packed records.
+    /// Machine records, packed into state-store values.
     pub packs: Packs<MachineRecord>,
-    /// Packed marks.
+    /// Jobs' marks (how many tasks may start), packed into state-store values.
     pub marks: Packs<u32>,
     /// All changes of jobs up to this revision are known here.
     read_to: u64,
     /// Later revisions at which jobs ended, so that a late message does not bring them back.
     over: BTreeMap<JobId, u64>,
     /// At this moment nobody had taken over from this owner.
-    confirmed: Steady,
+    lease_confirmed_at: Steady,
     /// When the log last said how the machines are used.
     usage_logged: Steady,
     /// When the log last said how far the recovery has come.
@@ -155,11 +165,12 @@
     lease: Micros,
 }
 
-/// Safety margin added to a worker's lease before this owner counts it as ended.
+/// Safety margin added to a worker's lease before this leader counts it as expired.
 const LEASE_MARGIN: Micros = Micros(1_500_000);
 
 impl Fleet {
-    /// A new owner's world; records are loaded into it before anything is placed.
+    /// An empty model for a new leader with fencing token `token`; records are loaded into it before
+    /// anything is placed.
     pub fn new(cfg: Arc<Config>, types: Vec<MachineType>, token: u64, now: Steady) -> Fleet {
         let lease = cfg.lease().scale(1.001) + LEASE_MARGIN;
         Fleet {
@@ -174,8 +185,8 @@
             zones: cfg.platform.settings.zones.clone(),
             types,
             images: BTreeMap::new(),
-            counter: 0,
-            taken: now,
+            attempt_counter: 0,
+            failover_at: now,
             planned: Steady(0),
             planned_jobs: Vec::new(),
             waiting_services: Vec::new(),
@@ -185,7 +196,7 @@
             planned_for: Snapshot::default(),
             closed: BTreeSet::new(),
             uses: Vec::new(),
-            silent: 0,
+            unheard_machines: 0,
             all_heard: false,
             value_limit: cfg.value_bytes(),
             txn_limit: cfg.txn_ops(),
@@ -202,7 +213,7 @@
             lazily_written: now,
             usage_logged: now,
             recovery_logged: now,
-            confirmed: now,
+            lease_confirmed_at: now,
             submitted_count: 0,
             lease,
             cfg,
@@ -226,17 +237,17 @@
         self.dirty = true;
     }
 
-    /// Learns that this owner's lease stood at a moment: a renewal begun then was granted.
+    /// Learns that this leader's lease stood at a moment: a renewal begun then was granted.
     pub fn confirm(&mut self, at: Steady) {
-        self.confirmed = self.confirmed.max(at);
+        self.lease_confirmed_at = self.lease_confirmed_at.max(at);
     }
 
-    /// Bytes that a value may hold.
+    /// Bytes that a state-store value may hold; halved by `write_rejected`.
     pub fn value_bytes(&self) -> usize {
         self.value_limit
     }
 
-    /// Changes that a transaction may hold.
+    /// Changes that a state-store transaction may hold.
     pub fn txn_ops(&self) -> usize {
         self.txn_limit
     }
@@ -276,6 +287,11 @@
         }
     }
 
+    /// The interval at which workers send heartbeats, from the platform settings.
+    fn heartbeat_interval(&self) -> Micros {
+        Micros::from_secs(self.cfg.platform.settings.workers.report_s)
+    }
+
     fn total(&self, ty: usize) -> Need {
         self.types
             .get(ty)
@@ -287,10 +303,11 @@
         self.cfg.platform.settings.teams.iter().enumerate().find(|t| t.1.name == name)
     }
 
-    /// Numbers for a poll.
-    pub fn counts(&self, id: &str) -> Option<Counts> {
+    /// Progress of a job for a poll; `None` if the job is not known here or is cancelled.
+    pub fn counts(&self, id: &str) -> Option<JobProgress> {
         let j = self.jobs.get(id).filter(|j| !j.cancelled)?;
-        let runs = |e: &Entry| e.live() && matches!(e.stage, Some(TaskStage::Running | TaskStage::Saving));
+        let runs =
+            |e: &TaskEntry| e.live() && matches!(e.stage, Some(TaskStage::Running | TaskStage::Saving));
         let running = j
             .live
             .iter()
@@ -301,7 +318,7 @@
                 })
             })
             .count();
-        Some(Counts { done: j.done.len(), running: running as u32 })
+        Some(JobProgress { done: j.done.len(), running: running as u32 })
     }
 
     /// Types that a job's tasks may use and fit.
@@ -310,6 +327,11 @@
     }
 }
 
+/// A task's name on the wire: `JOB/NUMBER`, the form that `split_task` reads.
+fn task_name(job: &JobId, number: u32) -> String {
+    format!("{job}/{number}")
+}
+
 /// What a task of the job takes.
 pub fn need_of(s: &JobSpec) -> Need {
     Need { cpus: s.cpus, gpus: s.gpus, memory: s.memory_gb }
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -19,12 +19,13 @@
 /// For so long after a takeover it says so, and orders are counted.
 const RECOVERY_LOGGED_FOR: Micros = Micros(60_000_000);
 
-/// The jobs as the records had them at the takeover, and as they stand now.
-struct Recorded<'a> {
+/// A read-only view of this leader's jobs for the recovery tracker: the jobs as the records had them
+/// at the failover, and as they stand now.
+struct JobRecordsView<'a> {
     jobs: &'a BTreeMap<JobId, Job>,
 }
 
-impl RecordedJobs for Recorded<'_> {
+impl RecordedJobs for JobRecordsView<'_> {
     fn job(&self, job: &str) -> JobRecordState {
         match self.jobs.get(job) {
             Some(job) if job.cancelled => JobRecordState::Over,
@@ -44,8 +45,9 @@
     /// for work that may have room there: after a takeover the first urgent job would otherwise stop what
     /// happens to be heard first.
     pub(super) fn is_hearing_machines(&self, now: Steady) -> bool {
-        let report = Micros::from_secs(self.cfg.platform.settings.workers.report_s);
-        self.recovery.is_gathering(self.since_takeover(now), report.scale(REPORTS_TO_HEAR_ALL).std())
+        let heartbeat_interval = self.heartbeat_interval();
+        self.recovery
+            .is_gathering(self.since_takeover(now), heartbeat_interval.scale(REPORTS_TO_HEAR_ALL).std())
     }
 
     /// How far the recovery has come.
@@ -54,15 +56,15 @@
     }
 
     fn since_takeover(&self, now: Steady) -> Duration {
-        (now - self.taken).max(Micros::ZERO).std()
+        (now - self.failover_at).max(Micros::ZERO).std()
     }
 
     /// A machine's first report after the takeover, before it is taken into the jobs.
     pub(super) fn compare_with_records(&mut self, id: &MachineId, report: &Report) {
         let tasks: Vec<ReportedTask<'_>> = report.tasks.iter().filter_map(reported).collect();
-        let records = Recorded { jobs: &self.jobs };
+        let records = JobRecordsView { jobs: &self.jobs };
         for (job, task, difference) in self.recovery.compare(id, &tasks, &records) {
-            tracing::debug!(machine = %id, %job, task, ?difference, "differs from the records");
+            tracing::debug!(machine = %id, %job, task, ?difference, "reconciliation difference");
         }
     }
 
@@ -78,7 +80,7 @@
 
     /// Counts orders that leave, as long as the recovery is of interest.
     pub(super) fn count_orders<'a>(&mut self, orders: impl IntoIterator<Item = &'a Order>, now: Steady) {
-        if now - self.taken > RECOVERY_LOGGED_FOR {
+        if now - self.failover_at > RECOVERY_LOGGED_FOR {
             return;
         }
         for order in orders {
@@ -92,7 +94,7 @@
 
     /// Says now and then how far the recovery has come.
     pub(super) fn log_recovery(&mut self, now: Steady) {
-        if now - self.recovery_logged < PROGRESS_INTERVAL || now - self.taken > RECOVERY_LOGGED_FOR {
+        if now - self.recovery_logged < PROGRESS_INTERVAL || now - self.failover_at > RECOVERY_LOGGED_FOR {
             return;
         }
         self.recovery_logged = now;
--- a/src/fleet/upkeep.rs
+++ b/src/fleet/upkeep.rs
@@ -33,8 +33,8 @@
 /// How long a machine that is gone is remembered, so that late reports from it are refused.
 const GONE_KEPT: Micros = Micros(900_000_000);
 
-/// The bounds that a check of the leases holds each machine to.
-struct LeaseCheck {
+/// The bounds that a check for lease expiry holds each machine to.
+struct LeaseExpiryBounds {
     now: Steady,
     /// When this owner took over.
     taken_over: Steady,
@@ -45,12 +45,12 @@
     earlier_owners_limit: Micros,
     /// So long after the takeover a machine that was not heard is returned.
     unheard_limit: Micros,
-    report_interval: Micros,
+    heartbeat_interval: Micros,
     /// By zone, whether few machines are silent: neither it nor this owner is cut off.
     few_silent: Vec<bool>,
 }
 
-impl LeaseCheck {
+impl LeaseExpiryBounds {
     /// Takes a machine that was not heard for expired once no earlier owner's lease can hold on
     /// it, and returns whether that is so now.
     fn outlive_earlier_owners(&self, m: &mut Machine) -> bool {
@@ -59,7 +59,7 @@
         }
         // Not heard and, with the cloud out, not returned: no earlier owner's command or
         // answer can still count on it.
-        tracing::info!(machine = %m.id, "leases of earlier owners have run out");
+        tracing::info!(machine = %m.id, "lease expiry of earlier leaders");
         (m.heard, m.expired) = (true, true);
         true
     }
@@ -68,7 +68,7 @@
     fn return_unheard(&self, m: &mut Machine) {
         let silent = self.now - self.taken_over;
         if silent > self.unheard_limit || (m.missing && silent > UNLISTED_GRACE) {
-            tracing::info!(machine = %m.id, "returned: silent since the takeover");
+            tracing::info!(machine = %m.id, reason = "silent since failover", "scale in");
             m.leaving = true;
         }
     }
@@ -84,7 +84,7 @@
         if m.expired || self.now - renewed <= self.lease || self.confirmed - renewed <= self.lease {
             return false;
         }
-        tracing::info!(machine = %m.id, "its lease ran out");
+        tracing::info!(machine = %m.id, "lease expiry");
         m.expired = true;
         // The worker is in its next session, or will be: a late copy of a report from
         // this one must not bring back what has ended.
@@ -100,14 +100,14 @@
                 // It has shown this owner's token in answer to a direct command, and is bound to
                 // report within moments.
                 if self.now - m.known > self.lease + PARTITION_GRACE {
-                    tracing::info!(machine = %m.id, "returned: it does not report");
+                    tracing::info!(machine = %m.id, reason = "no heartbeat", "scale in");
                     m.leaving = true;
                 }
             }
             None => {
                 let age = m.age + (self.now - m.known);
                 if m.missing || age.secs() > (boot_s * 2.5).max(60.0) {
-                    tracing::info!(machine = %m.id, age = age.secs(), "returned: it never came up");
+                    tracing::info!(machine = %m.id, age_s = age.secs(), reason = "never came up", "scale in");
                     m.leaving = true;
                 }
             }
@@ -119,13 +119,13 @@
         let silent = self.now - renewed.max(m.alive);
         if m.expired && silent > self.lease + PARTITION_GRACE {
             // The cloud says it runs: cut off, most likely, and good again afterwards.
-            tracing::info!(machine = %m.id, "returned: silent for long");
+            tracing::info!(machine = %m.id, reason = "silent for long", "scale in");
             m.leaving = true;
-        } else if m.missing && silent > self.report_interval.scale(3.0) {
-            tracing::info!(machine = %m.id, "returned: silent and not in the cloud's list");
+        } else if m.missing && silent > self.heartbeat_interval.scale(3.0) {
+            tracing::info!(machine = %m.id, reason = "silent and not listed by the cloud", "scale in");
             m.leaving = true;
         } else if self.is_taken(m, silent) {
-            tracing::info!(machine = %m.id, "returned: a silent spot machine");
+            tracing::info!(machine = %m.id, reason = "silent spot instance", "scale in");
             m.leaving = true;
         }
     }
@@ -134,7 +134,7 @@
     fn is_taken(&self, m: &Machine, silent: Micros) -> bool {
         let reports = if m.notice.is_some() { SILENT_REPORTS_AFTER_NOTICE } else { SILENT_REPORTS };
         let few_silent = self.few_silent.get(m.zone).copied().unwrap_or(false);
-        m.spot && few_silent && silent > self.report_interval.scale(reports).max(LEAST_SILENCE)
+        m.spot && few_silent && silent > self.heartbeat_interval.scale(reports).max(LEAST_SILENCE)
     }
 }
 
@@ -177,7 +177,7 @@
             }
         }
         if outlasted > 0 {
-            self.silent = self.silent.saturating_sub(outlasted);
+            self.unheard_machines = self.unheard_machines.saturating_sub(outlasted);
             self.uses.clear();
         }
         for id in given_up {
@@ -189,24 +189,24 @@
     }
 
     /// The bounds for a check of the leases at a moment.
-    fn lease_check(&self, now: Steady) -> LeaseCheck {
+    fn lease_check(&self, now: Steady) -> LeaseExpiryBounds {
         let fence = Micros::from_secs(self.cfg.operator.fence_after_s);
         // A few silent machines hold up all that was started: once the others are heard, the cloud
         // is asked to end them. Where many are silent a zone is cut off, and they are waited for.
-        let few = self.silent * 10 <= self.machines.len();
-        let report_interval = Micros::from_secs(self.cfg.platform.settings.workers.report_s);
-        let silence = report_interval.scale(SILENT_REPORTS_AFTER_NOTICE);
+        let few = self.unheard_machines * 10 <= self.machines.len();
+        let heartbeat_interval = self.heartbeat_interval();
+        let silence = heartbeat_interval.scale(SILENT_REPORTS_AFTER_NOTICE);
         let soon = Micros::from_secs(self.cfg.platform.settings.workers.report_s + 5.0).max(MIN_EARLY_FENCE);
-        LeaseCheck {
+        LeaseExpiryBounds {
             now,
-            taken_over: self.taken,
-            confirmed: self.confirmed,
+            taken_over: self.failover_at,
+            confirmed: self.lease_confirmed_at,
             lease: self.lease,
             // An earlier owner answers no longer than `blind_bound` after it last knew that nobody
             // had taken over, and that was before this owner's claim.
             earlier_owners_limit: self.cfg.blind_bound().scale(1.001) + self.lease,
             unheard_limit: if few { fence.min(soon) } else { fence },
-            report_interval,
+            heartbeat_interval,
             few_silent: (0..self.zones.len()).map(|zone| self.are_few_silent(zone, silence, now)).collect(),
         }
     }
@@ -224,10 +224,14 @@
 
     /// Logs when all machines of the earlier owner are heard or ended, and when no longer.
     fn log_takeover_progress(&mut self, now: Steady) {
-        if (self.silent == 0) != self.all_heard {
-            self.all_heard = self.silent == 0;
-            let after = (now - self.taken).secs();
-            tracing::info!(after, unheard = self.silent, "machines of the earlier owner are heard or ended");
+        if (self.unheard_machines == 0) != self.all_heard {
+            self.all_heard = self.unheard_machines == 0;
+            let after = (now - self.failover_at).secs();
+            tracing::info!(
+                after_s = after,
+                unheard = self.unheard_machines,
+                "all machines of the earlier leader heard or expired"
+            );
         }
     }
 
@@ -258,7 +262,7 @@
         for ((ty, spot), u) in by {
             let (machines, booting, idle) = (u.machines, u.booting, u.idle);
             let (placed, running) = (u.placed / u.cpus.max(0.1), u.running / u.cpus.max(0.1));
-            tracing::info!(ty, spot, machines, booting, idle, placed, running, "use of machines");
+            tracing::info!(ty, spot, machines, booting, idle, placed, running, "machine utilization");
         }
         let waiting: u32 = self.plan.unmet.iter().map(|u| u.1).sum();
         tracing::info!(jobs = self.jobs.len(), waiting, "queue");
@@ -327,9 +331,9 @@
 
     /// Whether most of a zone's machines are silent.
     fn is_cut_off(&self, zone: usize, now: Steady) -> bool {
-        let report = Micros::from_secs(self.cfg.platform.settings.workers.report_s);
+        let heartbeat_interval = self.heartbeat_interval();
         let up = || self.machines.values().filter(|m| m.up && m.zone == zone && !m.leaving);
-        let silent = up().filter(|m| now - m.report > report.scale(3.0)).count();
+        let silent = up().filter(|m| now - m.report > heartbeat_interval.scale(3.0)).count();
         silent >= 2 && silent * 2 > up().count()
     }
 
@@ -347,7 +351,7 @@
     /// Marks a machine as leaving if nothing is on it.
     fn return_idle(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id).filter(|m| m.tasks.is_empty()) {
-            tracing::info!(machine = %m.id, "returned: idle");
+            tracing::info!(machine = %m.id, reason = "idle", "scale in");
             m.leaving = true;
         }
     }
