--- a/src/node/ownership.rs
+++ b/src/node/ownership.rs
@@ -3,6 +3,7 @@
 use rand::Rng;
 
 use super::{Node, Ownership, SharedState};
+use crate::api::JobsBackend;
 use crate::cluster::{self, Claim, Owner, LEADER};
 use crate::config::Config;
 use crate::fleet::Fleet;
@@ -184,7 +185,7 @@
     /// Rebuilds the fleet from the records after a claim, and owns it unless another has taken over
     /// meanwhile.
     fn rebuild(&self, claim: Claim, begun: Steady) -> Result<(), StateError> {
-        let types = self.types().unwrap_or_default();
+        let types = self.machine_types().unwrap_or_default();
         let r = cluster::rebuild(&self.state, self.cfg.clone(), types, claim.token, self.now());
         let mut shared = self.lock();
         shared.claiming = false;
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -1,12 +1,17 @@
-//! What the users' interface (`api`) needs of a controller: final stages, numbers of live jobs, and
-//! telling the owner what was written or cancelled.
+//! The controller's side of the users' interface: it implements [`JobsBackend`] for
+//! [`crate::api`] with the final stages it knows, the task counts of live jobs, and by telling the
+//! leader what was written or cancelled.
 
 use super::Node;
+use crate::api::JobsBackend;
+use crate::config::Config;
 use crate::fleet::Counts;
 use crate::http::{Request, Response};
+use crate::live::LiveJobs;
 use crate::notices::Cancellation;
 use crate::peer::{JobNews, Message};
 use crate::records::{FinalRecord, JobRecord};
+use crate::state::StateClient;
 use crate::time::Micros;
 use crate::wire::MachineType;
 
@@ -19,9 +24,21 @@
 /// How long the owner has to take word of a new job.
 const JOB_NEWS_TIMEOUT: Micros = Micros::from_millis(1000);
 
-impl Node {
+impl JobsBackend for Node {
+    fn config(&self) -> &Config {
+        &self.cfg
+    }
+
+    fn state(&self) -> &StateClient {
+        &self.state
+    }
+
+    fn live_jobs(&self) -> &LiveJobs {
+        &self.live
+    }
+
     /// Relays a user's request to the other controllers until one can answer it.
-    pub fn relay_to_any(&self, req: &Request) -> Option<Response> {
+    fn relay_to_any(&self, req: &Request) -> Option<Response> {
         if self.now() < self.lock().no_relay_until {
             return None;
         }
@@ -35,18 +52,16 @@
         None
     }
 
-    /// A final stage that is known to be written, and the revision at which it was.
-    pub fn final_of(&self, id: &str) -> Option<(FinalRecord, u64)> {
+    fn final_of(&self, id: &str) -> Option<(FinalRecord, u64)> {
         self.lock().finals.get(id).copied()
     }
 
-    /// Records a final stage; final stages never change.
-    pub fn learn_final(&self, id: &str, f: FinalRecord, revision: u64) {
+    fn learn_final(&self, id: &str, record: FinalRecord, revision: u64) {
         let mut shared = self.lock();
         if shared.finals.contains_key(id) {
             return;
         }
-        if shared.finals.insert(id.to_string(), (f, revision)).is_none() {
+        if shared.finals.insert(id.to_string(), (record, revision)).is_none() {
             shared.finals_order.push_back(id.to_string());
             if shared.finals_order.len() > MAX_FINALS {
                 if let Some(old) = shared.finals_order.pop_front() {
@@ -56,13 +71,12 @@
         }
     }
 
-    /// Machine types, once known.
-    pub fn types(&self) -> Option<Vec<MachineType>> {
+    fn machine_types(&self) -> Option<Vec<MachineType>> {
         self.lock().machine_types.clone()
     }
 
-    /// Numbers of a live job: the owner's own, or those it announced.
-    pub fn counts(&self, id: &str) -> Counts {
+    /// The leader's own counts, or on another controller those that the leader announced.
+    fn counts(&self, id: &str) -> Counts {
         let shared = self.lock();
         match &shared.ownership {
             Some(ownership) => ownership.fleet.counts(id).unwrap_or_default(),
@@ -70,8 +84,7 @@
         }
     }
 
-    /// Tells the owner of a job that this node has written.
-    pub fn job_written(&self, id: &str, record: JobRecord, revision: u64) {
+    fn job_written(&self, id: &str, record: JobRecord, revision: u64) {
         let to = {
             let mut shared = self.lock();
             if let Some(ownership) = shared.ownership.as_mut() {
@@ -92,21 +105,23 @@
         );
     }
 
-    /// This node confirms to a user that a job is cancelled: its tasks are stopped here, and all
-    /// others are told, whoever of them has the machines.
-    pub fn cancellation_confirmed(&self, id: &str, f: FinalRecord, revision: u64) {
+    /// This controller confirms to a user that a job is cancelled: its tasks are stopped here, and
+    /// all others are told, whichever of them leads.
+    fn cancellation_confirmed(&self, id: &str, record: FinalRecord, revision: u64) {
         if self.peers.count() > 0 {
             let since = self.now();
-            let c = Cancellation { id: id.to_string(), tasks: f.tasks, revision, since };
-            self.notices.lock().unwrap_or_else(|e| e.into_inner()).add(&c);
+            let cancellation = Cancellation { id: id.to_string(), tasks: record.tasks, revision, since };
+            self.notices.lock().unwrap_or_else(|e| e.into_inner()).add(&cancellation);
             self.notices_added.notify_one();
         }
-        self.apply_cancellation(id, f, revision);
+        self.apply_cancellation(id, record, revision);
     }
+}
 
-    /// Records a confirmed cancellation and, on the owner, stops what is left of the job.
-    pub(super) fn apply_cancellation(&self, id: &str, f: FinalRecord, revision: u64) {
-        self.learn_final(id, f, revision);
+impl Node {
+    /// Records a confirmed cancellation and, on the leader, stops what is left of the job.
+    pub(super) fn apply_cancellation(&self, id: &str, record: FinalRecord, revision: u64) {
+        self.learn_final(id, record, revision);
         if let Some(ownership) = self.lock().ownership.as_mut() {
             ownership.fleet.job_over(id, revision);
             self.wake.notify_all();
--- a/src/node/writer.rs
+++ b/src/node/writer.rs
@@ -1,6 +1,7 @@
 //! The writing duty: writes the owner's records in batches, and reads back what a failed write left.
 
 use super::Node;
+use crate::api::JobsBackend;
 use crate::cluster::{self, Batch, Claim, PART};
 use crate::fleet::Pending;
 use crate::jobs::JobId;
