--- a/src/node/announce.rs
+++ b/src/controller/announce.rs
@@ -1,7 +1,7 @@
 //! The announcing duty: tells the other controllers who leads and which cancellations were
 //! confirmed to users.
 
-use super::{Node, Ownership, UNTOLD_VERSION, VERSION};
+use super::{Controller, Ownership, UNTOLD_VERSION, VERSION};
 use crate::fleet::Counts;
 use crate::jobs::JobId;
 use crate::notices::Cancellation;
@@ -19,7 +19,7 @@
 /// Most jobs whose numbers are announced.
 const MAX_ANNOUNCED_JOBS: usize = 2000;
 
-impl Node {
+impl Controller {
     /// Tells the others who leads, about once a second, and of cancellations at once, repeated until
     /// each has acknowledged them.
     pub(super) fn announce(&self) {
--- a/src/node/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -2,10 +2,10 @@
 
 use milletlock_cells::Request;
 
-use super::{Node, Ownership, SharedState};
+use super::loan_writes::LoanOutcome;
+use super::{Controller, Ownership, SharedState};
 use crate::config::CellsSettings;
 use crate::loan_messages::{report_to_proto, request_from_proto, summary_to_proto, MessageError};
-use crate::node::loan_writes::LoanOutcome;
 use crate::peer::{LoanReply, LoanRequest, Outcome};
 use crate::time::{wall, Micros};
 
@@ -17,7 +17,7 @@
 /// Most senders of refused messages that are remembered.
 const MAX_REFUSED_CELLS: usize = 100;
 
-impl Node {
+impl Controller {
     /// Answers another cell's message about its loans.
     pub(super) fn on_loans(&self, message: &LoanRequest) -> Outcome {
         let Some(cells) = &self.cfg.operator.cells else { return Outcome::Loans(LoanReply::default()) };
--- a/src/node/catalog.rs
+++ b/src/controller/catalog.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 
-use super::Node;
+use super::Controller;
 use crate::cluster;
 use crate::state::Urgency;
 use crate::time::Micros;
@@ -11,7 +11,7 @@
 /// How long to wait before the machine types are asked for again.
 const RETRY_DELAY: Micros = Micros::from_millis(500);
 
-impl Node {
+impl Controller {
     /// Asks for the machine types until they are known.
     pub(super) fn learn_types(&self) {
         while !self.stopping() && !self.learn_types_once() {
--- a/src/node/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 
 use super::loan_writes::LoanOutcome;
-use super::{Node, Ownership, SharedState};
+use super::{Controller, Ownership, SharedState};
 use crate::fleet::Fleet;
 use crate::http::{Request, Response};
 use crate::wire::{
     BorrowedStatus, CellsStatus, LentStatus, OtherCellStatus, Redirect, WrittenOff, WRITE_OFF_PATH,
 };
 
-impl Node {
+impl Controller {
     /// Loans in both directions; none where cells are not in use.
     pub(super) fn cells_status(&self, shared: &SharedState, ownership: &Ownership) -> Option<CellsStatus> {
         let cells = self.cfg.operator.cells.as_ref()?;
--- a/src/node/cloud.rs
+++ b/src/controller/cloud.rs
@@ -1,7 +1,7 @@
 //! The cloud duties of the owner: one reads the list of machines and the prices, the other rents and
 //! returns machines.
 
-use super::Node;
+use super::Controller;
 use crate::capacity::Offer;
 use crate::cloud::{CloudError, MACHINES_PER_LIST_PAGE, MAX_MACHINES_PER_RENTAL};
 use crate::fleet::Fleet;
@@ -25,7 +25,7 @@
 /// How often the prices are read.
 const PRICES_INTERVAL: Micros = Micros::from_millis(45_000);
 
-impl Node {
+impl Controller {
     /// Reads the cloud's list and prices until the controller ends. A long list takes several
     /// requests, which must not delay renting.
     pub(super) fn refresh_cloud(&self) {
--- a/src/node/commands.rs
+++ b/src/controller/commands.rs
@@ -4,7 +4,7 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use super::{Node, Ownership};
+use super::{Controller, Ownership};
 use crate::config::{HALT_THREADS, RAISE_THREADS};
 use crate::direct_command::DirectCommand;
 use crate::fleet::Fleet;
@@ -23,7 +23,7 @@
 /// Stack in bytes of a thread that sends commands.
 const COMMAND_STACK: usize = 128 * 1024;
 
-impl Node {
+impl Controller {
     /// Sends halts until the controller ends.
     pub(super) fn send_halts(&self) {
         while !self.stopping() {
--- a/src/node/latency.rs
+++ b/src/controller/latency.rs
@@ -2,7 +2,7 @@
 
 use hdrhistogram::Histogram;
 
-use super::Node;
+use super::Controller;
 use crate::time::{Micros, Steady};
 use crate::wire::REPORT_PATH;
 
@@ -18,7 +18,7 @@
     pub(super) logged_at: Steady,
 }
 
-impl Node {
+impl Controller {
     /// Records how long a request took; logs the histograms and resets them when they are due.
     pub(super) fn record_latency(&self, path: &str, since: Steady) {
         let took = (self.now() - since).0.clamp(1, MAX_LATENCY_US as i64) as u64;
--- a/src/node/lending.rs
+++ b/src/controller/lending.rs
@@ -6,7 +6,7 @@
 use milletlock_cells::{BacklogGate, CellSummary, Loan, LoanReport, Script, Wish};
 
 use super::loan_writes::LoanOutcome;
-use super::{Node, Ownership, SharedState};
+use super::{Controller, Ownership, SharedState};
 use crate::config::{CellsSettings, OtherCell};
 use crate::fleet::{Fleet, LoanWrite};
 use crate::loan_messages::{report_from_proto, request_to_proto, summary_from_proto, MAX_LOANS};
@@ -74,7 +74,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Lends until the controller ends.
     pub(super) fn lend(&self) {
         let Some(cells) = &self.cfg.operator.cells else { return };
--- a/src/node/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -1,6 +1,6 @@
 //! Writing the records of loans, for the lending and the borrowing side alike.
 
-use super::Node;
+use super::Controller;
 use crate::cluster::{self, PART};
 use crate::fleet::LoanWrite;
 use crate::keys::{final_key, job_key};
@@ -18,7 +18,7 @@
     Unknown,
 }
 
-impl Node {
+impl Controller {
     /// Sends writes again that had no answer. Until they have one, a late copy of them may be applied.
     pub(super) fn retry_loan_writes(&self, token: u64) {
         let unresolved = match self.lock().owned_with(token) {
--- a/src/node/mod.rs
+++ b/src/controller/mod.rs
@@ -1,5 +1,10 @@
-//! A controller. Each long-lived duty runs on a thread of its own, in a module of its own. All
-//! threads share one lock, which is never held during I/O.
+//! The controller: accepts jobs, elects one leader among the controllers, scales the cloud's
+//! machines out and in, and tells workers what to run.
+//!
+//! Each long-lived duty runs on a standard thread of its own, in a module of its own. All threads
+//! share one lock ([`Controller::lock`]), which is never held during I/O: a duty copies what it needs,
+//! lets go, does its I/O with a deadline, and takes the lock again to record the outcome, checking
+//! that it still leads with the same fencing token.
 
 mod announce;
 mod borrowing;
@@ -51,7 +56,7 @@
 use crate::view::View;
 use crate::wire::{MachineType, HEALTH_PATH, REPORT_PATH, WRITE_OFF_PATH};
 
-/// The state of a controller that owns the machines.
+/// The state of the controller that leads and so owns the machines.
 struct Ownership {
     /// Machines, jobs and the plan.
     fleet: Fleet,
@@ -122,10 +127,10 @@
 const UNTOLD_VERSION: &str = "before 0.2";
 
 /// The main function of a duty's thread.
-type Duty = fn(&Node);
+type Duty = fn(&Controller);
 
-/// A controller.
-pub struct Node {
+/// A controller process: its settings, clients and the state that its duties share.
+pub struct Controller {
     /// Settings.
     pub cfg: Arc<Config>,
     /// The state service.
@@ -152,12 +157,12 @@
     started: Steady,
 }
 
-impl Node {
+impl Controller {
     /// Listens on the addresses of the settings and runs until `stop` is set.
     pub fn run(cfg: Config, stop: Arc<AtomicBool>) -> anyhow::Result<()> {
         let listener = TcpListener::bind(cfg.platform.serve_on)?;
         let internal = TcpListener::bind(cfg.platform.internal_addr)?;
-        Node::run_on(cfg, listener, internal, stop)
+        Controller::run_on(cfg, listener, internal, stop)
     }
 
     /// A controller whose duties are not started: the `*_once` methods each do one round of a duty.
@@ -166,12 +171,12 @@
         peers: PeerHub,
         clock: Clock,
         stop: Arc<AtomicBool>,
-    ) -> anyhow::Result<Arc<Node>> {
+    ) -> anyhow::Result<Arc<Controller>> {
         let budget = StateBudget::new(&cfg, false);
         let p = &cfg.platform;
         let keep = Micros::from_secs(p.settings.workers.cancel_s);
         let now = clock.now();
-        Ok(Arc::new(Node {
+        Ok(Arc::new(Controller {
             state: StateClient::new(
                 p.services.state,
                 budget.requests_per_s,
@@ -209,20 +214,20 @@
         let members = cfg.platform.members.iter().map(|m| m.addr).collect();
         let other_cells = cfg.operator.cells.as_ref().map(|cells| cells.addresses()).unwrap_or_default();
         let (peers, inbound) = PeerHub::start(internal, members, &other_cells)?;
-        let node = Node::new(cfg, peers, Clock::Machine, stop)?;
-        tracing::info!(label = %node.cfg.platform.label, incarnation = node.incarnation, "started");
-        let duties = node.start_duties(inbound)?;
-        let room = node.cfg.room();
+        let controller = Controller::new(cfg, peers, Clock::Machine, stop)?;
+        tracing::info!(label = %controller.cfg.platform.label, incarnation = controller.incarnation, "started");
+        let duties = controller.start_duties(inbound)?;
+        let room = controller.cfg.room();
         tracing::info!(
             connections = room.connections,
             workers = room.bulk_connections,
             threads = room.prompt_threads + room.bulk_threads,
             "room for callers"
         );
-        let served = http::serve(listener, room, node.stop.clone(), node.service());
+        let served = http::serve(listener, room, controller.stop.clone(), controller.service());
         // Without callers there is nothing to serve: all else ends as well.
-        node.stop.store(true, Ordering::Relaxed);
-        node.wake.notify_all();
+        controller.stop.store(true, Ordering::Relaxed);
+        controller.wake.notify_all();
         for thread in duties {
             let _ = thread.join();
         }
@@ -230,44 +235,47 @@
     }
 
     /// Starts a thread for each duty.
-    fn start_duties(self: &Arc<Node>, inbound: Receiver<Inbound>) -> std::io::Result<Vec<JoinHandle<()>>> {
+    fn start_duties(
+        self: &Arc<Controller>,
+        inbound: Receiver<Inbound>,
+    ) -> std::io::Result<Vec<JoinHandle<()>>> {
         let duties: [(&str, Duty); 9] = [
-            ("keeper", Node::keep),
-            ("watcher", Node::watch),
-            ("writer", Node::write),
-            ("cloud", Node::rent_and_return),
-            ("list", Node::refresh_cloud),
-            ("announcer", Node::announce),
-            ("halts", Node::send_halts),
-            ("tokens", Node::raise_tokens),
-            ("planner", Node::plan),
+            ("keeper", Controller::keep),
+            ("watcher", Controller::watch),
+            ("writer", Controller::write),
+            ("cloud", Controller::rent_and_return),
+            ("list", Controller::refresh_cloud),
+            ("announcer", Controller::announce),
+            ("halts", Controller::send_halts),
+            ("tokens", Controller::raise_tokens),
+            ("planner", Controller::plan),
         ];
         let mut threads = Vec::new();
         for (name, duty) in duties {
-            let node = self.clone();
-            threads.push(spawn_duty(name.into(), move || duty(&node))?);
+            let controller = self.clone();
+            threads.push(spawn_duty(name.into(), move || duty(&controller))?);
         }
         if self.cfg.operator.cells.is_some() {
-            let node = self.clone();
-            threads.push(spawn_duty("lending".into(), move || node.lend())?);
+            let controller = self.clone();
+            threads.push(spawn_duty("lending".into(), move || controller.lend())?);
         }
         let inbound = Arc::new(Mutex::new(inbound));
         for i in 0..PEER_THREADS {
-            let (node, inbound) = (self.clone(), inbound.clone());
-            threads.push(spawn_duty(format!("peer-{i}"), move || node.answer_peers(&inbound))?);
+            let (controller, inbound) = (self.clone(), inbound.clone());
+            threads.push(spawn_duty(format!("peer-{i}"), move || controller.answer_peers(&inbound))?);
         }
         Ok(threads)
     }
 
     /// What the HTTP server calls for each request.
-    fn service(self: &Arc<Node>) -> http::Service {
-        let node = self.clone();
+    fn service(self: &Arc<Controller>) -> http::Service {
+        let controller = self.clone();
         let handler = move |req: Request, reply: Reply| {
-            let since = node.now();
+            let since = controller.now();
             let path = req.path.clone();
-            node.serve(&req, reply);
+            controller.serve(&req, reply);
             if path != HEALTH_PATH {
-                node.record_latency(&path, since);
+                controller.record_latency(&path, since);
             }
         };
         let lane = |req: &Request| match req.path.as_str() {
@@ -278,7 +286,7 @@
         http::Service { lane, handler: Arc::new(handler) }
     }
 
-    /// The present moment, as this node reads it.
+    /// The present moment, as this controller's clock reads it.
     pub fn now(&self) -> Steady {
         self.clock.now()
     }
@@ -328,6 +336,8 @@
     }
 }
 
+pub use self::Controller as Node; // join alias: remove
+
 /// Starts a duty's thread.
 fn spawn_duty(name: String, duty: impl FnOnce() + Send + 'static) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name(name).stack_size(DUTY_STACK).spawn(duty)
--- a/src/node/ownership.rs
+++ b/src/controller/ownership.rs
@@ -2,7 +2,7 @@
 
 use rand::Rng;
 
-use super::{Node, Ownership, SharedState};
+use super::{Controller, Ownership, SharedState};
 use crate::api::JobsBackend;
 use crate::cluster::{self, Claim, Owner, LEADER};
 use crate::config::Config;
@@ -33,7 +33,7 @@
 /// How long records of a later form are left before they are looked at again.
 const NEWER_RECORDS_PAUSE: Micros = Micros::from_millis(10_000);
 
-impl Node {
+impl Controller {
     /// Keeps the leader's lease, or waits for its end and takes over.
     pub(super) fn keep(&self) {
         self.learn_types();
--- a/src/node/peers.rs
+++ b/src/controller/peers.rs
@@ -4,7 +4,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use super::{Node, VERSION};
+use super::{Controller, VERSION};
 use crate::cluster::Owner;
 use crate::fleet::Counts;
 use crate::http::{self, Request, Response};
@@ -16,7 +16,7 @@
 /// How long to wait for a message before looking whether to stop.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-impl Node {
+impl Controller {
     /// Has another controller answer a request; none if it cannot be reached.
     pub(super) fn relay(&self, to: usize, req: &Request, timeout: Micros) -> Option<Response> {
         let call = Call { method: req.method.clone(), path: req.path.clone(), body: req.body.clone() };
--- a/src/node/planning.rs
+++ b/src/controller/planning.rs
@@ -1,12 +1,12 @@
 //! The planning duty: advances the owner's clock and keeps its plan up to date.
 
-use super::Node;
+use super::Controller;
 use crate::time::{wall, Micros};
 
 /// Pause between two rounds of planning.
 const PLAN_INTERVAL: Micros = Micros::from_millis(40);
 
-impl Node {
+impl Controller {
     /// Plans again and again until the controller ends.
     pub(super) fn plan(&self) {
         while !self.stopping() {
--- a/src/node/reports.rs
+++ b/src/controller/reports.rs
@@ -4,7 +4,7 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
-use super::{Node, SharedState};
+use super::{Controller, SharedState};
 use crate::fleet::CheckIn;
 use crate::http::{Reply, Request, Response};
 use crate::jobs::MachineId;
@@ -43,7 +43,7 @@
     Deferred,
 }
 
-impl Node {
+impl Controller {
     /// Handles a report. With a `reply` it is answered through that, now or later; without one, as for
     /// a report that another controller relayed, the answer is returned.
     pub(super) fn check_in(&self, req: &Request, reply: Option<Reply>) -> Option<Response> {
--- a/src/node/status.rs
+++ b/src/controller/status.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Node, Ownership, SharedState, VERSION};
+use super::{Controller, Ownership, SharedState, VERSION};
 use crate::http::{Request, Response};
 use crate::time::{wall, Micros};
 use crate::wire::{Health, NodeStatus, PartStatus};
@@ -16,7 +16,7 @@
 /// Number of the one part that there is.
 const ONLY_PART: u32 = 0;
 
-impl Node {
+impl Controller {
     /// Whether users are well served here. Cut off from the state service and all others it can
     /// answer nothing but 503, while the others may serve; an outage for all is not told by being
     /// unhealthy, since it would take the longer to come back.
--- a/src/node/users.rs
+++ b/src/controller/users.rs
@@ -2,7 +2,7 @@
 //! [`crate::api`] with the final stages it knows, the task counts of live jobs, and by telling the
 //! leader what was written or cancelled.
 
-use super::Node;
+use super::Controller;
 use crate::api::JobsBackend;
 use crate::config::Config;
 use crate::fleet::Counts;
@@ -24,7 +24,7 @@
 /// How long the owner has to take word of a new job.
 const JOB_NEWS_TIMEOUT: Micros = Micros::from_millis(1000);
 
-impl JobsBackend for Node {
+impl JobsBackend for Controller {
     fn config(&self) -> &Config {
         &self.cfg
     }
@@ -118,7 +118,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Records a confirmed cancellation and, on the leader, stops what is left of the job.
     pub(super) fn apply_cancellation(&self, id: &str, record: FinalRecord, revision: u64) {
         self.learn_final(id, record, revision);
--- a/src/node/watch.rs
+++ b/src/controller/watch.rs
@@ -1,6 +1,6 @@
 //! The watching duty: follows the changes of the jobs' records that other controllers make.
 
-use super::{Node, Ownership};
+use super::{Controller, Ownership};
 use crate::fleet::Fleet;
 use crate::records::JobRecord;
 use crate::state::{StateError, Urgency};
@@ -18,7 +18,7 @@
 /// Complete reads begin no further apart than this.
 const MAX_READ_INTERVAL: Micros = Micros::from_millis(1_000);
 
-impl Node {
+impl Controller {
     /// Follows the changes of jobs until the controller ends.
     pub(super) fn watch(&self) {
         while !self.stopping() {
--- a/src/node/writer.rs
+++ b/src/controller/writer.rs
@@ -1,6 +1,6 @@
 //! The writing duty: writes the owner's records in batches, and reads back what a failed write left.
 
-use super::Node;
+use super::Controller;
 use crate::api::JobsBackend;
 use crate::cluster::{self, Batch, Claim, PART};
 use crate::fleet::Pending;
@@ -30,7 +30,7 @@
     interval.clamp(MIN_DONE_WRITE_INTERVAL, MAX_DONE_WRITE_INTERVAL)
 }
 
-impl Node {
+impl Controller {
     /// Writes pending records until the controller ends.
     pub(super) fn write(&self) {
         while !self.stopping() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod cloud;
 pub mod cluster;
 pub mod config;
+pub mod controller;
 pub mod direct_command;
 pub mod fleet;
 pub mod history;
@@ -18,7 +19,7 @@
 pub mod keys;
 pub mod live;
 pub mod loan_messages;
-pub mod node;
+pub use controller as node; // join alias: remove
 pub mod notices;
 pub mod packs;
 pub mod peer;
