--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -1,7 +1,7 @@
 //! The announcing duty: tells the other controllers who leads and which cancellations were
 //! confirmed to users.
 
-use super::{Controller, Ownership, UNTOLD_VERSION, VERSION};
+use super::{Controller, Leadership, UNTOLD_VERSION, VERSION};
 use crate::fleet::Counts;
 use crate::jobs::JobId;
 use crate::notices::Cancellation;
@@ -46,8 +46,8 @@
     pub fn announce_once(&self) {
         let summary = {
             let shared = self.lock();
-            match &shared.ownership {
-                Some(ownership) => Some(self.summary(ownership)),
+            match &shared.leadership {
+                Some(leadership) => Some(self.summary(leadership)),
                 // Nobody has been heard of late: whether anybody can be is asked.
                 None if self.now() - shared.last_peer_contact > PEER_PROBE_AFTER => {
                     Some(Summary { version: VERSION.into(), ..Summary::default() })
@@ -76,21 +76,21 @@
         let version = if version.is_empty() { UNTOLD_VERSION.to_string() } else { version };
         let mut shared = self.lock();
         if shared.peer_versions.get(&member.label) != Some(&version) {
-            tracing::info!(label = %member.label, %version, "another controller's version");
+            tracing::info!(peer = %member.label, %version, "peer version changed");
             shared.peer_versions.insert(member.label.clone(), version);
         }
     }
 
     /// The owner's announcement.
-    fn summary(&self, ownership: &Ownership) -> Summary {
+    fn summary(&self, leadership: &Leadership) -> Summary {
         let count = |id: &JobId| {
-            let c = ownership.fleet.counts(id).filter(|c| *c != Counts::default())?;
+            let c = leadership.fleet.counts(id).filter(|c| *c != Counts::default())?;
             Some(JobCounts { id: id.to_string(), done: c.done, running: c.running })
         };
         Summary {
             leader: self.cfg.platform.label.clone(),
-            token: ownership.claim.token,
-            jobs: ownership.fleet.jobs.keys().take(MAX_ANNOUNCED_JOBS).filter_map(count).collect(),
+            token: leadership.claim.token,
+            jobs: leadership.fleet.jobs.keys().take(MAX_ANNOUNCED_JOBS).filter_map(count).collect(),
             version: VERSION.into(),
         }
     }
@@ -121,7 +121,7 @@
                 }
                 Ok(_) => all = false,
                 Err(e) => {
-                    tracing::debug!(to, error = %e, "could not be told of cancellations yet");
+                    tracing::debug!(peer = to, error = %e, "cancellation notice unanswered");
                     all = false;
                 }
             }
--- a/src/controller/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -3,7 +3,7 @@
 use milletlock_cells::Request;
 
 use super::loan_writes::LoanOutcome;
-use super::{Controller, Ownership, SharedState};
+use super::{Controller, Leadership, SharedState};
 use crate::config::CellsSettings;
 use crate::loan_messages::{report_to_proto, request_from_proto, summary_to_proto, MessageError};
 use crate::peer::{LoanReply, LoanRequest, Outcome};
@@ -28,31 +28,31 @@
                 return Outcome::Loans(LoanReply { from: cells.name.clone(), ..LoanReply::default() });
             }
         };
-        let token = self.lock().ownership.as_ref().map(|ownership| ownership.claim.token);
-        if let Some(token) = token {
+        let fencing_token = self.lock().leadership.as_ref().map(|leadership| leadership.claim.token);
+        if let Some(fencing_token) = fencing_token {
             // One at a time: each change rests on the records as the one before left them.
             let _guard = self.loan_changes.lock().unwrap_or_else(|e| e.into_inner());
-            self.carry_out(token, &request);
+            self.carry_out(fencing_token, &request);
         }
         let shared = self.lock();
-        Outcome::Loans(match &shared.ownership {
-            Some(ownership) => loan_reply(cells, ownership, &request),
+        Outcome::Loans(match &shared.leadership {
+            Some(leadership) => loan_reply(cells, leadership, &request),
             None => self.not_leading(cells, &shared),
         })
     }
 
     /// Makes the changes that a message asks for.
-    fn carry_out(&self, token: u64, request: &Request) {
+    fn carry_out(&self, fencing_token: u64, request: &Request) {
         let begun = self.now();
-        self.retry_loan_writes(token);
+        self.retry_loan_writes(fencing_token);
         for _ in 0..MAX_CHANGES {
             if self.now() - begun > ANSWER_TIME {
                 return;
             }
             let write = {
                 let mut shared = self.lock();
-                let Some(ownership) = shared.owned_with(token) else { return };
-                let fleet = &mut ownership.fleet;
+                let Some(leadership) = shared.leadership_with(fencing_token) else { return };
+                let fleet = &mut leadership.fleet;
                 let Some(change) = fleet.loans.guest.next_change(request, &fleet.local_tasks()) else {
                     return;
                 };
@@ -60,12 +60,12 @@
                     return;
                 }
                 if let Some(why) = &change.refusal {
-                    tracing::info!(job = %change.job, home = %change.home, %why, "a loan is refused");
+                    tracing::info!(job = %change.job, home = %change.home, %why, "loan refused");
                 }
                 fleet.begin_guest_change(change)
             };
-            tracing::debug!(job = write.job(), home = %request.from, "a borrowed job changes");
-            if self.write_loan(token, write) == LoanOutcome::Unknown {
+            tracing::debug!(job = write.job(), home = %request.from, "borrowed job changed");
+            if self.write_loan(fencing_token, write) == LoanOutcome::Unknown {
                 return;
             }
         }
@@ -78,7 +78,7 @@
             shared.refused_cells.clear();
         }
         if shared.refused_cells.get(from) != Some(&why) {
-            tracing::error!(from, why, "a message of another cell is refused");
+            tracing::error!(from, why, "cell message refused");
             shared.refused_cells.insert(from.to_string(), why);
         }
     }
@@ -104,12 +104,12 @@
     request_from_proto(message)
 }
 
-fn loan_reply(cells: &CellsSettings, ownership: &Ownership, request: &Request) -> LoanReply {
-    let fleet = &ownership.fleet;
+fn loan_reply(cells: &CellsSettings, leadership: &Leadership, request: &Request) -> LoanReply {
+    let fleet = &leadership.fleet;
     let reports = fleet.loans.guest.reports(request, |job| fleet.recorded_done(job));
     LoanReply {
         from: cells.name.clone(),
-        term: ownership.claim.token,
+        term: leadership.claim.token,
         leads: true,
         leader: String::new(),
         summary: Some(summary_to_proto(fleet.cell_summary(wall()))),
--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::loan_writes::LoanOutcome;
-use super::{Controller, Ownership, SharedState};
+use super::{Controller, Leadership, SharedState};
 use crate::fleet::Fleet;
 use crate::http::{Request, Response};
 use crate::wire::{
@@ -12,7 +12,7 @@
 
 impl Controller {
     /// Loans in both directions; none where cells are not in use.
-    pub(super) fn cells_status(&self, shared: &SharedState, ownership: &Ownership) -> Option<CellsStatus> {
+    pub(super) fn cells_status(&self, shared: &SharedState, leadership: &Leadership) -> Option<CellsStatus> {
         let cells = self.cfg.operator.cells.as_ref()?;
         let others = cells.others.iter().map(|cell| {
             let state = shared.other_cells.get(&cell.name);
@@ -25,7 +25,7 @@
                 messages: state.map_or(0, |state| state.messages()),
             }
         });
-        let fleet = &ownership.fleet;
+        let fleet = &leadership.fleet;
         Some(CellsStatus {
             name: cells.name.clone(),
             others: others.collect(),
@@ -45,40 +45,40 @@
         if self.cfg.operator.cells.as_ref().is_none_or(|cells| cells.other(cell).is_none()) {
             return Response::error(404, "no such cell in the settings");
         }
-        let (token, jobs) = {
+        let (fencing_token, jobs) = {
             let shared = self.lock();
-            let Some(ownership) = &shared.ownership else {
+            let Some(leadership) = &shared.leadership else {
                 let leader = shared.leader.as_ref().map(|l| l.label.clone()).unwrap_or_default();
                 return Response::json(421, &Redirect { leader });
             };
-            let loans = ownership.fleet.loans.home.loans_with(cell);
+            let loans = leadership.fleet.loans.home.loans_with(cell);
             let jobs: BTreeMap<String, u32> = loans.fold(BTreeMap::new(), |mut jobs, (job, loan)| {
-                let done = ownership.fleet.done_tasks(job);
+                let done = leadership.fleet.done_tasks(job);
                 *jobs.entry(job.to_string()).or_default() += loan.tasks.difference(&done).len();
                 jobs
             });
-            (ownership.claim.token, jobs)
+            (leadership.claim.token, jobs)
         };
         let mut answer = WrittenOff { cell: cell.to_string(), tasks: BTreeMap::new(), left: Vec::new() };
         for (job, tasks) in jobs {
-            if self.write_off_job(token, cell, &job) {
+            if self.write_off_job(fencing_token, cell, &job) {
                 answer.tasks.insert(job, tasks);
             } else {
                 answer.left.push(job);
             }
         }
-        tracing::warn!(cell, jobs = answer.tasks.len(), left = answer.left.len(), "loans are written off");
+        tracing::warn!(cell, jobs = answer.tasks.len(), left = answer.left.len(), "loans written off");
         Response::json(if answer.left.is_empty() { 200 } else { 503 }, &answer)
     }
 
-    fn write_off_job(&self, token: u64, cell: &str, job: &str) -> bool {
+    fn write_off_job(&self, fencing_token: u64, cell: &str, job: &str) -> bool {
         let write = {
             let mut shared = self.lock();
-            let Some(ownership) = shared.owned_with(token) else { return false };
-            let Some(lending) = ownership.fleet.loans.home.without_guest(job, cell) else { return true };
-            ownership.fleet.settle_loan(job, lending)
+            let Some(leadership) = shared.leadership_with(fencing_token) else { return false };
+            let Some(lending) = leadership.fleet.loans.home.without_guest(job, cell) else { return true };
+            leadership.fleet.settle_loan(job, lending)
         };
-        write.is_some_and(|write| self.write_loan(token, write) == LoanOutcome::Written)
+        write.is_some_and(|write| self.write_loan(fencing_token, write) == LoanOutcome::Written)
     }
 }
 
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -9,9 +9,9 @@
 use crate::wire::RentRequest;
 
 /// Most machines in one request to return some.
-const MAX_MACHINES_PER_RETURN: usize = 100;
+const MAX_MACHINES_PER_SCALE_IN: usize = 100;
 /// How often a request for machines is repeated when its outcome is not known.
-const RENT_RETRIES: usize = 2;
+const SCALE_OUT_RETRIES: usize = 2;
 /// How long an offer that the cloud could not meet in full is not asked for.
 const NO_CAPACITY_BACKOFF: Micros = Micros::from_millis(10_000);
 /// The same after the cloud answered with an error, or not at all.
@@ -34,17 +34,19 @@
         let (mut listed, mut priced, mut last) = (Steady(0), Steady(0), 0u64);
         while !self.stopping() {
             self.sleep(CLOUD_INTERVAL);
-            let Some(token) = self.lock().ownership.as_ref().map(|o| o.claim.token) else { continue };
+            let Some(fencing_token) = self.lock().leadership.as_ref().map(|o| o.claim.token) else {
+                continue;
+            };
             let now = self.now();
-            if last != token {
-                last = token;
+            if last != fencing_token {
+                last = fencing_token;
                 listed = Steady(0);
             }
             if now - priced > PRICES_INTERVAL && self.refresh_prices() {
                 priced = now;
             }
             if now - listed > every {
-                if let Some(machines) = self.refresh_list(token) {
+                if let Some(machines) = self.refresh_list(fencing_token) {
                     listed = now;
                     every = lag.scale(0.75).max(MIN_LIST_INTERVAL).max(self.least_list_interval(machines));
                 }
@@ -57,17 +59,17 @@
         let Ok(types) = self.cloud.catalog() else { return false };
         let mut shared = self.lock();
         shared.machine_types = Some(types.clone());
-        if let Some(ownership) = shared.ownership.as_mut() {
-            ownership.fleet.set_types(types);
+        if let Some(leadership) = shared.leadership.as_mut() {
+            leadership.fleet.set_types(types);
         }
         true
     }
 
     /// Reads the cloud's list and returns its length; none if the cloud did not answer.
-    fn refresh_list(&self, token: u64) -> Option<usize> {
+    fn refresh_list(&self, fencing_token: u64) -> Option<usize> {
         let list = self.cloud.list().ok()?;
-        if let Some(ownership) = self.lock().owned_with(token) {
-            ownership.fleet.listed(&list, self.now());
+        if let Some(leadership) = self.lock().leadership_with(fencing_token) {
+            leadership.fleet.listed(&list, self.now());
         }
         Some(list.len())
     }
@@ -81,32 +83,33 @@
     }
 
     /// Rents and returns machines until the controller ends.
-    pub(super) fn rent_and_return(&self) {
+    pub(super) fn scale_out_and_in(&self) {
         let lag = Micros::from_secs(self.cfg.platform.settings.cloud.list_lag_s);
         let mut counter = 0u64;
-        let (mut last_token, mut owner_since) = (0u64, Steady(0));
+        let (mut last_fencing_token, mut owner_since) = (0u64, Steady(0));
         while !self.stopping() {
             self.sleep(CLOUD_INTERVAL);
-            let Some((token, first)) = self.lock().ownership.as_ref().map(|o| (o.claim.token, o.claim.first))
+            let Some((fencing_token, first)) =
+                self.lock().leadership.as_ref().map(|o| (o.claim.token, o.claim.first))
             else {
                 continue;
             };
-            if last_token != token {
-                last_token = token;
+            if last_fencing_token != fencing_token {
+                last_fencing_token = fencing_token;
                 owner_since = self.now();
             }
-            self.return_machines(token);
+            self.scale_in(fencing_token);
             // What the last owner rented shows in the list only after a while.
             if first || self.now() - owner_since > lag.scale(1.2) {
-                self.rent(token, &mut counter);
+                self.scale_out(fencing_token, &mut counter);
             }
         }
     }
 
     /// Returns the machines that the owner no longer needs.
-    fn return_machines(&self, token: u64) {
-        let ids = match self.lock().owned_with(token) {
-            Some(ownership) => ownership.fleet.leaving(),
+    fn scale_in(&self, fencing_token: u64) {
+        let ids = match self.lock().leadership_with(fencing_token) {
+            Some(leadership) => leadership.fleet.leaving(),
             None => return,
         };
         if ids.is_empty() {
@@ -114,16 +117,16 @@
         }
         // Each answer counts at once: what the next request has to wait for must not hold up what
         // can start elsewhere.
-        for part in ids.chunks(MAX_MACHINES_PER_RETURN) {
+        for part in ids.chunks(MAX_MACHINES_PER_SCALE_IN) {
             match self.cloud.give_back(part) {
                 Ok(()) => {
-                    if let Some(ownership) = self.lock().owned_with(token) {
-                        ownership.fleet.returned(part, self.now());
+                    if let Some(leadership) = self.lock().leadership_with(fencing_token) {
+                        leadership.fleet.returned(part, self.now());
                     }
                     self.wake.notify_all();
                 }
                 Err(e) => {
-                    tracing::info!(error = %e, machines = ids.len(), "could not be returned yet");
+                    tracing::info!(error = %e, machines = ids.len(), "scale in failed");
                     return;
                 }
             }
@@ -131,39 +134,41 @@
     }
 
     /// Rents what the owner lacks; `counter` numbers the requests.
-    fn rent(&self, token: u64, counter: &mut u64) {
-        let Some(wanted) = self.wanted_rentals(token) else { return };
+    fn scale_out(&self, fencing_token: u64, counter: &mut u64) {
+        let Some(wanted) = self.scale_out_requests(fencing_token) else { return };
         let mut refused = Vec::new();
         for (offer, request) in wanted {
             if refused.contains(&offer) {
                 continue;
             }
             *counter += 1;
-            let request =
-                RentRequest { request: format!("r-{token}-{}-{counter}", self.incarnation), ..request };
-            let outcome = self.request_rental(&request);
+            let request = RentRequest {
+                request: format!("r-{fencing_token}-{}-{counter}", self.incarnation),
+                ..request
+            };
+            let outcome = self.send_scale_out_request(&request);
             let mut shared = self.lock();
-            let Some(ownership) = shared.owned_with(token) else {
+            let Some(leadership) = shared.leadership_with(fencing_token) else {
                 return;
             };
             let now = self.now();
-            match rental_answered(&mut ownership.fleet, offer, &request, outcome, now) {
-                Rental::Whole => {}
-                Rental::Short => refused.push(offer),
-                Rental::Failed => return,
+            match record_scale_out(&mut leadership.fleet, offer, &request, outcome, now) {
+                ScaleOutOutcome::Filled => {}
+                ScaleOutOutcome::Partial => refused.push(offer),
+                ScaleOutOutcome::Failed => return,
             }
         }
     }
 
     /// Requests for the machines that the owner lacks, still without names; none if this node is no
     /// longer the owner.
-    fn wanted_rentals(&self, token: u64) -> Option<Vec<(Offer, RentRequest)>> {
+    fn scale_out_requests(&self, fencing_token: u64) -> Option<Vec<(Offer, RentRequest)>> {
         let mut shared = self.lock();
-        let ownership = shared.owned_with(token)?;
+        let leadership = shared.leadership_with(fencing_token)?;
         let mut requests = Vec::new();
-        for (offer, count) in ownership.fleet.capacity(self.now(), wall()) {
-            let Some(ty) = ownership.fleet.types().get(offer.ty).map(|t| t.name.clone()) else { continue };
-            let zone = ownership.fleet.zone_name(offer.zone).to_string();
+        for (offer, count) in leadership.fleet.capacity(self.now(), wall()) {
+            let Some(ty) = leadership.fleet.types().get(offer.ty).map(|t| t.name.clone()) else { continue };
+            let zone = leadership.fleet.zone_name(offer.zone).to_string();
             let mut left = count;
             while left > 0 {
                 let count = left.min(MAX_MACHINES_PER_RENTAL);
@@ -182,9 +187,9 @@
     }
 
     /// Sends a request, again if its outcome is not known: the same request rents nothing twice.
-    fn request_rental(&self, request: &RentRequest) -> Result<Vec<String>, CloudError> {
+    fn send_scale_out_request(&self, request: &RentRequest) -> Result<Vec<String>, CloudError> {
         let mut outcome = self.cloud.rent(request);
-        for _ in 0..RENT_RETRIES {
+        for _ in 0..SCALE_OUT_RETRIES {
             if !matches!(outcome, Err(CloudError::Unknown(_))) {
                 break;
             }
@@ -195,47 +200,47 @@
 }
 
 /// What came of a request for machines.
-enum Rental {
+enum ScaleOutOutcome {
     /// All that was asked for.
-    Whole,
+    Filled,
     /// Less, or nothing: no more of this offer is asked for in this round.
-    Short,
+    Partial,
     /// The cloud rents nothing now.
     Failed,
 }
 
 /// Records the cloud's answer to a rental request in the fleet.
-fn rental_answered(
+fn record_scale_out(
     fleet: &mut Fleet,
     offer: Offer,
     request: &RentRequest,
     outcome: Result<Vec<String>, CloudError>,
     now: Steady,
-) -> Rental {
+) -> ScaleOutOutcome {
     let r = request;
     match outcome {
         Ok(ids) => {
-            tracing::info!(ty = %r.ty, zone = %r.zone, spot = r.spot, asked = r.count, got = ids.len(), "rented");
+            tracing::info!(ty = %r.ty, zone = %r.zone, spot = r.spot, asked = r.count, got = ids.len(), "scaled out");
             let short = (ids.len() as u32) < r.count;
             if short {
                 fleet.offer_refused(offer, now + NO_CAPACITY_BACKOFF);
             }
             fleet.rented(&ids, offer, now);
             if short {
-                Rental::Short
+                ScaleOutOutcome::Partial
             } else {
-                Rental::Whole
+                ScaleOutOutcome::Filled
             }
         }
         Err(CloudError::NoCapacity) => {
-            tracing::debug!(ty = %r.ty, zone = %r.zone, spot = r.spot, "no capacity");
+            tracing::debug!(ty = %r.ty, zone = %r.zone, spot = r.spot, "scale out: no capacity");
             fleet.offer_refused(offer, now + NO_CAPACITY_BACKOFF);
-            Rental::Short
+            ScaleOutOutcome::Partial
         }
         Err(e) => {
-            tracing::info!(error = %e, "the cloud rents nothing now");
+            tracing::info!(error = %e, "scale out failed");
             fleet.offer_refused(offer, now + CLOUD_ERROR_BACKOFF);
-            Rental::Failed
+            ScaleOutOutcome::Failed
         }
     }
 }
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -1,10 +1,10 @@
-//! The commanding duties: direct commands to workers. One brings a new owner's token to machines that do
+//! The commanding duties: direct commands to workers. One brings a new owner's fencing token to machines that do
 //! not report to it, the other halts. Halts have threads of their own: thousands of machines behind a
 //! cut, each of which is waited for, must not hold them up.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use super::{Controller, Ownership};
+use super::{Controller, Leadership};
 use crate::config::{HALT_THREADS, RAISE_THREADS};
 use crate::direct_command::DirectCommand;
 use crate::fleet::Fleet;
@@ -14,7 +14,7 @@
 
 /// How often halts that cannot wait for a report are sent.
 const HALT_INTERVAL: Micros = Micros::from_millis(100);
-/// How often machines that do not report are asked to take this owner's token.
+/// How often machines that do not report are asked to take this owner's fencing token.
 const RAISE_INTERVAL: Micros = Micros::from_millis(500);
 /// How long a worker has to answer a command.
 const COMMAND_TIMEOUT: Micros = Micros::from_millis(1500);
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Brings this owner's token to machines until the controller ends.
-    pub(super) fn raise_tokens(&self) {
+    /// Brings this owner's fencing token to machines until the controller ends.
+    pub(super) fn raise_fencing_tokens(&self) {
         while !self.stopping() {
             self.sleep(RAISE_INTERVAL);
             self.send_due(|fleet, now| fleet.to_raise(now), RAISE_THREADS);
@@ -47,11 +47,11 @@
     }
 
     fn send_due(&self, due: impl FnOnce(&mut Fleet, Steady) -> Vec<DirectCommand>, threads: usize) -> bool {
-        let due = self.lock().ownership.as_mut().map(|o| {
+        let due = self.lock().leadership.as_mut().map(|o| {
             let commands = due(&mut o.fleet, self.now());
             (o.fleet.token, commands)
         });
-        let Some((token, list)) = due.filter(|d| !d.1.is_empty()) else { return false };
+        let Some((fencing_token, list)) = due.filter(|d| !d.1.is_empty()) else { return false };
         // A worker that does not answer holds up only one thread: the others go on with the list.
         let next = AtomicUsize::new(0);
         std::thread::scope(|s| {
@@ -59,7 +59,7 @@
                 let (next, list) = (&next, &list);
                 let send = move || {
                     while let Some(c) = list.get(next.fetch_add(1, Ordering::Relaxed)) {
-                        self.send_command(token, c);
+                        self.send_command(fencing_token, c);
                     }
                 };
                 // If a thread cannot be started, the others send its share.
@@ -70,26 +70,29 @@
     }
 
     /// Sends a command, unless it is no longer needed, and hands the worker's report to the fleet.
-    fn send_command(&self, token: u64, command: &DirectCommand) {
+    fn send_command(&self, fencing_token: u64, command: &DirectCommand) {
         let DirectCommand { machine, address, session, orders } = command;
         // It may have reported by itself since the list was made.
-        let due = |o: &Ownership| {
-            o.claim.token == token
+        let due = |o: &Leadership| {
+            o.claim.token == fencing_token
                 && o.fleet.machines.get(machine).is_some_and(|m| !orders.is_empty() || m.to_raise(self.now()))
         };
-        if !self.lock().ownership.as_ref().is_some_and(due) {
+        if !self.lock().leadership.as_ref().is_some_and(due) {
             return;
         }
         let Ok(address) = address.parse() else { return };
         let client = Client::new(address, 1);
         let mut session = *session;
         for _ in 0..COMMAND_ATTEMPTS {
-            let Ok(body) = serde_json::to_vec(&Commands { token, season: session, orders: orders.clone() })
-            else {
+            let Ok(body) = serde_json::to_vec(&Commands {
+                token: fencing_token,
+                season: session,
+                orders: orders.clone(),
+            }) else {
                 return;
             };
             let Ok((status, body)) = client.call("POST", COMMANDS_PATH, Some(&body), COMMAND_TIMEOUT) else {
-                tracing::debug!(%machine, "does not answer");
+                tracing::debug!(%machine, "direct command unanswered");
                 return;
             };
             let Ok(r) = serde_json::from_slice::<Report>(&body) else { return };
@@ -97,16 +100,16 @@
                 return;
             }
             // With halts, a later session has nothing left to be halted.
-            if status == 409 && r.token < token && orders.is_empty() {
+            if status == 409 && r.token < fencing_token && orders.is_empty() {
                 session = r.season;
                 continue;
             }
             let mut shared = self.lock();
-            let Some(ownership) = shared.owned_with(token) else {
+            let Some(leadership) = shared.leadership_with(fencing_token) else {
                 return;
             };
-            if let Some(higher) = ownership.fleet.raised(&r, self.now()) {
-                self.step_down(&mut shared, higher, "a worker has seen a higher token");
+            if let Some(higher) = leadership.fleet.raised(&r, self.now()) {
+                self.step_down(&mut shared, higher, "a worker has seen a higher fencing token");
             }
             return;
         }
--- a/src/controller/reports.rs
+++ b/src/controller/heartbeats.rs
@@ -23,20 +23,20 @@
 /// A worker that is back within this time cannot reach the owner.
 const REDIRECT_RETRY_WINDOW: Micros = Micros::from_millis(12_000);
 /// How long the owner has to answer a report that is carried to it.
-const RELAY_REPORT_TIMEOUT: Micros = Micros::from_millis(2500);
+const RELAY_HEARTBEAT_TIMEOUT: Micros = Micros::from_millis(2500);
 
 /// A report whose answer is held back until there is a task to start on its machine.
-pub(super) struct DeferredReply {
+pub(super) struct DeferredHeartbeatReply {
     report: Report,
-    /// The owner's token when the report came.
-    token: u64,
+    /// The owner's fencing token when the report came.
+    fencing_token: u64,
     /// When it is answered at the latest.
     deadline: Steady,
     reply: Reply,
 }
 
 /// What becomes of a report.
-enum ReportOutcome {
+enum HeartbeatOutcome {
     /// It is answered now, through the reply where there is one.
     Answer(Response, Option<Reply>),
     /// Its answer is deferred.
@@ -46,41 +46,41 @@
 impl Controller {
     /// Handles a report. With a `reply` it is answered through that, now or later; without one, as for
     /// a report that another controller relayed, the answer is returned.
-    pub(super) fn check_in(&self, req: &Request, reply: Option<Reply>) -> Option<Response> {
-        match self.take_report(req, reply) {
-            ReportOutcome::Answer(answer, Some(reply)) => {
+    pub(super) fn handle_heartbeat(&self, req: &Request, reply: Option<Reply>) -> Option<Response> {
+        match self.take_heartbeat(req, reply) {
+            HeartbeatOutcome::Answer(answer, Some(reply)) => {
                 reply.send(&answer);
                 None
             }
-            ReportOutcome::Answer(answer, None) => Some(answer),
-            ReportOutcome::Deferred => None,
+            HeartbeatOutcome::Answer(answer, None) => Some(answer),
+            HeartbeatOutcome::Deferred => None,
         }
     }
 
     /// Decides on the answer to a report.
-    fn take_report(&self, req: &Request, reply: Option<Reply>) -> ReportOutcome {
+    fn take_heartbeat(&self, req: &Request, reply: Option<Reply>) -> HeartbeatOutcome {
         let report: Report = match serde_json::from_slice(&req.body) {
             Ok(r) => r,
             Err(e) => {
-                tracing::error!(error = %e, "a worker's report cannot be read");
-                return ReportOutcome::Answer(Response::error(400, &e.to_string()), reply);
+                tracing::error!(error = %e, "malformed heartbeat");
+                return HeartbeatOutcome::Answer(Response::error(400, &e.to_string()), reply);
             }
         };
         let mut shared = self.await_claim();
-        if shared.ownership.is_some() {
+        if shared.leadership.is_some() {
             return self.answer_as_owner(&mut shared, report, reply);
         }
         if reply.is_none() {
-            return ReportOutcome::Answer(Response::error(503, "not the owner"), None);
+            return HeartbeatOutcome::Answer(Response::error(503, "not the owner"), None);
         }
-        ReportOutcome::Answer(self.redirect_or_relay(shared, &report.machine, req), reply)
+        HeartbeatOutcome::Answer(self.redirect_or_relay(shared, &report.machine, req), reply)
     }
 
     /// Takes the lock, and while a claim is being made waits a moment for its outcome.
     fn await_claim(&self) -> MutexGuard<'_, SharedState> {
         let since = self.now();
         let mut shared = self.lock();
-        while shared.claiming && shared.ownership.is_none() && self.now() - since < CLAIM_TIMEOUT {
+        while shared.claiming && shared.leadership.is_none() && self.now() - since < CLAIM_TIMEOUT {
             shared = match self.wake.wait_timeout(shared, CLAIM_CHECK_INTERVAL) {
                 Ok((guard, _)) => guard,
                 Err(e) => e.into_inner().0,
@@ -95,42 +95,42 @@
         shared: &mut SharedState,
         report: Report,
         reply: Option<Reply>,
-    ) -> ReportOutcome {
+    ) -> HeartbeatOutcome {
         let now = self.now();
-        let Some(ownership) = shared.ownership.as_mut() else {
-            return ReportOutcome::Answer(Response::error(503, "not the owner"), reply);
+        let Some(leadership) = shared.leadership.as_mut() else {
+            return HeartbeatOutcome::Answer(Response::error(503, "not the owner"), reply);
         };
-        if !ownership.view.may_act(now) {
+        if !leadership.view.may_act(now) {
             // Cancellations cannot be seen any more: leases must be let run out.
-            ownership.fleet.not_answered(&report.machine, now);
+            leadership.fleet.not_answered(&report.machine, now);
             let refused = Response::error(503, "out of touch with the state service");
-            return ReportOutcome::Answer(refused, reply);
+            return HeartbeatOutcome::Answer(refused, reply);
         }
-        ownership.last_report = now;
-        let token = ownership.claim.token;
-        let answer = match ownership.fleet.check_in(&report, now, wall()) {
+        leadership.last_heartbeat = now;
+        let fencing_token = leadership.claim.token;
+        let answer = match leadership.fleet.check_in(&report, now, wall()) {
             CheckIn::Reply(r) => {
                 // Other workers report when something changes, and must not be kept from it.
                 let id: MachineId = report.machine.as_str().into();
-                if r.orders.is_empty() && ownership.fleet.may_wait(&id, now) {
+                if r.orders.is_empty() && leadership.fleet.may_wait(&id, now) {
                     if let Some(reply) = reply {
                         let deadline = now + MAX_REPLY_DELAY;
-                        let deferred = DeferredReply { report, token, deadline, reply };
-                        ownership.fleet.reply_deferred(&id, deadline);
+                        let deferred = DeferredHeartbeatReply { report, fencing_token, deadline, reply };
+                        leadership.fleet.reply_deferred(&id, deadline);
                         // A second report takes the place of the first: its worker gave up.
                         shared.deferred_replies.insert(id, deferred);
-                        return ReportOutcome::Deferred;
+                        return HeartbeatOutcome::Deferred;
                     }
                 }
                 Response::json(200, &r)
             }
             CheckIn::Refuse => Response::error(503, "not now"),
-            CheckIn::Superseded(token) => {
-                self.step_down(shared, token, "a worker has seen a higher token");
+            CheckIn::Superseded(fencing_token) => {
+                self.step_down(shared, fencing_token, "a worker has seen a higher fencing token");
                 Response::error(503, "not the owner")
             }
         };
-        ReportOutcome::Answer(answer, reply)
+        HeartbeatOutcome::Answer(answer, reply)
     }
 
     /// Redirects a worker to the leader; if it is back soon after, relays its report to the leader.
@@ -153,7 +153,7 @@
         drop(shared);
         // It was sent to the owner and is back: it cannot get through, so its report is carried.
         let to = self.cfg.platform.members.iter().position(|m| m.label == leader.label);
-        match to.and_then(|to| self.relay(to, req, RELAY_REPORT_TIMEOUT)) {
+        match to.and_then(|to| self.relay(to, req, RELAY_HEARTBEAT_TIMEOUT)) {
             Some(r) => r,
             None => Response::error(503, "the owner does not answer"),
         }
@@ -162,36 +162,42 @@
     /// Sends the deferred answers for which there is a start now, and those whose time is over.
     pub(super) fn answer_deferred(&self) {
         let mut shared = self.lock();
-        let SharedState { ownership, deferred_replies, .. } = &mut *shared;
+        let SharedState { leadership, deferred_replies, .. } = &mut *shared;
         let now = self.now();
-        let ownership = ownership.as_mut().filter(|o| o.view.may_act(now));
-        let token = ownership.as_ref().map(|o| o.claim.token);
+        let leadership = leadership.as_mut().filter(|o| o.view.may_act(now));
+        let fencing_token = leadership.as_ref().map(|o| o.claim.token);
         let due: Vec<MachineId> = deferred_replies
             .iter()
             .filter(|(id, w)| {
-                Some(w.token) != token
+                Some(w.fencing_token) != fencing_token
                     || now >= w.deadline
-                    || ownership.as_ref().is_some_and(|o| o.fleet.start_waits(id))
+                    || leadership.as_ref().is_some_and(|o| o.fleet.start_waits(id))
             })
             .map(|(id, _)| id.clone())
             .collect();
         let mut answers = Vec::new();
-        if let Some(ownership) = ownership {
+        if let Some(leadership) = leadership {
             for id in &due {
-                let Some(w) = deferred_replies.get(id).filter(|w| w.token == ownership.claim.token) else {
+                let Some(w) = deferred_replies.get(id).filter(|w| w.fencing_token == leadership.claim.token)
+                else {
                     continue;
                 };
-                let orders = ownership.fleet.later(&w.report, now, wall());
+                let orders = leadership.fleet.later(&w.report, now, wall());
                 if orders.is_empty() && now < w.deadline {
                     continue;
                 }
                 if let Some(w) = deferred_replies.remove(id) {
-                    answers.push((w.reply, Response::json(200, &ReportReply { token: w.token, orders })));
+                    answers.push((
+                        w.reply,
+                        Response::json(200, &ReportReply { token: w.fencing_token, orders }),
+                    ));
                 }
             }
         }
         // Of an earlier time as owner, or while the state service is out of sight.
-        let lost = due.iter().filter(|id| deferred_replies.get(*id).is_some_and(|w| Some(w.token) != token));
+        let lost = due
+            .iter()
+            .filter(|id| deferred_replies.get(*id).is_some_and(|w| Some(w.fencing_token) != fencing_token));
         for id in lost.cloned().collect::<Vec<_>>() {
             if let Some(w) = deferred_replies.remove(&id) {
                 answers.push((w.reply, Response::error(503, "not the owner")));
--- a/src/controller/latency.rs
+++ b/src/controller/latency.rs
@@ -37,7 +37,7 @@
                     p50_us = histogram.value_at_quantile(0.5),
                     p99_us = histogram.value_at_quantile(0.99),
                     max_us = histogram.max(),
-                    "answer times of the last minute"
+                    "response latency, last minute"
                 );
             }
         }
--- a/src/controller/ownership.rs
+++ b/src/controller/leadership.rs
@@ -1,8 +1,8 @@
-//! Ownership: keeping the leader's lease, following the leader, taking over and stepping down.
+//! Leadership: keeping the leader's lease, following the leader, taking over and stepping down.
 
 use rand::Rng;
 
-use super::{Controller, Ownership, SharedState};
+use super::{Controller, Leadership, SharedState};
 use crate::api::JobsBackend;
 use crate::cluster::{self, Claim, Owner, LEADER};
 use crate::config::Config;
@@ -35,7 +35,7 @@
 
 impl Controller {
     /// Keeps the leader's lease, or waits for its end and takes over.
-    pub(super) fn keep(&self) {
+    pub(super) fn keep_leadership(&self) {
         self.learn_types();
         let ttl = Micros::from_secs(self.cfg.operator.leader_ttl_s);
         while !self.stopping() {
@@ -47,17 +47,17 @@
     /// Renews the leader's lease, or waits a while for its end and takes over; returns how long to
     /// pause.
     pub fn keep_once(&self, ttl: Micros) -> Micros {
-        let lease = self.lock().ownership.as_ref().map(|o| (o.claim.lease, o.claim.token));
+        let lease = self.lock().leadership.as_ref().map(|o| (o.claim.lease, o.claim.token));
         match lease {
-            Some((lease, token)) => {
-                self.renew_lease(lease, token);
+            Some((lease, fencing_token)) => {
+                self.renew_lease(lease, fencing_token);
                 // The view rests on renewals too: with tight settings it must not age for long.
                 ttl.scale(0.3).min(self.cfg.blind_bound().scale(0.4)).max(MIN_RENEWAL_INTERVAL)
             }
-            None => match self.follow(ttl) {
+            None => match self.follow_leader(ttl) {
                 Ok(()) => Micros::ZERO,
                 Err(e) => {
-                    tracing::debug!(error = %e, "the leader's record cannot be read");
+                    tracing::debug!(error = %e, "leader record unreadable");
                     FOLLOW_RETRY_DELAY
                 }
             },
@@ -65,21 +65,21 @@
     }
 
     /// Renews the leader's lease; steps down if it has ended, or if this owner is isolated.
-    fn renew_lease(&self, lease: u64, token: u64) {
+    fn renew_lease(&self, lease: u64, fencing_token: u64) {
         let begun = self.now();
         let r = self.state.renew(lease);
         let renewed = r.is_ok();
         let mut shared = self.lock();
-        let Some(ownership) = shared.owned_with(token) else { return };
+        let Some(leadership) = shared.leadership_with(fencing_token) else { return };
         // A single controller is followed by nobody while it lives.
         if renewed || self.cfg.nodes() == 1 {
-            ownership.fleet.confirm(begun);
-            ownership.view.has_owned(begun);
+            leadership.fleet.confirm(begun);
+            leadership.view.has_owned(begun);
         }
         match r {
             Ok(()) => {}
-            Err(StateError::NoLease) => self.step_down(&mut shared, 0, "its lease ended"),
-            Err(e) => tracing::info!(error = %e, "the lease could not be renewed"),
+            Err(StateError::NoLease) => self.step_down(&mut shared, 0, "leader lease expired"),
+            Err(e) => tracing::info!(error = %e, "leader lease renewal failed"),
         }
         if renewed && self.is_isolated(&shared) {
             shared.no_claim_until = self.now() + RESIGNED_FOR;
@@ -95,9 +95,9 @@
         let quiet = Micros::from_secs(self.cfg.platform.settings.workers.report_s * 2.5);
         let now = self.now();
         let unheard = now - shared.last_peer_contact;
-        shared.ownership.as_ref().is_some_and(|o| {
+        shared.leadership.as_ref().is_some_and(|o| {
             self.peers.count() > 0
-                && now - o.last_report > quiet
+                && now - o.last_heartbeat > quiet
                 && unheard > PEERS_UNHEARD_AFTER
                 && o.fleet.machines.values().filter(|m| m.up).count() > 1
         })
@@ -105,16 +105,16 @@
 
     /// Reads the leader's record. While another leads, waits for the end of its lease; then, or if
     /// nobody leads, takes over.
-    fn follow(&self, ttl: Micros) -> Result<(), StateError> {
+    fn follow_leader(&self, ttl: Micros) -> Result<(), StateError> {
         let (rows, revision) = self.state.list(LEADER)?;
         let row = rows.into_iter().find(|r| r.key == LEADER);
         let owner: Option<Owner> = row.as_ref().and_then(|r| serde_json::from_value(r.value.clone()).ok());
         let stamp = row.as_ref().map_or(0, |r| r.stamp);
         match owner.filter(|o| o.label != self.cfg.platform.label) {
             Some(leader) => {
-                if self.await_lease_end(&leader, revision)? {
-                    self.sleep(self.claim_delay());
-                    return self.take_over(ttl, 0);
+                if self.await_lease_expiry(&leader, revision)? {
+                    self.sleep(self.failover_delay());
+                    return self.fail_over(ttl, 0);
                 }
                 Ok(())
             }
@@ -124,16 +124,16 @@
                     self.sleep(FOLLOW_RETRY_DELAY);
                     return Ok(());
                 }
-                self.take_over(ttl, stamp)
+                self.fail_over(ttl, stamp)
             }
         }
     }
 
     /// Waits a while for the end of another leader's lease; whether it ended.
-    fn await_lease_end(&self, leader: &Owner, revision: u64) -> Result<bool, StateError> {
+    fn await_lease_expiry(&self, leader: &Owner, revision: u64) -> Result<bool, StateError> {
         {
             let mut shared = self.lock();
-            shared.highest_token = shared.highest_token.max(leader.token);
+            shared.highest_fencing_token = shared.highest_fencing_token.max(leader.token);
             shared.leader = Some(leader.clone());
         }
         let changes = self.state.watch(LEADER, revision, LEADER_WATCH_TIMEOUT)?;
@@ -141,23 +141,23 @@
             return Ok(false);
         }
         self.lock().leader = None;
-        tracing::info!(leader = %leader.label, "the leader's lease ended");
+        tracing::info!(leader = %leader.label, "leader lease expired");
         Ok(true)
     }
 
     /// How long to wait between the end of the leader's lease and a claim. Most of the time one of
     /// the others is a little faster, and the guard decides. One that has started of late goes first:
-    /// in a rolling restart the others are still to go, and each would take the ownership only to
+    /// in a rolling restart the others are still to go, and each would take the leadership only to
     /// lose it again.
-    fn claim_delay(&self) -> Micros {
+    fn failover_delay(&self) -> Micros {
         let recent = self.now() - self.started <= RECENTLY_STARTED;
         let least_ms = if recent { CLAIM_DELAY_RECENT_MS } else { CLAIM_DELAY_MS };
         Micros::from_millis(rand::rng().random_range(least_ms..least_ms + CLAIM_JITTER_MS))
     }
 
-    /// Claims the ownership; `seen` is the version of the leader's record that the claim replaces, 0
+    /// Claims the leadership; `seen` is the version of the leader's record that the claim replaces, 0
     /// for none.
-    fn take_over(&self, ttl: Micros, seen: u64) -> Result<(), StateError> {
+    fn fail_over(&self, ttl: Micros, seen: u64) -> Result<(), StateError> {
         if self.now() < self.lock().no_claim_until {
             return Ok(());
         }
@@ -167,17 +167,17 @@
             Ok(Some(claim)) => claim,
             Ok(None) => return Ok(()),
             Err(e @ StateError::NewerRecords { .. }) => {
-                tracing::error!(error = %e, "does not take over");
+                tracing::error!(error = %e, "failover refused");
                 self.lock().no_claim_until = self.now() + NEWER_RECORDS_PAUSE;
                 return Ok(());
             }
             Err(e) => return Err(e),
         };
-        tracing::info!(token = claim.token, "takes over");
+        tracing::info!(fencing_token = claim.token, "failover: leadership claimed");
         {
             let mut shared = self.lock();
             shared.claiming = true;
-            shared.highest_token = shared.highest_token.max(claim.token);
+            shared.highest_fencing_token = shared.highest_fencing_token.max(claim.token);
         }
         self.rebuild(claim, begun)
     }
@@ -190,13 +190,13 @@
         let mut shared = self.lock();
         shared.claiming = false;
         match r {
-            Ok(fleet) if shared.highest_token == claim.token => {
-                self.begin_ownership(&mut shared, claim, fleet, begun);
+            Ok(fleet) if shared.highest_fencing_token == claim.token => {
+                self.begin_leadership(&mut shared, claim, fleet, begun);
                 Ok(())
             }
             Ok(_) => Ok(()),
             Err(e) => {
-                tracing::info!(error = %e, "could not rebuild");
+                tracing::info!(error = %e, "failover: rebuild failed");
                 drop(shared);
                 let _ = self.state.end_lease(claim.lease);
                 Err(e)
@@ -205,7 +205,7 @@
     }
 
     /// Starts to act as the owner of a fleet.
-    fn begin_ownership(&self, shared: &mut SharedState, claim: Claim, mut fleet: Fleet, begun: Steady) {
+    fn begin_leadership(&self, shared: &mut SharedState, claim: Claim, mut fleet: Fleet, begun: Steady) {
         if let Some(t) = &shared.machine_types {
             fleet.set_types(t.clone());
         }
@@ -213,11 +213,11 @@
         let budget = StateBudget::new(&self.cfg, true);
         self.state.allow(budget.requests_per_s, budget.writes_per_s);
         tracing::info!(
-            token = claim.token,
+            fencing_token = claim.token,
             jobs = fleet.jobs.len(),
             machines = fleet.machines.len(),
             ms = (now - begun).0 / 1000,
-            "rebuilt"
+            "failover: state rebuilt"
         );
         // Cancellations that were told of while the records were read.
         for id in fleet.jobs.keys().cloned().collect::<Vec<_>>() {
@@ -233,17 +233,22 @@
         });
         shared.last_peer_contact = now;
         let view = View::new(begun, self.cfg.blind_bound());
-        shared.ownership = Some(Ownership { fleet, claim, view, last_report: now });
+        shared.leadership = Some(Leadership { fleet, claim, view, last_heartbeat: now });
         self.wake.notify_all();
     }
 
-    /// Gives up the ownership, if this node has it; `token` is the higher token that was seen, or 0.
-    pub(super) fn step_down(&self, shared: &mut SharedState, token: u64, why: &str) {
-        shared.highest_token = shared.highest_token.max(token);
-        if let Some(ownership) = shared.ownership.take() {
+    /// Gives up the leadership, if this node has it; `fencing_token` is the higher fencing token that was seen, or 0.
+    pub(super) fn step_down(&self, shared: &mut SharedState, fencing_token: u64, why: &str) {
+        shared.highest_fencing_token = shared.highest_fencing_token.max(fencing_token);
+        if let Some(leadership) = shared.leadership.take() {
             let budget = StateBudget::new(&self.cfg, false);
             self.state.allow(budget.requests_per_s, budget.writes_per_s);
-            tracing::info!(token = ownership.claim.token, higher = token, why, "gives its parts up");
+            tracing::info!(
+                fencing_token = leadership.claim.token,
+                higher = fencing_token,
+                why,
+                "stepped down"
+            );
             shared.leader = None;
             self.wake.notify_all();
         }
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -6,7 +6,7 @@
 use milletlock_cells::{BacklogGate, CellSummary, Loan, LoanReport, Script, Wish};
 
 use super::loan_writes::LoanOutcome;
-use super::{Controller, Ownership, SharedState};
+use super::{Controller, Leadership, SharedState};
 use crate::config::{CellsSettings, OtherCell};
 use crate::fleet::{Fleet, LoanWrite};
 use crate::loan_messages::{report_from_proto, request_to_proto, summary_from_proto, MAX_LOANS};
@@ -88,21 +88,21 @@
     /// One round with all other cells; whether there are loans or some are to be made.
     pub fn lend_once(&self, choice: &mut LendingChoice) -> bool {
         let Some(cells) = &self.cfg.operator.cells else { return false };
-        let (token, backlog_s) = match &self.lock().ownership {
-            Some(ownership) => (ownership.claim.token, ownership.fleet.array_backlog_s()),
+        let (fencing_token, backlog_s) = match &self.lock().leadership {
+            Some(leadership) => (leadership.claim.token, leadership.fleet.array_backlog_s()),
             None => return false,
         };
         let wants_to_lend = choice.gate.update(backlog_s, self.cfg.operator.drain_s);
-        self.retry_loan_writes(token);
-        for (cell, waiting) in self.ask_cells(cells, token, backlog_s) {
+        self.retry_loan_writes(fencing_token);
+        for (cell, waiting) in self.ask_cells(cells, fencing_token, backlog_s) {
             match waiting.and_then(Waiting::wait) {
-                Ok(Outcome::Loans(reply)) => self.on_loan_reply(token, cell, &reply, choice),
+                Ok(Outcome::Loans(reply)) => self.on_loan_reply(fencing_token, cell, &reply, choice),
                 Ok(_) => self.cell_unreachable(cell, "a wrong answer"),
                 Err(e) => self.cell_unreachable(cell, &e.to_string()),
             }
         }
-        let has_loans = match &self.lock().ownership {
-            Some(ownership) => ownership.fleet.loans.home.jobs().next().is_some(),
+        let has_loans = match &self.lock().leadership {
+            Some(leadership) => leadership.fleet.loans.home.jobs().next().is_some(),
             None => false,
         };
         has_loans || wants_to_lend
@@ -112,7 +112,7 @@
     fn ask_cells<'a>(
         &self,
         cells: &'a CellsSettings,
-        token: u64,
+        fencing_token: u64,
         backlog_s: f64,
     ) -> Vec<(&'a OtherCell, Result<Waiting, PeerError>)> {
         let mut first_address = self.peers.count();
@@ -122,11 +122,11 @@
             let state = shared.other_cells.entry(cell.name.clone()).or_default();
             state.messages += 1;
             let controller = state.controller;
-            let Some(ownership) = shared.owned_with(token) else { return asked };
-            let fleet = &ownership.fleet;
+            let Some(leadership) = shared.leadership_with(fencing_token) else { return asked };
+            let fleet = &leadership.fleet;
             let wish = |job: &str, loan: &Loan| recall_or_run(fleet, job, loan, backlog_s);
             let offer = |job: &str, number| fleet.loans.offer(job, number);
-            let request = fleet.loans.home.request(&cells.name, &cell.name, token, wish, offer);
+            let request = fleet.loans.home.request(&cells.name, &cell.name, fencing_token, wish, offer);
             drop(shared);
             let message = Message::Lend(request_to_proto(&request));
             let waiting = self.peers.begin(first_address + controller, message, CELL_TIMEOUT);
@@ -140,13 +140,13 @@
         let mut shared = self.lock();
         let state = shared.other_cells.entry(cell.name.clone()).or_default();
         if state.answers {
-            tracing::info!(cell = %cell.name, why, "another cell does not answer");
+            tracing::info!(cell = %cell.name, why, "cell unreachable");
         }
         state.ask_elsewhere(cell, "");
     }
 
     /// Takes another cell's answer.
-    fn on_loan_reply(&self, token: u64, cell: &OtherCell, reply: &LoanReply, choice: &LendingChoice) {
+    fn on_loan_reply(&self, fencing_token: u64, cell: &OtherCell, reply: &LoanReply, choice: &LendingChoice) {
         if reply.from != cell.name {
             return self
                 .cell_unreachable(cell, "a controller of another name, or without a cells block, answers");
@@ -156,11 +156,11 @@
         }
         for report in &reply.reports {
             match report_from_proto(report) {
-                Ok(report) => self.take_loan_report(token, cell, &report),
-                Err(e) => tracing::error!(cell = %cell.name, error = %e, "a report of a loan is refused"),
+                Ok(report) => self.take_loan_report(fencing_token, cell, &report),
+                Err(e) => tracing::error!(cell = %cell.name, error = %e, "loan report refused"),
             }
         }
-        self.make_loan(token, cell, choice);
+        self.make_loan(fencing_token, cell, choice);
     }
 
     /// Notes what an answer says of the cell itself; whether its reports count.
@@ -172,13 +172,13 @@
             return false;
         }
         if reply.term < state.term {
-            tracing::error!(cell = %cell.name, term = reply.term, known = state.term, "an answer of an older term is refused");
+            tracing::error!(cell = %cell.name, term = reply.term, known = state.term, "stale cell term refused");
             state.ask_elsewhere(cell, "");
             return false;
         }
         state.term = reply.term;
         if !state.answers {
-            tracing::info!(cell = %cell.name, term = reply.term, "another cell answers");
+            tracing::info!(cell = %cell.name, term = reply.term, "cell reachable");
         }
         state.answers = true;
         state.summary = self.checked_summary(cell, reply);
@@ -191,18 +191,18 @@
         match summary.check(wall().0, MAX_SUMMARY_AGE_US, skew_us) {
             Ok(()) => Some(summary),
             Err(e) => {
-                tracing::error!(cell = %cell.name, error = %e, "another cell's summary is refused");
+                tracing::error!(cell = %cell.name, error = %e, "cell summary refused");
                 None
             }
         }
     }
 
     /// Takes a guest's word on a loan.
-    fn take_loan_report(&self, token: u64, cell: &OtherCell, report: &LoanReport) {
+    fn take_loan_report(&self, fencing_token: u64, cell: &OtherCell, report: &LoanReport) {
         let write = {
             let mut shared = self.lock();
-            let Some(ownership) = shared.owned_with(token) else { return };
-            let fleet = &mut ownership.fleet;
+            let Some(leadership) = shared.leadership_with(fencing_token) else { return };
+            let fleet = &mut leadership.fleet;
             let settled = fleet.loans.home.settle(&cell.name, report, |job| fleet.recorded_done(job));
             match settled {
                 Ok(Some(settlement)) => {
@@ -212,31 +212,31 @@
                 }
                 Ok(None) => None,
                 Err(e) => {
-                    tracing::error!(cell = %cell.name, error = %e, "a report of a loan is refused");
+                    tracing::error!(cell = %cell.name, error = %e, "loan report refused");
                     None
                 }
             }
         };
         self.wake.notify_all();
         if let Some(write) = write {
-            self.settle_loan(token, cell, write);
+            self.settle_loan(fencing_token, cell, write);
         }
     }
 
-    fn settle_loan(&self, token: u64, cell: &OtherCell, write: LoanWrite) {
+    fn settle_loan(&self, fencing_token: u64, cell: &OtherCell, write: LoanWrite) {
         let job = write.job().to_string();
         let is_end = matches!(&write, LoanWrite::Home { record, .. } if record.lending.is_cancelled());
-        if self.write_loan(token, write) == LoanOutcome::Written {
-            tracing::debug!(%job, cell = %cell.name, "a loan is settled");
+        if self.write_loan(fencing_token, write) == LoanOutcome::Written {
+            tracing::debug!(%job, cell = %cell.name, "loan settled");
             if is_end {
-                tracing::info!(%job, "cancelled: no other cell holds any of it");
+                tracing::info!(%job, "job cancelled: no open loans");
             }
         }
     }
 
     /// Lends tasks to a cell if this one's arrays do not drain and that one has room. One loan at a time:
     /// the next waits until the guest has decided, so that its room is known again.
-    fn make_loan(&self, token: u64, cell: &OtherCell, choice: &LendingChoice) {
+    fn make_loan(&self, fencing_token: u64, cell: &OtherCell, choice: &LendingChoice) {
         if !choice.gate.is_open() {
             return;
         }
@@ -244,11 +244,13 @@
             let mut shared = self.lock();
             let knows_loans = self.all_know_loans(&shared);
             let summary = shared.other_cells.get(&cell.name).and_then(|state| state.summary().cloned());
-            let (Some(summary), Some(ownership)) = (summary, shared.owned_with(token)) else { return };
-            if !knows_loans || !ownership.view.may_act(self.now()) || has_undecided(ownership, &cell.name) {
+            let (Some(summary), Some(leadership)) = (summary, shared.leadership_with(fencing_token)) else {
+                return;
+            };
+            if !knows_loans || !leadership.view.may_act(self.now()) || has_undecided(leadership, &cell.name) {
                 return;
             }
-            let fleet = &mut ownership.fleet;
+            let fleet = &mut leadership.fleet;
             let Some(candidate) = fleet.lending_candidate(&summary, wall()) else { return };
             let count = match &choice.script {
                 Some(script) => script.portion(&candidate.view),
@@ -258,8 +260,8 @@
         };
         let Some(write) = write else { return };
         let job = write.job().to_string();
-        if self.write_loan(token, write) == LoanOutcome::Written {
-            tracing::info!(%job, cell = %cell.name, "tasks are lent");
+        if self.write_loan(fencing_token, write) == LoanOutcome::Written {
+            tracing::info!(%job, cell = %cell.name, "loan made");
         }
     }
 
@@ -282,8 +284,8 @@
 }
 
 /// Whether a guest has not decided on a loan yet, or holds as many as one message names.
-fn has_undecided(ownership: &Ownership, cell: &str) -> bool {
-    let loans = &ownership.fleet.loans;
+fn has_undecided(leadership: &Leadership, cell: &str) -> bool {
+    let loans = &leadership.fleet.loans;
     let open: Vec<_> = loans.home.loans_with(cell).collect();
     open.len() >= MAX_LOANS / 2 || open.iter().any(|(job, loan)| loans.offer(job, loan.number).is_some())
 }
--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -20,61 +20,61 @@
 
 impl Controller {
     /// Sends writes again that had no answer. Until they have one, a late copy of them may be applied.
-    pub(super) fn retry_loan_writes(&self, token: u64) {
-        let unresolved = match self.lock().owned_with(token) {
-            Some(ownership) => ownership.fleet.loans.take_unresolved(),
+    pub(super) fn retry_loan_writes(&self, fencing_token: u64) {
+        let unresolved = match self.lock().leadership_with(fencing_token) {
+            Some(leadership) => leadership.fleet.loans.take_unresolved(),
             None => return,
         };
         for write in unresolved {
-            self.write_loan(token, write);
+            self.write_loan(fencing_token, write);
         }
     }
 
     /// Carries out a write of loans.
-    pub(super) fn write_loan(&self, token: u64, write: LoanWrite) -> LoanOutcome {
-        let part = match self.lock().owned_with(token) {
-            Some(ownership) => ownership.claim.part,
+    pub(super) fn write_loan(&self, fencing_token: u64, write: LoanWrite) -> LoanOutcome {
+        let part = match self.lock().leadership_with(fencing_token) {
+            Some(leadership) => leadership.claim.part,
             None => return LoanOutcome::Unknown,
         };
         let txn = cluster::loan_txn(&write, part);
         match self.state.txn(&txn, Urgency::Owner) {
-            Ok(Applied::Yes(revision)) => self.loan_written(token, &write, revision),
-            Ok(Applied::Conflict(keys)) => self.loan_conflict(token, write, &keys),
+            Ok(Applied::Yes(revision)) => self.loan_written(fencing_token, &write, revision),
+            Ok(Applied::Conflict(keys)) => self.loan_conflict(fencing_token, write, &keys),
             // Refused without having been executed.
             Err(StateError::Refused(_) | StateError::Budget | StateError::Rejected(_)) => {
-                if let Some(ownership) = self.lock().owned_with(token) {
-                    ownership.fleet.loan_not_written(&write);
+                if let Some(leadership) = self.lock().leadership_with(fencing_token) {
+                    leadership.fleet.loan_not_written(&write);
                 }
                 LoanOutcome::NotWritten
             }
             Err(e) => {
-                tracing::info!(job = write.job(), error = %e, "a write of a loan has no answer");
-                self.loan_unresolved(token, write)
+                tracing::info!(job = write.job(), error = %e, "loan write outcome unknown");
+                self.loan_unresolved(fencing_token, write)
             }
         }
     }
 
-    fn loan_written(&self, token: u64, write: &LoanWrite, revision: u64) -> LoanOutcome {
+    fn loan_written(&self, fencing_token: u64, write: &LoanWrite, revision: u64) -> LoanOutcome {
         let mut shared = self.lock();
-        let Some(ownership) = shared.owned_with(token) else { return LoanOutcome::Unknown };
-        ownership.fleet.loan_written(write, revision, self.now(), wall());
+        let Some(leadership) = shared.leadership_with(fencing_token) else { return LoanOutcome::Unknown };
+        leadership.fleet.loan_written(write, revision, self.now(), wall());
         self.wake.notify_all();
         LoanOutcome::Written
     }
 
-    fn loan_unresolved(&self, token: u64, write: LoanWrite) -> LoanOutcome {
-        if let Some(ownership) = self.lock().owned_with(token) {
-            ownership.fleet.loan_unresolved(write);
+    fn loan_unresolved(&self, fencing_token: u64, write: LoanWrite) -> LoanOutcome {
+        if let Some(leadership) = self.lock().leadership_with(fencing_token) {
+            leadership.fleet.loan_unresolved(write);
         }
         LoanOutcome::Unknown
     }
 
     /// Some record has changed: by another's write, or by an earlier copy of this one. Either way no copy
     /// of it can be applied any more, and the records tell how things stand.
-    fn loan_conflict(&self, token: u64, write: LoanWrite, keys: &[String]) -> LoanOutcome {
+    fn loan_conflict(&self, fencing_token: u64, write: LoanWrite, keys: &[String]) -> LoanOutcome {
         if keys.iter().any(|key| key == PART) {
             let mut shared = self.lock();
-            if shared.owned_with(token).is_some() {
+            if shared.leadership_with(fencing_token).is_some() {
                 self.step_down(&mut shared, 0, "another owner has taken the part");
             }
             return LoanOutcome::Unknown;
@@ -82,13 +82,13 @@
         let rows = match cluster::read_loan_records(&self.state, &write) {
             Ok(rows) => rows,
             Err(e) => {
-                tracing::debug!(job = write.job(), error = %e, "the record of a loan cannot be read back");
-                return self.loan_unresolved(token, write);
+                tracing::debug!(job = write.job(), error = %e, "loan record read-back failed");
+                return self.loan_unresolved(fencing_token, write);
             }
         };
         let mut shared = self.lock();
-        let Some(ownership) = shared.owned_with(token) else { return LoanOutcome::Unknown };
-        let fleet = &mut ownership.fleet;
+        let Some(leadership) = shared.leadership_with(fencing_token) else { return LoanOutcome::Unknown };
+        let fleet = &mut leadership.fleet;
         for (key, row) in rows {
             cluster::learn(fleet, &key, row, self.now());
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -12,13 +12,13 @@
 mod cells_status;
 mod cloud;
 mod commands;
+mod heartbeats;
 mod latency;
+mod leadership;
 mod lending;
 mod loan_writes;
-mod ownership;
 mod peers;
 mod planning;
-mod reports;
 mod status;
 mod users;
 mod watch;
@@ -33,11 +33,11 @@
 
 use rand::Rng;
 
+use self::heartbeats::DeferredHeartbeatReply;
 use self::latency::{histogram, Latencies};
+use self::leadership::StateBudget;
 pub use self::lending::LendingChoice;
 use self::lending::OtherCellState;
-use self::ownership::StateBudget;
-use self::reports::DeferredReply;
 pub use self::status::STATUS;
 pub use self::writer::done_write_interval;
 use crate::api;
@@ -57,7 +57,7 @@
 use crate::wire::{MachineType, HEALTH_PATH, REPORT_PATH, WRITE_OFF_PATH};
 
 /// The state of the controller that leads and so owns the machines.
-struct Ownership {
+struct Leadership {
     /// Machines, jobs and the plan.
     fleet: Fleet,
     /// The claim by which it owns them.
@@ -65,20 +65,20 @@
     /// Age of its knowledge of the state service, which limits how long it may act.
     view: View,
     /// When a worker's report was last accepted.
-    last_report: Steady,
+    last_heartbeat: Steady,
 }
 
 /// The state that all threads of a controller share.
 #[derive(Default)]
 struct SharedState {
     /// None while another controller leads, or nobody.
-    ownership: Option<Ownership>,
+    leadership: Option<Leadership>,
     /// A claim has succeeded and its records are being read: reports wait for that a moment.
     claiming: bool,
     /// The leader, where known.
     leader: Option<Owner>,
-    /// The highest token seen.
-    highest_token: u64,
+    /// The highest fencing token seen.
+    highest_fencing_token: u64,
     /// Versions of the other controllers, by label, as last told.
     peer_versions: BTreeMap<String, String>,
     /// The other cells, by name.
@@ -94,7 +94,7 @@
     /// Numbers of live jobs as the leader announced them.
     announced_counts: BTreeMap<String, Counts>,
     /// Reports of idle workers that are still to be answered.
-    deferred_replies: BTreeMap<MachineId, DeferredReply>,
+    deferred_replies: BTreeMap<MachineId, DeferredHeartbeatReply>,
     /// When each worker was last sent to the leader.
     redirected: BTreeMap<String, Steady>,
     /// Until then users' requests are not relayed to other controllers.
@@ -106,9 +106,9 @@
 }
 
 impl SharedState {
-    /// The ownership, if it is still the one that was claimed with this token.
-    fn owned_with(&mut self, token: u64) -> Option<&mut Ownership> {
-        self.ownership.as_mut().filter(|o| o.claim.token == token)
+    /// The leadership, if it is still the one that was claimed with this fencing token.
+    fn leadership_with(&mut self, fencing_token: u64) -> Option<&mut Leadership> {
+        self.leadership.as_mut().filter(|o| o.claim.token == fencing_token)
     }
 }
 
@@ -141,7 +141,7 @@
     /// Connections to the other controllers.
     peers: PeerHub,
     shared: Mutex<SharedState>,
-    /// Notified when there is something to write, and when the ownership changes.
+    /// Notified when there is something to write, and when the leadership changes.
     wake: Condvar,
     /// Cancellations that other controllers have not acknowledged yet.
     notices: Mutex<Notices>,
@@ -215,14 +215,14 @@
         let other_cells = cfg.operator.cells.as_ref().map(|cells| cells.addresses()).unwrap_or_default();
         let (peers, inbound) = PeerHub::start(internal, members, &other_cells)?;
         let controller = Controller::new(cfg, peers, Clock::Machine, stop)?;
-        tracing::info!(label = %controller.cfg.platform.label, incarnation = controller.incarnation, "started");
+        tracing::info!(label = %controller.cfg.platform.label, incarnation = controller.incarnation, "controller started");
         let duties = controller.start_duties(inbound)?;
         let room = controller.cfg.room();
         tracing::info!(
             connections = room.connections,
             workers = room.bulk_connections,
             threads = room.prompt_threads + room.bulk_threads,
-            "room for callers"
+            "connection limits"
         );
         let served = http::serve(listener, room, controller.stop.clone(), controller.service());
         // Without callers there is nothing to serve: all else ends as well.
@@ -240,14 +240,14 @@
         inbound: Receiver<Inbound>,
     ) -> std::io::Result<Vec<JoinHandle<()>>> {
         let duties: [(&str, Duty); 9] = [
-            ("keeper", Controller::keep),
+            ("keeper", Controller::keep_leadership),
             ("watcher", Controller::watch),
             ("writer", Controller::write),
-            ("cloud", Controller::rent_and_return),
+            ("cloud", Controller::scale_out_and_in),
             ("list", Controller::refresh_cloud),
             ("announcer", Controller::announce),
             ("halts", Controller::send_halts),
-            ("tokens", Controller::raise_tokens),
+            ("tokens", Controller::raise_fencing_tokens),
             ("planner", Controller::plan),
         ];
         let mut threads = Vec::new();
@@ -312,7 +312,7 @@
     /// Answers a request that came over a connection, now or a little later.
     pub fn serve(&self, req: &Request, reply: Reply) {
         if req.path == REPORT_PATH && req.method == "POST" {
-            self.check_in(req, Some(reply));
+            self.handle_heartbeat(req, Some(reply));
         } else {
             reply.send(&self.answer(req, false));
         }
@@ -323,7 +323,7 @@
         match req.path.as_str() {
             REPORT_PATH if req.method == "POST" => {
                 let refused = || Response::error(503, "not now");
-                self.check_in(req, None).unwrap_or_else(refused)
+                self.handle_heartbeat(req, None).unwrap_or_else(refused)
             }
             HEALTH_PATH if req.method == "GET" => self.health(),
             REPORT_PATH | HEALTH_PATH => Response::error(405, "wrong method"),
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Takes note that another controller answered; steps down if it knows a higher token.
-    pub(super) fn peer_answered(&self, token: u64) {
+    /// Takes note that another controller answered; steps down if it knows a higher fencing token.
+    pub(super) fn peer_answered(&self, fencing_token: u64) {
         let mut shared = self.lock();
         shared.last_peer_contact = self.now();
-        if token > shared.highest_token {
-            self.step_down(&mut shared, token, "another controller knows a higher token");
+        if fencing_token > shared.highest_fencing_token {
+            self.step_down(&mut shared, fencing_token, "another controller knows a higher fencing token");
         }
     }
 
@@ -88,7 +88,7 @@
     fn on_cancellations(&self, list: &peer::Cancellations) -> Outcome {
         for c in &list.jobs {
             if !is_job_id(&c.id) {
-                tracing::error!(job = %c.id, "another controller tells of a malformed job");
+                tracing::error!(job = %c.id, "malformed job id in cancellation notice");
                 continue;
             }
             self.apply_cancellation(
@@ -97,34 +97,34 @@
                 c.revision,
             );
         }
-        Outcome::Ack(Ack { token: self.lock().highest_token, version: VERSION.into() })
+        Outcome::Ack(Ack { token: self.lock().highest_fencing_token, version: VERSION.into() })
     }
 
     /// Another controller leads: its numbers of live jobs are kept for polls.
     fn on_announcement(&self, s: &Summary) -> Outcome {
         let mut shared = self.lock();
-        if s.token > shared.highest_token {
-            self.step_down(&mut shared, s.token, "another controller leads with a higher token");
+        if s.token > shared.highest_fencing_token {
+            self.step_down(&mut shared, s.token, "another controller leads with a higher fencing token");
         }
-        if s.token > 0 && s.token == shared.highest_token && shared.ownership.is_none() {
+        if s.token > 0 && s.token == shared.highest_fencing_token && shared.leadership.is_none() {
             shared.leader = Some(Owner { label: s.leader.clone(), incarnation: 0, token: s.token, lease: 0 });
             shared.announced_counts =
                 s.jobs.iter().map(|j| (j.id.clone(), Counts { done: j.done, running: j.running })).collect();
         }
-        Outcome::Ack(Ack { token: shared.highest_token, version: VERSION.into() })
+        Outcome::Ack(Ack { token: shared.highest_fencing_token, version: VERSION.into() })
     }
 
     /// Another controller has written or ended a job.
     fn on_job_news(&self, n: &JobNews) -> Outcome {
         let mut shared = self.lock();
-        if let Some(ownership) = shared.ownership.as_mut() {
+        if let Some(leadership) = shared.leadership.as_mut() {
             if n.record.is_empty() {
-                ownership.fleet.job_over(&n.id, n.revision);
+                leadership.fleet.job_over(&n.id, n.revision);
             } else if let Ok(r) = serde_json::from_slice::<JobRecord>(&n.record) {
-                ownership.fleet.job_put(r, n.revision, self.now());
+                leadership.fleet.job_put(r, n.revision, self.now());
             }
             self.wake.notify_all();
         }
-        Outcome::Ack(Ack { token: shared.highest_token, version: VERSION.into() })
+        Outcome::Ack(Ack { token: shared.highest_fencing_token, version: VERSION.into() })
     }
 }
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -18,11 +18,11 @@
     /// Advances the fleet to the present, plans, and sends the deferred answers that are due.
     pub fn plan_once(&self) {
         let mut shared = self.lock();
-        let writes = shared.ownership.as_mut().is_some_and(|ownership| {
-            ownership.fleet.tick(self.now(), wall());
-            ownership.fleet.starts_wait()
+        let writes = shared.leadership.as_mut().is_some_and(|leadership| {
+            leadership.fleet.tick(self.now(), wall());
+            leadership.fleet.starts_wait()
         });
-        if shared.ownership.as_ref().is_some_and(|o| o.fleet.attempts_exhausted()) {
+        if shared.leadership.as_ref().is_some_and(|o| o.fleet.attempts_exhausted()) {
             self.step_down(&mut shared, 0, "its attempt numbers are used up");
         }
         drop(shared);
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Controller, Ownership, SharedState, VERSION};
+use super::{Controller, Leadership, SharedState, VERSION};
 use crate::http::{Request, Response};
 use crate::time::{wall, Micros};
 use crate::wire::{Health, NodeStatus, PartStatus};
@@ -38,18 +38,19 @@
         let team = req.path.strip_prefix(STATUS).and_then(|r| r.strip_prefix('/'));
         let shared = self.lock();
         let label = &self.cfg.platform.label;
-        let ownership = shared.ownership.as_ref();
-        let part = |o: &Ownership| PartStatus { owner: label.clone(), part: ONLY_PART, token: o.claim.token };
+        let leadership = shared.leadership.as_ref();
+        let part =
+            |o: &Leadership| PartStatus { owner: label.clone(), part: ONLY_PART, token: o.claim.token };
         Response::json(
             200,
             &NodeStatus {
                 leader: shared.leader.as_ref().map(|l| l.label.clone()),
                 node: label.clone(),
-                view: ownership.map(|o| o.fleet.status(team, self.now(), wall())),
-                parts: ownership.map(|o| vec![part(o)]),
+                view: leadership.map(|o| o.fleet.status(team, self.now(), wall())),
+                parts: leadership.map(|o| vec![part(o)]),
                 versions: Some(self.versions(&shared)),
-                view_age_s: ownership.map(|o| o.view.age(self.now()).secs()),
-                cells: ownership.filter(|_| team.is_none()).and_then(|o| self.cells_status(&shared, o)),
+                view_age_s: leadership.map(|o| o.view.age(self.now()).secs()),
+                cells: leadership.filter(|_| team.is_none()).and_then(|o| self.cells_status(&shared, o)),
             },
         )
     }
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -78,8 +78,8 @@
     /// The leader's own counts, or on another controller those that the leader announced.
     fn counts(&self, id: &str) -> Counts {
         let shared = self.lock();
-        match &shared.ownership {
-            Some(ownership) => ownership.fleet.counts(id).unwrap_or_default(),
+        match &shared.leadership {
+            Some(leadership) => leadership.fleet.counts(id).unwrap_or_default(),
             None => shared.announced_counts.get(id).copied().unwrap_or_default(),
         }
     }
@@ -87,8 +87,8 @@
     fn job_written(&self, id: &str, record: JobRecord, revision: u64) {
         let to = {
             let mut shared = self.lock();
-            if let Some(ownership) = shared.ownership.as_mut() {
-                ownership.fleet.job_put(record, revision, self.now());
+            if let Some(leadership) = shared.leadership.as_mut() {
+                leadership.fleet.job_put(record, revision, self.now());
                 self.wake.notify_all();
                 return;
             }
@@ -122,8 +122,8 @@
     /// Records a confirmed cancellation and, on the leader, stops what is left of the job.
     pub(super) fn apply_cancellation(&self, id: &str, record: FinalRecord, revision: u64) {
         self.learn_final(id, record, revision);
-        if let Some(ownership) = self.lock().ownership.as_mut() {
-            ownership.fleet.job_over(id, revision);
+        if let Some(leadership) = self.lock().leadership.as_mut() {
+            leadership.fleet.job_over(id, revision);
             self.wake.notify_all();
         }
     }
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -1,6 +1,6 @@
 //! The watching duty: follows the changes of the jobs' records that other controllers make.
 
-use super::{Controller, Ownership};
+use super::{Controller, Leadership};
 use crate::fleet::Fleet;
 use crate::records::JobRecord;
 use crate::state::{StateError, Urgency};
@@ -32,8 +32,8 @@
     /// silent, or is answered late, proves nothing: it may have waited for a service that refuses
     /// this node.
     pub fn watch_once(&self) -> Micros {
-        let Some((token, from, view)) =
-            self.lock().ownership.as_ref().map(|o| (o.claim.token, o.fleet.read_to(), o.view))
+        let Some((fencing_token, from, view)) =
+            self.lock().leadership.as_ref().map(|o| (o.claim.token, o.fleet.read_to(), o.view))
         else {
             return WATCH_PAUSE;
         };
@@ -50,19 +50,19 @@
         match changes {
             Ok(changes) => {
                 let mut shared = self.lock();
-                let Some(ownership) = shared.owned_with(token) else { return Micros::ZERO };
-                self.apply_changes(ownership, changes, read.then_some(sent));
+                let Some(leadership) = shared.leadership_with(fencing_token) else { return Micros::ZERO };
+                self.apply_changes(leadership, changes, read.then_some(sent));
                 WATCH_PAUSE
             }
             Err(StateError::TooOld) => {
                 let mut shared = self.lock();
-                if shared.owned_with(token).is_some() {
-                    self.step_down(&mut shared, 0, "missed changes, reads all anew");
+                if shared.leadership_with(fencing_token).is_some() {
+                    self.step_down(&mut shared, 0, "watch revision compacted");
                 }
                 Micros::ZERO
             }
             Err(e) => {
-                tracing::debug!(error = %e, "no view of the jobs");
+                tracing::debug!(error = %e, "job watch failed");
                 WATCH_RETRY_DELAY
             }
         }
@@ -70,14 +70,14 @@
 
     /// Applies changes; `read_at` is when they were asked for if they are a complete read, none if a
     /// watch brought them.
-    fn apply_changes(&self, ownership: &mut Ownership, changes: Events, read_at: Option<Steady>) {
+    fn apply_changes(&self, leadership: &mut Leadership, changes: Events, read_at: Option<Steady>) {
         let latest = changes.events.iter().map(|e| e.stamp).max().unwrap_or(0);
         for event in changes.events {
-            apply_change(&mut ownership.fleet, event, self.now());
+            apply_change(&mut leadership.fleet, event, self.now());
         }
-        ownership.fleet.has_read_to(if read_at.is_some() { changes.revision } else { latest });
+        leadership.fleet.has_read_to(if read_at.is_some() { changes.revision } else { latest });
         if let Some(sent) = read_at {
-            ownership.view.has_read(sent);
+            leadership.view.has_read(sent);
         }
     }
 }
@@ -89,7 +89,7 @@
     } else if e.put.is_some() {
         match serde_json::from_value::<JobRecord>(e.value) {
             Ok(r) => fleet.job_put(r, e.stamp, now),
-            Err(e) => tracing::error!(error = %e, "a job's record cannot be read"),
+            Err(e) => tracing::error!(error = %e, "malformed job record"),
         }
     }
 }
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -44,14 +44,17 @@
     /// Writes all records that are pending now; false if writing should pause.
     pub fn write_once(&self) -> bool {
         let now = self.now();
-        let work = self.lock().ownership.as_mut().map(|ownership| {
-            let ops = ownership.fleet.txn_ops();
-            let chunk = chunk_tasks(ownership.fleet.value_bytes());
+        let work = self.lock().leadership.as_mut().map(|leadership| {
+            let ops = leadership.fleet.txn_ops();
+            let chunk = chunk_tasks(leadership.fleet.value_bytes());
             let interval =
-                done_write_interval(ownership.fleet.jobs.len(), self.cfg.platform.settings.state.write_rps);
-            let pending = ownership.fleet.pending(now, interval, chunk);
-            let part = ownership.claim.part;
-            (ownership.claim.clone(), cluster::batches(&mut ownership.fleet, part, pending, ops, now, wall()))
+                done_write_interval(leadership.fleet.jobs.len(), self.cfg.platform.settings.state.write_rps);
+            let pending = leadership.fleet.pending(now, interval, chunk);
+            let part = leadership.claim.part;
+            (
+                leadership.claim.clone(),
+                cluster::batches(&mut leadership.fleet, part, pending, ops, now, wall()),
+            )
         });
         let Some((claim, batches)) = work else { return true };
         batches.into_iter().all(|b| self.write_batch(&claim, b))
@@ -65,7 +68,7 @@
             Ok(Applied::Conflict(keys)) => {
                 if keys.iter().any(|k| k == PART) {
                     let mut shared = self.lock();
-                    if shared.owned_with(claim.token).is_some() {
+                    if shared.leadership_with(claim.token).is_some() {
                         self.step_down(&mut shared, 0, "another owner has taken the part");
                     }
                     return false;
@@ -73,21 +76,21 @@
                 self.read_back(claim, &keys)
             }
             Err(StateError::Unknown(e)) => {
-                tracing::info!(error = %e, "a write has no answer, reads back");
+                tracing::info!(error = %e, "write outcome unknown, reading back");
                 let keys: Vec<String> =
                     b.txn.guards.iter().map(|g| g.key.clone()).filter(|k| k != PART).collect();
                 self.read_back(claim, &keys)
             }
             Err(StateError::Rejected(e)) => {
-                tracing::error!(error = %e, "the state service rejects a write");
+                tracing::error!(error = %e, "write rejected by state store");
                 let mut shared = self.lock();
-                if let Some(o) = shared.ownership.as_mut().filter(|o| o.claim.token == claim.token) {
+                if let Some(o) = shared.leadership.as_mut().filter(|o| o.claim.token == claim.token) {
                     o.fleet.write_rejected();
                 }
                 false
             }
             Err(e) => {
-                tracing::debug!(error = %e, "a write has to wait");
+                tracing::debug!(error = %e, "write deferred");
                 false
             }
         }
@@ -98,21 +101,21 @@
         let mut finals: Vec<(JobId, u32)> = Vec::new();
         {
             let mut shared = self.lock();
-            let Some(ownership) = shared.owned_with(claim.token) else {
+            let Some(leadership) = shared.leadership_with(claim.token) else {
                 return false;
             };
             let now = self.now();
             for (item, said) in &b.items {
                 if let Pending::Final(id) = item {
-                    if let Some(j) = ownership.fleet.jobs.get(id) {
+                    if let Some(j) = leadership.fleet.jobs.get(id) {
                         finals.push((id.clone(), j.spec.tasks));
                     }
                 }
-                ownership.fleet.written(item, revision, said, now);
+                leadership.fleet.written(item, revision, said, now);
             }
         }
         for (id, tasks) in finals {
-            tracing::debug!(job = %id, "done");
+            tracing::debug!(job = %id, "job done recorded");
             self.learn_final(&id, FinalRecord { stage: Stage::Done, tasks }, revision);
         }
         true
@@ -123,10 +126,10 @@
         for key in keys {
             let Ok(row) = self.state.get(key, Urgency::User) else { return false };
             let mut shared = self.lock();
-            let Some(ownership) = shared.owned_with(claim.token) else {
+            let Some(leadership) = shared.leadership_with(claim.token) else {
                 return false;
             };
-            cluster::learn(&mut ownership.fleet, key, row, self.now());
+            cluster::learn(&mut leadership.fleet, key, row, self.now());
         }
         true
     }
