--- /dev/null
+++ b/src/controller/error.rs
@@ -0,0 +1,29 @@
+//! Why a controller could not start or stopped serving.
+
+use std::net::SocketAddr;
+
+/// Why [`super::Controller::run`], [`super::Controller::run_on`] or [`super::Controller::new`] failed.
+/// Each is fatal for the process: the program reports it and exits.
+#[derive(Debug, thiserror::Error)]
+pub enum ControllerError {
+    /// An address of the settings could not be bound.
+    #[error("cannot listen on {addr}: {source}")]
+    Listen {
+        /// The address of the settings.
+        addr: SocketAddr,
+        /// What the operating system said.
+        source: std::io::Error,
+    },
+    /// The connections to the other controllers and cells could not be set up.
+    #[error("cannot start the connections to the other controllers: {0}")]
+    Peers(#[source] std::io::Error),
+    /// The histograms of response latencies could not be made.
+    #[error("cannot make the latency histograms: {0}")]
+    Histogram(#[from] hdrhistogram::CreationError),
+    /// A thread for one of the controller's duties could not be started.
+    #[error("cannot start a duty's thread: {0}")]
+    Thread(#[source] std::io::Error),
+    /// The server for users, workers and the load balancer ended with an error.
+    #[error("serving ended: {0}")]
+    Serve(#[source] std::io::Error),
+}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -12,6 +12,7 @@
 mod cells_status;
 mod cloud;
 mod commands;
+mod error;
 mod heartbeats;
 mod latency;
 mod leadership;
@@ -25,7 +26,7 @@
 mod writer;
 
 use std::collections::{BTreeMap, VecDeque};
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::Receiver;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -33,6 +34,7 @@
 
 use rand::Rng;
 
+pub use self::error::ControllerError;
 use self::heartbeats::DeferredHeartbeatReply;
 use self::latency::{histogram, Latencies};
 use self::leadership::StateBudget;
@@ -159,9 +161,9 @@
 
 impl Controller {
     /// Listens on the addresses of the settings and runs until `stop` is set.
-    pub fn run(cfg: Config, stop: Arc<AtomicBool>) -> anyhow::Result<()> {
-        let listener = TcpListener::bind(cfg.platform.serve_on)?;
-        let internal = TcpListener::bind(cfg.platform.internal_addr)?;
+    pub fn run(cfg: Config, stop: Arc<AtomicBool>) -> Result<(), ControllerError> {
+        let listener = bind(cfg.platform.serve_on)?;
+        let internal = bind(cfg.platform.internal_addr)?;
         Controller::run_on(cfg, listener, internal, stop)
     }
 
@@ -171,7 +173,7 @@
         peers: PeerHub,
         clock: Clock,
         stop: Arc<AtomicBool>,
-    ) -> anyhow::Result<Arc<Controller>> {
+    ) -> Result<Arc<Controller>, ControllerError> {
         let budget = StateBudget::new(&cfg, false);
         let p = &cfg.platform;
         let keep = Micros::from_secs(p.settings.workers.cancel_s);
@@ -210,13 +212,14 @@
         listener: TcpListener,
         internal: TcpListener,
         stop: Arc<AtomicBool>,
-    ) -> anyhow::Result<()> {
+    ) -> Result<(), ControllerError> {
         let members = cfg.platform.members.iter().map(|m| m.addr).collect();
         let other_cells = cfg.operator.cells.as_ref().map(|cells| cells.addresses()).unwrap_or_default();
-        let (peers, inbound) = PeerHub::start(internal, members, &other_cells)?;
+        let (peers, inbound) =
+            PeerHub::start(internal, members, &other_cells).map_err(ControllerError::Peers)?;
         let controller = Controller::new(cfg, peers, Clock::Machine, stop)?;
         tracing::info!(label = %controller.cfg.platform.label, incarnation = controller.incarnation, "controller started");
-        let duties = controller.start_duties(inbound)?;
+        let duties = controller.start_duties(inbound).map_err(ControllerError::Thread)?;
         let room = controller.cfg.room();
         tracing::info!(
             connections = room.connections,
@@ -231,7 +234,7 @@
         for thread in duties {
             let _ = thread.join();
         }
-        Ok(served?)
+        served.map_err(ControllerError::Serve)
     }
 
     /// Starts a thread for each duty.
@@ -338,6 +341,11 @@
 
 pub use self::Controller as Node; // join alias: remove
 
+/// Binds a listener to an address of the settings.
+fn bind(addr: SocketAddr) -> Result<TcpListener, ControllerError> {
+    TcpListener::bind(addr).map_err(|source| ControllerError::Listen { addr, source })
+}
+
 /// Starts a duty's thread.
 fn spawn_duty(name: String, duty: impl FnOnce() + Send + 'static) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name(name).stack_size(DUTY_STACK).spawn(duty)
