--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Announces this owner to the others; on any other controller probes them if none was heard of
+    /// Announces this leader to the others; on any other controller probes them if none was heard of
     /// late.
     pub fn announce_once(&self) {
         let summary = {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The owner's announcement.
+    /// The leader's announcement.
     fn summary(&self, leadership: &Leadership) -> Summary {
         let count = |id: &JobId| {
             let c = leadership.fleet.counts(id).filter(|c| *c != Counts::default())?;
--- a/src/controller/catalog.rs
+++ b/src/controller/catalog.rs
@@ -1,4 +1,4 @@
-//! Learns the machine types at the start, from the state service or the cloud.
+//! Learns the machine types at the start, from the state store or the cloud.
 
 use serde_json::json;
 
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud duties of the owner: one reads the list of machines and the prices, the other rents and
-//! returns machines.
+//! The leader's cloud duties: one reads the cloud's machine list and prices, the other scales the fleet
+//! out (rental requests) and in (returning machines).
 
 use super::Controller;
 use crate::capacity::Offer;
@@ -82,7 +82,7 @@
         Micros::from_secs(requests / (rps * MAX_LIST_SHARE))
     }
 
-    /// Rents and returns machines until the controller ends.
+    /// Scales out and in until the controller ends.
     pub(super) fn scale_out_and_in(&self) {
         let lag = Micros::from_secs(self.cfg.platform.settings.cloud.list_lag_s);
         let mut counter = 0u64;
@@ -99,14 +99,14 @@
                 owner_since = self.now();
             }
             self.scale_in(fencing_token);
-            // What the last owner rented shows in the list only after a while.
+            // What the last leader rented shows in the list only after a while.
             if first || self.now() - owner_since > lag.scale(1.2) {
                 self.scale_out(fencing_token, &mut counter);
             }
         }
     }
 
-    /// Returns the machines that the owner no longer needs.
+    /// Scales in: returns the machines that the leader no longer needs.
     fn scale_in(&self, fencing_token: u64) {
         let ids = match self.lock().leadership_with(fencing_token) {
             Some(leadership) => leadership.fleet.leaving(),
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Rents what the owner lacks; `counter` numbers the requests.
+    /// Scales out by what the leader lacks; `counter` numbers the rental requests, whose names must
+    /// never repeat.
     fn scale_out(&self, fencing_token: u64, counter: &mut u64) {
         let Some(wanted) = self.scale_out_requests(fencing_token) else { return };
         let mut refused = Vec::new();
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Requests for the machines that the owner lacks, still without names; none if this node is no
-    /// longer the owner.
+    /// Requests for the machines that the leader lacks, still without names; none if this controller is no
+    /// longer the leader.
     fn scale_out_requests(&self, fencing_token: u64) -> Option<Vec<(Offer, RentRequest)>> {
         let mut shared = self.lock();
         let leadership = shared.leadership_with(fencing_token)?;
@@ -186,7 +187,8 @@
         Some(requests)
     }
 
-    /// Sends a request, again if its outcome is not known: the same request rents nothing twice.
+    /// Sends a rental request, again if its outcome is not known: the cloud rents nothing twice for
+    /// one request name.
     fn send_scale_out_request(&self, request: &RentRequest) -> Result<Vec<String>, CloudError> {
         let mut outcome = self.cloud.rent(request);
         for _ in 0..SCALE_OUT_RETRIES {
@@ -199,7 +201,7 @@
     }
 }
 
-/// What came of a request for machines.
+/// What came of one scale-out (rental) request.
 enum ScaleOutOutcome {
     /// All that was asked for.
     Filled,
@@ -209,7 +211,7 @@
     Failed,
 }
 
-/// Records the cloud's answer to a rental request in the fleet.
+/// Records the cloud's answer to a scale-out request in the fleet.
 fn record_scale_out(
     fleet: &mut Fleet,
     offer: Offer,
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -1,5 +1,5 @@
-//! The commanding duties: direct commands to workers. One brings a new owner's fencing token to machines that do
-//! not report to it, the other halts. Halts have threads of their own: thousands of machines behind a
+//! The commanding duties: direct commands to workers. One brings a new leader's fencing token to machines that
+//! send it no heartbeat, the other halts. Halts have threads of their own: thousands of machines behind a
 //! cut, each of which is waited for, must not hold them up.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -14,7 +14,7 @@
 
 /// How often halts that cannot wait for a report are sent.
 const HALT_INTERVAL: Micros = Micros::from_millis(100);
-/// How often machines that do not report are asked to take this owner's fencing token.
+/// How often machines that do not report are asked to take this leader's fencing token.
 const RAISE_INTERVAL: Micros = Micros::from_millis(500);
 /// How long a worker has to answer a command.
 const COMMAND_TIMEOUT: Micros = Micros::from_millis(1500);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Brings this owner's fencing token to machines until the controller ends.
+    /// Brings this leader's fencing token to machines until the controller ends.
     pub(super) fn raise_fencing_tokens(&self) {
         while !self.stopping() {
             self.sleep(RAISE_INTERVAL);
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,5 +1,6 @@
-//! Workers' reports. The owner answers them, at once or when there is a task to start; any other
-//! controller redirects the worker to the leader or relays its report.
+//! Workers' heartbeats (`POST /checkin`, a status report). The leader answers them, at once or when
+//! there is a task to start; any other controller redirects the worker to the leader or relays its
+//! heartbeat.
 
 use std::sync::MutexGuard;
 use std::time::Duration;
@@ -11,31 +12,31 @@
 use crate::time::{wall, Micros, Steady};
 use crate::wire::{Redirect, Report, ReportReply};
 
-/// How long the answer to an idle worker's report is held back at the most; the worker gives up
+/// How long the answer to an idle worker's heartbeat is held back at the most; the worker gives up
 /// after four seconds.
 const MAX_REPLY_DELAY: Micros = Micros::from_millis(2900);
-/// How long a report waits for the outcome of this node's own claim.
+/// How long a heartbeat waits for the outcome of this controller's own claim.
 const CLAIM_TIMEOUT: Micros = Micros::from_millis(1500);
 /// How often it is looked whether that claim has ended.
 const CLAIM_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long it is remembered that a worker was sent to the owner.
+/// How long it is remembered that a worker was sent to the leader.
 const REDIRECT_RETENTION: Micros = Micros::from_millis(30_000);
-/// A worker that is back within this time cannot reach the owner.
+/// A worker that is back within this time cannot reach the leader.
 const REDIRECT_RETRY_WINDOW: Micros = Micros::from_millis(12_000);
-/// How long the owner has to answer a report that is carried to it.
+/// How long the leader has to answer a heartbeat that is carried to it.
 const RELAY_HEARTBEAT_TIMEOUT: Micros = Micros::from_millis(2500);
 
-/// A report whose answer is held back until there is a task to start on its machine.
+/// A heartbeat whose answer is held back until there is a task to start on its machine.
 pub(super) struct DeferredHeartbeatReply {
     report: Report,
-    /// The owner's fencing token when the report came.
+    /// The leader's fencing token when the heartbeat came.
     fencing_token: u64,
     /// When it is answered at the latest.
     deadline: Steady,
     reply: Reply,
 }
 
-/// What becomes of a report.
+/// What becomes of a heartbeat.
 enum HeartbeatOutcome {
     /// It is answered now, through the reply where there is one.
     Answer(Response, Option<Reply>),
@@ -44,8 +45,8 @@
 }
 
 impl Controller {
-    /// Handles a report. With a `reply` it is answered through that, now or later; without one, as for
-    /// a report that another controller relayed, the answer is returned.
+    /// Handles a heartbeat. With a `reply` it is answered through that, now or later; without one, as for
+    /// a heartbeat that another controller relayed, the answer is returned.
     pub(super) fn handle_heartbeat(&self, req: &Request, reply: Option<Reply>) -> Option<Response> {
         match self.take_heartbeat(req, reply) {
             HeartbeatOutcome::Answer(answer, Some(reply)) => {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Decides on the answer to a report.
+    /// Decides on the answer to a heartbeat.
     fn take_heartbeat(&self, req: &Request, reply: Option<Reply>) -> HeartbeatOutcome {
         let report: Report = match serde_json::from_slice(&req.body) {
             Ok(r) => r,
@@ -89,7 +90,7 @@
         shared
     }
 
-    /// Answers a report as the owner, or defers the answer.
+    /// Answers a heartbeat as the leader, or defers the answer.
     fn answer_as_owner(
         &self,
         shared: &mut SharedState,
@@ -133,7 +134,7 @@
         HeartbeatOutcome::Answer(answer, reply)
     }
 
-    /// Redirects a worker to the leader; if it is back soon after, relays its report to the leader.
+    /// Redirects a worker to the leader; if it is back soon after, relays its heartbeat to the leader.
     fn redirect_or_relay(
         &self,
         mut shared: MutexGuard<'_, SharedState>,
@@ -151,7 +152,7 @@
             return Response::json(421, &Redirect { leader: leader.label });
         }
         drop(shared);
-        // It was sent to the owner and is back: it cannot get through, so its report is carried.
+        // It was sent to the leader and is back: it cannot get through, so its heartbeat is carried.
         let to = self.cfg.platform.members.iter().position(|m| m.label == leader.label);
         match to.and_then(|to| self.relay(to, req, RELAY_HEARTBEAT_TIMEOUT)) {
             Some(r) => r,
@@ -194,7 +195,7 @@
                 }
             }
         }
-        // Of an earlier time as owner, or while the state service is out of sight.
+        // Of an earlier time as leader, or while the state store is out of sight.
         let lost = due
             .iter()
             .filter(|id| deferred_replies.get(*id).is_some_and(|w| Some(w.fencing_token) != fencing_token));
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -1,4 +1,4 @@
-//! Leadership: keeping the leader's lease, following the leader, taking over and stepping down.
+//! Leadership: keeping the leader's lease, following the leader, failing over and stepping down.
 
 use rand::Rng;
 
@@ -17,9 +17,9 @@
 const FOLLOW_RETRY_DELAY: Micros = Micros::from_millis(300);
 /// How long one watch of the leader's record lasts.
 const LEADER_WATCH_TIMEOUT: Micros = Micros::from_millis(3_000);
-/// After this without word from another controller an owner that hears no worker resigns.
+/// After this without word from another controller a leader that hears no worker resigns.
 const PEERS_UNHEARD_AFTER: Micros = Micros::from_millis(3_000);
-/// How long an owner that resigned makes no claim.
+/// How long a leader that resigned makes no claim.
 const RESIGNED_FOR: Micros = Micros::from_millis(8_000);
 /// A controller that has run no longer than this claims sooner than the others.
 const RECENTLY_STARTED: Micros = Micros::from_millis(120_000);
@@ -34,7 +34,7 @@
 const NEWER_RECORDS_PAUSE: Micros = Micros::from_millis(10_000);
 
 impl Controller {
-    /// Keeps the leader's lease, or waits for its end and takes over.
+    /// Keeps the leader's lease, or waits for its end and fails over.
     pub(super) fn keep_leadership(&self) {
         self.learn_types();
         let ttl = Micros::from_secs(self.cfg.operator.leader_ttl_s);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Renews the leader's lease, or waits a while for its end and takes over; returns how long to
+    /// Renews the leader's lease, or waits a while for its end and fails over; returns how long to
     /// pause.
     pub fn keep_once(&self, ttl: Micros) -> Micros {
         let lease = self.lock().leadership.as_ref().map(|o| (o.claim.lease, o.claim.token));
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Renews the leader's lease; steps down if it has ended, or if this owner is isolated.
+    /// Renews the leader's lease; steps down if it has ended, or if this leader is isolated.
     fn renew_lease(&self, lease: u64, fencing_token: u64) {
         let begun = self.now();
         let r = self.state.renew(lease);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether this owner is cut off from workers and controllers alike. While the state service
+    /// Whether this leader is cut off from workers and controllers alike. While the state store
     /// answers, others can serve the workers before their leases run out, this one cannot.
     fn is_isolated(&self, shared: &SharedState) -> bool {
         let quiet = Micros::from_secs(self.cfg.platform.settings.workers.report_s * 2.5);
@@ -104,7 +104,7 @@
     }
 
     /// Reads the leader's record. While another leads, waits for the end of its lease; then, or if
-    /// nobody leads, takes over.
+    /// nobody leads, fails over.
     fn follow_leader(&self, ttl: Micros) -> Result<(), StateError> {
         let (rows, revision) = self.state.list(LEADER)?;
         let row = rows.into_iter().find(|r| r.key == LEADER);
@@ -182,7 +182,7 @@
         self.rebuild(claim, begun)
     }
 
-    /// Rebuilds the fleet from the records after a claim, and owns it unless another has taken over
+    /// Rebuilds the fleet from the records after a claim, and leads with it unless another controller has
     /// meanwhile.
     fn rebuild(&self, claim: Claim, begun: Steady) -> Result<(), StateError> {
         let types = self.machine_types().unwrap_or_default();
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Starts to act as the owner of a fleet.
+    /// Starts to act as the leader of a fleet.
     fn begin_leadership(&self, shared: &mut SharedState, claim: Claim, mut fleet: Fleet, begun: Steady) {
         if let Some(t) = &shared.machine_types {
             fleet.set_types(t.clone());
@@ -237,7 +237,7 @@
         self.wake.notify_all();
     }
 
-    /// Gives up the leadership, if this node has it; `fencing_token` is the higher fencing token that was seen, or 0.
+    /// Gives up the leadership, if this controller has it; `fencing_token` is the higher fencing token that was seen, or 0.
     pub(super) fn step_down(&self, shared: &mut SharedState, fencing_token: u64, why: &str) {
         shared.highest_fencing_token = shared.highest_fencing_token.max(fencing_token);
         if let Some(leadership) = shared.leadership.take() {
@@ -255,7 +255,7 @@
     }
 }
 
-/// This node's share of the state service's requests and changes.
+/// This controller's share of the state store's requests and changes.
 pub(super) struct StateBudget {
     pub(super) requests_per_s: f64,
     pub(super) writes_per_s: f64,
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -31,7 +31,7 @@
 pub(super) struct OtherCellState {
     /// Which of its controllers is asked.
     controller: usize,
-    /// The highest term of its owner that was seen.
+    /// The highest term of its leader that was seen.
     term: u64,
     /// Its latest summary.
     summary: Option<CellSummary>,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -64,7 +64,7 @@
     fleet: Fleet,
     /// The claim by which it owns them.
     claim: Claim,
-    /// Age of its knowledge of the state service, which limits how long it may act.
+    /// Age of its knowledge of the state store, which limits how long it may act.
     view: View,
     /// When a worker's report was last accepted.
     last_heartbeat: Steady,
@@ -135,7 +135,7 @@
 pub struct Controller {
     /// Settings.
     pub cfg: Arc<Config>,
-    /// The state service.
+    /// The state store.
     pub state: StateClient,
     /// The live jobs, for polls.
     pub live: LiveJobs,
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -84,7 +84,7 @@
     }
 
     /// Another controller has confirmed cancellations: what is left of the jobs is stopped, whether
-    /// this owner can see their records or not.
+    /// this leader can see their records or not.
     fn on_cancellations(&self, list: &peer::Cancellations) -> Outcome {
         for c in &list.jobs {
             if !is_job_id(&c.id) {
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -1,4 +1,4 @@
-//! The planning duty: advances the owner's clock and keeps its plan up to date.
+//! The planning duty: advances the leader's clock and keeps its plan up to date.
 
 use super::Controller;
 use crate::time::{wall, Micros};
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -11,13 +11,13 @@
 pub const STATUS: &str = "/status";
 /// After this without any message or answer the other controllers count as unreachable.
 const PEER_TIMEOUT: Micros = Micros::from_millis(4500);
-/// After this without an answer the state service counts as unreachable.
+/// After this without an answer the state store counts as unreachable.
 const STATE_TIMEOUT: Micros = Micros::from_millis(1500);
 /// Number of the one part that there is.
 const ONLY_PART: u32 = 0;
 
 impl Controller {
-    /// Whether users are well served here. Cut off from the state service and all others it can
+    /// Whether users are well served here. Cut off from the state store and all others it can
     /// answer nothing but 503, while the others may serve; an outage for all is not told by being
     /// unhealthy, since it would take the longer to come back.
     pub(super) fn health(&self) -> Response {
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -21,7 +21,7 @@
 const RELAY_TIMEOUT: Micros = Micros::from_millis(900);
 /// Pause after a request that no other controller could answer either.
 const RELAY_PAUSE: Micros = Micros::from_millis(2_000);
-/// How long the owner has to take word of a new job.
+/// How long the leader has to take word of a new job.
 const JOB_NEWS_TIMEOUT: Micros = Micros::from_millis(1000);
 
 impl JobsBackend for Controller {
@@ -47,7 +47,7 @@
                 return Some(r);
             }
         }
-        // Most likely the state service is out for all: no need to ask each time.
+        // Most likely the state store is out for all: no need to ask each time.
         self.lock().no_relay_until = self.now() + RELAY_PAUSE;
         None
     }
@@ -97,7 +97,7 @@
         };
         let Some(to) = to else { return };
         let record = serde_json::to_vec(&record).unwrap_or_default();
-        // Not waited for: the owner's watch sees it in any case, a little later.
+        // Not waited for: the leader's watch sees it in any case, a little later.
         let _ = self.peers.begin(
             to,
             Message::Notify(JobNews { id: id.to_string(), record, revision }),
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -30,7 +30,7 @@
     /// Fetches changes of jobs; returns how long to pause. Only complete reads, which are answered at
     /// once, renew the view; between them a watch brings changes as they come. A watch that stays
     /// silent, or is answered late, proves nothing: it may have waited for a service that refuses
-    /// this node.
+    /// this controller.
     pub fn watch_once(&self) -> Micros {
         let Some((fencing_token, from, view)) =
             self.lock().leadership.as_ref().map(|o| (o.claim.token, o.fleet.read_to(), o.view))
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -1,4 +1,4 @@
-//! The writing duty: writes the owner's records in batches, and reads back what a failed write left.
+//! The writing duty: writes the leader's records in batches, and reads back what a failed write left.
 
 use super::Controller;
 use crate::api::JobsBackend;
@@ -16,7 +16,7 @@
 const MAX_DONE_WRITE_INTERVAL: Micros = Micros::from_millis(12_000);
 /// They are written no more often than this: a short job is over before it matters.
 const MIN_DONE_WRITE_INTERVAL: Micros = Micros::from_millis(2_000);
-/// The part of the state service's changes that done ranges of jobs that go on may take.
+/// The part of the state store's changes that done ranges of jobs that go on may take.
 const DONE_WRITE_SHARE: f64 = 0.2;
 /// How long the writer waits to be woken.
 const WRITE_INTERVAL: Micros = Micros::from_millis(150);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Records in the fleet what a batch has written; false if this node no longer owns it.
+    /// Records in the fleet what a batch has written; false if this controller no longer owns it.
     fn batch_written(&self, claim: &Claim, b: &Batch, revision: u64) -> bool {
         let mut finals: Vec<(JobId, u32)> = Vec::new();
         {
