--- a/src/node/latency.rs
+++ b/src/controller/latency.rs
@@ -2,7 +2,7 @@
 
 use hdrhistogram::Histogram;
 
-use super::Node;
+use super::Controller;
 use crate::time::{Micros, Steady};
 use crate::wire::REPORT_PATH;
 
@@ -18,7 +18,7 @@
     pub(super) logged_at: Steady,
 }
 
-impl Node {
+impl Controller {
     /// Records how long a request took; logs the histograms and resets them when they are due.
     pub(super) fn record_latency(&self, path: &str, since: Steady) {
         let took = (self.now() - since).0.clamp(1, MAX_LATENCY_US as i64) as u64;
@@ -37,7 +37,7 @@
                     p50_us = histogram.value_at_quantile(0.5),
                     p99_us = histogram.value_at_quantile(0.99),
                     max_us = histogram.max(),
-                    "answer times of the last minute"
+                    "response latency, last minute"
                 );
             }
         }
--- a/src/node/mod.rs
+++ b/src/controller/mod.rs
@@ -1,5 +1,10 @@
-//! A controller. Each long-lived duty runs on a thread of its own, in a module of its own. All
-//! threads share one lock, which is never held during I/O.
+//! The controller: accepts jobs, elects one leader among the controllers, scales the cloud's
+//! machines out and in, and tells workers what to run.
+//!
+//! Each long-lived duty runs on a standard thread of its own, in a module of its own. All threads
+//! share one lock ([`Controller::lock`]), which is never held during I/O: a duty copies what it needs,
+//! lets go, does its I/O with a deadline, and takes the lock again to record the outcome, checking
+//! that it still leads with the same fencing token.
 
 mod announce;
 mod borrowing;
@@ -7,20 +12,21 @@
 mod cells_status;
 mod cloud;
 mod commands;
+mod error;
+mod heartbeats;
 mod latency;
+mod leadership;
 mod lending;
 mod loan_writes;
-mod ownership;
 mod peers;
 mod planning;
-mod reports;
 mod status;
 mod users;
 mod watch;
 mod writer;
 
 use std::collections::{BTreeMap, VecDeque};
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::Receiver;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -28,11 +34,12 @@
 
 use rand::Rng;
 
+pub use self::error::ControllerError;
+use self::heartbeats::DeferredHeartbeatReply;
 use self::latency::{histogram, Latencies};
+use self::leadership::StateBudget;
 pub use self::lending::LendingChoice;
 use self::lending::OtherCellState;
-use self::ownership::StateBudget;
-use self::reports::DeferredReply;
 pub use self::status::STATUS;
 pub use self::writer::done_write_interval;
 use crate::api;
@@ -51,29 +58,29 @@
 use crate::view::View;
 use crate::wire::{MachineType, HEALTH_PATH, REPORT_PATH, WRITE_OFF_PATH};
 
-/// The state of a controller that owns the machines.
-struct Ownership {
+/// The state of the controller that leads and so owns the machines.
+struct Leadership {
     /// Machines, jobs and the plan.
     fleet: Fleet,
     /// The claim by which it owns them.
     claim: Claim,
-    /// Age of its knowledge of the state service, which limits how long it may act.
+    /// Age of its knowledge of the state store, which limits how long it may act.
     view: View,
     /// When a worker's report was last accepted.
-    last_report: Steady,
+    last_heartbeat: Steady,
 }
 
 /// The state that all threads of a controller share.
 #[derive(Default)]
 struct SharedState {
     /// None while another controller leads, or nobody.
-    ownership: Option<Ownership>,
+    leadership: Option<Leadership>,
     /// A claim has succeeded and its records are being read: reports wait for that a moment.
     claiming: bool,
     /// The leader, where known.
     leader: Option<Owner>,
-    /// The highest token seen.
-    highest_token: u64,
+    /// The highest fencing token seen.
+    highest_fencing_token: u64,
     /// Versions of the other controllers, by label, as last told.
     peer_versions: BTreeMap<String, String>,
     /// The other cells, by name.
@@ -89,7 +96,7 @@
     /// Numbers of live jobs as the leader announced them.
     announced_counts: BTreeMap<String, Counts>,
     /// Reports of idle workers that are still to be answered.
-    deferred_replies: BTreeMap<MachineId, DeferredReply>,
+    deferred_replies: BTreeMap<MachineId, DeferredHeartbeatReply>,
     /// When each worker was last sent to the leader.
     redirected: BTreeMap<String, Steady>,
     /// Until then users' requests are not relayed to other controllers.
@@ -101,9 +108,9 @@
 }
 
 impl SharedState {
-    /// The ownership, if it is still the one that was claimed with this token.
-    fn owned_with(&mut self, token: u64) -> Option<&mut Ownership> {
-        self.ownership.as_mut().filter(|o| o.claim.token == token)
+    /// The leadership, if it is still the one that was claimed with this fencing token.
+    fn leadership_with(&mut self, fencing_token: u64) -> Option<&mut Leadership> {
+        self.leadership.as_mut().filter(|o| o.claim.token == fencing_token)
     }
 }
 
@@ -122,13 +129,13 @@
 const UNTOLD_VERSION: &str = "before 0.2";
 
 /// The main function of a duty's thread.
-type Duty = fn(&Node);
+type Duty = fn(&Controller);
 
-/// A controller.
-pub struct Node {
+/// A controller process: its settings, clients and the state that its duties share.
+pub struct Controller {
     /// Settings.
     pub cfg: Arc<Config>,
-    /// The state service.
+    /// The state store.
     pub state: StateClient,
     /// The live jobs, for polls.
     pub live: LiveJobs,
@@ -136,7 +143,7 @@
     /// Connections to the other controllers.
     peers: PeerHub,
     shared: Mutex<SharedState>,
-    /// Notified when there is something to write, and when the ownership changes.
+    /// Notified when there is something to write, and when the leadership changes.
     wake: Condvar,
     /// Cancellations that other controllers have not acknowledged yet.
     notices: Mutex<Notices>,
@@ -152,12 +159,12 @@
     started: Steady,
 }
 
-impl Node {
+impl Controller {
     /// Listens on the addresses of the settings and runs until `stop` is set.
-    pub fn run(cfg: Config, stop: Arc<AtomicBool>) -> anyhow::Result<()> {
-        let listener = TcpListener::bind(cfg.platform.serve_on)?;
-        let internal = TcpListener::bind(cfg.platform.internal_addr)?;
-        Node::run_on(cfg, listener, internal, stop)
+    pub fn run(cfg: Config, stop: Arc<AtomicBool>) -> Result<(), ControllerError> {
+        let listener = bind(cfg.platform.serve_on)?;
+        let internal = bind(cfg.platform.internal_addr)?;
+        Controller::run_on(cfg, listener, internal, stop)
     }
 
     /// A controller whose duties are not started: the `*_once` methods each do one round of a duty.
@@ -166,12 +173,12 @@
         peers: PeerHub,
         clock: Clock,
         stop: Arc<AtomicBool>,
-    ) -> anyhow::Result<Arc<Node>> {
+    ) -> Result<Arc<Controller>, ControllerError> {
         let budget = StateBudget::new(&cfg, false);
         let p = &cfg.platform;
         let keep = Micros::from_secs(p.settings.workers.cancel_s);
         let now = clock.now();
-        Ok(Arc::new(Node {
+        Ok(Arc::new(Controller {
             state: StateClient::new(
                 p.services.state,
                 budget.requests_per_s,
@@ -205,69 +212,73 @@
         listener: TcpListener,
         internal: TcpListener,
         stop: Arc<AtomicBool>,
-    ) -> anyhow::Result<()> {
+    ) -> Result<(), ControllerError> {
         let members = cfg.platform.members.iter().map(|m| m.addr).collect();
         let other_cells = cfg.operator.cells.as_ref().map(|cells| cells.addresses()).unwrap_or_default();
-        let (peers, inbound) = PeerHub::start(internal, members, &other_cells)?;
-        let node = Node::new(cfg, peers, Clock::Machine, stop)?;
-        tracing::info!(label = %node.cfg.platform.label, incarnation = node.incarnation, "started");
-        let duties = node.start_duties(inbound)?;
-        let room = node.cfg.room();
+        let (peers, inbound) =
+            PeerHub::start(internal, members, &other_cells).map_err(ControllerError::Peers)?;
+        let controller = Controller::new(cfg, peers, Clock::Machine, stop)?;
+        tracing::info!(label = %controller.cfg.platform.label, incarnation = controller.incarnation, "controller started");
+        let duties = controller.start_duties(inbound).map_err(ControllerError::Thread)?;
+        let room = controller.cfg.room();
         tracing::info!(
             connections = room.connections,
             workers = room.bulk_connections,
             threads = room.prompt_threads + room.bulk_threads,
-            "room for callers"
+            "connection limits"
         );
-        let served = http::serve(listener, room, node.stop.clone(), node.service());
+        let served = http::serve(listener, room, controller.stop.clone(), controller.service());
         // Without callers there is nothing to serve: all else ends as well.
-        node.stop.store(true, Ordering::Relaxed);
-        node.wake.notify_all();
+        controller.stop.store(true, Ordering::Relaxed);
+        controller.wake.notify_all();
         for thread in duties {
             let _ = thread.join();
         }
-        Ok(served?)
+        served.map_err(ControllerError::Serve)
     }
 
     /// Starts a thread for each duty.
-    fn start_duties(self: &Arc<Node>, inbound: Receiver<Inbound>) -> std::io::Result<Vec<JoinHandle<()>>> {
+    fn start_duties(
+        self: &Arc<Controller>,
+        inbound: Receiver<Inbound>,
+    ) -> std::io::Result<Vec<JoinHandle<()>>> {
         let duties: [(&str, Duty); 9] = [
-            ("keeper", Node::keep),
-            ("watcher", Node::watch),
-            ("writer", Node::write),
-            ("cloud", Node::rent_and_return),
-            ("list", Node::refresh_cloud),
-            ("announcer", Node::announce),
-            ("halts", Node::send_halts),
-            ("tokens", Node::raise_tokens),
-            ("planner", Node::plan),
+            ("keeper", Controller::keep_leadership),
+            ("watcher", Controller::watch),
+            ("writer", Controller::write),
+            ("cloud", Controller::scale_out_and_in),
+            ("list", Controller::refresh_cloud),
+            ("announcer", Controller::announce),
+            ("halts", Controller::send_halts),
+            ("tokens", Controller::raise_fencing_tokens),
+            ("planner", Controller::plan),
         ];
         let mut threads = Vec::new();
         for (name, duty) in duties {
-            let node = self.clone();
-            threads.push(spawn_duty(name.into(), move || duty(&node))?);
+            let controller = self.clone();
+            threads.push(spawn_duty(name.into(), move || duty(&controller))?);
         }
         if self.cfg.operator.cells.is_some() {
-            let node = self.clone();
-            threads.push(spawn_duty("lending".into(), move || node.lend())?);
+            let controller = self.clone();
+            threads.push(spawn_duty("lending".into(), move || controller.lend())?);
         }
         let inbound = Arc::new(Mutex::new(inbound));
         for i in 0..PEER_THREADS {
-            let (node, inbound) = (self.clone(), inbound.clone());
-            threads.push(spawn_duty(format!("peer-{i}"), move || node.answer_peers(&inbound))?);
+            let (controller, inbound) = (self.clone(), inbound.clone());
+            threads.push(spawn_duty(format!("peer-{i}"), move || controller.answer_peers(&inbound))?);
         }
         Ok(threads)
     }
 
     /// What the HTTP server calls for each request.
-    fn service(self: &Arc<Node>) -> http::Service {
-        let node = self.clone();
+    fn service(self: &Arc<Controller>) -> http::Service {
+        let controller = self.clone();
         let handler = move |req: Request, reply: Reply| {
-            let since = node.now();
+            let since = controller.now();
             let path = req.path.clone();
-            node.serve(&req, reply);
+            controller.serve(&req, reply);
             if path != HEALTH_PATH {
-                node.record_latency(&path, since);
+                controller.record_latency(&path, since);
             }
         };
         let lane = |req: &Request| match req.path.as_str() {
@@ -278,7 +289,7 @@
         http::Service { lane, handler: Arc::new(handler) }
     }
 
-    /// The present moment, as this node reads it.
+    /// The present moment, as this controller's clock reads it.
     pub fn now(&self) -> Steady {
         self.clock.now()
     }
@@ -304,7 +315,7 @@
     /// Answers a request that came over a connection, now or a little later.
     pub fn serve(&self, req: &Request, reply: Reply) {
         if req.path == REPORT_PATH && req.method == "POST" {
-            self.check_in(req, Some(reply));
+            self.handle_heartbeat(req, Some(reply));
         } else {
             reply.send(&self.answer(req, false));
         }
@@ -315,7 +326,7 @@
         match req.path.as_str() {
             REPORT_PATH if req.method == "POST" => {
                 let refused = || Response::error(503, "not now");
-                self.check_in(req, None).unwrap_or_else(refused)
+                self.handle_heartbeat(req, None).unwrap_or_else(refused)
             }
             HEALTH_PATH if req.method == "GET" => self.health(),
             REPORT_PATH | HEALTH_PATH => Response::error(405, "wrong method"),
@@ -328,6 +339,13 @@
     }
 }
 
+pub use self::Controller as Node; // join alias: remove
+
+/// Binds a listener to an address of the settings.
+fn bind(addr: SocketAddr) -> Result<TcpListener, ControllerError> {
+    TcpListener::bind(addr).map_err(|source| ControllerError::Listen { addr, source })
+}
+
 /// Starts a duty's thread.
 fn spawn_duty(name: String, duty: impl FnOnce() + Send + 'static) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name(name).stack_size(DUTY_STACK).spawn(duty)
--- a/src/node/status.rs
+++ b/src/controller/status.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Node, Ownership, SharedState, VERSION};
+use super::{Controller, Leadership, SharedState, VERSION};
 use crate::http::{Request, Response};
 use crate::time::{wall, Micros};
 use crate::wire::{Health, NodeStatus, PartStatus};
@@ -11,13 +11,13 @@
 pub const STATUS: &str = "/status";
 /// After this without any message or answer the other controllers count as unreachable.
 const PEER_TIMEOUT: Micros = Micros::from_millis(4500);
-/// After this without an answer the state service counts as unreachable.
+/// After this without an answer the state store counts as unreachable.
 const STATE_TIMEOUT: Micros = Micros::from_millis(1500);
 /// Number of the one part that there is.
 const ONLY_PART: u32 = 0;
 
-impl Node {
-    /// Whether users are well served here. Cut off from the state service and all others it can
+impl Controller {
+    /// Whether users are well served here. Cut off from the state store and all others it can
     /// answer nothing but 503, while the others may serve; an outage for all is not told by being
     /// unhealthy, since it would take the longer to come back.
     pub(super) fn health(&self) -> Response {
@@ -38,18 +38,19 @@
         let team = req.path.strip_prefix(STATUS).and_then(|r| r.strip_prefix('/'));
         let shared = self.lock();
         let label = &self.cfg.platform.label;
-        let ownership = shared.ownership.as_ref();
-        let part = |o: &Ownership| PartStatus { owner: label.clone(), part: ONLY_PART, token: o.claim.token };
+        let leadership = shared.leadership.as_ref();
+        let part =
+            |o: &Leadership| PartStatus { owner: label.clone(), part: ONLY_PART, token: o.claim.token };
         Response::json(
             200,
             &NodeStatus {
                 leader: shared.leader.as_ref().map(|l| l.label.clone()),
                 node: label.clone(),
-                view: ownership.map(|o| o.fleet.status(team, self.now(), wall())),
-                parts: ownership.map(|o| vec![part(o)]),
+                view: leadership.map(|o| o.fleet.status(team, self.now(), wall())),
+                parts: leadership.map(|o| vec![part(o)]),
                 versions: Some(self.versions(&shared)),
-                view_age_s: ownership.map(|o| o.view.age(self.now()).secs()),
-                cells: ownership.filter(|_| team.is_none()).and_then(|o| self.cells_status(&shared, o)),
+                view_age_s: leadership.map(|o| o.view.age(self.now()).secs()),
+                cells: leadership.filter(|_| team.is_none()).and_then(|o| self.cells_status(&shared, o)),
             },
         )
     }
--- a/src/node/writer.rs
+++ b/src/controller/writer.rs
@@ -1,6 +1,7 @@
-//! The writing duty: writes the owner's records in batches, and reads back what a failed write left.
+//! The writing duty: writes the leader's records in batches, and reads back what a failed write left.
 
-use super::Node;
+use super::Controller;
+use crate::api::JobsBackend;
 use crate::cluster::{self, Batch, Claim, PART};
 use crate::fleet::Pending;
 use crate::jobs::JobId;
@@ -15,7 +16,7 @@
 const MAX_DONE_WRITE_INTERVAL: Micros = Micros::from_millis(12_000);
 /// They are written no more often than this: a short job is over before it matters.
 const MIN_DONE_WRITE_INTERVAL: Micros = Micros::from_millis(2_000);
-/// The part of the state service's changes that done ranges of jobs that go on may take.
+/// The part of the state store's changes that done ranges of jobs that go on may take.
 const DONE_WRITE_SHARE: f64 = 0.2;
 /// How long the writer waits to be woken.
 const WRITE_INTERVAL: Micros = Micros::from_millis(150);
@@ -29,7 +30,7 @@
     interval.clamp(MIN_DONE_WRITE_INTERVAL, MAX_DONE_WRITE_INTERVAL)
 }
 
-impl Node {
+impl Controller {
     /// Writes pending records until the controller ends.
     pub(super) fn write(&self) {
         while !self.stopping() {
@@ -43,14 +44,17 @@
     /// Writes all records that are pending now; false if writing should pause.
     pub fn write_once(&self) -> bool {
         let now = self.now();
-        let work = self.lock().ownership.as_mut().map(|ownership| {
-            let ops = ownership.fleet.txn_ops();
-            let chunk = chunk_tasks(ownership.fleet.value_bytes());
+        let work = self.lock().leadership.as_mut().map(|leadership| {
+            let ops = leadership.fleet.txn_ops();
+            let chunk = chunk_tasks(leadership.fleet.value_bytes());
             let interval =
-                done_write_interval(ownership.fleet.jobs.len(), self.cfg.platform.settings.state.write_rps);
-            let pending = ownership.fleet.pending(now, interval, chunk);
-            let part = ownership.claim.part;
-            (ownership.claim.clone(), cluster::batches(&mut ownership.fleet, part, pending, ops, now, wall()))
+                done_write_interval(leadership.fleet.jobs.len(), self.cfg.platform.settings.state.write_rps);
+            let pending = leadership.fleet.pending(now, interval, chunk);
+            let part = leadership.claim.part;
+            (
+                leadership.claim.clone(),
+                cluster::batches(&mut leadership.fleet, part, pending, ops, now, wall()),
+            )
         });
         let Some((claim, batches)) = work else { return true };
         batches.into_iter().all(|b| self.write_batch(&claim, b))
@@ -64,7 +68,7 @@
             Ok(Applied::Conflict(keys)) => {
                 if keys.iter().any(|k| k == PART) {
                     let mut shared = self.lock();
-                    if shared.owned_with(claim.token).is_some() {
+                    if shared.leadership_with(claim.token).is_some() {
                         self.step_down(&mut shared, 0, "another owner has taken the part");
                     }
                     return false;
@@ -72,46 +76,46 @@
                 self.read_back(claim, &keys)
             }
             Err(StateError::Unknown(e)) => {
-                tracing::info!(error = %e, "a write has no answer, reads back");
+                tracing::info!(error = %e, "write outcome unknown, reading back");
                 let keys: Vec<String> =
                     b.txn.guards.iter().map(|g| g.key.clone()).filter(|k| k != PART).collect();
                 self.read_back(claim, &keys)
             }
             Err(StateError::Rejected(e)) => {
-                tracing::error!(error = %e, "the state service rejects a write");
+                tracing::error!(error = %e, "write rejected by state store");
                 let mut shared = self.lock();
-                if let Some(o) = shared.ownership.as_mut().filter(|o| o.claim.token == claim.token) {
+                if let Some(o) = shared.leadership.as_mut().filter(|o| o.claim.token == claim.token) {
                     o.fleet.write_rejected();
                 }
                 false
             }
             Err(e) => {
-                tracing::debug!(error = %e, "a write has to wait");
+                tracing::debug!(error = %e, "write deferred");
                 false
             }
         }
     }
 
-    /// Records in the fleet what a batch has written; false if this node no longer owns it.
+    /// Records in the fleet what a batch has written; false if this controller no longer owns it.
     fn batch_written(&self, claim: &Claim, b: &Batch, revision: u64) -> bool {
         let mut finals: Vec<(JobId, u32)> = Vec::new();
         {
             let mut shared = self.lock();
-            let Some(ownership) = shared.owned_with(claim.token) else {
+            let Some(leadership) = shared.leadership_with(claim.token) else {
                 return false;
             };
             let now = self.now();
             for (item, said) in &b.items {
                 if let Pending::Final(id) = item {
-                    if let Some(j) = ownership.fleet.jobs.get(id) {
+                    if let Some(j) = leadership.fleet.jobs.get(id) {
                         finals.push((id.clone(), j.spec.tasks));
                     }
                 }
-                ownership.fleet.written(item, revision, said, now);
+                leadership.fleet.written(item, revision, said, now);
             }
         }
         for (id, tasks) in finals {
-            tracing::debug!(job = %id, "done");
+            tracing::debug!(job = %id, "job done recorded");
             self.learn_final(&id, FinalRecord { stage: Stage::Done, tasks }, revision);
         }
         true
@@ -122,10 +126,10 @@
         for key in keys {
             let Ok(row) = self.state.get(key, Urgency::User) else { return false };
             let mut shared = self.lock();
-            let Some(ownership) = shared.owned_with(claim.token) else {
+            let Some(leadership) = shared.leadership_with(claim.token) else {
                 return false;
             };
-            cluster::learn(&mut ownership.fleet, key, row, self.now());
+            cluster::learn(&mut leadership.fleet, key, row, self.now());
         }
         true
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod leadership;
 pub use leadership as cluster; // join alias: remove
 pub mod config;
+pub mod controller;
 pub mod direct_command;
 pub mod fleet;
 pub mod history;
@@ -19,7 +20,7 @@
 pub mod keys;
 pub mod live;
 pub mod loan_messages;
-pub mod node;
+pub use controller as node; // join alias: remove
 pub mod notices;
 pub mod packs;
 pub mod peer;
