--- a/src/api.rs
+++ b/src/api.rs
@@ -13,12 +13,12 @@
 use serde_json::json;
 
 use crate::config::Config;
-use crate::fleet::{never_runs, Counts};
+use crate::fleet::{never_runs, JobProgress};
 use crate::http::{Request, Response};
 use crate::keys::{borrowed_key, final_key, job_key};
 use crate::live::LiveJobs;
 use crate::records::{FinalRecord, JobRecord};
-use crate::state::{Applied, StateClient, StateError, Urgency};
+use crate::state::{RequestPriority, StateClient, StateError, TxnOutcome};
 use crate::time::wall;
 use crate::wire::{is_job_id, Change, Guard, JobSpec, JobStage, JobStatus, MachineType, Stage, Txn};
 
@@ -40,7 +40,7 @@
     /// Records a final stage read from the state store; final stages never change.
     fn learn_final(&self, id: &str, record: FinalRecord, revision: u64);
     /// Task counts of a live job, for display.
-    fn counts(&self, id: &str) -> Counts;
+    fn counts(&self, id: &str) -> JobProgress;
     /// The machine types, once known; until then no submission can be decided.
     fn machine_types(&self) -> Option<Vec<MachineType>>;
     /// Tells the leader of a job record that this controller has written.
@@ -67,7 +67,7 @@
     }
     // The live record first: a job goes from one to the other in one transaction, so one of the
     // two reads finds it.
-    if let Some(row) = backend.state().get(&job_key(id), Urgency::User)? {
+    if let Some(row) = backend.state().get(&job_key(id), RequestPriority::User)? {
         let record = serde_json::from_value(row.value).map_err(|e| StateError::Malformed(e.to_string()))?;
         return Ok(JobLookup::Live(Box::new(record), row.stamp));
     }
@@ -76,7 +76,7 @@
 }
 
 fn read_final(backend: &dyn JobsBackend, id: &str) -> Result<Option<(FinalRecord, u64)>, StateError> {
-    let Some(row) = backend.state().get(&final_key(id), Urgency::User)? else { return Ok(None) };
+    let Some(row) = backend.state().get(&final_key(id), RequestPriority::User)? else { return Ok(None) };
     let record: FinalRecord =
         serde_json::from_value(row.value).map_err(|e| StateError::Malformed(e.to_string()))?;
     // Written once, in the transaction that removed the live record.
@@ -208,17 +208,17 @@
         guards.push(guard(borrowed_key(&id)));
     }
     let txn = Txn { guards, then: vec![Change::put(job_key(&id), value)] };
-    let mut result = backend.state().txn(&txn, Urgency::User);
+    let mut result = backend.state().txn(&txn, RequestPriority::User);
     if matches!(result, Err(StateError::Unknown(_))) {
         // The guards make a repeat harmless, and tell whether the first try was carried out.
-        result = backend.state().txn(&txn, Urgency::User);
+        result = backend.state().txn(&txn, RequestPriority::User);
     }
     match result? {
-        Applied::Yes(revision) => {
+        TxnOutcome::Committed(revision) => {
             backend.job_written(&id, record, revision);
             Ok(Response::json(201, &JobStage { id, stage: Stage::Queued }))
         }
-        Applied::Conflict(_) => {
+        TxnOutcome::Conflict(_) => {
             let lookup = look_up(backend, &id)?;
             Ok(match status(backend, &id, &lookup) {
                 Some(status) => Response::json(200, &status),
@@ -242,12 +242,12 @@
         guards: vec![Guard { key: job_key(&id), stamp }, Guard { key: final_key(&id), stamp: 0 }],
         then: vec![Change::put(job_key(&id), json!(record))],
     };
-    match backend.state().txn(&txn, Urgency::User) {
-        Ok(Applied::Yes(revision)) => {
+    match backend.state().txn(&txn, RequestPriority::User) {
+        Ok(TxnOutcome::Committed(revision)) => {
             backend.job_written(&id, record, revision);
             Ok(true)
         }
-        Ok(Applied::Conflict(_)) | Err(StateError::Unknown(_)) => Ok(false),
+        Ok(TxnOutcome::Conflict(_)) | Err(StateError::Unknown(_)) => Ok(false),
         Err(e) => Err(e),
     }
 }
@@ -295,13 +295,13 @@
         guards: vec![Guard { key: job_key(id), stamp }, Guard { key: final_key(id), stamp: 0 }],
         then: vec![Change::drop(job_key(id)), Change::put(final_key(id), json!(over))],
     };
-    match backend.state().txn(&txn, Urgency::User) {
-        Ok(Applied::Yes(revision)) => {
+    match backend.state().txn(&txn, RequestPriority::User) {
+        Ok(TxnOutcome::Committed(revision)) => {
             backend.cancellation_confirmed(id, over, revision);
             Ok(Some(stage_answer(id, Stage::Cancelled)))
         }
         // The leader wrote in between, or it is not known what happened: look again.
-        Ok(Applied::Conflict(_)) | Err(StateError::Unknown(_)) => Ok(None),
+        Ok(TxnOutcome::Conflict(_)) | Err(StateError::Unknown(_)) => Ok(None),
         Err(e) => Err(e),
     }
 }
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -104,12 +104,6 @@
     pub returns: Vec<usize>,
 }
 
-pub use self::CapacityView as View; // join alias: remove
-pub use self::MachineStatus as Upkeep; // join alias: remove
-pub use self::ScaleOut as Rent; // join alias: remove
-pub use self::ScalingDecision as Decision; // join alias: remove
-pub use self::ScalingPolicy as Policy; // join alias: remove
-
 impl CapacityView<'_> {
     /// Whether a machine can be counted on: it is up, or it boots no longer than the policy allows.
     fn coming(&self, room: usize) -> bool {
--- a/src/capacity/scale_in.rs
+++ b/src/capacity/scale_in.rs
@@ -1,7 +1,7 @@
 //! Scale in: which idle machines go back, beside those that the warm pools keep.
 
 use super::CapacityView;
-use crate::sched::Machine;
+use crate::sched::MachineSnapshot;
 use crate::time::Micros;
 
 /// The least time the cloud charges for a machine: returning one younger than this saves nothing.
@@ -17,7 +17,7 @@
 
     /// How many machines like this one stay though idle. A spot machine that those for whom some stay
     /// may not use is kept for nobody.
-    fn warm_count(&self, room: &Machine) -> usize {
+    fn warm_count(&self, room: &MachineSnapshot) -> usize {
         let pool = self.warm.get(room.ty).copied().unwrap_or_default();
         if room.spot && !pool.spot {
             0
@@ -27,7 +27,7 @@
     }
 
     /// How long a machine has to be idle to be returned.
-    fn idle_limit(&self, room: &Machine) -> Micros {
+    fn idle_limit(&self, room: &MachineSnapshot) -> Micros {
         match self.due.get(room.ty) {
             Some(true) => self.policy.idle_due,
             _ if self.warm_count(room) > 0 => self.policy.idle_kept,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -10,8 +10,8 @@
 use clap::{Parser, Subcommand};
 
 use crate::config::Config;
+use crate::controller::{Controller, STATUS};
 use crate::http::{CallError, Client};
-use crate::node::{Node, STATUS};
 use crate::peer::{self, Call};
 use crate::report::RecoveryLog;
 use crate::time::Micros;
@@ -153,7 +153,7 @@
     if let Some(warning) = cfg.size_warning() {
         tracing::warn!("{warning}");
     }
-    match Node::run(cfg, Arc::new(AtomicBool::new(false))) {
+    match Controller::run(cfg, Arc::new(AtomicBool::new(false))) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => fail(1, e),
     }
--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -2,7 +2,7 @@
 //! confirmed to users.
 
 use super::{Controller, Leadership, UNTOLD_VERSION, VERSION};
-use crate::fleet::Counts;
+use crate::fleet::JobProgress;
 use crate::jobs::JobId;
 use crate::notices::Cancellation;
 use crate::peer::{self, JobCounts, Message, Outcome, Summary};
@@ -84,7 +84,7 @@
     /// The leader's announcement.
     fn summary(&self, leadership: &Leadership) -> Summary {
         let count = |id: &JobId| {
-            let c = leadership.fleet.counts(id).filter(|c| *c != Counts::default())?;
+            let c = leadership.fleet.counts(id).filter(|c| *c != JobProgress::default())?;
             Some(JobCounts { id: id.to_string(), done: c.done, running: c.running })
         };
         Summary {
--- a/src/controller/catalog.rs
+++ b/src/controller/catalog.rs
@@ -3,8 +3,8 @@
 use serde_json::json;
 
 use super::Controller;
-use crate::cluster;
-use crate::state::Urgency;
+use crate::leadership;
+use crate::state::RequestPriority;
 use crate::time::Micros;
 use crate::wire::{Change, Guard, MachineType, Txn};
 
@@ -21,7 +21,7 @@
 
     /// Asks for the machine types; false if nobody can say.
     pub fn learn_types_once(&self) -> bool {
-        let found = match cluster::catalog(&self.state) {
+        let found = match leadership::read_catalog(&self.state) {
             Ok(Some(t)) => Some(t),
             _ => self.cloud.catalog().ok().inspect(|t| self.write_types(t)),
         };
@@ -36,10 +36,11 @@
     fn write_types(&self, types: &[MachineType]) {
         let value = json!(types);
         if value.to_string().len() <= self.cfg.value_bytes() {
-            let guards = vec![Guard { key: cluster::CATALOG.into(), stamp: 0 }];
-            let _ = self
-                .state
-                .txn(&Txn { guards, then: vec![Change::put(cluster::CATALOG, value)] }, Urgency::Rest);
+            let guards = vec![Guard { key: leadership::CATALOG_KEY.into(), stamp: 0 }];
+            let _ = self.state.txn(
+                &Txn { guards, then: vec![Change::put(leadership::CATALOG_KEY, value)] },
+                RequestPriority::Background,
+            );
         }
     }
 }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::{Controller, SharedState};
-use crate::fleet::CheckIn;
+use crate::fleet::HeartbeatOutcome;
 use crate::http::{Reply, Request, Response};
 use crate::jobs::MachineId;
 use crate::time::{wall, Micros, Steady};
@@ -37,7 +37,7 @@
 }
 
 /// What becomes of a heartbeat.
-enum HeartbeatOutcome {
+enum HeartbeatHandling {
     /// It is answered now, through the reply where there is one.
     Answer(Response, Option<Reply>),
     /// Its answer is deferred.
@@ -49,22 +49,22 @@
     /// a heartbeat that another controller relayed, the answer is returned.
     pub(super) fn handle_heartbeat(&self, req: &Request, reply: Option<Reply>) -> Option<Response> {
         match self.take_heartbeat(req, reply) {
-            HeartbeatOutcome::Answer(answer, Some(reply)) => {
+            HeartbeatHandling::Answer(answer, Some(reply)) => {
                 reply.send(&answer);
                 None
             }
-            HeartbeatOutcome::Answer(answer, None) => Some(answer),
-            HeartbeatOutcome::Deferred => None,
+            HeartbeatHandling::Answer(answer, None) => Some(answer),
+            HeartbeatHandling::Deferred => None,
         }
     }
 
     /// Decides on the answer to a heartbeat.
-    fn take_heartbeat(&self, req: &Request, reply: Option<Reply>) -> HeartbeatOutcome {
+    fn take_heartbeat(&self, req: &Request, reply: Option<Reply>) -> HeartbeatHandling {
         let report: Report = match serde_json::from_slice(&req.body) {
             Ok(r) => r,
             Err(e) => {
                 tracing::error!(error = %e, "malformed heartbeat");
-                return HeartbeatOutcome::Answer(Response::error(400, &e.to_string()), reply);
+                return HeartbeatHandling::Answer(Response::error(400, &e.to_string()), reply);
             }
         };
         let mut shared = self.await_claim();
@@ -72,9 +72,9 @@
             return self.answer_as_owner(&mut shared, report, reply);
         }
         if reply.is_none() {
-            return HeartbeatOutcome::Answer(Response::error(503, "not the owner"), None);
+            return HeartbeatHandling::Answer(Response::error(503, "not the owner"), None);
         }
-        HeartbeatOutcome::Answer(self.redirect_or_relay(shared, &report.machine, req), reply)
+        HeartbeatHandling::Answer(self.redirect_or_relay(shared, &report.machine, req), reply)
     }
 
     /// Takes the lock, and while a claim is being made waits a moment for its outcome.
@@ -96,21 +96,21 @@
         shared: &mut SharedState,
         report: Report,
         reply: Option<Reply>,
-    ) -> HeartbeatOutcome {
+    ) -> HeartbeatHandling {
         let now = self.now();
         let Some(leadership) = shared.leadership.as_mut() else {
-            return HeartbeatOutcome::Answer(Response::error(503, "not the owner"), reply);
+            return HeartbeatHandling::Answer(Response::error(503, "not the owner"), reply);
         };
         if !leadership.view.may_act(now) {
             // Cancellations cannot be seen any more: leases must be let run out.
             leadership.fleet.not_answered(&report.machine, now);
             let refused = Response::error(503, "out of touch with the state service");
-            return HeartbeatOutcome::Answer(refused, reply);
+            return HeartbeatHandling::Answer(refused, reply);
         }
         leadership.last_heartbeat = now;
         let fencing_token = leadership.claim.token;
         let answer = match leadership.fleet.check_in(&report, now, wall()) {
-            CheckIn::Reply(r) => {
+            HeartbeatOutcome::Reply(r) => {
                 // Other workers report when something changes, and must not be kept from it.
                 let id: MachineId = report.machine.as_str().into();
                 if r.orders.is_empty() && leadership.fleet.may_wait(&id, now) {
@@ -120,18 +120,18 @@
                         leadership.fleet.reply_deferred(&id, deadline);
                         // A second report takes the place of the first: its worker gave up.
                         shared.deferred_replies.insert(id, deferred);
-                        return HeartbeatOutcome::Deferred;
+                        return HeartbeatHandling::Deferred;
                     }
                 }
                 Response::json(200, &r)
             }
-            CheckIn::Refuse => Response::error(503, "not now"),
-            CheckIn::Superseded(fencing_token) => {
+            HeartbeatOutcome::Refuse => Response::error(503, "not now"),
+            HeartbeatOutcome::Superseded(fencing_token) => {
                 self.step_down(shared, fencing_token, "a worker has seen a higher fencing token");
                 Response::error(503, "not the owner")
             }
         };
-        HeartbeatOutcome::Answer(answer, reply)
+        HeartbeatHandling::Answer(answer, reply)
     }
 
     /// Redirects a worker to the leader; if it is back soon after, relays its heartbeat to the leader.
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -4,9 +4,9 @@
 
 use super::{Controller, Leadership, SharedState};
 use crate::api::JobsBackend;
-use crate::cluster::{self, Claim, Owner, LEADER};
 use crate::config::Config;
 use crate::fleet::Fleet;
+use crate::leadership::{self, LeaderClaim, LeaderRecord, LEADER_KEY};
 use crate::state::StateError;
 use crate::time::{Micros, Steady};
 use crate::view::View;
@@ -106,9 +106,10 @@
     /// Reads the leader's record. While another leads, waits for the end of its lease; then, or if
     /// nobody leads, fails over.
     fn follow_leader(&self, ttl: Micros) -> Result<(), StateError> {
-        let (rows, revision) = self.state.list(LEADER)?;
-        let row = rows.into_iter().find(|r| r.key == LEADER);
-        let owner: Option<Owner> = row.as_ref().and_then(|r| serde_json::from_value(r.value.clone()).ok());
+        let (rows, revision) = self.state.list(LEADER_KEY)?;
+        let row = rows.into_iter().find(|r| r.key == LEADER_KEY);
+        let owner: Option<LeaderRecord> =
+            row.as_ref().and_then(|r| serde_json::from_value(r.value.clone()).ok());
         let stamp = row.as_ref().map_or(0, |r| r.stamp);
         match owner.filter(|o| o.label != self.cfg.platform.label) {
             Some(leader) => {
@@ -130,14 +131,14 @@
     }
 
     /// Waits a while for the end of another leader's lease; whether it ended.
-    fn await_lease_expiry(&self, leader: &Owner, revision: u64) -> Result<bool, StateError> {
+    fn await_lease_expiry(&self, leader: &LeaderRecord, revision: u64) -> Result<bool, StateError> {
         {
             let mut shared = self.lock();
             shared.highest_fencing_token = shared.highest_fencing_token.max(leader.token);
             shared.leader = Some(leader.clone());
         }
-        let changes = self.state.watch(LEADER, revision, LEADER_WATCH_TIMEOUT)?;
-        if !changes.events.iter().any(|e| e.drop.as_deref() == Some(LEADER)) {
+        let changes = self.state.watch(LEADER_KEY, revision, LEADER_WATCH_TIMEOUT)?;
+        if !changes.events.iter().any(|e| e.drop.as_deref() == Some(LEADER_KEY)) {
             return Ok(false);
         }
         self.lock().leader = None;
@@ -163,7 +164,7 @@
         }
         let begun = self.now();
         let label = &self.cfg.platform.label;
-        let claim = match cluster::claim(&self.state, label, self.incarnation, ttl, seen) {
+        let claim = match leadership::try_become_leader(&self.state, label, self.incarnation, ttl, seen) {
             Ok(Some(claim)) => claim,
             Ok(None) => return Ok(()),
             Err(e @ StateError::NewerRecords { .. }) => {
@@ -184,9 +185,9 @@
 
     /// Rebuilds the fleet from the records after a claim, and leads with it unless another controller has
     /// meanwhile.
-    fn rebuild(&self, claim: Claim, begun: Steady) -> Result<(), StateError> {
+    fn rebuild(&self, claim: LeaderClaim, begun: Steady) -> Result<(), StateError> {
         let types = self.machine_types().unwrap_or_default();
-        let r = cluster::rebuild(&self.state, self.cfg.clone(), types, claim.token, self.now());
+        let r = leadership::rebuild(&self.state, self.cfg.clone(), types, claim.token, self.now());
         let mut shared = self.lock();
         shared.claiming = false;
         match r {
@@ -205,7 +206,13 @@
     }
 
     /// Starts to act as the leader of a fleet.
-    fn begin_leadership(&self, shared: &mut SharedState, claim: Claim, mut fleet: Fleet, begun: Steady) {
+    fn begin_leadership(
+        &self,
+        shared: &mut SharedState,
+        claim: LeaderClaim,
+        mut fleet: Fleet,
+        begun: Steady,
+    ) {
         if let Some(t) = &shared.machine_types {
             fleet.set_types(t.clone());
         }
@@ -225,7 +232,7 @@
                 fleet.job_over(&id, *revision);
             }
         }
-        shared.leader = Some(Owner {
+        shared.leader = Some(LeaderRecord {
             label: self.cfg.platform.label.clone(),
             incarnation: self.incarnation,
             token: claim.token,
--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -1,10 +1,10 @@
 //! Writing the records of loans, for the lending and the borrowing side alike.
 
 use super::Controller;
-use crate::cluster::{self, PART};
 use crate::fleet::LoanWrite;
 use crate::keys::{final_key, job_key};
-use crate::state::{Applied, StateError, Urgency};
+use crate::leadership::{self, SHARD_KEY};
+use crate::state::{RequestPriority, StateError, TxnOutcome};
 use crate::time::wall;
 
 /// What became of a write of loans.
@@ -36,10 +36,10 @@
             Some(leadership) => leadership.claim.part,
             None => return LoanOutcome::Unknown,
         };
-        let txn = cluster::loan_txn(&write, part);
-        match self.state.txn(&txn, Urgency::Owner) {
-            Ok(Applied::Yes(revision)) => self.loan_written(fencing_token, &write, revision),
-            Ok(Applied::Conflict(keys)) => self.loan_conflict(fencing_token, write, &keys),
+        let txn = leadership::loan_txn(&write, part);
+        match self.state.txn(&txn, RequestPriority::Leader) {
+            Ok(TxnOutcome::Committed(revision)) => self.loan_written(fencing_token, &write, revision),
+            Ok(TxnOutcome::Conflict(keys)) => self.loan_conflict(fencing_token, write, &keys),
             // Refused without having been executed.
             Err(StateError::Refused(_) | StateError::Budget | StateError::Rejected(_)) => {
                 if let Some(leadership) = self.lock().leadership_with(fencing_token) {
@@ -72,14 +72,14 @@
     /// Some record has changed: by another's write, or by an earlier copy of this one. Either way no copy
     /// of it can be applied any more, and the records tell how things stand.
     fn loan_conflict(&self, fencing_token: u64, write: LoanWrite, keys: &[String]) -> LoanOutcome {
-        if keys.iter().any(|key| key == PART) {
+        if keys.iter().any(|key| key == SHARD_KEY) {
             let mut shared = self.lock();
             if shared.leadership_with(fencing_token).is_some() {
                 self.step_down(&mut shared, 0, "another owner has taken the part");
             }
             return LoanOutcome::Unknown;
         }
-        let rows = match cluster::read_loan_records(&self.state, &write) {
+        let rows = match leadership::read_loan_records(&self.state, &write) {
             Ok(rows) => rows,
             Err(e) => {
                 tracing::debug!(job = write.job(), error = %e, "loan record read-back failed");
@@ -90,7 +90,7 @@
         let Some(leadership) = shared.leadership_with(fencing_token) else { return LoanOutcome::Unknown };
         let fleet = &mut leadership.fleet;
         for (key, row) in rows {
-            cluster::learn(fleet, &key, row, self.now());
+            leadership::learn(fleet, &key, row, self.now());
         }
         let job = write.job();
         let is_guest = matches!(write, LoanWrite::Guest { .. });
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -44,11 +44,11 @@
 pub use self::writer::done_write_interval;
 use crate::api;
 use crate::cloud::CloudClient;
-use crate::cluster::{Claim, Owner};
 use crate::config::Config;
-use crate::fleet::{Counts, Fleet};
+use crate::fleet::{Fleet, JobProgress};
 use crate::http::{self, Lane, Reply, Request, Response};
 use crate::jobs::MachineId;
+use crate::leadership::{LeaderClaim, LeaderRecord};
 use crate::live::LiveJobs;
 use crate::notices::Notices;
 use crate::peer::{Inbound, PeerHub};
@@ -63,7 +63,7 @@
     /// Machines, jobs and the plan.
     fleet: Fleet,
     /// The claim by which it owns them.
-    claim: Claim,
+    claim: LeaderClaim,
     /// Age of its knowledge of the state store, which limits how long it may act.
     view: View,
     /// When a worker's report was last accepted.
@@ -78,7 +78,7 @@
     /// A claim has succeeded and its records are being read: reports wait for that a moment.
     claiming: bool,
     /// The leader, where known.
-    leader: Option<Owner>,
+    leader: Option<LeaderRecord>,
     /// The highest fencing token seen.
     highest_fencing_token: u64,
     /// Versions of the other controllers, by label, as last told.
@@ -94,7 +94,7 @@
     /// The keys of `finals`, oldest first.
     finals_order: VecDeque<String>,
     /// Numbers of live jobs as the leader announced them.
-    announced_counts: BTreeMap<String, Counts>,
+    announced_counts: BTreeMap<String, JobProgress>,
     /// Reports of idle workers that are still to be answered.
     deferred_replies: BTreeMap<MachineId, DeferredHeartbeatReply>,
     /// When each worker was last sent to the leader.
@@ -339,8 +339,6 @@
     }
 }
 
-pub use self::Controller as Node; // join alias: remove
-
 /// Binds a listener to an address of the settings.
 fn bind(addr: SocketAddr) -> Result<TcpListener, ControllerError> {
     TcpListener::bind(addr).map_err(|source| ControllerError::Listen { addr, source })
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use super::{Controller, VERSION};
-use crate::cluster::Owner;
-use crate::fleet::Counts;
+use crate::fleet::JobProgress;
 use crate::http::{self, Request, Response};
+use crate::leadership::LeaderRecord;
 use crate::peer::{self, Ack, Answer, Call, Inbound, JobNews, Message, Outcome, Summary};
 use crate::records::{FinalRecord, JobRecord};
 use crate::time::Micros;
@@ -107,9 +107,13 @@
             self.step_down(&mut shared, s.token, "another controller leads with a higher fencing token");
         }
         if s.token > 0 && s.token == shared.highest_fencing_token && shared.leadership.is_none() {
-            shared.leader = Some(Owner { label: s.leader.clone(), incarnation: 0, token: s.token, lease: 0 });
-            shared.announced_counts =
-                s.jobs.iter().map(|j| (j.id.clone(), Counts { done: j.done, running: j.running })).collect();
+            shared.leader =
+                Some(LeaderRecord { label: s.leader.clone(), incarnation: 0, token: s.token, lease: 0 });
+            shared.announced_counts = s
+                .jobs
+                .iter()
+                .map(|j| (j.id.clone(), JobProgress { done: j.done, running: j.running }))
+                .collect();
         }
         Outcome::Ack(Ack { token: shared.highest_fencing_token, version: VERSION.into() })
     }
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -5,7 +5,7 @@
 use super::Controller;
 use crate::api::JobsBackend;
 use crate::config::Config;
-use crate::fleet::Counts;
+use crate::fleet::JobProgress;
 use crate::http::{Request, Response};
 use crate::live::LiveJobs;
 use crate::notices::Cancellation;
@@ -76,7 +76,7 @@
     }
 
     /// The leader's own counts, or on another controller those that the leader announced.
-    fn counts(&self, id: &str) -> Counts {
+    fn counts(&self, id: &str) -> JobProgress {
         let shared = self.lock();
         match &shared.leadership {
             Some(leadership) => leadership.fleet.counts(id).unwrap_or_default(),
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -3,7 +3,7 @@
 use super::{Controller, Leadership};
 use crate::fleet::Fleet;
 use crate::records::JobRecord;
-use crate::state::{StateError, Urgency};
+use crate::state::{RequestPriority, StateError};
 use crate::time::{Micros, Steady};
 use crate::wire::{Event, Events};
 
@@ -43,7 +43,7 @@
         let left = block - view.read_age(sent);
         let read = left.0 <= 0;
         let changes = if read {
-            self.state.changes(JOBS_PREFIX, from, Urgency::Ownership)
+            self.state.changes(JOBS_PREFIX, from, RequestPriority::Leadership)
         } else {
             self.state.watch(JOBS_PREFIX, from, left)
         };
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -2,12 +2,12 @@
 
 use super::Controller;
 use crate::api::JobsBackend;
-use crate::cluster::{self, Batch, Claim, PART};
-use crate::fleet::Pending;
+use crate::fleet::PendingWrite;
 use crate::jobs::JobId;
+use crate::leadership::{self, Batch, LeaderClaim, SHARD_KEY};
 use crate::ranges::chunk_tasks;
 use crate::records::FinalRecord;
-use crate::state::{Applied, StateError, Urgency};
+use crate::state::{RequestPriority, StateError, TxnOutcome};
 use crate::time::{wall, Micros};
 use crate::wire::Stage;
 
@@ -53,7 +53,7 @@
             let part = leadership.claim.part;
             (
                 leadership.claim.clone(),
-                cluster::batches(&mut leadership.fleet, part, pending, ops, now, wall()),
+                leadership::batches(&mut leadership.fleet, part, pending, ops, now, wall()),
             )
         });
         let Some((claim, batches)) = work else { return true };
@@ -61,12 +61,12 @@
     }
 
     /// Writes a batch; false if writing should pause.
-    fn write_batch(&self, claim: &Claim, b: Batch) -> bool {
-        let urgency = if b.urgent { Urgency::Owner } else { Urgency::Rest };
+    fn write_batch(&self, claim: &LeaderClaim, b: Batch) -> bool {
+        let urgency = if b.urgent { RequestPriority::Leader } else { RequestPriority::Background };
         match self.state.txn(&b.txn, urgency) {
-            Ok(Applied::Yes(revision)) => self.batch_written(claim, &b, revision),
-            Ok(Applied::Conflict(keys)) => {
-                if keys.iter().any(|k| k == PART) {
+            Ok(TxnOutcome::Committed(revision)) => self.batch_written(claim, &b, revision),
+            Ok(TxnOutcome::Conflict(keys)) => {
+                if keys.iter().any(|k| k == SHARD_KEY) {
                     let mut shared = self.lock();
                     if shared.leadership_with(claim.token).is_some() {
                         self.step_down(&mut shared, 0, "another owner has taken the part");
@@ -78,7 +78,7 @@
             Err(StateError::Unknown(e)) => {
                 tracing::info!(error = %e, "write outcome unknown, reading back");
                 let keys: Vec<String> =
-                    b.txn.guards.iter().map(|g| g.key.clone()).filter(|k| k != PART).collect();
+                    b.txn.guards.iter().map(|g| g.key.clone()).filter(|k| k != SHARD_KEY).collect();
                 self.read_back(claim, &keys)
             }
             Err(StateError::Rejected(e)) => {
@@ -97,7 +97,7 @@
     }
 
     /// Records in the fleet what a batch has written; false if this controller no longer owns it.
-    fn batch_written(&self, claim: &Claim, b: &Batch, revision: u64) -> bool {
+    fn batch_written(&self, claim: &LeaderClaim, b: &Batch, revision: u64) -> bool {
         let mut finals: Vec<(JobId, u32)> = Vec::new();
         {
             let mut shared = self.lock();
@@ -106,7 +106,7 @@
             };
             let now = self.now();
             for (item, said) in &b.items {
-                if let Pending::Final(id) = item {
+                if let PendingWrite::Final(id) = item {
                     if let Some(j) = leadership.fleet.jobs.get(id) {
                         finals.push((id.clone(), j.spec.tasks));
                     }
@@ -122,14 +122,14 @@
     }
 
     /// Reads the values of keys after a conflict or an unknown outcome.
-    fn read_back(&self, claim: &Claim, keys: &[String]) -> bool {
+    fn read_back(&self, claim: &LeaderClaim, keys: &[String]) -> bool {
         for key in keys {
-            let Ok(row) = self.state.get(key, Urgency::User) else { return false };
+            let Ok(row) = self.state.get(key, RequestPriority::User) else { return false };
             let mut shared = self.lock();
             let Some(leadership) = shared.leadership_with(claim.token) else {
                 return false;
             };
-            cluster::learn(&mut leadership.fleet, key, row, self.now());
+            leadership::learn(&mut leadership.fleet, key, row, self.now());
         }
         true
     }
--- a/src/fleet/demand.rs
+++ b/src/fleet/demand.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Demand {
     pub(super) at: Steady,
-    pub(super) need: Need,
+    pub(super) need: Resources,
     pub(super) rank: Rank,
     pub(super) types: Vec<usize>,
     /// Task-seconds, by the stated time.
@@ -105,7 +105,7 @@
             let index = |n: &String| self.types.iter().position(|t| t.name == *n);
             self.demands.push(Demand {
                 at: now - age,
-                need: Need { cpus: r.need.0, gpus: r.need.1, memory: r.need.2 },
+                need: Resources { cpus: r.need.0, gpus: r.need.1, memory: r.need.2 },
                 rank: r.rank,
                 types: r.types.iter().filter_map(index).collect(),
                 work: r.work,
@@ -171,7 +171,7 @@
     }
 
     /// By type: the largest recent demand of a higher rank that no smaller type takes.
-    pub(super) fn keep(&self) -> Vec<Option<KeptRoom>> {
+    pub(super) fn keep(&self) -> Vec<Option<ReservedHeadroom>> {
         let size = |t: &MachineType| t.cpus + 8.0 * t.gpus;
         (0..self.types.len())
             .map(|ty| {
@@ -181,7 +181,7 @@
                     .filter(|d| d.types.iter().all(|&o| size(&self.types[o]) >= size(&self.types[ty])))
                     .filter(|d| self.total(ty).fits(&d.need) == 1)
                     .max_by(|a, b| a.rank.cmp(&b.rank).then(a.need.cpus.total_cmp(&b.need.cpus)))
-                    .map(|d| KeptRoom { need: d.need, rank: d.rank, spot: d.spot })
+                    .map(|d| ReservedHeadroom { need: d.need, rank: d.rank, spot: d.spot })
             })
             .collect()
     }
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -8,7 +8,7 @@
     /// Where it stands; none: its start has left and no newer report has come.
     pub stage: Option<TaskStage>,
     /// What it takes; none if its job is not known.
-    pub need: Option<Need>,
+    pub need: Option<Resources>,
     /// When its start left or it was first seen.
     pub since: Steady,
     /// When it was first seen running, if its start was seen.
@@ -23,7 +23,7 @@
 
 impl TaskEntry {
     /// A task whose start leaves now, or that is seen for the first time.
-    pub(super) fn new(need: Option<Need>, now: Steady) -> TaskEntry {
+    pub(super) fn new(need: Option<Resources>, now: Steady) -> TaskEntry {
         TaskEntry {
             stage: None,
             need,
@@ -160,7 +160,7 @@
         self.tasks.values().any(|e| e.live() && e.need.is_none())
     }
 
-    pub(super) fn free(&self, total: Need) -> Need {
+    pub(super) fn free(&self, total: Resources) -> Resources {
         self.tasks.values().filter(|e| e.live()).filter_map(|e| e.need).fold(total, |t, n| t.less(&n, 1))
     }
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -24,15 +24,11 @@
 mod team_use;
 mod upkeep;
 
-pub use self::HeartbeatOutcome as CheckIn; // join alias: remove
-pub use self::JobProgress as Counts; // join alias: remove
 pub use admission::never_runs;
 pub use borrowing::BorrowedTasks;
 pub use lending::LendingCandidate;
 pub use loans::{LoanWrite, Loans};
 pub use machines::{Machine, TaskEntry};
-pub use records::PackKind as Packed; // join alias: remove
-pub use records::PendingWrite as Pending; // join alias: remove
 pub use records::{PackKind, PendingWrite, WriteContents};
 pub use status::{FactorView, JobView, MachineView, StatusView};
 
@@ -43,16 +39,19 @@
 use milletlock_recovery::Recovery;
 use serde::Serialize;
 
-use crate::capacity::{Offer, Policy, Upkeep, View, WarmPool};
+use crate::capacity::{CapacityView, MachineStatus, Offer, ScalingPolicy, WarmPool};
 use crate::config::{Config, Team};
 use crate::direct_command::DirectCommand;
-use crate::history::{History, Key};
+use crate::history::{EstimateKey, History};
 use crate::jobs::{split_task, GangAttempt, Job, JobId, MachineId};
 use crate::keys::done_key;
 use crate::packs::Packs;
 use crate::ranges::{chunk_number, chunk_span, Ranges};
 use crate::records::{DemandRecord, JobRecord, MachineRecord};
-use crate::sched::{self, Class, Held, KeptRoom, Need, Plan, Room, Snapshot, TeamUse, TopUp};
+use crate::sched::{
+    self, IncrementalBackfill, JobClass, MachineSnapshot, PlacedTask, Plan, ReservedHeadroom, Resources,
+    Snapshot, TeamUse,
+};
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::{
     JobSpec, ListedMachine, MachineType, Order, Rank, Report, ReportReply, Shape, TaskReport, TaskStage, Why,
@@ -126,7 +125,7 @@
     planned_for: Snapshot,
     closed: BTreeSet<MachineId>,
     /// Use of teams with limits, by index; counted anew when emptied.
-    uses: Vec<Need>,
+    uses: Vec<Resources>,
     /// How many machines have not been heard since the takeover.
     unheard_machines: usize,
     /// Whether the log said last that all machines are heard.
@@ -292,10 +291,10 @@
         Micros::from_secs(self.cfg.platform.settings.workers.report_s)
     }
 
-    fn total(&self, ty: usize) -> Need {
+    fn total(&self, ty: usize) -> Resources {
         self.types
             .get(ty)
-            .map(|t| Need { cpus: t.cpus, gpus: t.gpus, memory: t.memory_gb })
+            .map(|t| Resources { cpus: t.cpus, gpus: t.gpus, memory: t.memory_gb })
             .unwrap_or_default()
     }
 
@@ -333,8 +332,8 @@
 }
 
 /// What a task of the job takes.
-pub fn need_of(s: &JobSpec) -> Need {
-    Need { cpus: s.cpus, gpus: s.gpus, memory: s.memory_gb }
+pub fn need_of(s: &JobSpec) -> Resources {
+    Resources { cpus: s.cpus, gpus: s.gpus, memory: s.memory_gb }
 }
 
 /// The stated run time of a job's tasks; services are endless, which is a day to the planner.
@@ -352,7 +351,7 @@
     (0..types.len())
         .filter(|&i| {
             let t = &types[i];
-            let total = Need { cpus: t.cpus, gpus: t.gpus, memory: t.memory_gb };
+            let total = Resources { cpus: t.cpus, gpus: t.gpus, memory: t.memory_gb };
             s.types.as_ref().is_none_or(|a| a.contains(&t.name))
                 && s.zone.as_ref().is_none_or(|z| t.zones.is_empty() || t.zones.contains(z))
                 && total.fits(&need) > 0
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -1,7 +1,7 @@
 //! The planner's input: the machines and jobs of the owner's world as `sched::plan` sees them.
 //!
-//! `Fleet::snapshot` builds a [`Snapshot`] with one `Room` per machine that can be planned on and
-//! one `Class` per job that is not cancelled; [`PlannerInput`] keeps which machine and job each index
+//! `Fleet::snapshot` builds a [`Snapshot`] with one `MachineSnapshot` per machine that can be planned on and
+//! one `JobClass` per job that is not cancelled; [`PlannerInput`] keeps which machine and job each index
 //! of the snapshot stands for, so that the plan can be carried out (see `planning`).
 
 use super::replicas::STOPPED_REPLICA_COSTS;
@@ -61,7 +61,7 @@
         if !self.cfg.operator.adjust {
             return stated;
         }
-        stated.scale(self.history.factor(&Key { team: s.team.clone(), stated }, wall))
+        stated.scale(self.history.factor(&EstimateKey { team: s.team.clone(), stated }, wall))
     }
 
     /// Until the stated end of a task; overrunning ones have a tenth of it, at least a second.
@@ -79,7 +79,7 @@
         let own = |j: &&Job| !j.cancelled && j.borrowed_from.is_none();
         let mut by_age: Vec<&Job> = self.jobs.values().filter(own).collect();
         by_age.sort_by_key(|j| j.submitted);
-        let mut sums: BTreeMap<&str, Need> = BTreeMap::new();
+        let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut fits = |j: &&Job| {
             let Some((_, t)) = self.team(&j.spec.team).filter(|x| x.1.cpus > 0.0 || x.1.gpus > 0.0) else {
                 return false;
@@ -112,8 +112,8 @@
     }
 
     /// Places promised to gangs whose starts have not left yet: their number and need by machine.
-    fn promised_places(&self) -> BTreeMap<&MachineId, (u32, Need)> {
-        let mut promised: BTreeMap<&MachineId, (u32, Need)> = BTreeMap::new();
+    fn promised_places(&self) -> BTreeMap<&MachineId, (u32, Resources)> {
+        let mut promised: BTreeMap<&MachineId, (u32, Resources)> = BTreeMap::new();
         for j in self.jobs.values() {
             let Some(g) = &j.gang else { continue };
             for (_, at) in g.places.iter().filter(|(n, _)| !g.sent.contains(**n)) {
@@ -125,7 +125,7 @@
     }
 
     /// The machines that can be planned on, and their identities in the same order.
-    fn rooms(&self, now: Steady) -> (Vec<Room>, Vec<MachineId>) {
+    fn rooms(&self, now: Steady) -> (Vec<MachineSnapshot>, Vec<MachineId>) {
         let promised = self.promised_places();
         let (mut rooms, mut machines) = (Vec::new(), Vec::new());
         for m in self.machines.values() {
@@ -142,7 +142,7 @@
     }
 
     /// The jobs as the planner sees them, oldest first, and their identities in the same order.
-    fn classes(&mut self, machines: &[MachineId], now: Steady, wall: Wall) -> (Vec<Class>, Vec<JobId>) {
+    fn classes(&mut self, machines: &[MachineId], now: Steady, wall: Wall) -> (Vec<JobClass>, Vec<JobId>) {
         let room_of: BTreeMap<&MachineId, usize> =
             machines.iter().enumerate().map(|(i, id)| (id, i)).collect();
         let mut by_age: Vec<&Job> = self.jobs.values().filter(|j| !j.cancelled).collect();
@@ -150,7 +150,7 @@
         let widest = WidestJobs::of(&by_age);
         let jobs: Vec<JobId> = by_age.iter().map(|j| j.id.clone()).collect();
         let images: Vec<Option<String>> = by_age.iter().map(|j| j.spec.image.clone()).collect();
-        let mut classes: Vec<Class> =
+        let mut classes: Vec<JobClass> =
             by_age.iter().map(|j| self.class(j, widest, &room_of, now, wall)).collect();
         for (class, name) in classes.iter_mut().zip(images) {
             class.image = name.map(|n| self.image(&n));
@@ -160,7 +160,7 @@
     }
 
     /// No class waits for an image that no machine has.
-    fn wait_only_for_cached_images(&self, classes: &mut [Class]) {
+    fn wait_only_for_cached_images(&self, classes: &mut [JobClass]) {
         if !classes.iter().any(|class| class.waits_for_image) {
             return;
         }
@@ -179,12 +179,12 @@
         room_of: &BTreeMap<&MachineId, usize>,
         now: Steady,
         wall: Wall,
-    ) -> Class {
+    ) -> JobClass {
         let sp = &j.spec;
         let gang = sp.is_gang();
         let service = sp.is_service();
         let (waited, adjusted) = (wall - j.submitted, self.adjusted(sp, wall));
-        Class {
+        JobClass {
             rank: sp.rank,
             raised: (gang && waited.secs() > Self::max_yield_s(sp, widest.gang)).then_some(Rank::Urgent),
             team: self.team(&sp.team).map_or(usize::MAX, |t| t.0),
@@ -233,14 +233,20 @@
     }
 
     /// A machine as the planner sees it, with places promised on it.
-    pub(super) fn room(&self, m: &Machine, now: Steady, promised: u32, promise: Need) -> Option<Room> {
+    pub(super) fn room(
+        &self,
+        m: &Machine,
+        now: Steady,
+        promised: u32,
+        promise: Resources,
+    ) -> Option<MachineSnapshot> {
         let ty = m.ty?;
         let t = &self.types[ty];
         let total = self.total(ty);
         let heartbeat_interval = self.heartbeat_interval();
         let live_tasks = m.tasks.iter().filter(|x| x.1.live());
         let free = if promised > 0 { m.free(total).less(&promise, 1) } else { m.free(total) };
-        Some(Room {
+        Some(MachineSnapshot {
             ty,
             zone: m.zone,
             spot: m.spot,
@@ -259,7 +265,7 @@
     }
 
     /// A task on a machine as the planner sees it.
-    fn held(&self, k: &TaskKey, e: &TaskEntry, now: Steady) -> Held {
+    fn held(&self, k: &TaskKey, e: &TaskEntry, now: Steady) -> PlacedTask {
         let spec = self.jobs.get(&k.0).map(|j| &j.spec);
         // The fetch of its image counts as well: stopped for others as soon as it was placed, a wide job
         // would never get beyond it.
@@ -267,7 +273,7 @@
         let endless = spec.is_some_and(|s| s.is_service());
         let worth = if endless { STOPPED_REPLICA_COSTS } else { ran };
         let saves = spec.is_some_and(|s| s.checkpoint_s > 0.0);
-        Held {
+        PlacedTask {
             need: e.need.unwrap_or_default(),
             rank: spec.map_or(Rank::Idle, |s| s.rank),
             guaranteed: self.guaranteed.contains(&k.0),
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -1,7 +1,7 @@
 //! Replicas of services: what happens when one ends, is about to lose its machine, or waits.
 
 use super::*;
-use crate::sched::ReportedRoom;
+use crate::sched::ReportingMachine;
 
 /// A replica that lived for less than this counts as a failure of its service.
 const LIVED_SHORT: Micros = Micros::from_millis(30_000);
@@ -85,7 +85,7 @@
         if m.tasks.values().any(|e| e.live() && e.stop.is_some()) {
             return;
         }
-        let Some(mut room) = self.room(m, now, 0, Need::default()) else { return };
+        let Some(mut room) = self.room(m, now, 0, Resources::default()) else { return };
         let since_plan = now - self.planned;
         let kept = self.planned_for.kept(room.ty, room.spot).map(|k| k.need);
         let mut chosen = Vec::new();
@@ -99,11 +99,11 @@
             let here = j.live.values().flatten().any(|at| at == id) || j.vacated.contains_key(id);
             let in_zone = self.zones_of(j).get(room.zone).copied().unwrap_or(0);
             let crowded_zone = in_zone >= j.spec.tasks.div_ceil(2);
-            let reported = ReportedRoom { room: &room, kept, crowded_zone };
+            let reported = ReportingMachine { room: &room, kept, crowded_zone };
             let runs_here = !here && !j.waiting.is_empty();
             if runs_here && reported.runs_sooner(c, w.planned.map(|p| p - since_plan)) {
                 room.free = room.free.less(&c.need, 1);
-                room.held.push(Held::replica(c));
+                room.held.push(PlacedTask::replica(c));
                 chosen.push(job.clone());
             }
         }
@@ -166,15 +166,15 @@
 /// Capacity that replicas about to move are to take, by machine, with their services, so that two
 /// moves do not count on the same free capacity.
 #[derive(Default)]
-struct ReplicaReservations(BTreeMap<MachineId, Vec<(JobId, Need)>>);
+struct ReplicaReservations(BTreeMap<MachineId, Vec<(JobId, Resources)>>);
 
 impl ReplicaReservations {
-    fn take(&mut self, machine: &MachineId, job: &JobId, need: Need) {
+    fn take(&mut self, machine: &MachineId, job: &JobId, need: Resources) {
         self.0.entry(machine.clone()).or_default().push((job.clone(), need));
     }
 
     /// What remains of a machine's free room.
-    fn free(&self, m: &Machine, free: Need) -> Need {
+    fn free(&self, m: &Machine, free: Resources) -> Resources {
         self.0.get(&m.id).into_iter().flatten().fold(free, |n, (_, need)| n.less(need, 1))
     }
 
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -59,7 +59,7 @@
         let classes = &self.planned_for.classes;
         let waits = |unmet: &(usize, u32)| unmet.1 > 0 && classes[unmet.0].gang;
         let gang_waits = self.plan.unmet.iter().any(|u| waits(u) && sched::allowed(&classes[u.0], &room));
-        let top_up = TopUp {
+        let top_up = IncrementalBackfill {
             snapshot: &self.planned_for,
             contended_types: &self.plan.contended_types,
             claimed_limits: &self.plan.claimed_limits,
@@ -75,7 +75,7 @@
     }
 
     /// The machine as the planner sees it, if more may start on it before the next plan.
-    pub(super) fn top_up_room(&self, id: &MachineId, now: Steady) -> Option<Room> {
+    pub(super) fn top_up_room(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
         if self.plan.unmet.is_empty() || self.closed.contains(id) || self.promised.contains_key(id) {
             return None;
         }
@@ -83,7 +83,7 @@
         if m.tasks.values().any(|e| e.live() && e.stop.is_some()) {
             return None;
         }
-        self.room(m, now, 0, Need::default()).filter(|r| r.free.cpus > 0.0)
+        self.room(m, now, 0, Resources::default()).filter(|r| r.free.cpus > 0.0)
     }
 
     /// Starts up to so many waiting tasks of a job on the machine that is being answered; returns how
--- a/src/fleet/team_use.rs
+++ b/src/fleet/team_use.rs
@@ -27,7 +27,7 @@
     }
 
     /// Adds a started task to its team's use, if that is counted at present.
-    pub(super) fn add_use(&mut self, team: &str, need: &Need) {
+    pub(super) fn add_use(&mut self, team: &str, need: &Resources) {
         let Some((at, _)) = self.team(team) else { return };
         if let Some(used) = self.uses.get_mut(at) {
             *used = used.plus(need, 1);
@@ -53,7 +53,7 @@
         let team = &self.cfg.platform.settings.teams[at];
         let (cpus_max, gpus_max) = (team.cpus_max, team.gpus_max);
         if !is_limited(team) {
-            return TeamUse { used: Need::default(), cpus_max, gpus_max };
+            return TeamUse { used: Resources::default(), cpus_max, gpus_max };
         }
         if self.uses.is_empty() {
             self.uses = self.count_uses();
@@ -63,14 +63,14 @@
 
     /// What all teams use, in one pass over all tasks: with a pass for each team, counting took a third
     /// of the owner's processor time where eight teams are limited.
-    fn count_uses(&self) -> Vec<Need> {
+    fn count_uses(&self) -> Vec<Resources> {
         let count = self.cfg.platform.settings.teams.len();
-        let mut uses = vec![Need::default(); count];
-        let mut of_all = Need::default();
+        let mut uses = vec![Resources::default(); count];
+        let mut of_all = Resources::default();
         for m in self.machines.values() {
             if !m.heard || m.unknown_use() {
                 // Nothing is known of what is there: it may all be any team's.
-                let unknown = Need { cpus: 1e9, gpus: 1e9, memory: 0.0 };
+                let unknown = Resources { cpus: 1e9, gpus: 1e9, memory: 0.0 };
                 of_all = of_all.plus(&m.ty.map_or(unknown, |t| self.total(t)), 1);
                 continue;
             }
--- a/src/fleet/upkeep.rs
+++ b/src/fleet/upkeep.rs
@@ -273,7 +273,7 @@
         // Always on a plan of this very moment: its indices are the snapshot's.
         let (snapshot, machines) = self.plan_now(now, wall);
         let zones = self.type_zones();
-        let view = View {
+        let view = CapacityView {
             warm: &self.warm(now),
             due: &self.types_with_deadlines(now),
             snapshot: &snapshot,
@@ -292,10 +292,10 @@
     }
 
     /// What renting and returning need to know of each machine.
-    fn upkeep_of(&self, machines: &[MachineId], now: Steady) -> Vec<Upkeep> {
+    fn upkeep_of(&self, machines: &[MachineId], now: Steady) -> Vec<MachineStatus> {
         let known = machines.iter().filter_map(|id| self.machines.get(id));
         known
-            .map(|m| Upkeep {
+            .map(|m| MachineStatus {
                 age: m.age + (now - m.known),
                 idle: (m.up && m.tasks.is_empty()).then(|| now - m.idle),
                 booting: !m.up,
@@ -337,9 +337,9 @@
         silent >= 2 && silent * 2 > up().count()
     }
 
-    fn capacity_policy(&self) -> Policy {
+    fn capacity_policy(&self) -> ScalingPolicy {
         let operator = &self.cfg.operator;
-        Policy {
+        ScalingPolicy {
             drain: Micros::from_secs(operator.drain_s),
             idle: Micros::from_secs(operator.idle_s),
             idle_kept: Micros::from_secs(operator.idle_protected_s),
--- a/src/history.rs
+++ b/src/history.rs
@@ -211,7 +211,3 @@
 fn json_size(v: &impl Serialize) -> usize {
     serde_json::to_string(v).map_or(usize::MAX / 4, |s| s.len())
 }
-
-pub use self::EstimateKey as Key; // join alias: remove
-pub use self::FinishedJob as Past; // join alias: remove
-pub use self::HistoryRecord as Record; // join alias: remove
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::config::Config;
 use crate::fleet::Fleet;
-use crate::history::Record;
+use crate::history::HistoryRecord;
 use crate::keys::{BORROWED, HISTORY, MACHINES, MARKS, RECENT_KEY};
 use crate::records::{JobRecord, MachineRecord};
 use crate::state::{RequestPriority, StateClient, StateError, TxnOutcome};
@@ -37,12 +37,6 @@
 /// Key of the machine types, for controllers that start while the cloud is out.
 pub const CATALOG_KEY: &str = "catalog";
 
-pub use self::CATALOG_KEY as CATALOG; // join alias: remove
-pub use self::FORMAT_KEY as FORMAT; // join alias: remove
-pub use self::LEADER_KEY as LEADER; // join alias: remove
-pub use self::SHARD_KEY as PART; // join alias: remove
-pub use self::TERM_KEY as TERM; // join alias: remove
-
 /// The leader's record (under [`LEADER_KEY`]), and the shard's (under [`SHARD_KEY`]).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
@@ -59,9 +53,6 @@
     pub lease: u64,
 }
 
-/// Old name of [`LeaderRecord`].
-pub type Owner = LeaderRecord; // join alias: remove
-
 /// The format record (under [`FORMAT_KEY`]).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FormatRecord {
@@ -69,9 +60,6 @@
     pub reader: u32,
 }
 
-/// Old name of [`FormatRecord`].
-pub type Format = FormatRecord; // join alias: remove
-
 /// The term record (under [`TERM_KEY`]).
 #[derive(Serialize, Deserialize)]
 struct TermRecord {
@@ -82,7 +70,7 @@
 
 /// A won election: what the new leader acts under.
 #[derive(Clone, Debug)]
-pub struct Leadership {
+pub struct LeaderClaim {
     /// The fencing token.
     pub token: u64,
     /// The lease that the leader's record hangs on.
@@ -93,12 +81,6 @@
     pub first: bool,
 }
 
-/// Old name of [`Leadership`].
-pub type Claim = Leadership; // join alias: remove
-
-pub use self::read_catalog as catalog;
-pub use self::try_become_leader as claim; // join alias: remove // join alias: remove
-
 /// Tries to become leader by a claim, given the revision of the leader's record that is to be
 /// replaced (0: there is none). `Ok(None)`: another controller was faster.
 ///
@@ -111,23 +93,23 @@
     incarnation: u64,
     ttl: Micros,
     seen: u64,
-) -> Result<Option<Leadership>, StateError> {
+) -> Result<Option<LeaderClaim>, StateError> {
     check_format(state)?;
     let lease = state.lease(ttl)?;
-    let term = state.get(TERM_KEY, RequestPriority::Ownership)?;
-    let shard = state.get(SHARD_KEY, RequestPriority::Ownership)?;
+    let term = state.get(TERM_KEY, RequestPriority::Leadership)?;
+    let shard = state.get(SHARD_KEY, RequestPriority::Leadership)?;
     let token = last_term(term.as_ref())? + 1;
     let leader = LeaderRecord { label: label.to_string(), incarnation, token, lease };
     let txn = election_txn(&leader, seen, term.map_or(0, |r| r.stamp), shard.map_or(0, |r| r.stamp));
-    let elected = |part| Ok(Some(Leadership { token, lease, part, first: token == 1 }));
-    match state.txn(&txn, RequestPriority::Ownership) {
-        Ok(TxnOutcome::Yes(revision)) => elected(revision),
+    let elected = |part| Ok(Some(LeaderClaim { token, lease, part, first: token == 1 }));
+    match state.txn(&txn, RequestPriority::Leadership) {
+        Ok(TxnOutcome::Committed(revision)) => elected(revision),
         Ok(TxnOutcome::Conflict(_)) => {
             let _ = state.end_lease(lease);
             Ok(None)
         }
         // It may have been executed: the shard tells.
-        Err(StateError::Unknown(_)) => match state.get(SHARD_KEY, RequestPriority::Ownership)? {
+        Err(StateError::Unknown(_)) => match state.get(SHARD_KEY, RequestPriority::Leadership)? {
             Some(r) if serde_json::from_value::<LeaderRecord>(r.value.clone()).is_ok_and(|o| o == leader) => {
                 elected(r.stamp)
             }
@@ -175,7 +157,7 @@
 /// Refuses records of a later form: an old process that is back after all others have moved on must
 /// neither misread nor overwrite them.
 fn check_format(state: &StateClient) -> Result<(), StateError> {
-    let Some(row) = state.get(FORMAT_KEY, RequestPriority::Ownership)? else { return Ok(()) };
+    let Some(row) = state.get(FORMAT_KEY, RequestPriority::Leadership)? else { return Ok(()) };
     let needed = serde_json::from_value::<FormatRecord>(row.value.clone()).map(|f| f.reader);
     match needed {
         Ok(reader) if reader <= FORMAT_VERSION => Ok(()),
@@ -186,7 +168,7 @@
 /// Machine types as last written (under [`CATALOG_KEY`]); `None` if there are none or they cannot
 /// be read.
 pub fn read_catalog(state: &StateClient) -> Result<Option<Vec<MachineType>>, StateError> {
-    let row = state.get(CATALOG_KEY, RequestPriority::Ownership)?;
+    let row = state.get(CATALOG_KEY, RequestPriority::Leadership)?;
     Ok(row.and_then(|r| serde_json::from_value(r.value).ok()))
 }
 
@@ -270,7 +252,7 @@
             load_history_bucket(fleet, bucket, &row.key, row.value, row.stamp)
         }
         // As earlier versions wrote it.
-        (Some(HISTORY), Some(_), Some(_)) => match serde_json::from_value::<Record>(row.value) {
+        (Some(HISTORY), Some(_), Some(_)) => match serde_json::from_value::<HistoryRecord>(row.value) {
             Ok(record) => fleet.history.load_old(record),
             Err(e) => unreadable(&row.key, &e),
         },
@@ -291,7 +273,7 @@
 
 /// Takes a packed bucket of history records over.
 fn load_history_bucket(fleet: &mut Fleet, bucket: &str, key: &str, value: Value, stamp: u64) {
-    match packed::<Vec<Record>>(bucket, value) {
+    match packed::<Vec<HistoryRecord>>(bucket, value) {
         Ok((bucket, list)) => {
             list.into_iter().for_each(|h| fleet.history.load(h));
             fleet.history.learn(bucket, stamp);
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -3,8 +3,8 @@
 use serde_json::json;
 
 use super::SHARD_KEY;
-use crate::fleet::{Fleet, Packed, Pending, WriteContents};
-use crate::history::Key;
+use crate::fleet::{Fleet, PackKind, PendingWrite, WriteContents};
+use crate::history::EstimateKey;
 use crate::jobs::JobId;
 use crate::keys::{done_key, final_key, job_key, slot_key, HISTORY, MACHINES, MARKS, RECENT_KEY};
 use crate::ranges::chunk_span;
@@ -26,7 +26,7 @@
     /// The transaction.
     pub txn: Txn,
     /// What it writes, and what has to be remembered of it.
-    pub items: Vec<(Pending, WriteContents)>,
+    pub items: Vec<(PendingWrite, WriteContents)>,
     /// Somebody waits for it.
     pub urgent: bool,
     bytes: usize,
@@ -62,14 +62,14 @@
 
 /// One thing to write.
 struct Write {
-    item: Pending,
+    item: PendingWrite,
     guards: Vec<Guard>,
     changes: Vec<Change>,
     contents: WriteContents,
 }
 
 impl Write {
-    fn new(item: &Pending, guards: Vec<Guard>, changes: Vec<Change>) -> Write {
+    fn new(item: &PendingWrite, guards: Vec<Guard>, changes: Vec<Change>) -> Write {
         Write { item: item.clone(), guards, changes, contents: WriteContents::Nothing }
     }
 
@@ -86,7 +86,7 @@
 pub fn batches(
     fleet: &mut Fleet,
     part: u64,
-    pending: Vec<Pending>,
+    pending: Vec<PendingWrite>,
     max_changes: usize,
     now: Steady,
     wall: Wall,
@@ -108,30 +108,38 @@
 }
 
 /// What has to be written for an item; none if there is nothing any more.
-fn compose(fleet: &mut Fleet, item: &Pending, max_changes: usize, now: Steady, wall: Wall) -> Option<Write> {
+fn compose(
+    fleet: &mut Fleet,
+    item: &PendingWrite,
+    max_changes: usize,
+    now: Steady,
+    wall: Wall,
+) -> Option<Write> {
     match item {
-        Pending::Final(id) => compose_final(fleet, item, id, max_changes, wall),
-        Pending::Machines(slot) | Pending::Tidy(Packed::Machines, slot) => {
+        PendingWrite::Final(id) => compose_final(fleet, item, id, max_changes, wall),
+        PendingWrite::Machines(slot) | PendingWrite::Tidy(PackKind::Machines, slot) => {
             compose_machines(fleet, item, *slot)
         }
-        Pending::Marks(slot) | Pending::Tidy(Packed::Marks, slot) => compose_marks(fleet, item, *slot),
-        Pending::History(bucket) => {
+        PendingWrite::Marks(slot) | PendingWrite::Tidy(PackKind::Marks, slot) => {
+            compose_marks(fleet, item, *slot)
+        }
+        PendingWrite::History(bucket) => {
             let value = fleet.history.value(*bucket, fleet.value_bytes().saturating_sub(VALUE_SLACK));
             let guard = Guard { key: slot_key(HISTORY, *bucket), stamp: fleet.history.stamp(*bucket) };
             let change = Change::put(slot_key(HISTORY, *bucket), json!(value));
             Some(Write::new(item, vec![guard], vec![change]))
         }
-        Pending::Done(id, chunk) => compose_done(fleet, item, id, *chunk),
-        Pending::Recent => {
+        PendingWrite::Done(id, chunk) => compose_done(fleet, item, id, *chunk),
+        PendingWrite::Recent => {
             let list = fleet.recent(now, wall, fleet.value_bytes().saturating_sub(VALUE_SLACK));
             Some(Write::new(item, Vec::new(), vec![Change::put(RECENT_KEY, json!(list))]))
         }
-        Pending::Orphan(key, stamp) => Some(compose_drop(item, key.clone(), *stamp)),
-        Pending::Unenrol(id, stamp) => Some(compose_drop(item, format!("machine/{id}"), *stamp)),
+        PendingWrite::Orphan(key, stamp) => Some(compose_drop(item, key.clone(), *stamp)),
+        PendingWrite::Unenrol(id, stamp) => Some(compose_drop(item, format!("machine/{id}"), *stamp)),
     }
 }
 
-fn compose_drop(item: &Pending, key: String, stamp: u64) -> Write {
+fn compose_drop(item: &PendingWrite, key: String, stamp: u64) -> Write {
     Write::new(item, vec![Guard { key: key.clone(), stamp }], vec![Change::drop(key)])
 }
 
@@ -139,7 +147,7 @@
 /// ranges go as the transaction has room for.
 fn compose_final(
     fleet: &mut Fleet,
-    item: &Pending,
+    item: &PendingWrite,
     id: &JobId,
     max_changes: usize,
     wall: Wall,
@@ -164,12 +172,12 @@
     }
     job.ran.1 = 0;
     let stated = job.spec.estimate_s;
-    let key = Key { team: job.spec.team.clone(), stated: Micros::from_secs(stated) };
+    let key = EstimateKey { team: job.spec.team.clone(), stated: Micros::from_secs(stated) };
     let ratio = total.secs() / f64::from(count) / stated.max(0.001);
     fleet.history.add(&key, wall, ratio);
 }
 
-fn compose_machines(fleet: &Fleet, item: &Pending, slot: u32) -> Option<Write> {
+fn compose_machines(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
     let (stamp, version, items) = fleet.packs.slot(slot)?;
     let key = slot_key(MACHINES, slot);
     let contents = WriteContents::Machines(items.keys().cloned().collect(), version);
@@ -177,7 +185,7 @@
     Some(Write::new(item, vec![Guard { key, stamp }], vec![change]).with_contents(contents))
 }
 
-fn compose_marks(fleet: &Fleet, item: &Pending, slot: u32) -> Option<Write> {
+fn compose_marks(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
     let (stamp, version, items) = fleet.marks.slot(slot)?;
     let key = slot_key(MARKS, slot);
     let marks = items.iter().map(|(id, high)| (id.clone(), *high)).collect();
@@ -186,7 +194,7 @@
     Some(write.with_contents(WriteContents::Marks(marks, version)))
 }
 
-fn compose_done(fleet: &Fleet, item: &Pending, id: &JobId, chunk: u32) -> Option<Write> {
+fn compose_done(fleet: &Fleet, item: &PendingWrite, id: &JobId, chunk: u32) -> Option<Write> {
     let job = fleet.jobs.get(id)?;
     let (from, to) = chunk_span(chunk);
     let tasks = job.done.within(from, to);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,8 +8,6 @@
 pub mod capacity;
 pub mod cli;
 pub mod cloud;
-pub mod leadership;
-pub use leadership as cluster; // join alias: remove
 pub mod config;
 pub mod controller;
 pub mod direct_command;
@@ -18,9 +16,9 @@
 pub mod http;
 pub mod jobs;
 pub mod keys;
+pub mod leadership;
 pub mod live;
 pub mod loan_messages;
-pub use controller as node; // join alias: remove
 pub mod notices;
 pub mod packs;
 pub mod peer;
--- a/src/live.rs
+++ b/src/live.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::sync::{Condvar, Mutex, MutexGuard};
 
-use crate::state::{StateClient, StateError, Urgency};
+use crate::state::{RequestPriority, StateClient, StateError};
 use crate::time::{steady, Micros, Steady};
 use crate::wire::Events;
 
@@ -130,7 +130,7 @@
 
 /// Reads what changed since a revision, or everything.
 fn read(state: &StateClient, from: Option<u64>) -> Result<Read, StateError> {
-    match from.map(|from| state.changes(PREFIX, from, Urgency::User)) {
+    match from.map(|from| state.changes(PREFIX, from, RequestPriority::User)) {
         // Too much has changed since: all is read anew.
         None | Some(Err(StateError::TooOld)) => {}
         Some(r) => return r.map(Read::Changes),
@@ -138,7 +138,7 @@
     let (rows, revision) = state.list(PREFIX)?;
     let ids = rows.iter().filter_map(|r| r.key.strip_prefix(PREFIX)).map(str::to_string).collect();
     // A list of several pages is not of one moment: what changed meanwhile is read as well.
-    let changes = state.changes(PREFIX, revision, Urgency::User)?;
+    let changes = state.changes(PREFIX, revision, RequestPriority::User)?;
     let mut live = LiveIds { ids, revision: Some(revision) };
     live.apply(&changes);
     Ok(Read::All(live))
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -21,20 +21,13 @@
 
 pub(crate) use placement::allowed;
 pub use queue::{order, score};
-pub use services::{runs_in, HeartbeatMachine};
+pub use services::{runs_in, ReportingMachine};
 pub use top_up::IncrementalBackfill;
 pub use types::{
-    JobClass, Machine, PlacedTask, Plan, Reservation, ReservedHeadroom, Resources, Snapshot, Start, TeamUse,
+    JobClass, MachineSnapshot, PlacedTask, Plan, Reservation, ReservedHeadroom, Resources, Snapshot, Start,
+    TeamUse,
 };
 
-pub use self::HeartbeatMachine as ReportedRoom; // join alias: remove
-pub use self::IncrementalBackfill as TopUp; // join alias: remove
-pub use self::JobClass as Class; // join alias: remove
-pub use self::Machine as Room; // join alias: remove
-pub use self::PlacedTask as Held; // join alias: remove
-pub use self::ReservedHeadroom as KeptRoom; // join alias: remove
-pub use self::Resources as Need; // join alias: remove
-
 use gangs::GangOutcome;
 use state::PlanState;
 
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -1,20 +1,20 @@
 //! Which machines a class may use, and how soon its tasks would run there.
 
-use super::{JobClass, Machine};
+use super::{JobClass, MachineSnapshot};
 use crate::time::Micros;
 
 /// Whether the class may use the room at all.
-pub(crate) fn allowed(class: &JobClass, room: &Machine) -> bool {
+pub(crate) fn allowed(class: &JobClass, room: &MachineSnapshot) -> bool {
     class.types.contains(&room.ty) && class.zone.is_none_or(|z| z == room.zone) && (class.spot || !room.spot)
 }
 
 /// Whether the class passes the room over for one that has its image.
-pub(super) fn lacks_awaited_image(class: &JobClass, room: &Machine) -> bool {
+pub(super) fn lacks_awaited_image(class: &JobClass, room: &MachineSnapshot) -> bool {
     class.waits_for_image && fetch_seconds(class, room) > 0.0
 }
 
 /// Seconds that the class's image takes to fetch there.
-pub(super) fn fetch_seconds(class: &JobClass, room: &Machine) -> f64 {
+pub(super) fn fetch_seconds(class: &JobClass, room: &MachineSnapshot) -> f64 {
     match class.image {
         Some(i) if !room.images.contains(&i) => class.image_gb / room.fetch_rate.max(0.001),
         _ => 0.0,
@@ -22,6 +22,6 @@
 }
 
 /// Until a task of the class would run there.
-pub(super) fn delay(class: &JobClass, room: &Machine) -> Micros {
+pub(super) fn delay(class: &JobClass, room: &MachineSnapshot) -> Micros {
     room.opens_in + Micros::from_secs(fetch_seconds(class, room)) + room.penalty
 }
--- a/src/sched/preemptible.rs
+++ b/src/sched/preemptible.rs
@@ -2,11 +2,11 @@
 //! preemption for room, preemption within a team's quota and service placement; it sits below the
 //! planning state so that those modules depend on it, and it on none of them.
 
-use super::{JobClass, Machine, PlacedTask};
+use super::{JobClass, MachineSnapshot, PlacedTask};
 
 /// Indices into `room.held` of the tasks that may be preempted for the class, those that lose the
 /// least work first.
-pub(super) fn preemptible_for(class: &JobClass, room: &Machine) -> Vec<usize> {
+pub(super) fn preemptible_for(class: &JobClass, room: &MachineSnapshot) -> Vec<usize> {
     let mut victims: Vec<usize> =
         (0..room.held.len()).filter(|&held| may_preempt(&room.held[held], class)).collect();
     victims.sort_by_key(|&held| room.held[held].lost_work);
--- a/src/sched/services.rs
+++ b/src/sched/services.rs
@@ -6,7 +6,7 @@
 use super::preemptible::preemptible_for;
 use super::state::PlanState;
 use super::types::cpu_tenths;
-use super::{JobClass, Machine, PlacedTask, Resources, Start};
+use super::{JobClass, MachineSnapshot, PlacedTask, Resources, Start};
 use crate::time::Micros;
 
 /// Delays of replicas that differ by less count as alike.
@@ -182,23 +182,23 @@
 }
 
 /// What a machine has beside the tasks on it that never end.
-fn capacity_beside_endless(room: &Machine) -> Resources {
+fn capacity_beside_endless(room: &MachineSnapshot) -> Resources {
     let endless = room.held.iter().filter(|h: &&PlacedTask| h.endless);
     endless.fold(room.total, |n, h| n.less(&h.need, 1))
 }
 
 /// A machine that has just sent a heartbeat, for replicas that wait: whether one may start on it
 /// ahead of the next plan.
-pub struct HeartbeatMachine<'a> {
+pub struct ReportingMachine<'a> {
     /// The room.
-    pub room: &'a Machine,
+    pub room: &'a MachineSnapshot,
     /// What a larger task takes for which its type is kept.
     pub kept: Option<Resources>,
     /// Whether the service has half of its replicas in the room's zone already.
     pub crowded_zone: bool,
 }
 
-impl HeartbeatMachine<'_> {
+impl ReportingMachine<'_> {
     /// Whether one more replica may start here ahead of the next plan: it runs sooner than in `planned`,
     /// in the place that the plan gave it, if it gave it one. A place in another zone is waited for if
     /// there are many replicas in this one.
@@ -217,6 +217,6 @@
 }
 
 /// When a replica would run in a room, by its next report and its image.
-pub fn runs_in(class: &JobClass, room: &Machine) -> Micros {
+pub fn runs_in(class: &JobClass, room: &MachineSnapshot) -> Micros {
     delay(class, room)
 }
--- a/src/sched/top_up.rs
+++ b/src/sched/top_up.rs
@@ -3,7 +3,7 @@
 
 use super::placement::{allowed, delay, lacks_awaited_image};
 use super::types::EPS;
-use super::{JobClass, Machine, Resources, Snapshot, TeamUse};
+use super::{JobClass, MachineSnapshot, Resources, Snapshot, TeamUse};
 use crate::time::Micros;
 
 /// A class without a deadline that waited longer than this is not passed over for one whose image is
@@ -29,7 +29,7 @@
     /// By team, what it uses now; none for teams that are not limited.
     pub team_uses: Vec<TeamUse>,
     /// The machine.
-    pub room: &'a Machine,
+    pub room: &'a MachineSnapshot,
     /// Whether a gang waits that may use the machine.
     pub gang_waits: bool,
 }
--- a/src/sched/types.rs
+++ b/src/sched/types.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// A task that runs, or may be about to run, on a machine (placed, in `Machine::held`).
+/// A task that runs, or may be about to run, on a machine (placed, in `MachineSnapshot::held`).
 #[derive(Clone, Debug)]
 pub struct PlacedTask {
     /// What it takes.
@@ -99,7 +99,7 @@
 
 /// A machine (node) as the planner sees it; indices are into `Snapshot::rooms`.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct MachineSnapshot {
     /// Index into the machine types.
     pub ty: usize,
     /// Index into the zones, below `Snapshot::zones`.
@@ -232,7 +232,7 @@
     /// Number of zones.
     pub zones: usize,
     /// The machines; their index is used everywhere in the plan.
-    pub rooms: Vec<Machine>,
+    pub rooms: Vec<MachineSnapshot>,
     /// The jobs with tasks that could start, as job classes.
     pub classes: Vec<JobClass>,
     /// The teams' use and quota.
@@ -258,7 +258,7 @@
     }
 
     /// Whether headroom on the machine is reserved for tasks of a higher rank than the class's.
-    pub fn is_below_reserved_rank(&self, class: &JobClass, machine: &Machine) -> bool {
+    pub fn is_below_reserved_rank(&self, class: &JobClass, machine: &MachineSnapshot) -> bool {
         self.kept(machine.ty, machine.spot).is_some_and(|kept| class.rank < kept.rank)
     }
 }
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -9,13 +9,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPriority {
     /// Leadership (claim, lease renewal, reads after a take over): never waits for the budget.
-    Ownership,
+    Leadership,
     /// Acceptance and cancellation: users wait for it.
     User,
     /// What starts and ends of jobs wait for.
-    Owner,
+    Leader,
     /// Everything else.
-    Rest,
+    Background,
 }
 
 impl RequestPriority {
@@ -23,10 +23,10 @@
     /// leadership calls, which never wait.
     fn reserve(self) -> Option<f64> {
         match self {
-            RequestPriority::Ownership => None,
+            RequestPriority::Leadership => None,
             RequestPriority::User => Some(0.0),
-            RequestPriority::Owner => Some(0.1),
-            RequestPriority::Rest => Some(0.35),
+            RequestPriority::Leader => Some(0.1),
+            RequestPriority::Background => Some(0.35),
         }
     }
 }
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TxnOutcome {
     /// Executed at this revision.
-    Yes(u64),
+    Committed(u64),
     /// These guards (keys) did not hold: nothing was executed.
     Conflict(Vec<String>),
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -18,10 +18,6 @@
 pub use budget::{NextRates, RequestPriority, TokenBucket};
 pub use error::{StateError, TxnOutcome};
 
-pub use budget::RequestPriority as Urgency; // join alias: remove
-pub use budget::TokenBucket as Bucket; // join alias: remove
-pub use error::TxnOutcome as Applied; // join alias: remove
-
 /// Client of the state store. Calls wait for this node's rate budget (by their
 /// [`RequestPriority`]) and fail with a [`StateError`] when they have no result.
 pub struct StateClient {
@@ -162,7 +158,7 @@
         let mut revision = None;
         loop {
             let from = rows.last().map(|r| format!("&from={}", r.key)).unwrap_or_default();
-            self.admit(0, RequestPriority::Ownership, CALL_TIMEOUT)?;
+            self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
             let path = format!("/keys?starts={prefix}{from}&most={LIST_PAGE_ROWS}");
             let page: Rows = match self.call(&self.http, "GET", &path, None, CALL_TIMEOUT)? {
                 (200, b) => parse(&b)?,
@@ -195,7 +191,7 @@
             }
         };
         match answer {
-            (200, b) => parse::<TxnCommitted>(&b).map(|c| TxnOutcome::Yes(c.revision)),
+            (200, b) => parse::<TxnCommitted>(&b).map(|c| TxnOutcome::Committed(c.revision)),
             (409, b) => parse::<TxnConflict>(&b).map(|c| TxnOutcome::Conflict(c.failed)),
             (400, b) => {
                 let text = String::from_utf8_lossy(&b).into_owned();
@@ -213,7 +209,7 @@
 
     /// Takes a new lease of `ttl` (whole milliseconds on the wire); returns its id.
     pub fn lease(&self, ttl: Micros) -> Result<u64, StateError> {
-        self.admit(0, RequestPriority::Ownership, CALL_TIMEOUT)?;
+        self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let body = json!({ "ttlMs": ttl.0 / 1000 });
         match self.call(&self.http, "POST", "/leases", Some(&body), CALL_TIMEOUT)? {
             (200 | 201, b) => parse::<LeaseGranted>(&b).map(|g| g.lease),
@@ -226,7 +222,7 @@
     /// # Errors
     /// [`StateError::NoLease`] if it is gone (lease expiry); otherwise as any call.
     pub fn renew(&self, lease: u64) -> Result<(), StateError> {
-        self.admit(0, RequestPriority::Ownership, CALL_TIMEOUT)?;
+        self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let path = format!("/leases/{lease}/renew");
         match self.call(&self.http, "POST", &path, Some(&json!({})), LEASE_CALL_TIMEOUT)? {
             (200, _) => Ok(()),
@@ -237,7 +233,7 @@
 
     /// Ends a lease; the keys that hang on it go.
     pub fn end_lease(&self, lease: u64) -> Result<(), StateError> {
-        self.admit(0, RequestPriority::Ownership, CALL_TIMEOUT)?;
+        self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         self.call(&self.http, "DELETE", &format!("/leases/{lease}"), None, LEASE_CALL_TIMEOUT).map(|_| ())
     }
 
@@ -260,7 +256,7 @@
     /// # Errors
     /// [`StateError::TooOld`] if the revision is compacted away; otherwise as any call.
     pub fn watch(&self, prefix: &str, from: u64, block: Micros) -> Result<Events, StateError> {
-        self.admit(0, RequestPriority::Ownership, CALL_TIMEOUT)?;
+        self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let path = format!("/watch?starts={prefix}&from={from}&blockMs={}", block.0 / 1000);
         match self.call(&self.watch, "GET", &path, None, block + CALL_TIMEOUT)? {
             (200, b) => parse(&b),
--- a/tests/cancellation_in_outage.rs
+++ b/tests/cancellation_in_outage.rs
@@ -16,8 +16,8 @@
 use common::worker::{Task, WorkerState};
 use common::{platform_json, spec, LEASE};
 use milletlock::config::{Config, Operator, Platform};
+use milletlock::controller::Controller;
 use milletlock::http::{self, Client, Lane, Reply, Request, Response, Room};
-use milletlock::node::Node;
 use milletlock::peer::{Outbound, PeerError, PeerHub};
 use milletlock::time::{Clock, Micros, Steady};
 use milletlock::wire::{Change, Commands, Order, ReportReply, TaskStage, Txn};
@@ -199,7 +199,7 @@
     }
 }
 
-type Controllers = Arc<Mutex<Vec<Arc<Node>>>>;
+type Controllers = Arc<Mutex<Vec<Arc<Controller>>>>;
 
 struct Simulation {
     clock: Arc<AtomicI64>,
@@ -252,7 +252,7 @@
         simulation
     }
 
-    fn node(&self, i: usize) -> Arc<Node> {
+    fn node(&self, i: usize) -> Arc<Controller> {
         let mut p = platform_json();
         let others: Vec<usize> = (0..3).filter(|o| *o != i).collect();
         p["label"] = json!(format!("c-{i}"));
@@ -274,7 +274,8 @@
             o.answer(answer);
             Ok(())
         };
-        let n = Node::new(cfg, PeerHub::over(2, carry), Clock::Manual(self.clock.clone()), Arc::default());
+        let n =
+            Controller::new(cfg, PeerHub::over(2, carry), Clock::Manual(self.clock.clone()), Arc::default());
         let n = n.expect("a controller");
         assert!(n.learn_types_once());
         n
@@ -284,7 +285,7 @@
         self.clock.load(Ordering::SeqCst)
     }
 
-    fn nodes(&self) -> Vec<Arc<Node>> {
+    fn nodes(&self) -> Vec<Arc<Controller>> {
         locked(&self.controllers).clone()
     }
 
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -7,8 +7,8 @@
 use common::servers::serve_some;
 use common::state_service::{answer_read, answer_transaction, transaction};
 use common::store::Store;
-use milletlock::cluster;
 use milletlock::http::Response;
+use milletlock::leadership;
 use milletlock::state::{StateClient, StateError};
 use milletlock::time::Micros;
 use milletlock::wire::Txn;
@@ -55,7 +55,8 @@
         })
     });
     let client = StateClient::new(addr, 1e6, 1e6, (1.0, 1.0));
-    let claim = || cluster::claim(&client, "c-0", 7, Micros::from_secs(3.0), 0).expect("an outcome");
+    let claim =
+        || leadership::try_become_leader(&client, "c-0", 7, Micros::from_secs(3.0), 0).expect("an outcome");
     assert!(claim().is_none(), "not there when it was looked for");
     // Its lease is ended, so that the service refuses the late copy; this one carries it out all the same.
     assert_eq!(service.lock().expect("the service").ended, ["/leases/1"]);
@@ -67,7 +68,7 @@
 #[test]
 fn records_of_a_later_form_are_not_taken_over() {
     let store: Arc<Mutex<Store>> = Arc::default();
-    let known = cluster::FORMAT_VERSION;
+    let known = leadership::FORMAT_VERSION;
     let s = store.clone();
     let addr = serve_some(move |r| {
         let mut store = s.lock().expect("the store");
@@ -82,18 +83,18 @@
         })
     });
     let client = StateClient::new(addr, 1e6, 1e6, (1.0, 1.0));
-    let claim = || cluster::claim(&client, "c-0", 7, Micros::from_secs(3.0), 0);
+    let claim = || leadership::try_become_leader(&client, "c-0", 7, Micros::from_secs(3.0), 0);
     let put = |value: serde_json::Value| {
         let mut store = store.lock().expect("the store");
         store.revision += 1;
         let revision = store.revision;
-        store.keys.insert(cluster::FORMAT.into(), (value, revision));
+        store.keys.insert(leadership::FORMAT_KEY.into(), (value, revision));
     };
     for later in [json!({ "reader": known + 1 }), json!({ "reader": "two" }), json!([])] {
         put(later);
         assert!(matches!(claim(), Err(StateError::NewerRecords { known: k, .. }) if k == known));
         let keys: Vec<String> = store.lock().expect("the store").keys.keys().cloned().collect();
-        assert_eq!(keys, [cluster::FORMAT], "nothing is written");
+        assert_eq!(keys, [leadership::FORMAT_KEY], "nothing is written");
     }
     put(json!({ "reader": known, "more": true }));
     assert!(claim().expect("an outcome").is_some(), "a form that is known is taken over");
--- a/tests/common/controllers.rs
+++ b/tests/common/controllers.rs
@@ -1,12 +1,12 @@
 //! A simulated controller that owns the cluster: it claims, reads changes, writes and reads back like
 //! the real one. Leases, lost connections and when it takes its turn each simulation models for itself.
-//! Tests with whole controllers (`Node`) do not need it.
+//! Tests with whole controllers (`Controller`) do not need it.
 
 use std::sync::Arc;
 
-use milletlock::cluster::{self, Batch};
 use milletlock::config::Config;
 use milletlock::fleet::Fleet;
+use milletlock::leadership::{self, Batch};
 use milletlock::records::JobRecord;
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::{Change, Txn};
@@ -32,17 +32,17 @@
     /// Claims everything with the next token and reads all records. Earlier owners do not notice.
     pub fn claim(store: &mut Store, cfg: &Arc<Config>, now: Steady) -> Controller {
         let token = store.row("term").and_then(|r| r.value.as_u64()).unwrap_or(0) + 1;
-        let then = vec![Change::put("term", json!(token)), Change::put(cluster::PART, json!(token))];
+        let then = vec![Change::put("term", json!(token)), Change::put(leadership::SHARD_KEY, json!(token))];
         let part = store.txn(&Txn { guards: vec![], then }).expect("no guards");
         let mut fleet = Fleet::new(cfg.clone(), types(), token, now);
         let rows = RECORDS.iter().flat_map(|prefix| store.rows(prefix)).collect();
-        cluster::load(&mut fleet, rows, now, wall_at(now));
+        leadership::load(&mut fleet, rows, now, wall_at(now));
         Controller { fleet, part, watched: store.revision }
     }
 
     /// Whether it still holds the part, as far as the state service knows.
     pub fn holds_part(&self, store: &Store) -> bool {
-        self.part == store.stamp(cluster::PART)
+        self.part == store.stamp(leadership::SHARD_KEY)
     }
 
     /// Reads the jobs' changes since the last time.
@@ -63,7 +63,7 @@
     /// The transactions that it would write now; done ranges may wait for a while.
     pub fn batches(&mut self, done_delay: Micros, chunk: u32, now: Steady) -> Vec<Batch> {
         let pending = self.fleet.pending(now, done_delay, chunk);
-        cluster::batches(&mut self.fleet, self.part, pending, 8, now, wall_at(now))
+        leadership::batches(&mut self.fleet, self.part, pending, 8, now, wall_at(now))
     }
 
     /// Learns the result of a transaction (none: no answer). The error names the keys to read back.
@@ -87,8 +87,8 @@
 
     /// Reads keys back, except the part's own.
     pub fn read_back(&mut self, keys: &[String], store: &Store, now: Steady) {
-        for key in keys.iter().filter(|k| *k != cluster::PART) {
-            cluster::learn(&mut self.fleet, key, store.row(key), now);
+        for key in keys.iter().filter(|k| *k != leadership::SHARD_KEY) {
+            leadership::learn(&mut self.fleet, key, store.row(key), now);
         }
     }
 }
--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -4,10 +4,10 @@
 
 use super::{config, record, report, types};
 use milletlock::capacity::Offer;
-use milletlock::cluster;
 use milletlock::config::Config;
-use milletlock::fleet::{CheckIn, Fleet};
+use milletlock::fleet::{Fleet, HeartbeatOutcome};
 use milletlock::jobs::MachineId;
+use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{JobSpec, Order, Report, TaskStage};
 
@@ -56,7 +56,7 @@
         self.now = self.now + REPORT;
         self.fleet.tick(self.now, Wall(self.now.0));
         let pending = self.fleet.pending(self.now, Micros::ZERO, 1000);
-        for b in cluster::batches(&mut self.fleet, 1, pending, 64, self.now, Wall(self.now.0)) {
+        for b in leadership::batches(&mut self.fleet, 1, pending, 64, self.now, Wall(self.now.0)) {
             for (p, said) in &b.items {
                 self.fleet.written(p, 1_000_000, said, self.now);
             }
@@ -86,7 +86,7 @@
 
     pub fn report(&mut self, report: &Report) -> Vec<Order> {
         match self.fleet.check_in(report, self.now, Wall(self.now.0)) {
-            CheckIn::Reply(reply) => reply.orders,
+            HeartbeatOutcome::Reply(reply) => reply.orders,
             other => panic!("{other:?}"),
         }
     }
--- a/tests/common/planner.rs
+++ b/tests/common/planner.rs
@@ -1,6 +1,6 @@
 //! Builders for the tests of the planner.
 
-use milletlock::sched::{Class, Need};
+use milletlock::sched::{JobClass, Resources};
 use milletlock::time::Micros;
 use milletlock::wire::{MachineType, Rank};
 
@@ -10,13 +10,13 @@
 }
 
 /// So many processors, and as much memory.
-pub fn need(cpus: f64) -> Need {
-    Need { cpus, gpus: 0.0, memory: cpus }
+pub fn need(cpus: f64) -> Resources {
+    Resources { cpus, gpus: 0.0, memory: cpus }
 }
 
 /// An array's class of one-processor tasks on the first type.
-pub fn class(count: u32, adjusted: i64, waited: i64) -> Class {
-    Class {
+pub fn class(count: u32, adjusted: i64, waited: i64) -> JobClass {
+    JobClass {
         rank: Rank::Normal,
         raised: None,
         team: 0,
--- a/tests/common/production.rs
+++ b/tests/common/production.rs
@@ -67,7 +67,7 @@
 
 /// A finished job, in the history.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Past {
+pub struct FinishedJob {
     pub end_s: i64,
     pub ratio: f64,
 }
@@ -77,7 +77,7 @@
 pub struct HistoryRecord {
     pub team: String,
     pub stated_us: i64,
-    pub past: Vec<Past>,
+    pub past: Vec<FinishedJob>,
 }
 
 /// Bytes of a value that the production version leaves free.
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -14,8 +14,8 @@
 use common::store::Store;
 use common::{platform_json, spec};
 use milletlock::config::{Config, Operator, Platform};
+use milletlock::controller::Controller;
 use milletlock::http::{Client, Response};
-use milletlock::node::Node;
 use milletlock::peer::{self, Call};
 use milletlock::time::Micros;
 use milletlock::wire::{Order, ReportReply, TaskStage, Why};
@@ -89,7 +89,7 @@
     change(&mut p);
     let platform = Platform::parse(&p.to_string(), "test").expect("settings");
     let cfg = Config { platform, operator: Operator::default() };
-    std::thread::spawn(move || Node::run_on(cfg, users, others, Arc::new(AtomicBool::new(false))));
+    std::thread::spawn(move || Controller::run_on(cfg, users, others, Arc::new(AtomicBool::new(false))));
     Service { addr, internal, out }
 }
 
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -13,10 +13,10 @@
 use common::store::{submission, take_due, Store};
 use common::worker::{assert_placement, job_of, Attempt, Task, WorkerState};
 use common::{config_with, record, spec, LEASE, TIGHT_LIMIT};
-use milletlock::cluster::{self, Batch};
 use milletlock::config::Config;
-use milletlock::fleet::{CheckIn, Fleet, Pending};
+use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::keys::{final_key, job_key};
+use milletlock::leadership::{self, Batch};
 use milletlock::ranges::chunk_tasks;
 use milletlock::records::JobRecord;
 use milletlock::time::{Micros, Steady};
@@ -51,7 +51,7 @@
 }
 
 /// A kind of writes.
-type WriteKind = fn(&Pending) -> bool;
+type WriteKind = fn(&PendingWrite) -> bool;
 
 /// A controller that has claimed everything.
 struct Owner {
@@ -286,13 +286,15 @@
             };
             self.workers[w].to = to;
             match self.owners[to].controller.fleet.check_in(&r, at(self.seconds), wall(self.seconds)) {
-                CheckIn::Reply(reply) if self.workers[w].link == Link::Up => self.execute_orders(w, &reply),
-                CheckIn::Reply(_) => {}
-                CheckIn::Superseded(_) => {
+                HeartbeatOutcome::Reply(reply) if self.workers[w].link == Link::Up => {
+                    self.execute_orders(w, &reply)
+                }
+                HeartbeatOutcome::Reply(_) => {}
+                HeartbeatOutcome::Superseded(_) => {
                     self.end_owner(to);
                     self.workers[w].due = self.seconds + 1.0;
                 }
-                CheckIn::Refuse => {
+                HeartbeatOutcome::Refuse => {
                     (self.workers[w].to, self.workers[w].due) = (self.owners.len() - 1, self.seconds + 1.0);
                 }
             }
@@ -438,7 +440,7 @@
     fn learn_result(&mut self, owner: usize, b: &Batch, applied: Option<Result<u64, Vec<String>>>) -> bool {
         let (now, o) = (at(self.seconds), &mut self.owners[owner]);
         let Err(keys) = o.controller.acknowledge(b, applied, now) else { return true };
-        if keys.iter().any(|k| k == cluster::PART) && !o.controller.holds_part(&self.store) {
+        if keys.iter().any(|k| k == leadership::SHARD_KEY) && !o.controller.holds_part(&self.store) {
             o.alive = false;
             return false;
         }
@@ -633,7 +635,7 @@
     let late = |s: &mut Scenario| {
         for r in [&session, &attempt, &session] {
             let (now, wall) = (at(s.seconds), wall(s.seconds));
-            assert_eq!(s.fleet().check_in(r, now, wall), CheckIn::Refuse);
+            assert_eq!(s.fleet().check_in(r, now, wall), HeartbeatOutcome::Refuse);
         }
         s.run(3.0);
         assert_eq!((s.placed(&a), s.placed(&b), s.started(&a), s.started(&b)), (1, 1, 2, 2));
@@ -653,10 +655,10 @@
 #[test]
 fn a_transaction_without_an_answer_applied_late_undoes_no_newer_write() {
     let kinds: [(&str, WriteKind); 4] = [
-        ("marks", |p| matches!(p, Pending::Marks(_))),
-        ("machines", |p| matches!(p, Pending::Machines(_))),
-        ("done", |p| matches!(p, Pending::Done(..))),
-        ("final", |p| matches!(p, Pending::Final(_))),
+        ("marks", |p| matches!(p, PendingWrite::Marks(_))),
+        ("machines", |p| matches!(p, PendingWrite::Machines(_))),
+        ("done", |p| matches!(p, PendingWrite::Done(..))),
+        ("final", |p| matches!(p, PendingWrite::Final(_))),
     ];
     for (kind, of) in kinds {
         // Carried out before the next write of the same key, or after it.
@@ -750,7 +752,9 @@
     let hear = |s: &mut Scenario| {
         s.seconds += STEP;
         let (r, now, wall) = (s.worker("i-1").state.report(), at(s.seconds), wall(s.seconds));
-        let CheckIn::Reply(reply) = s.fleet().check_in(&r, now, wall) else { panic!("not answered") };
+        let HeartbeatOutcome::Reply(reply) = s.fleet().check_in(&r, now, wall) else {
+            panic!("not answered")
+        };
         s.write();
         reply
     };
@@ -939,7 +943,7 @@
         let known = s.store.row(&job_key(&a)).expect("live");
         let user = s.store.cancellation(&s.specs[&a]).expect("live");
         let owner = s.batches(0, chunk_tasks(4096)).remove(0);
-        assert!(owner.items.iter().any(|x| matches!(x.0, Pending::Final(_))));
+        assert!(owner.items.iter().any(|x| matches!(x.0, PendingWrite::Final(_))));
         match race {
             Race::UserFirst => {
                 assert!(s.cancel(&a));
@@ -1013,9 +1017,9 @@
         let (now, t) = (at(s.seconds), wall(s.seconds));
         let out = s.fleet().check_in(&held, now, t);
         if before_newer {
-            assert!(!matches!(out, CheckIn::Superseded(_)));
+            assert!(!matches!(out, HeartbeatOutcome::Superseded(_)));
         } else {
-            assert_eq!(out, CheckIn::Refuse);
+            assert_eq!(out, HeartbeatOutcome::Refuse);
         }
         s.run(10.0);
         assert_eq!((s.fleet().unheard(), s.started(&a), s.placed(&a)), (unheard, 1, 1));
@@ -1044,13 +1048,13 @@
     assert_eq!((s.started(&a), s.placed(&a)), (2, 1));
     let late = |s: &mut Scenario| {
         let (now, t) = (at(s.seconds), wall(s.seconds));
-        assert_eq!(s.fleet().check_in(&held, now, t), CheckIn::Refuse);
+        assert_eq!(s.fleet().check_in(&held, now, t), HeartbeatOutcome::Refuse);
         assert!(!s.fleet().machines.contains_key(place.as_str()));
     };
     late(&mut s);
     // Nor by one that shows no task.
     let (now, t) = (at(s.seconds), wall(s.seconds));
-    assert_eq!(s.fleet().check_in(&empty, now, t), CheckIn::Refuse);
+    assert_eq!(s.fleet().check_in(&empty, now, t), HeartbeatOutcome::Refuse);
     // Nor at the next leader, which never knew it.
     s.change_leader(1.0);
     s.run(2.0);
@@ -1092,10 +1096,14 @@
     let (token, now, t) = (s.fleet().token, at(s.seconds), wall(s.seconds));
     let newer = s.worker("i-1").state.report();
     for o in &mut s.owners[..4] {
-        assert_eq!(o.controller.fleet.check_in(&newer, now, t), CheckIn::Superseded(token));
+        assert_eq!(o.controller.fleet.check_in(&newer, now, t), HeartbeatOutcome::Superseded(token));
     }
     for r in &s.late_results {
-        assert!(r.as_ref().is_err_and(|k| k.iter().any(|k| k == cluster::PART)), "{:?}", s.late_results);
+        assert!(
+            r.as_ref().is_err_and(|k| k.iter().any(|k| k == leadership::SHARD_KEY)),
+            "{:?}",
+            s.late_results
+        );
     }
     s.finish(150.0);
     for (id, spec) in &s.specs {
@@ -1280,7 +1288,7 @@
     assert_eq!((s.fleet().unheard(), s.placed(&gang), s.started(&gone)), (0, 3, 2));
     for r in &held {
         let (now, t) = (at(s.seconds), wall(s.seconds));
-        assert_eq!(s.fleet().check_in(r, now, t), CheckIn::Refuse);
+        assert_eq!(s.fleet().check_in(r, now, t), HeartbeatOutcome::Refuse);
     }
     s.finish(80.0);
     // What was done and not written is lost with the session, and runs again.
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -14,10 +14,10 @@
 use common::{config, record, report, spec};
 use milletlock::cloud::CloudClient;
 use milletlock::config::Config;
-use milletlock::fleet::CheckIn;
+use milletlock::controller::done_write_interval;
+use milletlock::fleet::HeartbeatOutcome;
 use milletlock::http::Response;
 use milletlock::jobs::{JobId, MachineId};
-use milletlock::node::done_write_interval;
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::{JobSpec, Order, TaskStage, Why};
 use serde_json::json;
@@ -122,7 +122,8 @@
             .map(|((task, attempt), stage)| (task.as_str(), *attempt, *stage, why(stage)))
             .collect();
         let report = report(name, self.tally, self.owner.fleet.token, &listed);
-        let CheckIn::Reply(reply) = self.owner.fleet.check_in(&report, self.now, wall_at(self.now)) else {
+        let HeartbeatOutcome::Reply(reply) = self.owner.fleet.check_in(&report, self.now, wall_at(self.now))
+        else {
             panic!("the report of {name} is refused");
         };
         for order in reply.orders {
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -1,13 +1,13 @@
 //! A against a plain model.
 
-use milletlock::history::{History, Key};
+use milletlock::history::{EstimateKey, History};
 use milletlock::time::{Micros, Wall};
 use proptest::prelude::*;
 
 const DAY: i64 = 86_400_000_000;
 
-fn key(team: &str, stated: i64) -> Key {
-    Key { team: team.into(), stated: Micros::from_secs(stated as f64) }
+fn key(team: &str, stated: i64) -> EstimateKey {
+    EstimateKey { team: team.into(), stated: Micros::from_secs(stated as f64) }
 }
 
 /// The 85th percentile by counting: the least ratio that at least 85% of the jobs do not exceed.
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -10,10 +10,10 @@
 use common::state_service::{answer_read, answer_transaction, transaction};
 use common::store::Store;
 use common::{platform_json, report, spec};
-use milletlock::cluster::PART;
 use milletlock::config::{Config, Operator, Platform};
+use milletlock::controller::{Controller, LendingChoice};
 use milletlock::http::{Request, Response};
-use milletlock::node::{LendingChoice, Node};
+use milletlock::leadership::SHARD_KEY;
 use milletlock::peer::{proto, LoanReply, Outbound, Outcome, PeerError, PeerHub};
 use milletlock::time::{wall, Clock, Micros};
 use milletlock::wire::{Order, ReportReply, TaskStage};
@@ -52,7 +52,7 @@
             ("POST", "/leases") => Some(Response::json(200, &json!({ "tenure": 1 }))),
             ("POST", "/txn") => {
                 let txn = transaction(&r);
-                let of_owner = txn.guards.iter().any(|guard| guard.key == PART);
+                let of_owner = txn.guards.iter().any(|guard| guard.key == SHARD_KEY);
                 let is_loan =
                     of_owner && txn.then.iter().any(|change| format!("{change:?}").contains("spec_of_lent"));
                 let result = store.txn(&txn);
@@ -65,12 +65,12 @@
     })
 }
 
-fn post(node: &Node, path: &str, body: Vec<u8>) -> Response {
+fn post(node: &Controller, path: &str, body: Vec<u8>) -> Response {
     node.answer(&Request { method: "POST".into(), path: path.into(), body }, false)
 }
 
 /// Lets a worker report until nothing more starts; the tasks that are on it.
-fn started(node: &Node, clock: &AtomicI64) -> Vec<String> {
+fn started(node: &Controller, clock: &AtomicI64) -> Vec<String> {
     let (mut there, mut token) = (Vec::<(String, u64)>::new(), 0);
     for _ in 0..12 {
         let tally = clock.load(Ordering::SeqCst) as u64;
@@ -95,14 +95,14 @@
     state: std::net::SocketAddr,
     clock: &Arc<AtomicI64>,
     carry: impl Fn(Outbound) -> Result<(), PeerError> + Send + Sync + 'static,
-) -> (Arc<Node>, LendingChoice) {
+) -> (Arc<Controller>, LendingChoice) {
     let mut p = platform_json();
     p["services"] = json!({ "cloud": cloud(), "state": state });
     let platform = Platform::parse(&p.to_string(), "test").expect("settings");
     let operator = Operator::parse(CELLS, "test").expect("settings");
     let choice = LendingChoice::new(operator.cells.as_ref().expect("cells"));
     let cfg = Config { platform, operator };
-    let node = Node::new(cfg, PeerHub::over(0, carry), Clock::Manual(clock.clone()), Arc::default());
+    let node = Controller::new(cfg, PeerHub::over(0, carry), Clock::Manual(clock.clone()), Arc::default());
     let node = node.expect("a controller");
     assert!(node.learn_types_once());
     node.keep_once(Micros::from_secs(3.0));
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -8,9 +8,9 @@
 use common::fleet_scenario::Scenario;
 use common::store::Store;
 use common::{config, production, record, spec, types};
-use milletlock::cluster::{self, PART};
 use milletlock::config::{Config, Operator};
 use milletlock::fleet::{Fleet, LoanWrite};
+use milletlock::leadership::{self, SHARD_KEY};
 use milletlock::time::{Steady, Wall};
 use milletlock::wire::{Order, TaskStage, Why};
 use milletlock_cells::{
@@ -146,7 +146,7 @@
         changes.push(change.clone());
         assert!(changes.len() < 100, "it changes without end");
         let write = fleet.begin_guest_change(change);
-        match store.txn(&cluster::loan_txn(&write, store.stamp(PART))) {
+        match store.txn(&leadership::loan_txn(&write, store.stamp(SHARD_KEY))) {
             Ok(revision) => fleet.loan_written(&write, revision, now, Wall(now.0)),
             Err(keys) => {
                 assert!(keys.iter().any(|key| key.starts_with("job/")), "{keys:?}");
@@ -167,7 +167,7 @@
     assert_eq!(s.fleet.recorded_done("wk-000001"), tasks("10-19"));
     let pending = s.fleet.pending(s.now, milletlock::time::Micros::ZERO, 1000);
     assert!(
-        !pending.iter().any(|p| matches!(p, milletlock::fleet::Pending::Final(_))),
+        !pending.iter().any(|p| matches!(p, milletlock::fleet::PendingWrite::Final(_))),
         "the end is its home's"
     );
     // Nothing can be recalled any more, since all has begun.
@@ -289,7 +289,7 @@
     let put = milletlock::wire::Change::put("job/wk-000002".to_string(), json!(lent));
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then: vec![put] }).expect("written");
     let mut fleet = Fleet::new(with_cells(), types(), 8, s.now);
-    cluster::load(&mut fleet, store.rows(""), s.now, wall(&s));
+    leadership::load(&mut fleet, store.rows(""), s.now, wall(&s));
     assert_eq!(fleet.jobs["wk-000001"].waiting.task_set(), tasks("10-19"));
     assert_eq!(fleet.jobs["wk-000002"].waiting.task_set(), tasks("0-29"));
     assert_eq!(fleet.loans.guest.high_water("there"), LoanNumber(5));
@@ -310,7 +310,7 @@
     assert!(started(&mut s).is_empty());
     let over =
         s.fleet.settle_loan("wk-000001", Lending { loans: Vec::new(), cancelling: true }).expect("a write");
-    let txn = cluster::loan_txn(&over, 1);
+    let txn = leadership::loan_txn(&over, 1);
     let keys: Vec<String> = txn.then.iter().map(|change| format!("{change:?}")).collect();
     assert!(keys.iter().any(|change| change.contains("final/wk-000001")), "{keys:?}");
     s.fleet.loan_written(&over, 22, s.now, wall(&s));
@@ -326,10 +326,10 @@
     let then = vec![put("job/wk-000001", json!(record(spec(1, 100, "batch"))))];
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then }).expect("written");
     let write = lend(&mut s, 60);
-    let txn = cluster::loan_txn(&write, store.stamp(PART));
-    let then = vec![put(PART, json!({ "label": "another" }))];
+    let txn = leadership::loan_txn(&write, store.stamp(SHARD_KEY));
+    let then = vec![put(SHARD_KEY, json!({ "label": "another" }))];
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then }).expect("taken over");
-    assert_eq!(store.txn(&txn), Err(vec![PART.to_string()]));
+    assert_eq!(store.txn(&txn), Err(vec![SHARD_KEY.to_string()]));
 }
 
 /// The version in production would start lent tasks: it must not be able to read such a record.
@@ -360,7 +360,7 @@
     };
     let then = rows.iter().map(put).collect();
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then }).expect("written");
-    let mut owner = production::Owner::load(store.stamp(PART), 8, 4096, &store.rows(""));
+    let mut owner = production::Owner::load(store.stamp(SHARD_KEY), 8, 4096, &store.rows(""));
     for _ in 0..100 {
         let Some(txn) = owner.next_write() else { return store };
         match store.txn(&txn) {
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -3,7 +3,10 @@
 mod common;
 
 use common::planner::{class as job, need, secs};
-use milletlock::sched::{plan, Class, Held, KeptRoom, Need, Plan, Room, Snapshot, Start, TeamUse, TopUp};
+use milletlock::sched::{
+    plan, IncrementalBackfill, JobClass, MachineSnapshot, PlacedTask, Plan, ReservedHeadroom, Resources,
+    Snapshot, Start, TeamUse,
+};
 use milletlock::time::Micros;
 use milletlock::wire::Rank;
 use proptest::prelude::*;
@@ -15,13 +18,13 @@
 prop_compose! {
     fn room()(rate in 0i64..3, ty in 0usize..2, zone in 0usize..2, spot in any::<bool>(), open in prop::bool::weighted(0.85),
               opens in 0i64..30, has in any::<bool>(), until in prop::option::weighted(0.1, 1i64..60),
-              held in prop::collection::vec((1u32..3, rank(), 1i64..90, any::<bool>()), 0..4)) -> Room {
+              held in prop::collection::vec((1u32..3, rank(), 1i64..90, any::<bool>()), 0..4)) -> MachineSnapshot {
         let total = need(if ty == 0 { 4.0 } else { 16.0 });
-        let held: Vec<Held> = held.into_iter().map(|(cpus, rank, left, stoppable)| Held {
+        let held: Vec<PlacedTask> = held.into_iter().map(|(cpus, rank, left, stoppable)| PlacedTask {
             need: need(f64::from(cpus)), rank, guaranteed: false, team: usize::from(!stoppable), left: secs(left), lost_work: secs(left), stoppable, stopping: false, endless: false,
         }).scan(0.0, |sum, h| { *sum += h.need.cpus; Some((*sum, h)) }).filter(|x| x.0 <= total.cpus).map(|x| x.1).collect();
         let free = held.iter().fold(total, |f, h| f.less(&h.need, 1));
-        Room { ty, zone, spot, total, free, rate, open, opens_in: secs(if open { opens % 4 } else { opens }),
+        MachineSnapshot { ty, zone, spot, total, free, rate, open, opens_in: secs(if open { opens % 4 } else { opens }),
                images: if has { vec![1] } else { vec![] }, fetch_rate: 0.5, penalty: Micros::ZERO,
                until: until.map(secs), held }
     }
@@ -31,8 +34,8 @@
     fn class(widest: u32)(missed_aims in 0u8..3, rank in rank(), team in 0usize..2, count in 1..widest, gang in any::<bool>(), cpus in 1u32..5,
                types in prop_oneof![Just(vec![0]), Just(vec![1]), Just(vec![0, 1])],
                zone in prop::option::weighted(0.2, 0usize..2), tie in 0u8..3, spot in any::<bool>(),
-               adjusted in 1i64..100, waited in 0i64..200, live in 0u32..2) -> Class {
-        Class { rank, raised: (missed_aims == 2 && gang).then_some(Rank::Urgent), team, guaranteed: false, count, tasks: count + live, gang, need: need(f64::from(cpus)), types, zone,
+               adjusted in 1i64..100, waited in 0i64..200, live in 0u32..2) -> JobClass {
+        JobClass { rank, raised: (missed_aims == 2 && gang).then_some(Rank::Urgent), team, guaranteed: false, count, tasks: count + live, gang, need: need(f64::from(cpus)), types, zone,
                 one_zone: tie == 1, spread: tie == 2, spot, image: Some(1), image_gb: 2.0, waits_for_image: false, adjusted: secs(adjusted),
                 waited: secs(waited), zones: vec![live, 0], patience: secs(1000), slack: None, missed_aims, replicas: None }
     }
@@ -42,12 +45,12 @@
     fn snapshot(most: usize, widest: u32)(rooms in prop::collection::vec(room(), 0..most),
                   classes in prop::collection::vec(class(widest), 0..7), limit in 0..widest + 4, keep in any::<(bool, bool)>(), reserve in any::<bool>()) -> Snapshot {
         let held = rooms.iter().flat_map(|r| &r.held).filter(|h| h.team == 0);
-        let used = held.fold(Need::default(), |n, h| n.plus(&h.need, 1));
+        let used = held.fold(Resources::default(), |n, h| n.plus(&h.need, 1));
         // Somewhat over what runs, so that the limit is met now and then.
         let cpus_max = if limit == 0 { 0.0 } else { used.cpus + f64::from(limit) };
         Snapshot { zones: 2, rooms, classes, reserve, low_rank_delay_step: secs(4), delay_step: secs(2), clear_rooms: 1,
                    teams: vec![TeamUse { used, cpus_max, gpus_max: 0.0 }, TeamUse::default()],
-                   keep: vec![None, keep.0.then(|| KeptRoom { need: need(15.0), rank: Rank::Urgent, spot: keep.1 })] }
+                   keep: vec![None, keep.0.then(|| ReservedHeadroom { need: need(15.0), rank: Rank::Urgent, spot: keep.1 })] }
     }
 }
 
@@ -66,7 +69,7 @@
 }
 
 impl Model<'_> {
-    fn delay(&self, c: &Class, r: &Room) -> Micros {
+    fn delay(&self, c: &JobClass, r: &MachineSnapshot) -> Micros {
         let fetch = if r.images.contains(&1) { 0.0 } else { c.image_gb / r.fetch_rate };
         r.opens_in + Micros::from_secs(fetch) + r.penalty
     }
@@ -83,7 +86,7 @@
 
     fn clear(&self, m: usize) -> bool {
         let ty = self.s.rooms[m].ty;
-        let could = |r: &Room| {
+        let could = |r: &MachineSnapshot| {
             r.ty == ty
                 && r.until.is_none()
                 && self.s.keep[ty].is_some_and(|k| r.free.fits(&k.need) > 0 && (k.spot || !r.spot))
@@ -217,7 +220,7 @@
         let mut v: Vec<usize> = (0..self.s.rooms.len())
             .filter(|&m| {
                 // The zone's ties are looked at task by task.
-                let free = Class { one_zone: false, spread: false, ..c.clone() };
+                let free = JobClass { one_zone: false, spread: false, ..c.clone() };
                 let mut s = self.s.clone();
                 s.classes[class] = free;
                 Model {
@@ -421,28 +424,28 @@
 fn the_queue_goes_by_rank_then_by_the_cubed_ratio_times_size() {
     let base = common::planner::class(2, 10, 20);
     // (20/10)^3 x 2 = 16; (30/10)^3 x 1 = 27; (20/10)^3 x 4 = 32; urgent whatever its score.
-    let b = Class { waited: secs(30), count: 1, ..base.clone() };
-    let c = Class { count: 4, ..base.clone() };
-    let d = Class { rank: Rank::Urgent, waited: secs(1), ..base.clone() };
-    let e = Class { guaranteed: true, rank: Rank::Idle, waited: secs(1), ..base.clone() };
+    let b = JobClass { waited: secs(30), count: 1, ..base.clone() };
+    let c = JobClass { count: 4, ..base.clone() };
+    let d = JobClass { rank: Rank::Urgent, waited: secs(1), ..base.clone() };
+    let e = JobClass { guaranteed: true, rank: Rank::Idle, waited: secs(1), ..base.clone() };
     // Whoever lost more aims yields, however long it waited.
-    let f = Class { missed_aims: 1, waited: secs(900), ..base.clone() };
-    let g = Class { missed_aims: 2, waited: secs(9000), ..base.clone() };
+    let f = JobClass { missed_aims: 1, waited: secs(900), ..base.clone() };
+    let g = JobClass { missed_aims: 2, waited: secs(9000), ..base.clone() };
     assert_eq!(milletlock::sched::order(&[g, f, base.clone(), b, c, d.clone(), e]), [6, 5, 4, 3, 2, 1, 0]);
     // One that waited for long stands with the urgent, never behind its own rank and not above them.
-    let h = Class { raised: Some(Rank::Urgent), ..base.clone() };
-    let i = Class { raised: Some(Rank::Urgent), rank: Rank::Critical, waited: secs(1), ..base.clone() };
+    let h = JobClass { raised: Some(Rank::Urgent), ..base.clone() };
+    let i = JobClass { raised: Some(Rank::Urgent), rank: Rank::Critical, waited: secs(1), ..base.clone() };
     assert_eq!(milletlock::sched::order(&[base, d, h, i]), [3, 2, 1, 0]);
 }
 
 /// What starts between two plans on an empty machine of four processors that has image 7.
 fn top_up(
-    classes: Vec<Class>,
+    classes: Vec<JobClass>,
     team_uses: Vec<TeamUse>,
     claimed: bool,
     gang_waits: bool,
 ) -> Vec<(usize, u32)> {
-    let room = Room {
+    let room = MachineSnapshot {
         ty: 0,
         zone: 0,
         spot: false,
@@ -460,7 +463,7 @@
     let s = Snapshot { zones: 1, classes, ..Snapshot::default() };
     let mut unmet: Vec<(usize, u32)> =
         milletlock::sched::order(&s.classes).into_iter().map(|c| (c, s.classes[c].count)).collect();
-    TopUp {
+    IncrementalBackfill {
         snapshot: &s,
         contended_types: &[false],
         claimed_limits: &[claimed],
@@ -473,21 +476,21 @@
 
 #[test]
 fn between_plans_a_machine_takes_first_what_it_has_the_image_for() {
-    let with = |image: u32, waited: i64| Class { image: Some(image), image_gb: 5.0, ..job(3, 30, waited) };
-    let top = |classes: Vec<Class>| top_up(classes, Vec::new(), false, true);
+    let with = |image: u32, waited: i64| JobClass { image: Some(image), image_gb: 5.0, ..job(3, 30, waited) };
+    let top = |classes: Vec<JobClass>| top_up(classes, Vec::new(), false, true);
     // The older one has to fetch: it gets what is left.
     assert_eq!(top(vec![with(1, 20), with(7, 10)]), [(1, 3), (0, 1)]);
     // Not for ever, and never past a higher rank or one that is not late.
     assert_eq!(top(vec![with(1, 70), with(7, 10)]), [(0, 3), (1, 1)]);
-    assert_eq!(top(vec![Class { rank: Rank::Urgent, ..with(1, 20) }, with(7, 10)]), [(0, 3), (1, 1)]);
-    assert_eq!(top(vec![with(1, 20), Class { missed_aims: 1, ..with(7, 90) }]), [(0, 3), (1, 1)]);
+    assert_eq!(top(vec![JobClass { rank: Rank::Urgent, ..with(1, 20) }, with(7, 10)]), [(0, 3), (1, 1)]);
+    assert_eq!(top(vec![with(1, 20), JobClass { missed_aims: 1, ..with(7, 90) }]), [(0, 3), (1, 1)]);
 }
 
 /// With every team limited, what was left to the next plan was all work: each processor that came free
 /// waited for the next report, two seconds or more of tasks that take fifteen.
 #[test]
 fn between_plans_limited_teams_start_as_much_as_their_limit_allows() {
-    let two = || vec![Class { team: 1, ..job(3, 30, 20) }, Class { team: 0, ..job(3, 30, 10) }];
+    let two = || vec![JobClass { team: 1, ..job(3, 30, 20) }, JobClass { team: 0, ..job(3, 30, 10) }];
     let uses = |used: f64| {
         let limited = |used: f64| TeamUse { used: need(used), cpus_max: 10.0, gpus_max: 0.0 };
         vec![limited(0.0), limited(used)]
@@ -501,7 +504,7 @@
     // A gang waits for room: it is left to the next plan.
     assert_eq!(top_up(two(), uses(0.0), false, true), []);
     // Classes of one team share its limit.
-    let one_team = || vec![Class { team: 1, ..job(3, 30, 20) }, Class { team: 1, ..job(3, 30, 10) }];
+    let one_team = || vec![JobClass { team: 1, ..job(3, 30, 20) }, JobClass { team: 1, ..job(3, 30, 10) }];
     assert_eq!(top_up(one_team(), uses(7.0), false, false), [(0, 3)]);
 }
 
@@ -509,7 +512,7 @@
 /// tasks stopped though there was no room for it: they began again and were stopped again, 21,000 times.
 #[test]
 fn a_gang_at_its_teams_limit_stops_nothing_unless_it_has_room_and_only_the_first_claims() {
-    let held = Held {
+    let held = PlacedTask {
         need: need(1.0),
         rank: Rank::Idle,
         guaranteed: false,
@@ -520,7 +523,7 @@
         stopping: false,
         endless: false,
     };
-    let room = |ty: usize, free: f64, held: Vec<Held>| Room {
+    let room = |ty: usize, free: f64, held: Vec<PlacedTask>| MachineSnapshot {
         ty,
         zone: 0,
         spot: false,
@@ -535,7 +538,7 @@
         until: None,
         held,
     };
-    let gang = Class {
+    let gang = JobClass {
         rank: Rank::Urgent,
         gang: true,
         need: need(2.0),
@@ -543,8 +546,8 @@
         patience: secs(-1),
         ..common::planner::class(2, 30, 40)
     };
-    let small = Class { rank: Rank::Idle, ..common::planner::class(8, 20, 5) };
-    let snapshot = |large: f64, classes: Vec<Class>| Snapshot {
+    let small = JobClass { rank: Rank::Idle, ..common::planner::class(8, 20, 5) };
+    let snapshot = |large: f64, classes: Vec<JobClass>| Snapshot {
         zones: 2,
         rooms: vec![room(0, 8.0, vec![held.clone(); 8]), room(1, large, Vec::new())],
         classes,
@@ -575,7 +578,8 @@
     s.rooms[0].held.iter_mut().take(2).for_each(|h| h.guaranteed = false);
     assert_eq!(plan(&s).preempt, [(0, 0), (0, 1)]);
     // Of several that wait only the first does. What ends before the limit frees may start.
-    let mut s = snapshot(16.0, vec![gang.clone(), gang.clone(), gang, Class { adjusted: secs(10), ..small }]);
+    let mut s =
+        snapshot(16.0, vec![gang.clone(), gang.clone(), gang, JobClass { adjusted: secs(10), ..small }]);
     s.classes.iter_mut().for_each(|c| c.patience = secs(100));
     let p = plan(&s);
     assert_eq!((p.preempt.len(), by_room(&p.starts)), (0, vec![(3, 0, 2)]));
@@ -585,7 +589,7 @@
 /// began late everywhere; a moment later machines that have the image come free.
 #[test]
 fn an_array_that_waits_for_its_image_takes_only_machines_that_have_it() {
-    let room = |images: Vec<u32>, held: Vec<Held>| Room {
+    let room = |images: Vec<u32>, held: Vec<PlacedTask>| MachineSnapshot {
         ty: 0,
         zone: 0,
         spot: false,
@@ -600,7 +604,7 @@
         until: None,
         held,
     };
-    let low = Held {
+    let low = PlacedTask {
         need: need(1.0),
         rank: Rank::Idle,
         guaranteed: false,
@@ -611,7 +615,7 @@
         stopping: false,
         endless: false,
     };
-    let urgent = |waits_for_image: bool| Class {
+    let urgent = |waits_for_image: bool| JobClass {
         rank: Rank::Urgent,
         image: Some(7),
         image_gb: 1.0,
@@ -619,7 +623,7 @@
         patience: secs(-1),
         ..job(6, 15, 1)
     };
-    let planned = |class: Class| {
+    let planned = |class: JobClass| {
         let rooms = vec![room(vec![], vec![]), room(vec![7], vec![low.clone(); 2])];
         let s = Snapshot { zones: 1, rooms, classes: vec![class], keep: vec![None], ..Snapshot::default() };
         let p = plan(&s);
@@ -629,8 +633,8 @@
     // Nothing goes to the machine without it, and what is stopped is stopped on the other.
     assert_eq!(planned(urgent(true)), (vec![(0, 1, 2)], vec![(1, 0)]));
     // Between plans as well.
-    let waits = Class { image: Some(8), ..urgent(true) };
+    let waits = JobClass { image: Some(8), ..urgent(true) };
     assert_eq!(top_up(vec![waits.clone()], Vec::new(), false, false), []);
-    let other = Class { waits_for_image: false, ..waits };
+    let other = JobClass { waits_for_image: false, ..waits };
     assert_eq!(top_up(vec![other], Vec::new(), false, false), [(0, 4)]);
 }
--- a/tests/reads.rs
+++ b/tests/reads.rs
@@ -1,7 +1,7 @@
 //! The client side of the state service: its budget, and the live jobs by changes read.
 
 use milletlock::live::LiveIds;
-use milletlock::state::Bucket;
+use milletlock::state::TokenBucket;
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::Events;
 use serde_json::{json, Value};
@@ -9,7 +9,7 @@
 #[test]
 fn the_budget_lets_a_burst_through_then_the_rate() {
     let now = Steady(5_000_000);
-    let mut b = Bucket::new(10.0, now);
+    let mut b = TokenBucket::new(10.0, now);
     let through = (0..20).filter(|_| b.take(now, 1.0, 0.0).is_ok()).count();
     assert_eq!(through, 10);
     let later = now + Micros::from_secs(0.5);
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{config, record, report, spec, types};
-use milletlock::cluster;
-use milletlock::fleet::{CheckIn, Fleet};
+use milletlock::fleet::{Fleet, HeartbeatOutcome};
+use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{Order, Row, TaskStage};
 use serde_json::json;
@@ -26,7 +26,7 @@
         row("marks/0", 4, json!({ "wk-000001": 4 })),
     ];
     let mut fleet = Fleet::new(config(), types(), 7, TAKEN_OVER);
-    cluster::load(&mut fleet, rows, TAKEN_OVER, wall(TAKEN_OVER));
+    leadership::load(&mut fleet, rows, TAKEN_OVER, wall(TAKEN_OVER));
     fleet.has_read_to(4);
     fleet
 }
@@ -35,7 +35,7 @@
     let running: Vec<_> = tasks.iter().map(|task| (*task, 5, TaskStage::Running, None)).collect();
     let report = milletlock::wire::Report { spot: false, ..report(machine, tally, 7, &running) };
     match fleet.check_in(&report, now, wall(now)) {
-        CheckIn::Reply(reply) => reply.orders,
+        HeartbeatOutcome::Reply(reply) => reply.orders,
         other => panic!("{other:?}"),
     }
 }
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -5,14 +5,14 @@
 use common::fleet_scenario::Scenario;
 use common::planner::{class, need, one_small_type, secs};
 use common::{report, spec};
-use milletlock::capacity::{Offer, Policy, Upkeep, View, WarmPool};
-use milletlock::sched::{plan, Class, Held, KeptRoom, Room, Snapshot};
+use milletlock::capacity::{CapacityView, MachineStatus, Offer, ScalingPolicy, WarmPool};
+use milletlock::sched::{plan, JobClass, MachineSnapshot, PlacedTask, ReservedHeadroom, Snapshot};
 use milletlock::time::{Micros, Wall};
 use milletlock::wire::{JobSpec, Rank};
 
 /// A machine of eight processors with this many one-processor tasks.
-fn room(held: usize, left: i64) -> Room {
-    let one = Held {
+fn room(held: usize, left: i64) -> MachineSnapshot {
+    let one = PlacedTask {
         need: need(1.0),
         rank: Rank::Normal,
         guaranteed: false,
@@ -23,7 +23,7 @@
         stopping: false,
         endless: false,
     };
-    Room {
+    MachineSnapshot {
         ty: 0,
         zone: 0,
         spot: false,
@@ -41,20 +41,20 @@
 }
 
 fn decide(
-    rooms: Vec<Room>,
-    classes: Vec<Class>,
+    rooms: Vec<MachineSnapshot>,
+    classes: Vec<JobClass>,
     idle: Option<i64>,
     refused: &[Offer],
     due: bool,
 ) -> (Vec<(bool, u32)>, usize) {
-    let upkeep = Upkeep { age: secs(100), idle: idle.map(secs), booting: false };
+    let upkeep = MachineStatus { age: secs(100), idle: idle.map(secs), booting: false };
     decide_with(rooms, classes, upkeep, refused, due)
 }
 
 fn decide_with(
-    rooms: Vec<Room>,
-    classes: Vec<Class>,
-    upkeep: Upkeep,
+    rooms: Vec<MachineSnapshot>,
+    classes: Vec<JobClass>,
+    upkeep: MachineStatus,
     refused: &[Offer],
     due: bool,
 ) -> (Vec<(bool, u32)>, usize) {
@@ -68,11 +68,16 @@
         ..Snapshot::default()
     };
     let upkeep = vec![upkeep; s.rooms.len()];
-    let policy =
-        Policy { drain: secs(40), idle: secs(20), idle_due: secs(60), idle_kept: secs(30), slow_boot: 1.6 };
+    let policy = ScalingPolicy {
+        drain: secs(40),
+        idle: secs(20),
+        idle_due: secs(60),
+        idle_kept: secs(30),
+        slow_boot: 1.6,
+    };
     let p = plan(&s);
     let types = one_small_type();
-    let view = View {
+    let view = CapacityView {
         snapshot: &s,
         plan: &p,
         upkeep: &upkeep,
@@ -114,14 +119,14 @@
 
 #[test]
 fn nothing_is_kept_on_machines_that_those_it_would_be_kept_for_may_not_use() {
-    let spot = || Room { spot: true, ..room(0, 0) };
+    let spot = || MachineSnapshot { spot: true, ..room(0, 0) };
     // The warm one is an ordinary machine; spot machines neither stay for it nor count as it.
     assert_eq!(decide(vec![spot(), spot(), room(0, 0)], vec![], Some(31), &[], false).1, 2);
     assert_eq!(decide(vec![spot(), spot()], vec![], Some(31), &[], false).1, 2);
     // Low ranks count on spot machines of a type of which ordinary ones are kept for others.
-    let low = Class { rank: Rank::Idle, ..class(8, 20, 1) };
-    let rents = |r: Room| {
-        let keep = KeptRoom { need: need(8.0), rank: Rank::Urgent, spot: false };
+    let low = JobClass { rank: Rank::Idle, ..class(8, 20, 1) };
+    let rents = |r: MachineSnapshot| {
+        let keep = ReservedHeadroom { need: need(8.0), rank: Rank::Urgent, spot: false };
         let s = Snapshot {
             zones: 1,
             rooms: vec![r],
@@ -131,14 +136,14 @@
         };
         plan(&s).unmet.len()
     };
-    let full = |spot: bool| Room { spot, ..room(8, 1) };
+    let full = |spot: bool| MachineSnapshot { spot, ..room(8, 1) };
     assert_eq!((rents(spot()), rents(full(true))), (0, 1));
     let s = Snapshot {
         zones: 1,
         rooms: vec![spot(), room(0, 0)],
         clear_rooms: 1,
-        keep: vec![Some(KeptRoom { need: need(8.0), rank: Rank::Urgent, spot: false })],
-        classes: vec![Class { rank: Rank::Idle, ..class(16, 20, 1) }],
+        keep: vec![Some(ReservedHeadroom { need: need(8.0), rank: Rank::Urgent, spot: false })],
+        classes: vec![JobClass { rank: Rank::Idle, ..class(16, 20, 1) }],
         ..Snapshot::default()
     };
     // All of the spot machine, and none of the one that is kept clear.
@@ -149,10 +154,11 @@
 /// thirty of them.
 #[test]
 fn no_more_machines_are_rented_than_what_waits_can_fill() {
-    let booting = Room { open: false, opens_in: secs(20), ..room(0, 0) };
-    let upkeep = Upkeep { age: secs(10), idle: None, booting: true };
-    let rented =
-        |rooms: Vec<Room>, tasks: u32| decide_with(rooms, vec![class(tasks, 150, 400)], upkeep, &[], false).0;
+    let booting = MachineSnapshot { open: false, opens_in: secs(20), ..room(0, 0) };
+    let upkeep = MachineStatus { age: secs(10), idle: None, booting: true };
+    let rented = |rooms: Vec<MachineSnapshot>, tasks: u32| {
+        decide_with(rooms, vec![class(tasks, 150, 400)], upkeep, &[], false).0
+    };
     assert_eq!(rented(vec![], 1), [(true, 1)]);
     assert_eq!(rented(vec![booting.clone()], 1), []);
     assert_eq!(rented(vec![booting.clone()], 24), [(true, 2)]);
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -5,8 +5,8 @@
 
 use common::clock::{at, wall, START};
 use common::{config, record, report, spec, types};
-use milletlock::cluster;
-use milletlock::fleet::{CheckIn, Fleet, Pending};
+use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
+use milletlock::leadership;
 use milletlock::records::{JobRecord, MachineRecord};
 use milletlock::time::Micros;
 use milletlock::view::View;
@@ -36,7 +36,7 @@
 fn write_all(f: &mut Fleet, s: f64) {
     let pending = f.pending(at(s), Micros::ZERO, 1000);
     // Values are large enough here for all to go at once.
-    for b in cluster::batches(f, 1, pending, 1000, at(s), wall(s)) {
+    for b in leadership::batches(f, 1, pending, 1000, at(s), wall(s)) {
         for (p, said) in &b.items {
             f.written(p, 1000, said, at(s));
         }
@@ -45,7 +45,7 @@
 
 fn orders(f: &mut Fleet, s: f64, r: &milletlock::wire::Report) -> Vec<Order> {
     match f.check_in(r, at(s), wall(s)) {
-        CheckIn::Reply(r) => r.orders,
+        HeartbeatOutcome::Reply(r) => r.orders,
         other => panic!("not answered: {other:?}"),
     }
 }
@@ -100,7 +100,7 @@
     let first = starts(&orders(&mut f, 1.0, &report("i-1", 2, 7, &[])));
     assert_eq!(first.len(), 1);
     // The same report once more decides nothing.
-    assert_eq!(f.check_in(&report("i-1", 2, 7, &[]), at(1.5), wall(1.5)), CheckIn::Refuse);
+    assert_eq!(f.check_in(&report("i-1", 2, 7, &[]), at(1.5), wall(1.5)), HeartbeatOutcome::Refuse);
     let second = starts(&orders(&mut f, 2.0, &report("i-1", 3, 7, &[])));
     assert_eq!(second.len(), 1);
     assert_ne!(first[0].1, second[0].1, "an attempt number is used twice");
@@ -224,7 +224,7 @@
 #[test]
 fn a_higher_token_ends_ownership_and_is_never_answered_with_200() {
     let mut f = ready(spec(1, 1, "batch"));
-    assert_eq!(f.check_in(&report("i-1", 2, 8, &[]), at(1.0), wall(1.0)), CheckIn::Superseded(8));
+    assert_eq!(f.check_in(&report("i-1", 2, 8, &[]), at(1.0), wall(1.0)), HeartbeatOutcome::Superseded(8));
     assert_eq!(f.raised(&report("i-1", 3, 9, &[]), at(1.0)), Some(9));
 }
 
@@ -241,10 +241,10 @@
     let mut f = fleet(7);
     f.job_put(record(spec(1, 1, "batch")), 1, START);
     assert!(starts(&orders(&mut f, 0.0, &report("i-1", 1, 0, &[]))).is_empty(), "not enrolled");
-    assert_eq!(f.pending(at(0.0), Micros::ZERO, 1000), [Pending::Machines(0)]);
+    assert_eq!(f.pending(at(0.0), Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
     write_all(&mut f, 0.0);
     assert!(starts(&orders(&mut f, 1.0, &report("i-1", 2, 7, &[]))).is_empty(), "not marked as started");
-    assert!(f.pending(at(1.0), Micros::ZERO, 1000).iter().any(|p| matches!(p, Pending::Marks(_))));
+    assert!(f.pending(at(1.0), Micros::ZERO, 1000).iter().any(|p| matches!(p, PendingWrite::Marks(_))));
     write_all(&mut f, 1.0);
     assert_eq!(starts(&orders(&mut f, 2.0, &report("i-1", 3, 7, &[]))).len(), 1);
 }
@@ -384,10 +384,10 @@
 fn unknown_machines_are_enrolled_and_returned_ones_stay_gone() {
     let mut f = fleet(7);
     orders(&mut f, 0.0, &report("i-5", 1, 0, &[]));
-    assert_eq!(f.pending(START, Micros::ZERO, 1000), [Pending::Machines(0)]);
+    assert_eq!(f.pending(START, Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
     assert!(f.packs.get("i-5").is_some());
     f.returned(&["i-5".into()], at(1.0));
-    assert_eq!(f.check_in(&report("i-5", 2, 7, &[]), at(2.0), wall(2.0)), CheckIn::Refuse);
+    assert_eq!(f.check_in(&report("i-5", 2, 7, &[]), at(2.0), wall(2.0)), HeartbeatOutcome::Refuse);
 }
 
 #[test]
@@ -478,7 +478,7 @@
     hasty.cpus = 15.0;
     let mut f = fleet(7);
     f.job_put(record(hasty), 1, START);
-    assert!(f.pending(at(20.0), Micros::ZERO, 1000).contains(&Pending::Recent));
+    assert!(f.pending(at(20.0), Micros::ZERO, 1000).contains(&PendingWrite::Recent));
     let list = f.recent(at(20.0), wall(20.0), 4000);
     assert_eq!(list.len(), 1);
     let mut next = fleet(8);
@@ -528,23 +528,23 @@
     // Sent before the machine was cut off, this one arrives when its lease has run out.
     let held = report("i-1", 4, 7, &running);
     // A copy within the lease does not put off its end.
-    assert_eq!(f.check_in(&report("i-1", 3, 7, &running), at(20.0), wall(20.0)), CheckIn::Refuse);
+    assert_eq!(f.check_in(&report("i-1", 3, 7, &running), at(20.0), wall(20.0)), HeartbeatOutcome::Refuse);
     f.confirm(at(25.9));
     f.tick(at(26.0), wall(26.0));
     assert!(f.jobs["wk-000001"].waiting.contains(0), "the lease has surely run out");
-    assert_eq!(f.check_in(&held, at(27.0), wall(27.0)), CheckIn::Refuse);
+    assert_eq!(f.check_in(&held, at(27.0), wall(27.0)), HeartbeatOutcome::Refuse);
     assert!(f.jobs["wk-000001"].waiting.contains(0), "a late report brought back what has ended");
     // The machine itself is back in its next session.
     let mut back = report("i-1", 1, 7, &[]);
     back.season = 2;
-    assert!(matches!(f.check_in(&back, at(30.0), wall(30.0)), CheckIn::Reply(_)));
+    assert!(matches!(f.check_in(&back, at(30.0), wall(30.0)), HeartbeatOutcome::Reply(_)));
     // From before this owner came, of a machine that has no record any more.
     let mut g = fleet(9);
-    assert_eq!(g.check_in(&report("i-7", 40, 8, &running), at(1.0), wall(1.0)), CheckIn::Refuse);
+    assert_eq!(g.check_in(&report("i-7", 40, 8, &running), at(1.0), wall(1.0)), HeartbeatOutcome::Refuse);
     assert!(g.machines.is_empty());
     // A copy that shows an older token ends nobody's ownership, and does not count as heard.
     g.inherit_machine("i-8", &machine("small"), 0, START);
-    assert!(matches!(g.check_in(&report("i-8", 40, 8, &[]), at(1.0), wall(1.0)), CheckIn::Reply(_)));
+    assert!(matches!(g.check_in(&report("i-8", 40, 8, &[]), at(1.0), wall(1.0)), HeartbeatOutcome::Reply(_)));
     assert_eq!(g.unheard(), 1);
 }
 
@@ -657,14 +657,17 @@
         for m in 0..MACHINES {
             for (tally, tasks) in [(1, &stale[..]), (3, &[][..])] {
                 let r = report(&id(m), tally, if tally > 1 { 7 } else { 0 }, tasks);
-                assert_eq!(f.check_in(&r, at(late), wall(late)), CheckIn::Refuse);
+                assert_eq!(f.check_in(&r, at(late), wall(late)), HeartbeatOutcome::Refuse);
             }
         }
     }
     assert_eq!((f.machines.len(), format!("{:?}", f.machines)), (machines, before));
     // What is remembered of those that are gone ends as well: long after, a name is only a name.
     f.tick(at(1000.0), wall(1000.0));
-    assert!(matches!(f.check_in(&report(&id(0), 4, 7, &[]), at(1000.0), wall(1000.0)), CheckIn::Reply(_)));
+    assert!(matches!(
+        f.check_in(&report(&id(0), 4, 7, &[]), at(1000.0), wall(1000.0)),
+        HeartbeatOutcome::Reply(_)
+    ));
 }
 
 /// The notice of another controller may be held up on the way for a minute. The owner that it reaches
--- a/tests/service_placement.rs
+++ b/tests/service_placement.rs
@@ -5,8 +5,10 @@
 use std::collections::BTreeSet;
 
 use common::planner::{class, need, one_small_type, secs};
-use milletlock::capacity::{Policy, Upkeep, View, WarmPool};
-use milletlock::sched::{order, plan, Class, Held, KeptRoom, Need, Plan, Room, Snapshot, TeamUse};
+use milletlock::capacity::{CapacityView, MachineStatus, ScalingPolicy, WarmPool};
+use milletlock::sched::{
+    order, plan, JobClass, MachineSnapshot, PlacedTask, Plan, ReservedHeadroom, Resources, Snapshot, TeamUse,
+};
 use milletlock::time::Micros;
 use milletlock::wire::Rank;
 use proptest::prelude::*;
@@ -15,8 +17,8 @@
 const IMAGE: u32 = 1;
 
 /// An open, empty, ordinary machine of the first type and zone, which has the image.
-fn room(cpus: f64) -> Room {
-    Room {
+fn room(cpus: f64) -> MachineSnapshot {
+    MachineSnapshot {
         ty: 0,
         zone: 0,
         spot: false,
@@ -33,13 +35,13 @@
     }
 }
 
-fn without_image(room: Room) -> Room {
-    Room { images: Vec::new(), ..room }
+fn without_image(room: MachineSnapshot) -> MachineSnapshot {
+    MachineSnapshot { images: Vec::new(), ..room }
 }
 
 /// A running task that may be stopped for a higher rank.
-fn held(cpus: f64, rank: Rank) -> Held {
-    Held {
+fn held(cpus: f64, rank: Rank) -> PlacedTask {
+    PlacedTask {
         need: need(cpus),
         rank,
         guaranteed: false,
@@ -52,19 +54,19 @@
     }
 }
 
-fn replica(cpus: f64) -> Held {
-    Held { endless: true, left: secs(86_400), ..held(cpus, Rank::Critical) }
+fn replica(cpus: f64) -> PlacedTask {
+    PlacedTask { endless: true, left: secs(86_400), ..held(cpus, Rank::Critical) }
 }
 
 /// The room with these tasks on it.
-fn with(room: Room, tasks: Vec<Held>) -> Room {
+fn with(room: MachineSnapshot, tasks: Vec<PlacedTask>) -> MachineSnapshot {
     let free = tasks.iter().fold(room.free, |free, task| free.less(&task.need, 1));
-    Room { free, held: tasks, ..room }
+    MachineSnapshot { free, held: tasks, ..room }
 }
 
 /// A service of one-processor replicas, none of which runs yet.
-fn service(replicas: u32) -> Class {
-    Class {
+fn service(replicas: u32) -> JobClass {
+    JobClass {
         rank: Rank::Critical,
         adjusted: secs(86_400),
         patience: Micros::ZERO,
@@ -75,7 +77,7 @@
     }
 }
 
-fn snapshot(rooms: Vec<Room>, classes: Vec<Class>) -> Snapshot {
+fn snapshot(rooms: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
     Snapshot {
         zones: 2,
         rooms,
@@ -105,8 +107,8 @@
 
 prop_compose! {
     fn any_held()(cpus in 1u32..5, rank in any_rank(), guaranteed in prop::bool::weighted(0.2),
-                  team in 0usize..2, lost in 0i64..90, state in 0u8..4, endless in any::<bool>()) -> Held {
-        Held {
+                  team in 0usize..2, lost in 0i64..90, state in 0u8..4, endless in any::<bool>()) -> PlacedTask {
+        PlacedTask {
             guaranteed, team, lost_work: secs(lost), endless,
             stoppable: state < 2, stopping: state == 2,
             ..held(f64::from(cpus), rank)
@@ -117,7 +119,7 @@
 prop_compose! {
     fn any_room()(ty in 0usize..2, zone in 0usize..2, spot in any::<bool>(), open in prop::bool::weighted(0.85),
                   opens_in in 0i64..4, has_image in any::<bool>(), until in prop::option::weighted(0.1, 1i64..60),
-                  tasks in prop::collection::vec(any_held(), 0..5)) -> Room {
+                  tasks in prop::collection::vec(any_held(), 0..5)) -> MachineSnapshot {
         let total = if ty == 0 { 4.0 } else { 16.0 };
         let mut used = 0.0;
         let fitting = tasks.into_iter().filter(|task| {
@@ -125,7 +127,7 @@
             used += if fits { task.need.cpus } else { 0.0 };
             fits
         }).collect();
-        let empty = Room {
+        let empty = MachineSnapshot {
             ty, zone, spot, open, opens_in: secs(opens_in), until: until.map(secs),
             images: if has_image { vec![IMAGE] } else { Vec::new() },
             ..room(total)
@@ -140,8 +142,8 @@
                    team in 0usize..2, count in 1u32..6, cpus in 1u32..5,
                    types in prop_oneof![Just(vec![0]), Just(vec![1]), Just(vec![0, 1])],
                    zone in prop::option::weighted(0.2, 0usize..2), tie in 0u8..4, spot in any::<bool>(),
-                   live in 0u32..2, occupied in prop::collection::vec(0usize..8, 0..3)) -> Class {
-        Class {
+                   live in 0u32..2, occupied in prop::collection::vec(0usize..8, 0..3)) -> JobClass {
+        JobClass {
             rank, guaranteed, team, tasks: count + live, need: need(f64::from(cpus)), types, zone,
             one_zone: tie == 1, spread: tie == 2, spot, zones: vec![live, 0],
             patience: if is_service { Micros::ZERO } else { secs(1000) },
@@ -157,9 +159,9 @@
                       classes in prop::collection::vec(any_class(), 1..6),
                       limit in prop::option::of(0u32..12), kept in any::<bool>()) -> Snapshot {
         let tasks = rooms.iter().flat_map(|room| &room.held).filter(|task| task.team == 0);
-        let used = tasks.fold(Need::default(), |sum, task| sum.plus(&task.need, 1));
+        let used = tasks.fold(Resources::default(), |sum, task| sum.plus(&task.need, 1));
         let cpus_max = limit.map_or(0.0, |more| used.cpus + f64::from(more));
-        let keep = KeptRoom { need: need(15.0), rank: Rank::Urgent, spot: false };
+        let keep = ReservedHeadroom { need: need(15.0), rank: Rank::Urgent, spot: false };
         Snapshot {
             teams: vec![TeamUse { used, cpus_max, gpus_max: 0.0 }, TeamUse::default()],
             keep: vec![None, kept.then_some(keep)],
@@ -212,13 +214,13 @@
     }
 
     /// What is free in a room with all tasks ended for which `ends` holds.
-    fn cpus_with(&self, room: usize, ends: impl Fn(usize, &Held) -> bool) -> f64 {
+    fn cpus_with(&self, room: usize, ends: impl Fn(usize, &PlacedTask) -> bool) -> f64 {
         let r = &self.snapshot.rooms[room];
         let ended = r.held.iter().enumerate().filter(|(place, task)| ends(*place, task));
         r.free.cpus + ended.map(|(_, task)| task.need.cpus).sum::<f64>()
     }
 
-    fn may_stop(&self, class: usize, task: &Held) -> bool {
+    fn may_stop(&self, class: usize, task: &PlacedTask) -> bool {
         let c = &self.snapshot.classes[class];
         task.stoppable && task.rank < c.rank && (c.guaranteed || !task.guaranteed)
     }
@@ -329,7 +331,7 @@
     let p = plan(&snapshot(vec![room(8.0), room(8.0), room(8.0)], vec![service(3)]));
     assert_eq!(rooms_of(&p, 0), [0, 1, 2]);
     // Rooms with a replica, or that one has left of late, are avoided.
-    let second = Class { replicas: Some(vec![0, 2]), ..service(1) };
+    let second = JobClass { replicas: Some(vec![0, 2]), ..service(1) };
     let p = plan(&snapshot(vec![room(8.0), room(8.0), room(8.0)], vec![second]));
     assert_eq!(rooms_of(&p, 0), [1]);
     let p = plan(&snapshot(vec![room(8.0)], vec![service(3)]));
@@ -339,13 +341,13 @@
 /// Guards against losing most replicas with one zone.
 #[test]
 fn replicas_spread_over_zones_where_delays_are_alike() {
-    let south = || Room { zone: 1, ..room(8.0) };
+    let south = || MachineSnapshot { zone: 1, ..room(8.0) };
     let rooms = vec![room(8.0), room(8.0), room(8.0), room(8.0), south(), south()];
     let p = plan(&snapshot(rooms, vec![service(4)]));
     let in_south = rooms_of(&p, 0).iter().filter(|&&room| room >= 4).count();
     assert_eq!(in_south, 2);
     // Zones are not worth more than a little time.
-    let late = || Room { opens_in: secs(8), ..south() };
+    let late = || MachineSnapshot { opens_in: secs(8), ..south() };
     let rooms = vec![room(8.0), room(8.0), room(8.0), room(8.0), late(), late()];
     assert_eq!(rooms_of(&plan(&snapshot(rooms, vec![service(4)])), 0), [0, 1, 2, 3]);
 }
@@ -358,38 +360,38 @@
     let full = || with(room(1.0), vec![held(1.0, Rank::Idle)]);
     let p = plan(&snapshot(vec![full(), room(8.0)], vec![service(1)]));
     assert_eq!((rooms_of(&p, 0), p.preempt), (vec![1], Vec::new()));
-    let opens_soon = Room { opens_in: Micros::from_millis(1500), ..room(8.0) };
+    let opens_soon = MachineSnapshot { opens_in: Micros::from_millis(1500), ..room(8.0) };
     let p = plan(&snapshot(vec![full(), opens_soon], vec![service(1)]));
     assert_eq!((rooms_of(&p, 0), p.preempt), (vec![1], Vec::new()));
     // Stopping another is worth it where the free room has to fetch for long.
-    let slow = Room { fetch_rate: 0.1, ..without_image(room(8.0)) };
+    let slow = MachineSnapshot { fetch_rate: 0.1, ..without_image(room(8.0)) };
     let p = plan(&snapshot(vec![full(), slow], vec![service(1)]));
     assert_eq!((rooms_of(&p, 0), p.preempt), (vec![0], vec![(0, 0)]));
 }
 
 /// A machine of 32 processors of a type that is kept for tasks of 30.
-fn kept(rooms: Vec<Room>, classes: Vec<Class>) -> Snapshot {
-    let keep = KeptRoom { need: need(30.0), rank: Rank::Urgent, spot: false };
-    let both_types = classes.into_iter().map(|c| Class { types: vec![0, 1], ..c }).collect();
+fn kept(rooms: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
+    let keep = ReservedHeadroom { need: need(30.0), rank: Rank::Urgent, spot: false };
+    let both_types = classes.into_iter().map(|c| JobClass { types: vec![0, 1], ..c }).collect();
     Snapshot { keep: vec![Some(keep), None], ..snapshot(rooms, both_types) }
 }
 
 /// Another type's machine, on which a replica would run ten seconds later.
-fn later_elsewhere() -> Room {
-    Room { ty: 1, fetch_rate: 0.2, ..without_image(room(8.0)) }
+fn later_elsewhere() -> MachineSnapshot {
+    MachineSnapshot { ty: 1, fetch_rate: 0.2, ..without_image(room(8.0)) }
 }
 
 /// Guards against replicas, which never end, that take the last whole machines of large tasks.
 #[test]
 fn replicas_go_beside_a_larger_task_only_while_it_fits() {
     let beside = |replicas: usize| with(room(32.0), vec![replica(1.0); replicas]);
-    let choice = |rooms: Vec<Room>| rooms_of(&plan(&kept(rooms, vec![service(1)])), 0);
+    let choice = |rooms: Vec<MachineSnapshot>| rooms_of(&plan(&kept(rooms, vec![service(1)])), 0);
     assert_eq!(choice(vec![beside(0), later_elsewhere()]), [0]);
     assert_eq!(choice(vec![beside(1), later_elsewhere()]), [0]);
     assert_eq!(choice(vec![beside(2), later_elsewhere()]), [1]);
     assert_eq!(choice(vec![beside(2)]), [0], "nowhere else to go");
     // Another type's room goes first where a replica runs as soon, be it the emptier one.
-    let as_soon = Room { ty: 1, ..room(64.0) };
+    let as_soon = MachineSnapshot { ty: 1, ..room(64.0) };
     assert_eq!(choice(vec![beside(0), as_soon]), [1]);
 }
 
@@ -412,7 +414,7 @@
     }
     let p = plan(&snapshot(vec![full(Rank::Critical)], vec![service(1)]));
     assert_eq!((p.starts, p.preempt, p.unmet), (Vec::new(), Vec::new(), vec![(0, 1)]));
-    let urgent = Class { rank: Rank::Urgent, ..service(1) };
+    let urgent = JobClass { rank: Rank::Urgent, ..service(1) };
     for rank in [Rank::Urgent, Rank::Critical] {
         let p = plan(&snapshot(vec![full(rank)], vec![urgent.clone()]));
         assert_eq!((p.starts, p.preempt), (Vec::new(), Vec::new()), "{rank:?}");
@@ -422,7 +424,7 @@
 /// Guards against stopping more tasks while those that were stopped are still ending.
 #[test]
 fn room_that_is_being_freed_is_waited_for() {
-    let ending = Held { stoppable: false, stopping: true, ..held(1.0, Rank::Idle) };
+    let ending = PlacedTask { stoppable: false, stopping: true, ..held(1.0, Rank::Idle) };
     let p = plan(&snapshot(vec![with(room(2.0), vec![ending, held(1.0, Rank::Idle)])], vec![service(1)]));
     assert_eq!((rooms_of(&p, 0), p.preempt), (vec![0], Vec::new()));
 }
@@ -437,20 +439,20 @@
 // Renting.
 
 /// What is rented, by kind, with so many machines booting for so long.
-fn rents(classes: Vec<Class>, booting: usize, age: Micros) -> Vec<(bool, u32)> {
-    let closed = Room { open: false, opens_in: secs(20), ..room(8.0) };
+fn rents(classes: Vec<JobClass>, booting: usize, age: Micros) -> Vec<(bool, u32)> {
+    let closed = MachineSnapshot { open: false, opens_in: secs(20), ..room(8.0) };
     let snapshot = Snapshot { keep: vec![None], ..snapshot(vec![closed; booting], classes) };
     let plan = plan(&snapshot);
-    let view = View {
+    let view = CapacityView {
         snapshot: &snapshot,
         plan: &plan,
-        upkeep: &vec![Upkeep { age, idle: None, booting: true }; booting],
+        upkeep: &vec![MachineStatus { age, idle: None, booting: true }; booting],
         types: &one_small_type(),
         zones: &[vec![0]],
         refused: &[],
         warm: &[WarmPool::default()],
         due: &[false],
-        policy: Policy {
+        policy: ScalingPolicy {
             drain: secs(40),
             idle: secs(20),
             idle_due: secs(60),
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::{config, record, report, spec, types};
-use milletlock::cluster;
 use milletlock::fleet::never_runs;
-use milletlock::fleet::{CheckIn, Fleet, Pending};
+use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
+use milletlock::leadership;
 use milletlock::records::{JobRecord, MachineRecord};
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{JobSpec, Order, Rank, TaskStage, Why};
@@ -152,12 +152,12 @@
     fn write(&mut self) {
         let pending = self.fleet.pending(self.now, Micros::ZERO, 1000);
         for p in &pending {
-            if let Pending::Final(job) | Pending::Done(job, _) = p {
+            if let PendingWrite::Final(job) | PendingWrite::Done(job, _) = p {
                 assert!(!self.services.contains(&**job), "a service is said to be done: {p:?}");
             }
         }
         let (now, wall) = (self.now, self.wall());
-        for batch in cluster::batches(&mut self.fleet, 1, pending, 1000, now, wall) {
+        for batch in leadership::batches(&mut self.fleet, 1, pending, 1000, now, wall) {
             self.revision += 1;
             for (p, said) in &batch.items {
                 self.fleet.written(p, self.revision, said, now);
@@ -248,9 +248,9 @@
         message.zone = worker.zone.into();
         message.notice_s = worker.taken_at.map(|at| (at - now).secs());
         match self.fleet.check_in(&message, now, Wall(now.0)) {
-            CheckIn::Reply(reply) => Some(reply.orders),
-            CheckIn::Refuse => None,
-            CheckIn::Superseded(token) => panic!("replaced by {token}"),
+            HeartbeatOutcome::Reply(reply) => Some(reply.orders),
+            HeartbeatOutcome::Refuse => None,
+            HeartbeatOutcome::Superseded(token) => panic!("replaced by {token}"),
         }
     }
 
@@ -767,8 +767,11 @@
     assert_eq!(fleet.counts(SERVICE).map(|c| c.done), Some(0));
     assert_eq!(fleet.jobs[SERVICE].waiting.len(), 3);
     let pending = fleet.pending(T0, Micros::ZERO, 1000);
-    assert!(!pending.iter().any(|p| matches!(p, Pending::Final(_) | Pending::Done(..))), "{pending:?}");
-    assert!(pending.contains(&Pending::Orphan("done/wk-000001/0".into(), 5)), "{pending:?}");
+    assert!(
+        !pending.iter().any(|p| matches!(p, PendingWrite::Final(_) | PendingWrite::Done(..))),
+        "{pending:?}"
+    );
+    assert!(pending.contains(&PendingWrite::Orphan("done/wk-000001/0".into(), 5)), "{pending:?}");
 }
 
 /// Guards against a new owner that starts replicas which may run on a machine it has not heard.
@@ -784,7 +787,7 @@
         let now = T0 + after;
         fleet.tick(now, Wall(now.0));
         match fleet.check_in(&report("b", tally, TOKEN, &[]), now, Wall(now.0)) {
-            CheckIn::Reply(reply) => reply.orders,
+            HeartbeatOutcome::Reply(reply) => reply.orders,
             other => panic!("not answered: {other:?}"),
         }
     };
@@ -795,7 +798,7 @@
     fleet.check_in(&report("a", 1, TOKEN, &there), now, Wall(now.0));
     let now = T0 + secs(3.0);
     fleet.tick(now, Wall(now.0));
-    let CheckIn::Reply(reply) = fleet.check_in(&report("b", 3, TOKEN, &[]), now, Wall(now.0)) else {
+    let HeartbeatOutcome::Reply(reply) = fleet.check_in(&report("b", 3, TOKEN, &[]), now, Wall(now.0)) else {
         panic!("not answered");
     };
     assert_eq!(starts(&reply.orders), ["wk-000001/1"]);
--- a/tests/starving.rs
+++ b/tests/starving.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 use common::{config, record, report, spec, types};
-use milletlock::cluster;
-use milletlock::fleet::{CheckIn, Fleet};
+use milletlock::fleet::{Fleet, HeartbeatOutcome};
+use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{JobSpec, Order, Rank, TaskStage, Why};
 
@@ -60,7 +60,7 @@
         let (now, wall) = (self.now, Wall(self.now.0));
         self.fleet.tick(now, wall);
         let pending = self.fleet.pending(now, Micros::ZERO, 1000);
-        for b in cluster::batches(&mut self.fleet, 1, pending, 64, now, wall) {
+        for b in leadership::batches(&mut self.fleet, 1, pending, 64, now, wall) {
             for (p, said) in &b.items {
                 self.fleet.written(p, 1_000_000, said, now);
             }
@@ -101,7 +101,9 @@
                 .collect();
         let mut rep = report(&format!("i-{i:03}"), w.0, if w.0 > 1 { 7 } else { 0 }, &tasks);
         rep.ty = "large".into();
-        let CheckIn::Reply(reply) = self.fleet.check_in(&rep, now, wall) else { panic!("not answered") };
+        let HeartbeatOutcome::Reply(reply) = self.fleet.check_in(&rep, now, wall) else {
+            panic!("not answered")
+        };
         for o in reply.orders {
             match o {
                 Order::Start { task, attempt } => {
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -13,10 +13,10 @@
 use common::store::{submission, take_due, Store};
 use common::worker::{assert_placement, job_of, Attempt, Task, WorkerState};
 use common::{config_with, record, spec, types, LEASE, TIGHT_LIMIT};
-use milletlock::cluster::Batch;
 use milletlock::config::Config;
-use milletlock::fleet::CheckIn;
+use milletlock::fleet::HeartbeatOutcome;
 use milletlock::keys::{final_key, job_key};
+use milletlock::leadership::Batch;
 use milletlock::ranges::chunk_tasks;
 use milletlock::records::FinalRecord;
 use milletlock::time::{Micros, Steady};
@@ -503,12 +503,12 @@
             return None;
         }
         match self.owners[i].controller.fleet.check_in(r, now, wall_at(now)) {
-            CheckIn::Reply(reply) => Some(reply),
-            CheckIn::Superseded(_) => {
+            HeartbeatOutcome::Reply(reply) => Some(reply),
+            HeartbeatOutcome::Superseded(_) => {
                 self.owners.remove(i);
                 None
             }
-            CheckIn::Refuse => None,
+            HeartbeatOutcome::Refuse => None,
         }
     }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -7,9 +7,9 @@
 
 use common::store::Store;
 use common::{config_with_falling_limits, production, record, report, spec, types};
-use milletlock::cluster::{self, Owner, PART};
-use milletlock::fleet::{CheckIn, Fleet, Pending};
-use milletlock::history::Key;
+use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
+use milletlock::history::EstimateKey;
+use milletlock::leadership::{self, LeaderRecord, SHARD_KEY};
 use milletlock::ranges::chunk_tasks;
 use milletlock::records::FinalRecord;
 use milletlock::state::NextRates;
@@ -50,7 +50,7 @@
 /// What production leaves behind: one of every kind of record.
 fn production_rows() -> Vec<Row> {
     let past: Vec<Value> = (0..10).map(|n| json!({"end_s": 1_789_000_000 + n, "ratio": 0.6})).collect();
-    let bucket = Key { team: "free".into(), stated: Micros(20_000_000) }.bucket();
+    let bucket = EstimateKey { team: "free".into(), stated: Micros(20_000_000) }.bucket();
     let owner = json!({"label": "c-1", "incarnation": 5, "token": 41, "lease": 900});
     vec![
         row(
@@ -77,7 +77,7 @@
         row(&format!("hist/{bucket}"), 17, json!([{"team": "free", "stated_us": 20_000_000, "past": past}])),
         row("final/wk-000000", 18, json!({"stage": "done", "tasks": 3})),
         row("leader", 19, owner.clone()),
-        row(PART, 19, owner),
+        row(SHARD_KEY, 19, owner),
         row("term", 19, json!({"n": 41})),
     ]
 }
@@ -86,16 +86,16 @@
 fn taken_over(rows: Vec<Row>) -> Fleet {
     let mut fleet = Fleet::new(falling(), types(), 42, NOW);
     let read_to = rows.iter().map(|r| r.stamp).max().unwrap_or(0);
-    cluster::load(&mut fleet, rows, NOW, WALL);
+    leadership::load(&mut fleet, rows, NOW, WALL);
     fleet.has_read_to(read_to);
     fleet
 }
 
 /// What an owner would write now, in its transactions.
-fn waiting(fleet: &mut Fleet, part: u64, now: Steady) -> Vec<cluster::Batch> {
+fn waiting(fleet: &mut Fleet, part: u64, now: Steady) -> Vec<leadership::Batch> {
     let pending = fleet.pending(now, Micros::ZERO, chunk_tasks(fleet.value_bytes()));
     let ops = fleet.txn_ops();
-    cluster::batches(fleet, part, pending, ops, now, WALL)
+    leadership::batches(fleet, part, pending, ops, now, WALL)
 }
 
 /// Everything an owner writes until nothing waits, each transaction applied and acknowledged. The store
@@ -104,7 +104,7 @@
     let mut all = Vec::new();
     for round in 0..2000_i64 {
         let now = LATER + Micros(round * 20_000_000);
-        let batches = waiting(fleet, store.stamp(PART), now);
+        let batches = waiting(fleet, store.stamp(SHARD_KEY), now);
         if batches.is_empty() {
             return all;
         }
@@ -113,7 +113,7 @@
                 Ok(revision) => {
                     batch.items.iter().for_each(|(p, said)| fleet.written(p, revision, said, now))
                 }
-                Err(failed) => failed.iter().for_each(|k| cluster::learn(fleet, k, store.row(k), now)),
+                Err(failed) => failed.iter().for_each(|k| leadership::learn(fleet, k, store.row(k), now)),
             }
             all.push(batch.txn);
         }
@@ -136,7 +136,7 @@
 
 fn enrol(fleet: &mut Fleet, id: &str, now: Steady) {
     let answer = fleet.check_in(&report(id, 1, 0, &[]), now, WALL);
-    assert!(matches!(answer, CheckIn::Reply(_)), "{id} is not answered: {answer:?}");
+    assert!(matches!(answer, HeartbeatOutcome::Reply(_)), "{id} is not answered: {answer:?}");
 }
 
 /// Guards against a record of production that this version would not know, or take for another.
@@ -157,15 +157,18 @@
         assert_eq!((m.addr.as_str(), m.ty_name.as_str(), m.spot), (addr, ty, spot));
         assert!(m.enrolled && m.inherited && !m.heard, "tasks may be on {id}");
     }
-    assert_eq!(fleet.history.factor(&Key { team: "free".into(), stated: Micros(20_000_000) }, WALL), 0.6);
+    assert_eq!(
+        fleet.history.factor(&EstimateKey { team: "free".into(), stated: Micros(20_000_000) }, WALL),
+        0.6
+    );
     let recent = fleet.recent(NOW, WALL, 4000);
     assert!(recent.iter().any(|d| d.extra_machines == 3 && d.types == ["large"]), "{recent:?}");
     // The list of recent jobs has been added to; nothing else is written for a takeover alone.
     let written = waiting(&mut fleet, 19, LATER);
-    assert!(written.iter().flat_map(|b| &b.items).all(|(p, _)| *p == Pending::Recent));
+    assert!(written.iter().flat_map(|b| &b.items).all(|(p, _)| *p == PendingWrite::Recent));
     // The others are read by themselves.
     let of = |key: &str| production_rows().into_iter().find(|r| r.key == key).expect("a row").value;
-    let owner: Owner = serde_json::from_value(of("leader")).expect("an owner");
+    let owner: LeaderRecord = serde_json::from_value(of("leader")).expect("an owner");
     assert_eq!((owner.label.as_str(), owner.incarnation, owner.token, owner.lease), ("c-1", 5, 41, 900));
     let over: FinalRecord = serde_json::from_value(of("final/wk-000000")).expect("an end");
     assert_eq!(over, FinalRecord { stage: Stage::Done, tasks: 3 });
@@ -246,7 +249,7 @@
 /// Guards against records that production could not read, and writes that the coming limits refuse.
 #[test]
 fn production_reads_whatever_this_version_writes_within_the_coming_limits() {
-    let mut store = store_of(vec![row(PART, 1, json!({}))]);
+    let mut store = store_of(vec![row(SHARD_KEY, 1, json!({}))]);
     let mut fleet = taken_over(Vec::new());
     for n in 0..1000 {
         enrol(&mut fleet, &format!("i-{n:05}"), NOW);
@@ -268,7 +271,7 @@
     }
     for n in 0..200 {
         fleet.history.add(
-            &Key { team: "free".into(), stated: Micros(20_000_000) },
+            &EstimateKey { team: "free".into(), stated: Micros(20_000_000) },
             WALL,
             f64::from(n) / 300.0,
         );
@@ -280,7 +283,7 @@
         assert!(value.to_string().len() <= SMALL_VALUE, "{key} has {} bytes", value.to_string().len());
     }
     assert!(written.iter().all(|t| (1..=SMALL_TXN).contains(&t.then.len())));
-    assert!(written.iter().all(|t| t.guards[0].key == PART));
+    assert!(written.iter().all(|t| t.guards[0].key == SHARD_KEY));
     for kind in ["machines/", "marks/", "done/", "hist/", "recent", "final/"] {
         assert!(puts(&written).any(|(key, _)| key.starts_with(kind)), "no {kind} was written");
     }
@@ -293,7 +296,7 @@
 fn the_highest_copy_of_a_mark_is_the_one_that_stays() {
     for (first, second) in [(200, 100), (100, 200)] {
         let rows = vec![
-            row(PART, 1, json!({})),
+            row(SHARD_KEY, 1, json!({})),
             row("job/wk-000001", 2, production_job(1, 2500)),
             row("marks/0", 3, json!({ "wk-000001": first })),
             row("marks/1", 4, json!({ "wk-000001": second })),
@@ -327,7 +330,7 @@
     };
     finish(&mut fleet, 30..40);
     enrol(&mut fleet, "i-3", NOW);
-    let late = waiting(&mut fleet, store.stamp(PART), LATER);
+    let late = waiting(&mut fleet, store.stamp(SHARD_KEY), LATER);
     let written = |prefix: &str| {
         late.iter().flat_map(|b| puts(std::slice::from_ref(&b.txn))).any(|(k, _)| k.starts_with(prefix))
     };
@@ -336,7 +339,7 @@
     write_all(&mut fleet, &mut store);
     let before = store.keys.clone();
     // What is written without a guard of its own may come late: it is only a hint.
-    for batch in late.iter().filter(|b| b.items.iter().any(|(p, _)| *p != Pending::Recent)) {
+    for batch in late.iter().filter(|b| b.items.iter().any(|(p, _)| *p != PendingWrite::Recent)) {
         assert!(store.txn(&batch.txn).is_err(), "{:?}", batch.txn);
     }
     assert_eq!(store.keys, before);
@@ -349,7 +352,7 @@
         "p": 0, "n": 41, "a": "127.0.0.1:9", "t": "small", "z": "north", "s": false,
         "q": {"deep": [1, 2]}, "slow": true
     });
-    let rows = vec![row(PART, 1, json!({})), row("machines/0", 2, json!({ "i-1": later }))];
+    let rows = vec![row(SHARD_KEY, 1, json!({})), row("machines/0", 2, json!({ "i-1": later }))];
     let mut store = store_of(rows.clone());
     let mut fleet = taken_over(rows);
     enrol(&mut fleet, "i-2", NOW);
--- a/tests/upgrade_takeovers.rs
+++ b/tests/upgrade_takeovers.rs
@@ -10,10 +10,10 @@
 
 use common::store::Store;
 use common::{config, config_with_falling_limits, production, report, spec, types};
-use milletlock::cluster::{self, Batch, PART};
 use milletlock::config::Config;
-use milletlock::fleet::{CheckIn, Fleet, Pending};
+use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::jobs::JobId;
+use milletlock::leadership::{self, Batch, SHARD_KEY};
 use milletlock::ranges::chunk_tasks;
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{Change, Guard, Txn};
@@ -51,7 +51,7 @@
 /// The state service's answer to a transaction.
 #[derive(Debug)]
 enum Answer {
-    Applied(u64),
+    TxnOutcome(u64),
     /// These keys have changed.
     Refused(Vec<String>),
     TooLarge,
@@ -214,7 +214,7 @@
         match self.store.txn(txn) {
             Ok(revision) => {
                 self.model.check(&self.store, txn);
-                Answer::Applied(revision)
+                Answer::TxnOutcome(revision)
             }
             Err(failed) => Answer::Refused(failed),
         }
@@ -223,7 +223,7 @@
     /// A transaction of a user or of a claim, which is never refused.
     fn must_apply(&mut self, guards: Vec<Guard>, then: Vec<Change>) -> u64 {
         match self.submit(&Txn { guards, then }) {
-            Answer::Applied(revision) => revision,
+            Answer::TxnOutcome(revision) => revision,
             other => panic!("not applied: {other:?}"),
         }
     }
@@ -232,7 +232,7 @@
     fn take_over(&mut self, version: Version) {
         self.token += 1;
         self.news.clear();
-        self.part = self.must_apply(vec![], vec![Change::put(PART, json!({ "token": self.token }))]);
+        self.part = self.must_apply(vec![], vec![Change::put(SHARD_KEY, json!({ "token": self.token }))]);
         let rows: Vec<_> = ["recent", "job/", "machine", "marks/", "done/", "hist/"]
             .iter()
             .flat_map(|prefix| self.store.rows(prefix))
@@ -245,7 +245,7 @@
             }
             Version::Present => {
                 let mut fleet = Fleet::new(self.cfg.clone(), types(), self.token, self.now);
-                cluster::load(&mut fleet, rows, self.now, self.wall());
+                leadership::load(&mut fleet, rows, self.now, self.wall());
                 fleet.has_read_to(self.store.revision);
                 Owner::Present(Box::new(fleet))
             }
@@ -262,7 +262,7 @@
                 let chunk = chunk_tasks(fleet.value_bytes());
                 let pending = fleet.pending(now, Micros::ZERO, chunk);
                 let ops = fleet.txn_ops();
-                let batches = cluster::batches(fleet, self.part, pending, ops, now, wall);
+                let batches = leadership::batches(fleet, self.part, pending, ops, now, wall);
                 batches.iter().take(most).take_while(|b| self.write_batch(b)).count()
             }
         }
@@ -275,7 +275,7 @@
         let answer = self.submit(&txn);
         let Owner::Production(owner) = &mut self.owner else { return false };
         match answer {
-            Answer::Applied(revision) => owner.written(revision),
+            Answer::TxnOutcome(revision) => owner.written(revision),
             Answer::Refused(failed) => owner.refused(&failed),
             Answer::TooLarge => panic!("production's own value is too large: {txn:?}"),
         }
@@ -302,7 +302,7 @@
             return false;
         }
         match self.submit(&batch.txn) {
-            Answer::Applied(revision) => {
+            Answer::TxnOutcome(revision) => {
                 let Owner::Present(fleet) = &mut self.owner else { return false };
                 batch.items.iter().for_each(|(p, said)| fleet.written(p, revision, said, self.now));
                 true
@@ -322,8 +322,8 @@
 
     fn read_back<'a>(&mut self, keys: impl Iterator<Item = &'a String>) {
         let Owner::Present(fleet) = &mut self.owner else { return };
-        for key in keys.filter(|key| *key != PART) {
-            cluster::learn(fleet, key, self.store.row(key), self.now);
+        for key in keys.filter(|key| *key != SHARD_KEY) {
+            leadership::learn(fleet, key, self.store.row(key), self.now);
         }
     }
 
@@ -355,10 +355,13 @@
         }
         let at = self.rng.random_range(0..self.late.len());
         let txn = self.late.remove(at);
-        let present = txn.guards.iter().any(|g| g.key == PART && g.stamp == self.part);
+        let present = txn.guards.iter().any(|g| g.key == SHARD_KEY && g.stamp == self.part);
         self.met.late += usize::from(!present);
         let answer = self.submit(&txn);
-        assert!(present || !matches!(answer, Answer::Applied(_)), "a late transaction was executed: {txn:?}");
+        assert!(
+            present || !matches!(answer, Answer::TxnOutcome(_)),
+            "a late transaction was executed: {txn:?}"
+        );
     }
 
     /// A user submits a job.
@@ -412,7 +415,7 @@
             Owner::Present(fleet) => {
                 let wall = Wall(WALL.0 + self.now.0);
                 let answer = fleet.check_in(&report(&id, 1, 0, &[]), self.now, wall);
-                assert!(matches!(answer, CheckIn::Reply(_)), "{answer:?}");
+                assert!(matches!(answer, HeartbeatOutcome::Reply(_)), "{answer:?}");
             }
         }
     }
@@ -479,7 +482,7 @@
                 let pending = fleet.pending(self.now, Micros::ZERO, chunk);
                 let ops = fleet.txn_ops();
                 let wall = Wall(WALL.0 + self.now.0);
-                let batches = cluster::batches(fleet, self.part, pending, ops, self.now, wall);
+                let batches = leadership::batches(fleet, self.part, pending, ops, self.now, wall);
                 batches.into_iter().map(|b| b.txn).collect()
             }
         };
@@ -663,6 +666,6 @@
         assert!(fleet
             .pending(world.now, Micros::ZERO, 64)
             .iter()
-            .all(|p| !matches!(p, Pending::Machines(_))));
+            .all(|p| !matches!(p, PendingWrite::Machines(_))));
     }
 }
