--- a/src/api.rs
+++ b/src/api.rs
@@ -16,7 +16,7 @@
 use crate::fleet::{never_runs, JobProgress};
 use crate::http::{Request, Response};
 use crate::keys::{borrowed_key, final_key, job_key};
-use crate::live::LiveJobs;
+use crate::live_jobs::LiveJobs;
 use crate::records::{FinalRecord, JobRecord};
 use crate::state::{RequestPriority, StateClient, StateError, TxnOutcome};
 use crate::time::wall;
--- a/src/notices.rs
+++ b/src/cancellation_notices.rs
@@ -27,15 +27,15 @@
 
 /// What each of the others is yet to be told.
 #[derive(Debug)]
-pub struct Notices {
+pub struct CancellationNotices {
     waiting: Vec<VecDeque<Cancellation>>,
     keep: Micros,
 }
 
-impl Notices {
+impl CancellationNotices {
     /// For so many others. After `keep` the bound on acting blind has ended all that the word could.
-    pub fn new(others: usize, keep: Micros) -> Notices {
-        Notices { waiting: vec![VecDeque::new(); others], keep }
+    pub fn new(others: usize, keep: Micros) -> CancellationNotices {
+        CancellationNotices { waiting: vec![VecDeque::new(); others], keep }
     }
 
     /// Has all others told.
--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -79,7 +79,7 @@
     /// Whether an array's tasks can count on a room.
     fn serves_array(&self, class: &JobClass, index: usize) -> bool {
         let room = &self.snapshot.rooms[index];
-        let kept = self.snapshot.is_below_reserved_rank(class, room);
+        let kept = self.snapshot.is_below_reserved_priority(class, room);
         let stays = room.until.is_none() && self.coming(index);
         allowed(class, room) && stays && !kept && room.total.fits(&class.need) > 0
     }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -5,7 +5,7 @@
 
 use crate::http::{CallError, Client};
 use crate::time::{steady, Micros, Steady};
-use crate::wire::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, RentRequest};
+use crate::wire::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest};
 
 /// Why a call to the cloud has no result.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
@@ -81,7 +81,7 @@
     }
 
     /// Rents machines. The same request may be repeated until it is answered.
-    pub fn rent(&self, r: &RentRequest) -> Result<Vec<String>, CloudError> {
+    pub fn rent(&self, r: &ScaleOutRequest) -> Result<Vec<String>, CloudError> {
         let body = serde_json::to_vec(r).map_err(|e| CloudError::Malformed(e.to_string()))?;
         let b = self.call("POST", "/rentals", Some(body))?;
         let m: MachineNames = serde_json::from_slice(&b).map_err(|e| CloudError::Malformed(e.to_string()))?;
--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -2,9 +2,9 @@
 //! confirmed to users.
 
 use super::{Controller, Leadership, UNTOLD_VERSION, VERSION};
+use crate::cancellation_notices::Cancellation;
 use crate::fleet::JobProgress;
 use crate::jobs::JobId;
-use crate::notices::Cancellation;
 use crate::peer::{self, JobCounts, Message, Outcome, Summary};
 use crate::time::{Micros, Steady};
 
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -6,7 +6,7 @@
 use crate::cloud::{CloudError, MACHINES_PER_LIST_PAGE, MAX_MACHINES_PER_RENTAL};
 use crate::fleet::Fleet;
 use crate::time::{wall, Micros, Steady};
-use crate::wire::RentRequest;
+use crate::wire::ScaleOutRequest;
 
 /// Most machines in one request to return some.
 const MAX_MACHINES_PER_SCALE_IN: usize = 100;
@@ -143,7 +143,7 @@
                 continue;
             }
             *counter += 1;
-            let request = RentRequest {
+            let request = ScaleOutRequest {
                 request: format!("r-{fencing_token}-{}-{counter}", self.incarnation),
                 ..request
             };
@@ -163,7 +163,7 @@
 
     /// Requests for the machines that the leader lacks, still without names; none if this controller is no
     /// longer the leader.
-    fn scale_out_requests(&self, fencing_token: u64) -> Option<Vec<(Offer, RentRequest)>> {
+    fn scale_out_requests(&self, fencing_token: u64) -> Option<Vec<(Offer, ScaleOutRequest)>> {
         let mut shared = self.lock();
         let leadership = shared.leadership_with(fencing_token)?;
         let mut requests = Vec::new();
@@ -174,7 +174,7 @@
             while left > 0 {
                 let count = left.min(MAX_MACHINES_PER_RENTAL);
                 left -= count;
-                let request = RentRequest {
+                let request = ScaleOutRequest {
                     request: String::new(),
                     ty: ty.clone(),
                     zone: zone.clone(),
@@ -189,7 +189,7 @@
 
     /// Sends a rental request, again if its outcome is not known: the cloud rents nothing twice for
     /// one request name.
-    fn send_scale_out_request(&self, request: &RentRequest) -> Result<Vec<String>, CloudError> {
+    fn send_scale_out_request(&self, request: &ScaleOutRequest) -> Result<Vec<String>, CloudError> {
         let mut outcome = self.cloud.rent(request);
         for _ in 0..SCALE_OUT_RETRIES {
             if !matches!(outcome, Err(CloudError::Unknown(_))) {
@@ -215,7 +215,7 @@
 fn record_scale_out(
     fleet: &mut Fleet,
     offer: Offer,
-    request: &RentRequest,
+    request: &ScaleOutRequest,
     outcome: Result<Vec<String>, CloudError>,
     now: Steady,
 ) -> ScaleOutOutcome {
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::http::Client;
 use crate::time::{Micros, Steady};
-use crate::wire::{Commands, Report, COMMANDS_PATH};
+use crate::wire::{Commands, Heartbeat, COMMANDS_PATH};
 
 /// How often halts that cannot wait for a report are sent.
 const HALT_INTERVAL: Micros = Micros::from_millis(100);
@@ -95,7 +95,7 @@
                 tracing::debug!(%machine, "direct command unanswered");
                 return;
             };
-            let Ok(r) = serde_json::from_slice::<Report>(&body) else { return };
+            let Ok(r) = serde_json::from_slice::<Heartbeat>(&body) else { return };
             if r.machine != **machine {
                 return;
             }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -10,7 +10,7 @@
 use crate::http::{Reply, Request, Response};
 use crate::jobs::MachineId;
 use crate::time::{wall, Micros, Steady};
-use crate::wire::{Redirect, Report, ReportReply};
+use crate::wire::{Heartbeat, HeartbeatReply, Redirect};
 
 /// How long the answer to an idle worker's heartbeat is held back at the most; the worker gives up
 /// after four seconds.
@@ -28,7 +28,7 @@
 
 /// A heartbeat whose answer is held back until there is a task to start on its machine.
 pub(super) struct DeferredHeartbeatReply {
-    report: Report,
+    report: Heartbeat,
     /// The leader's fencing token when the heartbeat came.
     fencing_token: u64,
     /// When it is answered at the latest.
@@ -60,7 +60,7 @@
 
     /// Decides on the answer to a heartbeat.
     fn take_heartbeat(&self, req: &Request, reply: Option<Reply>) -> HeartbeatHandling {
-        let report: Report = match serde_json::from_slice(&req.body) {
+        let report: Heartbeat = match serde_json::from_slice(&req.body) {
             Ok(r) => r,
             Err(e) => {
                 tracing::error!(error = %e, "malformed heartbeat");
@@ -94,7 +94,7 @@
     fn answer_as_owner(
         &self,
         shared: &mut SharedState,
-        report: Report,
+        report: Heartbeat,
         reply: Option<Reply>,
     ) -> HeartbeatHandling {
         let now = self.now();
@@ -190,7 +190,7 @@
                 if let Some(w) = deferred_replies.remove(id) {
                     answers.push((
                         w.reply,
-                        Response::json(200, &ReportReply { token: w.fencing_token, orders }),
+                        Response::json(200, &HeartbeatReply { token: w.fencing_token, orders }),
                     ));
                 }
             }
--- a/src/controller/latency.rs
+++ b/src/controller/latency.rs
@@ -4,7 +4,7 @@
 
 use super::Controller;
 use crate::time::{Micros, Steady};
-use crate::wire::REPORT_PATH;
+use crate::wire::HEARTBEAT_PATH;
 
 /// Longest time that is told apart, in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
@@ -23,7 +23,7 @@
     pub(super) fn record_latency(&self, path: &str, since: Steady) {
         let took = (self.now() - since).0.clamp(1, MAX_LATENCY_US as i64) as u64;
         let mut latencies = self.latencies.lock().unwrap_or_else(|e| e.into_inner());
-        let histogram = if path == REPORT_PATH { &mut latencies.workers } else { &mut latencies.users };
+        let histogram = if path == HEARTBEAT_PATH { &mut latencies.workers } else { &mut latencies.users };
         // Within the bounds by the clamp above.
         let _ = histogram.record(took);
         if self.now() - latencies.logged_at < LOG_INTERVAL {
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -8,8 +8,8 @@
 use crate::fleet::Fleet;
 use crate::leadership::{self, LeaderClaim, LeaderRecord, LEADER_KEY};
 use crate::state::StateError;
+use crate::store_contact::StoreContact;
 use crate::time::{Micros, Steady};
-use crate::view::View;
 
 /// Renewals of the lease begin no closer together than this.
 const MIN_RENEWAL_INTERVAL: Micros = Micros::from_millis(100);
@@ -74,7 +74,7 @@
         // A single controller is followed by nobody while it lives.
         if renewed || self.cfg.nodes() == 1 {
             leadership.fleet.confirm(begun);
-            leadership.view.has_owned(begun);
+            leadership.view.note_renewal(begun);
         }
         match r {
             Ok(()) => {}
@@ -239,7 +239,7 @@
             lease: claim.lease,
         });
         shared.last_peer_contact = now;
-        let view = View::new(begun, self.cfg.blind_bound());
+        let view = StoreContact::new(begun, self.cfg.blind_bound());
         shared.leadership = Some(Leadership { fleet, claim, view, last_heartbeat: now });
         self.wake.notify_all();
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -43,20 +43,20 @@
 pub use self::status::STATUS;
 pub use self::writer::done_write_interval;
 use crate::api;
+use crate::cancellation_notices::CancellationNotices;
 use crate::cloud::CloudClient;
 use crate::config::Config;
 use crate::fleet::{Fleet, JobProgress};
 use crate::http::{self, Lane, Reply, Request, Response};
 use crate::jobs::MachineId;
 use crate::leadership::{LeaderClaim, LeaderRecord};
-use crate::live::LiveJobs;
-use crate::notices::Notices;
+use crate::live_jobs::LiveJobs;
 use crate::peer::{Inbound, PeerHub};
 use crate::records::FinalRecord;
 use crate::state::StateClient;
+use crate::store_contact::StoreContact;
 use crate::time::{Clock, Micros, Steady};
-use crate::view::View;
-use crate::wire::{MachineType, HEALTH_PATH, REPORT_PATH, WRITE_OFF_PATH};
+use crate::wire::{MachineType, HEALTH_PATH, HEARTBEAT_PATH, WRITE_OFF_PATH};
 
 /// The state of the controller that leads and so owns the machines.
 struct Leadership {
@@ -65,7 +65,7 @@
     /// The claim by which it owns them.
     claim: LeaderClaim,
     /// Age of its knowledge of the state store, which limits how long it may act.
-    view: View,
+    view: StoreContact,
     /// When a worker's report was last accepted.
     last_heartbeat: Steady,
 }
@@ -146,7 +146,7 @@
     /// Notified when there is something to write, and when the leadership changes.
     wake: Condvar,
     /// Cancellations that other controllers have not acknowledged yet.
-    notices: Mutex<Notices>,
+    notices: Mutex<CancellationNotices>,
     /// Notified when a cancellation was added to `notices`.
     notices_added: Condvar,
     /// Held while another cell's message changes what is borrowed.
@@ -191,7 +191,7 @@
                     .clamp(MIN_POLL_READ_INTERVAL, MAX_POLL_READ_INTERVAL),
             ),
             cloud: CloudClient::new(p.services.cloud, p.settings.cloud.rps * 0.8),
-            notices: Mutex::new(Notices::new(peers.count(), keep)),
+            notices: Mutex::new(CancellationNotices::new(peers.count(), keep)),
             notices_added: Condvar::new(),
             loan_changes: Mutex::new(()),
             peers,
@@ -283,7 +283,7 @@
         };
         let lane = |req: &Request| match req.path.as_str() {
             HEALTH_PATH => Lane::Probe,
-            REPORT_PATH => Lane::Bulk,
+            HEARTBEAT_PATH => Lane::Bulk,
             _ => Lane::Prompt,
         };
         http::Service { lane, handler: Arc::new(handler) }
@@ -314,7 +314,7 @@
 
     /// Answers a request that came over a connection, now or a little later.
     pub fn serve(&self, req: &Request, reply: Reply) {
-        if req.path == REPORT_PATH && req.method == "POST" {
+        if req.path == HEARTBEAT_PATH && req.method == "POST" {
             self.handle_heartbeat(req, Some(reply));
         } else {
             reply.send(&self.answer(req, false));
@@ -324,12 +324,12 @@
     /// Answers a request of a user, a worker or the load balancer.
     pub fn answer(&self, req: &Request, relayed: bool) -> Response {
         match req.path.as_str() {
-            REPORT_PATH if req.method == "POST" => {
+            HEARTBEAT_PATH if req.method == "POST" => {
                 let refused = || Response::error(503, "not now");
                 self.handle_heartbeat(req, None).unwrap_or_else(refused)
             }
             HEALTH_PATH if req.method == "GET" => self.health(),
-            REPORT_PATH | HEALTH_PATH => Response::error(405, "wrong method"),
+            HEARTBEAT_PATH | HEALTH_PATH => Response::error(405, "wrong method"),
             // For people on call, by the controllers' own interface: users' connections never
             // reach it.
             p if relayed && p.starts_with(STATUS) => self.status(req),
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -5,7 +5,7 @@
 use super::{Controller, Leadership, SharedState, VERSION};
 use crate::http::{Request, Response};
 use crate::time::{wall, Micros};
-use crate::wire::{Health, NodeStatus, PartStatus};
+use crate::wire::{ControllerStatus, Health, ShardStatus};
 
 /// Path of the status view between controllers; a team's name may follow.
 pub const STATUS: &str = "/status";
@@ -40,10 +40,10 @@
         let label = &self.cfg.platform.label;
         let leadership = shared.leadership.as_ref();
         let part =
-            |o: &Leadership| PartStatus { owner: label.clone(), part: ONLY_PART, token: o.claim.token };
+            |o: &Leadership| ShardStatus { owner: label.clone(), part: ONLY_PART, token: o.claim.token };
         Response::json(
             200,
-            &NodeStatus {
+            &ControllerStatus {
                 leader: shared.leader.as_ref().map(|l| l.label.clone()),
                 node: label.clone(),
                 view: leadership.map(|o| o.fleet.status(team, self.now(), wall())),
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -4,11 +4,11 @@
 
 use super::Controller;
 use crate::api::JobsBackend;
+use crate::cancellation_notices::Cancellation;
 use crate::config::Config;
 use crate::fleet::JobProgress;
 use crate::http::{Request, Response};
-use crate::live::LiveJobs;
-use crate::notices::Cancellation;
+use crate::live_jobs::LiveJobs;
 use crate::peer::{JobNews, Message};
 use crate::records::{FinalRecord, JobRecord};
 use crate::state::StateClient;
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -77,7 +77,7 @@
         }
         leadership.fleet.has_read_to(if read_at.is_some() { changes.revision } else { latest });
         if let Some(sent) = read_at {
-            leadership.view.has_read(sent);
+            leadership.view.note_read(sent);
         }
     }
 }
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -5,9 +5,9 @@
 use crate::fleet::PendingWrite;
 use crate::jobs::JobId;
 use crate::leadership::{self, Batch, LeaderClaim, SHARD_KEY};
-use crate::ranges::chunk_tasks;
 use crate::records::FinalRecord;
 use crate::state::{RequestPriority, StateError, TxnOutcome};
+use crate::task_ranges::chunk_tasks;
 use crate::time::{wall, Micros};
 use crate::wire::Stage;
 
--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -69,7 +69,7 @@
             Ok(spec) => spec,
             Err(error) => return tracing::error!(job = id, %home, %error, "a borrowed job cannot be read"),
         };
-        let spec = JobSpec { rank: Rank::Idle, class: None, deadline_s: None, ..spec };
+        let spec = JobSpec { priority: Priority::Idle, class: None, deadline_s: None, ..spec };
         let own = JobRecord { spec, submitted_us: wall.0, high: 0, lending: Lending::default() };
         let mut job = Job::new(own, stamp, now);
         job.borrowed_from = Some(home);
--- a/src/fleet/demand.rs
+++ b/src/fleet/demand.rs
@@ -24,7 +24,7 @@
 pub(super) struct Demand {
     pub(super) at: Steady,
     pub(super) need: Resources,
-    pub(super) rank: Rank,
+    pub(super) priority: Priority,
     pub(super) types: Vec<usize>,
     /// Task-seconds, by the stated time.
     pub(super) work: f64,
@@ -55,7 +55,7 @@
         self.demands.push(Demand {
             at: now,
             need: need_of(s),
-            rank: s.rank,
+            priority: s.priority,
             types,
             work: each * f64::from(s.tasks),
             starts_before_boot: service || aim.is_some_and(|a| a < ready),
@@ -77,11 +77,11 @@
     pub fn recent(&self, now: Steady, wall: Wall, bytes: usize) -> Vec<DemandRecord> {
         let name = |t: &usize| self.types.get(*t).map(|t| t.name.clone());
         let mut left = bytes;
-        let kept = self.demands.iter().rev().filter(|d| d.starts_before_boot || d.rank > Rank::Idle);
+        let kept = self.demands.iter().rev().filter(|d| d.starts_before_boot || d.priority > Priority::Idle);
         kept.map(|d| DemandRecord {
             at_us: (wall - (now - d.at)).0,
             need: (d.need.cpus, d.need.gpus, d.need.memory),
-            rank: d.rank,
+            priority: d.priority,
             types: d.types.iter().filter_map(name).collect(),
             work: d.work,
             starts_before_boot: d.starts_before_boot,
@@ -106,7 +106,7 @@
             self.demands.push(Demand {
                 at: now - age,
                 need: Resources { cpus: r.need.0, gpus: r.need.1, memory: r.need.2 },
-                rank: r.rank,
+                priority: r.priority,
                 types: r.types.iter().filter_map(index).collect(),
                 work: r.work,
                 starts_before_boot: r.starts_before_boot,
@@ -177,11 +177,11 @@
             .map(|ty| {
                 self.demands
                     .iter()
-                    .filter(|d| d.rank > Rank::Idle && d.types.contains(&ty))
+                    .filter(|d| d.priority > Priority::Idle && d.types.contains(&ty))
                     .filter(|d| d.types.iter().all(|&o| size(&self.types[o]) >= size(&self.types[ty])))
                     .filter(|d| self.total(ty).fits(&d.need) == 1)
-                    .max_by(|a, b| a.rank.cmp(&b.rank).then(a.need.cpus.total_cmp(&b.need.cpus)))
-                    .map(|d| ReservedHeadroom { need: d.need, rank: d.rank, spot: d.spot })
+                    .max_by(|a, b| a.priority.cmp(&b.priority).then(a.need.cpus.total_cmp(&b.need.cpus)))
+                    .map(|d| ReservedHeadroom { need: d.need, priority: d.priority, spot: d.spot })
             })
             .collect()
     }
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -24,7 +24,7 @@
     }
 
     /// Takes a worker's heartbeat: reconciles it with what is held and says what to answer.
-    pub fn check_in(&mut self, r: &Report, now: Steady, wall: Wall) -> HeartbeatOutcome {
+    pub fn check_in(&mut self, r: &Heartbeat, now: Steady, wall: Wall) -> HeartbeatOutcome {
         if r.token > self.token {
             return HeartbeatOutcome::Superseded(r.token);
         }
@@ -61,13 +61,13 @@
             m.missing = false;
         }
         let orders = self.reply_orders(&id, now, wall);
-        HeartbeatOutcome::Reply(ReportReply { token: self.token, orders })
+        HeartbeatOutcome::Reply(HeartbeatReply { token: self.token, orders })
     }
 
     /// Takes the heartbeat that a direct command returned: it only tells that this leader's fencing
     /// token has arrived. Its task list may be older than a start on its way, so once the machine is
     /// heard it is not used at all. Returns a higher fencing token, if one shows (a newer leader).
-    pub fn raised(&mut self, r: &Report, now: Steady) -> Option<u64> {
+    pub fn raised(&mut self, r: &Heartbeat, now: Steady) -> Option<u64> {
         if r.token > self.token {
             return Some(r.token);
         }
@@ -147,7 +147,9 @@
                         let written = match self.jobs.get(&k.0) {
                             // A service is never done: nothing of its replicas' ends is written.
                             Some(j) if j.spec.is_service() => true,
-                            Some(j) if why == Why::Done && !j.cancelled => j.done_written.contains(k.1),
+                            Some(j) if why == ExitReason::Done && !j.cancelled => {
+                                j.done_written.contains(k.1)
+                            }
                             _ => true,
                         };
                         if written {
@@ -195,7 +197,7 @@
     }
 
     /// The orders with which a deferred heartbeat is answered; empty if a newer heartbeat has come.
-    pub fn later(&mut self, r: &Report, now: Steady, wall: Wall) -> Vec<Order> {
+    pub fn later(&mut self, r: &Heartbeat, now: Steady, wall: Wall) -> Vec<Order> {
         let id: MachineId = r.machine.as_str().into();
         if self.machines.get(&id).is_none_or(|m| m.seen != (r.season, r.tally)) {
             return Vec::new();
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -18,7 +18,7 @@
     /// The halt is to leave by direct command, ahead of the next report's answer.
     pub stop_at_once: bool,
     /// Why it ended, if it did.
-    pub ended: Option<Why>,
+    pub ended: Option<ExitReason>,
 }
 
 impl TaskEntry {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -45,16 +45,17 @@
 use crate::history::{EstimateKey, History};
 use crate::jobs::{split_task, GangAttempt, Job, JobId, MachineId};
 use crate::keys::done_key;
-use crate::packs::Packs;
-use crate::ranges::{chunk_number, chunk_span, Ranges};
+use crate::packed_records::PackedRecords;
 use crate::records::{DemandRecord, JobRecord, MachineRecord};
 use crate::sched::{
     self, IncrementalBackfill, JobClass, MachineSnapshot, PlacedTask, Plan, ReservedHeadroom, Resources,
     Snapshot, TeamUse,
 };
+use crate::task_ranges::{chunk_number, chunk_span, TaskRanges};
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::{
-    JobSpec, ListedMachine, MachineType, Order, Rank, Report, ReportReply, Shape, TaskReport, TaskStage, Why,
+    ExitReason, Heartbeat, HeartbeatReply, JobSpec, ListedMachine, MachineType, Order, Priority, Shape,
+    TaskStage, TaskStatus,
 };
 
 use demand::*;
@@ -68,7 +69,7 @@
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
     /// Answer 200 with this reply: this leader's fencing token and the orders for the machine.
-    Reply(ReportReply),
+    Reply(HeartbeatReply),
     /// The heartbeat carries this higher fencing token: another leader has taken over.
     Superseded(u64),
     /// Not to be answered with 200: the machine is gone, its name is malformed, or the heartbeat is a
@@ -135,9 +136,9 @@
     /// Changes that a transaction may hold.
     txn_limit: usize,
     /// Machine records, packed into state-store values.
-    pub packs: Packs<MachineRecord>,
+    pub packs: PackedRecords<MachineRecord>,
     /// Jobs' marks (how many tasks may start), packed into state-store values.
-    pub marks: Packs<u32>,
+    pub marks: PackedRecords<u32>,
     /// All changes of jobs up to this revision are known here.
     read_to: u64,
     /// Later revisions at which jobs ended, so that a late message does not bring them back.
@@ -199,8 +200,8 @@
             all_heard: false,
             value_limit: cfg.value_bytes(),
             txn_limit: cfg.txn_ops(),
-            packs: Packs::new(cfg.value_bytes()),
-            marks: Packs::new(cfg.value_bytes()),
+            packs: PackedRecords::new(cfg.value_bytes()),
+            marks: PackedRecords::new(cfg.value_bytes()),
             read_to: 0,
             over: BTreeMap::new(),
             gone: BTreeMap::new(),
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -101,7 +101,7 @@
             zones: self.zones.len(),
             reserve: self.cfg.operator.reserve,
             clear_rooms: self.clear(),
-            low_rank_delay_step: Micros::from_secs(1.5 * self.cfg.platform.settings.workers.report_s),
+            low_priority_delay_step: Micros::from_secs(1.5 * self.cfg.platform.settings.workers.report_s),
             delay_step: DELAY_STEP,
             keep: self.keep(),
             rooms,
@@ -185,8 +185,8 @@
         let service = sp.is_service();
         let (waited, adjusted) = (wall - j.submitted, self.adjusted(sp, wall));
         JobClass {
-            rank: sp.rank,
-            raised: (gang && waited.secs() > Self::max_yield_s(sp, widest.gang)).then_some(Rank::Urgent),
+            priority: sp.priority,
+            raised: (gang && waited.secs() > Self::max_yield_s(sp, widest.gang)).then_some(Priority::Urgent),
             team: self.team(&sp.team).map_or(usize::MAX, |t| t.0),
             guaranteed: self.guaranteed.contains(&j.id),
             count: self.startable_tasks(j, now),
@@ -275,7 +275,7 @@
         let saves = spec.is_some_and(|s| s.checkpoint_s > 0.0);
         PlacedTask {
             need: e.need.unwrap_or_default(),
-            rank: spec.map_or(Rank::Idle, |s| s.rank),
+            priority: spec.map_or(Priority::Idle, |s| s.priority),
             guaranteed: self.guaranteed.contains(&k.0),
             team: spec.and_then(|s| self.team(&s.team)).map_or(usize::MAX, |t| t.0),
             left: self.stated_left(e, spec, now),
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -132,7 +132,7 @@
         j.gang = Some(GangAttempt {
             attempt,
             places,
-            sent: Ranges::new(),
+            sent: TaskRanges::new(),
             placed: now,
             since: None,
             stopping: None,
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -24,7 +24,7 @@
 /// How a task ended, as taken from a heartbeat.
 pub(super) struct TaskEnd {
     /// Why it exited, as the worker reported.
-    why: Why,
+    why: ExitReason,
     /// How long it ran, if that was seen whole.
     ran: Option<Micros>,
     /// How long it has been known here.
@@ -33,7 +33,7 @@
 
 impl TaskEntry {
     /// Marks the task as ended.
-    fn end(&mut self, why: Why, now: Steady) -> TaskEnd {
+    fn end(&mut self, why: ExitReason, now: Steady) -> TaskEnd {
         self.ended = Some(why);
         TaskEnd { why, ran: self.running.map(|r| now - r), lived: now - self.since }
     }
@@ -42,7 +42,7 @@
 impl Fleet {
     /// Reconciles what a heartbeat says of its machine and tasks, unless it is no newer (by agent
     /// epoch and sequence number) than the last one; returns whether it was taken.
-    pub(super) fn reconcile_heartbeat(&mut self, id: &MachineId, r: &Report, now: Steady) -> bool {
+    pub(super) fn reconcile_heartbeat(&mut self, id: &MachineId, r: &Heartbeat, now: Steady) -> bool {
         let Some(m) = self.machines.get_mut(id) else { return false };
         if (r.season, r.tally) <= m.seen {
             return false;
@@ -66,7 +66,7 @@
 
     /// Reconciles what a heartbeat says of the machine itself: that it is up, whose fencing token it
     /// has, and any spot notice.
-    fn reconcile_machine_state(&mut self, id: &MachineId, r: &Report, now: Steady) {
+    fn reconcile_machine_state(&mut self, id: &MachineId, r: &Heartbeat, now: Steady) {
         let Some(m) = self.machines.get_mut(id) else { return };
         let is_first = !m.up;
         if is_first {
@@ -96,7 +96,7 @@
     }
 
     /// Reconciles the tasks that a heartbeat lists, and returns their keys.
-    fn reconcile_tasks(&mut self, id: &MachineId, r: &Report, now: Steady) -> Vec<TaskKey> {
+    fn reconcile_tasks(&mut self, id: &MachineId, r: &Heartbeat, now: Steady) -> Vec<TaskKey> {
         let mut there: Vec<TaskKey> = Vec::with_capacity(r.tasks.len());
         for t in r.tasks.iter().take(MAX_REPORTED_TASKS) {
             let Some((job, n)) = split_task(&t.task) else {
@@ -188,7 +188,7 @@
     }
 
     /// Reconciles what a heartbeat says of one task.
-    pub(super) fn reconcile_task(&mut self, id: &MachineId, key: &TaskKey, t: &TaskReport, now: Steady) {
+    pub(super) fn reconcile_task(&mut self, id: &MachineId, key: &TaskKey, t: &TaskStatus, now: Steady) {
         // Most of a report says what is known already.
         let known = self.machines.get(id).and_then(|m| m.tasks.get(key));
         if known.is_some_and(|e| e.ended.is_some() || (e.stage == Some(t.stage) && e.need.is_some())) {
@@ -213,7 +213,7 @@
             e.running = Some(now);
             tracing::debug!(machine = %id, job = %key.0, task = key.1, "task running");
         }
-        let ended = (t.stage == TaskStage::Exited).then(|| e.end(t.why.unwrap_or(Why::Other), now));
+        let ended = (t.stage == TaskStage::Exited).then(|| e.end(t.why.unwrap_or(ExitReason::Other), now));
         if changed {
             self.note_cached_image(id, &key.0);
         }
@@ -250,7 +250,7 @@
         } else {
             self.end_in_job(key, id, &ended, now);
         }
-        if why != Why::Done {
+        if why != ExitReason::Done {
             self.gang_broken(&key.0, key.2);
         }
         self.refresh(&key.0, key.1, id);
@@ -262,8 +262,8 @@
         let Some(m) = self.machines.get_mut(id) else { return };
         match ended.why {
             // What was started before a failure tells nothing of the machine as it is now.
-            Why::Done if now - ended.lived > m.failed_at => m.failed.clear(),
-            Why::Error => {
+            ExitReason::Done if now - ended.lived > m.failed_at => m.failed.clear(),
+            ExitReason::Error => {
                 m.failed.insert(job.clone());
                 m.failed_at = now;
                 if (m.failed.len() >= MAX_FAILED_JOBS || succeeds_elsewhere) && !m.leaving {
@@ -274,7 +274,7 @@
                     m.leaving = true;
                 }
             }
-            Why::NoRoom => m.not_before = now + NO_ROOM_PAUSE,
+            ExitReason::NoRoom => m.not_before = now + NO_ROOM_PAUSE,
             _ => {}
         }
     }
@@ -283,12 +283,12 @@
     fn end_in_job(&mut self, key: &TaskKey, id: &MachineId, ended: &TaskEnd, now: Steady) {
         let Some(j) = self.jobs.get_mut(&key.0) else { return };
         match ended.why {
-            Why::Done if key.1 < j.spec.tasks => {
+            ExitReason::Done if key.1 < j.spec.tasks => {
                 j.succeeded();
                 if j.spec.is_gang() {
                     // A gang completes together.
-                    j.done = Ranges::span(0, j.spec.tasks);
-                    j.waiting = Ranges::new();
+                    j.done = TaskRanges::span(0, j.spec.tasks);
+                    j.waiting = TaskRanges::new();
                 } else {
                     j.done.insert(key.1);
                     j.waiting.remove(key.1);
@@ -297,7 +297,7 @@
                     j.ran = (j.ran.0 + r, j.ran.1 + 1);
                 }
             }
-            Why::Error | Why::Unknown => j.back_off(id, now),
+            ExitReason::Error | ExitReason::Unknown => j.back_off(id, now),
             _ => {}
         }
     }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -48,7 +48,7 @@
     /// Nothing that has to be remembered.
     Nothing,
     /// Done ranges.
-    Done(Ranges),
+    Done(TaskRanges),
     /// Chunks of done ranges, by number, that go with the job's end.
     DroppedChunks(Vec<u32>),
     /// Machines, with the count of changes to their value.
@@ -164,7 +164,7 @@
 
     fn add_done(&mut self, id: &str, chunk: u32, text: &str, stamp: u64) {
         let Some(j) = self.jobs.get_mut(id) else { return };
-        let mut r = Ranges::new();
+        let mut r = TaskRanges::new();
         r.add_text(text, j.spec.tasks);
         for n in r.iter() {
             j.done.insert(n);
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -60,7 +60,7 @@
     }
 
     /// A machine's first report after the takeover, before it is taken into the jobs.
-    pub(super) fn compare_with_records(&mut self, id: &MachineId, report: &Report) {
+    pub(super) fn compare_with_records(&mut self, id: &MachineId, report: &Heartbeat) {
         let tasks: Vec<ReportedTask<'_>> = report.tasks.iter().filter_map(reported).collect();
         let records = JobRecordsView { jobs: &self.jobs };
         for (job, task, difference) in self.recovery.compare(id, &tasks, &records) {
@@ -127,10 +127,10 @@
 }
 
 /// A task of a report, as the comparison sees it; none if it has no task's name.
-fn reported(task: &TaskReport) -> Option<ReportedTask<'_>> {
+fn reported(task: &TaskStatus) -> Option<ReportedTask<'_>> {
     let (job, number) = split_task(&task.task)?;
     let state = match (task.stage, task.why) {
-        (TaskStage::Exited, Some(Why::Done)) => TaskState::Done,
+        (TaskStage::Exited, Some(ExitReason::Done)) => TaskState::Done,
         (TaskStage::Exited, _) => TaskState::Failed,
         _ => TaskState::Present,
     };
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -28,12 +28,12 @@
         &mut self,
         job: &JobId,
         machine: &MachineId,
-        why: Why,
+        why: ExitReason,
         lived: Micros,
         now: Steady,
     ) {
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if !matches!(why, Why::Done | Why::Error | Why::Unknown | Why::Other) {
+        if !matches!(why, ExitReason::Done | ExitReason::Error | ExitReason::Unknown | ExitReason::Other) {
             return;
         }
         j.vacated.insert(machine.clone(), now);
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -31,7 +31,8 @@
     /// Its team.
     pub team: String,
     /// Its rank.
-    pub rank: Rank,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     /// Seconds since it was accepted.
     pub waited_s: f64,
     /// Tasks waiting.
@@ -117,7 +118,7 @@
                 .map(|j| JobView {
                     id: j.id.to_string(),
                     team: j.spec.team.clone(),
-                    rank: j.spec.rank,
+                    priority: j.spec.priority,
                     waited_s: (wall - j.submitted).secs(),
                     waiting: j.waiting.len(),
                     placed: j.live.len(),
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use crate::keys::{borrowed_done_key, borrowed_key, done_key, job_key};
-use crate::ranges::Ranges;
 use crate::records::JobRecord;
+use crate::task_ranges::TaskRanges;
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::JobSpec;
 
@@ -22,7 +22,7 @@
     /// Where each task goes; a start may have left already or not.
     pub places: BTreeMap<u32, MachineId>,
     /// Tasks whose start has left.
-    pub sent: Ranges,
+    pub sent: TaskRanges,
     /// When the places were chosen.
     pub placed: Steady,
     /// When the first start left.
@@ -54,11 +54,11 @@
     /// `high` as this owner found it: tasks below may be anywhere until all machines are heard.
     pub inherited: u32,
     /// Tasks that are neither done nor anywhere.
-    pub waiting: Ranges,
+    pub waiting: TaskRanges,
     /// Tasks that are done.
-    pub done: Ranges,
+    pub done: TaskRanges,
     /// Done tasks whose ranges are written.
-    pub done_written: Ranges,
+    pub done_written: TaskRanges,
     /// Versions of the chunks of done ranges.
     pub chunks: BTreeMap<u32, u64>,
     /// When done ranges were last written.
@@ -85,11 +85,11 @@
     pub first_start: Option<Steady>,
     /// Tasks that must not start in this cell: those lent to others, or, of a borrowed job, all that are
     /// not held here.
-    pub withheld: Ranges,
+    pub withheld: TaskRanges,
     /// The cell that accepted the job, if another one did.
     pub borrowed_from: Option<String>,
     /// Tasks of a borrowed job whose start has left.
-    pub begun: Ranges,
+    pub begun: TaskRanges,
 }
 
 impl Job {
@@ -97,7 +97,7 @@
     pub fn new(record: JobRecord, stamp: u64, now: Steady) -> Job {
         Job {
             id: record.spec.id.as_str().into(),
-            waiting: Ranges::span(0, record.spec.tasks),
+            waiting: TaskRanges::span(0, record.spec.tasks),
             submitted: Wall(record.submitted_us),
             known: now,
             stamp,
@@ -105,8 +105,8 @@
             high_wanted: record.high,
             inherited: record.high,
             spec: record.spec,
-            done: Ranges::new(),
-            done_written: Ranges::new(),
+            done: TaskRanges::new(),
+            done_written: TaskRanges::new(),
             chunks: BTreeMap::new(),
             wrote_done: now,
             live: BTreeMap::new(),
@@ -119,9 +119,9 @@
             vacated: BTreeMap::new(),
             ran: (Micros::ZERO, 0),
             first_start: None,
-            withheld: Ranges::new(),
+            withheld: TaskRanges::new(),
             borrowed_from: None,
-            begun: Ranges::new(),
+            begun: TaskRanges::new(),
         }
     }
 
@@ -142,7 +142,7 @@
     }
 
     /// Withholds these tasks from being started here, and no others.
-    pub fn withhold(&mut self, tasks: Ranges) {
+    pub fn withhold(&mut self, tasks: TaskRanges) {
         let before = std::mem::replace(&mut self.withheld, tasks);
         for task in before.iter().filter(|task| !self.withheld.contains(*task)) {
             if !self.live.contains_key(&task) && !self.done.contains(task) {
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -7,8 +7,8 @@
 use crate::history::EstimateKey;
 use crate::jobs::JobId;
 use crate::keys::{done_key, final_key, job_key, slot_key, HISTORY, MACHINES, MARKS, RECENT_KEY};
-use crate::ranges::chunk_span;
 use crate::records::FinalRecord;
+use crate::task_ranges::chunk_span;
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::{Change, Guard, Stage, Txn};
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,6 +5,7 @@
 #![warn(missing_docs)]
 
 pub mod api;
+pub mod cancellation_notices;
 pub mod capacity;
 pub mod cli;
 pub mod cloud;
@@ -17,16 +18,15 @@
 pub mod jobs;
 pub mod keys;
 pub mod leadership;
-pub mod live;
+pub mod live_jobs;
 pub mod loan_messages;
-pub mod notices;
-pub mod packs;
+pub mod packed_records;
 pub mod peer;
-pub mod ranges;
 pub mod records;
 pub mod report;
 pub mod sched;
 pub mod state;
+pub mod store_contact;
+pub mod task_ranges;
 pub mod time;
-pub mod view;
 pub mod wire;
--- a/src/packs.rs
+++ b/src/packed_records.rs
@@ -21,7 +21,7 @@
 
 /// Records by name in numbered slots, each within the limit of a value.
 #[derive(Debug)]
-pub struct Packs<T> {
+pub struct PackedRecords<T> {
     limit: usize,
     slots: Vec<Slot<T>>,
     of: BTreeMap<Arc<str>, usize>,
@@ -59,10 +59,10 @@
     }
 }
 
-impl<T: Clone + PartialEq + serde::Serialize> Packs<T> {
+impl<T: Clone + PartialEq + serde::Serialize> PackedRecords<T> {
     /// Empty packs of values of at most `limit` bytes.
-    pub fn new(limit: usize) -> Packs<T> {
-        Packs { limit: Packs::<T>::usable(limit), slots: Vec::new(), of: BTreeMap::new() }
+    pub fn new(limit: usize) -> PackedRecords<T> {
+        PackedRecords { limit: PackedRecords::<T>::usable(limit), slots: Vec::new(), of: BTreeMap::new() }
     }
 
     fn usable(limit: usize) -> usize {
@@ -71,7 +71,7 @@
 
     /// Keeps to a smaller limit from now on; slots above it are emptied into others.
     pub fn limit_to(&mut self, limit: usize) {
-        self.limit = self.limit.min(Packs::<T>::usable(limit));
+        self.limit = self.limit.min(PackedRecords::<T>::usable(limit));
         self.empty_oversized();
     }
 
@@ -82,7 +82,7 @@
 
     /// Sets a record. Its slot is to be written.
     pub fn put(&mut self, id: &Arc<str>, item: T) {
-        let size = Packs::size(id, &item);
+        let size = PackedRecords::size(id, &item);
         let at = match self.of.get(id) {
             Some(&at) => at,
             None => self.place(id, size),
@@ -91,7 +91,7 @@
         if let Some(replaced) = s.items.insert(id.clone(), item) {
             // Counted anew: a slot whose records grow would otherwise seem to have ever more room, and
             // outgrow the limit of a value.
-            s.bytes = s.bytes.saturating_sub(Packs::size(id, &replaced)) + size;
+            s.bytes = s.bytes.saturating_sub(PackedRecords::size(id, &replaced)) + size;
         }
         s.version += 1;
         s.urgent = s.version;
@@ -117,7 +117,7 @@
         let Some(at) = self.of.remove(id) else { return };
         let s = &mut self.slots[at];
         if let Some(item) = s.items.remove(id) {
-            s.bytes = s.bytes.saturating_sub(Packs::size(id, &item)).max(2);
+            s.bytes = s.bytes.saturating_sub(PackedRecords::size(id, &item)).max(2);
             s.version += 1;
         }
     }
@@ -139,7 +139,7 @@
     }
 
     /// Takes a slot over from its value. An earlier owner may have ended between the two writes that
-    /// move a record: `newer` then chooses between the two copies. [`Packs::empty_oversized`] follows
+    /// move a record: `newer` then chooses between the two copies. [`PackedRecords::empty_oversized`] follows
     /// when all slots are loaded.
     pub fn load(&mut self, slot: u32, stamp: u64, items: Items<T>, newer: fn(T, T) -> T) {
         let Some(s) = self.slot_mut(slot) else { return };
@@ -153,13 +153,13 @@
                 None => stored.clone(),
             };
             let s = &mut self.slots[slot];
-            s.bytes += Packs::size(&id, &item);
+            s.bytes += PackedRecords::size(&id, &item);
             s.version += u64::from(item != stored);
             s.items.insert(id.clone(), item);
             let version = s.version;
             if let (Some(other), Some(copy)) = (earlier, copy) {
                 let o = &mut self.slots[other];
-                o.bytes = o.bytes.saturating_sub(Packs::size(&id, &copy)).max(2);
+                o.bytes = o.bytes.saturating_sub(PackedRecords::size(&id, &copy)).max(2);
                 o.version += 1;
                 o.after.push((slot, version));
             }
@@ -187,7 +187,7 @@
             // No record is placed back here before the slot is rewritten.
             s.after.push((from, 0));
             for (id, item) in items {
-                let to = self.place(&id, Packs::size(&id, &item));
+                let to = self.place(&id, PackedRecords::size(&id, &item));
                 let target = &mut self.slots[to];
                 target.items.insert(id, item);
                 target.version += 1;
--- a/src/records.rs
+++ b/src/records.rs
@@ -6,7 +6,7 @@
 use serde::ser::{SerializeMap, Serializer};
 use serde::{Deserialize, Serialize};
 
-use crate::wire::{JobSpec, Rank, Stage};
+use crate::wire::{JobSpec, Priority, Stage};
 
 /// What is written for a live job, under `job/<id>`.
 #[derive(Clone, Debug, Deserialize)]
@@ -87,7 +87,8 @@
     /// Processors, cards and memory of a task.
     pub need: (f64, f64, f64),
     /// Its rank.
-    pub rank: Rank,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     /// Names of the types it may use.
     pub types: Vec<String>,
     /// Task-seconds, by the stated time.
--- a/src/sched/limits.rs
+++ b/src/sched/limits.rs
@@ -27,7 +27,7 @@
         let Some(team_use) = self.teams.get(class.team) else { return class.count };
         let mut team_use = *team_use;
         if let Some(reservation) = self.quota_reservations[class.team]
-            .filter(|x| class.adjusted + self.snapshot.low_rank_delay_step > x.at)
+            .filter(|x| class.adjusted + self.snapshot.low_priority_delay_step > x.at)
         {
             team_use.used = team_use.used.plus(&reservation.need, reservation.count);
         }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -74,7 +74,7 @@
     /// Notes on which types tasks of this class wait for the room that is kept for them.
     fn mark_contended_types(&mut self, class: &JobClass) {
         for &ty in &class.types {
-            let kept = self.snapshot.kept(ty, false).is_some_and(|kept| class.rank >= kept.rank);
+            let kept = self.snapshot.kept(ty, false).is_some_and(|kept| class.priority >= kept.priority);
             if let (true, Some(contended)) = (kept, self.contended_types.get_mut(ty)) {
                 *contended = true;
             }
--- a/src/sched/preemptible.rs
+++ b/src/sched/preemptible.rs
@@ -16,5 +16,5 @@
 /// Whether a task may be preempted for the class. A task that goes before the class in the queue by
 /// its team's guarantee (fair share) may not: it would be queued again at once, and preempted again.
 pub(super) fn may_preempt(task: &PlacedTask, class: &JobClass) -> bool {
-    task.stoppable && task.rank < class.rank && (class.guaranteed || !task.guaranteed)
+    task.stoppable && task.priority < class.priority && (class.guaranteed || !task.guaranteed)
 }
--- a/src/sched/queue.rs
+++ b/src/sched/queue.rs
@@ -16,8 +16,8 @@
     let mut indexes: Vec<usize> = (0..classes.len()).collect();
     indexes.sort_by(|&a, &b| {
         let (x, y) = (&classes[a], &classes[b]);
-        (y.guaranteed, y.queue_rank(), x.missed_aims)
-            .cmp(&(x.guaranteed, x.queue_rank(), y.missed_aims))
+        (y.guaranteed, y.queue_priority(), x.missed_aims)
+            .cmp(&(x.guaranteed, x.queue_priority(), y.missed_aims))
             .then(scores[b].total_cmp(&scores[a]))
             .then(a.cmp(&b))
     });
--- a/src/sched/state.rs
+++ b/src/sched/state.rs
@@ -6,7 +6,7 @@
 use super::types::cpu_tenths;
 use super::{JobClass, Resources, Snapshot, TeamUse};
 use crate::time::Micros;
-use crate::wire::Rank;
+use crate::wire::Priority;
 
 /// The state of planning: the snapshot and what is left of it.
 pub(super) struct PlanState<'a> {
@@ -99,7 +99,7 @@
                     return None;
                 }
                 clear[room.ty] += 1;
-                let low = room.held.iter().filter(|h| h.rank < kept.rank);
+                let low = room.held.iter().filter(|h| h.priority < kept.priority);
                 Some(low.fold(room.total.less(&kept.need, 1), |n, h| n.less(&h.need, 1)))
             })
             .collect();
@@ -128,7 +128,7 @@
             return 0;
         }
         let mut count = self.free[room_index].fits(&class.need);
-        if count > 0 && self.snapshot.is_below_reserved_rank(class, room) {
+        if count > 0 && self.snapshot.is_below_reserved_priority(class, room) {
             if self.contended_types[room.ty] {
                 return 0;
             }
@@ -151,7 +151,7 @@
         let class = &self.snapshot.classes[class_index];
         let room = &self.snapshot.rooms[room_index];
         self.free[room_index] = self.free[room_index].less(&class.need, count);
-        if self.snapshot.is_below_reserved_rank(class, room) {
+        if self.snapshot.is_below_reserved_priority(class, room) {
             self.free_beside_headroom[room_index] =
                 self.free_beside_headroom[room_index].map(|free| free.less(&class.need, count));
         }
@@ -176,14 +176,14 @@
     pub(super) fn candidates(&self, class: &JobClass) -> Vec<usize> {
         // Reports come every few seconds anyway: within that, cheap and small rooms go before large
         // ones and full ones before empty ones, so that others empty and can be returned.
-        let step = match class.rank {
-            Rank::Idle => self.snapshot.low_rank_delay_step,
+        let step = match class.priority {
+            Priority::Idle => self.snapshot.low_priority_delay_step,
             _ => self.snapshot.delay_step,
         };
         let candidate = |index: usize| {
             let room = &self.snapshot.rooms[index];
             MachineCandidate {
-                kept_for_others: self.snapshot.is_below_reserved_rank(class, room),
+                kept_for_others: self.snapshot.is_below_reserved_priority(class, room),
                 delay_steps: delay(class, room).0 / step.0.max(1),
                 rate: room.rate,
                 total_tenths: cpu_tenths(room.total.cpus),
--- a/src/sched/top_up.rs
+++ b/src/sched/top_up.rs
@@ -40,7 +40,7 @@
     /// whose image the machine has go first: where all machines are in use, each would otherwise fetch
     /// every image, and fetching takes as much of its time as running.
     pub fn starts(mut self, unmet: &mut [(usize, u32)]) -> Vec<(usize, u32)> {
-        let group = |c: &JobClass| (c.guaranteed, c.queue_rank(), c.missed_aims);
+        let group = |c: &JobClass| (c.guaranteed, c.queue_priority(), c.missed_aims);
         let classes = &self.snapshot.classes;
         let mut starts = Vec::new();
         let mut free = self.room.free;
@@ -92,7 +92,7 @@
     /// Whether tasks of the class may start on the machine before the next plan.
     fn may_start(&self, class: &JobClass) -> bool {
         let room = self.room;
-        let below_kept = self.snapshot.is_below_reserved_rank(class, room);
+        let below_kept = self.snapshot.is_below_reserved_priority(class, room);
         let contended = self.contended_types.get(room.ty).copied().unwrap_or(false);
         let left_clear = below_kept && (self.snapshot.clear_rooms > 0 || contended);
         let claimed = self.claimed_limits.get(class.team).copied().unwrap_or(false);
--- a/src/sched/types.rs
+++ b/src/sched/types.rs
@@ -1,7 +1,7 @@
 //! What the planner sees and what it decides: the snapshot, the plan and their parts.
 
 use crate::time::Micros;
-use crate::wire::Rank;
+use crate::wire::Priority;
 
 /// Amounts below this count as nothing.
 pub(super) const EPS: f64 = 1e-6;
@@ -63,7 +63,7 @@
     /// What it takes.
     pub need: Resources,
     /// Its job's rank (priority).
-    pub rank: Rank,
+    pub priority: Priority,
     /// Whether its job is within its team's guarantee (fair share).
     pub guaranteed: bool,
     /// Index into `Snapshot::teams`.
@@ -85,7 +85,7 @@
     pub fn replica(class: &JobClass) -> PlacedTask {
         PlacedTask {
             need: class.need,
-            rank: class.rank,
+            priority: class.priority,
             guaranteed: class.guaranteed,
             team: class.team,
             left: class.adjusted,
@@ -132,11 +132,11 @@
 #[derive(Clone, Debug)]
 pub struct JobClass {
     /// The job's rank (priority).
-    pub rank: Rank,
+    pub priority: Priority,
     /// It has waited so long that the queue counts it with this rank, if that is higher: otherwise more
     /// work of higher ranks than there is room would keep a wide gang waiting for ever. Nothing is
     /// stopped by it.
-    pub raised: Option<Rank>,
+    pub raised: Option<Priority>,
     /// Index into `Snapshot::teams`.
     pub team: usize,
     /// Whether the job is within its team's guarantee (fair share).
@@ -185,8 +185,8 @@
 
 impl JobClass {
     /// The rank that counts in the queue.
-    pub fn queue_rank(&self) -> Rank {
-        self.raised.map_or(self.rank, |r| r.max(self.rank))
+    pub fn queue_priority(&self) -> Priority {
+        self.raised.map_or(self.priority, |r| r.max(self.priority))
     }
 }
 
@@ -221,7 +221,7 @@
     /// Resources that such a task takes.
     pub need: Resources,
     /// The least rank of the tasks it is reserved for.
-    pub rank: Rank,
+    pub priority: Priority,
     /// Whether such tasks may use spot machines; if not, none of those is kept for them.
     pub spot: bool,
 }
@@ -243,7 +243,7 @@
     pub reserve: bool,
     /// Delays that differ by less than this count as alike for the lowest rank: it waits politely,
     /// and fills machines up rather than starting a moment sooner.
-    pub low_rank_delay_step: Micros,
+    pub low_priority_delay_step: Micros,
     /// The same for the others.
     pub delay_step: Micros,
     /// Rooms of a type that are kept clear for the tasks in `keep`; low ranks use the others and
@@ -258,8 +258,8 @@
     }
 
     /// Whether headroom on the machine is reserved for tasks of a higher rank than the class's.
-    pub fn is_below_reserved_rank(&self, class: &JobClass, machine: &MachineSnapshot) -> bool {
-        self.kept(machine.ty, machine.spot).is_some_and(|kept| class.rank < kept.rank)
+    pub fn is_below_reserved_priority(&self, class: &JobClass, machine: &MachineSnapshot) -> bool {
+        self.kept(machine.ty, machine.spot).is_some_and(|kept| class.priority < kept.priority)
     }
 }
 
--- a/src/view.rs
+++ b/src/store_contact.rs
@@ -7,7 +7,7 @@
 
 /// An owner's view of the state service.
 #[derive(Clone, Copy, Debug)]
-pub struct View {
+pub struct StoreContact {
     /// Start of the last complete read of the jobs' changes.
     read: Steady,
     /// Start of the last renewal that showed that nobody had taken over.
@@ -15,20 +15,20 @@
     bound: Micros,
 }
 
-impl View {
+impl StoreContact {
     /// The view of an owner whose claim, and the reads after it, began at a moment.
-    pub fn new(begun: Steady, bound: Micros) -> View {
-        View { read: begun, owned: begun, bound }
+    pub fn new(begun: Steady, bound: Micros) -> StoreContact {
+        StoreContact { read: begun, owned: begun, bound }
     }
 
     /// All changes were read by a request that was sent at this moment. A watch that waits is none:
     /// one that stays silent may be waiting for a service that no longer answers this node.
-    pub fn has_read(&mut self, sent: Steady) {
+    pub fn note_read(&mut self, sent: Steady) {
         self.read = self.read.max(sent);
     }
 
     /// Nobody had taken over when a renewal sent at this moment was granted.
-    pub fn has_owned(&mut self, sent: Steady) {
+    pub fn note_renewal(&mut self, sent: Steady) {
         self.owned = self.owned.max(sent);
     }
 
--- a/src/ranges.rs
+++ b/src/task_ranges.rs
@@ -4,17 +4,17 @@
 
 /// A set of task numbers as sorted, disjoint, non-adjacent half-open ranges.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ranges(Vec<(u32, u32)>);
+pub struct TaskRanges(Vec<(u32, u32)>);
 
-impl Ranges {
+impl TaskRanges {
     /// The empty set.
-    pub fn new() -> Ranges {
-        Ranges(Vec::new())
+    pub fn new() -> TaskRanges {
+        TaskRanges(Vec::new())
     }
 
     /// All numbers from `a` up to but not including `b`.
-    pub fn span(a: u32, b: u32) -> Ranges {
-        Ranges(if a < b { vec![(a, b)] } else { Vec::new() })
+    pub fn span(a: u32, b: u32) -> TaskRanges {
+        TaskRanges(if a < b { vec![(a, b)] } else { Vec::new() })
     }
 
     /// Whether the set holds `x`.
@@ -88,8 +88,8 @@
     }
 
     /// The part from `a` up to but not including `b`.
-    pub fn within(&self, a: u32, b: u32) -> Ranges {
-        Ranges(self.0.iter().map(|r| (r.0.max(a), r.1.min(b))).filter(|r| r.0 < r.1).collect())
+    pub fn within(&self, a: u32, b: u32) -> TaskRanges {
+        TaskRanges(self.0.iter().map(|r| (r.0.max(a), r.1.min(b))).filter(|r| r.0 < r.1).collect())
     }
 
     /// The same numbers as a compressed bitmap.
@@ -116,9 +116,9 @@
     }
 }
 
-impl FromIterator<u32> for Ranges {
-    fn from_iter<I: IntoIterator<Item = u32>>(numbers: I) -> Ranges {
-        let mut ranges = Ranges::new();
+impl FromIterator<u32> for TaskRanges {
+    fn from_iter<I: IntoIterator<Item = u32>>(numbers: I) -> TaskRanges {
+        let mut ranges = TaskRanges::new();
         for number in numbers {
             ranges.insert(number);
         }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -47,7 +47,7 @@
 
 /// A rental request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct RentRequest {
+pub struct ScaleOutRequest {
     /// Name of the request, never used twice.
     #[serde(rename = "plea")]
     pub request: String,
--- a/src/wire/jobs.rs
+++ b/src/wire/jobs.rs
@@ -21,7 +21,7 @@
 /// Priority; a greater rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Rank {
+pub enum Priority {
     /// Runs when nothing else wants the room.
     Idle,
     /// The usual.
@@ -48,7 +48,8 @@
     /// Array, gang or service.
     pub shape: Shape,
     /// Priority.
-    pub rank: Rank,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "kernels")]
     pub tasks: u32,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -9,14 +9,15 @@
 mod workers;
 
 pub use cells::{BorrowedStatus, CellsStatus, LentStatus, OtherCellStatus, WrittenOff, WRITE_OFF_PATH};
-pub use cloud::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, RentRequest};
+pub use cloud::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest};
 pub use jobs::{
-    is_job_id, JobSpec, JobStage, JobStatus, Rank, Shape, Stage, SubmissionError, MAX_TASKS, REQUIRED,
+    is_job_id, JobSpec, JobStage, JobStatus, Priority, Shape, Stage, SubmissionError, MAX_TASKS, REQUIRED,
 };
-pub use replies::{Health, NodeStatus, PartStatus, Redirect, HEALTH_PATH};
+pub use replies::{ControllerStatus, Health, Redirect, ShardStatus, HEALTH_PATH};
 pub use state::{Change, Event, Events, Guard, Row, Rows, Txn};
 pub use workers::{
-    Commands, Order, Report, ReportReply, TaskReport, TaskStage, Why, COMMANDS_PATH, REPORT_PATH,
+    Commands, ExitReason, Heartbeat, HeartbeatReply, Order, TaskStage, TaskStatus, COMMANDS_PATH,
+    HEARTBEAT_PATH,
 };
 
 use serde::Deserialize;
--- a/src/wire/replies.rs
+++ b/src/wire/replies.rs
@@ -27,20 +27,20 @@
 
 /// Answer to a request for a controller's status.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct NodeStatus<View> {
+pub struct ControllerStatus<FleetView> {
     /// Label of the leader, where known.
     pub leader: Option<String>,
     /// Label of the controller that answers.
     pub node: String,
     /// What the owner sees; none on any other controller.
     #[serde(rename = "owner")]
-    pub view: Option<View>,
+    pub view: Option<FleetView>,
     /// Versions of the controllers, by label; none for one that has not been heard.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub versions: Option<BTreeMap<String, Option<String>>>,
     /// The parts that it owns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub parts: Option<Vec<PartStatus>>,
+    pub parts: Option<Vec<ShardStatus>>,
     /// Age in seconds of the owner's view of the state service.
     #[serde(rename = "state_seen_s_ago", default, skip_serializing_if = "Option::is_none")]
     pub view_age_s: Option<f64>,
@@ -51,7 +51,7 @@
 
 /// A part and its owner, as part of a controller's status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartStatus {
+pub struct ShardStatus {
     /// Label of the owner.
     pub owner: String,
     /// Number of the part.
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Path of the workers' reports.
-pub const REPORT_PATH: &str = "/checkin";
+pub const HEARTBEAT_PATH: &str = "/checkin";
 /// Path at which a worker takes direct commands.
 pub const COMMANDS_PATH: &str = "/commands";
 
@@ -33,7 +33,7 @@
 
 /// Why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum ExitReason {
     /// Completed.
     #[serde(rename = "done")]
     Done,
@@ -65,7 +65,7 @@
 
 /// A task in a worker's report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// Job and number, `wk-000412/3`.
     #[serde(rename = "kernel")]
     pub task: String,
@@ -77,7 +77,7 @@
     pub stage: TaskStage,
     /// Why it ended, if it did.
     #[serde(rename = "blight", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     /// Whether progress was saved.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -85,7 +85,7 @@
 
 /// A worker's report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "husk")]
     pub machine: String,
@@ -113,7 +113,7 @@
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "kernels", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
@@ -157,7 +157,7 @@
 
 /// Answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct HeartbeatReply {
     /// The token of the one entitled to command.
     #[serde(rename = "sickle")]
     pub token: u64,
--- a/tests/cancellation_in_outage.rs
+++ b/tests/cancellation_in_outage.rs
@@ -20,7 +20,7 @@
 use milletlock::http::{self, Client, Lane, Reply, Request, Response, Room};
 use milletlock::peer::{Outbound, PeerError, PeerHub};
 use milletlock::time::{Clock, Micros, Steady};
-use milletlock::wire::{Change, Commands, Order, ReportReply, TaskStage, Txn};
+use milletlock::wire::{Change, Commands, HeartbeatReply, Order, TaskStage, Txn};
 use serde_json::{json, Value};
 
 const STEP: i64 = 250_000;
@@ -379,7 +379,7 @@
             (w.node, w.due) = ((w.node + 1) % 3, now + SECOND);
             return;
         }
-        let reply: ReportReply = serde_json::from_value(v).expect("a reply");
+        let reply: HeartbeatReply = serde_json::from_value(v).expect("a reply");
         if w.state.accept_answer(reply.token, Steady(now)) {
             w.execute_orders(&reply.orders, now);
         }
--- a/tests/common/cells.rs
+++ b/tests/common/cells.rs
@@ -12,7 +12,7 @@
 use milletlock::http::{Client, Request, Response};
 use milletlock::peer::{self, Call};
 use milletlock::time::{Micros, Steady};
-use milletlock::wire::{CellsStatus, Change, Order, ReportReply, TaskStage, Why};
+use milletlock::wire::{CellsStatus, Change, ExitReason, HeartbeatReply, Order, TaskStage};
 use serde_json::{json, Value};
 
 use super::servers::{serve, serve_some};
@@ -295,7 +295,7 @@
         for attempt in &ended {
             self.ends.remove(attempt);
             if let Some(task) = self.state.tasks.get_mut(attempt) {
-                task.enter(TaskStage::Exited, Some(Why::Done), now);
+                task.enter(TaskStage::Exited, Some(ExitReason::Done), now);
             }
             let mut history = lock(&self.history);
             if history.present.remove(&(self.cell, attempt.clone())).is_none() {
@@ -307,7 +307,7 @@
     }
 
     /// Executes the orders of an answer; whether anything changed.
-    fn execute(&mut self, reply: &ReportReply, sent: Steady, now: Steady) -> bool {
+    fn execute(&mut self, reply: &HeartbeatReply, sent: Steady, now: Steady) -> bool {
         if !self.state.accept_answer(reply.token, sent) {
             return false;
         }
--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -9,7 +9,7 @@
 use milletlock::jobs::MachineId;
 use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
-use milletlock::wire::{JobSpec, Order, Report, TaskStage};
+use milletlock::wire::{Heartbeat, JobSpec, Order, TaskStage};
 
 /// Reports come this far apart in these settings.
 const REPORT: Micros = Micros(3_000_000);
@@ -70,12 +70,12 @@
     }
 
     /// The next report of a machine on which all that was started runs.
-    pub fn running(&mut self, id: &str) -> Report {
+    pub fn running(&mut self, id: &str) -> Heartbeat {
         self.tally += 1;
         let there: Vec<(String, u64)> = self.tasks(id);
         let tasks: Vec<_> =
             there.iter().map(|(task, attempt)| (task.as_str(), *attempt, TaskStage::Running, None)).collect();
-        Report { spot: true, ..report(id, self.tally, 7, &tasks) }
+        Heartbeat { spot: true, ..report(id, self.tally, 7, &tasks) }
     }
 
     pub fn tasks(&self, id: &str) -> Vec<(String, u64)> {
@@ -84,7 +84,7 @@
         tasks.keys().map(|(job, n, attempt)| (format!("{job}/{n}"), *attempt)).collect()
     }
 
-    pub fn report(&mut self, report: &Report) -> Vec<Order> {
+    pub fn report(&mut self, report: &Heartbeat) -> Vec<Order> {
         match self.fleet.check_in(report, self.now, Wall(self.now.0)) {
             HeartbeatOutcome::Reply(reply) => reply.orders,
             other => panic!("{other:?}"),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -17,7 +17,7 @@
 use milletlock::config::{Config, Operator, Platform};
 use milletlock::records::JobRecord;
 use milletlock::time::Micros;
-use milletlock::wire::{JobSpec, MachineType, Report, TaskReport, TaskStage, Why};
+use milletlock::wire::{ExitReason, Heartbeat, JobSpec, MachineType, TaskStage, TaskStatus};
 use milletlock_cells::Lending;
 use serde_json::{json, Value};
 
@@ -111,9 +111,9 @@
     machine: &str,
     tally: u64,
     token: u64,
-    tasks: &[(&str, u64, TaskStage, Option<Why>)],
-) -> Report {
-    Report {
+    tasks: &[(&str, u64, TaskStage, Option<ExitReason>)],
+) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         addr: "127.0.0.1:9".into(),
         ty: "small".into(),
@@ -125,7 +125,7 @@
         notice_s: None,
         tasks: tasks
             .iter()
-            .map(|t| TaskReport { task: t.0.into(), attempt: t.1, stage: t.2, why: t.3, saved: None })
+            .map(|t| TaskStatus { task: t.0.into(), attempt: t.1, stage: t.2, why: t.3, saved: None })
             .collect(),
     }
 }
--- a/tests/common/planner.rs
+++ b/tests/common/planner.rs
@@ -2,7 +2,7 @@
 
 use milletlock::sched::{JobClass, Resources};
 use milletlock::time::Micros;
-use milletlock::wire::{MachineType, Rank};
+use milletlock::wire::{MachineType, Priority};
 
 /// Whole seconds.
 pub fn secs(s: i64) -> Micros {
@@ -17,7 +17,7 @@
 /// An array's class of one-processor tasks on the first type.
 pub fn class(count: u32, adjusted: i64, waited: i64) -> JobClass {
     JobClass {
-        rank: Rank::Normal,
+        priority: Priority::Normal,
         raised: None,
         team: 0,
         guaranteed: false,
--- a/tests/common/worker.rs
+++ b/tests/common/worker.rs
@@ -5,7 +5,7 @@
 
 use milletlock::jobs::split_task;
 use milletlock::time::{Micros, Steady};
-use milletlock::wire::{JobSpec, Report, TaskReport, TaskStage, Why};
+use milletlock::wire::{ExitReason, Heartbeat, JobSpec, TaskStage, TaskStatus};
 
 /// A task's name and the number of its attempt.
 pub type Attempt = (String, u64);
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Task {
     pub stage: TaskStage,
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     /// How long it has still to run.
     pub left: Micros,
     /// When it entered its stage.
@@ -28,7 +28,7 @@
     }
 
     /// Enters another stage.
-    pub fn enter(&mut self, stage: TaskStage, why: Option<Why>, now: Steady) {
+    pub fn enter(&mut self, stage: TaskStage, why: Option<ExitReason>, now: Steady) {
         (self.stage, self.why, self.since) = (stage, why, now);
     }
 }
@@ -69,9 +69,9 @@
     }
 
     /// Its next report.
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> Heartbeat {
         self.report_number += 1;
-        Report {
+        Heartbeat {
             machine: self.id.clone(),
             addr: self.addr.clone(),
             ty: self.ty.clone(),
@@ -120,7 +120,7 @@
     pub fn halt(&mut self, task: &str, attempt: u64) -> bool {
         match self.tasks.get_mut(&(task.to_string(), attempt)) {
             Some(t) if t.stage != TaskStage::Exited => {
-                (t.stage, t.why) = (TaskStage::Exited, Some(Why::Stopped));
+                (t.stage, t.why) = (TaskStage::Exited, Some(ExitReason::Stopped));
                 true
             }
             _ => false,
@@ -149,8 +149,8 @@
     }
 }
 
-fn task_report(attempt: &Attempt, task: &Task) -> TaskReport {
-    TaskReport { task: attempt.0.clone(), attempt: attempt.1, stage: task.stage, why: task.why, saved: None }
+fn task_report(attempt: &Attempt, task: &Task) -> TaskStatus {
+    TaskStatus { task: attempt.0.clone(), attempt: attempt.1, stage: task.stage, why: task.why, saved: None }
 }
 
 /// The job that a task is of.
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -18,7 +18,7 @@
 use milletlock::http::{Client, Response};
 use milletlock::peer::{self, Call};
 use milletlock::time::Micros;
-use milletlock::wire::{Order, ReportReply, TaskStage, Why};
+use milletlock::wire::{ExitReason, HeartbeatReply, Order, TaskStage};
 use serde_json::{json, Value};
 
 /// The state service, as far as the controller uses it.
@@ -118,7 +118,12 @@
         self.call("POST", "/api/jobs", Some(v.to_string().as_bytes()))
     }
 
-    fn report(&self, tally: u64, token: u64, tasks: &[(&str, u64, TaskStage, Option<Why>)]) -> ReportReply {
+    fn report(
+        &self,
+        tally: u64,
+        token: u64,
+        tasks: &[(&str, u64, TaskStage, Option<ExitReason>)],
+    ) -> HeartbeatReply {
         let r = common::report("i-000001", tally, token, tasks);
         let body = serde_json::to_vec(&r).expect("a report");
         let mut reply = None;
@@ -271,7 +276,7 @@
     s.report(tally + 2, token, &[(&task, attempt, TaskStage::Running, None)]);
     s.out.store(false, Ordering::SeqCst);
 
-    s.report(tally + 3, token, &[(&task, attempt, TaskStage::Exited, Some(Why::Done))]);
+    s.report(tally + 3, token, &[(&task, attempt, TaskStage::Exited, Some(ExitReason::Done))]);
     until("the job is done", || s.get("/api/jobs/wk-000001").1["stage"] == "done");
     assert_eq!(s.call("POST", "/api/jobs/wk-000001/withdraw", Some(b"{}")).1["stage"], "done");
     assert_eq!(s.submit(&job).1["stage"], "done");
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -17,11 +17,12 @@
 use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::keys::{final_key, job_key};
 use milletlock::leadership::{self, Batch};
-use milletlock::ranges::chunk_tasks;
 use milletlock::records::JobRecord;
+use milletlock::task_ranges::chunk_tasks;
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::{
-    Change, Guard, JobSpec, Order, Rank, Report, ReportReply, Shape, Stage, TaskStage, Txn, Why,
+    Change, ExitReason, Guard, Heartbeat, HeartbeatReply, JobSpec, Order, Priority, Shape, Stage, TaskStage,
+    Txn,
 };
 use serde_json::json;
 
@@ -239,7 +240,7 @@
     }
 
     /// A worker takes a direct command that raises its token; its report is what comes back.
-    fn command(&mut self, worker: &str, token: u64, session: u64) -> Report {
+    fn command(&mut self, worker: &str, token: u64, session: u64) -> Heartbeat {
         let w = self.worker(worker);
         let before = w.state.token;
         w.changed |= w.state.accept_command(token, session) && token > before;
@@ -301,7 +302,7 @@
         }
     }
 
-    fn execute_orders(&mut self, w: usize, reply: &ReportReply) {
+    fn execute_orders(&mut self, w: usize, reply: &HeartbeatReply) {
         let (s, worker) = (self.seconds, &mut self.workers[w]);
         let before = worker.state.token;
         if !worker.state.accept_answer(reply.token, at(s)) {
@@ -363,13 +364,13 @@
                         (TaskStage::Running, None)
                     }
                     TaskStage::Waiting if (now - t.since).secs() > 40.0 => {
-                        (TaskStage::Exited, Some(Why::Alone))
+                        (TaskStage::Exited, Some(ExitReason::Alone))
                     }
                     TaskStage::Running if gang && self.finished.contains(&k.0) => {
-                        (TaskStage::Exited, Some(Why::Done))
+                        (TaskStage::Exited, Some(ExitReason::Done))
                     }
                     TaskStage::Running if gang && (mates.len() as u32) < job.tasks => {
-                        (TaskStage::Exited, Some(Why::Peers))
+                        (TaskStage::Exited, Some(ExitReason::Peers))
                     }
                     TaskStage::Running => {
                         let job = job.clone();
@@ -385,7 +386,7 @@
                             });
                         }
                         self.finished.insert(k.0.clone());
-                        (TaskStage::Exited, Some(Why::Done))
+                        (TaskStage::Exited, Some(ExitReason::Done))
                     }
                     _ => continue,
                 };
@@ -629,7 +630,7 @@
     let w = s.worker(&place);
     let key = w.state.placed().find(|k| k.0.starts_with(&b)).cloned().expect("its task");
     let t = w.state.tasks.get_mut(&key).expect("its task");
-    (t.stage, t.why) = (TaskStage::Exited, Some(Why::Error));
+    (t.stage, t.why) = (TaskStage::Exited, Some(ExitReason::Error));
     s.run(8.0);
     assert_eq!((s.started(&b), s.placed(&b)), (2, 1));
     let late = |s: &mut Scenario| {
@@ -1146,17 +1147,17 @@
 
 /// A stream of more work than room, a quarter of it of each rank, with the widest gang and array of all
 /// before it; those and every fourth job of the stream should begin soon.
-fn more_work_than_room(ranks: [Rank; 4], widest_rank: Rank, quick_every_fourth_from: u32) {
+fn more_work_than_room(ranks: [Priority; 4], widest_rank: Priority, quick_every_fourth_from: u32) {
     let mut s = Scenario::new();
     s.begin_with(&["north", "south", "north", "south"]);
     let (mut ids, mut work) = (Vec::new(), 0.0);
     let quick = |job: JobSpec| JobSpec { class: Some("quick".into()), ..job };
-    let wide = s.submit(quick(JobSpec { rank: widest_rank, ..spec(200, 14, "gang") }), 15.0);
-    let widest = s.submit(quick(JobSpec { rank: widest_rank, ..spec(201, 40, "batch") }), 10.0);
+    let wide = s.submit(quick(JobSpec { priority: widest_rank, ..spec(200, 14, "gang") }), 15.0);
+    let widest = s.submit(quick(JobSpec { priority: widest_rank, ..spec(201, 40, "batch") }), 10.0);
     work += 14.0 * 15.0 + 40.0 * 10.0;
     for n in 0..90u32 {
         let shape = if n % 5 == 4 { "gang" } else { "batch" };
-        let mut job = JobSpec { rank: ranks[n as usize % 4], ..spec(1 + n, 1 + n % 6, shape) };
+        let mut job = JobSpec { priority: ranks[n as usize % 4], ..spec(1 + n, 1 + n % 6, shape) };
         if n % 7 == 3 {
             job.team = "tight".into();
         }
@@ -1178,24 +1179,32 @@
     }
     let wait = |x: &(String, f64)| s.begun[&x.0] - x.1;
     // The highest pass the others.
-    let mean = |r: Rank| {
-        let of: Vec<f64> = ids.iter().filter(|x| s.specs[&x.0].rank == r).map(wait).collect();
+    let mean = |r: Priority| {
+        let of: Vec<f64> = ids.iter().filter(|x| s.specs[&x.0].priority == r).map(wait).collect();
         of.iter().sum::<f64>() / of.len() as f64
     };
-    assert!(mean(ranks[3]) < mean(Rank::Idle));
+    assert!(mean(ranks[3]) < mean(Priority::Idle));
 }
 
 /// Combination 14: more work than room, urgent and not. Against a job that is forgotten or waits
 /// without end, the widest ones too.
 #[test]
 fn more_work_than_room_starves_neither_urgent_nor_other_jobs() {
-    more_work_than_room([Rank::Idle, Rank::Normal, Rank::Urgent, Rank::Urgent], Rank::Urgent, 3);
+    more_work_than_room(
+        [Priority::Idle, Priority::Normal, Priority::Urgent, Priority::Urgent],
+        Priority::Urgent,
+        3,
+    );
 }
 
 /// Combination 14, with the widest ones of a rank below half of the stream.
 #[test]
 fn the_widest_gang_of_a_middle_rank_begins_beneath_a_stream_of_higher_ranks() {
-    more_work_than_room([Rank::Idle, Rank::Normal, Rank::Urgent, Rank::Critical], Rank::Normal, 1);
+    more_work_than_room(
+        [Priority::Idle, Priority::Normal, Priority::Urgent, Priority::Critical],
+        Priority::Normal,
+        1,
+    );
 }
 
 /// Combination 15: a leader ends while machines with long tasks are cut off or deaf, for less than the
--- a/tests/faulty_machines.rs
+++ b/tests/faulty_machines.rs
@@ -8,10 +8,10 @@
 use common::{report, spec};
 use milletlock::jobs::{JobId, MachineId};
 use milletlock::time::Micros;
-use milletlock::wire::{JobSpec, Report, TaskStage, Why};
+use milletlock::wire::{ExitReason, Heartbeat, JobSpec, TaskStage};
 
 /// The next report of a machine, on which tasks of one job, all or some, have ended so.
-fn ended(s: &mut Scenario, machine: &str, job: &str, count: usize, why: Why) -> Report {
+fn ended(s: &mut Scenario, machine: &str, job: &str, count: usize, why: ExitReason) -> Heartbeat {
     s.tally += 1;
     let mut left = count;
     let there = s.tasks(machine);
@@ -51,11 +51,11 @@
     s.submit(spec(1, 8, "batch"));
     (0..3).for_each(|_| s.step(&[]));
     assert_eq!((s.tasks("i-000").len(), s.tasks("i-001").len()), (4, 4));
-    let failed = ended(&mut s, "i-000", "wk-000001", 4, Why::Error);
+    let failed = ended(&mut s, "i-000", "wk-000001", 4, ExitReason::Error);
     s.report(&failed);
     assert_eq!(errors(&s, "wk-000001"), 1);
     // On another machine as well: it may be the job.
-    let failed = ended(&mut s, "i-001", "wk-000001", 4, Why::Error);
+    let failed = ended(&mut s, "i-001", "wk-000001", 4, ExitReason::Error);
     s.report(&failed);
     assert_eq!(errors(&s, "wk-000001"), 2);
 }
@@ -70,15 +70,15 @@
     s.submit(spec(3, 1, "batch"));
     (0..3).for_each(|_| s.step(&[]));
     assert_eq!(s.tasks("i-000").len(), 4);
-    let failed = ended(&mut s, "i-000", "wk-000002", 1, Why::Error);
+    let failed = ended(&mut s, "i-000", "wk-000002", 1, ExitReason::Error);
     s.report(&failed);
     forget_on(&mut s, "i-000", "wk-000002");
     s.now = s.now + Micros::from_secs(1.0);
-    let succeeded = ended(&mut s, "i-000", "wk-000001", 1, Why::Done);
+    let succeeded = ended(&mut s, "i-000", "wk-000001", 1, ExitReason::Done);
     s.report(&succeeded);
     assert!(!leaving(&s, "i-000"), "one job may be mistaken");
     forget_on(&mut s, "i-000", "wk-000001");
-    let failed = ended(&mut s, "i-000", "wk-000003", 1, Why::Error);
+    let failed = ended(&mut s, "i-000", "wk-000003", 1, ExitReason::Error);
     s.report(&failed);
     assert!(leaving(&s, "i-000"));
 }
@@ -89,10 +89,10 @@
     let mut s = Scenario::new(2, false);
     s.submit(JobSpec { estimate_s: 60.0, ..spec(1, 8, "batch") });
     (0..3).for_each(|_| s.step(&[]));
-    let succeeded = ended(&mut s, "i-001", "wk-000001", 1, Why::Done);
+    let succeeded = ended(&mut s, "i-001", "wk-000001", 1, ExitReason::Done);
     s.report(&succeeded);
     assert!(!leaving(&s, "i-000") && !leaving(&s, "i-001"));
-    let failed = ended(&mut s, "i-000", "wk-000001", 1, Why::Error);
+    let failed = ended(&mut s, "i-000", "wk-000001", 1, ExitReason::Error);
     s.report(&failed);
     assert!(leaving(&s, "i-000") && !leaving(&s, "i-001"));
 }
@@ -105,7 +105,7 @@
     for _ in 0..40 {
         s.step(&[]);
         if !s.tasks("i-000").is_empty() {
-            let failed = ended(&mut s, "i-000", "wk-000001", 4, Why::Error);
+            let failed = ended(&mut s, "i-000", "wk-000001", 4, ExitReason::Error);
             s.report(&failed);
             forget_on(&mut s, "i-000", "wk-000001");
         }
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -19,7 +19,7 @@
 use milletlock::http::Response;
 use milletlock::jobs::{JobId, MachineId};
 use milletlock::time::{Micros, Steady};
-use milletlock::wire::{JobSpec, Order, TaskStage, Why};
+use milletlock::wire::{ExitReason, JobSpec, Order, TaskStage};
 use serde_json::json;
 
 /// More than the service has to carry.
@@ -116,7 +116,7 @@
     fn report(&mut self, name: &str) {
         self.tally += 1;
         let tasks = &self.workers[name];
-        let why = |stage: &TaskStage| (*stage == TaskStage::Exited).then_some(Why::Done);
+        let why = |stage: &TaskStage| (*stage == TaskStage::Exited).then_some(ExitReason::Done);
         let listed: Vec<_> = tasks
             .iter()
             .map(|((task, attempt), stage)| (task.as_str(), *attempt, *stage, why(stage)))
--- a/tests/jobs.rs
+++ b/tests/jobs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use milletlock::ranges::Ranges;
+use milletlock::task_ranges::TaskRanges;
 use proptest::prelude::*;
 
 /// The shortest text of a set: sorted runs, none next to another.
@@ -22,7 +22,7 @@
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..Default::default() })]
     #[test]
     fn ranges_are_a_set(ops in prop::collection::vec((any::<bool>(), 0u32..40), 0..120)) {
-        let (mut r, mut model) = (Ranges::new(), BTreeSet::new());
+        let (mut r, mut model) = (TaskRanges::new(), BTreeSet::new());
         for (add, x) in ops {
             if add {
                 prop_assert_eq!(r.insert(x), model.insert(x));
@@ -35,7 +35,7 @@
         prop_assert_eq!(r.iter().collect::<Vec<_>>(), model.iter().copied().collect::<Vec<_>>());
         prop_assert_eq!(r.len() as usize, model.len());
         prop_assert_eq!(r.count_from(17) as usize, model.range(17..).count());
-        let mut back = Ranges::new();
+        let mut back = TaskRanges::new();
         back.add_text(&r.text(), 100_000);
         prop_assert_eq!(back, r);
     }
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -16,7 +16,7 @@
 use milletlock::leadership::SHARD_KEY;
 use milletlock::peer::{proto, LoanReply, Outbound, Outcome, PeerError, PeerHub};
 use milletlock::time::{wall, Clock, Micros};
-use milletlock::wire::{Order, ReportReply, TaskStage};
+use milletlock::wire::{HeartbeatReply, Order, TaskStage};
 use serde_json::json;
 
 const CELLS: &str =
@@ -75,9 +75,9 @@
     for _ in 0..12 {
         let tally = clock.load(Ordering::SeqCst) as u64;
         let tasks: Vec<_> = there.iter().map(|t| (t.0.as_str(), t.1, TaskStage::Running, None)).collect();
-        let report = milletlock::wire::Report { spot: false, ..report("i-000001", tally, token, &tasks) };
+        let report = milletlock::wire::Heartbeat { spot: false, ..report("i-000001", tally, token, &tasks) };
         let answer = post(node, "/checkin", serde_json::to_vec(&report).expect("a report"));
-        let reply: ReportReply = serde_json::from_slice(&answer.body).expect("an answer");
+        let reply: HeartbeatReply = serde_json::from_slice(&answer.body).expect("an answer");
         token = reply.token;
         there.extend(reply.orders.into_iter().filter_map(|order| match order {
             Order::Start { task, attempt } => Some((task, attempt)),
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -12,7 +12,7 @@
 use milletlock::fleet::{Fleet, LoanWrite};
 use milletlock::leadership::{self, SHARD_KEY};
 use milletlock::time::{Steady, Wall};
-use milletlock::wire::{Order, TaskStage, Why};
+use milletlock::wire::{ExitReason, Order, TaskStage};
 use milletlock_cells::{
     CellSummary, GuestChange, Lending, Loan, LoanItem, LoanNumber, LocalTasks, Offer, Refusal, Request,
     TaskSet, Wish, SUMMARY_FORM,
@@ -62,8 +62,10 @@
                 all.insert(n);
             });
             // They are done at once, and gone after that.
-            let done: Vec<_> =
-                there.iter().map(|t| (t.0.as_str(), t.1, TaskStage::Exited, Some(Why::Done))).collect();
+            let done: Vec<_> = there
+                .iter()
+                .map(|t| (t.0.as_str(), t.1, TaskStage::Exited, Some(ExitReason::Done)))
+                .collect();
             for tasks in [done.as_slice(), &[]] {
                 s.tally += 1;
                 s.report(&common::report(&id, s.tally, 7, tasks));
@@ -198,11 +200,12 @@
     let machine = s.machines[0].clone();
     let there = s.tasks(&machine);
     let stopped: Vec<_> =
-        there.iter().map(|t| (t.0.as_str(), t.1, TaskStage::Exited, Some(Why::Stopped))).collect();
+        there.iter().map(|t| (t.0.as_str(), t.1, TaskStage::Exited, Some(ExitReason::Stopped))).collect();
     s.tally += 1;
     // Nothing of the job is started again for now.
     s.fleet.jobs.get_mut("wk-000001").expect("the job").not_before = Steady(i64::MAX);
-    let report = milletlock::wire::Report { spot: false, ..common::report(&machine, s.tally, 7, &stopped) };
+    let report =
+        milletlock::wire::Heartbeat { spot: false, ..common::report(&machine, s.tally, 7, &stopped) };
     s.fleet.check_in(&report, s.now, wall(&s));
     let numbers: TaskSet = there.iter().filter_map(|t| t.0.rsplit_once('/')?.1.parse().ok()).collect();
     let recall = request(vec![LoanItem { wish: Wish::Recall, ..offer(5, 1, "0-19") }]);
--- a/tests/packs.rs
+++ b/tests/packed_records.rs
@@ -2,15 +2,15 @@
 
 use std::sync::Arc;
 
-use milletlock::packs::{Items, Packs};
+use milletlock::packed_records::{Items, PackedRecords};
 
-fn slots(p: &Packs<u32>) -> u32 {
+fn slots(p: &PackedRecords<u32>) -> u32 {
     (0..).find(|&s| p.slot(s).is_none()).expect("an end")
 }
 
 #[test]
 fn values_stay_within_the_limit_and_are_written_until_they_are_as_they_should_be() {
-    let mut p: Packs<u32> = Packs::new(512);
+    let mut p: PackedRecords<u32> = PackedRecords::new(512);
     let id = |n: u32| -> Arc<str> { format!("wk-{n:06}").into() };
     (0..100).for_each(|n| p.put(&id(n), n));
     let dirty: Vec<u32> = p.pending(true).collect();
@@ -37,7 +37,7 @@
     (200..240).for_each(|n| p.put(&id(n), n));
     assert_eq!(slots(&p), before);
     // Another owner reads the same back.
-    let mut q: Packs<u32> = Packs::new(512);
+    let mut q: PackedRecords<u32> = PackedRecords::new(512);
     for s in 0..before {
         q.load(s, 9, p.slot(s).expect("a value").2.clone(), u32::max);
     }
@@ -51,7 +51,7 @@
 }
 
 /// Writes all slots that may be written now, at a revision.
-fn write_all(p: &mut Packs<u32>, revision: u64) -> Vec<u32> {
+fn write_all(p: &mut PackedRecords<u32>, revision: u64) -> Vec<u32> {
     let pending: Vec<u32> = p.pending(true).chain(p.pending(false)).collect();
     for &s in &pending {
         let version = p.slot(s).expect("a value").1;
@@ -64,7 +64,7 @@
 /// be written over them.
 #[test]
 fn a_slot_that_waits_for_others_takes_no_new_records() {
-    let mut p: Packs<u32> = Packs::new(1024);
+    let mut p: PackedRecords<u32> = PackedRecords::new(1024);
     p.load(0, 5, many(100), u32::max);
     p.empty_oversized();
     assert!(p.slot(0).expect("a value").2.is_empty());
@@ -89,7 +89,7 @@
 /// Guards against a copy that is the only one left being dropped before the merged one is written.
 #[test]
 fn a_merged_copy_is_dropped_only_after_the_other_is_written() {
-    let mut p: Packs<u32> = Packs::new(1024);
+    let mut p: PackedRecords<u32> = PackedRecords::new(1024);
     let job: Arc<str> = "wk-000001".into();
     p.load(0, 5, Items::from([(job.clone(), 90)]), u32::max);
     p.load(1, 6, Items::from([(job.clone(), 40)]), u32::max);
@@ -104,7 +104,7 @@
 /// Guards against a value of a later version being overwritten by one that cannot read it.
 #[test]
 fn unreadable_slots_are_never_written() {
-    let mut p: Packs<u32> = Packs::new(1024);
+    let mut p: PackedRecords<u32> = PackedRecords::new(1024);
     p.keep_unreadable(0);
     p.keep_unreadable(3);
     p.load(1, 5, many(60), u32::max);
@@ -118,7 +118,7 @@
     (0..20).for_each(|_| assert!(write_all(&mut p, 50).iter().all(|s| ![0, 3].contains(s))));
     assert!(p.slot(0).expect("a value").2.is_empty() && p.slot(3).expect("a value").2.is_empty());
     // Nor one that has something to be written.
-    let mut q: Packs<u32> = Packs::new(1024);
+    let mut q: PackedRecords<u32> = PackedRecords::new(1024);
     q.load(0, 5, many(3), u32::max);
     q.remove("wk-000001");
     assert_eq!(q.pending(false).collect::<Vec<_>>(), [0]);
@@ -133,7 +133,7 @@
 #[test]
 fn values_stay_within_the_limit_while_numbers_grow_and_records_go() {
     const LIMIT: usize = 1024;
-    let mut p: Packs<u32> = Packs::new(LIMIT);
+    let mut p: PackedRecords<u32> = PackedRecords::new(LIMIT);
     let id = |n: u32| -> Arc<str> { format!("wk-{n:06}").into() };
     for n in 0..2000 {
         p.put(&id(n), 1);
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -8,20 +8,25 @@
     Snapshot, Start, TeamUse,
 };
 use milletlock::time::Micros;
-use milletlock::wire::Rank;
+use milletlock::wire::Priority;
 use proptest::prelude::*;
 
-fn rank() -> impl Strategy<Value = Rank> {
-    prop_oneof![Just(Rank::Idle), Just(Rank::Normal), Just(Rank::Urgent), Just(Rank::Critical)]
+fn priority() -> impl Strategy<Value = Priority> {
+    prop_oneof![
+        Just(Priority::Idle),
+        Just(Priority::Normal),
+        Just(Priority::Urgent),
+        Just(Priority::Critical)
+    ]
 }
 
 prop_compose! {
     fn room()(rate in 0i64..3, ty in 0usize..2, zone in 0usize..2, spot in any::<bool>(), open in prop::bool::weighted(0.85),
               opens in 0i64..30, has in any::<bool>(), until in prop::option::weighted(0.1, 1i64..60),
-              held in prop::collection::vec((1u32..3, rank(), 1i64..90, any::<bool>()), 0..4)) -> MachineSnapshot {
+              held in prop::collection::vec((1u32..3, priority(), 1i64..90, any::<bool>()), 0..4)) -> MachineSnapshot {
         let total = need(if ty == 0 { 4.0 } else { 16.0 });
-        let held: Vec<PlacedTask> = held.into_iter().map(|(cpus, rank, left, stoppable)| PlacedTask {
-            need: need(f64::from(cpus)), rank, guaranteed: false, team: usize::from(!stoppable), left: secs(left), lost_work: secs(left), stoppable, stopping: false, endless: false,
+        let held: Vec<PlacedTask> = held.into_iter().map(|(cpus, priority, left, stoppable)| PlacedTask {
+            need: need(f64::from(cpus)), priority, guaranteed: false, team: usize::from(!stoppable), left: secs(left), lost_work: secs(left), stoppable, stopping: false, endless: false,
         }).scan(0.0, |sum, h| { *sum += h.need.cpus; Some((*sum, h)) }).filter(|x| x.0 <= total.cpus).map(|x| x.1).collect();
         let free = held.iter().fold(total, |f, h| f.less(&h.need, 1));
         MachineSnapshot { ty, zone, spot, total, free, rate, open, opens_in: secs(if open { opens % 4 } else { opens }),
@@ -31,11 +36,11 @@
 }
 
 prop_compose! {
-    fn class(widest: u32)(missed_aims in 0u8..3, rank in rank(), team in 0usize..2, count in 1..widest, gang in any::<bool>(), cpus in 1u32..5,
+    fn class(widest: u32)(missed_aims in 0u8..3, priority in priority(), team in 0usize..2, count in 1..widest, gang in any::<bool>(), cpus in 1u32..5,
                types in prop_oneof![Just(vec![0]), Just(vec![1]), Just(vec![0, 1])],
                zone in prop::option::weighted(0.2, 0usize..2), tie in 0u8..3, spot in any::<bool>(),
                adjusted in 1i64..100, waited in 0i64..200, live in 0u32..2) -> JobClass {
-        JobClass { rank, raised: (missed_aims == 2 && gang).then_some(Rank::Urgent), team, guaranteed: false, count, tasks: count + live, gang, need: need(f64::from(cpus)), types, zone,
+        JobClass { priority, raised: (missed_aims == 2 && gang).then_some(Priority::Urgent), team, guaranteed: false, count, tasks: count + live, gang, need: need(f64::from(cpus)), types, zone,
                 one_zone: tie == 1, spread: tie == 2, spot, image: Some(1), image_gb: 2.0, waits_for_image: false, adjusted: secs(adjusted),
                 waited: secs(waited), zones: vec![live, 0], patience: secs(1000), slack: None, missed_aims, replicas: None }
     }
@@ -48,9 +53,9 @@
         let used = held.fold(Resources::default(), |n, h| n.plus(&h.need, 1));
         // Somewhat over what runs, so that the limit is met now and then.
         let cpus_max = if limit == 0 { 0.0 } else { used.cpus + f64::from(limit) };
-        Snapshot { zones: 2, rooms, classes, reserve, low_rank_delay_step: secs(4), delay_step: secs(2), clear_rooms: 1,
+        Snapshot { zones: 2, rooms, classes, reserve, low_priority_delay_step: secs(4), delay_step: secs(2), clear_rooms: 1,
                    teams: vec![TeamUse { used, cpus_max, gpus_max: 0.0 }, TeamUse::default()],
-                   keep: vec![None, keep.0.then(|| ReservedHeadroom { need: need(15.0), rank: Rank::Urgent, spot: keep.1 })] }
+                   keep: vec![None, keep.0.then(|| ReservedHeadroom { need: need(15.0), priority: Priority::Urgent, spot: keep.1 })] }
     }
 }
 
@@ -76,7 +81,7 @@
 
     fn low(&self, class: usize, m: usize) -> bool {
         let r = &self.s.rooms[m];
-        self.s.keep[r.ty].is_some_and(|k| self.s.classes[class].rank < k.rank && (k.spot || !r.spot))
+        self.s.keep[r.ty].is_some_and(|k| self.s.classes[class].priority < k.priority && (k.spot || !r.spot))
     }
 
     fn free(&self, m: usize) -> f64 {
@@ -140,7 +145,7 @@
         let wanted = self.low(class, m) && self.wanted[r.ty];
         let kept = !self.low(class, m) || !self.clear(m) || {
             let k = self.s.keep[r.ty].expect("kept").need.cpus;
-            let low: f64 = r.held.iter().filter(|h| h.rank < Rank::Urgent).map(|h| h.need.cpus).sum();
+            let low: f64 = r.held.iter().filter(|h| h.priority < Priority::Urgent).map(|h| h.need.cpus).sum();
             let new: f64 = self
                 .placed
                 .iter()
@@ -167,7 +172,7 @@
             .filter(|p| self.s.classes[p.0].team == c.team)
             .map(|p| self.s.classes[p.0].need.cpus)
             .sum();
-        let ends = c.adjusted + self.s.low_rank_delay_step;
+        let ends = c.adjusted + self.s.low_priority_delay_step;
         let claimed = self.claims.iter().filter(|x| x.0 == c.team && ends > x.2).map(|x| x.1);
         let used = used + self.s.teams[c.team].used.cpus + claimed.sum::<f64>();
         let max = self.s.teams[c.team].cpus_max;
@@ -235,7 +240,8 @@
             })
             .collect();
         v.sort_by_key(|&m| {
-            let step = if c.rank == Rank::Idle { self.s.low_rank_delay_step } else { self.s.delay_step };
+            let step =
+                if c.priority == Priority::Idle { self.s.low_priority_delay_step } else { self.s.delay_step };
             let d = self.delay(c, &self.s.rooms[m]).0 / step.0;
             (
                 self.low(class, m),
@@ -300,7 +306,7 @@
             if want == left {
                 left = self.place(class, want);
             }
-            if left > 0 && self.s.keep[1].is_some_and(|k| c.rank >= k.rank) && c.types.contains(&1) {
+            if left > 0 && self.s.keep[1].is_some_and(|k| c.priority >= k.priority) && c.types.contains(&1) {
                 self.wanted[1] = true;
             }
             if left > 0 && self.reserved.is_none() && self.s.reserve {
@@ -426,15 +432,20 @@
     // (20/10)^3 x 2 = 16; (30/10)^3 x 1 = 27; (20/10)^3 x 4 = 32; urgent whatever its score.
     let b = JobClass { waited: secs(30), count: 1, ..base.clone() };
     let c = JobClass { count: 4, ..base.clone() };
-    let d = JobClass { rank: Rank::Urgent, waited: secs(1), ..base.clone() };
-    let e = JobClass { guaranteed: true, rank: Rank::Idle, waited: secs(1), ..base.clone() };
+    let d = JobClass { priority: Priority::Urgent, waited: secs(1), ..base.clone() };
+    let e = JobClass { guaranteed: true, priority: Priority::Idle, waited: secs(1), ..base.clone() };
     // Whoever lost more aims yields, however long it waited.
     let f = JobClass { missed_aims: 1, waited: secs(900), ..base.clone() };
     let g = JobClass { missed_aims: 2, waited: secs(9000), ..base.clone() };
     assert_eq!(milletlock::sched::order(&[g, f, base.clone(), b, c, d.clone(), e]), [6, 5, 4, 3, 2, 1, 0]);
     // One that waited for long stands with the urgent, never behind its own rank and not above them.
-    let h = JobClass { raised: Some(Rank::Urgent), ..base.clone() };
-    let i = JobClass { raised: Some(Rank::Urgent), rank: Rank::Critical, waited: secs(1), ..base.clone() };
+    let h = JobClass { raised: Some(Priority::Urgent), ..base.clone() };
+    let i = JobClass {
+        raised: Some(Priority::Urgent),
+        priority: Priority::Critical,
+        waited: secs(1),
+        ..base.clone()
+    };
     assert_eq!(milletlock::sched::order(&[base, d, h, i]), [3, 2, 1, 0]);
 }
 
@@ -482,7 +493,10 @@
     assert_eq!(top(vec![with(1, 20), with(7, 10)]), [(1, 3), (0, 1)]);
     // Not for ever, and never past a higher rank or one that is not late.
     assert_eq!(top(vec![with(1, 70), with(7, 10)]), [(0, 3), (1, 1)]);
-    assert_eq!(top(vec![JobClass { rank: Rank::Urgent, ..with(1, 20) }, with(7, 10)]), [(0, 3), (1, 1)]);
+    assert_eq!(
+        top(vec![JobClass { priority: Priority::Urgent, ..with(1, 20) }, with(7, 10)]),
+        [(0, 3), (1, 1)]
+    );
     assert_eq!(top(vec![with(1, 20), JobClass { missed_aims: 1, ..with(7, 90) }]), [(0, 3), (1, 1)]);
 }
 
@@ -514,7 +528,7 @@
 fn a_gang_at_its_teams_limit_stops_nothing_unless_it_has_room_and_only_the_first_claims() {
     let held = PlacedTask {
         need: need(1.0),
-        rank: Rank::Idle,
+        priority: Priority::Idle,
         guaranteed: false,
         team: 0,
         left: secs(40),
@@ -539,20 +553,20 @@
         held,
     };
     let gang = JobClass {
-        rank: Rank::Urgent,
+        priority: Priority::Urgent,
         gang: true,
         need: need(2.0),
         types: vec![1],
         patience: secs(-1),
         ..common::planner::class(2, 30, 40)
     };
-    let small = JobClass { rank: Rank::Idle, ..common::planner::class(8, 20, 5) };
+    let small = JobClass { priority: Priority::Idle, ..common::planner::class(8, 20, 5) };
     let snapshot = |large: f64, classes: Vec<JobClass>| Snapshot {
         zones: 2,
         rooms: vec![room(0, 8.0, vec![held.clone(); 8]), room(1, large, Vec::new())],
         classes,
         reserve: true,
-        low_rank_delay_step: secs(4),
+        low_priority_delay_step: secs(4),
         delay_step: secs(2),
         clear_rooms: 0,
         teams: vec![TeamUse { used: need(8.0), cpus_max: 10.0, gpus_max: 0.0 }],
@@ -606,7 +620,7 @@
     };
     let low = PlacedTask {
         need: need(1.0),
-        rank: Rank::Idle,
+        priority: Priority::Idle,
         guaranteed: false,
         team: 0,
         left: secs(40),
@@ -616,7 +630,7 @@
         endless: false,
     };
     let urgent = |waits_for_image: bool| JobClass {
-        rank: Rank::Urgent,
+        priority: Priority::Urgent,
         image: Some(7),
         image_gb: 1.0,
         waits_for_image,
--- a/tests/reads.rs
+++ b/tests/reads.rs
@@ -1,6 +1,6 @@
 //! The client side of the state service: its budget, and the live jobs by changes read.
 
-use milletlock::live::LiveIds;
+use milletlock::live_jobs::LiveIds;
 use milletlock::state::TokenBucket;
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::Events;
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -33,7 +33,7 @@
 
 fn check_in(fleet: &mut Fleet, machine: &str, tally: u64, tasks: &[&str], now: Steady) -> Vec<Order> {
     let running: Vec<_> = tasks.iter().map(|task| (*task, 5, TaskStage::Running, None)).collect();
-    let report = milletlock::wire::Report { spot: false, ..report(machine, tally, 7, &running) };
+    let report = milletlock::wire::Heartbeat { spot: false, ..report(machine, tally, 7, &running) };
     match fleet.check_in(&report, now, wall(now)) {
         HeartbeatOutcome::Reply(reply) => reply.orders,
         other => panic!("{other:?}"),
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -8,13 +8,13 @@
 use milletlock::capacity::{CapacityView, MachineStatus, Offer, ScalingPolicy, WarmPool};
 use milletlock::sched::{plan, JobClass, MachineSnapshot, PlacedTask, ReservedHeadroom, Snapshot};
 use milletlock::time::{Micros, Wall};
-use milletlock::wire::{JobSpec, Rank};
+use milletlock::wire::{JobSpec, Priority};
 
 /// A machine of eight processors with this many one-processor tasks.
 fn room(held: usize, left: i64) -> MachineSnapshot {
     let one = PlacedTask {
         need: need(1.0),
-        rank: Rank::Normal,
+        priority: Priority::Normal,
         guaranteed: false,
         team: 0,
         left: secs(left),
@@ -63,7 +63,7 @@
         rooms,
         classes,
         reserve: true,
-        low_rank_delay_step: secs(4),
+        low_priority_delay_step: secs(4),
         keep: vec![None],
         ..Snapshot::default()
     };
@@ -124,9 +124,9 @@
     assert_eq!(decide(vec![spot(), spot(), room(0, 0)], vec![], Some(31), &[], false).1, 2);
     assert_eq!(decide(vec![spot(), spot()], vec![], Some(31), &[], false).1, 2);
     // Low ranks count on spot machines of a type of which ordinary ones are kept for others.
-    let low = JobClass { rank: Rank::Idle, ..class(8, 20, 1) };
+    let low = JobClass { priority: Priority::Idle, ..class(8, 20, 1) };
     let rents = |r: MachineSnapshot| {
-        let keep = ReservedHeadroom { need: need(8.0), rank: Rank::Urgent, spot: false };
+        let keep = ReservedHeadroom { need: need(8.0), priority: Priority::Urgent, spot: false };
         let s = Snapshot {
             zones: 1,
             rooms: vec![r],
@@ -142,8 +142,8 @@
         zones: 1,
         rooms: vec![spot(), room(0, 0)],
         clear_rooms: 1,
-        keep: vec![Some(ReservedHeadroom { need: need(8.0), rank: Rank::Urgent, spot: false })],
-        classes: vec![JobClass { rank: Rank::Idle, ..class(16, 20, 1) }],
+        keep: vec![Some(ReservedHeadroom { need: need(8.0), priority: Priority::Urgent, spot: false })],
+        classes: vec![JobClass { priority: Priority::Idle, ..class(16, 20, 1) }],
         ..Snapshot::default()
     };
     // All of the spot machine, and none of the one that is kept clear.
--- a/tests/replies.rs
+++ b/tests/replies.rs
@@ -1,7 +1,7 @@
 //! The forms of a controller's own answers, which workers, the load balancer and people on call
 //! read.
 
-use milletlock::wire::{Health, NodeStatus, PartStatus, Redirect};
+use milletlock::wire::{ControllerStatus, Health, Redirect, ShardStatus};
 use serde_json::{json, Value};
 
 #[test]
@@ -16,12 +16,12 @@
 
 #[test]
 fn the_owners_status_has_its_parts_and_its_view() {
-    let status = NodeStatus {
+    let status = ControllerStatus {
         leader: Some("a".into()),
         node: "a".into(),
         view: Some(json!({ "token": 7 })),
         versions: None,
-        parts: Some(vec![PartStatus { owner: "a".into(), part: 0, token: 7 }]),
+        parts: Some(vec![ShardStatus { owner: "a".into(), part: 0, token: 7 }]),
         view_age_s: Some(0.5),
         cells: None,
     };
@@ -34,7 +34,7 @@
 
 #[test]
 fn any_other_controllers_status_says_who_leads() {
-    let status: NodeStatus<Value> = NodeStatus {
+    let status: ControllerStatus<Value> = ControllerStatus {
         leader: None,
         node: "b".into(),
         view: None,
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -8,9 +8,9 @@
 use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::leadership;
 use milletlock::records::{JobRecord, MachineRecord};
+use milletlock::store_contact::StoreContact;
 use milletlock::time::Micros;
-use milletlock::view::View;
-use milletlock::wire::{JobSpec, ListedMachine, Order, TaskStage, Why};
+use milletlock::wire::{ExitReason, JobSpec, ListedMachine, Order, TaskStage};
 
 fn fleet(token: u64) -> Fleet {
     Fleet::new(config(), types(), token, START)
@@ -43,7 +43,7 @@
     }
 }
 
-fn orders(f: &mut Fleet, s: f64, r: &milletlock::wire::Report) -> Vec<Order> {
+fn orders(f: &mut Fleet, s: f64, r: &milletlock::wire::Heartbeat) -> Vec<Order> {
     match f.check_in(r, at(s), wall(s)) {
         HeartbeatOutcome::Reply(r) => r.orders,
         other => panic!("not answered: {other:?}"),
@@ -255,8 +255,8 @@
     let s = starts(&orders(&mut f, 1.0, &report("i-1", 2, 7, &[])));
     assert_eq!(s.len(), 3);
     let done = [
-        (s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(Why::Done)),
-        (s[1].0.as_str(), s[1].1, TaskStage::Exited, Some(Why::Done)),
+        (s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Done)),
+        (s[1].0.as_str(), s[1].1, TaskStage::Exited, Some(ExitReason::Done)),
         (s[2].0.as_str(), s[2].1, TaskStage::Running, None),
     ];
     let o = orders(&mut f, 2.0, &report("i-1", 3, 7, &done));
@@ -271,7 +271,7 @@
 fn a_start_leaves_with_an_answer_that_waited_unless_a_newer_report_has_come() {
     let (mut f, (task, attempt)) = with_a_running_task();
     assert!(!f.may_wait("i-1", at(2.0)), "what changes on a busy machine must be heard at once");
-    let done = [(task.as_str(), attempt, TaskStage::Exited, Some(Why::Done))];
+    let done = [(task.as_str(), attempt, TaskStage::Exited, Some(ExitReason::Done))];
     orders(&mut f, 3.0, &report("i-1", 4, 7, &done));
     write_all(&mut f, 3.1);
     orders(&mut f, 3.5, &report("i-1", 5, 7, &done));
@@ -359,18 +359,18 @@
     write_all(&mut f, 0.5);
     let mut gang = spec(2, 3, "gang");
     gang.team = "tight".into();
-    gang.rank = milletlock::wire::Rank::Urgent;
+    gang.priority = milletlock::wire::Priority::Urgent;
     let held = starts(&orders(&mut f, 1.0, &report("i-1", 2, 7, &[])));
     let more = starts(&orders(&mut f, 1.1, &report("i-2", 2, 7, &[])));
     assert_eq!((held.len(), more.len()), (4, 2), "the limit of 6 is used up");
     f.job_put(record(gang), 9, at(1.2));
     // Two end; four are in use and the gang needs three of six: the small ones may not refill.
     let mut there: Vec<_> =
-        more.iter().map(|s| (s.0.as_str(), s.1, TaskStage::Exited, Some(Why::Done))).collect();
+        more.iter().map(|s| (s.0.as_str(), s.1, TaskStage::Exited, Some(ExitReason::Done))).collect();
     let o = orders(&mut f, 2.0, &report("i-2", 3, 7, &there));
     assert!(starts(&o).is_empty());
     there.clear();
-    let left = [(held[0].0.as_str(), held[0].1, TaskStage::Exited, Some(Why::Done))];
+    let left = [(held[0].0.as_str(), held[0].1, TaskStage::Exited, Some(ExitReason::Done))];
     let running: Vec<_> = held[1..].iter().map(|s| (s.0.as_str(), s.1, TaskStage::Running, None)).collect();
     orders(&mut f, 3.0, &report("i-1", 3, 7, &[&left[..], &running[..]].concat()));
     f.tick(at(3.1), wall(3.1));
@@ -402,7 +402,7 @@
     write_all(&mut f, 0.1);
     let o = orders(&mut f, 1.0, &report("i-1", 2, 7, &there));
     assert_eq!(o, [Order::Halt { task: "wk-000001/0".into(), attempt: 3, grace_s: 0.0 }]);
-    let ended = [("wk-000001/0", 3, TaskStage::Exited, Some(Why::Stopped))];
+    let ended = [("wk-000001/0", 3, TaskStage::Exited, Some(ExitReason::Stopped))];
     let o = orders(&mut f, 2.0, &report("i-1", 3, 7, &ended));
     assert_eq!(o[0], Order::Forget { task: "wk-000001/0".into(), attempt: 3 });
     f.tick(at(2.1), wall(2.1));
@@ -418,12 +418,12 @@
     assert_eq!(s[0].1, s[1].1, "the tasks of a gang share their attempt");
     let half = [
         (s[0].0.as_str(), s[0].1, TaskStage::Running, None),
-        (s[1].0.as_str(), s[1].1, TaskStage::Exited, Some(Why::Error)),
+        (s[1].0.as_str(), s[1].1, TaskStage::Exited, Some(ExitReason::Error)),
     ];
     let o = orders(&mut f, 2.0, &report("i-1", 3, 7, &half));
     assert!(o.iter().any(|o| matches!(o, Order::Halt { task, .. } if *task == s[0].0)));
     assert!(starts(&o).is_empty());
-    let gone = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(Why::Stopped))];
+    let gone = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Stopped))];
     orders(&mut f, 5.0, &report("i-1", 4, 7, &gone));
     let again = starts(&orders(&mut f, 6.0, &report("i-1", 5, 7, &[])));
     assert_eq!(again.len(), 2);
@@ -440,7 +440,7 @@
         tally += 1;
         if let Some((task, attempt)) = s.first() {
             tries += 1;
-            let ended = [(task.as_str(), *attempt, TaskStage::Exited, Some(Why::Error))];
+            let ended = [(task.as_str(), *attempt, TaskStage::Exited, Some(ExitReason::Error))];
             orders(&mut f, t as f64 + 0.5, &report("i-1", tally, 7, &ended));
             tally += 1;
         }
@@ -451,7 +451,7 @@
     f.tick(at(61.0), wall(61.0));
     write_all(&mut f, 61.0);
     let s = starts(&orders(&mut f, 62.0, &report("i-1", tally, 7, &[])));
-    let ended = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(Why::Error))];
+    let ended = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Error))];
     orders(&mut f, 63.0, &report("i-1", tally + 1, 7, &ended));
     assert_eq!(f.leaving(), ["i-1"]);
 }
@@ -792,16 +792,16 @@
 #[test]
 fn the_view_rests_on_reads_and_on_renewals() {
     let bound = Micros::from_secs(10.0);
-    let (mut reads, mut renewals) = (View::new(START, bound), View::new(START, bound));
-    reads.has_read(at(9.0));
-    renewals.has_owned(at(9.0));
+    let (mut reads, mut renewals) = (StoreContact::new(START, bound), StoreContact::new(START, bound));
+    reads.note_read(at(9.0));
+    renewals.note_renewal(at(9.0));
     for v in [reads, renewals] {
         assert!(v.may_act(at(10.0)) && !v.may_act(at(10.1)));
     }
-    reads.has_owned(at(8.0));
+    reads.note_renewal(at(8.0));
     assert!(reads.may_act(at(18.0)) && !reads.may_act(at(18.1)));
     // An answer that was overtaken by a later one moves nothing back.
-    reads.has_owned(at(7.0));
-    reads.has_read(at(1.0));
+    reads.note_renewal(at(7.0));
+    reads.note_read(at(1.0));
     assert!(reads.may_act(at(18.0)));
 }
--- a/tests/service_placement.rs
+++ b/tests/service_placement.rs
@@ -10,7 +10,7 @@
     order, plan, JobClass, MachineSnapshot, PlacedTask, Plan, ReservedHeadroom, Resources, Snapshot, TeamUse,
 };
 use milletlock::time::Micros;
-use milletlock::wire::Rank;
+use milletlock::wire::Priority;
 use proptest::prelude::*;
 
 /// The image of all classes here.
@@ -40,10 +40,10 @@
 }
 
 /// A running task that may be stopped for a higher rank.
-fn held(cpus: f64, rank: Rank) -> PlacedTask {
+fn held(cpus: f64, priority: Priority) -> PlacedTask {
     PlacedTask {
         need: need(cpus),
-        rank,
+        priority,
         guaranteed: false,
         team: 0,
         left: secs(60),
@@ -55,7 +55,7 @@
 }
 
 fn replica(cpus: f64) -> PlacedTask {
-    PlacedTask { endless: true, left: secs(86_400), ..held(cpus, Rank::Critical) }
+    PlacedTask { endless: true, left: secs(86_400), ..held(cpus, Priority::Critical) }
 }
 
 /// The room with these tasks on it.
@@ -67,7 +67,7 @@
 /// A service of one-processor replicas, none of which runs yet.
 fn service(replicas: u32) -> JobClass {
     JobClass {
-        rank: Rank::Critical,
+        priority: Priority::Critical,
         adjusted: secs(86_400),
         patience: Micros::ZERO,
         image: Some(IMAGE),
@@ -84,7 +84,7 @@
         classes,
         teams: vec![TeamUse::default()],
         keep: vec![None, None],
-        low_rank_delay_step: secs(4),
+        low_priority_delay_step: secs(4),
         delay_step: secs(2),
         ..Snapshot::default()
     }
@@ -101,17 +101,22 @@
 
 // Against a plain model.
 
-fn any_rank() -> impl Strategy<Value = Rank> {
-    prop_oneof![Just(Rank::Idle), Just(Rank::Normal), Just(Rank::Urgent), Just(Rank::Critical)]
+fn any_rank() -> impl Strategy<Value = Priority> {
+    prop_oneof![
+        Just(Priority::Idle),
+        Just(Priority::Normal),
+        Just(Priority::Urgent),
+        Just(Priority::Critical)
+    ]
 }
 
 prop_compose! {
-    fn any_held()(cpus in 1u32..5, rank in any_rank(), guaranteed in prop::bool::weighted(0.2),
+    fn any_held()(cpus in 1u32..5, priority in any_rank(), guaranteed in prop::bool::weighted(0.2),
                   team in 0usize..2, lost in 0i64..90, state in 0u8..4, endless in any::<bool>()) -> PlacedTask {
         PlacedTask {
             guaranteed, team, lost_work: secs(lost), endless,
             stoppable: state < 2, stopping: state == 2,
-            ..held(f64::from(cpus), rank)
+            ..held(f64::from(cpus), priority)
         }
     }
 }
@@ -138,13 +143,13 @@
 
 prop_compose! {
     /// A service, or an array that competes with the services but has none of them stopped.
-    fn any_class()(is_service in prop::bool::weighted(0.7), rank in any_rank(), guaranteed in prop::bool::weighted(0.2),
+    fn any_class()(is_service in prop::bool::weighted(0.7), priority in any_rank(), guaranteed in prop::bool::weighted(0.2),
                    team in 0usize..2, count in 1u32..6, cpus in 1u32..5,
                    types in prop_oneof![Just(vec![0]), Just(vec![1]), Just(vec![0, 1])],
                    zone in prop::option::weighted(0.2, 0usize..2), tie in 0u8..4, spot in any::<bool>(),
                    live in 0u32..2, occupied in prop::collection::vec(0usize..8, 0..3)) -> JobClass {
         JobClass {
-            rank, guaranteed, team, tasks: count + live, need: need(f64::from(cpus)), types, zone,
+            priority, guaranteed, team, tasks: count + live, need: need(f64::from(cpus)), types, zone,
             one_zone: tie == 1, spread: tie == 2, spot, zones: vec![live, 0],
             patience: if is_service { Micros::ZERO } else { secs(1000) },
             adjusted: if is_service { secs(86_400) } else { secs(30) },
@@ -161,7 +166,7 @@
         let tasks = rooms.iter().flat_map(|room| &room.held).filter(|task| task.team == 0);
         let used = tasks.fold(Resources::default(), |sum, task| sum.plus(&task.need, 1));
         let cpus_max = limit.map_or(0.0, |more| used.cpus + f64::from(more));
-        let keep = ReservedHeadroom { need: need(15.0), rank: Rank::Urgent, spot: false };
+        let keep = ReservedHeadroom { need: need(15.0), priority: Priority::Urgent, spot: false };
         Snapshot {
             teams: vec![TeamUse { used, cpus_max, gpus_max: 0.0 }, TeamUse::default()],
             keep: vec![None, kept.then_some(keep)],
@@ -222,7 +227,7 @@
 
     fn may_stop(&self, class: usize, task: &PlacedTask) -> bool {
         let c = &self.snapshot.classes[class];
-        task.stoppable && task.rank < c.rank && (c.guaranteed || !task.guaranteed)
+        task.stoppable && task.priority < c.priority && (c.guaranteed || !task.guaranteed)
     }
 
     fn limit_allows_another(&self, class: usize) -> bool {
@@ -357,7 +362,7 @@
 fn the_room_where_a_replica_runs_soonest_is_taken() {
     let p = plan(&snapshot(vec![without_image(room(8.0)), room(8.0)], vec![service(1)]));
     assert_eq!(rooms_of(&p, 0), [1]);
-    let full = || with(room(1.0), vec![held(1.0, Rank::Idle)]);
+    let full = || with(room(1.0), vec![held(1.0, Priority::Idle)]);
     let p = plan(&snapshot(vec![full(), room(8.0)], vec![service(1)]));
     assert_eq!((rooms_of(&p, 0), p.preempt), (vec![1], Vec::new()));
     let opens_soon = MachineSnapshot { opens_in: Micros::from_millis(1500), ..room(8.0) };
@@ -371,7 +376,7 @@
 
 /// A machine of 32 processors of a type that is kept for tasks of 30.
 fn kept(rooms: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
-    let keep = ReservedHeadroom { need: need(30.0), rank: Rank::Urgent, spot: false };
+    let keep = ReservedHeadroom { need: need(30.0), priority: Priority::Urgent, spot: false };
     let both_types = classes.into_iter().map(|c| JobClass { types: vec![0, 1], ..c }).collect();
     Snapshot { keep: vec![Some(keep), None], ..snapshot(rooms, both_types) }
 }
@@ -407,32 +412,32 @@
 /// Guards against a service that waits for its patience, or stops its equals.
 #[test]
 fn lower_ranks_are_stopped_at_once_and_equal_ranks_never() {
-    let full = |rank: Rank| with(room(2.0), vec![held(1.0, rank), held(1.0, rank)]);
-    for rank in [Rank::Idle, Rank::Normal, Rank::Urgent] {
-        let p = plan(&snapshot(vec![full(rank)], vec![service(1)]));
-        assert_eq!((rooms_of(&p, 0), p.preempt.len()), (vec![0], 1), "{rank:?}");
+    let full = |priority: Priority| with(room(2.0), vec![held(1.0, priority), held(1.0, priority)]);
+    for priority in [Priority::Idle, Priority::Normal, Priority::Urgent] {
+        let p = plan(&snapshot(vec![full(priority)], vec![service(1)]));
+        assert_eq!((rooms_of(&p, 0), p.preempt.len()), (vec![0], 1), "{priority:?}");
     }
-    let p = plan(&snapshot(vec![full(Rank::Critical)], vec![service(1)]));
+    let p = plan(&snapshot(vec![full(Priority::Critical)], vec![service(1)]));
     assert_eq!((p.starts, p.preempt, p.unmet), (Vec::new(), Vec::new(), vec![(0, 1)]));
-    let urgent = JobClass { rank: Rank::Urgent, ..service(1) };
-    for rank in [Rank::Urgent, Rank::Critical] {
-        let p = plan(&snapshot(vec![full(rank)], vec![urgent.clone()]));
-        assert_eq!((p.starts, p.preempt), (Vec::new(), Vec::new()), "{rank:?}");
+    let urgent = JobClass { priority: Priority::Urgent, ..service(1) };
+    for priority in [Priority::Urgent, Priority::Critical] {
+        let p = plan(&snapshot(vec![full(priority)], vec![urgent.clone()]));
+        assert_eq!((p.starts, p.preempt), (Vec::new(), Vec::new()), "{priority:?}");
     }
 }
 
 /// Guards against stopping more tasks while those that were stopped are still ending.
 #[test]
 fn room_that_is_being_freed_is_waited_for() {
-    let ending = PlacedTask { stoppable: false, stopping: true, ..held(1.0, Rank::Idle) };
-    let p = plan(&snapshot(vec![with(room(2.0), vec![ending, held(1.0, Rank::Idle)])], vec![service(1)]));
+    let ending = PlacedTask { stoppable: false, stopping: true, ..held(1.0, Priority::Idle) };
+    let p = plan(&snapshot(vec![with(room(2.0), vec![ending, held(1.0, Priority::Idle)])], vec![service(1)]));
     assert_eq!((rooms_of(&p, 0), p.preempt), (vec![0], Vec::new()));
 }
 
 /// Guards against a second replica that waits for the next plan though one stop makes room for both.
 #[test]
 fn one_large_task_makes_room_for_several_replicas() {
-    let p = plan(&snapshot(vec![with(room(4.0), vec![held(4.0, Rank::Idle)])], vec![service(3)]));
+    let p = plan(&snapshot(vec![with(room(4.0), vec![held(4.0, Priority::Idle)])], vec![service(3)]));
     assert_eq!((rooms_of(&p, 0), p.preempt), (vec![0, 0, 0], vec![(0, 0)]));
 }
 
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -11,7 +11,7 @@
 use milletlock::leadership;
 use milletlock::records::{JobRecord, MachineRecord};
 use milletlock::time::{Micros, Steady, Wall};
-use milletlock::wire::{JobSpec, Order, Rank, TaskStage, Why};
+use milletlock::wire::{ExitReason, JobSpec, Order, Priority, TaskStage};
 use serde_json::{json, Value};
 
 const T0: Steady = Steady(1_000_000_000);
@@ -32,7 +32,7 @@
 
 /// A service of one-processor replicas, above all other ranks here.
 fn service(number: u32, replicas: u32) -> JobSpec {
-    JobSpec { rank: Rank::Critical, ..spec(number, replicas, "daemon") }
+    JobSpec { priority: Priority::Critical, ..spec(number, replicas, "daemon") }
 }
 
 fn array(number: u32, tasks: u32) -> JobSpec {
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 struct Task {
     since: Steady,
-    ended: Option<Why>,
+    ended: Option<ExitReason>,
 }
 
 /// A machine as it really is, whatever the owner knows of it.
@@ -70,7 +70,7 @@
 struct Failure {
     machine: Option<&'static str>,
     job: &'static str,
-    why: Why,
+    why: ExitReason,
 }
 
 /// A start that has reached a worker.
@@ -185,7 +185,7 @@
             for ((name, _), task) in worker.tasks.iter_mut().filter(|x| x.1.ended.is_none()) {
                 let time = self.runs_for.get(job_of(name));
                 if time.is_some_and(|time| self.now - task.since >= *time) {
-                    task.ended = Some(Why::Done);
+                    task.ended = Some(ExitReason::Done);
                     worker.next_report = self.now;
                 }
             }
@@ -221,7 +221,7 @@
                 Order::Halt { task, attempt, .. } => {
                     let task = worker.tasks.get_mut(&(task.clone(), *attempt));
                     if let Some(task) = task.filter(|task| task.ended.is_none()) {
-                        task.ended = Some(Why::Stopped);
+                        task.ended = Some(ExitReason::Stopped);
                     }
                 }
                 Order::Forget { task, attempt } => {
@@ -237,7 +237,8 @@
         let worker = self.workers.get_mut(machine).expect("a machine");
         worker.report += 1;
         worker.next_report = now + REPORT;
-        let stage = |ended: Option<Why>| if ended.is_some() { TaskStage::Exited } else { TaskStage::Running };
+        let stage =
+            |ended: Option<ExitReason>| if ended.is_some() { TaskStage::Exited } else { TaskStage::Running };
         let tasks: Vec<_> = worker
             .tasks
             .iter()
@@ -319,7 +320,7 @@
     }
 
     /// Ends a running task of a job on a machine.
-    fn end(&mut self, machine: &str, job: &str, why: Why) {
+    fn end(&mut self, machine: &str, job: &str, why: ExitReason) {
         let worker = self.workers.get_mut(machine).expect("a machine");
         let mut running = worker.tasks.iter_mut().filter(|t| t.1.ended.is_none() && job_of(&t.0 .0) == job);
         running.next().expect("a running task").1.ended = Some(why);
@@ -381,7 +382,7 @@
 /// Guards against a replica that is taken for done, or is left ended, for some reason of its end.
 #[test]
 fn a_replica_that_exits_runs_again_elsewhere_whatever_the_reason() {
-    for why in [Why::Done, Why::Error, Why::Unknown, Why::Other] {
+    for why in [ExitReason::Done, ExitReason::Error, ExitReason::Unknown, ExitReason::Other] {
         let mut world = with_a_replica_on_a();
         world.end("a", SERVICE, why);
         let orders = world.report("a");
@@ -402,7 +403,7 @@
     let mut world = World::new(&["a"]);
     world.submit(service(1, 1));
     world.run_until(SERVICE, 1, secs(10.0));
-    world.end("a", SERVICE, Why::Done);
+    world.end("a", SERVICE, ExitReason::Done);
     world.report("a");
     world.run_until(SERVICE, 1, secs(10.0));
     assert_eq!(world.machines_of(SERVICE), ["a"]);
@@ -427,7 +428,7 @@
 /// Guards against a refused or lost start that is taken for a running replica.
 #[test]
 fn a_start_that_is_refused_or_lost_is_made_again() {
-    for why in [Why::NoRoom, Why::Busy, Why::Unknown, Why::Stopped] {
+    for why in [ExitReason::NoRoom, ExitReason::Busy, ExitReason::Unknown, ExitReason::Stopped] {
         let mut world = World::new(&["a", "b"]);
         world.failures = vec![Failure { machine: Some("a"), job: SERVICE, why }];
         world.submit(service(1, 1));
@@ -504,7 +505,13 @@
         0 | 1 => {
             let services: Vec<String> = world.services.iter().cloned().collect();
             let service = random.one_of(&services).clone();
-            let why = *random.one_of(&[Why::Done, Why::Error, Why::Unknown, Why::Other, Why::Stopped]);
+            let why = *random.one_of(&[
+                ExitReason::Done,
+                ExitReason::Error,
+                ExitReason::Unknown,
+                ExitReason::Other,
+                ExitReason::Stopped,
+            ]);
             if let Some((_, machine)) = world.places(&service).first().cloned() {
                 world.end(&machine, &service, why);
             }
@@ -582,7 +589,7 @@
 #[test]
 fn a_service_that_fails_everywhere_is_backed_off_up_to_a_minute() {
     let mut world = World::new(&["a", "b", "c", "d"]);
-    world.failures = vec![Failure { machine: None, job: SERVICE, why: Why::Error }];
+    world.failures = vec![Failure { machine: None, job: SERVICE, why: ExitReason::Error }];
     world.submit(array(2, 16));
     world.run_until(ARRAY, 16, secs(30.0));
     world.submit(service(1, 1));
@@ -611,7 +618,7 @@
         world.run_until(SERVICE, 1, secs(6.0));
         world.run(secs(40.0));
         let machine = world.machines_of(SERVICE)[0].clone();
-        world.end(&machine, SERVICE, Why::Done);
+        world.end(&machine, SERVICE, ExitReason::Done);
         world.report(&machine);
     }
 }
@@ -620,7 +627,7 @@
 #[test]
 fn one_failing_machine_does_not_hold_up_replicas_elsewhere() {
     let mut world = World::new(&["a", "b", "c", "d"]);
-    world.failures = vec![Failure { machine: Some("a"), job: SERVICE, why: Why::Error }];
+    world.failures = vec![Failure { machine: Some("a"), job: SERVICE, why: ExitReason::Error }];
     world.submit(service(1, 3));
     world.run_until(SERVICE, 3, secs(8.0));
     assert_eq!(world.machines_of(SERVICE), ["b", "c", "d"]);
@@ -636,7 +643,7 @@
 /// Fills a machine with tasks of the services' own rank, which have the same image.
 fn fill(world: &mut World, machine: &str) {
     world.add_machine(machine, "north");
-    world.submit(JobSpec { rank: Rank::Critical, ..array(2, 4) });
+    world.submit(JobSpec { priority: Priority::Critical, ..array(2, 4) });
     world.run_until(ARRAY, 4, secs(20.0));
 }
 
@@ -653,7 +660,7 @@
     world.add_machine("c", "north");
     world.run(secs(6.0));
     assert_eq!(world.machines_of(SERVICE), ["a", "a", "a", "a"], "stopped though c lacks the image");
-    world.end("b", ARRAY, Why::Done);
+    world.end("b", ARRAY, ExitReason::Done);
     world.report("b");
     world.pass(STEP);
     let direct = world.deliver_direct_commands();
@@ -813,7 +820,7 @@
     let status = world.fleet.status(None, world.now, world.wall());
     let job = &status.jobs[0];
     assert_eq!((job.wanted, job.running, job.placed, job.waiting, job.done), (6, 4, 4, 2, 0));
-    world.end("a", SERVICE, Why::Done);
+    world.end("a", SERVICE, ExitReason::Done);
     world.report("a");
     assert_eq!(world.fleet.counts(SERVICE).map(|c| (c.done, c.running)), Some((0, 3)));
 }
@@ -879,7 +886,7 @@
     world.run_until(ARRAY, 1, secs(10.0));
     world.run(secs(4.0));
     assert!(!world.fleet.may_wait("a", world.now), "another's task is there");
-    world.end("a", ARRAY, Why::Done);
+    world.end("a", ARRAY, ExitReason::Done);
     world.run(secs(4.0));
     assert!(world.fleet.may_wait("a", world.now));
     world.notice("a", secs(60.0));
@@ -930,7 +937,7 @@
     fill(&mut world, "b");
     world.notice("a", secs(60.0));
     world.run(secs(4.0));
-    world.end("b", ARRAY, Why::Done);
+    world.end("b", ARRAY, ExitReason::Done);
     world.report("b");
     world.pass(STEP);
     let direct = world.deliver_direct_commands();
@@ -949,9 +956,9 @@
         world.run(secs(600.0));
         // A replica is stopped, fails when it starts again, and runs well from then on.
         let machine = world.machines_of(SERVICE)[0].clone();
-        world.failures = vec![Failure { machine: None, job: SERVICE, why: Why::Error }];
+        world.failures = vec![Failure { machine: None, job: SERVICE, why: ExitReason::Error }];
         let before = world.started.len();
-        world.end(&machine, SERVICE, Why::Stopped);
+        world.end(&machine, SERVICE, ExitReason::Stopped);
         while world.started.len() == before {
             world.step();
         }
--- a/tests/starving.rs
+++ b/tests/starving.rs
@@ -9,7 +9,7 @@
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
 use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
-use milletlock::wire::{JobSpec, Order, Rank, TaskStage, Why};
+use milletlock::wire::{ExitReason, JobSpec, Order, Priority, TaskStage};
 
 const STEP: Micros = Micros(500_000);
 
@@ -94,7 +94,9 @@
         let tasks: Vec<_> =
             w.2.iter()
                 .map(|r| match r.ends {
-                    Some(e) if e <= now => (r.task.as_str(), r.attempt, TaskStage::Exited, Some(Why::Done)),
+                    Some(e) if e <= now => {
+                        (r.task.as_str(), r.attempt, TaskStage::Exited, Some(ExitReason::Done))
+                    }
                     Some(_) => (r.task.as_str(), r.attempt, TaskStage::Running, None),
                     None => (r.task.as_str(), r.attempt, TaskStage::Waiting, None),
                 })
@@ -126,7 +128,7 @@
 
 fn gang(n: u32, tasks: u32, class: &str) -> JobSpec {
     let mut s = spec(n, tasks, "gang");
-    (s.rank, s.cpus, s.estimate_s) = (Rank::Urgent, 15.0, 60.0);
+    (s.priority, s.cpus, s.estimate_s) = (Priority::Urgent, 15.0, 60.0);
     s.class = Some(class.into());
     s
 }
@@ -142,7 +144,7 @@
         // Small tasks of the lowest rank want all the rest, and more.
         if k % 20 == 1 {
             let mut s = spec(k + 1, 90, "batch");
-            (s.rank, s.estimate_s) = (Rank::Idle, 30.0);
+            (s.priority, s.estimate_s) = (Priority::Idle, 30.0);
             w.submit(s, 30.0);
         }
         if k == 202 {
@@ -161,12 +163,12 @@
         // 160 processors in all: 24 tasks of 30 s every five seconds take nine tenths.
         if k % 10 == 0 {
             let mut s = spec(k + 1, 24, "batch");
-            (s.rank, s.estimate_s) = (Rank::Normal, 30.0);
+            (s.priority, s.estimate_s) = (Priority::Normal, 30.0);
             w.submit(s, 30.0);
         }
         if k == 105 {
             let mut s = spec(900, 800, "batch");
-            (s.rank, s.estimate_s) = (Rank::Idle, 30.0);
+            (s.priority, s.estimate_s) = (Priority::Idle, 30.0);
             w.submit(s, 30.0);
         }
         w.step();
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -17,12 +17,13 @@
 use milletlock::fleet::HeartbeatOutcome;
 use milletlock::keys::{final_key, job_key};
 use milletlock::leadership::Batch;
-use milletlock::ranges::chunk_tasks;
 use milletlock::records::FinalRecord;
+use milletlock::store_contact::StoreContact;
+use milletlock::task_ranges::chunk_tasks;
 use milletlock::time::{Micros, Steady};
-use milletlock::view::View;
 use milletlock::wire::{
-    JobSpec, ListedMachine, MachineType, Order, Rank, Report, ReportReply, Shape, Stage, TaskStage, Txn, Why,
+    ExitReason, Heartbeat, HeartbeatReply, JobSpec, ListedMachine, MachineType, Order, Priority, Shape,
+    Stage, TaskStage, Txn,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -140,7 +141,7 @@
     /// It stays with the owner that lost the state service, as long as that one answers.
     stays: bool,
     /// An answer on its way: when it arrives, when its report was sent, and in which session.
-    answer: Option<(Steady, Steady, u64, ReportReply)>,
+    answer: Option<(Steady, Steady, u64, HeartbeatReply)>,
 }
 
 /// A direct command that brings a token, on its way.
@@ -156,7 +157,7 @@
     /// When it last saw the jobs' changes.
     fresh: Steady,
     /// How long it may still answer.
-    view: View,
+    view: StoreContact,
     /// It has lost the state service until then.
     blind_until: Steady,
 }
@@ -177,13 +178,13 @@
     /// What was first written of each job's end, and how much of the log was looked at.
     finals: BTreeMap<String, Stage>,
     looked: usize,
-    late_reports: Vec<(Steady, Report)>,
+    late_reports: Vec<(Steady, Heartbeat)>,
     /// Reports held back, with the token of the newest owner when they were sent.
-    held_reports: Vec<(u64, Report)>,
+    held_reports: Vec<(u64, Heartbeat)>,
     late_txns: Vec<(Steady, Txn)>,
     commands: Vec<Command>,
     /// Answers to direct commands: when they arrive, to whose token.
-    raises: Vec<(Steady, (u64, Report))>,
+    raises: Vec<(Steady, (u64, Heartbeat))>,
     /// The state service is out, or no owner is there, until then.
     out_until: Steady,
     away_until: Steady,
@@ -287,7 +288,7 @@
     fn take_over(&mut self) {
         let mut controller = Controller::claim(&mut self.store, &self.cfg, self.now);
         controller.fleet.has_read_to(controller.watched);
-        let view = View::new(self.now, self.bound);
+        let view = StoreContact::new(self.now, self.bound);
         self.owners.push(Owner { controller, fresh: self.now, view, blind_until: Steady(0) });
         if self.owners.len() > 3 {
             self.owners.remove(0);
@@ -350,7 +351,8 @@
             s.zone = Some("south".into());
         }
         if self.faults.busy {
-            s.rank = [Rank::Idle, Rank::Normal, Rank::Urgent, Rank::Critical][self.rng.random_range(0..4)];
+            s.priority = [Priority::Idle, Priority::Normal, Priority::Urgent, Priority::Critical]
+                [self.rng.random_range(0..4)];
         }
         let mut r = record(s.clone());
         r.submitted_us = self.now.0;
@@ -422,7 +424,7 @@
             o.controller.read_changes(&self.store, self.now);
             o.controller.fleet.has_read_to(o.controller.watched);
             o.fresh = self.now;
-            o.view.has_read(self.now);
+            o.view.note_read(self.now);
         }
     }
 
@@ -437,7 +439,7 @@
             let o = &mut self.owners[i];
             if renewed {
                 o.controller.fleet.confirm(now);
-                o.view.has_owned(now);
+                o.view.note_renewal(now);
             }
             o.controller.fleet.tick(now, wall_at(now));
             if self.cut_off(i) || blind {
@@ -497,7 +499,7 @@
     }
 
     /// Brings a report to an owner: what it answers. One that learns of a higher token is gone.
-    fn deliver(&mut self, i: usize, r: &Report) -> Option<ReportReply> {
+    fn deliver(&mut self, i: usize, r: &Heartbeat) -> Option<HeartbeatReply> {
         let now = self.now;
         if !self.may_answer(i) {
             return None;
@@ -649,7 +651,7 @@
     }
 
     /// A worker executes an answer to a report that it sent at a moment.
-    fn execute_orders(&mut self, w: usize, reply: &ReportReply, sent: Steady) {
+    fn execute_orders(&mut self, w: usize, reply: &HeartbeatReply, sent: Steady) {
         let now = self.now;
         let worker = &mut self.workers[w].state;
         if !worker.accept_answer(reply.token, sent) {
@@ -705,7 +707,7 @@
                         if self.mates(&id, k.1) == self.specs[&id].tasks {
                             self.enter(w, &k, TaskStage::Running, None);
                         } else if (now - t.since).secs() > 40.0 {
-                            self.enter(w, &k, TaskStage::Exited, Some(Why::Alone));
+                            self.enter(w, &k, TaskStage::Exited, Some(ExitReason::Alone));
                         }
                     }
                     TaskStage::Running => {
@@ -713,7 +715,7 @@
                         if gang && !self.finished.contains(&k.0) {
                             if self.mates(&id, k.1) < self.specs[&id].tasks {
                                 if (now - t.since).secs() > 8.0 {
-                                    self.enter(w, &k, TaskStage::Exited, Some(Why::Peers));
+                                    self.enter(w, &k, TaskStage::Exited, Some(ExitReason::Peers));
                                 }
                                 continue;
                             }
@@ -745,7 +747,7 @@
                             w,
                             &k,
                             TaskStage::Exited,
-                            Some(if error { Why::Error } else { Why::Done }),
+                            Some(if error { ExitReason::Error } else { ExitReason::Done }),
                         );
                     }
                     _ => {}
@@ -763,7 +765,7 @@
         of.count() as u32
     }
 
-    fn enter(&mut self, w: usize, k: &Attempt, stage: TaskStage, why: Option<Why>) {
+    fn enter(&mut self, w: usize, k: &Attempt, stage: TaskStage, why: Option<ExitReason>) {
         let now = self.now;
         if let Some(t) = self.workers[w].state.tasks.get_mut(k) {
             t.enter(stage, why, now);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -10,9 +10,9 @@
 use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::history::EstimateKey;
 use milletlock::leadership::{self, LeaderRecord, SHARD_KEY};
-use milletlock::ranges::chunk_tasks;
 use milletlock::records::FinalRecord;
 use milletlock::state::NextRates;
+use milletlock::task_ranges::chunk_tasks;
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{Change, Row, Stage, Txn};
 use serde_json::{json, Value};
@@ -256,7 +256,7 @@
     }
     for n in 1..=300 {
         let mut spec = spec(n, if n == 1 { 30_000 } else { 40 }, "batch");
-        spec.rank = milletlock::wire::Rank::Urgent;
+        spec.priority = milletlock::wire::Priority::Urgent;
         fleet.job_put(record(spec), 1 + u64::from(n), NOW);
         let id: std::sync::Arc<str> = format!("wk-{n:06}").into();
         let job = fleet.jobs.get_mut(&id).expect("the job");
--- a/tests/upgrade_takeovers.rs
+++ b/tests/upgrade_takeovers.rs
@@ -14,7 +14,7 @@
 use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::jobs::JobId;
 use milletlock::leadership::{self, Batch, SHARD_KEY};
-use milletlock::ranges::chunk_tasks;
+use milletlock::task_ranges::chunk_tasks;
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{Change, Guard, Txn};
 use rand::{rngs::StdRng, Rng, SeedableRng};
