--- a/src/api.rs
+++ b/src/api.rs
@@ -69,7 +69,7 @@
     // two reads finds it.
     if let Some(row) = backend.state().get(&job_key(id), RequestPriority::User)? {
         let record = serde_json::from_value(row.value).map_err(|e| StateError::Malformed(e.to_string()))?;
-        return Ok(JobLookup::Live(Box::new(record), row.stamp));
+        return Ok(JobLookup::Live(Box::new(record), row.mod_revision));
     }
     let found = read_final(backend, id)?;
     Ok(found.map_or(JobLookup::Unknown, |(record, revision)| JobLookup::Final(record, revision)))
@@ -80,8 +80,8 @@
     let record: FinalRecord =
         serde_json::from_value(row.value).map_err(|e| StateError::Malformed(e.to_string()))?;
     // Written once, in the transaction that removed the live record.
-    backend.learn_final(id, record, row.stamp);
-    Ok(Some((record, row.stamp)))
+    backend.learn_final(id, record, row.mod_revision);
+    Ok(Some((record, row.mod_revision)))
 }
 
 fn live_status(backend: &dyn JobsBackend, id: &str) -> JobStatus {
@@ -201,7 +201,7 @@
     if value.to_string().len() > cfg.value_bytes() {
         return known_or(backend, Some(&id), Response::error(400, "the description is too long"));
     }
-    let guard = |key: String| Guard { key, stamp: 0 };
+    let guard = |key: String| Guard { key, mod_revision: 0 };
     let mut guards = vec![guard(job_key(&id)), guard(final_key(&id))];
     if cfg.operator.cells.is_some() {
         // Tasks of that name run here for another cell: two jobs of one id cannot be told apart.
@@ -234,12 +234,15 @@
 fn record_cancelling(
     backend: &dyn JobsBackend,
     mut record: JobRecord,
-    stamp: u64,
+    mod_revision: u64,
 ) -> Result<bool, StateError> {
     let id = record.spec.id.clone();
     record.lending.cancelling = true;
     let txn = Txn {
-        guards: vec![Guard { key: job_key(&id), stamp }, Guard { key: final_key(&id), stamp: 0 }],
+        guards: vec![
+            Guard { key: job_key(&id), mod_revision },
+            Guard { key: final_key(&id), mod_revision: 0 },
+        ],
         then: vec![Change::put(job_key(&id), json!(record))],
     };
     match backend.state().txn(&txn, RequestPriority::User) {
@@ -266,14 +269,14 @@
                 }
                 return Ok(stage_answer(id, record.stage));
             }
-            JobLookup::Live(record, stamp) if !record.lending.loans.is_empty() => {
-                if record.lending.cancelling || record_cancelling(backend, *record, stamp)? {
+            JobLookup::Live(record, mod_revision) if !record.lending.loans.is_empty() => {
+                if record.lending.cancelling || record_cancelling(backend, *record, mod_revision)? {
                     let why = "other cells hold tasks of the job and are being told";
                     return Ok(Response::error(503, why).later(RETRY_AFTER_S));
                 }
             }
-            JobLookup::Live(record, stamp) => {
-                if let Some(response) = cancel_live(backend, id, &record, stamp)? {
+            JobLookup::Live(record, mod_revision) => {
+                if let Some(response) = cancel_live(backend, id, &record, mod_revision)? {
                     return Ok(response);
                 }
             }
@@ -288,11 +291,11 @@
     backend: &dyn JobsBackend,
     id: &str,
     record: &JobRecord,
-    stamp: u64,
+    mod_revision: u64,
 ) -> Result<Option<Response>, StateError> {
     let over = FinalRecord { stage: Stage::Cancelled, tasks: record.spec.tasks };
     let txn = Txn {
-        guards: vec![Guard { key: job_key(id), stamp }, Guard { key: final_key(id), stamp: 0 }],
+        guards: vec![Guard { key: job_key(id), mod_revision }, Guard { key: final_key(id), mod_revision: 0 }],
         then: vec![Change::drop(job_key(id)), Change::put(final_key(id), json!(over))],
     };
     match backend.state().txn(&txn, RequestPriority::User) {
--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -89,7 +89,7 @@
         };
         Summary {
             leader: self.cfg.platform.label.clone(),
-            token: leadership.claim.token,
+            token: leadership.claim.fencing_token,
             jobs: leadership.fleet.jobs.keys().take(MAX_ANNOUNCED_JOBS).filter_map(count).collect(),
             version: VERSION.into(),
         }
--- a/src/controller/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -28,7 +28,7 @@
                 return Outcome::Loans(LoanReply { from: cells.name.clone(), ..LoanReply::default() });
             }
         };
-        let fencing_token = self.lock().leadership.as_ref().map(|leadership| leadership.claim.token);
+        let fencing_token = self.lock().leadership.as_ref().map(|leadership| leadership.claim.fencing_token);
         if let Some(fencing_token) = fencing_token {
             // One at a time: each change rests on the records as the one before left them.
             let _guard = self.loan_changes.lock().unwrap_or_else(|e| e.into_inner());
@@ -109,7 +109,7 @@
     let reports = fleet.loans.guest.reports(request, |job| fleet.recorded_done(job));
     LoanReply {
         from: cells.name.clone(),
-        term: leadership.claim.token,
+        term: leadership.claim.fencing_token,
         leads: true,
         leader: String::new(),
         summary: Some(summary_to_proto(fleet.cell_summary(wall()))),
--- a/src/controller/catalog.rs
+++ b/src/controller/catalog.rs
@@ -36,7 +36,7 @@
     fn write_types(&self, types: &[MachineType]) {
         let value = json!(types);
         if value.to_string().len() <= self.cfg.value_bytes() {
-            let guards = vec![Guard { key: leadership::CATALOG_KEY.into(), stamp: 0 }];
+            let guards = vec![Guard { key: leadership::CATALOG_KEY.into(), mod_revision: 0 }];
             let _ = self.state.txn(
                 &Txn { guards, then: vec![Change::put(leadership::CATALOG_KEY, value)] },
                 RequestPriority::Background,
--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -57,7 +57,7 @@
                 *jobs.entry(job.to_string()).or_default() += loan.tasks.difference(&done).len();
                 jobs
             });
-            (leadership.claim.token, jobs)
+            (leadership.claim.fencing_token, jobs)
         };
         let mut answer = WrittenOff { cell: cell.to_string(), tasks: BTreeMap::new(), left: Vec::new() };
         for (job, tasks) in jobs {
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -34,7 +34,7 @@
         let (mut listed, mut priced, mut last) = (Steady(0), Steady(0), 0u64);
         while !self.stopping() {
             self.sleep(CLOUD_INTERVAL);
-            let Some(fencing_token) = self.lock().leadership.as_ref().map(|o| o.claim.token) else {
+            let Some(fencing_token) = self.lock().leadership.as_ref().map(|o| o.claim.fencing_token) else {
                 continue;
             };
             let now = self.now();
@@ -90,7 +90,7 @@
         while !self.stopping() {
             self.sleep(CLOUD_INTERVAL);
             let Some((fencing_token, first)) =
-                self.lock().leadership.as_ref().map(|o| (o.claim.token, o.claim.first))
+                self.lock().leadership.as_ref().map(|o| (o.claim.fencing_token, o.claim.first))
             else {
                 continue;
             };
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -49,7 +49,7 @@
     fn send_due(&self, due: impl FnOnce(&mut Fleet, Steady) -> Vec<DirectCommand>, threads: usize) -> bool {
         let due = self.lock().leadership.as_mut().map(|o| {
             let commands = due(&mut o.fleet, self.now());
-            (o.fleet.token, commands)
+            (o.fleet.fencing_token, commands)
         });
         let Some((fencing_token, list)) = due.filter(|d| !d.1.is_empty()) else { return false };
         // A worker that does not answer holds up only one thread: the others go on with the list.
@@ -71,10 +71,10 @@
 
     /// Sends a command, unless it is no longer needed, and hands the worker's report to the fleet.
     fn send_command(&self, fencing_token: u64, command: &DirectCommand) {
-        let DirectCommand { machine, address, session, orders } = command;
+        let DirectCommand { machine, address, agent_epoch, orders } = command;
         // It may have reported by itself since the list was made.
         let due = |o: &Leadership| {
-            o.claim.token == fencing_token
+            o.claim.fencing_token == fencing_token
                 && o.fleet.machines.get(machine).is_some_and(|m| !orders.is_empty() || m.to_raise(self.now()))
         };
         if !self.lock().leadership.as_ref().is_some_and(due) {
@@ -82,13 +82,11 @@
         }
         let Ok(address) = address.parse() else { return };
         let client = Client::new(address, 1);
-        let mut session = *session;
+        let mut agent_epoch = *agent_epoch;
         for _ in 0..COMMAND_ATTEMPTS {
-            let Ok(body) = serde_json::to_vec(&Commands {
-                token: fencing_token,
-                season: session,
-                orders: orders.clone(),
-            }) else {
+            let Ok(body) =
+                serde_json::to_vec(&Commands { fencing_token, agent_epoch, orders: orders.clone() })
+            else {
                 return;
             };
             let Ok((status, body)) = client.call("POST", COMMANDS_PATH, Some(&body), COMMAND_TIMEOUT) else {
@@ -100,8 +98,8 @@
                 return;
             }
             // With halts, a later session has nothing left to be halted.
-            if status == 409 && r.token < fencing_token && orders.is_empty() {
-                session = r.season;
+            if status == 409 && r.fencing_token < fencing_token && orders.is_empty() {
+                agent_epoch = r.agent_epoch;
                 continue;
             }
             let mut shared = self.lock();
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -108,7 +108,7 @@
             return HeartbeatHandling::Answer(refused, reply);
         }
         leadership.last_heartbeat = now;
-        let fencing_token = leadership.claim.token;
+        let fencing_token = leadership.claim.fencing_token;
         let answer = match leadership.fleet.check_in(&report, now, wall()) {
             HeartbeatOutcome::Reply(r) => {
                 // Other workers report when something changes, and must not be kept from it.
@@ -166,7 +166,7 @@
         let SharedState { leadership, deferred_replies, .. } = &mut *shared;
         let now = self.now();
         let leadership = leadership.as_mut().filter(|o| o.view.may_act(now));
-        let fencing_token = leadership.as_ref().map(|o| o.claim.token);
+        let fencing_token = leadership.as_ref().map(|o| o.claim.fencing_token);
         let due: Vec<MachineId> = deferred_replies
             .iter()
             .filter(|(id, w)| {
@@ -179,7 +179,8 @@
         let mut answers = Vec::new();
         if let Some(leadership) = leadership {
             for id in &due {
-                let Some(w) = deferred_replies.get(id).filter(|w| w.fencing_token == leadership.claim.token)
+                let Some(w) =
+                    deferred_replies.get(id).filter(|w| w.fencing_token == leadership.claim.fencing_token)
                 else {
                     continue;
                 };
@@ -190,7 +191,7 @@
                 if let Some(w) = deferred_replies.remove(id) {
                     answers.push((
                         w.reply,
-                        Response::json(200, &HeartbeatReply { token: w.fencing_token, orders }),
+                        Response::json(200, &HeartbeatReply { fencing_token: w.fencing_token, orders }),
                     ));
                 }
             }
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -47,7 +47,7 @@
     /// Renews the leader's lease, or waits a while for its end and fails over; returns how long to
     /// pause.
     pub fn keep_once(&self, ttl: Micros) -> Micros {
-        let lease = self.lock().leadership.as_ref().map(|o| (o.claim.lease, o.claim.token));
+        let lease = self.lock().leadership.as_ref().map(|o| (o.claim.lease, o.claim.fencing_token));
         match lease {
             Some((lease, fencing_token)) => {
                 self.renew_lease(lease, fencing_token);
@@ -110,7 +110,7 @@
         let row = rows.into_iter().find(|r| r.key == LEADER_KEY);
         let owner: Option<LeaderRecord> =
             row.as_ref().and_then(|r| serde_json::from_value(r.value.clone()).ok());
-        let stamp = row.as_ref().map_or(0, |r| r.stamp);
+        let mod_revision = row.as_ref().map_or(0, |r| r.mod_revision);
         match owner.filter(|o| o.label != self.cfg.platform.label) {
             Some(leader) => {
                 if self.await_lease_expiry(&leader, revision)? {
@@ -125,7 +125,7 @@
                     self.sleep(FOLLOW_RETRY_DELAY);
                     return Ok(());
                 }
-                self.fail_over(ttl, stamp)
+                self.fail_over(ttl, mod_revision)
             }
         }
     }
@@ -134,7 +134,7 @@
     fn await_lease_expiry(&self, leader: &LeaderRecord, revision: u64) -> Result<bool, StateError> {
         {
             let mut shared = self.lock();
-            shared.highest_fencing_token = shared.highest_fencing_token.max(leader.token);
+            shared.highest_fencing_token = shared.highest_fencing_token.max(leader.fencing_token);
             shared.leader = Some(leader.clone());
         }
         let changes = self.state.watch(LEADER_KEY, revision, LEADER_WATCH_TIMEOUT)?;
@@ -174,11 +174,11 @@
             }
             Err(e) => return Err(e),
         };
-        tracing::info!(fencing_token = claim.token, "failover: leadership claimed");
+        tracing::info!(fencing_token = claim.fencing_token, "failover: leadership claimed");
         {
             let mut shared = self.lock();
             shared.claiming = true;
-            shared.highest_fencing_token = shared.highest_fencing_token.max(claim.token);
+            shared.highest_fencing_token = shared.highest_fencing_token.max(claim.fencing_token);
         }
         self.rebuild(claim, begun)
     }
@@ -187,11 +187,11 @@
     /// meanwhile.
     fn rebuild(&self, claim: LeaderClaim, begun: Steady) -> Result<(), StateError> {
         let types = self.machine_types().unwrap_or_default();
-        let r = leadership::rebuild(&self.state, self.cfg.clone(), types, claim.token, self.now());
+        let r = leadership::rebuild(&self.state, self.cfg.clone(), types, claim.fencing_token, self.now());
         let mut shared = self.lock();
         shared.claiming = false;
         match r {
-            Ok(fleet) if shared.highest_fencing_token == claim.token => {
+            Ok(fleet) if shared.highest_fencing_token == claim.fencing_token => {
                 self.begin_leadership(&mut shared, claim, fleet, begun);
                 Ok(())
             }
@@ -220,7 +220,7 @@
         let budget = StateBudget::new(&self.cfg, true);
         self.state.allow(budget.requests_per_s, budget.writes_per_s);
         tracing::info!(
-            fencing_token = claim.token,
+            fencing_token = claim.fencing_token,
             jobs = fleet.jobs.len(),
             machines = fleet.machines.len(),
             ms = (now - begun).0 / 1000,
@@ -235,7 +235,7 @@
         shared.leader = Some(LeaderRecord {
             label: self.cfg.platform.label.clone(),
             incarnation: self.incarnation,
-            token: claim.token,
+            fencing_token: claim.fencing_token,
             lease: claim.lease,
         });
         shared.last_peer_contact = now;
@@ -251,7 +251,7 @@
             let budget = StateBudget::new(&self.cfg, false);
             self.state.allow(budget.requests_per_s, budget.writes_per_s);
             tracing::info!(
-                fencing_token = leadership.claim.token,
+                fencing_token = leadership.claim.fencing_token,
                 higher = fencing_token,
                 why,
                 "stepped down"
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -89,7 +89,7 @@
     pub fn lend_once(&self, choice: &mut LendingChoice) -> bool {
         let Some(cells) = &self.cfg.operator.cells else { return false };
         let (fencing_token, backlog_s) = match &self.lock().leadership {
-            Some(leadership) => (leadership.claim.token, leadership.fleet.array_backlog_s()),
+            Some(leadership) => (leadership.claim.fencing_token, leadership.fleet.array_backlog_s()),
             None => return false,
         };
         let wants_to_lend = choice.gate.update(backlog_s, self.cfg.operator.drain_s);
--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -32,11 +32,11 @@
 
     /// Carries out a write of loans.
     pub(super) fn write_loan(&self, fencing_token: u64, write: LoanWrite) -> LoanOutcome {
-        let part = match self.lock().leadership_with(fencing_token) {
-            Some(leadership) => leadership.claim.part,
+        let shard_revision = match self.lock().leadership_with(fencing_token) {
+            Some(leadership) => leadership.claim.shard_revision,
             None => return LoanOutcome::Unknown,
         };
-        let txn = leadership::loan_txn(&write, part);
+        let txn = leadership::loan_txn(&write, shard_revision);
         match self.state.txn(&txn, RequestPriority::Leader) {
             Ok(TxnOutcome::Committed(revision)) => self.loan_written(fencing_token, &write, revision),
             Ok(TxnOutcome::Conflict(keys)) => self.loan_conflict(fencing_token, write, &keys),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -110,7 +110,7 @@
 impl SharedState {
     /// The leadership, if it is still the one that was claimed with this fencing token.
     fn leadership_with(&mut self, fencing_token: u64) -> Option<&mut Leadership> {
-        self.leadership.as_mut().filter(|o| o.claim.token == fencing_token)
+        self.leadership.as_mut().filter(|o| o.claim.fencing_token == fencing_token)
     }
 }
 
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -107,8 +107,12 @@
             self.step_down(&mut shared, s.token, "another controller leads with a higher fencing token");
         }
         if s.token > 0 && s.token == shared.highest_fencing_token && shared.leadership.is_none() {
-            shared.leader =
-                Some(LeaderRecord { label: s.leader.clone(), incarnation: 0, token: s.token, lease: 0 });
+            shared.leader = Some(LeaderRecord {
+                label: s.leader.clone(),
+                incarnation: 0,
+                fencing_token: s.token,
+                lease: 0,
+            });
             shared.announced_counts = s
                 .jobs
                 .iter()
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -14,7 +14,7 @@
 /// After this without an answer the state store counts as unreachable.
 const STATE_TIMEOUT: Micros = Micros::from_millis(1500);
 /// Number of the one part that there is.
-const ONLY_PART: u32 = 0;
+const ONLY_SHARD: u32 = 0;
 
 impl Controller {
     /// Whether users are well served here. Cut off from the state store and all others it can
@@ -39,8 +39,11 @@
         let shared = self.lock();
         let label = &self.cfg.platform.label;
         let leadership = shared.leadership.as_ref();
-        let part =
-            |o: &Leadership| ShardStatus { owner: label.clone(), part: ONLY_PART, token: o.claim.token };
+        let part = |o: &Leadership| ShardStatus {
+            leader: label.clone(),
+            shard: ONLY_SHARD,
+            fencing_token: o.claim.fencing_token,
+        };
         Response::json(
             200,
             &ControllerStatus {
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -33,7 +33,7 @@
     /// this controller.
     pub fn watch_once(&self) -> Micros {
         let Some((fencing_token, from, view)) =
-            self.lock().leadership.as_ref().map(|o| (o.claim.token, o.fleet.read_to(), o.view))
+            self.lock().leadership.as_ref().map(|o| (o.claim.fencing_token, o.fleet.read_to(), o.view))
         else {
             return WATCH_PAUSE;
         };
@@ -71,7 +71,7 @@
     /// Applies changes; `read_at` is when they were asked for if they are a complete read, none if a
     /// watch brought them.
     fn apply_changes(&self, leadership: &mut Leadership, changes: Events, read_at: Option<Steady>) {
-        let latest = changes.events.iter().map(|e| e.stamp).max().unwrap_or(0);
+        let latest = changes.events.iter().map(|e| e.mod_revision).max().unwrap_or(0);
         for event in changes.events {
             apply_change(&mut leadership.fleet, event, self.now());
         }
@@ -85,10 +85,10 @@
 /// Applies a change under the jobs' prefix.
 fn apply_change(fleet: &mut Fleet, e: Event, now: Steady) {
     if let Some(id) = e.drop.as_deref().and_then(|k| k.strip_prefix(JOBS_PREFIX)) {
-        fleet.job_over(id, e.stamp);
+        fleet.job_over(id, e.mod_revision);
     } else if e.put.is_some() {
         match serde_json::from_value::<JobRecord>(e.value) {
-            Ok(r) => fleet.job_put(r, e.stamp, now),
+            Ok(r) => fleet.job_put(r, e.mod_revision, now),
             Err(e) => tracing::error!(error = %e, "malformed job record"),
         }
     }
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -50,10 +50,10 @@
             let interval =
                 done_write_interval(leadership.fleet.jobs.len(), self.cfg.platform.settings.state.write_rps);
             let pending = leadership.fleet.pending(now, interval, chunk);
-            let part = leadership.claim.part;
+            let shard_revision = leadership.claim.shard_revision;
             (
                 leadership.claim.clone(),
-                leadership::batches(&mut leadership.fleet, part, pending, ops, now, wall()),
+                leadership::batches(&mut leadership.fleet, shard_revision, pending, ops, now, wall()),
             )
         });
         let Some((claim, batches)) = work else { return true };
@@ -68,7 +68,7 @@
             Ok(TxnOutcome::Conflict(keys)) => {
                 if keys.iter().any(|k| k == SHARD_KEY) {
                     let mut shared = self.lock();
-                    if shared.leadership_with(claim.token).is_some() {
+                    if shared.leadership_with(claim.fencing_token).is_some() {
                         self.step_down(&mut shared, 0, "another owner has taken the part");
                     }
                     return false;
@@ -84,7 +84,9 @@
             Err(StateError::Rejected(e)) => {
                 tracing::error!(error = %e, "write rejected by state store");
                 let mut shared = self.lock();
-                if let Some(o) = shared.leadership.as_mut().filter(|o| o.claim.token == claim.token) {
+                if let Some(o) =
+                    shared.leadership.as_mut().filter(|o| o.claim.fencing_token == claim.fencing_token)
+                {
                     o.fleet.write_rejected();
                 }
                 false
@@ -101,7 +103,7 @@
         let mut finals: Vec<(JobId, u32)> = Vec::new();
         {
             let mut shared = self.lock();
-            let Some(leadership) = shared.leadership_with(claim.token) else {
+            let Some(leadership) = shared.leadership_with(claim.fencing_token) else {
                 return false;
             };
             let now = self.now();
@@ -126,7 +128,7 @@
         for key in keys {
             let Ok(row) = self.state.get(key, RequestPriority::User) else { return false };
             let mut shared = self.lock();
-            let Some(leadership) = shared.leadership_with(claim.token) else {
+            let Some(leadership) = shared.leadership_with(claim.fencing_token) else {
                 return false;
             };
             leadership::learn(&mut leadership.fleet, key, row, self.now());
--- a/src/direct_command.rs
+++ b/src/direct_command.rs
@@ -11,7 +11,7 @@
     /// Where the worker takes commands.
     pub address: String,
     /// The worker's session that is meant.
-    pub session: u64,
+    pub agent_epoch: u64,
     /// The orders; without any, the command only brings the owner's token.
     pub orders: Vec<Order>,
 }
--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -44,21 +44,28 @@
     }
 
     /// Takes over what is kept of a cell from which tasks are borrowed.
-    pub fn inherit_lender(&mut self, cell: &str, record: LenderRecord, stamp: u64) {
+    pub fn inherit_lender(&mut self, cell: &str, record: LenderRecord, mod_revision: u64) {
         self.loans.guest.load_high_water(cell, record.high_water);
-        self.loans.lenders.insert(cell.to_string(), (record, stamp));
+        self.loans.lenders.insert(cell.to_string(), (record, mod_revision));
     }
 
     /// Takes over a borrowed job. What it asks for in its home does not count here: it has the lowest rank
     /// and no aims.
-    pub fn borrowed_put(&mut self, id: &str, record: BorrowedJob, stamp: u64, now: Steady, wall: Wall) {
+    pub fn borrowed_put(
+        &mut self,
+        id: &str,
+        record: BorrowedJob,
+        mod_revision: u64,
+        now: Steady,
+        wall: Wall,
+    ) {
         let home = record.home.clone();
         let spec = JobSpec::parse(record.description.to_string().as_bytes());
         self.loans.guest.load(id, record);
-        self.loans.borrowed.insert(id.to_string(), stamp);
+        self.loans.borrowed.insert(id.to_string(), mod_revision);
         if let Some(job) = self.jobs.get_mut(id) {
             if job.borrowed_from.is_some() {
-                job.stamp = stamp;
+                job.mod_revision = mod_revision;
             } else {
                 tracing::error!(job = id, %home, "a borrowed job has the id of one that was accepted here");
             }
@@ -71,7 +78,7 @@
         };
         let spec = JobSpec { priority: Priority::Idle, class: None, deadline_s: None, ..spec };
         let own = JobRecord { spec, submitted_us: wall.0, high: 0, lending: Lending::default() };
-        let mut job = Job::new(own, stamp, now);
+        let mut job = Job::new(own, mod_revision, now);
         job.borrowed_from = Some(home);
         let need = need_of(&job.spec);
         let id = job.id.clone();
@@ -93,9 +100,9 @@
     fn take_orphans_of(&mut self, id: &JobId) -> Vec<(u32, u64)> {
         let prefix = borrowed_done_prefix(id);
         let mut taken = Vec::new();
-        self.orphans.retain(|key, stamp| {
+        self.orphans.retain(|key, mod_revision| {
             let chunk = key.strip_prefix(&prefix).and_then(|chunk| chunk.parse().ok());
-            taken.extend(chunk.map(|chunk| (chunk, *stamp)));
+            taken.extend(chunk.map(|chunk| (chunk, *mod_revision)));
             chunk.is_none()
         });
         taken
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -25,8 +25,8 @@
 
     /// Takes a worker's heartbeat: reconciles it with what is held and says what to answer.
     pub fn check_in(&mut self, r: &Heartbeat, now: Steady, wall: Wall) -> HeartbeatOutcome {
-        if r.token > self.token {
-            return HeartbeatOutcome::Superseded(r.token);
+        if r.fencing_token > self.fencing_token {
+            return HeartbeatOutcome::Superseded(r.fencing_token);
         }
         let id: MachineId = r.machine.as_str().into();
         if self.gone.contains_key(&id) {
@@ -61,22 +61,22 @@
             m.missing = false;
         }
         let orders = self.reply_orders(&id, now, wall);
-        HeartbeatOutcome::Reply(HeartbeatReply { token: self.token, orders })
+        HeartbeatOutcome::Reply(HeartbeatReply { fencing_token: self.fencing_token, orders })
     }
 
     /// Takes the heartbeat that a direct command returned: it only tells that this leader's fencing
     /// token has arrived. Its task list may be older than a start on its way, so once the machine is
     /// heard it is not used at all. Returns a higher fencing token, if one shows (a newer leader).
     pub fn raised(&mut self, r: &Heartbeat, now: Steady) -> Option<u64> {
-        if r.token > self.token {
-            return Some(r.token);
+        if r.fencing_token > self.fencing_token {
+            return Some(r.fencing_token);
         }
         let id: MachineId = r.machine.as_str().into();
         if self.machines.get(&id).is_some_and(|m| !m.heard) {
             self.reconcile_heartbeat(&id, r, now);
             // What an earlier owner answered was reported before this. A machine that never reports
             // would otherwise hold its tasks until it is returned.
-            if let Some(m) = self.machines.get_mut(&id).filter(|_| r.token == self.token) {
+            if let Some(m) = self.machines.get_mut(&id).filter(|_| r.fencing_token == self.fencing_token) {
                 m.ours_since = Some(now);
             }
         }
@@ -199,7 +199,7 @@
     /// The orders with which a deferred heartbeat is answered; empty if a newer heartbeat has come.
     pub fn later(&mut self, r: &Heartbeat, now: Steady, wall: Wall) -> Vec<Order> {
         let id: MachineId = r.machine.as_str().into();
-        if self.machines.get(&id).is_none_or(|m| m.seen != (r.season, r.tally)) {
+        if self.machines.get(&id).is_none_or(|m| m.seen != (r.agent_epoch, r.sequence)) {
             return Vec::new();
         }
         self.reply_orders(&id, now, wall)
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -142,18 +142,21 @@
         if self.loans.is_lending(job) {
             return None;
         }
-        let (mut record, stamp) = match (self.loans.lent.get(job), self.jobs.get(job)) {
-            (Some(lent), _) => (lent.record.clone(), lent.stamp),
+        let (mut record, mod_revision) = match (self.loans.lent.get(job), self.jobs.get(job)) {
+            (Some(lent), _) => (lent.record.clone(), lent.mod_revision),
             (None, Some(job)) => {
                 let spec = job.spec.clone();
                 let submitted_us = job.submitted.0;
                 // Early versions keep the mark here: what it covers stays covered.
-                (JobRecord { spec, submitted_us, high: job.high, lending: Lending::default() }, job.stamp)
+                (
+                    JobRecord { spec, submitted_us, high: job.high, lending: Lending::default() },
+                    job.mod_revision,
+                )
             }
             (None, None) => return None,
         };
         record.lending = lending;
-        Some(LoanWrite::Home { job: job.into(), record: Box::new(record), stamp, made })
+        Some(LoanWrite::Home { job: job.into(), record: Box::new(record), mod_revision, made })
     }
 
     /// The write by which a settlement with a guest takes effect.
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -19,7 +19,7 @@
         /// Its record from now on.
         record: Box<JobRecord>,
         /// The version that it replaces.
-        stamp: u64,
+        mod_revision: u64,
         /// The loan that is made by it, if one is.
         made: Option<LoanNumber>,
     },
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub(super) struct LentJob {
     pub(super) record: JobRecord,
-    pub(super) stamp: u64,
+    pub(super) mod_revision: u64,
 }
 
 /// Loans made and held, as recorded.
@@ -77,9 +77,9 @@
 }
 
 impl Loans {
-    pub(super) fn new(token: u64) -> Loans {
+    pub(super) fn new(fencing_token: u64) -> Loans {
         Loans {
-            home: HomeLedger::new(token),
+            home: HomeLedger::new(fencing_token),
             guest: GuestLedger::default(),
             lent: BTreeMap::new(),
             lenders: BTreeMap::new(),
@@ -149,7 +149,7 @@
 
 impl Fleet {
     /// Takes what a job's record says of loans. Of a job that is being cancelled nothing may run.
-    pub(super) fn apply_lending(&mut self, record: &JobRecord, stamp: u64) {
+    pub(super) fn apply_lending(&mut self, record: &JobRecord, mod_revision: u64) {
         let id: JobId = record.spec.id.as_str().into();
         if record.lending.is_empty() && self.loans.home.lending(&id).is_none() {
             return;
@@ -158,7 +158,7 @@
         if record.lending.is_empty() {
             self.loans.lent.remove(&id);
         } else {
-            self.loans.lent.insert(id.clone(), LentJob { record: record.clone(), stamp });
+            self.loans.lent.insert(id.clone(), LentJob { record: record.clone(), mod_revision });
         }
         self.update_withheld(&id);
     }
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -62,7 +62,7 @@
     /// Its record is written.
     pub enrolled: bool,
     /// Version of a record of its own, as earlier versions wrote it; 0 if there is none.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// Enrolled by an earlier owner: not known to be free of its commands until it shows our
     /// token.
     pub inherited: bool,
@@ -126,7 +126,7 @@
             zone: 0,
             spot: false,
             enrolled: false,
-            stamp: 0,
+            mod_revision: 0,
             inherited: false,
             heard: true,
             up: false,
@@ -179,7 +179,7 @@
         DirectCommand {
             machine: self.id.clone(),
             address: self.addr.clone(),
-            session: self.seen.0.max(1),
+            agent_epoch: self.seen.0.max(1),
             orders,
         }
     }
@@ -258,8 +258,8 @@
                 self.unheard_machines = self.unheard_machines.saturating_sub(usize::from(!m.heard));
                 self.uses.clear();
                 self.packs.remove(&id);
-                if m.stamp > 0 {
-                    self.unenrol.insert(id.clone(), m.stamp);
+                if m.mod_revision > 0 {
+                    self.unenrol.insert(id.clone(), m.mod_revision);
                 }
                 self.gone.insert(id, now);
             }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -89,7 +89,7 @@
 /// The leader's model of the cluster: jobs, machines, loans and the latest plan.
 pub struct Fleet {
     /// This leader's fencing token.
-    pub token: u64,
+    pub fencing_token: u64,
     /// Jobs that are not over, or whose tasks are not all gone.
     pub jobs: BTreeMap<JobId, Job>,
     /// Machines.
@@ -169,15 +169,15 @@
 const LEASE_MARGIN: Micros = Micros(1_500_000);
 
 impl Fleet {
-    /// An empty model for a new leader with fencing token `token`; records are loaded into it before
+    /// An empty model for a new leader with fencing token `fencing_token`; records are loaded into it before
     /// anything is placed.
-    pub fn new(cfg: Arc<Config>, types: Vec<MachineType>, token: u64, now: Steady) -> Fleet {
+    pub fn new(cfg: Arc<Config>, types: Vec<MachineType>, fencing_token: u64, now: Steady) -> Fleet {
         let lease = cfg.lease().scale(1.001) + LEASE_MARGIN;
         Fleet {
-            token,
+            fencing_token,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            loans: Loans::new(token),
+            loans: Loans::new(fencing_token),
             recovery: Recovery::default(),
             history: History::new(cfg.operator.history_per_key),
             plan: Plan::default(),
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -44,11 +44,11 @@
     /// epoch and sequence number) than the last one; returns whether it was taken.
     pub(super) fn reconcile_heartbeat(&mut self, id: &MachineId, r: &Heartbeat, now: Steady) -> bool {
         let Some(m) = self.machines.get_mut(id) else { return false };
-        if (r.season, r.tally) <= m.seen {
+        if (r.agent_epoch, r.sequence) <= m.seen {
             return false;
         }
-        let lost_lease = m.seen.0 > 0 && r.season > m.seen.0;
-        m.seen = (r.season, r.tally);
+        let lost_lease = m.seen.0 > 0 && r.agent_epoch > m.seen.0;
+        m.seen = (r.agent_epoch, r.sequence);
         let had_notice = m.notice.is_some();
         self.reconcile_machine_state(id, r, now);
         let mut there = self.reconcile_tasks(id, r, now);
@@ -74,7 +74,7 @@
             m.idle = now;
             self.dirty = true;
         }
-        let is_heard_now = !m.heard && r.token == self.token;
+        let is_heard_now = !m.heard && r.fencing_token == self.fencing_token;
         if is_heard_now {
             m.heard = true;
             self.unheard_machines = self.unheard_machines.saturating_sub(1);
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -71,17 +71,17 @@
 pub(super) const RECENT_JOBS_INTERVAL: Micros = Micros(10_000_000);
 
 impl Fleet {
-    /// Takes over a machine from its record: tasks may be on it until it is heard. `stamp` is the
+    /// Takes over a machine from its record: tasks may be on it until it is heard. `mod_revision` is the
     /// version of a record of its own, as earlier versions wrote it, or 0.
-    pub fn inherit_machine(&mut self, id: &str, r: &MachineRecord, stamp: u64, now: Steady) {
+    pub fn inherit_machine(&mut self, id: &str, r: &MachineRecord, mod_revision: u64, now: Steady) {
         let mut m = Machine::new(id, now);
-        (m.enrolled, m.stamp, m.inherited, m.heard) = (true, stamp, true, false);
+        (m.enrolled, m.mod_revision, m.inherited, m.heard) = (true, mod_revision, true, false);
         let id = m.id.clone();
         if self.machines.insert(id.clone(), m).is_none_or(|old| old.heard) {
             self.unheard_machines += 1;
         }
         self.recovery.expect(&id);
-        if stamp > 0 {
+        if mod_revision > 0 {
             // It moves into a value with others; its own record goes when the machine does.
             self.packs.put(&id, r.clone());
         }
@@ -94,18 +94,18 @@
         &mut self,
         slot: u32,
         records: BTreeMap<MachineId, MachineRecord>,
-        stamp: u64,
+        mod_revision: u64,
         now: Steady,
     ) {
         for (id, r) in &records {
             self.inherit_machine(id, r, 0, now);
         }
         // The copies of a moved record are the same.
-        self.packs.load(slot, stamp, records, |_, stored| stored);
+        self.packs.load(slot, mod_revision, records, |_, stored| stored);
     }
 
     /// Takes over a value of marks. Those of jobs that are over are dropped.
-    pub fn inherit_marks(&mut self, slot: u32, marks: BTreeMap<JobId, u32>, stamp: u64) {
+    pub fn inherit_marks(&mut self, slot: u32, marks: BTreeMap<JobId, u32>, mod_revision: u64) {
         let over: Vec<JobId> = marks.keys().filter(|id| !self.jobs.contains_key(*id)).cloned().collect();
         for (id, high) in &marks {
             if let Some(j) = self.jobs.get_mut(id) {
@@ -113,7 +113,7 @@
             }
         }
         // A mark only rises.
-        self.marks.load(slot, stamp, marks, u32::max);
+        self.marks.load(slot, mod_revision, marks, u32::max);
         over.iter().for_each(|id| self.marks.remove(id));
     }
 
@@ -139,30 +139,30 @@
     }
 
     /// Learns done ranges from their record. Those of a job that is over are to be removed.
-    pub fn inherit_done(&mut self, id: &str, chunk: u32, text: &str, stamp: u64) {
+    pub fn inherit_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         let Some(j) = self.jobs.get(id).filter(|j| j.borrowed_from.is_none()) else {
-            self.orphans.insert(done_key(id, chunk), stamp);
+            self.orphans.insert(done_key(id, chunk), mod_revision);
             return;
         };
         if j.spec.is_service() {
             // An earlier version took a replica that ended for done; a service never is.
-            self.orphans.insert(done_key(id, chunk), stamp);
+            self.orphans.insert(done_key(id, chunk), mod_revision);
             return;
         }
-        self.add_done(id, chunk, text, stamp);
+        self.add_done(id, chunk, text, mod_revision);
     }
 
     /// Learns done ranges of borrowed tasks from their record. Those of a job that is not held any more
     /// are to be removed.
-    pub fn inherit_borrowed_done(&mut self, id: &str, chunk: u32, text: &str, stamp: u64) {
+    pub fn inherit_borrowed_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         if self.jobs.get(id).is_some_and(|j| j.borrowed_from.is_some()) {
-            self.add_done(id, chunk, text, stamp);
-        } else if stamp > 0 {
-            self.orphans.insert(borrowed_done_key(id, chunk), stamp);
+            self.add_done(id, chunk, text, mod_revision);
+        } else if mod_revision > 0 {
+            self.orphans.insert(borrowed_done_key(id, chunk), mod_revision);
         }
     }
 
-    fn add_done(&mut self, id: &str, chunk: u32, text: &str, stamp: u64) {
+    fn add_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         let Some(j) = self.jobs.get_mut(id) else { return };
         let mut r = TaskRanges::new();
         r.add_text(text, j.spec.tasks);
@@ -171,7 +171,7 @@
             j.done_written.insert(n);
             j.waiting.remove(n);
         }
-        j.chunks.insert(chunk, stamp);
+        j.chunks.insert(chunk, mod_revision);
     }
 
     /// Puts what has to be written before starts into packed values.
@@ -185,7 +185,7 @@
             if m.up && !m.enrolled && !m.leaving && m.ty.is_some() && self.packs.get(&m.id).is_none() {
                 let record = MachineRecord {
                     part: 0,
-                    token: self.token,
+                    fencing_token: self.fencing_token,
                     addr: m.addr.clone(),
                     ty: m.ty_name.clone(),
                     zone: self.zones.get(m.zone).cloned().unwrap_or_default(),
@@ -316,21 +316,21 @@
     }
 
     /// How a chunk that is no job's stands, as read back.
-    pub fn learn_orphan(&mut self, key: &str, stamp: u64) {
-        if stamp == 0 {
+    pub fn learn_orphan(&mut self, key: &str, mod_revision: u64) {
+        if mod_revision == 0 {
             self.orphans.remove(key);
         } else if let Some(s) = self.orphans.get_mut(key) {
-            *s = stamp;
+            *s = mod_revision;
         }
     }
 
     /// A machine's own record, as earlier versions wrote it, as read back.
-    pub fn learn_machine(&mut self, id: &str, stamp: u64) {
+    pub fn learn_machine(&mut self, id: &str, mod_revision: u64) {
         if let Some(s) = self.unenrol.get_mut(id) {
-            if stamp == 0 {
+            if mod_revision == 0 {
                 self.unenrol.remove(id);
             } else {
-                *s = stamp;
+                *s = mod_revision;
             }
         }
     }
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -104,7 +104,7 @@
         }
         let of = |difference: Difference| progress.differences.of(difference);
         tracing::info!(
-            token = self.token,
+            token = self.fencing_token,
             after_s = progress.after_s,
             machines = progress.machines,
             unheard = progress.unheard,
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -163,7 +163,7 @@
     /// Attempt numbers come from the fencing token and the attempt counter: never reused, without a write.
     pub(super) fn next_attempt(&mut self) -> u64 {
         self.attempt_counter += 1;
-        (self.token << ATTEMPT_BITS) | (self.attempt_counter & MAX_ATTEMPTS)
+        (self.fencing_token << ATTEMPT_BITS) | (self.attempt_counter & MAX_ATTEMPTS)
     }
 
     /// Whether this owner has hardly an attempt number left. It starts nothing more: under a higher
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -66,7 +66,8 @@
 #[derive(Debug, Serialize)]
 pub struct StatusView {
     /// Its token.
-    pub token: u64,
+    #[serde(rename = "token")]
+    pub fencing_token: u64,
     /// Machines; none for a team's view.
     pub machines: Vec<MachineView>,
     /// Jobs in the queue's order of age; a team's own only, for a team's view.
@@ -111,7 +112,7 @@
             self.jobs.get(id).filter(|j| ours(&j.spec.team)).map(|_| (id.to_string(), at))
         });
         StatusView {
-            token: self.token,
+            fencing_token: self.fencing_token,
             machines: if team.is_none() { self.machines.values().map(machine).collect() } else { Vec::new() },
             jobs: jobs
                 .into_iter()
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -19,16 +19,16 @@
     /// the revision up to which all is known, and is not known, has ended. Without this the word of
     /// another controller, held up on the way until an owner had come that never knew the job, would
     /// start a cancelled one.
-    pub fn job_put(&mut self, record: JobRecord, stamp: u64, now: Steady) {
+    pub fn job_put(&mut self, record: JobRecord, mod_revision: u64, now: Steady) {
         let id: JobId = record.spec.id.as_str().into();
-        let late = stamp <= self.read_to && !self.jobs.contains_key(&id);
-        if late || self.over.get(&id).is_some_and(|&r| r >= stamp) {
+        let late = mod_revision <= self.read_to && !self.jobs.contains_key(&id);
+        if late || self.over.get(&id).is_some_and(|&r| r >= mod_revision) {
             return;
         }
         if record.lending.cancelling {
             // Its user waits for other cells to give up what they hold; nothing of it runs any more.
-            self.job_over(&id, stamp);
-            self.apply_lending(&record, stamp);
+            self.job_over(&id, mod_revision);
+            self.apply_lending(&record, mod_revision);
             return;
         }
         if let Some(j) = self.jobs.get_mut(&id) {
@@ -36,16 +36,16 @@
                 tracing::error!(job = %id, "a job was accepted here while tasks of its id are borrowed");
                 return;
             }
-            if stamp > j.stamp {
-                j.stamp = stamp;
+            if mod_revision > j.mod_revision {
+                j.mod_revision = mod_revision;
                 j.high = j.high.max(record.high);
                 j.high_wanted = j.high_wanted.max(j.high);
-                self.apply_lending(&record, stamp);
+                self.apply_lending(&record, mod_revision);
             }
             return;
         }
         let lending = (!record.lending.is_empty()).then(|| record.clone());
-        let mut job = Job::new(record, stamp, now);
+        let mut job = Job::new(record, mod_revision, now);
         let JobSpec { class, tasks, cpus, estimate_s, deadline_s, .. } = &job.spec;
         tracing::debug!(job = %id, ?class, tasks, cpus, estimate_s, ?deadline_s, "job added");
         if job.spec.is_service() {
@@ -62,7 +62,7 @@
         }
         self.jobs.insert(id.clone(), job);
         if let Some(record) = lending {
-            self.apply_lending(&record, stamp);
+            self.apply_lending(&record, mod_revision);
         }
         for (n, at) in self.located(&id) {
             self.refresh(&id, n, &at);
@@ -79,7 +79,7 @@
             *r = (*r).max(revision);
         }
         // A borrowed job has a record of its own; one of its id under the jobs' prefix is another's.
-        if self.jobs.get(&id).is_some_and(|j| j.stamp > revision || j.borrowed_from.is_some()) {
+        if self.jobs.get(&id).is_some_and(|j| j.mod_revision > revision || j.borrowed_from.is_some()) {
             return;
         }
         self.end_lending(&id);
@@ -92,8 +92,8 @@
         let Some(j) = self.jobs.get_mut(&id) else { return };
         j.cancelled = true;
         j.gang = None;
-        for (c, stamp) in std::mem::take(&mut j.chunks).into_iter().filter(|c| c.1 > 0) {
-            self.orphans.insert(j.done_chunk_key(c), stamp);
+        for (c, mod_revision) in std::mem::take(&mut j.chunks).into_iter().filter(|c| c.1 > 0) {
+            self.orphans.insert(j.done_chunk_key(c), mod_revision);
         }
         self.marks.remove(&id);
         self.stop_all(&id, None, 0.0, true);
--- a/src/history.rs
+++ b/src/history.rs
@@ -133,13 +133,13 @@
     }
 
     /// The state store's revision of a bucket; 0 if none is known.
-    pub fn stamp(&self, bucket: u32) -> u64 {
+    pub fn mod_revision(&self, bucket: u32) -> u64 {
         self.revisions.get(&bucket).copied().unwrap_or(0)
     }
 
     /// A bucket was found, or read back, at a revision.
-    pub fn learn(&mut self, bucket: u32, stamp: u64) {
-        self.revisions.insert(bucket, stamp);
+    pub fn learn(&mut self, bucket: u32, mod_revision: u64) {
+        self.revisions.insert(bucket, mod_revision);
     }
 
     /// A bucket was written at a revision: it is clean again.
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -46,7 +46,7 @@
     /// When this owner came to know it.
     pub known: Steady,
     /// Version of its record.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// Tasks below this may be started: written.
     pub high: u32,
     /// Tasks below this are to be made startable next.
@@ -94,13 +94,13 @@
 
 impl Job {
     /// A job from its record.
-    pub fn new(record: JobRecord, stamp: u64, now: Steady) -> Job {
+    pub fn new(record: JobRecord, mod_revision: u64, now: Steady) -> Job {
         Job {
             id: record.spec.id.as_str().into(),
             waiting: TaskRanges::span(0, record.spec.tasks),
             submitted: Wall(record.submitted_us),
             known: now,
-            stamp,
+            mod_revision,
             high: record.high,
             high_wanted: record.high,
             inherited: record.high,
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -11,25 +11,25 @@
 use crate::time::{Steady, Wall};
 use crate::wire::{Change, Guard, Row, Stage, Txn};
 
-fn guard(key: String, stamp: u64) -> Guard {
-    Guard { key, stamp }
+fn guard(key: String, mod_revision: u64) -> Guard {
+    Guard { key, mod_revision }
 }
 
 /// The transaction that carries out a write of loans, guarded by the part.
-pub fn loan_txn(write: &LoanWrite, part: u64) -> Txn {
+pub fn loan_txn(write: &LoanWrite, shard_revision: u64) -> Txn {
     let mut txn = match write {
-        LoanWrite::Home { job, record, stamp, .. } => home_txn(job, record, *stamp),
+        LoanWrite::Home { job, record, mod_revision, .. } => home_txn(job, record, *mod_revision),
         LoanWrite::Guest { change, job_stamp, lender, lender_stamp } => {
             guest_txn(change, *job_stamp, *lender, *lender_stamp)
         }
     };
-    txn.guards.push(guard(SHARD_KEY.into(), part));
+    txn.guards.push(guard(SHARD_KEY.into(), shard_revision));
     txn
 }
 
 /// A job that is being cancelled and has no open loan any more is over.
-fn home_txn(job: &str, record: &JobRecord, stamp: u64) -> Txn {
-    let mut guards = vec![guard(job_key(job), stamp)];
+fn home_txn(job: &str, record: &JobRecord, mod_revision: u64) -> Txn {
+    let mut guards = vec![guard(job_key(job), mod_revision)];
     let then = if record.lending.is_cancelled() {
         guards.push(guard(final_key(job), 0));
         let over = FinalRecord { stage: Stage::Cancelled, tasks: record.spec.tasks };
@@ -74,16 +74,16 @@
     let mut parts = row.key.split('/').skip(1);
     match (parts.next(), parts.next(), parts.next()) {
         (Some("job"), Some(id), None) => match serde_json::from_value::<BorrowedJob>(row.value) {
-            Ok(record) => fleet.borrowed_put(id, record, row.stamp, now, wall),
+            Ok(record) => fleet.borrowed_put(id, record, row.mod_revision, now, wall),
             Err(e) => unreadable(e),
         },
         (Some("lender"), Some(cell), None) => match serde_json::from_value::<LenderRecord>(row.value) {
-            Ok(record) => fleet.inherit_lender(cell, record, row.stamp),
+            Ok(record) => fleet.inherit_lender(cell, record, row.mod_revision),
             Err(e) => unreadable(e),
         },
         (Some("done"), Some(id), Some(chunk)) => {
             if let (Ok(chunk), Some(text)) = (chunk.parse(), row.value.as_str()) {
-                fleet.inherit_borrowed_done(id, chunk, text, row.stamp);
+                fleet.inherit_borrowed_done(id, chunk, text, row.mod_revision);
             }
         }
         _ => {}
@@ -95,11 +95,11 @@
     let mut parts = key.split('/').skip(1);
     match (parts.next(), parts.next(), parts.next()) {
         (Some("done"), Some(id), Some(chunk)) => {
-            let stamp = row.as_ref().map_or(0, |row| row.stamp);
-            fleet.learn_orphan(key, stamp);
+            let mod_revision = row.as_ref().map_or(0, |row| row.mod_revision);
+            fleet.learn_orphan(key, mod_revision);
             let text = row.as_ref().map_or(Some(""), |row| row.value.as_str());
             if let (Ok(chunk), Some(text)) = (chunk.parse(), text) {
-                fleet.inherit_borrowed_done(id, chunk, text, stamp);
+                fleet.inherit_borrowed_done(id, chunk, text, mod_revision);
             }
         }
         (Some("job"), Some(id), None) if row.is_none() => fleet.borrowed_gone(id),
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -45,7 +45,8 @@
     /// Its incarnation: a process may be back under the same label, remembering nothing.
     pub incarnation: u64,
     /// Its fencing token.
-    pub token: u64,
+    #[serde(rename = "token")]
+    pub fencing_token: u64,
     /// The lease that the leader's record hangs on. It tells two claims of one process apart: with an
     /// unanswered one carried out late, the process would take it for the next, renew the other lease
     /// and never learn from that that it had been replaced.
@@ -72,11 +73,11 @@
 #[derive(Clone, Debug)]
 pub struct LeaderClaim {
     /// The fencing token.
-    pub token: u64,
+    pub fencing_token: u64,
     /// The lease that the leader's record hangs on.
     pub lease: u64,
     /// The shard's revision: the guard of every write of this leader.
-    pub part: u64,
+    pub shard_revision: u64,
     /// Whether this is the first term.
     pub first: bool,
 }
@@ -98,10 +99,13 @@
     let lease = state.lease(ttl)?;
     let term = state.get(TERM_KEY, RequestPriority::Leadership)?;
     let shard = state.get(SHARD_KEY, RequestPriority::Leadership)?;
-    let token = last_term(term.as_ref())? + 1;
-    let leader = LeaderRecord { label: label.to_string(), incarnation, token, lease };
-    let txn = election_txn(&leader, seen, term.map_or(0, |r| r.stamp), shard.map_or(0, |r| r.stamp));
-    let elected = |part| Ok(Some(LeaderClaim { token, lease, part, first: token == 1 }));
+    let fencing_token = last_term(term.as_ref())? + 1;
+    let leader = LeaderRecord { label: label.to_string(), incarnation, fencing_token, lease };
+    let txn =
+        election_txn(&leader, seen, term.map_or(0, |r| r.mod_revision), shard.map_or(0, |r| r.mod_revision));
+    let elected = |shard_revision| {
+        Ok(Some(LeaderClaim { fencing_token, lease, shard_revision, first: fencing_token == 1 }))
+    };
     match state.txn(&txn, RequestPriority::Leadership) {
         Ok(TxnOutcome::Committed(revision)) => elected(revision),
         Ok(TxnOutcome::Conflict(_)) => {
@@ -111,7 +115,7 @@
         // It may have been executed: the shard tells.
         Err(StateError::Unknown(_)) => match state.get(SHARD_KEY, RequestPriority::Leadership)? {
             Some(r) if serde_json::from_value::<LeaderRecord>(r.value.clone()).is_ok_and(|o| o == leader) => {
-                elected(r.stamp)
+                elected(r.mod_revision)
             }
             _ => {
                 // A late copy then fails, whatever else still holds.
@@ -139,7 +143,7 @@
 /// takes the shard.
 fn election_txn(leader: &LeaderRecord, seen: u64, term_revision: u64, shard_revision: u64) -> Txn {
     let value = json!(leader);
-    let guard = |key: &str, stamp: u64| Guard { key: key.into(), stamp };
+    let guard = |key: &str, mod_revision: u64| Guard { key: key.into(), mod_revision };
     Txn {
         guards: vec![
             guard(LEADER_KEY, seen),
@@ -148,7 +152,7 @@
         ],
         then: vec![
             Change::Put { put: LEADER_KEY.into(), value: value.clone(), lease: Some(leader.lease) },
-            Change::put(TERM_KEY, json!(TermRecord { number: leader.token })),
+            Change::put(TERM_KEY, json!(TermRecord { number: leader.fencing_token })),
             Change::put(SHARD_KEY, value),
         ],
     }
@@ -172,16 +176,16 @@
     Ok(row.and_then(|r| serde_json::from_value(r.value).ok()))
 }
 
-/// Reads all records back after a won election into a new fleet under the fencing `token`; it
+/// Reads all records back after a won election into a new fleet under the fencing `fencing_token`; it
 /// is `now`, after the election was answered.
 pub fn rebuild(
     state: &StateClient,
     cfg: Arc<Config>,
     types: Vec<MachineType>,
-    token: u64,
+    fencing_token: u64,
     now: Steady,
 ) -> Result<Fleet, StateError> {
-    let mut fleet = Fleet::new(cfg, types, token, now);
+    let mut fleet = Fleet::new(cfg, types, fencing_token, now);
     let (jobs, revision) = state.list("job/")?;
     // Both forms of the machines' records: `machine/<id>` and `machines/<slot>`.
     let (machines, _) = state.list("machine")?;
@@ -220,19 +224,21 @@
     let mut parts = row.key.split('/');
     match (parts.next(), parts.next(), parts.next()) {
         (Some("job"), Some(_), None) => match serde_json::from_value::<JobRecord>(row.value) {
-            Ok(job) => fleet.job_put(job, row.stamp, now),
+            Ok(job) => fleet.job_put(job, row.mod_revision, now),
             Err(e) => unreadable(&row.key, &e),
         },
-        (Some("machine"), Some(id), None) => load_machine(fleet, id, &row.key, row.value, row.stamp, now),
+        (Some("machine"), Some(id), None) => {
+            load_machine(fleet, id, &row.key, row.value, row.mod_revision, now)
+        }
         (Some(MACHINES), Some(slot), None) => match packed(slot, row.value) {
-            Ok((slot, machines)) => fleet.inherit_machines(slot, machines, row.stamp, now),
+            Ok((slot, machines)) => fleet.inherit_machines(slot, machines, row.mod_revision, now),
             Err(e) => {
                 unreadable(&row.key, &e);
                 slot.parse().into_iter().for_each(|s| fleet.packs.keep_unreadable(s));
             }
         },
         (Some(MARKS), Some(slot), None) => match packed(slot, row.value) {
-            Ok((slot, marks)) => fleet.inherit_marks(slot, marks, row.stamp),
+            Ok((slot, marks)) => fleet.inherit_marks(slot, marks, row.mod_revision),
             Err(e) => {
                 unreadable(&row.key, &e);
                 slot.parse().into_iter().for_each(|s| fleet.marks.keep_unreadable(s));
@@ -241,7 +247,7 @@
         (Some(BORROWED), ..) => loan_records::load_borrowed(fleet, row, now, wall),
         (Some("done"), Some(id), Some(chunk)) => {
             if let (Ok(chunk), Some(text)) = (chunk.parse(), row.value.as_str()) {
-                fleet.inherit_done(id, chunk, text, row.stamp);
+                fleet.inherit_done(id, chunk, text, row.mod_revision);
             }
         }
         (Some(RECENT_KEY), None, None) => match serde_json::from_value(row.value) {
@@ -249,7 +255,7 @@
             Err(e) => unreadable(&row.key, &e),
         },
         (Some(HISTORY), Some(bucket), None) => {
-            load_history_bucket(fleet, bucket, &row.key, row.value, row.stamp)
+            load_history_bucket(fleet, bucket, &row.key, row.value, row.mod_revision)
         }
         // As earlier versions wrote it.
         (Some(HISTORY), Some(_), Some(_)) => match serde_json::from_value::<HistoryRecord>(row.value) {
@@ -261,22 +267,22 @@
 }
 
 /// Takes a single machine's record over, as versions before packed records wrote it.
-fn load_machine(fleet: &mut Fleet, id: &str, key: &str, value: Value, stamp: u64, now: Steady) {
+fn load_machine(fleet: &mut Fleet, id: &str, key: &str, value: Value, mod_revision: u64, now: Steady) {
     // One that cannot be read may hold tasks all the same: it stays unheard until it reports or
     // is returned.
     let machine = serde_json::from_value::<MachineRecord>(value).unwrap_or_else(|e| {
         unreadable(key, &e);
         MachineRecord::default()
     });
-    fleet.inherit_machine(id, &machine, stamp, now);
+    fleet.inherit_machine(id, &machine, mod_revision, now);
 }
 
 /// Takes a packed bucket of history records over.
-fn load_history_bucket(fleet: &mut Fleet, bucket: &str, key: &str, value: Value, stamp: u64) {
+fn load_history_bucket(fleet: &mut Fleet, bucket: &str, key: &str, value: Value, mod_revision: u64) {
     match packed::<Vec<HistoryRecord>>(bucket, value) {
         Ok((bucket, list)) => {
             list.into_iter().for_each(|h| fleet.history.load(h));
-            fleet.history.learn(bucket, stamp);
+            fleet.history.learn(bucket, mod_revision);
         }
         Err(e) => unreadable(key, &e),
     }
@@ -284,34 +290,34 @@
 
 /// Learns how a key stands after a conflict or an unknown outcome.
 pub fn learn(fleet: &mut Fleet, key: &str, row: Option<Row>, now: Steady) {
-    let stamp = row.as_ref().map_or(0, |r| r.stamp);
+    let mod_revision = row.as_ref().map_or(0, |r| r.mod_revision);
     let mut parts = key.split('/');
     match (parts.next(), parts.next(), parts.next()) {
         (Some("job"), Some(id), _) => {
             match row.and_then(|r| serde_json::from_value::<JobRecord>(r.value).ok()) {
-                Some(r) => fleet.job_put(r, stamp, now),
+                Some(r) => fleet.job_put(r, mod_revision, now),
                 None => {
-                    let known = fleet.jobs.get(id).map_or(0, |j| j.stamp);
+                    let known = fleet.jobs.get(id).map_or(0, |j| j.mod_revision);
                     fleet.job_over(id, fleet.read_to().max(known) + 1);
                 }
             }
         }
         (Some(BORROWED), ..) => loan_records::learn_borrowed(fleet, key, row, now, wall()),
-        (Some("machine"), Some(id), _) => fleet.learn_machine(id, stamp),
+        (Some("machine"), Some(id), _) => fleet.learn_machine(id, mod_revision),
         (Some(prefix @ (MACHINES | MARKS | HISTORY)), Some(slot), None) => {
             let Ok(slot) = slot.parse() else { return };
             match prefix {
-                MACHINES => fleet.packs.learn(slot, stamp),
-                MARKS => fleet.marks.learn(slot, stamp),
-                _ => fleet.history.learn(slot, stamp),
+                MACHINES => fleet.packs.learn(slot, mod_revision),
+                MARKS => fleet.marks.learn(slot, mod_revision),
+                _ => fleet.history.learn(slot, mod_revision),
             }
         }
         (Some("done"), Some(id), Some(c)) => {
-            fleet.learn_orphan(key, stamp);
+            fleet.learn_orphan(key, mod_revision);
             if let (true, Ok(c), Some(text)) =
                 (fleet.jobs.contains_key(id), c.parse(), row.as_ref().map_or(Some(""), |r| r.value.as_str()))
             {
-                fleet.inherit_done(id, c, text, stamp);
+                fleet.inherit_done(id, c, text, mod_revision);
             }
         }
         _ => {}
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -34,8 +34,8 @@
 
 impl Batch {
     /// One without changes yet, guarded by the part.
-    fn new(part: u64, urgent: bool) -> Batch {
-        let guards = vec![Guard { key: SHARD_KEY.into(), stamp: part }];
+    fn new(shard_revision: u64, urgent: bool) -> Batch {
+        let guards = vec![Guard { key: SHARD_KEY.into(), mod_revision: shard_revision }];
         Batch { txn: Txn { guards, then: Vec::new() }, items: Vec::new(), urgent, bytes: 0 }
     }
 
@@ -85,7 +85,7 @@
 /// Puts what waits to be written into transactions, each guarded by the part.
 pub fn batches(
     fleet: &mut Fleet,
-    part: u64,
+    shard_revision: u64,
     pending: Vec<PendingWrite>,
     max_changes: usize,
     now: Steady,
@@ -98,7 +98,7 @@
             if out.len() >= MAX_BATCHES {
                 break;
             }
-            out.push(Batch::new(part, item.urgent()));
+            out.push(Batch::new(shard_revision, item.urgent()));
         }
         if let Some(batch) = out.last_mut() {
             batch.add(write);
@@ -125,7 +125,8 @@
         }
         PendingWrite::History(bucket) => {
             let value = fleet.history.value(*bucket, fleet.value_bytes().saturating_sub(VALUE_SLACK));
-            let guard = Guard { key: slot_key(HISTORY, *bucket), stamp: fleet.history.stamp(*bucket) };
+            let guard =
+                Guard { key: slot_key(HISTORY, *bucket), mod_revision: fleet.history.mod_revision(*bucket) };
             let change = Change::put(slot_key(HISTORY, *bucket), json!(value));
             Some(Write::new(item, vec![guard], vec![change]))
         }
@@ -134,13 +135,15 @@
             let list = fleet.recent(now, wall, fleet.value_bytes().saturating_sub(VALUE_SLACK));
             Some(Write::new(item, Vec::new(), vec![Change::put(RECENT_KEY, json!(list))]))
         }
-        PendingWrite::Orphan(key, stamp) => Some(compose_drop(item, key.clone(), *stamp)),
-        PendingWrite::Unenrol(id, stamp) => Some(compose_drop(item, format!("machine/{id}"), *stamp)),
+        PendingWrite::Orphan(key, mod_revision) => Some(compose_drop(item, key.clone(), *mod_revision)),
+        PendingWrite::Unenrol(id, mod_revision) => {
+            Some(compose_drop(item, format!("machine/{id}"), *mod_revision))
+        }
     }
 }
 
-fn compose_drop(item: &PendingWrite, key: String, stamp: u64) -> Write {
-    Write::new(item, vec![Guard { key: key.clone(), stamp }], vec![Change::drop(key)])
+fn compose_drop(item: &PendingWrite, key: String, mod_revision: u64) -> Write {
+    Write::new(item, vec![Guard { key: key.clone(), mod_revision }], vec![Change::drop(key)])
 }
 
 /// The end of a job: its final record takes the place of the live one, and as many of its chunks of done
@@ -154,7 +157,10 @@
 ) -> Option<Write> {
     add_to_history(fleet, id, wall);
     let job = fleet.jobs.get(id)?;
-    let guards = vec![Guard { key: job_key(id), stamp: job.stamp }, Guard { key: final_key(id), stamp: 0 }];
+    let guards = vec![
+        Guard { key: job_key(id), mod_revision: job.mod_revision },
+        Guard { key: final_key(id), mod_revision: 0 },
+    ];
     let final_record = FinalRecord { stage: Stage::Done, tasks: job.spec.tasks };
     let mut changes = vec![Change::drop(job_key(id)), Change::put(final_key(id), json!(final_record))];
     let room = max_changes.saturating_sub(changes.len());
@@ -178,19 +184,19 @@
 }
 
 fn compose_machines(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
-    let (stamp, version, items) = fleet.packs.slot(slot)?;
+    let (mod_revision, version, items) = fleet.packs.slot(slot)?;
     let key = slot_key(MACHINES, slot);
     let contents = WriteContents::Machines(items.keys().cloned().collect(), version);
     let change = Change::put(key.clone(), json!(items));
-    Some(Write::new(item, vec![Guard { key, stamp }], vec![change]).with_contents(contents))
+    Some(Write::new(item, vec![Guard { key, mod_revision }], vec![change]).with_contents(contents))
 }
 
 fn compose_marks(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
-    let (stamp, version, items) = fleet.marks.slot(slot)?;
+    let (mod_revision, version, items) = fleet.marks.slot(slot)?;
     let key = slot_key(MARKS, slot);
     let marks = items.iter().map(|(id, high)| (id.clone(), *high)).collect();
     let change = Change::put(key.clone(), json!(items));
-    let write = Write::new(item, vec![Guard { key, stamp }], vec![change]);
+    let write = Write::new(item, vec![Guard { key, mod_revision }], vec![change]);
     Some(write.with_contents(WriteContents::Marks(marks, version)))
 }
 
@@ -199,8 +205,11 @@
     let (from, to) = chunk_span(chunk);
     let tasks = job.done.within(from, to);
     let key = job.done_chunk_key(chunk);
-    let stamp = job.chunks.get(&chunk).copied().unwrap_or(0);
-    let guards = vec![Guard { key: job.record_key(), stamp: job.stamp }, Guard { key: key.clone(), stamp }];
+    let mod_revision = job.chunks.get(&chunk).copied().unwrap_or(0);
+    let guards = vec![
+        Guard { key: job.record_key(), mod_revision: job.mod_revision },
+        Guard { key: key.clone(), mod_revision },
+    ];
     let change = Change::put(key, json!(tasks.text()));
     Some(Write::new(item, guards, vec![change]).with_contents(WriteContents::Done(tasks)))
 }
--- a/src/packed_records.rs
+++ b/src/packed_records.rs
@@ -29,7 +29,7 @@
 
 #[derive(Debug)]
 struct Slot<T> {
-    stamp: u64,
+    mod_revision: u64,
     bytes: usize,
     items: BTreeMap<Arc<str>, T>,
     /// Counts changes; what is written carries the count it was taken at.
@@ -47,7 +47,7 @@
 impl<T> Default for Slot<T> {
     fn default() -> Self {
         Slot {
-            stamp: 0,
+            mod_revision: 0,
             bytes: 2,
             items: BTreeMap::new(),
             version: 0,
@@ -141,9 +141,9 @@
     /// Takes a slot over from its value. An earlier owner may have ended between the two writes that
     /// move a record: `newer` then chooses between the two copies. [`PackedRecords::empty_oversized`] follows
     /// when all slots are loaded.
-    pub fn load(&mut self, slot: u32, stamp: u64, items: Items<T>, newer: fn(T, T) -> T) {
+    pub fn load(&mut self, slot: u32, mod_revision: u64, items: Items<T>, newer: fn(T, T) -> T) {
         let Some(s) = self.slot_mut(slot) else { return };
-        s.stamp = stamp;
+        s.mod_revision = mod_revision;
         let slot = slot as usize;
         for (id, stored) in items {
             let earlier = self.of.insert(id.clone(), slot).filter(|&other| other != slot);
@@ -212,13 +212,13 @@
 
     /// A slot's version in the state service, the count of its changes and what it holds.
     pub fn slot(&self, slot: u32) -> Option<(u64, u64, &Items<T>)> {
-        self.slots.get(slot as usize).map(|s| (s.stamp, s.version, &s.items))
+        self.slots.get(slot as usize).map(|s| (s.mod_revision, s.version, &s.items))
     }
 
     /// A slot has been written at a revision, as it stood at `version`.
     pub fn written(&mut self, slot: u32, version: u64, revision: u64) {
         if let Some(s) = self.slots.get_mut(slot as usize) {
-            s.stamp = s.stamp.max(revision);
+            s.mod_revision = s.mod_revision.max(revision);
             s.written = s.written.max(version);
             s.after.clear();
         }
@@ -226,9 +226,9 @@
 
     /// A slot as read back. Only this owner's own earlier writes can have changed it, so what is
     /// here is newer; with the right version it can be written.
-    pub fn learn(&mut self, slot: u32, stamp: u64) {
+    pub fn learn(&mut self, slot: u32, mod_revision: u64) {
         if let Some(s) = self.slots.get_mut(slot as usize) {
-            s.stamp = stamp;
+            s.mod_revision = mod_revision;
         }
     }
 }
--- a/src/records.rs
+++ b/src/records.rs
@@ -60,7 +60,7 @@
     pub part: u32,
     /// The token it was enrolled with.
     #[serde(rename = "n", alias = "token", default)]
-    pub token: u64,
+    pub fencing_token: u64,
     /// The worker's address.
     #[serde(rename = "a", alias = "addr", default)]
     pub addr: String,
--- a/src/wire/replies.rs
+++ b/src/wire/replies.rs
@@ -53,9 +53,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardStatus {
     /// Label of the owner.
-    pub owner: String,
+    #[serde(rename = "owner")]
+    pub leader: String,
     /// Number of the part.
-    pub part: u32,
+    #[serde(rename = "part")]
+    pub shard: u32,
     /// The owner's token.
-    pub token: u64,
+    #[serde(rename = "token")]
+    pub fencing_token: u64,
 }
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -13,7 +13,7 @@
     pub value: Value,
     /// Revision of the latest change.
     #[serde(rename = "stamp")]
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 /// A page of keys.
@@ -36,7 +36,8 @@
     #[serde(rename = "path")]
     pub key: String,
     /// The version it must have; 0: none.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// A change of a key.
@@ -103,7 +104,8 @@
     pub value: Value,
     /// The revision.
     #[serde(default)]
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// What a watch returns.
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -102,12 +102,14 @@
     #[serde(rename = "gleanings", default, deserialize_with = "null_is_default")]
     pub spot: bool,
     /// Session.
-    pub season: u64,
+    #[serde(rename = "season")]
+    pub agent_epoch: u64,
     /// Number of the message within the session.
-    pub tally: u64,
+    #[serde(rename = "tally")]
+    pub sequence: u64,
     /// Highest token seen.
     #[serde(rename = "sickle", default)]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Seconds until the cloud takes the machine.
     #[serde(rename = "reclaimS", default)]
     pub notice_s: Option<f64>,
@@ -160,7 +162,7 @@
 pub struct HeartbeatReply {
     /// The token of the one entitled to command.
     #[serde(rename = "sickle")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// The commands, executed in order.
     pub orders: Vec<Order>,
 }
@@ -170,9 +172,10 @@
 pub struct Commands {
     /// The token.
     #[serde(rename = "sickle")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// The session meant.
-    pub season: u64,
+    #[serde(rename = "season")]
+    pub agent_epoch: u64,
     /// The commands.
     pub orders: Vec<Order>,
 }
--- a/tests/cancellation_in_outage.rs
+++ b/tests/cancellation_in_outage.rs
@@ -186,7 +186,7 @@
             return None;
         }
         let c: Commands = serde_json::from_slice(&r.body).expect("a command");
-        if !self.state.accept_command(c.token, c.season) {
+        if !self.state.accept_command(c.fencing_token, c.agent_epoch) {
             return Some(Response::json(409, &self.state.report()));
         }
         self.execute_orders(&c.orders, now);
@@ -380,7 +380,7 @@
             return;
         }
         let reply: HeartbeatReply = serde_json::from_value(v).expect("a reply");
-        if w.state.accept_answer(reply.token, Steady(now)) {
+        if w.state.accept_answer(reply.fencing_token, Steady(now)) {
             w.execute_orders(&reply.orders, now);
         }
     }
@@ -559,7 +559,7 @@
     let mut w = Simulation::new();
     w.refuse(&[0]);
     w.until("another leads", |w| w.tokens()[1..].iter().any(Option::is_some));
-    w.until("the worker follows it", |w| locked(&w.worker).state.token == 2);
+    w.until("the worker follows it", |w| locked(&w.worker).state.fencing_token == 2);
     w.refuse(&[]);
     w.run(2.0);
     let leads = w.tokens().iter().position(|t| *t == Some(2)).expect("an owner");
@@ -658,18 +658,18 @@
     let room = Room { connections: 10, bulk_connections: 10, prompt_threads: 4, bulk_threads: 1 };
     std::thread::spawn(move || http::serve(l, room, Arc::default(), service));
     // A second machine, idle, is enrolled and shows the token.
-    let idle = |tally: u64| {
-        let r = common::report("i-000002", tally, u64::from(tally > 1), &[]);
+    let idle = |sequence: u64| {
+        let r = common::report("i-000002", sequence, u64::from(sequence > 1), &[]);
         serde_json::to_string(&r).expect("a report")
     };
     assert_eq!(w.ask(0, "POST", "/checkin", &idle(1)).0, 200);
     w.run(2.0);
     assert_eq!(w.ask(0, "POST", "/checkin", &idle(2)).0, 200);
-    let statuses = |w: &mut Simulation, tally: u64, seconds_blind: f64| {
+    let statuses = |w: &mut Simulation, sequence: u64, seconds_blind: f64| {
         locked(&w.service).out = true;
         // Nobody but this worker: time passes without the rest of the simulation.
         w.clock.fetch_add((seconds_blind * 1e6) as i64, Ordering::SeqCst);
-        let body = idle(tally);
+        let body = idle(sequence);
         let ask = std::thread::spawn(move || {
             Client::new(addr, 0).call("POST", "/checkin", Some(body.as_bytes()), Micros(20 * SECOND))
         });
--- a/tests/common/cells.rs
+++ b/tests/common/cells.rs
@@ -308,7 +308,7 @@
 
     /// Executes the orders of an answer; whether anything changed.
     fn execute(&mut self, reply: &HeartbeatReply, sent: Steady, now: Steady) -> bool {
-        if !self.state.accept_answer(reply.token, sent) {
+        if !self.state.accept_answer(reply.fencing_token, sent) {
             return false;
         }
         let received = Instant::now();
--- a/tests/common/controllers.rs
+++ b/tests/common/controllers.rs
@@ -31,10 +31,13 @@
 impl Controller {
     /// Claims everything with the next token and reads all records. Earlier owners do not notice.
     pub fn claim(store: &mut Store, cfg: &Arc<Config>, now: Steady) -> Controller {
-        let token = store.row("term").and_then(|r| r.value.as_u64()).unwrap_or(0) + 1;
-        let then = vec![Change::put("term", json!(token)), Change::put(leadership::SHARD_KEY, json!(token))];
+        let fencing_token = store.row("term").and_then(|r| r.value.as_u64()).unwrap_or(0) + 1;
+        let then = vec![
+            Change::put("term", json!(fencing_token)),
+            Change::put(leadership::SHARD_KEY, json!(fencing_token)),
+        ];
         let part = store.txn(&Txn { guards: vec![], then }).expect("no guards");
-        let mut fleet = Fleet::new(cfg.clone(), types(), token, now);
+        let mut fleet = Fleet::new(cfg.clone(), types(), fencing_token, now);
         let rows = RECORDS.iter().flat_map(|prefix| store.rows(prefix)).collect();
         leadership::load(&mut fleet, rows, now, wall_at(now));
         Controller { fleet, part, watched: store.revision }
@@ -42,7 +45,7 @@
 
     /// Whether it still holds the part, as far as the state service knows.
     pub fn holds_part(&self, store: &Store) -> bool {
-        self.part == store.stamp(leadership::SHARD_KEY)
+        self.part == store.mod_revision(leadership::SHARD_KEY)
     }
 
     /// Reads the jobs' changes since the last time.
--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -18,7 +18,7 @@
 pub struct Scenario {
     pub fleet: Fleet,
     pub now: Steady,
-    pub tally: u64,
+    pub sequence: u64,
     pub machines: Vec<String>,
 }
 
@@ -33,7 +33,7 @@
         let mut fleet = Fleet::new(config, types(), 7, now);
         let machines: Vec<String> = (0..machines).map(|n| format!("i-{n:03}")).collect();
         fleet.rented(&machines, Offer { ty: 0, zone: 0, spot }, now);
-        let mut s = Scenario { fleet, now, tally: 0, machines };
+        let mut s = Scenario { fleet, now, sequence: 0, machines };
         s.step(&[]);
         s
     }
@@ -71,11 +71,11 @@
 
     /// The next report of a machine on which all that was started runs.
     pub fn running(&mut self, id: &str) -> Heartbeat {
-        self.tally += 1;
+        self.sequence += 1;
         let there: Vec<(String, u64)> = self.tasks(id);
         let tasks: Vec<_> =
             there.iter().map(|(task, attempt)| (task.as_str(), *attempt, TaskStage::Running, None)).collect();
-        Heartbeat { spot: true, ..report(id, self.tally, 7, &tasks) }
+        Heartbeat { spot: true, ..report(id, self.sequence, 7, &tasks) }
     }
 
     pub fn tasks(&self, id: &str) -> Vec<(String, u64)> {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -109,8 +109,8 @@
 /// A report of a small machine in the north.
 pub fn report(
     machine: &str,
-    tally: u64,
-    token: u64,
+    sequence: u64,
+    fencing_token: u64,
     tasks: &[(&str, u64, TaskStage, Option<ExitReason>)],
 ) -> Heartbeat {
     Heartbeat {
@@ -119,9 +119,9 @@
         ty: "small".into(),
         zone: "north".into(),
         spot: false,
-        season: 1,
-        tally,
-        token,
+        agent_epoch: 1,
+        sequence,
+        fencing_token,
         notice_s: None,
         tasks: tasks
             .iter()
--- a/tests/common/production.rs
+++ b/tests/common/production.rs
@@ -138,7 +138,7 @@
 }
 
 struct Slot<T> {
-    stamp: u64,
+    mod_revision: u64,
     items: BTreeMap<String, T>,
     /// Sizes of the items, and of the brackets.
     bytes: usize,
@@ -163,17 +163,17 @@
 
     fn grow_to(&mut self, slots: usize) {
         while self.slots.len() < slots {
-            self.slots.push(Slot { stamp: 0, items: BTreeMap::new(), bytes: 2, dirty: false });
+            self.slots.push(Slot { mod_revision: 0, items: BTreeMap::new(), bytes: 2, dirty: false });
         }
     }
 
-    fn load(&mut self, slot: usize, stamp: u64, value: Value) {
+    fn load(&mut self, slot: usize, mod_revision: u64, value: Value) {
         self.grow_to(slot + 1);
         let items: BTreeMap<String, T> = serde_json::from_value(value).expect("a value of production's form");
         // A record that is in several values belongs to the last that is read.
         self.slot_of.extend(items.keys().map(|id| (id.clone(), slot)));
         let bytes = 2 + items.iter().map(|(id, item)| Self::size(id, item)).sum::<usize>();
-        self.slots[slot] = Slot { stamp, items, bytes, dirty: false };
+        self.slots[slot] = Slot { mod_revision, items, bytes, dirty: false };
     }
 
     fn put(&mut self, id: &str, item: T) {
@@ -207,7 +207,7 @@
 }
 
 struct Job {
-    stamp: u64,
+    mod_revision: u64,
     tasks: u32,
     mark: u32,
     done: BTreeSet<u32>,
@@ -253,7 +253,7 @@
         for row in rows.iter().filter(|r| r.key.starts_with("job/")) {
             // One that it cannot read it logs and leaves out.
             if let Ok(record) = serde_json::from_value::<JobRecord>(row.value.clone()) {
-                owner.job_put(&record, row.stamp);
+                owner.job_put(&record, row.mod_revision);
             }
         }
         rows.iter().for_each(|row| owner.load_row(row));
@@ -267,7 +267,9 @@
         let parts: Vec<&str> = row.key.split('/').collect();
         let number = |text: &str| text.parse::<u32>().expect("a number");
         match parts[..] {
-            ["machines", slot] => self.machines.load(number(slot) as usize, row.stamp, row.value.clone()),
+            ["machines", slot] => {
+                self.machines.load(number(slot) as usize, row.mod_revision, row.value.clone())
+            }
             ["marks", slot] => self.load_marks(number(slot) as usize, row),
             ["done", id, chunk] => self.load_done(id, number(chunk), row),
             _ => {}
@@ -281,32 +283,32 @@
                 job.mark = job.mark.max(*mark);
             }
         }
-        self.marks.load(slot, row.stamp, row.value.clone());
+        self.marks.load(slot, row.mod_revision, row.value.clone());
     }
 
     fn load_done(&mut self, id: &str, chunk: u32, row: &Row) {
         let Some(job) = self.jobs.get_mut(id) else {
-            self.orphans.insert(row.key.clone(), row.stamp);
+            self.orphans.insert(row.key.clone(), row.mod_revision);
             return;
         };
         let tasks = tasks_of_text(row.value.as_str().expect("a text"));
         job.done.extend(&tasks);
         job.done_written.extend(&tasks);
-        job.chunks.insert(chunk, row.stamp);
+        job.chunks.insert(chunk, row.mod_revision);
     }
 
     /// Learns of a job.
-    pub fn job_put(&mut self, record: &JobRecord, stamp: u64) {
+    pub fn job_put(&mut self, record: &JobRecord, mod_revision: u64) {
         let id = record.spec["nameId"].as_str().expect("an id").to_string();
         let tasks = record.spec["kernels"].as_u64().expect("a number") as u32;
         let (done, done_written, chunks) = Default::default();
-        self.jobs.insert(id, Job { stamp, tasks, mark: record.high, done, done_written, chunks });
+        self.jobs.insert(id, Job { mod_revision, tasks, mark: record.high, done, done_written, chunks });
     }
 
     /// A job's record is gone.
     pub fn job_over(&mut self, id: &str) {
         if let Some(job) = self.jobs.remove(id) {
-            let orphan = |(chunk, stamp): (u32, u64)| (format!("done/{id}/{chunk}"), stamp);
+            let orphan = |(chunk, mod_revision): (u32, u64)| (format!("done/{id}/{chunk}"), mod_revision);
             self.orphans.extend(job.chunks.into_iter().map(orphan));
         }
         self.marks.remove(id);
@@ -350,15 +352,17 @@
             .or_else(|| self.compose_done())
             .or_else(|| self.compose_orphan())?;
         self.writing = Some(written);
-        let part = Guard { key: "part/0".into(), stamp: self.part };
+        let part = Guard { key: "part/0".into(), mod_revision: self.part };
         Some(Txn { guards: [vec![part], guards].concat(), then })
     }
 
     fn compose_final(&self) -> Option<(Written, Vec<Guard>, Vec<Change>)> {
         let (id, job) = self.jobs.iter().find(|(_, job)| job.done.len() == job.tasks as usize)?;
         let (key, over) = (format!("job/{id}"), format!("final/{id}"));
-        let guards =
-            vec![Guard { key: key.clone(), stamp: job.stamp }, Guard { key: over.clone(), stamp: 0 }];
+        let guards = vec![
+            Guard { key: key.clone(), mod_revision: job.mod_revision },
+            Guard { key: over.clone(), mod_revision: 0 },
+        ];
         let record = FinalRecord { stage: "done".into(), tasks: job.tasks };
         let mut then = vec![Change::drop(key), Change::put(over, json!(record))];
         then.extend(job.chunks.keys().take(2).map(|chunk| Change::drop(format!("done/{id}/{chunk}"))));
@@ -368,14 +372,14 @@
     fn compose_machines(&self) -> Option<(Written, Vec<Guard>, Vec<Change>)> {
         let number = self.machines.first_dirty()?;
         let (key, slot) = (format!("machines/{number}"), &self.machines.slots[number]);
-        let guards = vec![Guard { key: key.clone(), stamp: slot.stamp }];
+        let guards = vec![Guard { key: key.clone(), mod_revision: slot.mod_revision }];
         Some((Written::Machines(number), guards, vec![Change::put(key, json!(slot.items))]))
     }
 
     fn compose_marks(&self) -> Option<(Written, Vec<Guard>, Vec<Change>)> {
         let number = self.marks.first_dirty()?;
         let (key, slot) = (format!("marks/{number}"), &self.marks.slots[number]);
-        let guards = vec![Guard { key: key.clone(), stamp: slot.stamp }];
+        let guards = vec![Guard { key: key.clone(), mod_revision: slot.mod_revision }];
         Some((Written::Marks(number), guards, vec![Change::put(key, json!(slot.items))]))
     }
 
@@ -386,16 +390,18 @@
         let span: BTreeSet<u32> =
             job.done.range(chunk * self.chunk..(chunk + 1) * self.chunk).copied().collect();
         let key = format!("done/{id}/{chunk}");
-        let stamp = job.chunks.get(&chunk).copied().unwrap_or(0);
-        let guards =
-            vec![Guard { key: format!("job/{id}"), stamp: job.stamp }, Guard { key: key.clone(), stamp }];
+        let mod_revision = job.chunks.get(&chunk).copied().unwrap_or(0);
+        let guards = vec![
+            Guard { key: format!("job/{id}"), mod_revision: job.mod_revision },
+            Guard { key: key.clone(), mod_revision },
+        ];
         let then = vec![Change::put(key, json!(ranges_text(&span)))];
         Some((Written::Done(id.clone(), chunk), guards, then))
     }
 
     fn compose_orphan(&self) -> Option<(Written, Vec<Guard>, Vec<Change>)> {
-        let (key, stamp) = self.orphans.first_key_value()?;
-        let guards = vec![Guard { key: key.clone(), stamp: *stamp }];
+        let (key, mod_revision) = self.orphans.first_key_value()?;
+        let guards = vec![Guard { key: key.clone(), mod_revision: *mod_revision }];
         Some((Written::Orphan(key.clone()), guards, vec![Change::drop(key.clone())]))
     }
 
@@ -404,11 +410,11 @@
         match self.writing.take() {
             Some(Written::Machines(number)) => {
                 let slot = &mut self.machines.slots[number];
-                (slot.stamp, slot.dirty) = (revision, false);
+                (slot.mod_revision, slot.dirty) = (revision, false);
             }
             Some(Written::Marks(number)) => {
                 let slot = &mut self.marks.slots[number];
-                (slot.stamp, slot.dirty) = (revision, false);
+                (slot.mod_revision, slot.dirty) = (revision, false);
             }
             Some(Written::Done(id, chunk)) => self.done_written(&id, chunk, revision),
             Some(Written::Final(id)) => self.job_over(&id),
--- a/tests/common/store.rs
+++ b/tests/common/store.rs
@@ -22,8 +22,12 @@
 impl Store {
     /// Executes a transaction: its revision, or the keys whose conditions failed.
     pub fn txn(&mut self, t: &Txn) -> Result<u64, Vec<String>> {
-        let failed: Vec<String> =
-            t.guards.iter().filter(|g| self.stamp(&g.key) != g.stamp).map(|g| g.key.clone()).collect();
+        let failed: Vec<String> = t
+            .guards
+            .iter()
+            .filter(|g| self.mod_revision(&g.key) != g.mod_revision)
+            .map(|g| g.key.clone())
+            .collect();
         if !failed.is_empty() {
             return Err(failed);
         }
@@ -45,13 +49,13 @@
     }
 
     /// A key's version; 0: it does not exist.
-    pub fn stamp(&self, key: &str) -> u64 {
+    pub fn mod_revision(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |k| k.1)
     }
 
     /// A key as a row.
     pub fn row(&self, key: &str) -> Option<Row> {
-        self.keys.get(key).map(|k| Row { key: key.into(), value: k.0.clone(), stamp: k.1 })
+        self.keys.get(key).map(|k| Row { key: key.into(), value: k.0.clone(), mod_revision: k.1 })
     }
 
     /// All keys with a prefix.
@@ -71,8 +75,8 @@
         let over = FinalRecord { stage: Stage::Cancelled, tasks: job.tasks };
         Some(Txn {
             guards: vec![
-                Guard { key: job_key(&job.id), stamp: row.stamp },
-                Guard { key: final_key(&job.id), stamp: 0 },
+                Guard { key: job_key(&job.id), mod_revision: row.mod_revision },
+                Guard { key: final_key(&job.id), mod_revision: 0 },
             ],
             then: vec![Change::drop(job_key(&job.id)), Change::put(final_key(&job.id), json!(over))],
         })
@@ -88,7 +92,7 @@
 /// What the submission of a job writes.
 pub fn submission(record: &JobRecord) -> Txn {
     let id = &record.spec.id;
-    let guards = [job_key(id), final_key(id)].map(|key| Guard { key, stamp: 0 }).to_vec();
+    let guards = [job_key(id), final_key(id)].map(|key| Guard { key, mod_revision: 0 }).to_vec();
     Txn { guards, then: vec![Change::put(job_key(id), json!(record))] }
 }
 
--- a/tests/common/worker.rs
+++ b/tests/common/worker.rs
@@ -41,11 +41,11 @@
     pub zone: &'static str,
     pub spot: bool,
     /// The number of its session, which ends with its lease.
-    pub session: u64,
+    pub agent_epoch: u64,
     /// The number of its last report.
     pub report_number: u64,
     /// The greatest token that it has seen.
-    pub token: u64,
+    pub fencing_token: u64,
     /// When the last report that was answered was sent: its lease counts from then.
     pub answered: Steady,
     pub tasks: BTreeMap<Attempt, Task>,
@@ -60,9 +60,9 @@
             ty: "small".into(),
             zone,
             spot: false,
-            session: 1,
+            agent_epoch: 1,
             report_number: 0,
-            token: 0,
+            fencing_token: 0,
             answered: now,
             tasks: BTreeMap::new(),
         }
@@ -77,31 +77,31 @@
             ty: self.ty.clone(),
             zone: self.zone.into(),
             spot: self.spot,
-            season: self.session,
-            tally: self.report_number,
-            token: self.token,
+            agent_epoch: self.agent_epoch,
+            sequence: self.report_number,
+            fencing_token: self.fencing_token,
             notice_s: None,
             tasks: self.tasks.iter().map(|(attempt, task)| task_report(attempt, task)).collect(),
         }
     }
 
     /// Takes the token of an answer to a report that was sent at a moment; false: it is too old.
-    pub fn accept_answer(&mut self, token: u64, sent: Steady) -> bool {
-        if token < self.token {
+    pub fn accept_answer(&mut self, fencing_token: u64, sent: Steady) -> bool {
+        if fencing_token < self.fencing_token {
             return false;
         }
-        self.token = token;
+        self.fencing_token = fencing_token;
         self.answered = self.answered.max(sent);
         true
     }
 
     /// Takes the token of a direct command, which renews no lease; false: it is too old, or for another
     /// session.
-    pub fn accept_command(&mut self, token: u64, session: u64) -> bool {
-        if token < self.token || session != self.session {
+    pub fn accept_command(&mut self, fencing_token: u64, agent_epoch: u64) -> bool {
+        if fencing_token < self.fencing_token || agent_epoch != self.agent_epoch {
             return false;
         }
-        self.token = token;
+        self.fencing_token = fencing_token;
         true
     }
 
@@ -111,7 +111,7 @@
             return false;
         }
         self.tasks.clear();
-        self.session += 1;
+        self.agent_epoch += 1;
         self.answered = now;
         true
     }
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -120,11 +120,11 @@
 
     fn report(
         &self,
-        tally: u64,
-        token: u64,
+        sequence: u64,
+        fencing_token: u64,
         tasks: &[(&str, u64, TaskStage, Option<ExitReason>)],
     ) -> HeartbeatReply {
-        let r = common::report("i-000001", tally, token, tasks);
+        let r = common::report("i-000001", sequence, fencing_token, tasks);
         let body = serde_json::to_vec(&r).expect("a report");
         let mut reply = None;
         until("a report is answered", || {
@@ -244,13 +244,13 @@
     }
     assert_eq!(s.get("/api/jobs/wk-000001").1["stage"], "queued");
 
-    let mut tally = 0;
-    let mut token = 0;
+    let mut sequence = 0;
+    let mut fencing_token = 0;
     let mut started = None;
     until("the task is started", || {
-        tally += 1;
-        let r = s.report(tally, token, &[]);
-        token = r.token;
+        sequence += 1;
+        let r = s.report(sequence, fencing_token, &[]);
+        fencing_token = r.fencing_token;
         started = r.orders.iter().find_map(|o| match o {
             Order::Start { task, attempt } => Some((task.clone(), *attempt)),
             _ => None,
@@ -258,7 +258,7 @@
         started.is_some()
     });
     let (task, attempt) = started.expect("a start");
-    s.report(tally + 1, token, &[(&task, attempt, TaskStage::Running, None)]);
+    s.report(sequence + 1, fencing_token, &[(&task, attempt, TaskStage::Running, None)]);
     let v = s.get("/api/jobs/wk-000001").1;
     assert_eq!((v["stage"].as_str(), v["running"].as_u64()), (Some("running"), Some(1)));
 
@@ -273,10 +273,10 @@
     assert_eq!(s.get("/api/jobs/wk-000001").0, 503);
     assert_eq!(s.submit(&json!(spec(2, 1, "batch"))).0, 503);
     // Workers are answered all the same.
-    s.report(tally + 2, token, &[(&task, attempt, TaskStage::Running, None)]);
+    s.report(sequence + 2, fencing_token, &[(&task, attempt, TaskStage::Running, None)]);
     s.out.store(false, Ordering::SeqCst);
 
-    s.report(tally + 3, token, &[(&task, attempt, TaskStage::Exited, Some(ExitReason::Done))]);
+    s.report(sequence + 3, fencing_token, &[(&task, attempt, TaskStage::Exited, Some(ExitReason::Done))]);
     until("the job is done", || s.get("/api/jobs/wk-000001").1["stage"] == "done");
     assert_eq!(s.call("POST", "/api/jobs/wk-000001/withdraw", Some(b"{}")).1["stage"], "done");
     assert_eq!(s.submit(&job).1["stage"], "done");
@@ -312,7 +312,7 @@
             until("the job is answered", || s.get(&format!("/api/jobs/{id}")).0 == 200);
         }
     }
-    assert_eq!(first.report(1, 0, &[]).token + 1, second.report(2, 0, &[]).token);
+    assert_eq!(first.report(1, 0, &[]).fencing_token + 1, second.report(2, 0, &[]).fencing_token);
     // The earlier one learns from a worker that has seen the later token, and gives up for good.
     let late = common::report("i-000001", 3, 2, &[]);
     let late = serde_json::to_vec(&late).expect("a report");
@@ -328,24 +328,24 @@
         p["settings"]["workers"]["lease_s"] = json!(2.0);
         p["settings"]["workers"]["cancel_s"] = json!(4.5);
     });
-    let status = |tally: u64| {
-        let r = common::report("i-000001", tally, 1, &[]);
+    let status = |sequence: u64| {
+        let r = common::report("i-000001", sequence, 1, &[]);
         s.call("POST", "/checkin", Some(&serde_json::to_vec(&r).expect("a report"))).0
     };
     s.report(1, 0, &[]);
     out.store(true, Ordering::SeqCst);
     let since = Instant::now();
-    let mut tally = 2;
+    let mut sequence = 2;
     until("the worker is no longer answered", || {
-        tally += 1;
-        status(tally) == 503
+        sequence += 1;
+        status(sequence) == 503
     });
     // Half a second without a view, and the lease of two: well before the 4.5 s are over.
     assert!(since.elapsed().as_secs_f64() + 2.0 < 4.5, "after {:?}", since.elapsed());
     out.store(false, Ordering::SeqCst);
     until("it is answered again", || {
-        tally += 1;
-        status(tally) == 200
+        sequence += 1;
+        status(sequence) == 200
     });
 }
 
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -240,10 +240,10 @@
     }
 
     /// A worker takes a direct command that raises its token; its report is what comes back.
-    fn command(&mut self, worker: &str, token: u64, session: u64) -> Heartbeat {
+    fn command(&mut self, worker: &str, fencing_token: u64, agent_epoch: u64) -> Heartbeat {
         let w = self.worker(worker);
-        let before = w.state.token;
-        w.changed |= w.state.accept_command(token, session) && token > before;
+        let before = w.state.fencing_token;
+        w.changed |= w.state.accept_command(fencing_token, agent_epoch) && fencing_token > before;
         w.state.report()
     }
 
@@ -252,14 +252,14 @@
             if !self.owners[i].alive {
                 continue;
             }
-            let token = self.owners[i].controller.fleet.token;
+            let fencing_token = self.owners[i].controller.fleet.fencing_token;
             for due in self.owners[i].controller.fleet.to_raise(at(self.seconds)) {
-                let (id, season) = (due.machine, due.session);
+                let (id, agent_epoch) = (due.machine, due.agent_epoch);
                 let Some(w) = self.workers.iter().find(|w| w.state.id == *id) else { continue };
                 if !matches!(w.link, Link::Up | Link::CommandsOnly) || !self.passes(w.state.zone, i) {
                     continue;
                 }
-                let r = self.command(&id, token, season);
+                let r = self.command(&id, fencing_token, agent_epoch);
                 if self.owners[i].controller.fleet.raised(&r, at(self.seconds)).is_some() {
                     self.end_owner(i);
                     break;
@@ -304,11 +304,11 @@
 
     fn execute_orders(&mut self, w: usize, reply: &HeartbeatReply) {
         let (s, worker) = (self.seconds, &mut self.workers[w]);
-        let before = worker.state.token;
-        if !worker.state.accept_answer(reply.token, at(s)) {
+        let before = worker.state.fencing_token;
+        if !worker.state.accept_answer(reply.fencing_token, at(s)) {
             return;
         }
-        worker.changed |= reply.token > before;
+        worker.changed |= reply.fencing_token > before;
         for o in &reply.orders {
             let worker = &mut self.workers[w];
             match o {
@@ -614,11 +614,11 @@
     let a = s.submit(spec(1, 1, "batch"), 60.0);
     s.run(4.0);
     let first = s.machines_of(&a).remove(0);
-    let session = s.worker(&first).state.report();
+    let agent_epoch = s.worker(&first).state.report();
     // Its lease runs out in a cut, and the task begins on the other machine.
     s.link(&[&first], Link::Down);
     s.run(30.0);
-    assert_eq!((s.started(&a), s.worker(&first).state.session), (2, 2));
+    assert_eq!((s.started(&a), s.worker(&first).state.agent_epoch), (2, 2));
     let second = s.machines_of(&a).remove(0);
     assert_ne!(first, second);
     s.link(&[&first], Link::Up);
@@ -634,7 +634,7 @@
     s.run(8.0);
     assert_eq!((s.started(&b), s.placed(&b)), (2, 1));
     let late = |s: &mut Scenario| {
-        for r in [&session, &attempt, &session] {
+        for r in [&agent_epoch, &attempt, &agent_epoch] {
             let (now, wall) = (at(s.seconds), wall(s.seconds));
             assert_eq!(s.fleet().check_in(r, now, wall), HeartbeatOutcome::Refuse);
         }
@@ -707,11 +707,11 @@
     let place = s.machines_of(&a).remove(0);
     s.link(&[&place], Link::Down);
     s.change_leader(1.0);
-    let token = s.fleet().token;
+    let fencing_token = s.fleet().fencing_token;
     s.run(15.0);
     assert_eq!((s.fleet().unheard(), s.started(&a)), (1, 1));
     // Executed now. What it returns is held up as well and overtaken by a report.
-    let back = s.command(&place, token, 1);
+    let back = s.command(&place, fencing_token, 1);
     s.link(&[&place], Link::Up);
     s.run(2.0);
     assert_eq!(s.fleet().unheard(), 0);
@@ -722,8 +722,8 @@
     // A command of an owner that has been replaced does nothing and tells it so.
     s.change_leader(1.0);
     s.run(4.0);
-    let stale = s.command(&place, token, 1);
-    let newer = s.fleet().token;
+    let stale = s.command(&place, fencing_token, 1);
+    let newer = s.fleet().fencing_token;
     assert_eq!(s.owners[1].controller.fleet.raised(&stale, at(s.seconds)), Some(newer));
     s.finish(60.0);
     assert_eq!(s.started(&a), 1);
@@ -737,7 +737,7 @@
     s.begin_with(&["north", "north"]);
     s.link(&["i-1"], Link::Down);
     s.change_leader(1.0);
-    let token = s.fleet().token;
+    let fencing_token = s.fleet().fencing_token;
     // The other machine is full, and cut off while its tasks end.
     let filler = s.submit(spec(2, 4, "batch"), 3.0);
     while s.placed(&filler) < 4 {
@@ -749,7 +749,7 @@
     s.run(4.0);
     assert_eq!((s.placed(&filler), s.started(&a)), (0, 0));
     // It is heard by its own report; then the task's mark is written.
-    let _ = s.command("i-1", token, 1);
+    let _ = s.command("i-1", fencing_token, 1);
     let hear = |s: &mut Scenario| {
         s.seconds += STEP;
         let (r, now, wall) = (s.worker("i-1").state.report(), at(s.seconds), wall(s.seconds));
@@ -763,7 +763,7 @@
     let reply = hear(&mut s);
     assert!(matches!(reply.orders[..], [Order::Start { .. }]), "{reply:?}");
     // The held copy of the command comes between the report and its answer.
-    let back = s.command("i-1", token, 1);
+    let back = s.command("i-1", fencing_token, 1);
     s.execute_orders(0, &reply);
     assert_eq!(s.placed(&a), 1);
     let now = at(s.seconds);
@@ -979,9 +979,9 @@
         // A late message of its submission, and the submission itself again.
         let late: JobRecord = serde_json::from_value(known.value.clone()).expect("a job's record");
         let now = at(s.seconds);
-        s.fleet().job_put(late, known.stamp, now);
+        s.fleet().job_put(late, known.mod_revision, now);
         assert_eq!(s.fleet().counts(&a), None, "{race:?}: a late message revived it");
-        let guards = [job_key(&a), final_key(&a)].map(|key| Guard { key, stamp: 0 }).to_vec();
+        let guards = [job_key(&a), final_key(&a)].map(|key| Guard { key, mod_revision: 0 }).to_vec();
         let again = Txn { guards, then: vec![Change::put(job_key(&a), known.value)] };
         assert!(s.store.txn(&again).is_err());
         s.run(10.0);
@@ -1094,10 +1094,10 @@
     s.run(10.0);
     assert_eq!(s.late_results.len(), 4);
     // Earlier lives learn from any worker that they are over.
-    let (token, now, t) = (s.fleet().token, at(s.seconds), wall(s.seconds));
+    let (fencing_token, now, t) = (s.fleet().fencing_token, at(s.seconds), wall(s.seconds));
     let newer = s.worker("i-1").state.report();
     for o in &mut s.owners[..4] {
-        assert_eq!(o.controller.fleet.check_in(&newer, now, t), HeartbeatOutcome::Superseded(token));
+        assert_eq!(o.controller.fleet.check_in(&newer, now, t), HeartbeatOutcome::Superseded(fencing_token));
     }
     for r in &s.late_results {
         assert!(
@@ -1291,7 +1291,7 @@
         held.push(s.worker(&format!("i-{n}")).state.report());
     }
     s.run(40.0);
-    assert!(s.workers.iter().all(|w| w.state.session == 2 && w.state.tasks.is_empty()));
+    assert!(s.workers.iter().all(|w| w.state.agent_epoch == 2 && w.state.tasks.is_empty()));
     s.take_over(None);
     s.run(6.0);
     assert_eq!((s.fleet().unheard(), s.placed(&gang), s.started(&gone)), (0, 3, 2));
--- a/tests/faulty_machines.rs
+++ b/tests/faulty_machines.rs
@@ -12,7 +12,7 @@
 
 /// The next report of a machine, on which tasks of one job, all or some, have ended so.
 fn ended(s: &mut Scenario, machine: &str, job: &str, count: usize, why: ExitReason) -> Heartbeat {
-    s.tally += 1;
+    s.sequence += 1;
     let mut left = count;
     let there = s.tasks(machine);
     let tasks: Vec<_> = there
@@ -26,7 +26,7 @@
             }
         })
         .collect();
-    report(machine, s.tally, 7, &tasks)
+    report(machine, s.sequence, 7, &tasks)
 }
 
 fn errors(s: &Scenario, job: &str) -> u32 {
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -44,7 +44,7 @@
     now: Steady,
     owner: Controller,
     workers: BTreeMap<String, Tasks>,
-    tally: u64,
+    sequence: u64,
     /// Tasks that were ever started; none may be twice.
     started: BTreeSet<String>,
 }
@@ -60,7 +60,7 @@
             now: START,
             owner,
             workers: BTreeMap::new(),
-            tally: 0,
+            sequence: 0,
             started: BTreeSet::new(),
         }
     }
@@ -114,14 +114,14 @@
     }
 
     fn report(&mut self, name: &str) {
-        self.tally += 1;
+        self.sequence += 1;
         let tasks = &self.workers[name];
         let why = |stage: &TaskStage| (*stage == TaskStage::Exited).then_some(ExitReason::Done);
         let listed: Vec<_> = tasks
             .iter()
             .map(|((task, attempt), stage)| (task.as_str(), *attempt, *stage, why(stage)))
             .collect();
-        let report = report(name, self.tally, self.owner.fleet.token, &listed);
+        let report = report(name, self.sequence, self.owner.fleet.fencing_token, &listed);
         let HeartbeatOutcome::Reply(reply) = self.owner.fleet.check_in(&report, self.now, wall_at(self.now))
         else {
             panic!("the report of {name} is refused");
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -71,14 +71,17 @@
 
 /// Lets a worker report until nothing more starts; the tasks that are on it.
 fn started(node: &Controller, clock: &AtomicI64) -> Vec<String> {
-    let (mut there, mut token) = (Vec::<(String, u64)>::new(), 0);
+    let (mut there, mut fencing_token) = (Vec::<(String, u64)>::new(), 0);
     for _ in 0..12 {
-        let tally = clock.load(Ordering::SeqCst) as u64;
+        let sequence = clock.load(Ordering::SeqCst) as u64;
         let tasks: Vec<_> = there.iter().map(|t| (t.0.as_str(), t.1, TaskStage::Running, None)).collect();
-        let report = milletlock::wire::Heartbeat { spot: false, ..report("i-000001", tally, token, &tasks) };
+        let report = milletlock::wire::Heartbeat {
+            spot: false,
+            ..report("i-000001", sequence, fencing_token, &tasks)
+        };
         let answer = post(node, "/checkin", serde_json::to_vec(&report).expect("a report"));
         let reply: HeartbeatReply = serde_json::from_slice(&answer.body).expect("an answer");
-        token = reply.token;
+        fencing_token = reply.fencing_token;
         there.extend(reply.orders.into_iter().filter_map(|order| match order {
             Order::Start { task, attempt } => Some((task, attempt)),
             _ => None,
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -67,8 +67,8 @@
                 .map(|t| (t.0.as_str(), t.1, TaskStage::Exited, Some(ExitReason::Done)))
                 .collect();
             for tasks in [done.as_slice(), &[]] {
-                s.tally += 1;
-                s.report(&common::report(&id, s.tally, 7, tasks));
+                s.sequence += 1;
+                s.report(&common::report(&id, s.sequence, 7, tasks));
             }
         }
     }
@@ -148,7 +148,7 @@
         changes.push(change.clone());
         assert!(changes.len() < 100, "it changes without end");
         let write = fleet.begin_guest_change(change);
-        match store.txn(&leadership::loan_txn(&write, store.stamp(SHARD_KEY))) {
+        match store.txn(&leadership::loan_txn(&write, store.mod_revision(SHARD_KEY))) {
             Ok(revision) => fleet.loan_written(&write, revision, now, Wall(now.0)),
             Err(keys) => {
                 assert!(keys.iter().any(|key| key.starts_with("job/")), "{keys:?}");
@@ -201,11 +201,11 @@
     let there = s.tasks(&machine);
     let stopped: Vec<_> =
         there.iter().map(|t| (t.0.as_str(), t.1, TaskStage::Exited, Some(ExitReason::Stopped))).collect();
-    s.tally += 1;
+    s.sequence += 1;
     // Nothing of the job is started again for now.
     s.fleet.jobs.get_mut("wk-000001").expect("the job").not_before = Steady(i64::MAX);
     let report =
-        milletlock::wire::Heartbeat { spot: false, ..common::report(&machine, s.tally, 7, &stopped) };
+        milletlock::wire::Heartbeat { spot: false, ..common::report(&machine, s.sequence, 7, &stopped) };
     s.fleet.check_in(&report, s.now, wall(&s));
     let numbers: TaskSet = there.iter().filter_map(|t| t.0.rsplit_once('/')?.1.parse().ok()).collect();
     let recall = request(vec![LoanItem { wish: Wish::Recall, ..offer(5, 1, "0-19") }]);
@@ -329,7 +329,7 @@
     let then = vec![put("job/wk-000001", json!(record(spec(1, 100, "batch"))))];
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then }).expect("written");
     let write = lend(&mut s, 60);
-    let txn = leadership::loan_txn(&write, store.stamp(SHARD_KEY));
+    let txn = leadership::loan_txn(&write, store.mod_revision(SHARD_KEY));
     let then = vec![put(SHARD_KEY, json!({ "label": "another" }))];
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then }).expect("taken over");
     assert_eq!(store.txn(&txn), Err(vec![SHARD_KEY.to_string()]));
@@ -363,7 +363,7 @@
     };
     let then = rows.iter().map(put).collect();
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then }).expect("written");
-    let mut owner = production::Owner::load(store.stamp(SHARD_KEY), 8, 4096, &store.rows(""));
+    let mut owner = production::Owner::load(store.mod_revision(SHARD_KEY), 8, 4096, &store.rows(""));
     for _ in 0..100 {
         let Some(txn) = owner.next_write() else { return store };
         match store.txn(&txn) {
--- a/tests/packed_records.rs
+++ b/tests/packed_records.rs
@@ -16,8 +16,8 @@
     let dirty: Vec<u32> = p.pending(true).collect();
     assert!(dirty.len() > 5, "one value would be too long");
     for &s in &dirty {
-        let (stamp, version, items) = p.slot(s).expect("a value");
-        assert_eq!(stamp, 0);
+        let (mod_revision, version, items) = p.slot(s).expect("a value");
+        assert_eq!(mod_revision, 0);
         assert!(serde_json::to_string(items).expect("a value").len() <= 512);
         // A change while the write is under way keeps the slot to be written.
         if s == 0 {
@@ -26,8 +26,8 @@
         p.written(s, version, 10);
     }
     assert_eq!(p.pending(true).collect::<Vec<_>>(), [0]);
-    let (stamp, version, items) = p.slot(0).expect("a value");
-    assert_eq!((stamp, items[&id(0)]), (10, 7));
+    let (mod_revision, version, items) = p.slot(0).expect("a value");
+    assert_eq!((mod_revision, items[&id(0)]), (10, 7));
     p.written(0, version, 11);
     assert_eq!(p.pending(true).count(), 0);
     // What goes is written when there is time, and its place is used again.
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -59,15 +59,15 @@
     #[prost(string, tag = "1")]
     leader: String,
     #[prost(uint64, tag = "2")]
-    token: u64,
+    fencing_token: u64,
     #[prost(string, tag = "900")]
     reason: String,
     #[prost(message, repeated, tag = "901")]
     nested: Vec<OtherSummary>,
 }
 
-fn other_summary(token: u64) -> OtherSummary {
-    OtherSummary { leader: "c-1".into(), token, reason: "a reason".into(), nested: vec![] }
+fn other_summary(fencing_token: u64) -> OtherSummary {
+    OtherSummary { leader: "c-1".into(), fencing_token, reason: "a reason".into(), nested: vec![] }
 }
 
 /// Guards against a message refused for what the other version adds or leaves out.
@@ -101,9 +101,9 @@
     (listener, addr)
 }
 
-fn answer_announcement(inbound: Inbound, token: u64) {
+fn answer_announcement(inbound: Inbound, fencing_token: u64) {
     assert!(matches!(&inbound.message, Message::Announce(s) if s.token == 41), "{:?}", inbound.message);
-    inbound.answer(Outcome::Ack(Ack { token, version: String::new() }));
+    inbound.answer(Outcome::Ack(Ack { token: fencing_token, version: String::new() }));
 }
 
 /// Guards against a method of another version that ends the service or passes for one that is known.
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -18,7 +18,7 @@
 /// An owner that has taken over two small machines, one of them full of a job's tasks.
 fn taken_over() -> Fleet {
     let machine = |id: &str| json!({ id: {"p": 0, "n": 6, "a": "127.0.0.1:9", "t": "small", "z": "north", "s": false} });
-    let row = |key: &str, stamp, value| Row { key: key.into(), value, stamp };
+    let row = |key: &str, mod_revision, value| Row { key: key.into(), value, mod_revision };
     let rows = vec![
         row("job/wk-000001", 1, json!(record(spec(1, 4, "batch")))),
         row("machines/0", 2, machine("i-1")),
@@ -31,9 +31,9 @@
     fleet
 }
 
-fn check_in(fleet: &mut Fleet, machine: &str, tally: u64, tasks: &[&str], now: Steady) -> Vec<Order> {
+fn check_in(fleet: &mut Fleet, machine: &str, sequence: u64, tasks: &[&str], now: Steady) -> Vec<Order> {
     let running: Vec<_> = tasks.iter().map(|task| (*task, 5, TaskStage::Running, None)).collect();
-    let report = milletlock::wire::Heartbeat { spot: false, ..report(machine, tally, 7, &running) };
+    let report = milletlock::wire::Heartbeat { spot: false, ..report(machine, sequence, 7, &running) };
     match fleet.check_in(&report, now, wall(now)) {
         HeartbeatOutcome::Reply(reply) => reply.orders,
         other => panic!("{other:?}"),
@@ -56,10 +56,10 @@
     let mut now = TAKEN_OVER + Micros::from_millis(200);
     check_in(&mut fleet, "i-1", 1, &RUNNING, now);
     fleet.job_put(milletlock::records::JobRecord { submitted_us: now.0, ..record(urgent()) }, 10, now);
-    for tally in 2..=4 {
+    for sequence in 2..=4 {
         now = now + Micros::from_millis(700);
         fleet.tick(now, wall(now));
-        let orders = check_in(&mut fleet, "i-1", tally, &RUNNING, now);
+        let orders = check_in(&mut fleet, "i-1", sequence, &RUNNING, now);
         assert!(!orders.iter().any(|o| matches!(o, Order::Halt { .. })), "{orders:?}");
         assert!(fleet.to_halt(now).is_empty());
     }
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -173,8 +173,8 @@
         s.submit(spec(1, 4, "batch"));
         (0..22).for_each(|_| s.step(&[]));
         s.fleet.job_over("wk-000001", 1000);
-        s.tally += 1;
-        let empty = report("i-000", s.tally, 7, &[]);
+        s.sequence += 1;
+        let empty = report("i-000", s.sequence, 7, &[]);
         s.report(&empty);
         // One a second, usually: none for as long as a machine boots is the end of them.
         for n in 2..22 {
--- a/tests/replies.rs
+++ b/tests/replies.rs
@@ -21,7 +21,7 @@
         node: "a".into(),
         view: Some(json!({ "token": 7 })),
         versions: None,
-        parts: Some(vec![ShardStatus { owner: "a".into(), part: 0, token: 7 }]),
+        parts: Some(vec![ShardStatus { leader: "a".into(), shard: 0, fencing_token: 7 }]),
         view_age_s: Some(0.5),
         cells: None,
     };
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -12,8 +12,8 @@
 use milletlock::time::Micros;
 use milletlock::wire::{ExitReason, JobSpec, ListedMachine, Order, TaskStage};
 
-fn fleet(token: u64) -> Fleet {
-    Fleet::new(config(), types(), token, START)
+fn fleet(fencing_token: u64) -> Fleet {
+    Fleet::new(config(), types(), fencing_token, START)
 }
 
 fn started(spec: JobSpec, high: u32) -> JobRecord {
@@ -23,7 +23,7 @@
 fn machine(ty: &str) -> MachineRecord {
     MachineRecord {
         part: 0,
-        token: 1,
+        fencing_token: 1,
         addr: "127.0.0.1:9".into(),
         ty: ty.into(),
         zone: "north".into(),
@@ -83,15 +83,15 @@
 /// In each of these seconds the owner is confirmed, time passes, and the machine `i-2`, which has room, is
 /// given nothing. Returns the number of its next report.
 fn starts_nothing_on_the_second(f: &mut Fleet, seconds: std::ops::Range<i32>) -> u64 {
-    let mut tally = 2;
+    let mut sequence = 2;
     for s in seconds {
         let s = f64::from(s);
         f.confirm(at(s));
         f.tick(at(s), wall(s));
-        assert!(starts(&orders(f, s, &report("i-2", tally, 9, &[]))).is_empty(), "after {s} s");
-        tally += 1;
+        assert!(starts(&orders(f, s, &report("i-2", sequence, 9, &[]))).is_empty(), "after {s} s");
+        sequence += 1;
     }
-    tally
+    sequence
 }
 
 #[test]
@@ -308,8 +308,8 @@
     orders(&mut f, 0.5, &south);
     write_all(&mut f, 0.5);
     assert_eq!(starts(&orders(&mut f, 1.0, &report("i-1", 2, 7, &[]))).len(), 4);
-    south.tally = 2;
-    south.token = 7;
+    south.sequence = 2;
+    south.fencing_token = 7;
     write_all(&mut f, 1.1);
     assert!(starts(&orders(&mut f, 1.2, &south)).is_empty(), "a second zone beside starts on their way");
 
@@ -326,8 +326,8 @@
     r.spot = true;
     orders(&mut f, 0.0, &r);
     write_all(&mut f, 0.0);
-    r.tally = 2;
-    r.token = 7;
+    r.sequence = 2;
+    r.fencing_token = 7;
     assert!(starts(&orders(&mut f, 1.0, &r)).is_empty());
 }
 
@@ -433,16 +433,16 @@
 #[test]
 fn a_failing_job_is_backed_off_and_a_failing_machine_returned() {
     let mut f = ready(spec(1, 1, "batch"));
-    let mut tally = 2;
+    let mut sequence = 2;
     let mut tries = 0;
     for t in 1..60 {
-        let s = starts(&orders(&mut f, t as f64, &report("i-1", tally, 7, &[])));
-        tally += 1;
+        let s = starts(&orders(&mut f, t as f64, &report("i-1", sequence, 7, &[])));
+        sequence += 1;
         if let Some((task, attempt)) = s.first() {
             tries += 1;
             let ended = [(task.as_str(), *attempt, TaskStage::Exited, Some(ExitReason::Error))];
-            orders(&mut f, t as f64 + 0.5, &report("i-1", tally, 7, &ended));
-            tally += 1;
+            orders(&mut f, t as f64 + 0.5, &report("i-1", sequence, 7, &ended));
+            sequence += 1;
         }
     }
     assert!((3..=6).contains(&tries), "{tries} tries within a minute");
@@ -450,9 +450,9 @@
     f.job_put(record(spec(2, 1, "batch")), 50, at(60.0));
     f.tick(at(61.0), wall(61.0));
     write_all(&mut f, 61.0);
-    let s = starts(&orders(&mut f, 62.0, &report("i-1", tally, 7, &[])));
+    let s = starts(&orders(&mut f, 62.0, &report("i-1", sequence, 7, &[])));
     let ended = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Error))];
-    orders(&mut f, 63.0, &report("i-1", tally + 1, 7, &ended));
+    orders(&mut f, 63.0, &report("i-1", sequence + 1, 7, &ended));
     assert_eq!(f.leaving(), ["i-1"]);
 }
 
@@ -536,7 +536,7 @@
     assert!(f.jobs["wk-000001"].waiting.contains(0), "a late report brought back what has ended");
     // The machine itself is back in its next session.
     let mut back = report("i-1", 1, 7, &[]);
-    back.season = 2;
+    back.agent_epoch = 2;
     assert!(matches!(f.check_in(&back, at(30.0), wall(30.0)), HeartbeatOutcome::Reply(_)));
     // From before this owner came, of a machine that has no record any more.
     let mut g = fleet(9);
@@ -551,13 +551,13 @@
 #[test]
 fn a_machine_that_answers_do_not_reach_gets_nothing_more_and_goes_back() {
     let mut f = ready(spec(1, 400, "batch"));
-    let (mut tally, mut offered, mut t) = (2, Vec::new(), 1.0);
+    let (mut sequence, mut offered, mut t) = (2, Vec::new(), 1.0);
     while f.leaving().is_empty() && t < 120.0 {
         // What it was told to start never shows in what it reports.
-        offered.push(starts(&orders(&mut f, t, &report("i-1", tally, 7, &[]))).len());
+        offered.push(starts(&orders(&mut f, t, &report("i-1", sequence, 7, &[]))).len());
         write_all(&mut f, t + 0.1);
         f.tick(at(t + 0.2), wall(t + 0.2));
-        (tally, t) = (tally + 1, t + 3.0);
+        (sequence, t) = (sequence + 1, t + 3.0);
     }
     assert_eq!(f.leaving(), ["i-1"]);
     assert!(t < 90.0, "returned after {t} s only");
@@ -571,11 +571,11 @@
 #[test]
 fn a_machine_whose_lease_ends_although_it_is_answered_is_deaf_too() {
     let mut f = ready(spec(1, 1, "batch"));
-    for season in 1..=3u64 {
+    for agent_epoch in 1..=3u64 {
         for k in 0..8u64 {
-            let t = season as f64 * 24.0 + k as f64 * 3.0;
+            let t = agent_epoch as f64 * 24.0 + k as f64 * 3.0;
             let mut r = report("i-1", 10 + k, 7, &[]);
-            r.season = season;
+            r.agent_epoch = agent_epoch;
             f.check_in(&r, at(t), wall(t));
         }
     }
@@ -612,10 +612,10 @@
     // The first 3,000 tasks run, two on a machine; of each job ten more may have been started.
     let task = |k: u32| format!("wk-{:06}/{}", k % 100 + 1, k / 100);
     let runs = |m: u32| [task(2 * m), task(2 * m + 1)];
-    let report_of = |m: u32, tally: u64| {
+    let report_of = |m: u32, sequence: u64| {
         let [a, b] = runs(m);
         let there = [(&*a, 5, TaskStage::Running, None), (&*b, 6, TaskStage::Running, None)];
-        report(&id(m), tally, 9, &there)
+        report(&id(m), sequence, 9, &there)
     };
     let mut given: Vec<String> = Vec::new();
     for round in 0..4u64 {
@@ -641,12 +641,16 @@
     let mut f = fleet(7);
     f.job_put(record(spec(1, 100, "batch")), 1, START);
     let id = |m: u32| format!("i-{m:06}");
-    for tally in 1..=3 {
+    for sequence in 1..=3 {
         for m in 0..MACHINES {
-            let token = if tally > 1 { 7 } else { 0 };
-            f.check_in(&report(&id(m), tally, token, &[]), at(tally as f64), wall(tally as f64));
+            let fencing_token = if sequence > 1 { 7 } else { 0 };
+            f.check_in(
+                &report(&id(m), sequence, fencing_token, &[]),
+                at(sequence as f64),
+                wall(sequence as f64),
+            );
         }
-        write_all(&mut f, tally as f64);
+        write_all(&mut f, sequence as f64);
     }
     // Half of them go.
     let gone: Vec<String> = (0..MACHINES / 2).map(id).collect();
@@ -655,8 +659,8 @@
     let stale = [("wk-000001/3", 99, TaskStage::Running, None)];
     for late in [5.0, 12.0, 23.0, 60.0, 300.0] {
         for m in 0..MACHINES {
-            for (tally, tasks) in [(1, &stale[..]), (3, &[][..])] {
-                let r = report(&id(m), tally, if tally > 1 { 7 } else { 0 }, tasks);
+            for (sequence, tasks) in [(1, &stale[..]), (3, &[][..])] {
+                let r = report(&id(m), sequence, if sequence > 1 { 7 } else { 0 }, tasks);
                 assert_eq!(f.check_in(&r, at(late), wall(late)), HeartbeatOutcome::Refuse);
             }
         }
@@ -703,10 +707,10 @@
     assert_eq!(f.unheard(), 0);
     orders(&mut f, 3.0, &report("i-2", 1, 0, &[]));
     write_all(&mut f, 3.0);
-    let tally = starts_nothing_on_the_second(&mut f, 4..27);
+    let sequence = starts_nothing_on_the_second(&mut f, 4..27);
     f.confirm(at(27.5));
     f.tick(at(27.5), wall(27.5));
-    assert_eq!(starts(&orders(&mut f, 27.5, &report("i-2", tally, 9, &[]))).len(), 1);
+    assert_eq!(starts(&orders(&mut f, 27.5, &report("i-2", sequence, 9, &[]))).len(), 1);
 }
 
 /// With the cloud out nothing is returned, and a machine that answers nobody would hold up work for as
@@ -718,13 +722,13 @@
     f.job_put(started(spec(1, 1, "batch"), 1), 1, START);
     orders(&mut f, 0.0, &report("i-2", 1, 0, &[]));
     write_all(&mut f, 0.0);
-    let tally = starts_nothing_on_the_second(&mut f, 1..46);
+    let sequence = starts_nothing_on_the_second(&mut f, 1..46);
     // Asked to be returned, but the cloud has not answered.
     assert_eq!((f.unheard(), f.leaving().len()), (1, 1));
     f.confirm(at(47.0));
     f.tick(at(47.0), wall(47.0));
     assert_eq!(f.unheard(), 0);
-    assert_eq!(starts(&orders(&mut f, 47.0, &report("i-2", tally, 9, &[]))).len(), 1);
+    assert_eq!(starts(&orders(&mut f, 47.0, &report("i-2", sequence, 9, &[]))).len(), 1);
 }
 
 /// Found by a random simulation: an owner answered a report of a machine that had not seen its token, and the
@@ -740,10 +744,10 @@
     orders(&mut f, 1.0, &report("i-2", 1, 0, &[]));
     write_all(&mut f, 1.0);
     assert_eq!(f.raised(&report("i-1", 30, 9, &running), at(20.0)), None);
-    let tally = starts_nothing_on_the_second(&mut f, 20..44);
+    let sequence = starts_nothing_on_the_second(&mut f, 20..44);
     f.confirm(at(44.0));
     f.tick(at(44.0), wall(44.0));
-    assert_eq!(starts(&orders(&mut f, 44.0, &report("i-2", tally, 9, &[]))).len(), 1);
+    assert_eq!(starts(&orders(&mut f, 44.0, &report("i-2", sequence, 9, &[]))).len(), 1);
 }
 
 /// Halts go by direct command to machines whose report is overdue, and to no others; nothing else is
@@ -755,7 +759,7 @@
     assert!(f.to_halt(at(3.0)).is_empty(), "the answer to its next report will tell it");
     let due = f.to_halt(at(7.0));
     assert_eq!(due.len(), 1);
-    assert_eq!((&*due[0].machine, due[0].session), ("i-1", 1));
+    assert_eq!((&*due[0].machine, due[0].agent_epoch), ("i-1", 1));
     assert_eq!(due[0].orders, [Order::Halt { task: task.0.clone(), attempt: task.1, grace_s: 0.0 }]);
     assert!(f.to_halt(at(8.0)).is_empty(), "said a moment ago");
     assert_eq!(f.to_halt(at(12.0)).len(), 1);
@@ -779,11 +783,11 @@
     f.tick(at(90.0), wall(90.0));
     assert!(f.leaving().is_empty(), "it reports, and only was not answered");
     let mut later = report("i-1", 1, 7, &[]);
-    later.season = 2;
+    later.agent_epoch = 2;
     orders(&mut f, 90.5, &later);
     f.tick(at(90.6), wall(90.6));
     assert_eq!(f.machines["i-1"].undelivered, 0);
-    later.tally = 2;
+    later.sequence = 2;
     assert_eq!(starts(&orders(&mut f, 91.0, &later)).len(), 1, "and has work again");
 }
 
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -54,9 +54,9 @@
 #[derive(Debug)]
 struct Worker {
     zone: &'static str,
-    session: u64,
+    agent_epoch: u64,
     report: u64,
-    token: u64,
+    fencing_token: u64,
     answered: Steady,
     next_report: Steady,
     /// Cut off from the owner until then.
@@ -119,9 +119,9 @@
     fn add_machine(&mut self, machine: &str, zone: &'static str) {
         let worker = Worker {
             zone,
-            session: 1,
+            agent_epoch: 1,
             report: 0,
-            token: 0,
+            fencing_token: 0,
             answered: self.now,
             next_report: self.now,
             silent_until: T0,
@@ -178,7 +178,7 @@
         for worker in self.workers.values_mut() {
             if self.now - worker.answered > LEASE {
                 worker.tasks.clear();
-                worker.session += 1;
+                worker.agent_epoch += 1;
                 worker.report = 0;
                 worker.answered = self.now;
             }
@@ -244,14 +244,14 @@
             .iter()
             .map(|((name, attempt), task)| (name.as_str(), *attempt, stage(task.ended), task.ended))
             .collect();
-        let mut message = report(machine, worker.report, worker.token, &tasks);
-        message.season = worker.session;
+        let mut message = report(machine, worker.report, worker.fencing_token, &tasks);
+        message.agent_epoch = worker.agent_epoch;
         message.zone = worker.zone.into();
         message.notice_s = worker.taken_at.map(|at| (at - now).secs());
         match self.fleet.check_in(&message, now, Wall(now.0)) {
             HeartbeatOutcome::Reply(reply) => Some(reply.orders),
             HeartbeatOutcome::Refuse => None,
-            HeartbeatOutcome::Superseded(token) => panic!("replaced by {token}"),
+            HeartbeatOutcome::Superseded(fencing_token) => panic!("replaced by {fencing_token}"),
         }
     }
 
@@ -260,7 +260,7 @@
         let Some(orders) = self.answer(machine) else { return Vec::new() };
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(machine) {
-            worker.token = TOKEN;
+            worker.fencing_token = TOKEN;
             worker.answered = now;
         }
         self.apply(machine, &orders);
@@ -785,15 +785,19 @@
 #[test]
 fn after_a_takeover_started_replicas_wait_for_the_machines_that_may_hold_them() {
     let mut fleet = Fleet::new(config(), types(), TOKEN, T0);
-    let machine =
-        MachineRecord { token: 1, ty: "small".into(), zone: "north".into(), ..MachineRecord::default() };
+    let machine = MachineRecord {
+        fencing_token: 1,
+        ty: "small".into(),
+        zone: "north".into(),
+        ..MachineRecord::default()
+    };
     fleet.inherit_machine("a", &machine, 0, T0);
     fleet.inherit_machine("b", &machine, 0, T0);
     fleet.job_put(JobRecord { high: 2, ..record(service(1, 2)) }, 1, T0);
-    let mut orders_to_b = |tally: u64, after: Micros| {
+    let mut orders_to_b = |sequence: u64, after: Micros| {
         let now = T0 + after;
         fleet.tick(now, Wall(now.0));
-        match fleet.check_in(&report("b", tally, TOKEN, &[]), now, Wall(now.0)) {
+        match fleet.check_in(&report("b", sequence, TOKEN, &[]), now, Wall(now.0)) {
             HeartbeatOutcome::Reply(reply) => reply.orders,
             other => panic!("not answered: {other:?}"),
         }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -148,8 +148,8 @@
 struct Command {
     at: Steady,
     machine: String,
-    token: u64,
-    session: u64,
+    fencing_token: u64,
+    agent_epoch: u64,
 }
 
 struct Owner {
@@ -519,14 +519,14 @@
             if self.now < self.workers[w].hung_until || self.now < self.workers[w].cut_until {
                 continue;
             }
-            if let Some((at, sent, session, reply)) = self.workers[w].answer.take() {
+            if let Some((at, sent, agent_epoch, reply)) = self.workers[w].answer.take() {
                 if self.now < at {
-                    self.workers[w].answer = Some((at, sent, session, reply));
+                    self.workers[w].answer = Some((at, sent, agent_epoch, reply));
                     continue;
                 }
                 // Answers to an earlier session are dropped, and those that took too long.
                 let deaf = self.now < self.workers[w].deaf_until;
-                if session == self.workers[w].state.session && self.now - sent <= PATIENCE && !deaf {
+                if agent_epoch == self.workers[w].state.agent_epoch && self.now - sent <= PATIENCE && !deaf {
                     self.execute_orders(w, &reply, sent);
                 }
             }
@@ -544,7 +544,7 @@
                 continue;
             }
             if self.chance(self.faults.held) {
-                let newest = self.owners.last().map_or(0, |o| o.controller.fleet.token);
+                let newest = self.owners.last().map_or(0, |o| o.controller.fleet.fencing_token);
                 self.held_reports.push((newest, r));
                 continue;
             }
@@ -565,8 +565,8 @@
             }
             if self.chance(self.faults.slow_answers) {
                 let at = self.soon(0.5, 4.5);
-                let session = self.workers[w].state.session;
-                self.workers[w].answer = Some((at, self.now, session, reply));
+                let agent_epoch = self.workers[w].state.agent_epoch;
+                self.workers[w].answer = Some((at, self.now, agent_epoch, reply));
                 continue;
             }
             let now = self.now;
@@ -574,7 +574,7 @@
         }
         let now = self.now;
         let ready = take_due(&mut self.late_reports, now);
-        let newest = self.owners.last().map(|o| (o.controller.fleet.token, o.fresh));
+        let newest = self.owners.last().map(|o| (o.controller.fleet.fencing_token, o.fresh));
         let (free, held): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held_reports)
             .into_iter()
             .partition(|h| newest.is_some_and(|n| n.0 > h.0) && self.rng.random_bool(0.05));
@@ -598,7 +598,7 @@
     /// may be executed late, and answered late or never.
     fn raise_tokens(&mut self) {
         if let Some(o) = self.owners.last() {
-            let token = o.controller.fleet.token;
+            let fencing_token = o.controller.fleet.fencing_token;
             let unheard: Vec<(String, u64)> = o
                 .controller
                 .fleet
@@ -607,7 +607,7 @@
                 .filter(|m| !m.heard)
                 .map(|m| (m.id.to_string(), m.seen.0.max(1)))
                 .collect();
-            for (machine, session) in unheard {
+            for (machine, agent_epoch) in unheard {
                 let away = self.partition.is_some()
                     && self.workers.iter().any(|w| w.state.id == machine && w.state.zone == "south");
                 if away || !self.rng.random_bool(self.faults.raise) {
@@ -615,7 +615,7 @@
                 }
                 let slow = self.chance(self.faults.slow_commands);
                 let at = if slow { self.soon(0.5, 15.0) } else { self.now };
-                self.commands.push(Command { at, machine, token, session });
+                self.commands.push(Command { at, machine, fencing_token, agent_epoch });
             }
         }
         for c in std::mem::take(&mut self.commands) {
@@ -629,7 +629,7 @@
             if self.now < worker.deaf_until {
                 continue;
             }
-            worker.state.accept_command(c.token, c.session);
+            worker.state.accept_command(c.fencing_token, c.agent_epoch);
             let r = worker.state.report();
             self.occurred += u32::from(c.at < self.now);
             if self.chance(0.2) {
@@ -637,11 +637,12 @@
             }
             let slow = self.chance(self.faults.slow_commands);
             let at = if slow { self.soon(0.5, 10.0) } else { self.now };
-            self.raises.push((at, (c.token, r)));
+            self.raises.push((at, (c.fencing_token, r)));
         }
         let now = self.now;
-        for (token, r) in take_due(&mut self.raises, now) {
-            let Some(i) = self.owners.iter().position(|o| o.controller.fleet.token == token) else {
+        for (fencing_token, r) in take_due(&mut self.raises, now) {
+            let Some(i) = self.owners.iter().position(|o| o.controller.fleet.fencing_token == fencing_token)
+            else {
                 continue;
             };
             if self.owners[i].controller.fleet.raised(&r, now).is_some() {
@@ -654,7 +655,7 @@
     fn execute_orders(&mut self, w: usize, reply: &HeartbeatReply, sent: Steady) {
         let now = self.now;
         let worker = &mut self.workers[w].state;
-        if !worker.accept_answer(reply.token, sent) {
+        if !worker.accept_answer(reply.fencing_token, sent) {
             return;
         }
         for o in &reply.orders {
@@ -826,7 +827,8 @@
         }
         self.looked = self.store.log.len();
         for id in self.specs.keys() {
-            let (live, over) = (self.store.stamp(&job_key(id)), self.store.stamp(&final_key(id)));
+            let (live, over) =
+                (self.store.mod_revision(&job_key(id)), self.store.mod_revision(&final_key(id)));
             assert!(live > 0 || over > 0, "forgotten: {id}");
             assert!(live == 0 || over == 0, "went_back: {id} is over and open");
             let told = self.cancelled.contains_key(id);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -26,8 +26,8 @@
 const SMALL_VALUE: usize = 1024;
 const SMALL_TXN: usize = 4;
 
-fn row(key: &str, stamp: u64, value: Value) -> Row {
-    Row { key: key.into(), value, stamp }
+fn row(key: &str, mod_revision: u64, value: Value) -> Row {
+    Row { key: key.into(), value, mod_revision }
 }
 
 fn falling() -> std::sync::Arc<milletlock::config::Config> {
@@ -85,26 +85,26 @@
 /// An owner of this version that has taken over what is in these rows.
 fn taken_over(rows: Vec<Row>) -> Fleet {
     let mut fleet = Fleet::new(falling(), types(), 42, NOW);
-    let read_to = rows.iter().map(|r| r.stamp).max().unwrap_or(0);
+    let read_to = rows.iter().map(|r| r.mod_revision).max().unwrap_or(0);
     leadership::load(&mut fleet, rows, NOW, WALL);
     fleet.has_read_to(read_to);
     fleet
 }
 
 /// What an owner would write now, in its transactions.
-fn waiting(fleet: &mut Fleet, part: u64, now: Steady) -> Vec<leadership::Batch> {
+fn waiting(fleet: &mut Fleet, shard_revision: u64, now: Steady) -> Vec<leadership::Batch> {
     let pending = fleet.pending(now, Micros::ZERO, chunk_tasks(fleet.value_bytes()));
     let ops = fleet.txn_ops();
-    leadership::batches(fleet, part, pending, ops, now, WALL)
+    leadership::batches(fleet, shard_revision, pending, ops, now, WALL)
 }
 
 /// Everything an owner writes until nothing waits, each transaction applied and acknowledged. The store
-/// has `part/0` already.
+/// has `shard_revision/0` already.
 fn write_all(fleet: &mut Fleet, store: &mut Store) -> Vec<Txn> {
     let mut all = Vec::new();
     for round in 0..2000_i64 {
         let now = LATER + Micros(round * 20_000_000);
-        let batches = waiting(fleet, store.stamp(SHARD_KEY), now);
+        let batches = waiting(fleet, store.mod_revision(SHARD_KEY), now);
         if batches.is_empty() {
             return all;
         }
@@ -122,8 +122,8 @@
 }
 
 fn store_of(rows: Vec<Row>) -> Store {
-    let revision = rows.iter().map(|r| r.stamp).max().unwrap_or(0);
-    let keys = rows.into_iter().map(|r| (r.key, (r.value, r.stamp))).collect();
+    let revision = rows.iter().map(|r| r.mod_revision).max().unwrap_or(0);
+    let keys = rows.into_iter().map(|r| (r.key, (r.value, r.mod_revision))).collect();
     Store { keys, revision, log: Vec::new() }
 }
 
@@ -144,7 +144,7 @@
 fn every_record_of_production_is_taken_over() {
     let mut fleet = taken_over(production_rows());
     let job = &fleet.jobs["wk-000001"];
-    assert_eq!((job.spec.tasks, job.stamp, job.submitted), (2500, 11, Wall(1_789_999_990_000_000)));
+    assert_eq!((job.spec.tasks, job.mod_revision, job.submitted), (2500, 11, Wall(1_789_999_990_000_000)));
     assert_eq!((job.high, job.inherited, fleet.jobs["wk-000002"].high), (2100, 2100, 4));
     assert_eq!(job.done.text(), "0-9,20,1016-1019,2031");
     assert_eq!(job.done_written, job.done);
@@ -169,7 +169,10 @@
     // The others are read by themselves.
     let of = |key: &str| production_rows().into_iter().find(|r| r.key == key).expect("a row").value;
     let owner: LeaderRecord = serde_json::from_value(of("leader")).expect("an owner");
-    assert_eq!((owner.label.as_str(), owner.incarnation, owner.token, owner.lease), ("c-1", 5, 41, 900));
+    assert_eq!(
+        (owner.label.as_str(), owner.incarnation, owner.fencing_token, owner.lease),
+        ("c-1", 5, 41, 900)
+    );
     let over: FinalRecord = serde_json::from_value(of("final/wk-000000")).expect("an end");
     assert_eq!(over, FinalRecord { stage: Stage::Done, tasks: 3 });
 }
@@ -189,8 +192,8 @@
     let old = ["done/wk-000001/0", "done/wk-000001/1"];
     assert!(puts(&written).any(|(key, _)| key.starts_with("done/")));
     assert!(puts(&written).all(|(key, _)| !old.contains(&key)));
-    for (key, text, stamp) in [(old[0], "0-9,20", 15), (old[1], "1016-1019,2031", 16)] {
-        assert_eq!(store.keys[key], (json!(text), stamp));
+    for (key, text, mod_revision) in [(old[0], "0-9,20", 15), (old[1], "1016-1019,2031", 16)] {
+        assert_eq!(store.keys[key], (json!(text), mod_revision));
     }
     let job = &fleet.jobs["wk-000001"];
     let there = production::done_in(&store, "wk-000001");
@@ -267,7 +270,7 @@
             job.done.insert(task);
         });
         // Jobs that are not written here are guarded by their version: they have to be there.
-        store.keys.insert(format!("job/{id}"), (json!({}), job.stamp));
+        store.keys.insert(format!("job/{id}"), (json!({}), job.mod_revision));
     }
     for n in 0..200 {
         fleet.history.add(
@@ -330,7 +333,7 @@
     };
     finish(&mut fleet, 30..40);
     enrol(&mut fleet, "i-3", NOW);
-    let late = waiting(&mut fleet, store.stamp(SHARD_KEY), LATER);
+    let late = waiting(&mut fleet, store.mod_revision(SHARD_KEY), LATER);
     let written = |prefix: &str| {
         late.iter().flat_map(|b| puts(std::slice::from_ref(&b.txn))).any(|(k, _)| k.starts_with(prefix))
     };
--- a/tests/upgrade_takeovers.rs
+++ b/tests/upgrade_takeovers.rs
@@ -127,8 +127,8 @@
     /// The limit that this version's owners were told of, within which all their values must be.
     announced: ServiceLimits,
     owner: Owner,
-    part: u64,
-    token: u64,
+    shard_revision: u64,
+    fencing_token: u64,
     now: Steady,
     model: Model,
     /// Transactions of owners that ended, and of this one, that are still on their way.
@@ -178,8 +178,8 @@
             cfg,
             announced,
             owner: Owner::Production(Box::new(production::Owner::load(0, 0, LARGE.value_bytes, &[]))),
-            part: 0,
-            token: 0,
+            shard_revision: 0,
+            fencing_token: 0,
             now: Steady(1_000_000_000),
             model: Model::default(),
             late: Vec::new(),
@@ -230,9 +230,10 @@
 
     /// The owner ends at once and another takes over.
     fn take_over(&mut self, version: Version) {
-        self.token += 1;
+        self.fencing_token += 1;
         self.news.clear();
-        self.part = self.must_apply(vec![], vec![Change::put(SHARD_KEY, json!({ "token": self.token }))]);
+        self.shard_revision =
+            self.must_apply(vec![], vec![Change::put(SHARD_KEY, json!({ "token": self.fencing_token }))]);
         let rows: Vec<_> = ["recent", "job/", "machine", "marks/", "done/", "hist/"]
             .iter()
             .flat_map(|prefix| self.store.rows(prefix))
@@ -240,11 +241,12 @@
         self.owner = match version {
             Version::Production => {
                 let value_bytes = LARGE.value_bytes;
-                let owner = production::Owner::load(self.part, self.token, value_bytes, &rows);
+                let owner =
+                    production::Owner::load(self.shard_revision, self.fencing_token, value_bytes, &rows);
                 Owner::Production(Box::new(owner))
             }
             Version::Present => {
-                let mut fleet = Fleet::new(self.cfg.clone(), types(), self.token, self.now);
+                let mut fleet = Fleet::new(self.cfg.clone(), types(), self.fencing_token, self.now);
                 leadership::load(&mut fleet, rows, self.now, self.wall());
                 fleet.has_read_to(self.store.revision);
                 Owner::Present(Box::new(fleet))
@@ -262,7 +264,7 @@
                 let chunk = chunk_tasks(fleet.value_bytes());
                 let pending = fleet.pending(now, Micros::ZERO, chunk);
                 let ops = fleet.txn_ops();
-                let batches = leadership::batches(fleet, self.part, pending, ops, now, wall);
+                let batches = leadership::batches(fleet, self.shard_revision, pending, ops, now, wall);
                 batches.iter().take(most).take_while(|b| self.write_batch(b)).count()
             }
         }
@@ -355,7 +357,7 @@
         }
         let at = self.rng.random_range(0..self.late.len());
         let txn = self.late.remove(at);
-        let present = txn.guards.iter().any(|g| g.key == SHARD_KEY && g.stamp == self.part);
+        let present = txn.guards.iter().any(|g| g.key == SHARD_KEY && g.mod_revision == self.shard_revision);
         self.met.late += usize::from(!present);
         let answer = self.submit(&txn);
         assert!(
@@ -372,11 +374,13 @@
         let spec = spec(self.jobs, tasks, "batch");
         let key = format!("job/{}", spec.id);
         let record = json!({ "spec": spec, "submitted_us": self.wall().0 });
-        let stamp = self
-            .must_apply(vec![Guard { key: key.clone(), stamp: 0 }], vec![Change::put(key, record.clone())]);
+        let mod_revision = self.must_apply(
+            vec![Guard { key: key.clone(), mod_revision: 0 }],
+            vec![Change::put(key, record.clone())],
+        );
         match &mut self.owner {
-            Owner::Production(owner) => owner.job_put(&parsed(record), stamp),
-            Owner::Present(fleet) => fleet.job_put(parsed(record), stamp, self.now),
+            Owner::Production(owner) => owner.job_put(&parsed(record), mod_revision),
+            Owner::Present(fleet) => fleet.job_put(parsed(record), mod_revision, self.now),
         }
     }
 
@@ -384,7 +388,7 @@
     fn cancel_job(&mut self) {
         let Some(id) = self.some_job() else { return };
         let key = format!("job/{id}");
-        let guard = Guard { key: key.clone(), stamp: self.store.stamp(&key) };
+        let guard = Guard { key: key.clone(), mod_revision: self.store.mod_revision(&key) };
         let over = json!({ "stage": "cancelled", "tasks": 1 });
         let revision =
             self.must_apply(vec![guard], vec![Change::drop(key), Change::put(format!("final/{id}"), over)]);
@@ -482,7 +486,7 @@
                 let pending = fleet.pending(self.now, Micros::ZERO, chunk);
                 let ops = fleet.txn_ops();
                 let wall = Wall(WALL.0 + self.now.0);
-                let batches = leadership::batches(fleet, self.part, pending, ops, self.now, wall);
+                let batches = leadership::batches(fleet, self.shard_revision, pending, ops, self.now, wall);
                 batches.into_iter().map(|b| b.txn).collect()
             }
         };
