--- a/src/api.rs
+++ b/src/api.rs
@@ -108,7 +108,7 @@
 }
 
 fn unavailable(e: &StateError) -> Response {
-    Response::error(503, &format!("the state service cannot be asked: {e}")).later(RETRY_AFTER_S)
+    Response::error(503, &format!("the state service cannot be asked: {e}")).with_retry_after(RETRY_AFTER_S)
 }
 
 /// Answers a user's request here, or has another controller answer it that can reach the state
@@ -189,7 +189,7 @@
         }
     };
     let Some(types) = backend.machine_types() else {
-        let refusal = Response::error(503, "machine types not known yet").later(RETRY_AFTER_S);
+        let refusal = Response::error(503, "machine types not known yet").with_retry_after(RETRY_AFTER_S);
         return known_or(backend, Some(&spec.id), refusal);
     };
     if let Some(why) = never_runs(&spec, cfg, &types) {
@@ -222,7 +222,7 @@
             let lookup = look_up(backend, &id)?;
             Ok(match status(backend, &id, &lookup) {
                 Some(status) => Response::json(200, &status),
-                None => Response::error(503, "try again").later(RETRY_AFTER_S),
+                None => Response::error(503, "try again").with_retry_after(RETRY_AFTER_S),
             })
         }
     }
@@ -269,7 +269,7 @@
             JobLookup::Live(record, stamp) if !record.lending.loans.is_empty() => {
                 if record.lending.cancelling || record_cancelling(backend, *record, stamp)? {
                     let why = "other cells hold tasks of the job and are being told";
-                    return Ok(Response::error(503, why).later(RETRY_AFTER_S));
+                    return Ok(Response::error(503, why).with_retry_after(RETRY_AFTER_S));
                 }
             }
             JobLookup::Live(record, stamp) => {
@@ -279,7 +279,7 @@
             }
         }
     }
-    Ok(Response::error(503, "try again").later(RETRY_AFTER_S))
+    Ok(Response::error(503, "try again").with_retry_after(RETRY_AFTER_S))
 }
 
 /// Replaces a live job without loans by its cancelled final record; none if the record changed in
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -171,8 +171,8 @@
                 s.teams.len(),
                 s.zones.len(),
                 c.blind_bound().secs(),
-                c.room().connections,
-                c.room().bulk_connections,
+                c.server_limits().connections,
+                c.server_limits().background_connections,
                 c.operator.max_threads
             );
             if let Some(cells) = &c.operator.cells {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use crate::http::{Room, READERS};
+use crate::http::{ServerLimits, READER_THREADS};
 use crate::time::Micros;
 
 pub use cells::{CellsSettings, OtherCell};
@@ -391,10 +391,10 @@
     /// Room for callers. Connections: what the operators say, or else what the platform allows,
     /// less the sockets that the duties and the answers to users need, within half the memory; an
     /// eighth is for users and probes alone. Threads: what the operators say, less the duties.
-    pub fn room(&self) -> Room {
+    pub fn server_limits(&self) -> ServerLimits {
         let l = &self.platform.settings.limits;
         let threads = self.caller_threads();
-        let prompt_threads = self.prompt_threads();
+        let interactive_threads = self.interactive_threads();
         let connections = match self.operator.max_connections {
             0 => {
                 let by_memory = (l.ram_mb * 0.5 * 1024.0 / CONNECTION_KB) as usize;
@@ -402,30 +402,30 @@
             }
             n => n,
         };
-        Room {
+        ServerLimits {
             connections,
-            bulk_connections: connections - connections / 8,
-            prompt_threads,
-            bulk_threads: (threads - threads * 2 / 3).max(1),
+            background_connections: connections - connections / 8,
+            interactive_threads,
+            background_threads: (threads - threads * 2 / 3).max(1),
         }
     }
 
     /// Threads that answer callers.
     fn caller_threads(&self) -> usize {
         let lending = usize::from(self.operator.cells.is_some());
-        self.operator.max_threads.saturating_sub(DUTY_THREADS + READERS + lending).max(2)
+        self.operator.max_threads.saturating_sub(DUTY_THREADS + READER_THREADS + lending).max(2)
     }
 
     /// Threads that answer users and probes. Each answer to a user may need a connection to the state
     /// service.
-    fn prompt_threads(&self) -> usize {
+    fn interactive_threads(&self) -> usize {
         (self.caller_threads() * 2 / 3).min(self.platform.settings.limits.max_sockets / 8).max(1)
     }
 
     /// Connections of callers that the platform's limit of sockets leaves beside the service's own.
     fn connections_by_sockets(&self) -> usize {
         let max_sockets = self.platform.settings.limits.max_sockets;
-        let own = (DUTY_SOCKETS + self.prompt_threads()).min(max_sockets / 2);
+        let own = (DUTY_SOCKETS + self.interactive_threads()).min(max_sockets / 2);
         max_sockets - own
     }
 
@@ -549,8 +549,8 @@
         not_negative("idle_protected_s", o.idle_protected_s)?;
         not_negative("idle_deadline_s", o.idle_deadline_s)?;
         positive("slow_boot", o.slow_boot)?;
-        if !(DUTY_THREADS + READERS + 8..=1900).contains(&o.max_threads) {
-            let least = DUTY_THREADS + READERS + 8;
+        if !(DUTY_THREADS + READER_THREADS + 8..=1900).contains(&o.max_threads) {
+            let least = DUTY_THREADS + READER_THREADS + 8;
             return Err(bad("max_threads", format!("must be from {least} to 1900")));
         }
         if o.max_connections == 1 {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -47,7 +47,7 @@
 use crate::cluster::{Claim, Owner};
 use crate::config::Config;
 use crate::fleet::{Counts, Fleet};
-use crate::http::{self, Lane, Reply, Request, Response};
+use crate::http::{self, Reply, Request, RequestClass, Response};
 use crate::jobs::MachineId;
 use crate::live::LiveJobs;
 use crate::notices::Notices;
@@ -220,14 +220,14 @@
         let controller = Controller::new(cfg, peers, Clock::Machine, stop)?;
         tracing::info!(label = %controller.cfg.platform.label, incarnation = controller.incarnation, "controller started");
         let duties = controller.start_duties(inbound).map_err(ControllerError::Thread)?;
-        let room = controller.cfg.room();
+        let limits = controller.cfg.server_limits();
         tracing::info!(
-            connections = room.connections,
-            workers = room.bulk_connections,
-            threads = room.prompt_threads + room.bulk_threads,
+            connections = limits.connections,
+            workers = limits.background_connections,
+            threads = limits.interactive_threads + limits.background_threads,
             "connection limits"
         );
-        let served = http::serve(listener, room, controller.stop.clone(), controller.service());
+        let served = http::serve(listener, limits, controller.stop.clone(), controller.service());
         // Without callers there is nothing to serve: all else ends as well.
         controller.stop.store(true, Ordering::Relaxed);
         controller.wake.notify_all();
@@ -281,12 +281,12 @@
                 controller.record_latency(&path, since);
             }
         };
-        let lane = |req: &Request| match req.path.as_str() {
-            HEALTH_PATH => Lane::Probe,
-            REPORT_PATH => Lane::Bulk,
-            _ => Lane::Prompt,
+        let classify = |req: &Request| match req.path.as_str() {
+            HEALTH_PATH => RequestClass::HealthCheck,
+            REPORT_PATH => RequestClass::Background,
+            _ => RequestClass::Interactive,
         };
-        http::Service { lane, handler: Arc::new(handler) }
+        http::Service { classify, handler: Arc::new(handler) }
     }
 
     /// The present moment, as this controller's clock reads it.
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,41 +1,85 @@
-//! The client: blocking calls with a deadline, over connections that are kept.
+//! The client: blocking calls with a deadline, over connections that are kept alive.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Mutex;
 use std::time::Duration;
 
-use super::MAX_HEADERS;
+use super::response_parser::{parse_response, ParseError, ParsedResponse};
 use crate::time::{steady, Micros, Steady};
 
-/// Largest response that is read; a watch has no limit of its own.
+/// Largest response that is read, in bytes. It has to hold a watch of the state store, which has no
+/// limit of its own.
 const MAX_RESPONSE: usize = 32 * 1024 * 1024;
+/// Age in seconds from which an idle connection is not used again: the server may be closing it.
+const MAX_IDLE_S: f64 = 20.0;
+/// Shortest time-out given to the system, which takes zero for none at all.
+const MIN_SOCKET_TIMEOUT: Duration = Duration::from_millis(1);
+/// Bytes of a request's head, with room to spare.
+const HEAD_CAPACITY: usize = 128;
+/// Bytes that are set aside for a response at first.
+const RESPONSE_CAPACITY: usize = 1024;
+/// Bytes that a single read takes at the most.
+const READ_CHUNK: usize = 8192;
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// Nothing was sent: the connection could not be made.
     #[error("cannot connect: {0}")]
     NotSent(String),
-    /// It may have been carried out, or may yet be.
+    /// The request may have been executed, or may yet be.
     #[error("no answer: {0}")]
     NoAnswer(String),
 }
 
+/// Why a request that was sent, at least in part, has no response.
+#[derive(Debug, thiserror::Error)]
+enum ExchangeError {
+    #[error("time-out")]
+    TimedOut,
+    #[error("closed")]
+    Closed,
+    #[error("response too long")]
+    ResponseTooLong,
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    #[error(transparent)]
+    Parse(#[from] ParseError),
+}
+
+impl From<ExchangeError> for CallError {
+    fn from(error: ExchangeError) -> CallError {
+        CallError::NoAnswer(error.to_string())
+    }
+}
+
+/// An open connection that no request uses at present.
+struct IdleConnection {
+    stream: TcpStream,
+    since: Steady,
+}
+
 /// A client for one address that keeps a few connections open.
 pub struct Client {
     addr: SocketAddr,
-    idle: Mutex<Vec<(TcpStream, Steady)>>,
-    keep: usize,
+    idle: Mutex<Vec<IdleConnection>>,
+    max_idle: usize,
 }
 
 impl Client {
-    /// A client that keeps up to `keep` idle connections.
-    pub fn new(addr: SocketAddr, keep: usize) -> Client {
-        Client { addr, idle: Mutex::new(Vec::new()), keep }
+    /// A client that keeps up to `max_idle` idle connections.
+    pub fn new(addr: SocketAddr, max_idle: usize) -> Client {
+        Client { addr, idle: Mutex::new(Vec::new()), max_idle }
     }
 
-    /// Sends a request and waits for the answer until the time-out.
+    /// Sends a request, with a JSON body if there is one, and returns the status code and the body
+    /// of the response.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError::NotSent`] if no connection could be made, [`CallError::NoAnswer`] if there was no
+    /// whole response before the time-out.
     pub fn call(
         &self,
         method: &str,
@@ -44,131 +88,102 @@
         timeout: Micros,
     ) -> Result<(u16, Vec<u8>), CallError> {
         let deadline = steady() + timeout;
-        let mut out = Vec::with_capacity(128 + body.map_or(0, <[u8]>::len));
-        let _ = write!(out, "{method} {path} HTTP/1.1\r\nHost: {}\r\n", self.addr);
-        if let Some(b) = body {
-            let _ = write!(out, "Content-Type: application/json\r\nContent-Length: {}\r\n", b.len());
-        }
-        out.extend_from_slice(b"\r\n");
-        out.extend_from_slice(body.unwrap_or(b""));
-        let pooled = self.pooled();
-        let fresh = pooled.is_none();
-        let stream = match pooled {
-            Some(s) => s,
-            None => self.connect(deadline)?,
-        };
-        match self.exchange(stream, &out, deadline) {
-            // A kept connection may have been closed meanwhile; only a read may be sent again.
-            Err(CallError::NoAnswer(_)) if !fresh && method == "GET" && (deadline - steady()).0 > 0 => {
-                let stream = self.connect(deadline)?;
-                self.exchange(stream, &out, deadline)
+        let request = self.encode_request(method, path, body);
+        if let Some(stream) = self.take_idle() {
+            match self.exchange(stream, &request, deadline) {
+                // The server may have closed the idle connection in the meantime. Only a read can be
+                // sent again without the risk that it is executed twice.
+                Err(_) if method == "GET" && deadline > steady() => {}
+                result => return Ok(result?),
             }
-            r => r,
         }
+        let stream = self.connect(deadline)?;
+        Ok(self.exchange(stream, &request, deadline)?)
     }
 
-    fn pooled(&self) -> Option<TcpStream> {
+    fn encode_request(&self, method: &str, path: &str, body: Option<&[u8]>) -> Vec<u8> {
+        let mut request = Vec::with_capacity(HEAD_CAPACITY + body.map_or(0, <[u8]>::len));
+        // Writing to memory does not fail.
+        let _ = write!(request, "{method} {path} HTTP/1.1\r\nHost: {}\r\n", self.addr);
+        if let Some(body) = body {
+            let length = body.len();
+            let _ = write!(request, "Content-Type: application/json\r\nContent-Length: {length}\r\n");
+        }
+        request.extend_from_slice(b"\r\n");
+        request.extend_from_slice(body.unwrap_or(b""));
+        request
+    }
+
+    /// Takes the idle connection that was used last, unless it is too old.
+    fn take_idle(&self) -> Option<TcpStream> {
         let mut idle = self.idle.lock().ok()?;
-        while let Some((s, since)) = idle.pop() {
-            if (steady() - since).secs() < 20.0 {
-                return Some(s);
+        while let Some(connection) = idle.pop() {
+            if (steady() - connection.since).secs() < MAX_IDLE_S {
+                return Some(connection.stream);
             }
         }
         None
     }
 
-    fn connect(&self, deadline: Steady) -> Result<TcpStream, CallError> {
-        let left = (deadline - steady()).std().max(Duration::from_millis(1));
-        let s =
-            TcpStream::connect_timeout(&self.addr, left).map_err(|e| CallError::NotSent(e.to_string()))?;
-        let _ = s.set_nodelay(true);
-        Ok(s)
-    }
-
-    fn exchange(&self, mut s: TcpStream, out: &[u8], deadline: Steady) -> Result<(u16, Vec<u8>), CallError> {
-        let lost = |e: String| CallError::NoAnswer(e);
-        let _ = s.set_write_timeout(Some((deadline - steady()).std().max(Duration::from_millis(1))));
-        s.write_all(out).map_err(|e| lost(e.to_string()))?;
-        let mut buf = Vec::with_capacity(1024);
-        loop {
-            let left = deadline - steady();
-            if left.0 <= 0 {
-                return Err(lost("time-out".into()));
-            }
-            let _ = s.set_read_timeout(Some(left.std().max(Duration::from_millis(1))));
-            let mut chunk = [0u8; 8192];
-            let n = match s.read(&mut chunk) {
-                Ok(0) => return Err(lost("closed".into())),
-                Ok(n) => n,
-                Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) => return Err(lost(e.to_string())),
-            };
-            buf.extend_from_slice(&chunk[..n]);
-            if buf.len() > MAX_RESPONSE {
-                return Err(lost("response too long".into()));
-            }
-            if let Some((status, body, close)) = parse_response(&buf).map_err(lost)? {
-                if !close {
-                    if let Ok(mut idle) = self.idle.lock() {
-                        if idle.len() < self.keep {
-                            idle.push((s, steady()));
-                        }
-                    }
-                }
-                return Ok((status, body));
+    /// Keeps a connection for later requests, or closes it if enough are kept.
+    fn keep_idle(&self, stream: TcpStream) {
+        if let Ok(mut idle) = self.idle.lock() {
+            if idle.len() < self.max_idle {
+                idle.push(IdleConnection { stream, since: steady() });
             }
         }
     }
-}
 
-type Parsed = Option<(u16, Vec<u8>, bool)>;
-
-fn parse_response(buf: &[u8]) -> Result<Parsed, String> {
-    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut r = httparse::Response::new(&mut headers);
-    let end = match r.parse(buf).map_err(|e| e.to_string())? {
-        httparse::Status::Complete(n) => n,
-        httparse::Status::Partial => return Ok(None),
-    };
-    let (mut length, mut chunked, mut close) = (0usize, false, false);
-    for h in r.headers.iter() {
-        let value = std::str::from_utf8(h.value).unwrap_or("").trim();
-        if h.name.eq_ignore_ascii_case("content-length") {
-            length = value.parse().map_err(|_| "bad Content-Length".to_string())?;
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            chunked = value.eq_ignore_ascii_case("chunked");
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            close = value.eq_ignore_ascii_case("close");
-        }
-    }
-    let status = r.code.unwrap_or(0);
-    if chunked {
-        return Ok(unchunk(&buf[end..])?.map(|b| (status, b, close)));
+    fn connect(&self, deadline: Steady) -> Result<TcpStream, CallError> {
+        let stream = TcpStream::connect_timeout(&self.addr, socket_timeout(deadline - steady()))
+            .map_err(|e| CallError::NotSent(e.to_string()))?;
+        let _ = stream.set_nodelay(true);
+        Ok(stream)
     }
-    let total = end.checked_add(length).ok_or("bad Content-Length")?;
-    if buf.len() < total {
-        return Ok(None);
+
+    /// Sends a request over a connection and reads the response.
+    fn exchange(
+        &self,
+        mut stream: TcpStream,
+        request: &[u8],
+        deadline: Steady,
+    ) -> Result<(u16, Vec<u8>), ExchangeError> {
+        let _ = stream.set_write_timeout(Some(socket_timeout(deadline - steady())));
+        stream.write_all(request)?;
+        let response = read_response(&mut stream, deadline)?;
+        if !response.close {
+            self.keep_idle(stream);
+        }
+        Ok((response.status, response.body))
     }
-    Ok(Some((status, buf[end..total].to_vec(), close)))
 }
 
-fn unchunk(mut b: &[u8]) -> Result<Option<Vec<u8>>, String> {
-    let mut out = Vec::new();
+fn read_response(stream: &mut TcpStream, deadline: Steady) -> Result<ParsedResponse, ExchangeError> {
+    let mut buffer = Vec::with_capacity(RESPONSE_CAPACITY);
     loop {
-        let (at, size) = match httparse::parse_chunk_size(b) {
-            Ok(httparse::Status::Complete(x)) => x,
-            Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err("bad chunk".into()),
+        let remaining = deadline - steady();
+        if remaining <= Micros::ZERO {
+            return Err(ExchangeError::TimedOut);
+        }
+        let _ = stream.set_read_timeout(Some(socket_timeout(remaining)));
+        let mut chunk = [0u8; READ_CHUNK];
+        let count = match stream.read(&mut chunk) {
+            Ok(0) => return Err(ExchangeError::Closed),
+            Ok(count) => count,
+            Err(e) if e.kind() == ErrorKind::Interrupted => continue,
+            Err(e) => return Err(e.into()),
         };
-        let size = usize::try_from(size).map_err(|_| "bad chunk")?;
-        let end = at.checked_add(size).and_then(|e| e.checked_add(2)).ok_or("bad chunk")?;
-        if b.len() < end {
-            return Ok(None);
+        buffer.extend_from_slice(&chunk[..count]);
+        if buffer.len() > MAX_RESPONSE {
+            return Err(ExchangeError::ResponseTooLong);
         }
-        if size == 0 {
-            return Ok(Some(out));
+        if let Some(response) = parse_response(&buffer)? {
+            return Ok(response);
         }
-        out.extend_from_slice(&b[at..at + size]);
-        b = &b[end..];
     }
 }
+
+/// The time that remains until a deadline, as a time-out for the system.
+fn socket_timeout(remaining: Micros) -> Duration {
+    remaining.std().max(MIN_SOCKET_TIMEOUT)
+}
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,95 +1,37 @@
-//! HTTP/1.1 over blocking sockets: a server and a client that keeps its connections. Parsing is
-//! `httparse`'s.
+//! HTTP/1.1 over blocking sockets: a server with a bounded thread pool and a client that keeps its
+//! connections alive. Heads are parsed by `httparse`.
 
 mod client;
+mod connection;
+mod message;
+mod request_parser;
+mod response_parser;
 mod server;
+mod service;
+mod thread_pool;
+mod waiting_connections;
+mod work_queue;
 
-use std::io::Write;
+use std::sync::{Mutex, MutexGuard};
 
 pub use client::{CallError, Client};
-pub use server::{serve, Lane, Reply, Room, Service, READERS};
+pub use message::{Request, Response};
+pub use server::serve;
+pub use service::{RequestClass, ServerLimits, Service};
+pub use thread_pool::{Reply, READER_THREADS};
 
-/// Largest request body.
+/// Largest request body that the server accepts, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
+/// Most headers in a request or a response.
 const MAX_HEADERS: usize = 48;
 
-/// A request as a handler sees it.
-#[derive(Debug)]
-pub struct Request {
-    /// Method.
-    pub method: String,
-    /// Path with query.
-    pub path: String,
-    /// Body.
-    pub body: Vec<u8>,
+/// A header's value as text without surrounding blanks; empty if it is not UTF-8.
+fn header_text<'a>(header: &httparse::Header<'a>) -> &'a str {
+    std::str::from_utf8(header.value).unwrap_or("").trim()
 }
 
-/// A response.
-#[derive(Clone, Debug)]
-pub struct Response {
-    /// Status code.
-    pub status: u16,
-    /// Body, JSON.
-    pub body: Vec<u8>,
-    /// `Retry-After` in seconds, where given.
-    pub retry_after: Option<u32>,
-}
-
-impl Response {
-    /// A response with a JSON body.
-    pub fn json<T: serde::Serialize>(status: u16, body: &T) -> Response {
-        let body = serde_json::to_vec(body).unwrap_or_else(|_| b"{}".to_vec());
-        Response { status, body, retry_after: None }
-    }
-
-    /// A refusal with a one-line reason.
-    pub fn error(status: u16, why: &str) -> Response {
-        Response::json(status, &serde_json::json!({ "error": why.replace('\n', " ") }))
-    }
-
-    /// The same, asking to come back after some seconds.
-    pub fn later(mut self, seconds: u32) -> Response {
-        self.retry_after = Some(seconds);
-        self
-    }
-
-    /// The response as it goes over the wire.
-    fn bytes(&self, close: bool) -> Vec<u8> {
-        let mut out = Vec::with_capacity(160 + self.body.len());
-        // Writing to memory does not fail.
-        let _ = write!(
-            out,
-            "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
-            self.status,
-            reason(self.status),
-            self.body.len()
-        );
-        if let Some(s) = self.retry_after {
-            let _ = write!(out, "Retry-After: {s}\r\n");
-        }
-        if close {
-            out.extend_from_slice(b"Connection: close\r\n");
-        }
-        out.extend_from_slice(b"\r\n");
-        out.extend_from_slice(&self.body);
-        out
-    }
-}
-
-fn reason(status: u16) -> &'static str {
-    match status {
-        200 => "OK",
-        201 => "Created",
-        400 => "Bad Request",
-        404 => "Not Found",
-        405 => "Method Not Allowed",
-        413 => "Content Too Large",
-        421 => "Misdirected Request",
-        422 => "Unprocessable Content",
-        429 => "Too Many Requests",
-        431 => "Request Header Fields Too Large",
-        501 => "Not Implemented",
-        503 => "Service Unavailable",
-        _ => "Other",
-    }
+/// Locks a mutex even if a thread panicked while it held it: a panic in a handler must not end the
+/// other threads.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
--- a/tests/cancellation_in_outage.rs
+++ b/tests/cancellation_in_outage.rs
@@ -16,7 +16,7 @@
 use common::worker::{Task, WorkerState};
 use common::{platform_json, spec, LEASE};
 use milletlock::config::{Config, Operator, Platform};
-use milletlock::http::{self, Client, Lane, Reply, Request, Response, Room};
+use milletlock::http::{self, Client, Reply, Request, RequestClass, Response, ServerLimits};
 use milletlock::node::Node;
 use milletlock::peer::{Outbound, PeerError, PeerHub};
 use milletlock::time::{Clock, Micros, Steady};
@@ -653,9 +653,14 @@
     let addr = l.local_addr().expect("an address");
     let n = node.clone();
     let handler = Arc::new(move |r: Request, reply: Reply| n.serve(&r, reply));
-    let service = http::Service { lane: |_| Lane::Prompt, handler };
-    let room = Room { connections: 10, bulk_connections: 10, prompt_threads: 4, bulk_threads: 1 };
-    std::thread::spawn(move || http::serve(l, room, Arc::default(), service));
+    let service = http::Service { classify: |_| RequestClass::Interactive, handler };
+    let limits = ServerLimits {
+        connections: 10,
+        background_connections: 10,
+        interactive_threads: 4,
+        background_threads: 1,
+    };
+    std::thread::spawn(move || http::serve(l, limits, Arc::default(), service));
     // A second machine, idle, is enrolled and shows the token.
     let idle = |tally: u64| {
         let r = common::report("i-000002", tally, u64::from(tally > 1), &[]);
--- a/tests/common/servers.rs
+++ b/tests/common/servers.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-use milletlock::http::{self, Lane, Reply, Request, Response, Room};
+use milletlock::http::{self, Reply, Request, RequestClass, Response, ServerLimits};
 use serde_json::json;
 
 use super::types;
@@ -14,13 +14,18 @@
 pub fn serve_some(f: impl Fn(Request) -> Option<Response> + Send + Sync + 'static) -> SocketAddr {
     let l = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = l.local_addr().expect("an address");
-    let room = Room { connections: 100, bulk_connections: 100, prompt_threads: 50, bulk_threads: 1 };
+    let limits = ServerLimits {
+        connections: 100,
+        background_connections: 100,
+        interactive_threads: 50,
+        background_threads: 1,
+    };
     let handler = Arc::new(move |r: Request, reply: Reply| match f(r) {
         Some(answer) => reply.send(&answer),
         None => drop(reply),
     });
-    let service = http::Service { lane: |_| Lane::Prompt, handler };
-    std::thread::spawn(move || http::serve(l, room, Arc::new(AtomicBool::new(false)), service));
+    let service = http::Service { classify: |_| RequestClass::Interactive, handler };
+    std::thread::spawn(move || http::serve(l, limits, Arc::new(AtomicBool::new(false)), service));
     addr
 }
 
--- a/tests/serving.rs
+++ b/tests/serving.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use milletlock::http::{self, Lane, Reply, Request, Response, Room, Service};
+use milletlock::http::{self, Reply, Request, RequestClass, Response, ServerLimits, Service};
 
 /// A server whose `/held` requests wait until the test answers them.
 struct Server {
@@ -20,7 +20,7 @@
     thread: std::thread::JoinHandle<std::io::Result<()>>,
 }
 
-fn start(room: Room) -> Server {
+fn start(limits: ServerLimits) -> Server {
     let l = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = l.local_addr().expect("an address");
     let (hold, held) = channel();
@@ -37,14 +37,14 @@
         }
         _ => reply.send(&Response::json(200, &"ok")),
     };
-    let lane = |r: &Request| match r.path.as_str() {
-        "/up" => Lane::Probe,
-        "/bulk" => Lane::Bulk,
-        _ => Lane::Prompt,
+    let classify = |r: &Request| match r.path.as_str() {
+        "/up" => RequestClass::HealthCheck,
+        "/bulk" => RequestClass::Background,
+        _ => RequestClass::Interactive,
     };
-    let service = Service { lane, handler: Arc::new(handler) };
+    let service = Service { classify, handler: Arc::new(handler) };
     let until = stop.clone();
-    let thread = std::thread::spawn(move || http::serve(l, room, until, service));
+    let thread = std::thread::spawn(move || http::serve(l, limits, until, service));
     Server { addr, held, release, blocked, stop, thread }
 }
 
@@ -82,8 +82,13 @@
 
 #[test]
 fn many_more_connections_than_threads_are_served_and_stay_open() {
-    let room = Room { connections: 300, bulk_connections: 280, prompt_threads: 2, bulk_threads: 1 };
-    let s = start(room);
+    let limits = ServerLimits {
+        connections: 300,
+        background_connections: 280,
+        interactive_threads: 2,
+        background_threads: 1,
+    };
+    let s = start(limits);
     let mut all: Vec<TcpStream> = (0..250).map(|_| connect(s.addr)).collect();
     for path in ["/bulk", "/bulk", "/up"] {
         all.iter_mut().for_each(|c| ask(c, path));
@@ -112,8 +117,13 @@
 
 #[test]
 fn no_kind_of_caller_starves_another() {
-    let room = Room { connections: 30, bulk_connections: 10, prompt_threads: 2, bulk_threads: 1 };
-    let s = start(room);
+    let limits = ServerLimits {
+        connections: 30,
+        background_connections: 10,
+        interactive_threads: 2,
+        background_threads: 1,
+    };
+    let s = start(limits);
     // Users' threads are all blocked, and as many requests wait for one.
     let mut stuck: Vec<TcpStream> = (0..4).map(|_| connect(s.addr)).collect();
     stuck[..2].iter_mut().for_each(|c| ask(c, "/block"));
@@ -154,8 +164,13 @@
 
 #[test]
 fn an_answer_that_is_never_given_closes_the_connection() {
-    let room = Room { connections: 8, bulk_connections: 4, prompt_threads: 1, bulk_threads: 1 };
-    let s = start(room);
+    let limits = ServerLimits {
+        connections: 8,
+        background_connections: 4,
+        interactive_threads: 1,
+        background_threads: 1,
+    };
+    let s = start(limits);
     let mut c = connect(s.addr);
     ask(&mut c, "/held");
     drop(s.held.recv_timeout(Duration::from_secs(20)).expect("held"));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -154,22 +154,28 @@
         let mut p = platform_json();
         p["settings"]["limits"] = json!({ "cpu": 0.1, "ram_mb": ram, "max_sockets": sockets });
         let platform = Platform::parse(&p.to_string(), "f.json").expect("settings");
-        Config { platform, operator: Operator::parse(operator, "f.hcl").expect("settings") }.room()
+        Config { platform, operator: Operator::parse(operator, "f.hcl").expect("settings") }.server_limits()
     };
     // One controller serves every worker, half as many again as were ever named, users beside them.
     for (sockets, ram, machines) in [(2877, 158.0, 1822), (3592, 188.0, 2268)] {
         let r = room(sockets, ram, "");
-        assert!(r.bulk_connections > machines && r.connections > r.bulk_connections + 200, "{r:?}");
+        assert!(
+            r.background_connections > machines && r.connections > r.background_connections + 200,
+            "{r:?}"
+        );
         // With a connection to the state service for each answer to a user all sockets suffice.
-        assert!(r.connections + r.prompt_threads + 32 <= sockets, "{r:?}");
-        assert!(r.prompt_threads + r.bulk_threads < 224, "{r:?}");
+        assert!(r.connections + r.interactive_threads + 32 <= sockets, "{r:?}");
+        assert!(r.interactive_threads + r.background_threads < 224, "{r:?}");
     }
     for (sockets, ram, operator) in
         [(16, 100.0, ""), (500, 2.0, ""), (500, 100.0, "max_threads = 42"), (40, 9.0, "max_connections = 2")]
     {
         let r = room(sockets, ram, operator);
-        assert!(r.connections > r.bulk_connections || r.connections < 8, "{r:?}");
-        assert!(r.bulk_connections > 0 && r.prompt_threads > 0 && r.bulk_threads > 0, "{r:?}");
+        assert!(r.connections > r.background_connections || r.connections < 8, "{r:?}");
+        assert!(
+            r.background_connections > 0 && r.interactive_threads > 0 && r.background_threads > 0,
+            "{r:?}"
+        );
     }
     assert_eq!(room(500, 100.0, "max_connections = 80").connections, 80);
 }
