--- a/src/cli.rs
+++ b/src/cli.rs
@@ -167,10 +167,10 @@
                 "ok: {} of {} controllers, {} teams, {} zones; renews workers for {:.1} s without the state service; \
                  room for {} connections, {} of them workers', on {} threads",
                 c.platform.label,
-                c.nodes(),
+                c.controller_count(),
                 s.teams.len(),
                 s.zones.len(),
-                c.blind_bound().secs(),
+                c.max_staleness().secs(),
                 c.server_limits().connections,
                 c.server_limits().background_connections,
                 c.operator.max_threads
--- a/src/config/cells.rs
+++ b/src/config/cells.rs
@@ -1,4 +1,5 @@
-//! The operators' settings of cells: which others there are, what is lent and what is borrowed.
+//! The operators' settings of cells (clusters that lend tasks to one another): which others there are,
+//! what is lent and what is borrowed.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -6,11 +7,12 @@
 use milletlock_cells::Script;
 use serde::Deserialize;
 
-use super::{bad, not_negative, ConfigError};
+use super::validation::require_not_negative;
+use super::ConfigError;
 
-/// Longest name of a cell.
-const MAX_NAME: usize = 40;
-/// In a list of classes: all of them.
+/// Longest name of a cell, in bytes.
+const MAX_NAME_LENGTH: usize = 40;
+/// Stands for all classes in a list of classes.
 const ALL_CLASSES: &str = "*";
 
 /// Another cell.
@@ -31,16 +33,16 @@
     pub name: String,
     /// The other cells.
     pub others: Vec<OtherCell>,
-    /// Classes of arrays that may be lent; `*` for all.
+    /// Classes of job arrays that may be lent; `*` for all.
     #[serde(default)]
     pub lend: Vec<String>,
-    /// Classes of arrays that may be borrowed; `*` for all.
+    /// Classes of job arrays that may be borrowed; `*` for all.
     #[serde(default)]
     pub borrow: Vec<String>,
-    /// Processors' worth of borrowed tasks at a time; what is beyond is kept for own work.
+    /// Most processors that borrowed tasks may use at a time; the rest is kept for own tasks.
     #[serde(default)]
     pub borrow_cpus: f64,
-    /// Nothing of a job is lent before it has waited this long, in seconds.
+    /// How long a job waits before any of its tasks are lent, in seconds.
     #[serde(default = "default_lend_after_s")]
     pub lend_after_s: f64,
     /// A script whose function `portion(view)` says how many tasks to lend.
@@ -52,19 +54,20 @@
     15.0
 }
 
-fn has_class(classes: &[String], class: Option<&String>) -> bool {
-    classes.iter().any(|c| c == ALL_CLASSES || Some(c) == class)
+/// Whether a list of classes names a class, or all.
+fn lists_class(classes: &[String], class: Option<&String>) -> bool {
+    classes.iter().any(|listed| listed == ALL_CLASSES || Some(listed) == class)
 }
 
 impl CellsSettings {
-    /// Whether arrays of a class may be lent.
+    /// Whether job arrays of a class may be lent.
     pub fn lends(&self, class: Option<&String>) -> bool {
-        has_class(&self.lend, class)
+        lists_class(&self.lend, class)
     }
 
-    /// Whether arrays of a class may be borrowed.
+    /// Whether job arrays of a class may be borrowed.
     pub fn borrows(&self, class: Option<&String>) -> bool {
-        has_class(&self.borrow, class)
+        lists_class(&self.borrow, class)
     }
 
     /// Another cell by name.
@@ -72,40 +75,44 @@
         self.others.iter().find(|cell| cell.name == name)
     }
 
-    /// Addresses of all other cells' controllers, cell by cell.
+    /// Addresses of all other cells' controllers, in the order of the settings.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.others.iter().flat_map(|cell| cell.controllers.iter().copied()).collect()
     }
 
-    pub(super) fn check(&self) -> Result<(), ConfigError> {
-        check_name("cells.name", &self.name)?;
+    pub(super) fn validate(&self) -> Result<(), ConfigError> {
+        validate_name("cells.name", &self.name)?;
         let mut names = BTreeSet::from([self.name.as_str()]);
         for (i, cell) in self.others.iter().enumerate() {
-            let at = |field: &str| format!("cells.others[{i}].{field}");
-            check_name(&at("name"), &cell.name)?;
+            let field_path = |field: &str| format!("cells.others[{i}].{field}");
+            validate_name(&field_path("name"), &cell.name)?;
             if cell.name == self.name {
-                return Err(bad(at("name"), format!("{} is this cell's own name", cell.name)));
+                let reason = format!("{} is this cell's own name", cell.name);
+                return Err(ConfigError::field(field_path("name"), reason));
             }
             if !names.insert(&cell.name) {
-                return Err(bad(at("name"), format!("two cells are called {}", cell.name)));
+                let reason = format!("two cells are called {}", cell.name);
+                return Err(ConfigError::field(field_path("name"), reason));
             }
             if cell.controllers.is_empty() {
-                return Err(bad(at("controllers"), "must name at least one controller"));
+                let reason = "must name at least one controller";
+                return Err(ConfigError::field(field_path("controllers"), reason));
             }
         }
-        not_negative("cells.borrow_cpus", self.borrow_cpus)?;
-        not_negative("cells.lend_after_s", self.lend_after_s)?;
+        require_not_negative("cells.borrow_cpus", self.borrow_cpus)?;
+        require_not_negative("cells.lend_after_s", self.lend_after_s)?;
         match self.script.as_deref().map(Script::parse) {
-            Some(Err(e)) => Err(bad("cells.script", e.to_string().replace('\n', " "))),
+            Some(Err(e)) => Err(ConfigError::field("cells.script", e.to_string().replace('\n', " "))),
             _ => Ok(()),
         }
     }
 }
 
-fn check_name(field: &str, name: &str) -> Result<(), ConfigError> {
-    let is_good = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    if name.is_empty() || name.len() > MAX_NAME || !name.chars().all(is_good) {
-        return Err(bad(field, "must be 1 to 40 lower-case letters, digits and hyphens"));
+fn validate_name(field: &str, name: &str) -> Result<(), ConfigError> {
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.chars().all(is_allowed) {
+        let reason = format!("must be 1 to {MAX_NAME_LENGTH} lower-case letters, digits and hyphens");
+        return Err(ConfigError::field(field, reason));
     }
     Ok(())
 }
--- a/src/config/fleet_size.rs
+++ b/src/config/fleet_size.rs
@@ -1,49 +1,53 @@
-//! Whether the settings carry a large fleet, as far as they tell before it exists.
+//! Whether the settings carry a large fleet, as far as that can be told before the fleet exists.
 
+use super::server_limits::RESERVED_CONNECTION_DIVISOR;
 use super::Config;
 use crate::cloud::MAX_MACHINES_PER_RENTAL;
 
-/// The fleet that the service is to carry, in machines. The program itself has no fixed limit below it.
+/// Number of machines that the service is made for. The program itself has no fixed limit below it.
 pub const TARGET_MACHINES: usize = 4_000;
 
-/// Processor time that a report takes, in seconds, with a margin for planning.
-const CPU_PER_REPORT_S: f64 = 0.000_1;
-/// Memory of a controller without machines, and for each machine, in MB.
+/// Processor time that a heartbeat takes, in seconds, with a margin for planning.
+const CPU_PER_HEARTBEAT_S: f64 = 0.000_1;
+/// Memory of a controller without machines, in MB.
 const BASE_RAM_MB: f64 = 16.0;
+/// Memory that each machine adds, in MB.
 const RAM_PER_MACHINE_MB: f64 = 0.012;
 /// Bytes of a machine's record, generously.
 const MACHINE_RECORD_BYTES: f64 = 160.0;
-/// Within so many seconds the records of a whole fleet should be written, and the fleet rented.
-const BUILD_UP_S: f64 = 120.0;
-/// The part of the state service's changes, and of the cloud's requests, that the owner has for it.
-const OWNER_SHARE: f64 = 0.5;
+/// Seconds within which the whole fleet should be rented and its records be written.
+const SCALE_OUT_S: f64 = 120.0;
+/// Part of the rates of the state store and of the cloud that the leader can use to scale out.
+const LEADER_SHARE: f64 = 0.5;
 
 impl Config {
-    /// What in the settings does not carry a fleet of so many machines: the fields, each with how far
-    /// it goes.
-    pub fn too_small_for(&self, machines: usize) -> Vec<String> {
-        let s = &self.platform.settings;
-        let count = machines as f64;
-        let mut short = Vec::new();
-        let mut need = |field: &str, carried: f64| {
-            if carried < count {
-                short.push(format!("settings.{field} ({} machines)", carried.max(0.0) as u64));
-            }
-        };
-        need("limits.max_sockets", self.connections_by_sockets() as f64 * 7.0 / 8.0);
-        need("limits.ram_mb", (s.limits.ram_mb - BASE_RAM_MB) / RAM_PER_MACHINE_MB);
-        need("limits.cpu", s.limits.cpu * s.workers.report_s / CPU_PER_REPORT_S);
+    /// The settings that are too small for a fleet of so many machines, each with the number of
+    /// machines that it carries.
+    fn settings_too_small_for(&self, machines: usize) -> Vec<String> {
+        let settings = &self.platform.settings;
+        let scale_out_requests = |requests_per_s: f64| requests_per_s * LEADER_SHARE * SCALE_OUT_S;
         let records_per_value = (self.value_bytes() as f64 / MACHINE_RECORD_BYTES).floor();
-        need("state.write_rps", s.state.write_rps * OWNER_SHARE * BUILD_UP_S * records_per_value);
-        need("cloud.rps", s.cloud.rps * OWNER_SHARE * BUILD_UP_S * f64::from(MAX_MACHINES_PER_RENTAL));
-        short
+        let worker_share = 1.0 - 1.0 / RESERVED_CONNECTION_DIVISOR as f64;
+        let capacities = [
+            ("limits.max_sockets", self.connections_by_sockets() as f64 * worker_share),
+            ("limits.ram_mb", (settings.limits.ram_mb - BASE_RAM_MB) / RAM_PER_MACHINE_MB),
+            ("limits.cpu", settings.limits.cpu * settings.workers.report_s / CPU_PER_HEARTBEAT_S),
+            ("state.write_rps", scale_out_requests(settings.state.write_rps) * records_per_value),
+            ("cloud.rps", scale_out_requests(settings.cloud.rps) * f64::from(MAX_MACHINES_PER_RENTAL)),
+        ];
+        capacities
+            .into_iter()
+            .filter(|(_, capacity)| *capacity < machines as f64)
+            .map(|(field, capacity)| format!("settings.{field} ({} machines)", capacity.max(0.0) as u64))
+            .collect()
     }
 
-    /// One line that names what does not carry the largest fleet that the service is made for; none if
-    /// all does.
+    /// One line that names the settings that are too small for [`TARGET_MACHINES`]; `None` if all are
+    /// large enough.
     pub fn size_warning(&self) -> Option<String> {
-        let short = self.too_small_for(TARGET_MACHINES);
-        let list = short.join(", ");
-        (!short.is_empty()).then(|| format!("the settings do not carry {TARGET_MACHINES} machines: {list}"))
+        let too_small = self.settings_too_small_for(TARGET_MACHINES);
+        let list = too_small.join(", ");
+        (!too_small.is_empty())
+            .then(|| format!("the settings do not carry {TARGET_MACHINES} machines: {list}"))
     }
 }
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use super::{Controller, Leadership};
-use crate::config::{HALT_THREADS, RAISE_THREADS};
+use crate::config::{FENCING_TOKEN_THREADS, HALT_THREADS};
 use crate::direct_command::DirectCommand;
 use crate::fleet::Fleet;
 use crate::http::Client;
@@ -36,13 +36,13 @@
     pub(super) fn raise_fencing_tokens(&self) {
         while !self.stopping() {
             self.sleep(RAISE_INTERVAL);
-            self.send_due(|fleet, now| fleet.to_raise(now), RAISE_THREADS);
+            self.send_due(|fleet, now| fleet.to_raise(now), FENCING_TOKEN_THREADS);
         }
     }
 
     /// Sends the direct commands that are due; false if there were none.
     pub fn command_once(&self) -> bool {
-        let raised = self.send_due(|fleet, now| fleet.to_raise(now), RAISE_THREADS);
+        let raised = self.send_due(|fleet, now| fleet.to_raise(now), FENCING_TOKEN_THREADS);
         self.send_due(Fleet::to_halt, HALT_THREADS) || raised
     }
 
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -52,7 +52,7 @@
             Some((lease, fencing_token)) => {
                 self.renew_lease(lease, fencing_token);
                 // The view rests on renewals too: with tight settings it must not age for long.
-                ttl.scale(0.3).min(self.cfg.blind_bound().scale(0.4)).max(MIN_RENEWAL_INTERVAL)
+                ttl.scale(0.3).min(self.cfg.max_staleness().scale(0.4)).max(MIN_RENEWAL_INTERVAL)
             }
             None => match self.follow_leader(ttl) {
                 Ok(()) => Micros::ZERO,
@@ -72,7 +72,7 @@
         let mut shared = self.lock();
         let Some(leadership) = shared.leadership_with(fencing_token) else { return };
         // A single controller is followed by nobody while it lives.
-        if renewed || self.cfg.nodes() == 1 {
+        if renewed || self.cfg.controller_count() == 1 {
             leadership.fleet.confirm(begun);
             leadership.view.has_owned(begun);
         }
@@ -232,7 +232,7 @@
             lease: claim.lease,
         });
         shared.last_peer_contact = now;
-        let view = View::new(begun, self.cfg.blind_bound());
+        let view = View::new(begun, self.cfg.max_staleness());
         shared.leadership = Some(Leadership { fleet, claim, view, last_heartbeat: now });
         self.wake.notify_all();
     }
@@ -267,8 +267,8 @@
     /// up to more than there is, and what the service refuses then is tried again at once.
     pub(super) fn new(cfg: &Config, leads: bool) -> StateBudget {
         let limits = &cfg.platform.settings.state;
-        let others = cfg.nodes().saturating_sub(1) as f64;
-        let (requests, writes) = match (cfg.nodes(), leads) {
+        let others = cfg.controller_count().saturating_sub(1) as f64;
+        let (requests, writes) = match (cfg.controller_count(), leads) {
             (1, _) => (0.9, 0.9),
             (n, true) => (1.8 / (n as f64 + 1.0), 0.6),
             (n, false) => (0.9 / (n as f64 + 1.0), (0.8 / others).min(0.4)),
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -39,7 +39,7 @@
         };
         let sent = self.now();
         // With tight settings the view must not age for long.
-        let block = self.cfg.blind_bound().scale(0.4).clamp(MIN_READ_INTERVAL, MAX_READ_INTERVAL);
+        let block = self.cfg.max_staleness().scale(0.4).clamp(MIN_READ_INTERVAL, MAX_READ_INTERVAL);
         let left = block - view.read_age(sent);
         let read = left.0 <= 0;
         let changes = if read {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -172,7 +172,7 @@
     /// An empty model for a new leader with fencing token `token`; records are loaded into it before
     /// anything is placed.
     pub fn new(cfg: Arc<Config>, types: Vec<MachineType>, token: u64, now: Steady) -> Fleet {
-        let lease = cfg.lease().scale(1.001) + LEASE_MARGIN;
+        let lease = cfg.worker_lease().scale(1.001) + LEASE_MARGIN;
         Fleet {
             token,
             jobs: BTreeMap::new(),
--- a/src/fleet/upkeep.rs
+++ b/src/fleet/upkeep.rs
@@ -202,9 +202,9 @@
             taken_over: self.failover_at,
             confirmed: self.lease_confirmed_at,
             lease: self.lease,
-            // An earlier owner answers no longer than `blind_bound` after it last knew that nobody
+            // An earlier owner answers no longer than `max_staleness` after it last knew that nobody
             // had taken over, and that was before this owner's claim.
-            earlier_owners_limit: self.cfg.blind_bound().scale(1.001) + self.lease,
+            earlier_owners_limit: self.cfg.max_staleness().scale(1.001) + self.lease,
             unheard_limit: if few { fence.min(soon) } else { fence },
             heartbeat_interval,
             few_silent: (0..self.zones.len()).map(|zone| self.are_few_silent(zone, silence, now)).collect(),
--- a/tests/cancellation_in_outage.rs
+++ b/tests/cancellation_in_outage.rs
@@ -15,7 +15,7 @@
 use common::store::Store;
 use common::worker::{Task, WorkerState};
 use common::{platform_json, spec, LEASE};
-use milletlock::config::{Config, Operator, Platform};
+use milletlock::config::{Config, OperatorConfig, PlatformConfig};
 use milletlock::http::{self, Client, Reply, Request, RequestClass, Response, ServerLimits};
 use milletlock::node::Node;
 use milletlock::peer::{Outbound, PeerError, PeerHub};
@@ -262,8 +262,8 @@
         // The budget goes by the machine's clock, which has no part in this.
         p["settings"]["state"]["rps"] = json!(1e6);
         p["settings"]["state"]["write_rps"] = json!(1e6);
-        let platform = Platform::parse(&p.to_string(), "test").expect("settings");
-        let cfg = Config { platform, operator: Operator::default() };
+        let platform = PlatformConfig::parse(&p.to_string(), "test").expect("settings");
+        let cfg = Config { platform, operator: OperatorConfig::default() };
         let (controllers, partitioned) = (self.controllers.clone(), self.partitioned.clone());
         let carry = move |o: Outbound| {
             let to = locked(&controllers)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,7 +14,7 @@
 
 use std::sync::Arc;
 
-use milletlock::config::{Config, Operator, Platform};
+use milletlock::config::{Config, OperatorConfig, PlatformConfig};
 use milletlock::records::JobRecord;
 use milletlock::time::Micros;
 use milletlock::wire::{JobSpec, MachineType, Report, TaskReport, TaskStage, Why};
@@ -57,8 +57,8 @@
 pub fn config_with(change: impl FnOnce(&mut Value)) -> Arc<Config> {
     let mut file = platform_json();
     change(&mut file["settings"]);
-    let platform = Platform::parse(&file.to_string(), "test").expect("settings");
-    Arc::new(Config { platform, operator: Operator::default() })
+    let platform = PlatformConfig::parse(&file.to_string(), "test").expect("settings");
+    Arc::new(Config { platform, operator: OperatorConfig::default() })
 }
 
 /// Checked settings under which a value holds so many KiB and a transaction eight changes, and from some
@@ -69,8 +69,8 @@
         "rps": 500.0, "write_rps": 500.0, "value_kb": value_kb, "txn_ops": 8,
         "next": {"value_kb": next_value_kb, "txn_ops": 4}
     });
-    let platform = Platform::parse(&settings.to_string(), "test").expect("settings");
-    Arc::new(Config { platform, operator: Operator::default() })
+    let platform = PlatformConfig::parse(&settings.to_string(), "test").expect("settings");
+    Arc::new(Config { platform, operator: OperatorConfig::default() })
 }
 
 /// A small and a large machine type, in both zones.
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -13,7 +13,7 @@
 use common::state_service::{answer_read, answer_transaction, events, parameter, transaction, watched};
 use common::store::Store;
 use common::{platform_json, spec};
-use milletlock::config::{Config, Operator, Platform};
+use milletlock::config::{Config, OperatorConfig, PlatformConfig};
 use milletlock::http::{Client, Response};
 use milletlock::node::Node;
 use milletlock::peer::{self, Call};
@@ -87,8 +87,8 @@
     let mut p = platform_json();
     p["services"] = json!({ "cloud": cloud(), "state": state });
     change(&mut p);
-    let platform = Platform::parse(&p.to_string(), "test").expect("settings");
-    let cfg = Config { platform, operator: Operator::default() };
+    let platform = PlatformConfig::parse(&p.to_string(), "test").expect("settings");
+    let cfg = Config { platform, operator: OperatorConfig::default() };
     std::thread::spawn(move || Node::run_on(cfg, users, others, Arc::new(AtomicBool::new(false))));
     Service { addr, internal, out }
 }
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -224,7 +224,7 @@
     /// An owner out of touch with the state service answers no longer than the bound.
     fn may_answer(&self, owner: usize) -> bool {
         let o = &self.owners[owner];
-        o.alive && self.seconds - o.view < self.cfg.blind_bound().secs()
+        o.alive && self.seconds - o.view < self.cfg.max_staleness().secs()
     }
 
     fn read_changes(&mut self) {
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -11,7 +11,7 @@
 use common::store::Store;
 use common::{platform_json, report, spec};
 use milletlock::cluster::PART;
-use milletlock::config::{Config, Operator, Platform};
+use milletlock::config::{Config, OperatorConfig, PlatformConfig};
 use milletlock::http::{Request, Response};
 use milletlock::node::{LendingChoice, Node};
 use milletlock::peer::{proto, LoanReply, Outbound, Outcome, PeerError, PeerHub};
@@ -98,8 +98,8 @@
 ) -> (Arc<Node>, LendingChoice) {
     let mut p = platform_json();
     p["services"] = json!({ "cloud": cloud(), "state": state });
-    let platform = Platform::parse(&p.to_string(), "test").expect("settings");
-    let operator = Operator::parse(CELLS, "test").expect("settings");
+    let platform = PlatformConfig::parse(&p.to_string(), "test").expect("settings");
+    let operator = OperatorConfig::parse(CELLS, "test").expect("settings");
     let choice = LendingChoice::new(operator.cells.as_ref().expect("cells"));
     let cfg = Config { platform, operator };
     let node = Node::new(cfg, PeerHub::over(0, carry), Clock::Manual(clock.clone()), Arc::default());
@@ -163,5 +163,5 @@
 /// The same settings with a script that lends nothing.
 fn never_lends() -> milletlock::config::CellsSettings {
     let text = CELLS.replace("lend_after_s = 0", "script = \"fn portion(view) { 0 }\"");
-    Operator::parse(&text, "test").expect("settings").cells.expect("cells")
+    OperatorConfig::parse(&text, "test").expect("settings").cells.expect("cells")
 }
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -9,7 +9,7 @@
 use common::store::Store;
 use common::{config, production, record, spec, types};
 use milletlock::cluster::{self, PART};
-use milletlock::config::{Config, Operator};
+use milletlock::config::{Config, OperatorConfig};
 use milletlock::fleet::{Fleet, LoanWrite};
 use milletlock::time::{Steady, Wall};
 use milletlock::wire::{Order, TaskStage, Why};
@@ -23,7 +23,7 @@
     let hcl =
         "cells {\n name = \"here\"\n others = [{ name = \"there\", controllers = [\"127.0.0.1:1\"] }]\n \
                lend = [\"any\"]\n borrow = [\"any\"]\n borrow_cpus = 20\n lend_after_s = 0\n}\n";
-    let operator = Operator::parse(hcl, "test").expect("settings");
+    let operator = OperatorConfig::parse(hcl, "test").expect("settings");
     Arc::new(Config { platform: config().platform.clone(), operator })
 }
 
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -232,8 +232,8 @@
 fn the_time_without_a_view_ends_early_enough_for_cancellations() {
     let c = config();
     let w = &c.platform.settings.workers;
-    assert!(c.blind_bound().secs() + w.lease_s * 1.001 < w.cancel_s);
-    assert!(c.blind_bound().secs() > 0.0);
+    assert!(c.max_staleness().secs() + w.lease_s * 1.001 < w.cancel_s);
+    assert!(c.max_staleness().secs() > 0.0);
 }
 
 #[test]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::platform_json;
-use milletlock::config::{Config, Operator, Platform};
+use milletlock::config::{Config, OperatorConfig, PlatformConfig};
 use serde_json::{json, Value};
 
 fn said(v: &Value) -> String {
-    Platform::parse(&v.to_string(), "f.json").err().map(|e| e.to_string()).unwrap_or_default()
+    PlatformConfig::parse(&v.to_string(), "f.json").err().map(|e| e.to_string()).unwrap_or_default()
 }
 
 fn with(path: &[&str], v: Value) -> Value {
@@ -74,8 +74,8 @@
         p["settings"]["limits"] = limits;
         p["settings"]["state"] = state;
         p["settings"]["cloud"] = cloud;
-        let platform = Platform::parse(&p.to_string(), "f.json").expect("settings");
-        Config { platform, operator: Operator::default() }.size_warning()
+        let platform = PlatformConfig::parse(&p.to_string(), "f.json").expect("settings");
+        Config { platform, operator: OperatorConfig::default() }.size_warning()
     };
     let limits = json!({"cpu": 0.5, "ram_mb": 200.0, "max_sockets": 5_000});
     let state = json!({"rps": 150.0, "write_rps": 60.0, "value_kb": 8.0, "txn_ops": 12});
@@ -99,7 +99,7 @@
 
 #[test]
 fn operators_settings_are_checked_as_well() {
-    let said = |t: &str| Operator::parse(t, "f.hcl").err().map(|e| e.to_string()).unwrap_or_default();
+    let said = |t: &str| OperatorConfig::parse(t, "f.hcl").err().map(|e| e.to_string()).unwrap_or_default();
     assert_eq!(said(""), "");
     assert_eq!(said("idle_s = 10\nkeep_clear = 2\nadjust = false\n"), "");
     assert!(said("idle_z = 10").contains("idle_z"));
@@ -114,7 +114,7 @@
 
 #[test]
 fn the_example_of_cells_is_good() {
-    let example = Operator::parse(include_str!("../deploy/cells.hcl"), "cells.hcl").expect("settings");
+    let example = OperatorConfig::parse(include_str!("../deploy/cells.hcl"), "cells.hcl").expect("settings");
     let cells = example.cells.expect("cells");
     assert_eq!((cells.name.as_str(), cells.others.len(), cells.addresses().len()), ("north", 2, 6));
     assert!(cells.script.is_some_and(|script| script.contains("default_portion")));
@@ -124,7 +124,7 @@
 fn mistakes_in_the_settings_of_cells_name_their_field() {
     let said = |cells: &str| {
         let text = format!("cells {{\n{cells}\n}}\n");
-        Operator::parse(&text, "f.hcl").err().map(|e| e.to_string()).unwrap_or_default()
+        OperatorConfig::parse(&text, "f.hcl").err().map(|e| e.to_string()).unwrap_or_default()
     };
     let other = |name: &str| format!("{{ name = \"{name}\", controllers = [\"127.0.0.1:8081\"] }}");
     let good = format!("name = \"a\"\nothers = [{}]", other("b"));
@@ -153,8 +153,9 @@
     let room = |sockets: usize, ram: f64, operator: &str| {
         let mut p = platform_json();
         p["settings"]["limits"] = json!({ "cpu": 0.1, "ram_mb": ram, "max_sockets": sockets });
-        let platform = Platform::parse(&p.to_string(), "f.json").expect("settings");
-        Config { platform, operator: Operator::parse(operator, "f.hcl").expect("settings") }.server_limits()
+        let platform = PlatformConfig::parse(&p.to_string(), "f.json").expect("settings");
+        Config { platform, operator: OperatorConfig::parse(operator, "f.hcl").expect("settings") }
+            .server_limits()
     };
     // One controller serves every worker, half as many again as were ever named, users beside them.
     for (sockets, ram, machines) in [(2877, 158.0, 1822), (3592, 188.0, 2268)] {
@@ -212,8 +213,8 @@
 fn values_and_transactions_keep_to_the_smaller_of_the_present_and_the_coming_limits() {
     let of = |next: Value| {
         let v = with(&["settings", "state", "next"], next);
-        let platform = Platform::parse(&v.to_string(), "f.json").expect("settings");
-        let c = Config { platform, operator: Operator::default() };
+        let platform = PlatformConfig::parse(&v.to_string(), "f.json").expect("settings");
+        let c = Config { platform, operator: OperatorConfig::default() };
         (c.value_bytes(), c.txn_ops(), c.platform.settings.state.next_rates())
     };
     assert_eq!(of(json!(null)), (4096, 8, (1.0, 1.0)));
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -238,7 +238,7 @@
             partition: None,
             faulty: true,
             starts: 0,
-            bound: cfg.blind_bound(),
+            bound: cfg.max_staleness(),
             cancel: Micros::from_secs(faults.cancel_s),
             cfg,
             types: types(),
