--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,113 +1,159 @@
-//! Client of the cloud's interface.
+//! Client of the cloud's interface: machine types, rentals and the machine list.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
 use crate::http::{CallError, Client};
 use crate::time::{steady, Micros, Steady};
 use crate::wire::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, RentRequest};
 
+/// Most machines in one rental request.
+pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
+/// Machines in one page of the list, the most that the cloud gives at once.
+pub const MACHINES_PER_LIST_PAGE: usize = 500;
+
+/// How long the cloud has to answer.
+const CALL_TIMEOUT: Micros = Micros::from_millis(8000);
+/// Connections that are kept open between calls.
+const MAX_IDLE_CONNECTIONS: usize = 2;
+/// What the cloud says in the body of a 503 if it has no machine of the type, zone and kind.
+const NO_CAPACITY_TEXT: &str = "no capacity";
+/// Stands for the status code where no connection could be made.
+const NO_STATUS: u16 = 0;
+
 /// Why a call to the cloud has no result.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum CloudError {
-    /// Nothing of this type, zone and kind is to be had.
+    /// The cloud has no machine of this type, zone and kind.
     #[error("no capacity")]
     NoCapacity,
-    /// Not executed: an outage, the limit, or no connection.
-    #[error("not executed ({0})")]
-    NotNow(u16),
-    /// No answer: it may have been executed, or may yet be.
+    /// Not executed: an outage (status 503), the rate limit (429), or no connection (0).
+    #[error("not executed ({status})")]
+    NotExecuted {
+        /// The status code.
+        status: u16,
+    },
+    /// No answer: the request may have been executed, or may yet be.
     #[error("unknown: {0}")]
     Unknown(String),
-    /// The answer makes no sense, or the request did not.
+    /// The answer cannot be parsed, or the cloud could not parse the request.
     #[error("malformed: {0}")]
     Malformed(String),
 }
 
-/// The client.
+/// Client of the cloud's interface, at a limited rate. Calls block the thread.
 pub struct CloudClient {
     http: Client,
-    gap: Micros,
-    next: Mutex<Steady>,
+    /// Least time between the starts of two requests.
+    request_interval: Micros,
+    next_request_at: Mutex<Steady>,
 }
 
-/// Most machines in one request for some.
-pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
-
-/// Machines in one page of the list, the most that the cloud gives at once.
-pub const MACHINES_PER_LIST_PAGE: usize = 500;
-
-/// How long the cloud has to answer.
-const CALL: Micros = Micros::from_millis(8000);
-
 impl CloudClient {
-    /// A client that keeps to `rps` requests a second.
-    pub fn new(addr: SocketAddr, rps: f64) -> CloudClient {
+    /// A client that sends at most `requests_per_s` requests a second.
+    pub fn new(addr: SocketAddr, requests_per_s: f64) -> CloudClient {
         CloudClient {
-            http: Client::new(addr, 2),
-            gap: Micros::from_secs(1.0 / rps),
-            next: Mutex::new(Steady(0)),
-        }
-    }
-
-    fn call(&self, method: &str, path: &str, body: Option<Vec<u8>>) -> Result<Vec<u8>, CloudError> {
-        let wait = {
-            let mut next = self.next.lock().unwrap_or_else(|e| e.into_inner());
-            let now = steady();
-            let at = (*next).max(now);
-            *next = at + self.gap;
-            at - now
-        };
-        if wait.0 > 0 {
-            std::thread::sleep(wait.std());
-        }
-        match self.http.call(method, path, body.as_deref(), CALL) {
-            Ok((200, b)) => Ok(b),
-            Ok((503, b)) if String::from_utf8_lossy(&b).contains("no capacity") => {
-                Err(CloudError::NoCapacity)
-            }
-            Ok((s @ (429 | 503), _)) => Err(CloudError::NotNow(s)),
-            Ok((s, b)) => Err(CloudError::Malformed(format!("{s} {}", String::from_utf8_lossy(&b)))),
-            Err(CallError::NotSent(_)) => Err(CloudError::NotNow(0)),
-            Err(CallError::NoAnswer(e)) => Err(CloudError::Unknown(e)),
+            http: Client::new(addr, MAX_IDLE_CONNECTIONS),
+            request_interval: Micros::from_secs(1.0 / requests_per_s),
+            next_request_at: Mutex::new(Steady(0)),
         }
     }
 
     /// The machine types with their current prices.
+    ///
+    /// # Errors
+    ///
+    /// [`CloudError`], as for all calls.
     pub fn catalog(&self) -> Result<Vec<MachineType>, CloudError> {
-        let b = self.call("GET", "/catalog", None)?;
-        let c: Catalog = serde_json::from_slice(&b).map_err(|e| CloudError::Malformed(e.to_string()))?;
-        Ok(c.types)
+        let catalog: Catalog = self.get("/catalog")?;
+        Ok(catalog.types)
     }
 
-    /// Rents machines. The same request may be repeated until it is answered.
-    pub fn rent(&self, r: &RentRequest) -> Result<Vec<String>, CloudError> {
-        let body = serde_json::to_vec(r).map_err(|e| CloudError::Malformed(e.to_string()))?;
-        let b = self.call("POST", "/rentals", Some(body))?;
-        let m: MachineNames = serde_json::from_slice(&b).map_err(|e| CloudError::Malformed(e.to_string()))?;
-        Ok(m.machines)
+    /// Rents machines and returns their names, which may be fewer than asked for. The request is
+    /// idempotent: it may be repeated until it is answered.
+    ///
+    /// # Errors
+    ///
+    /// [`CloudError::NoCapacity`] if there is not a single machine; after [`CloudError::Unknown`]
+    /// the machines may have been rented.
+    pub fn rent(&self, request: &RentRequest) -> Result<Vec<String>, CloudError> {
+        let rented: MachineNames = parse(&self.post("/rentals", request)?)?;
+        Ok(rented.machines)
     }
 
-    /// Returns up to a hundred machines; once it succeeds they are gone with all that was on them.
-    pub fn give_back(&self, machines: &[String]) -> Result<(), CloudError> {
-        let body = serde_json::to_vec(&MachineNames { machines: machines.to_vec() })
-            .map_err(|e| CloudError::Malformed(e.to_string()))?;
-        self.call("POST", "/rentals/return", Some(body)).map(|_| ())
+    /// Returns up to a hundred machines. Once it succeeds they are gone with all that ran on them.
+    ///
+    /// # Errors
+    ///
+    /// After [`CloudError::Unknown`] the machines may have been returned.
+    pub fn return_machines(&self, machines: &[String]) -> Result<(), CloudError> {
+        let names = MachineNames { machines: machines.to_vec() };
+        self.post("/rentals/return", &names).map(|_| ())
     }
 
-    /// The whole machine list.
+    /// The whole machine list, read page by page.
+    ///
+    /// # Errors
+    ///
+    /// [`CloudError`] if any page could not be read.
     pub fn list(&self) -> Result<Vec<ListedMachine>, CloudError> {
-        let mut all: Vec<ListedMachine> = Vec::new();
+        let mut machines: Vec<ListedMachine> = Vec::new();
         loop {
-            let from = all.last().map(|m| format!("from={}&", m.id)).unwrap_or_default();
-            let b = self.call("GET", &format!("/rentals?{from}most={MACHINES_PER_LIST_PAGE}"), None)?;
-            let page: MachineList =
-                serde_json::from_slice(&b).map_err(|e| CloudError::Malformed(e.to_string()))?;
-            let empty = page.machines.is_empty();
-            all.extend(page.machines);
-            if !page.more || empty {
-                return Ok(all);
+            let from = machines.last().map(|last| format!("from={}&", last.id)).unwrap_or_default();
+            let page: MachineList = self.get(&format!("/rentals?{from}most={MACHINES_PER_LIST_PAGE}"))?;
+            let is_empty = page.machines.is_empty();
+            machines.extend(page.machines);
+            if !page.more || is_empty {
+                return Ok(machines);
             }
         }
     }
+
+    fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CloudError> {
+        parse(&self.call("GET", path, None)?)
+    }
+
+    fn post<T: Serialize>(&self, path: &str, message: &T) -> Result<Vec<u8>, CloudError> {
+        let body = serde_json::to_vec(message).map_err(|e| CloudError::Malformed(e.to_string()))?;
+        self.call("POST", path, Some(&body))
+    }
+
+    /// Waits for its turn, sends a request and returns the body of a successful response.
+    fn call(&self, method: &str, path: &str, body: Option<&[u8]>) -> Result<Vec<u8>, CloudError> {
+        self.wait_for_turn();
+        match self.http.call(method, path, body, CALL_TIMEOUT) {
+            Ok((200, body)) => Ok(body),
+            Ok((503, body)) if String::from_utf8_lossy(&body).contains(NO_CAPACITY_TEXT) => {
+                Err(CloudError::NoCapacity)
+            }
+            Ok((status @ (429 | 503), _)) => Err(CloudError::NotExecuted { status }),
+            Ok((status, body)) => {
+                let text = String::from_utf8_lossy(&body);
+                Err(CloudError::Malformed(format!("{status} {text}")))
+            }
+            Err(CallError::NotSent(_)) => Err(CloudError::NotExecuted { status: NO_STATUS }),
+            Err(CallError::NoAnswer(reason)) => Err(CloudError::Unknown(reason)),
+        }
+    }
+
+    /// Sleeps until the rate limit allows the next request.
+    fn wait_for_turn(&self) {
+        let wait = {
+            let mut next_request_at = self.next_request_at.lock().unwrap_or_else(|e| e.into_inner());
+            let now = steady();
+            let turn = (*next_request_at).max(now);
+            *next_request_at = turn + self.request_interval;
+            turn - now
+        };
+        if wait > Micros::ZERO {
+            std::thread::sleep(wait.std());
+        }
+    }
+}
+
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, CloudError> {
+    serde_json::from_slice(body).map_err(|e| CloudError::Malformed(e.to_string()))
 }
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -118,7 +118,7 @@
         // Each answer counts at once: what the next request has to wait for must not hold up what
         // can start elsewhere.
         for part in ids.chunks(MAX_MACHINES_PER_SCALE_IN) {
-            match self.cloud.give_back(part) {
+            match self.cloud.return_machines(part) {
                 Ok(()) => {
                     if let Some(leadership) = self.lock().leadership_with(fencing_token) {
                         leadership.fleet.returned(part, self.now());
