--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -2,11 +2,13 @@
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
+use std::os::fd::AsRawFd;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-use mio::Token;
+use mio::unix::SourceFd;
+use mio::{Interest, Registry, Token};
 
 use super::request_parser::{RequestError, RequestHead};
 use super::{Request, Response};
@@ -54,11 +56,11 @@
 
 /// An open connection with the bytes that were read and not yet used.
 pub(super) struct Connection {
-    pub(super) stream: TcpStream,
+    stream: TcpStream,
     /// Its name in the poll loop.
-    pub(super) token: Token,
+    token: Token,
     /// Whether the poll loop knows the socket already.
-    pub(super) registered: bool,
+    registered: bool,
     /// Guard of the count of background connections, if it is one of them.
     pub(super) background_guard: Option<ConnectionCountGuard>,
     buffer: Vec<u8>,
@@ -98,6 +100,23 @@
         })
     }
 
+    /// Its name in the poll loop.
+    pub(super) fn token(&self) -> Token {
+        self.token
+    }
+
+    /// Has the poll loop report when data can be read.
+    pub(super) fn register(&mut self, registry: &Registry) -> std::io::Result<()> {
+        let descriptor = self.stream.as_raw_fd();
+        let was_registered = std::mem::replace(&mut self.registered, true);
+        // Events are edge-triggered; registering again reports data that came in the meantime.
+        if was_registered {
+            registry.reregister(&mut SourceFd(&descriptor), self.token, Interest::READABLE)
+        } else {
+            registry.register(&mut SourceFd(&descriptor), self.token, Interest::READABLE)
+        }
+    }
+
     /// Reads what has arrived, unless bytes of a next request are in the buffer already. False if
     /// the peer has closed the connection or it has failed.
     pub(super) fn fill_buffer(&mut self) -> bool {
--- a/src/http/waiting_connections.rs
+++ b/src/http/waiting_connections.rs
@@ -1,11 +1,9 @@
 //! The connections that wait for data. They cost a socket each, and no thread.
 
 use std::collections::BTreeMap;
-use std::os::fd::AsRawFd;
 use std::sync::Mutex;
 
-use mio::unix::SourceFd;
-use mio::{Events, Interest, Registry, Token};
+use mio::{Events, Registry, Token};
 
 use super::connection::Connection;
 use super::lock;
@@ -26,20 +24,11 @@
     /// Lets a connection wait for data. If it cannot be registered it is closed.
     pub(super) fn insert(&self, mut connection: Connection) {
         connection.mark_idle();
-        let token = connection.token;
-        let descriptor = connection.stream.as_raw_fd();
-        let was_registered = std::mem::replace(&mut connection.registered, true);
         // Locked before it registers: the poll loop must not look for the connection before it is
         // in the map, nor may it be closed and its descriptor be reused in between.
         let mut connections = lock(&self.connections);
-        // Events are edge-triggered; registering again reports data that came in the meantime.
-        let registered = if was_registered {
-            self.registry.reregister(&mut SourceFd(&descriptor), token, Interest::READABLE)
-        } else {
-            self.registry.register(&mut SourceFd(&descriptor), token, Interest::READABLE)
-        };
-        if registered.is_ok() {
-            connections.insert(token, connection);
+        if connection.register(&self.registry).is_ok() {
+            connections.insert(connection.token(), connection);
         }
     }
 
