--- a/src/cli.rs
+++ b/src/cli.rs
@@ -10,7 +10,7 @@
 use clap::{Parser, Subcommand};
 
 use crate::config::Config;
-use crate::http::{CallError, Client};
+use crate::http::{CallError, Client, ClientResponse};
 use crate::node::{Node, STATUS};
 use crate::peer::{self, Call};
 use crate::report::RecoveryLog;
@@ -249,7 +249,7 @@
     let call = |method: &str, path: &str, body: Option<&[u8]>| {
         client.call(method, path, body, Micros::from_secs(5.0))
     };
-    let result: Result<(u16, Vec<u8>), CallError> = match what {
+    let result: Result<ClientResponse, CallError> = match what {
         JobCommand::Submit { file } => {
             let mut body = Vec::new();
             let read = if file.as_os_str() == "-" {
@@ -266,7 +266,7 @@
         JobCommand::Cancel { id } => call("POST", &format!("/api/jobs/{id}/withdraw"), Some(b"{}")),
     };
     match result {
-        Ok((status, body)) => {
+        Ok(ClientResponse { status, body }) => {
             println!("{}", String::from_utf8_lossy(&body));
             if status < 300 {
                 ExitCode::SUCCESS
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use crate::http::{CallError, Client};
+use crate::http::{CallError, Client, ClientResponse};
 use crate::time::{steady, Micros, Steady};
 use crate::wire::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, RentRequest};
 
@@ -125,15 +125,7 @@
     fn call(&self, method: &str, path: &str, body: Option<&[u8]>) -> Result<Vec<u8>, CloudError> {
         self.wait_for_turn();
         match self.http.call(method, path, body, CALL_TIMEOUT) {
-            Ok((200, body)) => Ok(body),
-            Ok((503, body)) if String::from_utf8_lossy(&body).contains(NO_CAPACITY_TEXT) => {
-                Err(CloudError::NoCapacity)
-            }
-            Ok((status @ (429 | 503), _)) => Err(CloudError::NotExecuted { status }),
-            Ok((status, body)) => {
-                let text = String::from_utf8_lossy(&body);
-                Err(CloudError::Malformed(format!("{status} {text}")))
-            }
+            Ok(response) => successful_body(response),
             Err(CallError::NotSent(_)) => Err(CloudError::NotExecuted { status: NO_STATUS }),
             Err(CallError::NoAnswer(reason)) => Err(CloudError::Unknown(reason)),
         }
@@ -154,6 +146,18 @@
     }
 }
 
+/// The body of a successful response, or the error that another one stands for.
+fn successful_body(response: ClientResponse) -> Result<Vec<u8>, CloudError> {
+    let ClientResponse { status, body } = response;
+    let text = || String::from_utf8_lossy(&body);
+    match status {
+        200 => Ok(body),
+        503 if text().contains(NO_CAPACITY_TEXT) => Err(CloudError::NoCapacity),
+        429 | 503 => Err(CloudError::NotExecuted { status }),
+        _ => Err(CloudError::Malformed(format!("{status} {}", text()))),
+    }
+}
+
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, CloudError> {
     serde_json::from_slice(body).map_err(|e| CloudError::Malformed(e.to_string()))
 }
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -8,7 +8,7 @@
 use crate::config::{FENCING_TOKEN_THREADS, HALT_THREADS};
 use crate::direct_command::DirectCommand;
 use crate::fleet::Fleet;
-use crate::http::Client;
+use crate::http::{Client, ClientResponse};
 use crate::time::{Micros, Steady};
 use crate::wire::{Commands, Report, COMMANDS_PATH};
 
@@ -91,7 +91,9 @@
             }) else {
                 return;
             };
-            let Ok((status, body)) = client.call("POST", COMMANDS_PATH, Some(&body), COMMAND_TIMEOUT) else {
+            let Ok(ClientResponse { status, body }) =
+                client.call("POST", COMMANDS_PATH, Some(&body), COMMAND_TIMEOUT)
+            else {
                 tracing::debug!(%machine, "direct command unanswered");
                 return;
             };
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -22,6 +22,15 @@
 /// Bytes that a single read takes at the most.
 const READ_CHUNK: usize = 8192;
 
+/// The response to a request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ClientResponse {
+    /// Status code.
+    pub status: u16,
+    /// Body; empty if there is none.
+    pub body: Vec<u8>,
+}
+
 /// Why a request has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
@@ -73,8 +82,7 @@
         Client { addr, idle: Mutex::new(Vec::new()), max_idle }
     }
 
-    /// Sends a request, with a JSON body if there is one, and returns the status code and the body
-    /// of the response.
+    /// Sends a request, with a JSON body if there is one, and waits for the response.
     ///
     /// # Errors
     ///
@@ -86,7 +94,7 @@
         path: &str,
         body: Option<&[u8]>,
         timeout: Micros,
-    ) -> Result<(u16, Vec<u8>), CallError> {
+    ) -> Result<ClientResponse, CallError> {
         let deadline = steady() + timeout;
         let request = self.encode_request(method, path, body);
         if let Some(stream) = self.take_idle() {
@@ -147,14 +155,14 @@
         mut stream: TcpStream,
         request: &[u8],
         deadline: Steady,
-    ) -> Result<(u16, Vec<u8>), ExchangeError> {
+    ) -> Result<ClientResponse, ExchangeError> {
         let _ = stream.set_write_timeout(Some(socket_timeout(deadline - steady())));
         stream.write_all(request)?;
-        let response = read_response(&mut stream, deadline)?;
-        if !response.close {
+        let parsed = read_response(&mut stream, deadline)?;
+        if !parsed.close {
             self.keep_idle(stream);
         }
-        Ok((response.status, response.body))
+        Ok(parsed.response)
     }
 }
 
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -14,7 +14,7 @@
 
 use std::sync::{Mutex, MutexGuard};
 
-pub use client::{CallError, Client};
+pub use client::{CallError, Client, ClientResponse};
 pub use message::{Request, Response};
 pub use server::serve;
 pub use service::{RequestClass, ServerLimits, Service};
--- a/src/http/response_parser.rs
+++ b/src/http/response_parser.rs
@@ -1,6 +1,6 @@
 //! Parsing of responses, with a length or in chunks.
 
-use super::{header_text, MAX_HEADERS};
+use super::{header_text, ClientResponse, MAX_HEADERS};
 
 /// Bytes of the line break after each chunk.
 const CHUNK_END: usize = 2;
@@ -16,11 +16,10 @@
     Chunk,
 }
 
-/// A response as the client reads it.
+/// A response, and what becomes of its connection.
 #[derive(Debug)]
 pub(super) struct ParsedResponse {
-    pub status: u16,
-    pub body: Vec<u8>,
+    pub response: ClientResponse,
     /// The server closes the connection after this response.
     pub close: bool,
 }
@@ -49,7 +48,8 @@
         buffer.get(head_length..end).map(<[u8]>::to_vec)
     };
     let status = parsed.code.unwrap_or(0);
-    Ok(body.map(|body| ParsedResponse { status, body, close: framing.close }))
+    let parsed = |body| ParsedResponse { response: ClientResponse { status, body }, close: framing.close };
+    Ok(body.map(parsed))
 }
 
 fn parse_framing(headers: &[httparse::Header<'_>]) -> Result<Framing, ParseError> {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-use crate::http::{CallError, Client};
+use crate::http::{CallError, Client, ClientResponse};
 use crate::time::{steady, Micros, Steady};
 use crate::wire::{Events, Row, Rows, Txn};
 
@@ -125,21 +125,21 @@
         let answer = client.call(method, path, body.as_deref().map(str::as_bytes), timeout);
         if let Ok(mut failing) = self.failing.lock() {
             match answer {
-                Ok((503, _)) | Err(_) => {
+                Ok(ClientResponse { status: 503, .. }) | Err(_) => {
                     failing.get_or_insert_with(steady);
                 }
                 Ok(_) => *failing = None,
             }
         }
         match answer {
-            Ok((429, _)) => {
+            Ok(ClientResponse { status: 429, .. }) => {
                 if let Ok(mut budget) = self.budget.lock() {
                     budget.rate_refused();
                 }
                 Err(StateError::Refused(429))
             }
-            Ok((503, _)) => Err(StateError::Refused(503)),
-            Ok(r) => Ok(r),
+            Ok(ClientResponse { status: 503, .. }) => Err(StateError::Refused(503)),
+            Ok(ClientResponse { status, body }) => Ok((status, body)),
             Err(CallError::NotSent(_)) => Err(StateError::Refused(0)),
             Err(CallError::NoAnswer(e)) => Err(StateError::Unknown(e)),
         }
--- a/tests/cancellation_in_outage.rs
+++ b/tests/cancellation_in_outage.rs
@@ -687,7 +687,7 @@
         }
         w.clock.fetch_add(3 * SECOND, Ordering::SeqCst);
         node.plan_once();
-        let status = ask.join().expect("no panic").expect("an answer").0;
+        let status = ask.join().expect("no panic").expect("an answer").status;
         let now = w.now();
         locked(&w.service).back(now);
         w.run(5.0);
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-use milletlock::http::{CallError, Client};
+use milletlock::http::{CallError, Client, ClientResponse};
 use milletlock::time::Micros;
 
 const PLAIN: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
@@ -45,7 +45,7 @@
     addr
 }
 
-fn get(client: &Client) -> Result<(u16, Vec<u8>), CallError> {
+fn get(client: &Client) -> Result<ClientResponse, CallError> {
     client.call("GET", "/", None, Micros::from_secs(10.0))
 }
 
@@ -60,7 +60,7 @@
     let client = Client::new(server(responses), 1);
     // All on one connection, the only one that is taken: none of them asks to close it.
     for _ in 0..n {
-        assert_eq!(get(&client).expect("an answer"), (200, b"{}".to_vec()));
+        assert_eq!(get(&client).expect("an answer"), ClientResponse { status: 200, body: b"{}".to_vec() });
     }
 }
 
--- a/tests/common/cells.rs
+++ b/tests/common/cells.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use milletlock::http::{Client, Request, Response};
+use milletlock::http::{Client, ClientResponse, Request, Response};
 use milletlock::peer::{self, Call};
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::{CellsStatus, Change, Order, ReportReply, TaskStage, Why};
@@ -257,7 +257,7 @@
                 let sent = now();
                 let answer = client.call("POST", "/checkin", Some(&body), Micros::from_secs(4.0));
                 changed = match answer {
-                    Ok((200, body)) => {
+                    Ok(ClientResponse { status: 200, body }) => {
                         let reply = serde_json::from_slice(&body).expect("an answer");
                         self.execute(&reply, sent, now())
                     }
@@ -616,8 +616,8 @@
         let body = body.map(|body| body.to_string().into_bytes());
         for addr in &self.cells[cell].users {
             let client = Client::new(*addr, 0);
-            if let Ok((status, bytes)) = client.call(method, path, body.as_deref(), Micros::from_secs(5.0)) {
-                return (status, serde_json::from_slice(&bytes).unwrap_or(Value::Null));
+            if let Ok(answer) = client.call(method, path, body.as_deref(), Micros::from_secs(5.0)) {
+                return (answer.status, serde_json::from_slice(&answer.body).unwrap_or(Value::Null));
             }
         }
         (0, Value::Null)
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -14,7 +14,7 @@
 use common::store::Store;
 use common::{platform_json, spec};
 use milletlock::config::{Config, OperatorConfig, PlatformConfig};
-use milletlock::http::{Client, Response};
+use milletlock::http::{Client, ClientResponse, Response};
 use milletlock::node::Node;
 use milletlock::peer::{self, Call};
 use milletlock::time::Micros;
@@ -105,7 +105,7 @@
 impl Service {
     fn call(&self, method: &str, path: &str, body: Option<&[u8]>) -> (u16, Value) {
         match Client::new(self.addr, 0).call(method, path, body, Micros::from_secs(10.0)) {
-            Ok((s, b)) => (s, serde_json::from_slice(&b).unwrap_or(Value::Null)),
+            Ok(answer) => (answer.status, serde_json::from_slice(&answer.body).unwrap_or(Value::Null)),
             Err(_) => (0, Value::Null),
         }
     }
@@ -421,7 +421,7 @@
         }
         let body = (r.method == "POST").then_some(r.body.as_slice());
         match all_else.call(&r.method, &r.path, body, Micros::from_secs(10.0)) {
-            Ok((status, body)) => Response { status, body, retry_after: None },
+            Ok(ClientResponse { status, body }) => Response { status, body, retry_after: None },
             Err(e) => Response::error(503, &e.to_string()),
         }
     });
