--- a/src/cli.rs
+++ b/src/cli.rs
@@ -11,7 +11,7 @@
 
 use crate::config::Config;
 use crate::controller::{Controller, STATUS};
-use crate::http::{CallError, Client};
+use crate::http::{CallError, Client, ClientResponse};
 use crate::peer::{self, Call};
 use crate::report::RecoveryLog;
 use crate::time::Micros;
@@ -167,12 +167,12 @@
                 "ok: {} of {} controllers, {} teams, {} zones; renews workers for {:.1} s without the state service; \
                  room for {} connections, {} of them workers', on {} threads",
                 c.platform.label,
-                c.nodes(),
+                c.controller_count(),
                 s.teams.len(),
                 s.zones.len(),
-                c.blind_bound().secs(),
-                c.room().connections,
-                c.room().bulk_connections,
+                c.max_staleness().secs(),
+                c.server_limits().connections,
+                c.server_limits().background_connections,
                 c.operator.max_threads
             );
             if let Some(cells) = &c.operator.cells {
@@ -249,7 +249,7 @@
     let call = |method: &str, path: &str, body: Option<&[u8]>| {
         client.call(method, path, body, Micros::from_secs(5.0))
     };
-    let result: Result<(u16, Vec<u8>), CallError> = match what {
+    let result: Result<ClientResponse, CallError> = match what {
         JobCommand::Submit { file } => {
             let mut body = Vec::new();
             let read = if file.as_os_str() == "-" {
@@ -266,7 +266,7 @@
         JobCommand::Cancel { id } => call("POST", &format!("/api/jobs/{id}/withdraw"), Some(b"{}")),
     };
     match result {
-        Ok((status, body)) => {
+        Ok(ClientResponse { status, body }) => {
             println!("{}", String::from_utf8_lossy(&body));
             if status < 300 {
                 ExitCode::SUCCESS
--- a/tests/cancellation_in_outage.rs
+++ b/tests/cancellation_in_outage.rs
@@ -15,9 +15,9 @@
 use common::store::Store;
 use common::worker::{Task, WorkerState};
 use common::{platform_json, spec, LEASE};
-use milletlock::config::{Config, Operator, Platform};
+use milletlock::config::{Config, OperatorConfig, PlatformConfig};
 use milletlock::controller::Controller;
-use milletlock::http::{self, Client, Lane, Reply, Request, Response, Room};
+use milletlock::http::{self, Client, Reply, Request, RequestClass, Response, ServerLimits};
 use milletlock::peer::{Outbound, PeerError, PeerHub};
 use milletlock::time::{Clock, Micros, Steady};
 use milletlock::wire::{Change, Commands, HeartbeatReply, Order, TaskStage, Txn};
@@ -262,8 +262,8 @@
         // The budget goes by the machine's clock, which has no part in this.
         p["settings"]["state"]["rps"] = json!(1e6);
         p["settings"]["state"]["write_rps"] = json!(1e6);
-        let platform = Platform::parse(&p.to_string(), "test").expect("settings");
-        let cfg = Config { platform, operator: Operator::default() };
+        let platform = PlatformConfig::parse(&p.to_string(), "test").expect("settings");
+        let cfg = Config { platform, operator: OperatorConfig::default() };
         let (controllers, partitioned) = (self.controllers.clone(), self.partitioned.clone());
         let carry = move |o: Outbound| {
             let to = locked(&controllers)
@@ -654,9 +654,14 @@
     let addr = l.local_addr().expect("an address");
     let n = node.clone();
     let handler = Arc::new(move |r: Request, reply: Reply| n.serve(&r, reply));
-    let service = http::Service { lane: |_| Lane::Prompt, handler };
-    let room = Room { connections: 10, bulk_connections: 10, prompt_threads: 4, bulk_threads: 1 };
-    std::thread::spawn(move || http::serve(l, room, Arc::default(), service));
+    let service = http::Service { classify: |_| RequestClass::Interactive, handler };
+    let limits = ServerLimits {
+        connections: 10,
+        background_connections: 10,
+        interactive_threads: 4,
+        background_threads: 1,
+    };
+    std::thread::spawn(move || http::serve(l, limits, Arc::default(), service));
     // A second machine, idle, is enrolled and shows the token.
     let idle = |sequence: u64| {
         let r = common::report("i-000002", sequence, u64::from(sequence > 1), &[]);
@@ -683,7 +688,7 @@
         }
         w.clock.fetch_add(3 * SECOND, Ordering::SeqCst);
         node.plan_once();
-        let status = ask.join().expect("no panic").expect("an answer").0;
+        let status = ask.join().expect("no panic").expect("an answer").status;
         let now = w.now();
         locked(&w.service).back(now);
         w.run(5.0);
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -13,9 +13,9 @@
 use common::state_service::{answer_read, answer_transaction, events, parameter, transaction, watched};
 use common::store::Store;
 use common::{platform_json, spec};
-use milletlock::config::{Config, Operator, Platform};
+use milletlock::config::{Config, OperatorConfig, PlatformConfig};
 use milletlock::controller::Controller;
-use milletlock::http::{Client, Response};
+use milletlock::http::{Client, ClientResponse, Response};
 use milletlock::peer::{self, Call};
 use milletlock::time::Micros;
 use milletlock::wire::{ExitReason, HeartbeatReply, Order, TaskStage};
@@ -87,8 +87,8 @@
     let mut p = platform_json();
     p["services"] = json!({ "cloud": cloud(), "state": state });
     change(&mut p);
-    let platform = Platform::parse(&p.to_string(), "test").expect("settings");
-    let cfg = Config { platform, operator: Operator::default() };
+    let platform = PlatformConfig::parse(&p.to_string(), "test").expect("settings");
+    let cfg = Config { platform, operator: OperatorConfig::default() };
     std::thread::spawn(move || Controller::run_on(cfg, users, others, Arc::new(AtomicBool::new(false))));
     Service { addr, internal, out }
 }
@@ -105,7 +105,7 @@
 impl Service {
     fn call(&self, method: &str, path: &str, body: Option<&[u8]>) -> (u16, Value) {
         match Client::new(self.addr, 0).call(method, path, body, Micros::from_secs(10.0)) {
-            Ok((s, b)) => (s, serde_json::from_slice(&b).unwrap_or(Value::Null)),
+            Ok(answer) => (answer.status, serde_json::from_slice(&answer.body).unwrap_or(Value::Null)),
             Err(_) => (0, Value::Null),
         }
     }
@@ -426,7 +426,7 @@
         }
         let body = (r.method == "POST").then_some(r.body.as_slice());
         match all_else.call(&r.method, &r.path, body, Micros::from_secs(10.0)) {
-            Ok((status, body)) => Response { status, body, retry_after: None },
+            Ok(ClientResponse { status, body }) => Response { status, body, retry_after: None },
             Err(e) => Response::error(503, &e.to_string()),
         }
     });
