--- a/crates/cells/src/loan.rs
+++ b/crates/cells/src/loan.rs
@@ -1,14 +1,16 @@
-//! Loans as both sides record them.
+//! Loans as both sides record them. The serialized names of these types are part of stored records and
+//! must not change.
 
 use serde::{Deserialize, Serialize};
 
 use crate::task_set::TaskSet;
 
-/// Bits of a loan's number that count; the others are the term of the home's owner.
+/// Low bits of a loan's number that count the loans of one term; the high bits are the term itself.
 const COUNTER_BITS: u32 = 20;
 
-/// Number of a loan. It is unique within its home cell and never comes again: it starts with the owner's
-/// term, which every takeover raises.
+/// Number of a loan: the term of the lender's leader in the high bits, a counter in the low ones.
+///
+/// It is unique within the lender's cell and never reused, since every failover raises the term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LoanNumber(pub u64);
@@ -19,25 +21,27 @@
         LoanNumber(term << COUNTER_BITS)
     }
 
-    /// The number after this one; none if the term has no more.
+    /// The number after this one, or `None` if the term has no more numbers.
     pub fn next(self) -> Option<LoanNumber> {
         let next = LoanNumber(self.0 + 1);
-        (next.0 >> COUNTER_BITS == self.0 >> COUNTER_BITS).then_some(next)
+        let is_same_term = next.0 >> COUNTER_BITS == self.0 >> COUNTER_BITS;
+        is_same_term.then_some(next)
     }
 }
 
-/// A loan as its home records it.
+/// A loan as its lender records it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Loan {
-    /// Its number.
+    /// The loan's number.
     pub number: LoanNumber,
-    /// The cell that runs the tasks.
-    pub guest: String,
-    /// The tasks. As long as they stand here their home starts none of them.
+    /// Name of the cell that runs the tasks.
+    #[serde(rename = "guest")]
+    pub borrower: String,
+    /// The tasks. As long as they stand here the lender starts none of them.
     pub tasks: TaskSet,
 }
 
-/// What a job's record at its home says of loans.
+/// What a job's record at its lender says of loans.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lending {
     /// The open loans.
@@ -55,40 +59,41 @@
         self.loans.is_empty() && !self.cancelling
     }
 
-    /// Whether the job is cancelled: its user wants it, and no cell holds anything of it.
+    /// Whether the job is cancelled: its user asked for it, and no cell holds any of its tasks.
     pub fn is_cancelled(&self) -> bool {
         self.cancelling && self.loans.is_empty()
     }
 
     /// All tasks that are lent.
     pub fn tasks(&self) -> TaskSet {
-        self.loans.iter().fold(TaskSet::new(), |all, loan| all.union(&loan.tasks))
+        TaskSet::union_of(self.loans.iter().map(|loan| &loan.tasks))
     }
 }
 
-/// A loan as the guest records it.
+/// A loan as its borrower records it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldLoan {
-    /// Its number.
+    /// The loan's number.
     pub number: LoanNumber,
-    /// The tasks that the guest has not given back.
+    /// The tasks that the borrower has not given back.
     pub tasks: TaskSet,
 }
 
-/// A job of which a guest has borrowed tasks.
+/// A job of which a borrower holds tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BorrowedJob {
-    /// The cell that accepted the job.
-    pub home: String,
-    /// The job's description, as its home sent it.
+    /// Name of the cell that accepted the job.
+    #[serde(rename = "home")]
+    pub lender: String,
+    /// The job's description, as the lender sent it.
     pub description: serde_json::Value,
-    /// The loans.
+    /// The loans that are held.
     pub loans: Vec<HeldLoan>,
 }
 
 impl BorrowedJob {
     /// All tasks that are held here.
     pub fn tasks(&self) -> TaskSet {
-        self.loans.iter().fold(TaskSet::new(), |all, loan| all.union(&loan.tasks))
+        TaskSet::union_of(self.loans.iter().map(|loan| &loan.tasks))
     }
 }
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -1,31 +1,30 @@
-//! What two cells say to each other. Only a home asks; its guest replies. Every statement stays true once
-//! it is: a late, doubled or reordered message does no harm.
+//! The messages between two cells. Only a lender asks; its borrower replies. Every statement in a message
+//! stays true once it is true, so a late, duplicated or reordered message does no harm.
 
 use crate::loan::LoanNumber;
-use crate::summary::CellSummary;
 use crate::task_set::TaskSet;
 
-/// What a home wants done with a loan.
+/// What a lender wants a borrower to do with a loan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
-    /// Its tasks are to run.
+pub enum LoanAction {
+    /// Run its tasks.
     Run,
-    /// What has not begun is to be given back.
+    /// Give back the tasks that have not begun.
     Recall,
-    /// The job is cancelled: nothing of it is to run any more.
+    /// The job is cancelled: run none of its tasks any more.
     Cancel,
 }
 
-/// The job that an offered loan is of.
+/// The job that an offered loan belongs to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Offer {
+pub struct LoanOffer {
     /// The job's description.
     pub description: serde_json::Value,
     /// Number of tasks of the whole job.
     pub job_tasks: u32,
 }
 
-/// An open loan, as its home tells of it.
+/// An open loan, as its lender describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoanItem {
     /// The loan's number.
@@ -34,20 +33,20 @@
     pub job: String,
     /// The tasks, as offered.
     pub tasks: TaskSet,
-    /// What is wanted.
-    pub wish: Wish,
-    /// The job, until the guest is known to hold the loan.
-    pub offer: Option<Offer>,
+    /// What the borrower is to do with them.
+    pub action: LoanAction,
+    /// The job, until the borrower is known to hold the loan.
+    pub offer: Option<LoanOffer>,
 }
 
-/// A home's message: all loans that it has open with the guest.
+/// A lender's message: all loans that it has open with the borrower.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Request {
-    /// The home cell.
+pub struct LoanSyncRequest {
+    /// Name of the lender's cell.
     pub from: String,
-    /// The guest cell.
+    /// Name of the borrower's cell.
     pub to: String,
-    /// The term of the home's owner.
+    /// The term of the lender's leader.
     pub term: u64,
     /// Loans up to this number that are not listed are closed.
     pub horizon: LoanNumber,
@@ -55,38 +54,25 @@
     pub loans: Vec<LoanItem>,
 }
 
-/// How a loan stands at the guest.
+/// The state of a loan at the borrower.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LoanState {
-    /// The guest holds these tasks; those that are done are recorded there.
+    /// The borrower holds these tasks; those that are done are recorded there.
     Held {
-        /// Tasks not given back, done ones included.
+        /// Tasks that were not given back, done ones included.
         tasks: TaskSet,
         /// Tasks that are done.
         done: TaskSet,
     },
-    /// The guest holds nothing of it and never will.
+    /// The borrower holds none of its tasks and never will.
     Closed,
 }
 
-/// A guest's word on one loan.
+/// A borrower's report on one loan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoanReport {
     /// The loan's number.
     pub number: LoanNumber,
-    /// How it stands, as recorded durably.
+    /// Its state, as recorded durably.
     pub state: LoanState,
 }
-
-/// A guest's reply.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Reply {
-    /// The guest cell.
-    pub from: String,
-    /// The term of the guest's owner.
-    pub term: u64,
-    /// What room the guest has.
-    pub summary: CellSummary,
-    /// The loans that were asked for, but for those on which it could not decide yet.
-    pub reports: Vec<LoanReport>,
-}
--- a/crates/cells/src/task_set.rs
+++ b/crates/cells/src/task_set.rs
@@ -1,29 +1,30 @@
 //! Sets of task numbers, as compressed bitmaps.
 
 use std::fmt;
+use std::ops::RangeInclusive;
 
 use roaring::RoaringBitmap;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// No job has more tasks than this.
+/// Most tasks of a job; every task number is below it.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// A set of task numbers that cannot be read.
+/// Why a set of task numbers cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TaskSetError {
-    /// The text is not a list of numbers and ranges.
+    /// A part of the text is neither a number nor a range.
     #[error("`{0}` is no number or range of tasks")]
     Malformed(String),
     /// A number that no task can have.
     #[error("task number {0} is too large")]
     TooLarge(u32),
-    /// The bytes are no bitmap.
+    /// The bytes are not a serialized bitmap.
     #[error("not a bitmap: {0}")]
     NotABitmap(String),
 }
 
-/// A set of task numbers of one job. In records it is a compact text (`0-4,7`), in messages the bytes of
-/// a compressed bitmap.
+/// A set of task numbers of one job. Records hold it as compact text (`0-4,7`), messages as the bytes of
+/// a compressed bitmap in the portable Roaring format.
 #[derive(Clone, Default, PartialEq)]
 pub struct TaskSet(RoaringBitmap);
 
@@ -40,57 +41,62 @@
         TaskSet(tasks)
     }
 
-    /// Adds a task; false if it was there.
+    /// The union of any number of sets.
+    pub fn union_of<'a>(sets: impl IntoIterator<Item = &'a TaskSet>) -> TaskSet {
+        sets.into_iter().fold(TaskSet::new(), |all, tasks| all.union(tasks))
+    }
+
+    /// Adds a task; false if it was in the set already.
     pub fn insert(&mut self, task: u32) -> bool {
         self.0.insert(task)
     }
 
-    /// Whether the set holds a task.
+    /// Whether a task is in the set.
     pub fn contains(&self, task: u32) -> bool {
         self.0.contains(task)
     }
 
-    /// How many tasks the set holds.
+    /// Number of tasks in the set.
     pub fn len(&self) -> u32 {
         u32::try_from(self.0.len()).unwrap_or(u32::MAX)
     }
 
-    /// Whether it is empty.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The tasks, in order.
+    /// The tasks, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter()
     }
 
-    /// The greatest task number.
+    /// The greatest task number, or `None` for the empty set.
     pub fn max(&self) -> Option<u32> {
         self.0.max()
     }
 
-    /// What is in either.
+    /// The tasks that are in either set.
     pub fn union(&self, other: &TaskSet) -> TaskSet {
         TaskSet(&self.0 | &other.0)
     }
 
-    /// What is in both.
+    /// The tasks that are in both sets.
     pub fn intersection(&self, other: &TaskSet) -> TaskSet {
         TaskSet(&self.0 & &other.0)
     }
 
-    /// What is in this one but not in the other.
+    /// The tasks that are in this set but not in the other.
     pub fn difference(&self, other: &TaskSet) -> TaskSet {
         TaskSet(&self.0 - &other.0)
     }
 
-    /// Whether all of it is in the other.
+    /// Whether all tasks of this set are in the other.
     pub fn is_subset(&self, other: &TaskSet) -> bool {
         self.0.is_subset(&other.0)
     }
 
-    /// Whether nothing is in both.
+    /// Whether no task is in both sets.
     pub fn is_disjoint(&self, other: &TaskSet) -> bool {
         self.0.is_disjoint(&other.0)
     }
@@ -103,35 +109,40 @@
         bytes
     }
 
-    /// A set from its bytes; a number that no task can have is refused.
+    /// Reads a set from its bytes. Refuses a task number that no job can have.
     pub fn from_bytes(bytes: &[u8]) -> Result<TaskSet, TaskSetError> {
-        let tasks =
-            RoaringBitmap::deserialize_from(bytes).map_err(|e| TaskSetError::NotABitmap(e.to_string()))?;
+        let tasks = RoaringBitmap::deserialize_from(bytes)
+            .map_err(|error| TaskSetError::NotABitmap(error.to_string()))?;
         match tasks.max() {
             Some(task) if task >= MAX_TASKS => Err(TaskSetError::TooLarge(task)),
             _ => Ok(TaskSet(tasks)),
         }
     }
 
-    /// A set from its compact text.
+    /// Reads a set from its compact text. Refuses a task number that no job can have.
     pub fn parse(text: &str) -> Result<TaskSet, TaskSetError> {
         let mut tasks = RoaringBitmap::new();
         for part in text.split(',').filter(|part| !part.is_empty()) {
-            let (first, last) = part.split_once('-').unwrap_or((part, part));
-            let number = |digits: &str| digits.parse().map_err(|_| TaskSetError::Malformed(part.into()));
-            let (first, last): (u32, u32) = (number(first)?, number(last)?);
-            if first > last {
-                return Err(TaskSetError::Malformed(part.into()));
-            }
-            if last >= MAX_TASKS {
-                return Err(TaskSetError::TooLarge(last));
-            }
-            tasks.insert_range(first..=last);
+            tasks.insert_range(parse_range(part)?);
         }
         Ok(TaskSet(tasks))
     }
 }
 
+/// Reads one part of a compact text: a number or a range with both ends included.
+fn parse_range(part: &str) -> Result<RangeInclusive<u32>, TaskSetError> {
+    let (first, last) = part.split_once('-').unwrap_or((part, part));
+    let parse_number = |digits: &str| digits.parse().map_err(|_| TaskSetError::Malformed(part.into()));
+    let (first, last): (u32, u32) = (parse_number(first)?, parse_number(last)?);
+    if first > last {
+        return Err(TaskSetError::Malformed(part.into()));
+    }
+    if last >= MAX_TASKS {
+        return Err(TaskSetError::TooLarge(last));
+    }
+    Ok(first..=last)
+}
+
 impl FromIterator<u32> for TaskSet {
     fn from_iter<I: IntoIterator<Item = u32>>(tasks: I) -> TaskSet {
         TaskSet(tasks.into_iter().collect())
--- a/crates/cells/tests/lending_choice.rs
+++ b/crates/cells/tests/lending_choice.rs
@@ -1,55 +1,63 @@
 //! What is lent: the built-in choice, its hysteresis, and operators' scripts with their bounds.
 
-use milletlock_cells::{BacklogGate, LendingView, Script, ScriptError, MAX_PORTION};
+use milletlock_cells::{BacklogThreshold, LendingInputs, LendingScript, ScriptError, MAX_TASKS_PER_LOAN};
 
-/// A cell with four drain times of backlog, and a guest with room.
-fn view() -> LendingView {
-    LendingView {
+/// A cell with four drain times of backlog, and a borrower with capacity.
+fn inputs() -> LendingInputs {
+    LendingInputs {
         backlog_s: 180.0,
         drain_s: 45.0,
         lendable: 100,
         task_cpus: 2.0,
         task_s: 30.0,
         waited_s: 12.0,
-        guest_spare_cpus: 64.0,
-        guest_backlog_s: 0.0,
+        borrower_spare_cpus: 64.0,
+        borrower_backlog_s: 0.0,
     }
 }
 
 #[test]
 fn a_portion_fits_the_room_and_one_loan() {
-    assert_eq!(view().portion(), 32, "as many as have room");
-    assert_eq!(LendingView { guest_spare_cpus: 1e6, ..view() }.portion(), 88, "no more than the surplus");
-    let wide = LendingView { guest_spare_cpus: 1e6, lendable: 50_000, ..view() };
-    assert_eq!(wide.portion(), MAX_PORTION);
-    assert_eq!(LendingView { guest_spare_cpus: 1.0, ..view() }.portion(), 0, "no room for one task");
+    assert_eq!(inputs().default_task_count(), 32, "as many as have room");
+    assert_eq!(
+        LendingInputs { borrower_spare_cpus: 1e6, ..inputs() }.default_task_count(),
+        88,
+        "no more than the surplus"
+    );
+    let wide = LendingInputs { borrower_spare_cpus: 1e6, lendable: 50_000, ..inputs() };
+    assert_eq!(wide.default_task_count(), MAX_TASKS_PER_LOAN);
+    assert_eq!(
+        LendingInputs { borrower_spare_cpus: 1.0, ..inputs() }.default_task_count(),
+        0,
+        "no room for one task"
+    );
 }
 
 #[test]
 fn full_cells_leave_each_other_alone() {
-    assert_eq!(LendingView { guest_backlog_s: 20.0, ..view() }.portion(), 0);
-    assert_eq!(LendingView { backlog_s: 0.0, ..view() }.portion(), 0);
-    assert_eq!(LendingView { backlog_s: 20.0, ..view() }.portion(), 0, "drains in time");
+    assert_eq!(LendingInputs { borrower_backlog_s: 20.0, ..inputs() }.default_task_count(), 0);
+    assert_eq!(LendingInputs { backlog_s: 0.0, ..inputs() }.default_task_count(), 0);
+    assert_eq!(LendingInputs { backlog_s: 20.0, ..inputs() }.default_task_count(), 0, "drains in time");
 }
 
 #[test]
 fn lending_begins_late_and_ends_later() {
-    let mut gate = BacklogGate::default();
-    assert!(!gate.update(44.0, 45.0));
-    assert!(gate.update(46.0, 45.0));
-    assert!(gate.update(30.0, 45.0), "near the limit it goes on");
-    assert!(!gate.update(20.0, 45.0));
-    assert!(!gate.update(30.0, 45.0), "and does not begin again at once");
+    let mut threshold = BacklogThreshold::default();
+    assert!(!threshold.update(44.0, 45.0));
+    assert!(threshold.update(46.0, 45.0));
+    assert!(threshold.update(30.0, 45.0), "near the limit it goes on");
+    assert!(!threshold.update(20.0, 45.0));
+    assert!(!threshold.update(30.0, 45.0), "and does not begin again at once");
 }
 
 #[test]
 fn a_script_chooses_within_the_bounds() {
-    let script = |text: &str| Script::parse(text).expect("a script");
-    assert_eq!(script("fn portion(view) { view.lendable / 10.0 }").portion(&view()), 10);
-    assert_eq!(script("fn portion(view) { 7 }").portion(&view()), 7);
-    assert_eq!(script("fn portion(view) { view.default_portion }").portion(&view()), 32);
-    assert_eq!(script("fn portion(view) { 1000000 }").portion(&view()), 32, "never more than has room");
-    assert_eq!(script("fn portion(view) { -3 }").portion(&view()), 0);
+    let script = |text: &str| LendingScript::parse(text).expect("a script");
+    assert_eq!(script("fn portion(view) { view.lendable / 10.0 }").task_count(&inputs()), 10);
+    assert_eq!(script("fn portion(view) { 7 }").task_count(&inputs()), 7);
+    assert_eq!(script("fn portion(view) { view.default_portion }").task_count(&inputs()), 32);
+    assert_eq!(script("fn portion(view) { 1000000 }").task_count(&inputs()), 32, "never more than has room");
+    assert_eq!(script("fn portion(view) { -3 }").task_count(&inputs()), 0);
 }
 
 #[test]
@@ -65,15 +73,15 @@
         "fn portion(view) { throw \"no\" }",
     ];
     for text in bad {
-        let script = Script::parse(text).expect("a script");
-        assert_eq!(script.portion(&view()), 0, "{text}");
+        let script = LendingScript::parse(text).expect("a script");
+        assert_eq!(script.task_count(&inputs()), 0, "{text}");
     }
 }
 
 #[test]
 fn a_script_that_cannot_be_used_is_refused_when_it_is_read() {
-    assert!(matches!(Script::parse("fn portion(view { 1 }"), Err(ScriptError::Syntax(_))));
-    assert!(matches!(Script::parse("fn share(view) { 1 }"), Err(ScriptError::NoFunction)));
-    assert!(matches!(Script::parse("fn portion() { 1 }"), Err(ScriptError::NoFunction)));
-    assert!(matches!(Script::parse("fn portion(view) { eval(\"1\") }"), Err(ScriptError::Syntax(_))));
+    assert!(matches!(LendingScript::parse("fn portion(view { 1 }"), Err(ScriptError::Syntax(_))));
+    assert!(matches!(LendingScript::parse("fn share(view) { 1 }"), Err(ScriptError::NoFunction)));
+    assert!(matches!(LendingScript::parse("fn portion() { 1 }"), Err(ScriptError::NoFunction)));
+    assert!(matches!(LendingScript::parse("fn portion(view) { eval(\"1\") }"), Err(ScriptError::Syntax(_))));
 }
--- /dev/null
+++ b/crates/cells/tests/world/borrowing.rs
@@ -0,0 +1,51 @@
+//! The borrower's side: changes that a lender's message asks for, and the reply.
+
+use milletlock_cells::{BorrowerChange, LoanSyncRequest};
+
+use super::machines::Machines;
+use super::messages::{Message, Reply};
+use super::store::{borrowed_done_key, borrowed_key, high_water_key, Record, Txn};
+use super::World;
+
+/// Most tasks that a cell borrows altogether.
+const MAX_BORROWED: u32 = 40;
+/// Most changes for one message.
+const MAX_CHANGES: usize = 100;
+
+impl World {
+    /// Makes the changes that a message asks for, and replies.
+    pub fn handle_request(&mut self, at: usize, request: &LoanSyncRequest) {
+        for _ in 0..MAX_CHANGES {
+            let cell = &self.cells[at];
+            let borrowed: u32 = cell.leader.borrower.jobs().map(|(_, record)| record.tasks().len()).sum();
+            let machines = Machines::of(cell, MAX_BORROWED.saturating_sub(borrowed));
+            let Some(change) = cell.leader.borrower.next_change(request, &machines) else { break };
+            let keys = [borrowed_key(&change.job), high_water_key(&change.lender)];
+            if keys.iter().any(|key| cell.leader.is_unresolved(key)) {
+                break;
+            }
+            self.write_change(at, keys, change);
+        }
+        let to = self.cell_index(&request.from);
+        let cell = &self.cells[at];
+        let done = |job: &str| cell.store.done(&borrowed_done_key(job));
+        let reply = Reply { reports: cell.leader.borrower.reports(request, done) };
+        self.post(|| Message::Reply { to, from: at, reply: reply.clone() });
+    }
+
+    fn write_change(&mut self, at: usize, keys: [String; 2], change: BorrowerChange) {
+        let leader = &mut self.cells[at].leader;
+        leader.withheld.insert(change.job.clone(), change.withdrawn.clone());
+        let guards = keys.iter().map(|key| leader.guard(key.clone())).collect();
+        let [job_key, mark_key] = keys;
+        let mut writes = vec![(job_key, change.record.clone().map(Record::Borrowed))];
+        if let Some(number) = change.high_water {
+            writes.push((mark_key, Some(Record::HighWater(number))));
+        }
+        if change.record.is_none() {
+            writes.push((borrowed_done_key(&change.job), None));
+        }
+        let txn = Txn { term: leader.term, guards, writes };
+        self.write(at, txn, Some(change));
+    }
+}
--- /dev/null
+++ b/crates/cells/tests/world/cancellation.rs
@@ -0,0 +1,74 @@
+//! Cancellation: asked for by a user, recorded at once, confirmed once no loan is open.
+
+use milletlock_cells::Lending;
+use rand::Rng;
+
+use super::store::{borrowed_key, cancelled_key, done_key, lending_key, Record, Txn};
+use super::World;
+
+impl World {
+    /// A user asks for the cancellation of some job.
+    pub fn ask_cancellation(&mut self) {
+        let jobs = self.job_ids();
+        let job = &jobs[self.rng.random_range(0..jobs.len())];
+        if let Some(job) = self.jobs.get_mut(job) {
+            job.cancel_asked = true;
+        }
+    }
+
+    /// Takes the next step of each cancellation: first the intent is recorded, then, without open loans,
+    /// the end.
+    pub fn confirm_cancellations(&mut self, at: usize) {
+        let is_asked = |job: &String| self.jobs[job].lender == at && self.jobs[job].cancel_asked;
+        let asked: Vec<String> = self.job_ids().into_iter().filter(is_asked).collect();
+        for job in asked {
+            if self.is_ended(&job) || self.cells[at].leader.is_unresolved(&lending_key(&job)) {
+                continue;
+            }
+            let lending = self.cells[at].leader.lender.lending(&job).cloned().unwrap_or_default();
+            if !lending.cancelling {
+                self.write_lending(at, &job, Lending { cancelling: true, ..lending });
+            } else if lending.loans.is_empty() {
+                self.write_end(at, &job);
+            }
+        }
+        self.check_confirmed(at);
+    }
+
+    /// Whether all tasks of a job are recorded as done, or the job as cancelled.
+    pub fn is_ended(&self, job: &str) -> bool {
+        let store = &self.cells[self.jobs[job].lender].store;
+        store.done(&done_key(job)).len() == self.jobs[job].tasks || store.contains(&cancelled_key(job))
+    }
+
+    fn write_end(&mut self, at: usize, job: &str) {
+        let leader = &self.cells[at].leader;
+        let guards = vec![leader.guard(lending_key(job)), (cancelled_key(job), 0)];
+        let writes = vec![(lending_key(job), None), (cancelled_key(job), Some(Record::Cancelled))];
+        let txn = Txn { term: leader.term, guards, writes };
+        self.write(at, txn, None);
+    }
+
+    /// What the state store has as cancelled may be confirmed to users: no cell holds anything of it.
+    fn check_confirmed(&mut self, at: usize) {
+        for job in self.job_ids() {
+            let is_confirmed = self.cells[at].store.contains(&cancelled_key(&job));
+            if self.jobs[&job].lender != at || !is_confirmed {
+                continue;
+            }
+            self.cells[at].running.retain(|task| task.0 != job);
+            self.cells[at].results.retain(|task| task.0 != job);
+            self.assert_held_nowhere(&job);
+            self.confirmed_cancelled.insert(job);
+        }
+    }
+
+    fn assert_held_nowhere(&self, job: &str) {
+        for cell in &self.cells {
+            let Some(Record::Borrowed(held)) = cell.store.get(&borrowed_key(job)) else { continue };
+            let may_run = |number: &u32| !self.finished.contains_key(&(job.to_string(), *number));
+            let left: Vec<u32> = held.tasks().iter().filter(may_run).collect();
+            assert!(left.is_empty(), "{job} is confirmed as cancelled, {} may run {left:?}", cell.name);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cells/tests/world/execution.rs
@@ -0,0 +1,122 @@
+//! Tasks on machines: which may start, and how they start, finish and are recorded.
+
+use std::collections::BTreeSet;
+
+use milletlock_cells::{Lending, LocalTasks, TaskSet};
+
+use super::machines::Machines;
+use super::store::{borrowed_done_key, borrowed_key, cancelled_key, done_key, lending_key, Record, Txn};
+use super::{Task, World};
+
+impl World {
+    /// Stops tasks of a borrowed job that are not held any more.
+    pub fn stop_dropped(&mut self, at: usize, job: &str) {
+        if self.jobs[job].lender == at {
+            return;
+        }
+        let cell = &mut self.cells[at];
+        let held = cell.leader.borrower.job(job).map(|record| record.tasks()).unwrap_or_default();
+        let may_stay = |task: &Task| task.0 != job || held.contains(task.1);
+        cell.running.retain(may_stay);
+        cell.results.retain(may_stay);
+    }
+
+    fn is_cancelling(&self, at: usize, job: &str) -> bool {
+        let store = &self.cells[at].store;
+        let is_recorded = match store.get(&lending_key(job)) {
+            Some(Record::Lending(lending)) => lending.cancelling,
+            _ => false,
+        };
+        is_recorded || store.contains(&cancelled_key(job))
+    }
+
+    /// Own tasks that may start or be lent: not done, not on a machine, not lent, and the job goes on.
+    pub fn startable_own(&self, at: usize, job: &str) -> Vec<u32> {
+        let cell = &self.cells[at];
+        if self.jobs[job].lender != at || self.is_cancelling(at, job) {
+            return Vec::new();
+        }
+        let lent = cell.leader.lender.lending(job).map(Lending::tasks).unwrap_or_default();
+        let done = cell.store.done(&done_key(job));
+        let is_free = |number: &u32| {
+            let task = (job.to_string(), *number);
+            !lent.contains(*number)
+                && !done.contains(*number)
+                && !cell.leader.is_withheld(job, *number)
+                && !cell.running.contains(&task)
+                && !cell.results.contains(&task)
+        };
+        (0..self.jobs[job].tasks).filter(is_free).collect()
+    }
+
+    /// Borrowed tasks that may start.
+    fn startable_borrowed(&self, at: usize, job: &str) -> Vec<u32> {
+        let cell = &self.cells[at];
+        let Some(record) = cell.leader.borrower.job(job) else { return Vec::new() };
+        let unstarted = Machines::of(cell, 0).unstarted(job, &record.tasks());
+        unstarted.iter().filter(|number| !cell.leader.is_withheld(job, *number)).collect()
+    }
+
+    /// Starts tasks until the machines are full.
+    pub fn start_some(&mut self, at: usize) {
+        for job in self.job_ids() {
+            let startable = [self.startable_own(at, &job), self.startable_borrowed(at, &job)].concat();
+            for number in startable {
+                if self.cells[at].running.len() >= self.cells[at].slots {
+                    return;
+                }
+                self.start(at, (job.clone(), number));
+            }
+        }
+    }
+
+    fn start(&mut self, at: usize, task: Task) {
+        assert!(
+            !self.confirmed_cancelled.contains(&task.0),
+            "{task:?} starts in cell {at} though its job is confirmed as cancelled"
+        );
+        let before = self.started.insert(task.clone(), at);
+        assert_eq!(before, None, "{task:?} starts again, in cell {at}");
+        self.cells[at].running.insert(task);
+    }
+
+    /// About half of the running tasks finish.
+    pub fn finish_some(&mut self, at: usize) {
+        let running: Vec<Task> = self.cells[at].running.iter().cloned().collect();
+        for task in running {
+            if self.chance(500) {
+                self.cells[at].running.remove(&task);
+                self.cells[at].results.insert(task.clone());
+                assert_eq!(self.finished.insert(task.clone(), at), None, "{task:?} finishes again");
+            }
+        }
+    }
+
+    /// Records results; the machines keep them until they are certainly recorded.
+    pub fn record_results(&mut self, at: usize) {
+        let jobs: BTreeSet<String> = self.cells[at].results.iter().map(|(job, _)| job.clone()).collect();
+        for job in jobs {
+            let is_own = self.jobs[&job].lender == at;
+            let key = if is_own { done_key(&job) } else { borrowed_done_key(&job) };
+            let of_job = self.cells[at].results.iter().filter(|task| task.0 == job);
+            let new: TaskSet = of_job.map(|task| task.1).collect();
+            self.record_done(at, &job, &key, &new);
+            let recorded = self.cells[at].store.done(&key);
+            self.cells[at].results.retain(|task| task.0 != job || !recorded.contains(task.1));
+        }
+    }
+
+    /// Adds tasks to those that a key records as done.
+    pub fn record_done(&mut self, at: usize, job: &str, key: &str, new: &TaskSet) {
+        let cell = &self.cells[at];
+        let all = cell.store.done(key).union(new);
+        // Without the job's own record among the guards, a late copy could bring back what was dropped
+        // with it.
+        let job_key = if key == done_key(job) { lending_key(job) } else { borrowed_key(job) };
+        let guards =
+            vec![(key.to_string(), cell.store.version(key)), (job_key.clone(), cell.store.version(&job_key))];
+        let writes = vec![(key.to_string(), Some(Record::Done(all)))];
+        let txn = Txn { term: cell.leader.term, guards, writes };
+        self.send_txn(at, &txn);
+    }
+}
--- /dev/null
+++ b/crates/cells/tests/world/lending.rs
@@ -0,0 +1,83 @@
+//! The lender's side: loans are made, borrowers are told of them, and their replies are taken over.
+
+use milletlock_cells::{Lending, Loan, LoanAction, LoanNumber, LoanOffer, TaskSet};
+use rand::Rng;
+use serde_json::json;
+
+use super::messages::{Message, Reply};
+use super::store::{cancelled_key, done_key, lending_key, Record, Txn};
+use super::World;
+
+/// With fewer tasks that could start than this a job is not lent from.
+const MIN_LENDABLE: usize = 3;
+
+impl World {
+    /// Lends some tasks that have not begun to some cell.
+    pub fn lend(&mut self, at: usize) {
+        let jobs = self.job_ids();
+        let job = jobs[self.rng.random_range(0..jobs.len())].clone();
+        let borrower = self.rng.random_range(0..self.cells.len());
+        let startable = self.startable_own(at, &job);
+        let is_unresolved = self.cells[at].leader.is_unresolved(&lending_key(&job));
+        if borrower == at || startable.len() < MIN_LENDABLE || is_unresolved {
+            return;
+        }
+        let count = self.rng.random_range(1..startable.len());
+        let tasks: TaskSet = startable.into_iter().rev().take(count).collect();
+        let borrower = self.cells[borrower].name.clone();
+        let leader = &mut self.cells[at].leader;
+        let Some(number) = leader.lender.next_number() else { return };
+        // From before the write is sent, none of them may start here.
+        leader.withheld.insert(job.clone(), tasks.clone());
+        leader.lending.insert(job.clone(), number);
+        let lending = leader.lender.with_loan(&job, Loan { number, borrower, tasks });
+        self.write_lending(at, &job, lending);
+    }
+
+    /// Writes what a job's record says of loans.
+    pub fn write_lending(&mut self, at: usize, job: &str, lending: Lending) {
+        let leader = &self.cells[at].leader;
+        let key = lending_key(job);
+        let guards = vec![leader.guard(key.clone()), (cancelled_key(job), 0)];
+        let writes = vec![(key, Some(Record::Lending(lending)))];
+        let txn = Txn { term: leader.term, guards, writes };
+        self.write(at, txn, None);
+    }
+
+    /// Sends each other cell a message about all its loans.
+    pub fn send_requests(&mut self, at: usize) {
+        let action = if self.rng.random_range(0..4) == 0 { LoanAction::Recall } else { LoanAction::Run };
+        for to in (0..self.cells.len()).filter(|to| *to != at).collect::<Vec<_>>() {
+            let (jobs, cell) = (&self.jobs, &self.cells[at]);
+            let offer = |job: &str, number: LoanNumber| {
+                let is_accepted = cell.leader.accepted.contains(&number);
+                let description = json!({ "job": job });
+                (!is_accepted).then(|| LoanOffer { description, job_tasks: jobs[job].tasks })
+            };
+            let borrower = &self.cells[to].name;
+            let term = cell.leader.term;
+            let request = cell.leader.lender.request(&cell.name, borrower, term, |_, _| action, offer);
+            self.post(|| Message::Request { to, request: request.clone() });
+        }
+    }
+
+    /// Takes over a borrower's reply.
+    pub fn handle_reply(&mut self, at: usize, from: usize, reply: &Reply) {
+        let borrower = self.cells[from].name.clone();
+        for report in &reply.reports {
+            let cell = &self.cells[at];
+            let recorded = |job: &str| cell.store.done(&done_key(job));
+            let change = cell.leader.lender.change_for_report(&borrower, report, recorded);
+            let Some(change) = change.expect("all reports are true") else { continue };
+            self.cells[at].leader.accepted.insert(report.number);
+            if !change.done.is_empty() {
+                self.record_done(at, &change.job, &done_key(&change.job), &change.done);
+            }
+            if let Some(lending) = change.lending {
+                if !self.cells[at].leader.is_unresolved(&lending_key(&change.job)) {
+                    self.write_lending(at, &change.job, lending);
+                }
+            }
+        }
+    }
+}
--- a/src/config/cells.rs
+++ b/src/config/cells.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use milletlock_cells::Script;
+use milletlock_cells::LendingScript;
 use serde::Deserialize;
 
 use super::{bad, not_negative, ConfigError};
@@ -95,7 +95,7 @@
         }
         not_negative("cells.borrow_cpus", self.borrow_cpus)?;
         not_negative("cells.lend_after_s", self.lend_after_s)?;
-        match self.script.as_deref().map(Script::parse) {
+        match self.script.as_deref().map(LendingScript::parse) {
             Some(Err(e)) => Err(bad("cells.script", e.to_string().replace('\n', " "))),
             _ => Ok(()),
         }
--- a/src/controller/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -1,11 +1,11 @@
 //! The borrowing side: answers the messages of other cells about their loans.
 
-use milletlock_cells::Request;
+use milletlock_cells::LoanSyncRequest;
 
 use super::loan_writes::LoanOutcome;
 use super::{Controller, Leadership, SharedState};
 use crate::config::CellsSettings;
-use crate::loan_messages::{report_to_proto, request_from_proto, summary_to_proto, MessageError};
+use crate::loan_messages::{report_to_proto, request_from_proto, summary_to_proto, LoanMessageError};
 use crate::peer::{LoanReply, LoanRequest, Outcome};
 use crate::time::{wall, Micros};
 
@@ -42,7 +42,7 @@
     }
 
     /// Makes the changes that a message asks for.
-    fn carry_out(&self, fencing_token: u64, request: &Request) {
+    fn carry_out(&self, fencing_token: u64, request: &LoanSyncRequest) {
         let begun = self.now();
         self.retry_loan_writes(fencing_token);
         for _ in 0..MAX_CHANGES {
@@ -60,7 +60,7 @@
                     return;
                 }
                 if let Some(why) = &change.refusal {
-                    tracing::info!(job = %change.job, home = %change.home, %why, "loan refused");
+                    tracing::info!(job = %change.job, home = %change.lender, %why, "loan refused");
                 }
                 fleet.begin_guest_change(change)
             };
@@ -94,17 +94,17 @@
 }
 
 /// The message, if it can be read and is from a cell that is known here.
-fn checked(cells: &CellsSettings, message: &LoanRequest) -> Result<Request, MessageError> {
+fn checked(cells: &CellsSettings, message: &LoanRequest) -> Result<LoanSyncRequest, LoanMessageError> {
     if message.to != cells.name {
-        return Err(MessageError::Misaddressed { to: message.to.clone(), own: cells.name.clone() });
+        return Err(LoanMessageError::Misaddressed { to: message.to.clone(), own: cells.name.clone() });
     }
     if cells.other(&message.from).is_none() {
-        return Err(MessageError::UnknownCell(message.from.clone()));
+        return Err(LoanMessageError::UnknownCell(message.from.clone()));
     }
     request_from_proto(message)
 }
 
-fn loan_reply(cells: &CellsSettings, leadership: &Leadership, request: &Request) -> LoanReply {
+fn loan_reply(cells: &CellsSettings, leadership: &Leadership, request: &LoanSyncRequest) -> LoanReply {
     let fleet = &leadership.fleet;
     let reports = fleet.loans.guest.reports(request, |job| fleet.recorded_done(job));
     LoanReply {
--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -75,7 +75,7 @@
         let write = {
             let mut shared = self.lock();
             let Some(leadership) = shared.leadership_with(fencing_token) else { return false };
-            let Some(lending) = leadership.fleet.loans.home.without_guest(job, cell) else { return true };
+            let Some(lending) = leadership.fleet.loans.home.without_borrower(job, cell) else { return true };
             leadership.fleet.settle_loan(job, lending)
         };
         write.is_some_and(|write| self.write_loan(fencing_token, write) == LoanOutcome::Written)
@@ -87,7 +87,7 @@
         let done = fleet.done_tasks(job);
         let loan = |loan: &milletlock_cells::Loan| LentStatus {
             job: job.clone(),
-            cell: loan.guest.clone(),
+            cell: loan.borrower.clone(),
             number: loan.number.0,
             tasks: loan.tasks.len(),
             done: loan.tasks.intersection(&done).len(),
@@ -103,7 +103,7 @@
         let tasks = record.tasks();
         BorrowedStatus {
             job: job.clone(),
-            home: record.home.clone(),
+            home: record.lender.clone(),
             tasks: tasks.len(),
             done: tasks.intersection(&fleet.recorded_done(job)).len(),
         }
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use milletlock_cells::{BacklogGate, CellSummary, Loan, LoanReport, Script, Wish};
+use milletlock_cells::{BacklogThreshold, CellSummary, LendingScript, Loan, LoanAction, LoanReport};
 
 use super::loan_writes::LoanOutcome;
 use super::{Controller, Leadership, SharedState};
@@ -62,15 +62,15 @@
 
 /// The choice of how much to lend.
 pub struct LendingChoice {
-    gate: BacklogGate,
-    script: Option<Script>,
+    gate: BacklogThreshold,
+    script: Option<LendingScript>,
 }
 
 impl LendingChoice {
     /// The choice by the settings, which were checked when they were read.
     pub fn new(cells: &CellsSettings) -> LendingChoice {
-        let script = cells.script.as_deref().and_then(|text| Script::parse(text).ok());
-        LendingChoice { gate: BacklogGate::default(), script }
+        let script = cells.script.as_deref().and_then(|text| LendingScript::parse(text).ok());
+        LendingChoice { gate: BacklogThreshold::default(), script }
     }
 }
 
@@ -203,7 +203,8 @@
             let mut shared = self.lock();
             let Some(leadership) = shared.leadership_with(fencing_token) else { return };
             let fleet = &mut leadership.fleet;
-            let settled = fleet.loans.home.settle(&cell.name, report, |job| fleet.recorded_done(job));
+            let settled =
+                fleet.loans.home.change_for_report(&cell.name, report, |job| fleet.recorded_done(job));
             match settled {
                 Ok(Some(settlement)) => {
                     fleet.loans.note_decided_by_guest(report.number);
@@ -237,7 +238,7 @@
     /// Lends tasks to a cell if this one's arrays do not drain and that one has room. One loan at a time:
     /// the next waits until the guest has decided, so that its room is known again.
     fn make_loan(&self, fencing_token: u64, cell: &OtherCell, choice: &LendingChoice) {
-        if !choice.gate.is_open() {
+        if !choice.gate.is_exceeded() {
             return;
         }
         let write = {
@@ -253,8 +254,8 @@
             let fleet = &mut leadership.fleet;
             let Some(candidate) = fleet.lending_candidate(&summary, wall()) else { return };
             let count = match &choice.script {
-                Some(script) => script.portion(&candidate.view),
-                None => candidate.view.portion(),
+                Some(script) => script.task_count(&candidate.view),
+                None => candidate.view.default_task_count(),
             };
             fleet.begin_loan(&candidate, count, &cell.name)
         };
@@ -291,10 +292,10 @@
 }
 
 /// A loan is recalled once this cell has nothing else to do and gets to the loan's tasks soon.
-fn recall_or_run(fleet: &Fleet, job: &str, loan: &Loan, backlog_s: f64) -> Wish {
+fn recall_or_run(fleet: &Fleet, job: &str, loan: &Loan, backlog_s: f64) -> LoanAction {
     if backlog_s < RECALL_BACKLOG_S && fleet.could_run_soon(job, &loan.tasks) {
-        Wish::Recall
+        LoanAction::Recall
     } else {
-        Wish::Run
+        LoanAction::Run
     }
 }
--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -2,7 +2,8 @@
 //! borrowed jobs are here.
 
 use milletlock_cells::{
-    CellSummary, GuestChange, Lending, LoanItem, LocalTasks, Offer, Refusal, TaskSet, SUMMARY_FORM,
+    BorrowRefusal, BorrowerChange, CellSummary, Lending, LoanItem, LoanOffer, LocalTasks, TaskSet,
+    SUMMARY_FORMAT,
 };
 
 use super::*;
@@ -24,7 +25,7 @@
             *free_cpus.entry(machine.ty_name.clone()).or_default() += free;
         }
         CellSummary {
-            form: SUMMARY_FORM,
+            format: SUMMARY_FORMAT,
             composed_us: wall.0,
             free_cpus,
             spare_cpus: if backlog_s > BUSY_BACKLOG_S { 0.0 } else { self.spare_cpus() },
@@ -52,7 +53,7 @@
     /// Takes over a borrowed job. What it asks for in its home does not count here: it has the lowest rank
     /// and no aims.
     pub fn borrowed_put(&mut self, id: &str, record: BorrowedJob, stamp: u64, now: Steady, wall: Wall) {
-        let home = record.home.clone();
+        let home = record.lender.clone();
         let spec = JobSpec::parse(record.description.to_string().as_bytes());
         self.loans.guest.load(id, record);
         self.loans.borrowed.insert(id.to_string(), stamp);
@@ -114,13 +115,13 @@
     }
 
     /// Begins a change of what is held here: from now on none of what it withdraws may start.
-    pub fn begin_guest_change(&mut self, change: GuestChange) -> LoanWrite {
+    pub fn begin_guest_change(&mut self, change: BorrowerChange) -> LoanWrite {
         let id: JobId = change.job.as_str().into();
-        let (mut lender, lender_stamp) = self.loans.lender(&change.home);
+        let (mut lender, lender_stamp) = self.loans.lender(&change.lender);
         lender.high_water = lender.high_water.max(change.high_water.unwrap_or_default());
         let done = self.recorded_done(&id);
         lender.finished += u64::from(change.withdrawn.intersection(&done).len());
-        let is_held = self.loans.guest.job(&id).is_some_and(|record| record.home == change.home);
+        let is_held = self.loans.guest.job(&id).is_some_and(|record| record.lender == change.lender);
         let job_stamp = self.loans.borrowed.get(&change.job).filter(|_| is_held).copied().unwrap_or(0);
         self.loans.returning_in_flight.insert(id.clone(), change.withdrawn.clone());
         self.update_withheld(&id);
@@ -138,7 +139,7 @@
 
     /// A borrowed job has no record any more, as read back.
     pub fn borrowed_gone(&mut self, id: &str) {
-        let home = self.loans.guest.job(id).map(|record| record.home.clone());
+        let home = self.loans.guest.job(id).map(|record| record.lender.clone());
         home.into_iter().for_each(|home| self.borrowed_over(id, &home));
     }
 
@@ -171,11 +172,11 @@
 }
 
 impl BorrowedTasks<'_> {
-    fn parse(item: &LoanItem, offer: &Offer) -> Result<JobSpec, Refusal> {
+    fn parse(item: &LoanItem, offer: &LoanOffer) -> Result<JobSpec, BorrowRefusal> {
         let spec = JobSpec::parse(offer.description.to_string().as_bytes())
-            .map_err(|e| Refusal::Malformed(e.to_string()))?;
+            .map_err(|e| BorrowRefusal::MalformedDescription(e.to_string()))?;
         if spec.id != item.job || spec.tasks != offer.job_tasks {
-            return Err(Refusal::Malformed("the job differs from its description".into()));
+            return Err(BorrowRefusal::MalformedDescription("the job differs from its description".into()));
         }
         Ok(spec)
     }
@@ -193,30 +194,30 @@
         tasks.iter().filter(has_not_begun).collect()
     }
 
-    fn admit(&self, item: &LoanItem, offer: &Offer) -> Result<(), Refusal> {
+    fn admit(&self, item: &LoanItem, offer: &LoanOffer) -> Result<(), BorrowRefusal> {
         let spec = Self::parse(item, offer)?;
         let fleet = self.fleet;
         let is_own = fleet.jobs.get(item.job.as_str()).is_some_and(|job| job.borrowed_from.is_none());
         if is_own || fleet.loans.known.contains(&item.job) || fleet.loans.lent.contains_key(item.job.as_str())
         {
-            return Err(Refusal::KnownJob);
+            return Err(BorrowRefusal::JobIdInUse);
         }
         if !is_array_without_rules(&spec) {
-            return Err(Refusal::NotBorrowable);
+            return Err(BorrowRefusal::NotBorrowable);
         }
         let cells = fleet.cfg.operator.cells.as_ref();
         if !cells.is_some_and(|cells| cells.borrows(spec.class.as_ref())) {
-            return Err(Refusal::Class(spec.class.unwrap_or_default()));
+            return Err(BorrowRefusal::ClassNotBorrowed(spec.class.unwrap_or_default()));
         }
         if let Some(why) = never_runs(&spec, &fleet.cfg, &fleet.types) {
-            return Err(Refusal::NeverRuns(why));
+            return Err(BorrowRefusal::NotRunnable(why));
         }
         let cpus = f64::from(item.tasks.len()) * spec.cpus;
         let loans = fleet.loans.guest.job(&item.job).map(|record| record.loans.as_slice());
         let held = loans.unwrap_or_default().iter().map(|loan| loan.tasks.len());
         let fits = item.tasks.len() <= fleet.tasks_that_fit(&spec, held);
         if !fits || self.backlog_s > BUSY_BACKLOG_S || cpus > fleet.spare_cpus() {
-            return Err(Refusal::NoRoom(item.tasks.len()));
+            return Err(BorrowRefusal::NoCapacity(item.tasks.len()));
         }
         Ok(())
     }
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -1,6 +1,6 @@
 //! The lending side of loans: what may be lent, and the writes that lend and settle.
 
-use milletlock_cells::{CellSummary, Lending, LendingView, Loan, LoanNumber, TaskSet, MAX_PORTION};
+use milletlock_cells::{CellSummary, Lending, LendingInputs, Loan, LoanNumber, TaskSet, MAX_TASKS_PER_LOAN};
 
 use super::borrowing::is_array_without_rules;
 use super::*;
@@ -23,7 +23,7 @@
     /// Its tasks that have not begun.
     pub tasks: TaskSet,
     /// What the choice rests on.
-    pub view: LendingView,
+    pub view: LendingInputs,
 }
 
 impl Fleet {
@@ -87,15 +87,15 @@
             let loans = self.loans.home.lending(&job.id).map(|lending| lending.loans.as_slice());
             let lent = loans.unwrap_or_default().iter().map(|loan| loan.tasks.len());
             let lendable = tasks.len().min(self.tasks_that_fit(&job.spec, lent));
-            let view = LendingView {
+            let view = LendingInputs {
                 backlog_s,
                 drain_s: self.cfg.operator.drain_s,
                 lendable,
                 task_cpus: job.spec.cpus,
                 task_s: job.spec.estimate_s,
                 waited_s,
-                guest_spare_cpus: guest.spare_cpus,
-                guest_backlog_s: guest.backlog_s,
+                borrower_spare_cpus: guest.spare_cpus,
+                borrower_backlog_s: guest.backlog_s,
             };
             let is_due = waited_s >= cells.lend_after_s && lendable > 0;
             is_due.then(|| LendingCandidate { job: job.id.clone(), tasks, view })
@@ -119,17 +119,17 @@
 
     /// Begins to lend the last `count` of a candidate's tasks: from now on none of them may start here.
     pub fn begin_loan(&mut self, candidate: &LendingCandidate, count: u32, guest: &str) -> Option<LoanWrite> {
-        let skipped = candidate.tasks.len().saturating_sub(count.min(MAX_PORTION)) as usize;
+        let skipped = candidate.tasks.len().saturating_sub(count.min(MAX_TASKS_PER_LOAN)) as usize;
         let tasks: TaskSet = candidate.tasks.iter().skip(skipped).collect();
         if tasks.is_empty() {
             return None;
         }
         let number = self.loans.home.next_number()?;
-        let loan = Loan { number, guest: guest.to_string(), tasks: tasks.clone() };
+        let loan = Loan { number, borrower: guest.to_string(), tasks: tasks.clone() };
         let lending = self.loans.home.with_loan(&candidate.job, loan);
         let write = self.home_write(&candidate.job, lending, Some(number));
         if write.is_none() {
-            self.loans.home.decided(number);
+            self.loans.home.write_resolved(number);
             return None;
         }
         self.loans.lending_in_flight.insert(candidate.job.clone(), tasks);
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -1,7 +1,9 @@
 //! Array tasks that are lent to other cells or borrowed from them: the ledgers, and what they mean for the
 //! jobs here.
 
-use milletlock_cells::{GuestChange, GuestLedger, HomeLedger, Lending, LoanNumber, Offer, TaskSet};
+use milletlock_cells::{
+    BorrowerChange, BorrowerLedger, LenderLedger, Lending, LoanNumber, LoanOffer, TaskSet,
+};
 
 use super::*;
 use crate::records::LenderRecord;
@@ -26,7 +28,7 @@
     /// What is kept of a borrowed job and of the cell it comes from.
     Guest {
         /// The change of the ledger.
-        change: Box<GuestChange>,
+        change: Box<BorrowerChange>,
         /// The version of the job's record that it replaces; 0: this cell has none from that home.
         job_stamp: u64,
         /// What is kept of the cell from now on.
@@ -57,9 +59,9 @@
 #[derive(Debug)]
 pub struct Loans {
     /// Loans that this cell has made.
-    pub home: HomeLedger,
+    pub home: LenderLedger,
     /// Loans that it holds.
-    pub guest: GuestLedger,
+    pub guest: BorrowerLedger,
     pub(super) lent: BTreeMap<JobId, LentJob>,
     pub(super) lenders: BTreeMap<String, (LenderRecord, u64)>,
     /// Versions of the records of borrowed jobs.
@@ -79,8 +81,8 @@
 impl Loans {
     pub(super) fn new(token: u64) -> Loans {
         Loans {
-            home: HomeLedger::new(token),
-            guest: GuestLedger::default(),
+            home: LenderLedger::new(token),
+            guest: BorrowerLedger::default(),
             lent: BTreeMap::new(),
             lenders: BTreeMap::new(),
             borrowed: BTreeMap::new(),
@@ -128,13 +130,13 @@
     }
 
     /// The job to be described to a guest with a loan, unless the guest has decided on that.
-    pub fn offer(&self, job: &str, number: LoanNumber) -> Option<Offer> {
+    pub fn offer(&self, job: &str, number: LoanNumber) -> Option<LoanOffer> {
         if self.accepted.contains(&number) {
             return None;
         }
         let spec = &self.lent.get(job)?.record.spec;
         let description = serde_json::to_value(spec).ok()?;
-        Some(Offer { description, job_tasks: spec.tasks })
+        Some(LoanOffer { description, job_tasks: spec.tasks })
     }
 
     /// What is kept of the cells from which tasks are borrowed.
@@ -205,7 +207,7 @@
         match write {
             LoanWrite::Home { job, record, made, .. } => {
                 if let Some(number) = made {
-                    self.loans.home.decided(*number);
+                    self.loans.home.write_resolved(*number);
                 }
                 if record.lending.is_cancelled() {
                     self.end_lending(job);
@@ -215,13 +217,13 @@
                 }
             }
             LoanWrite::Guest { change, lender, .. } => {
-                self.inherit_lender(&change.home, *lender, revision);
+                self.inherit_lender(&change.lender, *lender, revision);
                 match &change.record {
                     Some(record) => {
                         self.borrowed_put(&change.job, record.clone(), revision, now, wall);
                         self.stop_withdrawn(&change.job, &change.withdrawn);
                     }
-                    None => self.borrowed_over(&change.job, &change.home),
+                    None => self.borrowed_over(&change.job, &change.lender),
                 }
             }
         }
@@ -232,7 +234,7 @@
     pub fn loan_not_written(&mut self, write: &LoanWrite) {
         self.loans.in_flight(write).remove(write.job());
         if let LoanWrite::Home { made: Some(number), .. } = write {
-            self.loans.home.decided(*number);
+            self.loans.home.write_resolved(*number);
         }
         self.update_withheld(write.job());
     }
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -1,6 +1,6 @@
 //! The records of loans: transactions that change them, and how they are read.
 
-use milletlock_cells::{BorrowedJob, GuestChange};
+use milletlock_cells::{BorrowedJob, BorrowerChange};
 use serde_json::json;
 
 use super::SHARD_KEY;
@@ -41,11 +41,11 @@
 }
 
 /// A job of which tasks are borrowed must not have been accepted here.
-fn guest_txn(change: &GuestChange, job_stamp: u64, lender: LenderRecord, lender_stamp: u64) -> Txn {
+fn guest_txn(change: &BorrowerChange, job_stamp: u64, lender: LenderRecord, lender_stamp: u64) -> Txn {
     let job = &change.job;
     let key = borrowed_key(job);
-    let mut guards = vec![guard(lender_key(&change.home), lender_stamp)];
-    let mut then = vec![Change::put(lender_key(&change.home), json!(lender))];
+    let mut guards = vec![guard(lender_key(&change.lender), lender_stamp)];
+    let mut then = vec![Change::put(lender_key(&change.lender), json!(lender))];
     match &change.record {
         Some(record) => {
             guards.extend([guard(key.clone(), job_stamp), guard(job_key(job), 0), guard(final_key(job), 0)]);
@@ -114,7 +114,7 @@
 ) -> Result<Vec<(String, Option<Row>)>, StateError> {
     let keys = match write {
         LoanWrite::Home { job, .. } => vec![job_key(job)],
-        LoanWrite::Guest { change, .. } => vec![borrowed_key(&change.job), lender_key(&change.home)],
+        LoanWrite::Guest { change, .. } => vec![borrowed_key(&change.job), lender_key(&change.lender)],
     };
     keys.into_iter().map(|key| Ok((key.clone(), state.get(&key, RequestPriority::User)?))).collect()
 }
--- a/src/loan_messages.rs
+++ b/src/loan_messages.rs
@@ -1,7 +1,9 @@
-//! The loans' messages as they travel between controllers of different cells.
+//! Conversion of the messages about loans between cells to and from their protobuf form. What another
+//! cell sends is checked here: sizes, job ids, sets of tasks and enum values.
 
 use milletlock_cells::{
-    CellSummary, LoanItem, LoanNumber, LoanReport, LoanState, Offer, Request, TaskSet, TaskSetError, Wish,
+    CellSummary, LoanAction, LoanItem, LoanNumber, LoanOffer, LoanReport, LoanState, LoanSyncRequest,
+    TaskSet, TaskSetError,
 };
 
 use crate::peer::proto;
@@ -10,9 +12,12 @@
 /// Most loans in a message.
 pub const MAX_LOANS: usize = 256;
 
-/// A message that cannot be read.
+/// Most characters of an invalid job id that an error repeats.
+const MAX_QUOTED_CHARS: usize = 40;
+
+/// Why a message about loans is refused.
 #[derive(Debug, thiserror::Error)]
-pub enum MessageError {
+pub enum LoanMessageError {
     /// A message for another cell.
     #[error("it is for cell {to}, this is {own}")]
     Misaddressed {
@@ -21,31 +26,47 @@
         /// This cell.
         own: String,
     },
-    /// A cell that the settings do not name.
+    /// A sender that the settings do not name.
     #[error("no cell {0} is known here")]
     UnknownCell(String),
-    /// More loans than a message may name.
+    /// More loans than a message may name; their number.
     #[error("{0} loans in a message")]
-    TooMany(usize),
-    /// A job that has no job's name.
+    TooManyLoans(usize),
+    /// A job id of an invalid form; its beginning.
     #[error("`{0}` is no job")]
-    NoJob(String),
-    /// A set of tasks that is none.
-    #[error("loan {0}: {1}")]
-    Tasks(u64, TaskSetError),
-    /// A wish that is not known.
-    #[error("loan {0}: wish {1} is not known")]
-    Wish(u64, i32),
-    /// A description that is no JSON.
-    #[error("loan {0}: the description is no JSON")]
-    Description(u64),
+    InvalidJobId(String),
+    /// A set of tasks that cannot be read.
+    #[error("loan {loan}: {source}")]
+    InvalidTasks {
+        /// The loan's number.
+        loan: u64,
+        /// What is wrong with the set.
+        source: TaskSetError,
+    },
+    /// An action that this version does not know.
+    #[error("loan {loan}: wish {value} is not known")]
+    UnknownAction {
+        /// The loan's number.
+        loan: u64,
+        /// The value of the protobuf enum.
+        value: i32,
+    },
+    /// A job description that is not JSON.
+    #[error("loan {loan}: the description is no JSON")]
+    MalformedDescription {
+        /// The loan's number.
+        loan: u64,
+    },
 }
 
-/// A request as it is sent. Loans beyond what a message may name are beyond its horizon: otherwise they
-/// would count as closed.
-pub fn request_to_proto(request: &Request) -> proto::LoanRequest {
-    let left_out = request.loans.get(MAX_LOANS);
-    let horizon = left_out.map_or(request.horizon.0, |loan| request.horizon.0.min(loan.number.0 - 1));
+/// A request as it is sent. Loans beyond what a message may name are put beyond its horizon: otherwise
+/// they would count as closed.
+pub fn request_to_proto(request: &LoanSyncRequest) -> proto::LoanRequest {
+    let first_left_out = request.loans.get(MAX_LOANS);
+    let horizon = match first_left_out {
+        Some(loan) => request.horizon.0.min(loan.number.0 - 1),
+        None => request.horizon.0,
+    };
     proto::LoanRequest {
         from: request.from.clone(),
         to: request.to.clone(),
@@ -56,11 +77,6 @@
 }
 
 fn item_to_proto(item: &LoanItem) -> proto::LoanItem {
-    let wish = match item.wish {
-        Wish::Run => proto::LoanWish::Run,
-        Wish::Recall => proto::LoanWish::Recall,
-        Wish::Cancel => proto::LoanWish::Cancel,
-    };
     let offer = item.offer.as_ref().map(|offer| proto::LoanOffer {
         description: offer.description.to_string().into_bytes(),
         job_tasks: offer.job_tasks,
@@ -69,17 +85,25 @@
         number: item.number.0,
         job: item.job.clone(),
         tasks: item.tasks.to_bytes(),
-        wish: wish as i32,
+        wish: action_to_proto(item.action) as i32,
         offer,
     }
 }
 
-/// A request as it was received.
-pub fn request_from_proto(request: &proto::LoanRequest) -> Result<Request, MessageError> {
+fn action_to_proto(action: LoanAction) -> proto::LoanWish {
+    match action {
+        LoanAction::Run => proto::LoanWish::Run,
+        LoanAction::Recall => proto::LoanWish::Recall,
+        LoanAction::Cancel => proto::LoanWish::Cancel,
+    }
+}
+
+/// Reads a received request.
+pub fn request_from_proto(request: &proto::LoanRequest) -> Result<LoanSyncRequest, LoanMessageError> {
     if request.loans.len() > MAX_LOANS {
-        return Err(MessageError::TooMany(request.loans.len()));
+        return Err(LoanMessageError::TooManyLoans(request.loans.len()));
     }
-    Ok(Request {
+    Ok(LoanSyncRequest {
         from: request.from.clone(),
         to: request.to.clone(),
         term: request.term,
@@ -88,35 +112,39 @@
     })
 }
 
-fn item_from_proto(item: &proto::LoanItem) -> Result<LoanItem, MessageError> {
+fn item_from_proto(item: &proto::LoanItem) -> Result<LoanItem, LoanMessageError> {
     if !is_job_id(&item.job) {
-        return Err(MessageError::NoJob(item.job.chars().take(40).collect()));
+        let quoted = item.job.chars().take(MAX_QUOTED_CHARS).collect();
+        return Err(LoanMessageError::InvalidJobId(quoted));
     }
-    let wish = match proto::LoanWish::try_from(item.wish) {
-        Ok(proto::LoanWish::Run) => Wish::Run,
-        Ok(proto::LoanWish::Recall) => Wish::Recall,
-        Ok(proto::LoanWish::Cancel) => Wish::Cancel,
-        Err(_) => return Err(MessageError::Wish(item.number, item.wish)),
-    };
-    let offer = match &item.offer {
-        Some(offer) => Some(Offer {
-            description: serde_json::from_slice(&offer.description)
-                .map_err(|_| MessageError::Description(item.number))?,
-            job_tasks: offer.job_tasks,
-        }),
-        None => None,
-    };
+    let action = action_from_proto(item)?;
+    let offer = item.offer.as_ref().map(|offer| offer_from_proto(item.number, offer)).transpose()?;
     Ok(LoanItem {
         number: LoanNumber(item.number),
         job: item.job.clone(),
         tasks: tasks_from_bytes(item.number, &item.tasks)?,
-        wish,
+        action,
         offer,
     })
 }
 
-fn tasks_from_bytes(number: u64, bytes: &[u8]) -> Result<TaskSet, MessageError> {
-    TaskSet::from_bytes(bytes).map_err(|e| MessageError::Tasks(number, e))
+fn action_from_proto(item: &proto::LoanItem) -> Result<LoanAction, LoanMessageError> {
+    match proto::LoanWish::try_from(item.wish) {
+        Ok(proto::LoanWish::Run) => Ok(LoanAction::Run),
+        Ok(proto::LoanWish::Recall) => Ok(LoanAction::Recall),
+        Ok(proto::LoanWish::Cancel) => Ok(LoanAction::Cancel),
+        Err(_) => Err(LoanMessageError::UnknownAction { loan: item.number, value: item.wish }),
+    }
+}
+
+fn offer_from_proto(loan: u64, offer: &proto::LoanOffer) -> Result<LoanOffer, LoanMessageError> {
+    let description = serde_json::from_slice(&offer.description)
+        .map_err(|_| LoanMessageError::MalformedDescription { loan })?;
+    Ok(LoanOffer { description, job_tasks: offer.job_tasks })
+}
+
+fn tasks_from_bytes(loan: u64, bytes: &[u8]) -> Result<TaskSet, LoanMessageError> {
+    TaskSet::from_bytes(bytes).map_err(|source| LoanMessageError::InvalidTasks { loan, source })
 }
 
 /// A loan's report as it is sent.
@@ -130,8 +158,8 @@
     }
 }
 
-/// A loan's report as it was received.
-pub fn report_from_proto(report: &proto::LoanReport) -> Result<LoanReport, MessageError> {
+/// Reads a received report on a loan.
+pub fn report_from_proto(report: &proto::LoanReport) -> Result<LoanReport, LoanMessageError> {
     let state = if report.closed {
         LoanState::Closed
     } else {
@@ -146,7 +174,7 @@
 /// A summary as it is sent.
 pub fn summary_to_proto(summary: CellSummary) -> proto::CellSummary {
     proto::CellSummary {
-        form: summary.form,
+        form: summary.format,
         composed_us: summary.composed_us,
         free_cpus: summary.free_cpus.into_iter().collect(),
         spare_cpus: summary.spare_cpus,
@@ -154,10 +182,10 @@
     }
 }
 
-/// A summary as it was received.
+/// Reads a received summary. Whether it can be acted on is for [`CellSummary::check`] to say.
 pub fn summary_from_proto(summary: &proto::CellSummary) -> CellSummary {
     CellSummary {
-        form: summary.form,
+        format: summary.form,
         composed_us: summary.composed_us,
         free_cpus: summary.free_cpus.iter().map(|(ty, cpus)| (ty.clone(), *cpus)).collect(),
         spare_cpus: summary.spare_cpus,
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -14,8 +14,8 @@
 use milletlock::time::{Steady, Wall};
 use milletlock::wire::{Order, TaskStage, Why};
 use milletlock_cells::{
-    CellSummary, GuestChange, Lending, Loan, LoanItem, LoanNumber, LocalTasks, Offer, Refusal, Request,
-    TaskSet, Wish, SUMMARY_FORM,
+    BorrowRefusal, BorrowerChange, CellSummary, Lending, Loan, LoanAction, LoanItem, LoanNumber, LoanOffer,
+    LoanSyncRequest, LocalTasks, TaskSet, SUMMARY_FORMAT,
 };
 use serde_json::json;
 
@@ -33,7 +33,7 @@
 
 /// A guest with room for so many processors.
 fn guest(spare_cpus: f64) -> CellSummary {
-    CellSummary { form: SUMMARY_FORM, spare_cpus, ..CellSummary::default() }
+    CellSummary { format: SUMMARY_FORMAT, spare_cpus, ..CellSummary::default() }
 }
 
 fn wall(s: &Scenario) -> Wall {
@@ -130,17 +130,22 @@
         number: LoanNumber(number),
         job: spec(n, 100, "batch").id,
         tasks: tasks(held),
-        wish: Wish::Run,
-        offer: Some(Offer { description, job_tasks: 100 }),
+        action: LoanAction::Run,
+        offer: Some(LoanOffer { description, job_tasks: 100 }),
     }
 }
 
-fn request(loans: Vec<LoanItem>) -> Request {
-    Request { from: "there".into(), to: "here".into(), term: 1, horizon: LoanNumber(0), loans }
+fn request(loans: Vec<LoanItem>) -> LoanSyncRequest {
+    LoanSyncRequest { from: "there".into(), to: "here".into(), term: 1, horizon: LoanNumber(0), loans }
 }
 
 /// Carries out what a message asks for, each change durable at once.
-fn handle(fleet: &mut Fleet, request: &Request, store: &mut Store, now: Steady) -> Vec<GuestChange> {
+fn handle(
+    fleet: &mut Fleet,
+    request: &LoanSyncRequest,
+    store: &mut Store,
+    now: Steady,
+) -> Vec<BorrowerChange> {
     let mut changes = Vec::new();
     while let Some(change) = fleet.loans.guest.next_change(request, &fleet.local_tasks()) {
         changes.push(change.clone());
@@ -171,7 +176,10 @@
         "the end is its home's"
     );
     // Nothing can be recalled any more, since all has begun.
-    let recall = Request { loans: vec![LoanItem { wish: Wish::Recall, ..offer(5, 1, "10-19") }], ..held };
+    let recall = LoanSyncRequest {
+        loans: vec![LoanItem { action: LoanAction::Recall, ..offer(5, 1, "10-19") }],
+        ..held
+    };
     assert!(handle(&mut s.fleet, &recall, &mut store, s.now).is_empty());
 }
 
@@ -181,7 +189,7 @@
     handle(&mut s.fleet, &request(vec![offer(5, 1, "0-19")]), &mut store, s.now);
     s.step(&[]);
     s.step(&[]);
-    let recall = request(vec![LoanItem { wish: Wish::Recall, ..offer(5, 1, "0-19") }]);
+    let recall = request(vec![LoanItem { action: LoanAction::Recall, ..offer(5, 1, "0-19") }]);
     let changes = handle(&mut s.fleet, &recall, &mut store, s.now);
     let given_back = &changes[0].withdrawn;
     assert!(!given_back.is_empty() && !given_back.contains(0), "{given_back}");
@@ -205,7 +213,7 @@
     let report = milletlock::wire::Report { spot: false, ..common::report(&machine, s.tally, 7, &stopped) };
     s.fleet.check_in(&report, s.now, wall(&s));
     let numbers: TaskSet = there.iter().filter_map(|t| t.0.rsplit_once('/')?.1.parse().ok()).collect();
-    let recall = request(vec![LoanItem { wish: Wish::Recall, ..offer(5, 1, "0-19") }]);
+    let recall = request(vec![LoanItem { action: LoanAction::Recall, ..offer(5, 1, "0-19") }]);
     let changes = handle(&mut s.fleet, &recall, &mut store, s.now);
     assert!(!numbers.is_empty() && changes[0].withdrawn.is_disjoint(&numbers), "{numbers} {changes:?}");
 }
@@ -217,7 +225,7 @@
     (0..3).for_each(|_| s.step(&[]));
     let machine = s.machines[0].clone();
     assert!(!s.tasks(&machine).is_empty());
-    let cancel = request(vec![LoanItem { wish: Wish::Cancel, ..offer(5, 1, "0-19") }]);
+    let cancel = request(vec![LoanItem { action: LoanAction::Cancel, ..offer(5, 1, "0-19") }]);
     handle(&mut s.fleet, &cancel, &mut store, s.now);
     let report = s.running(&machine);
     let orders = s.report(&report);
@@ -234,15 +242,15 @@
         item
     };
     assert_eq!(admit(&offer(5, 1, "0-9")), Ok(()));
-    assert_eq!(admit(&offer(5, 1, "0-20")), Err(Refusal::NoRoom(21)));
-    assert_eq!(admit(&with("shape", json!("gang"))), Err(Refusal::NotBorrowable));
-    assert_eq!(admit(&with("spread", json!(true))), Err(Refusal::NotBorrowable));
-    assert_eq!(admit(&with("grain", json!("quick"))), Err(Refusal::Class("quick".into())));
-    assert!(matches!(admit(&with("owner", json!("nobody"))), Err(Refusal::NeverRuns(_))));
-    assert!(matches!(admit(&with("breeds", json!(["unheard"]))), Err(Refusal::NeverRuns(_))));
-    assert!(matches!(admit(&with("kernels", json!(7))), Err(Refusal::Malformed(_))));
-    assert!(matches!(admit(&with("nameId", json!("wk-2"))), Err(Refusal::Malformed(_))));
-    assert!(matches!(admit(&with("cpus", json!("many"))), Err(Refusal::Malformed(_))));
+    assert_eq!(admit(&offer(5, 1, "0-20")), Err(BorrowRefusal::NoCapacity(21)));
+    assert_eq!(admit(&with("shape", json!("gang"))), Err(BorrowRefusal::NotBorrowable));
+    assert_eq!(admit(&with("spread", json!(true))), Err(BorrowRefusal::NotBorrowable));
+    assert_eq!(admit(&with("grain", json!("quick"))), Err(BorrowRefusal::ClassNotBorrowed("quick".into())));
+    assert!(matches!(admit(&with("owner", json!("nobody"))), Err(BorrowRefusal::NotRunnable(_))));
+    assert!(matches!(admit(&with("breeds", json!(["unheard"]))), Err(BorrowRefusal::NotRunnable(_))));
+    assert!(matches!(admit(&with("kernels", json!(7))), Err(BorrowRefusal::MalformedDescription(_))));
+    assert!(matches!(admit(&with("nameId", json!("wk-2"))), Err(BorrowRefusal::MalformedDescription(_))));
+    assert!(matches!(admit(&with("cpus", json!("many"))), Err(BorrowRefusal::MalformedDescription(_))));
 }
 
 /// A record that outgrew its value could neither be settled nor closed any more.
@@ -276,7 +284,7 @@
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then: vec![put] }).expect("written");
     // The owner has not heard of it yet: the transaction fails, and the next try refuses.
     let changes = handle(&mut s.fleet, &request(vec![offer(5, 1, "0-9")]), &mut store, s.now);
-    assert_eq!(changes.last().and_then(|c| c.refusal.clone()), Some(Refusal::KnownJob));
+    assert_eq!(changes.last().and_then(|c| c.refusal.clone()), Some(BorrowRefusal::JobIdInUse));
     assert!(store.row("borrowed/job/wk-000001").is_none());
 }
 
@@ -285,7 +293,8 @@
     let (mut s, mut store) = (scenario(), Store::default());
     handle(&mut s.fleet, &request(vec![offer(5, 1, "10-19")]), &mut store, s.now);
     let mut lent = record(spec(2, 50, "batch"));
-    lent.lending.loans = vec![Loan { number: LoanNumber(9), guest: "there".into(), tasks: tasks("30-49") }];
+    lent.lending.loans =
+        vec![Loan { number: LoanNumber(9), borrower: "there".into(), tasks: tasks("30-49") }];
     let put = milletlock::wire::Change::put("job/wk-000002".to_string(), json!(lent));
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then: vec![put] }).expect("written");
     let mut fleet = Fleet::new(with_cells(), types(), 8, s.now);
@@ -340,7 +349,7 @@
         serde_json::from_value::<production::JobRecord>(json!(record)).is_ok()
     };
     assert!(reads(&own));
-    own.lending.loans = vec![Loan { number: LoanNumber(1), guest: "there".into(), tasks: tasks("1") }];
+    own.lending.loans = vec![Loan { number: LoanNumber(1), borrower: "there".into(), tasks: tasks("1") }];
     assert!(!reads(&own));
     let back: milletlock::records::JobRecord =
         serde_json::from_value(json!(own)).expect("read by this version");
@@ -373,7 +382,8 @@
 
 fn lent_record() -> serde_json::Value {
     let mut lent = record(spec(2, 50, "batch"));
-    lent.lending.loans = vec![Loan { number: LoanNumber(9), guest: "there".into(), tasks: tasks("30-49") }];
+    lent.lending.loans =
+        vec![Loan { number: LoanNumber(9), borrower: "there".into(), tasks: tasks("30-49") }];
     json!(lent)
 }
 
