--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,17 +1,20 @@
-//! Recovery after a takeover.
+//! Recovery after a failover.
 //!
-//! A new owner reads the records and then hears the machines that earlier owners left, one report after
-//! the other. This package keeps the evidence for each machine, compares what its worker reports with the
-//! records, and says what may not be decided yet. It is a pure state machine: moments are durations since
-//! the takeover, reports and records are handed in. `docs/recovery.md` has the argument.
+//! A new leader reads the records and then receives heartbeats from the machines that earlier leaders
+//! left, one after the other. This package tracks which machines have reported, compares each machine's
+//! first report with the records, and says what may not be decided yet. It is a pure state machine:
+//! moments are durations since the failover, and reports and records are passed in. `docs/recovery.md`
+//! explains why decisions wait for what they wait for.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod difference;
+mod discrepancy;
 mod progress;
 mod tracker;
 
-pub use difference::{Difference, JobRecordState, RecordedJobs, ReportedTask, TaskState};
-pub use progress::{DifferenceCounts, OrderCounts, OrderKind, Progress};
-pub use tracker::{Evidence, Recovery};
+pub use discrepancy::{
+    Discrepancy, JobRecordState, RecordedJobs, ReportedTask, ReportedTaskState, TaskDiscrepancy,
+};
+pub use progress::{DiscrepancyCounts, OrderCounts, OrderKind, RecoveryProgress};
+pub use tracker::{MachineStatus, RecoveryTracker};
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -1,30 +1,30 @@
-//! What is counted during a recovery.
+//! What is counted during a recovery. The serialized names are part of the status.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::difference::Difference;
+use crate::discrepancy::Discrepancy;
 
 /// Kinds of orders to workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OrderKind {
-    /// A task starts.
+    /// A task is started.
     Start,
     /// A task is stopped.
     Halt,
-    /// An exited task leaves the reports.
+    /// An exited task is dropped from the worker's reports.
     Forget,
 }
 
-/// Orders since the takeover, by kind.
+/// Orders since the failover, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderCounts {
-    /// Starts.
+    /// Orders to start a task.
     pub starts: u64,
-    /// Halts, repeated ones included.
+    /// Orders to stop a task, repeated ones included.
     pub halts: u64,
-    /// Forgets, repeated ones included.
+    /// Orders to drop an exited task from the reports, repeated ones included.
     pub forgets: u64,
 }
 
@@ -39,29 +39,29 @@
         *count += 1;
     }
 
-    /// All orders.
+    /// Number of orders of all kinds.
     pub fn total(&self) -> u64 {
         self.starts + self.halts + self.forgets
     }
 }
 
-/// Differences by kind.
+/// Numbers of discrepancies by kind; a kind without any has no entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct DifferenceCounts(BTreeMap<Difference, u64>);
+pub struct DiscrepancyCounts(BTreeMap<Discrepancy, u64>);
 
-impl DifferenceCounts {
-    /// Counts a difference.
-    pub fn add(&mut self, difference: Difference) {
-        *self.0.entry(difference).or_default() += 1;
+impl DiscrepancyCounts {
+    /// Counts a discrepancy.
+    pub fn add(&mut self, discrepancy: Discrepancy) {
+        *self.0.entry(discrepancy).or_default() += 1;
     }
 
-    /// How many there are of a kind.
-    pub fn of(&self, difference: Difference) -> u64 {
-        self.0.get(&difference).copied().unwrap_or(0)
+    /// Number of discrepancies of a kind.
+    pub fn count(&self, discrepancy: Discrepancy) -> u64 {
+        self.0.get(&discrepancy).copied().unwrap_or(0)
     }
 
-    /// All differences.
+    /// Number of discrepancies of all kinds.
     pub fn total(&self) -> u64 {
         self.0.values().sum()
     }
@@ -69,21 +69,22 @@
 
 /// How far a recovery has come.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Progress {
-    /// Seconds since the takeover.
+pub struct RecoveryProgress {
+    /// Seconds since the failover.
     pub after_s: f64,
-    /// Machines that the earlier owner left.
+    /// Machines that earlier leaders left.
     pub machines: u64,
-    /// Those that have not been heard.
+    /// Those of them that have neither reported nor been given up.
     pub unheard: u64,
-    /// Those that were given up.
+    /// Those of them that were given up.
     pub lost: u64,
-    /// Tasks that were found where they may be.
+    /// Tasks that were found on a machine and agree with the records.
     pub adopted: u64,
-    /// Differences found so far.
-    pub differences: DifferenceCounts,
-    /// Orders given so far.
+    /// Discrepancies found so far.
+    #[serde(rename = "differences")]
+    pub discrepancies: DiscrepancyCounts,
+    /// Orders sent so far.
     pub orders: OrderCounts,
-    /// Seconds from the takeover until all machines were heard or lost; none: not yet.
+    /// Seconds from the failover until every machine had reported or was lost; `None` before that.
     pub settled_s: Option<f64>,
 }
--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -1,166 +1,195 @@
-//! The evidence for each machine, and what it adds up to.
+//! Tracks which machines have reported since a failover, and what their reports add up to.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::difference::{Difference, JobRecordState, RecordedJobs, ReportedTask, TaskState};
-use crate::progress::{DifferenceCounts, OrderCounts, OrderKind, Progress};
+use crate::discrepancy::{
+    Discrepancy, JobRecordState, RecordedJobs, ReportedTask, ReportedTaskState, TaskDiscrepancy,
+};
+use crate::progress::{DiscrepancyCounts, OrderCounts, OrderKind, RecoveryProgress};
 
-/// What is known of a machine.
+/// What is known of a machine that the records name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Evidence {
-    /// Nothing yet: whatever may be on it is neither started elsewhere nor missed.
+pub enum MachineStatus {
+    /// It has not reported: whatever may be on it is neither started elsewhere nor taken for missing.
     Unheard,
-    /// It has shown the owner's token.
+    /// It has reported with this leader's fencing token.
     Reported,
-    /// It is gone, or its lease certainly over.
+    /// It is gone, or its lease has certainly expired.
     Lost,
 }
 
-/// Where a task was reported.
-type Places = BTreeMap<(String, u32), Vec<String>>;
+/// A task, by its job's id and its number.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct TaskKey {
+    job: String,
+    task: u32,
+}
+
+/// An attempt to run a gang.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct GangAttempt {
+    job: String,
+    attempt: u64,
+}
+
+/// The tasks of an attempt of a gang that were reported.
+#[derive(Clone, Debug, Default)]
+struct ReportedGang {
+    /// Number of tasks of the whole gang.
+    size: u32,
+    present: BTreeSet<u32>,
+}
 
-/// A recovery, from a takeover until some time after all machines are heard or lost.
+impl ReportedGang {
+    fn is_partial(&self) -> bool {
+        self.present.len() < self.size as usize
+    }
+}
+
+/// Tracks a recovery, from a failover until some time after every machine has reported or is lost.
 #[derive(Clone, Debug, Default)]
-pub struct Recovery {
-    machines: BTreeMap<String, Evidence>,
+pub struct RecoveryTracker {
+    machines: BTreeMap<String, MachineStatus>,
     /// Machines whose first report has been compared with the records.
     compared: BTreeSet<String>,
     unheard: u64,
-    /// Reported tasks that are present; dropped once all machines are heard or lost.
-    places: Places,
-    /// Tasks of gangs that are present, by job and attempt.
-    gangs: BTreeMap<(String, u64), BTreeSet<u32>>,
-    gang_sizes: BTreeMap<String, u32>,
+    /// Reported tasks that are present; dropped once every machine has reported or is lost.
+    present: BTreeSet<TaskKey>,
+    /// Reported gangs; dropped at the same time.
+    gangs: BTreeMap<GangAttempt, ReportedGang>,
     adopted: u64,
     lost: u64,
-    differences: DifferenceCounts,
+    discrepancies: DiscrepancyCounts,
     orders: OrderCounts,
     settled: Option<Duration>,
 }
 
-impl Recovery {
-    /// A machine that the records name. Nothing is known of it yet.
-    pub fn expect(&mut self, machine: &str) {
-        if self.machines.insert(machine.to_string(), Evidence::Unheard).is_none() {
+impl RecoveryTracker {
+    /// Adds a machine that the records name. Nothing is known of it yet.
+    pub fn expect_machine(&mut self, machine: &str) {
+        if self.machines.insert(machine.to_string(), MachineStatus::Unheard).is_none() {
             self.unheard += 1;
         }
     }
 
-    /// What is known of a machine; none if the records do not name it.
-    pub fn evidence(&self, machine: &str) -> Option<Evidence> {
+    /// What is known of a machine; `None` if the records do not name it.
+    pub fn machine_status(&self, machine: &str) -> Option<MachineStatus> {
         self.machines.get(machine).copied()
     }
 
-    /// Whether machines are still to be heard and, this long after the takeover, may be within moments:
-    /// what depends on how they are used, and can wait, is not decided before.
-    pub fn is_gathering(&self, after: Duration, window: Duration) -> bool {
+    /// Whether some machines have not reported and, this long after the failover, may still do so within
+    /// `window`. What depends on how they are used, and can wait, is not decided before.
+    pub fn is_awaiting_reports(&self, after: Duration, window: Duration) -> bool {
         self.unheard > 0 && after < window
     }
 
-    /// Compares a machine's first report with the records; returns the differences. It is the first one that
-    /// shows what was there before the takeover, whatever token it shows: by the next, what it told may be
-    /// recorded.
-    pub fn compare(
+    /// Compares a machine's first report with the records and returns the discrepancies.
+    ///
+    /// The first report counts whatever fencing token it shows, since it has what was there before the
+    /// failover: by the next one, what it reported may already be recorded. Later reports and machines
+    /// that the records do not name show none.
+    pub fn compare_first_report(
         &mut self,
         machine: &str,
         tasks: &[ReportedTask<'_>],
         records: &impl RecordedJobs,
-    ) -> Vec<(String, u32, Difference)> {
-        let is_expected = self.evidence(machine) == Some(Evidence::Unheard);
-        if !is_expected || !self.compared.insert(machine.to_string()) {
+    ) -> Vec<TaskDiscrepancy> {
+        let is_unheard = self.machine_status(machine) == Some(MachineStatus::Unheard);
+        if !is_unheard || !self.compared.insert(machine.to_string()) {
             return Vec::new();
         }
         let mut found = Vec::new();
         for task in tasks {
-            let difference = Difference::of(task, records).or_else(|| self.adopt(machine, task, records));
-            if let Some(difference) = difference {
-                self.differences.add(difference);
-                found.push((task.job.to_string(), task.task, difference));
+            let discrepancy = Discrepancy::between(task, records).or_else(|| self.adopt(task, records));
+            if let Some(discrepancy) = discrepancy {
+                self.discrepancies.add(discrepancy);
+                found.push(TaskDiscrepancy { job: task.job.to_string(), task: task.task, discrepancy });
             }
         }
         found
     }
 
-    /// A machine has shown the owner's token: nothing of an earlier owner can reach it any more.
-    pub fn hear(&mut self, machine: &str, after: Duration) {
-        if self.evidence(machine) != Some(Evidence::Unheard) {
-            return;
-        }
-        self.machines.insert(machine.to_string(), Evidence::Reported);
-        self.unheard -= 1;
-        self.settle(after);
-    }
-
-    /// Takes a task that is where it may be; the difference if it is elsewhere too.
-    fn adopt(
-        &mut self,
-        machine: &str,
-        task: &ReportedTask<'_>,
-        records: &impl RecordedJobs,
-    ) -> Option<Difference> {
-        if task.state != TaskState::Present {
+    /// Notes a task that agrees with the records; returns a discrepancy if another machine has it too.
+    fn adopt(&mut self, task: &ReportedTask<'_>, records: &impl RecordedJobs) -> Option<Discrepancy> {
+        if task.state != ReportedTaskState::Present {
             return None;
         }
-        if let JobRecordState::LiveGang(tasks) = records.job(task.job) {
-            self.gang_sizes.insert(task.job.to_string(), tasks);
-            self.gangs.entry((task.job.to_string(), task.attempt)).or_default().insert(task.task);
+        if let JobRecordState::LiveGang { tasks } = records.job(task.job) {
+            let attempt = GangAttempt { job: task.job.to_string(), attempt: task.attempt };
+            let gang = self.gangs.entry(attempt).or_default();
+            gang.size = tasks;
+            gang.present.insert(task.task);
         }
-        let places = self.places.entry((task.job.to_string(), task.task)).or_default();
-        places.push(machine.to_string());
-        if places.len() > 1 {
-            return Some(Difference::PlacedTwice);
+        let key = TaskKey { job: task.job.to_string(), task: task.task };
+        if !self.present.insert(key) {
+            return Some(Discrepancy::PlacedTwice);
         }
         self.adopted += 1;
         None
     }
 
-    /// A machine that was not heard is given up.
-    pub fn lose(&mut self, machine: &str, after: Duration) {
-        if self.evidence(machine) != Some(Evidence::Unheard) {
+    /// A machine has reported with this leader's fencing token: no order of an earlier leader can reach
+    /// it any more.
+    pub fn machine_reported(&mut self, machine: &str, after: Duration) {
+        self.resolve_machine(machine, MachineStatus::Reported, after);
+    }
+
+    /// A machine that has not reported is given up.
+    pub fn machine_lost(&mut self, machine: &str, after: Duration) {
+        self.resolve_machine(machine, MachineStatus::Lost, after);
+    }
+
+    /// Changes the status of a machine that is unheard; has no effect on any other.
+    fn resolve_machine(&mut self, machine: &str, status: MachineStatus, after: Duration) {
+        if self.machine_status(machine) != Some(MachineStatus::Unheard) {
             return;
         }
-        self.machines.insert(machine.to_string(), Evidence::Lost);
+        self.machines.insert(machine.to_string(), status);
         self.unheard -= 1;
-        self.lost += 1;
-        self.differences.add(Difference::MachineLost);
-        self.settle(after);
+        if status == MachineStatus::Lost {
+            self.lost += 1;
+            self.discrepancies.add(Discrepancy::MachineLost);
+        }
+        if self.unheard == 0 {
+            self.finish_comparison(after);
+        }
     }
 
-    /// Ends the gathering once all machines are heard or lost.
-    fn settle(&mut self, after: Duration) {
-        if self.unheard > 0 || self.settled.is_some() {
+    /// Every machine has reported or is lost, so a gang of which tasks are missing is a partial one.
+    fn finish_comparison(&mut self, after: Duration) {
+        if self.settled.is_some() {
             return;
         }
         self.settled = Some(after);
-        let size = |job: &String| self.gang_sizes.get(job).copied().unwrap_or(0) as usize;
-        let partial = self.gangs.iter().filter(|((job, _), tasks)| tasks.len() < size(job)).count();
-        (0..partial).for_each(|_| self.differences.add(Difference::PartialGang));
+        let partial_gangs = self.gangs.values().filter(|gang| gang.is_partial()).count();
+        for _ in 0..partial_gangs {
+            self.discrepancies.add(Discrepancy::PartialGang);
+        }
         self.compared.clear();
-        self.places.clear();
+        self.present.clear();
         self.gangs.clear();
-        self.gang_sizes.clear();
     }
 
     /// Counts an order to a worker.
-    pub fn note_order(&mut self, kind: OrderKind) {
+    pub fn count_order(&mut self, kind: OrderKind) {
         self.orders.add(kind);
     }
 
-    /// Whether all machines are heard or lost.
+    /// Whether every machine has reported or is lost.
     pub fn is_settled(&self) -> bool {
         self.unheard == 0
     }
 
-    /// How far it has come.
-    pub fn progress(&self, after: Duration) -> Progress {
-        Progress {
+    /// How far the recovery has come, this long after the failover.
+    pub fn progress(&self, after: Duration) -> RecoveryProgress {
+        RecoveryProgress {
             after_s: after.as_secs_f64(),
             machines: self.machines.len() as u64,
             unheard: self.unheard,
             lost: self.lost,
             adopted: self.adopted,
-            differences: self.differences.clone(),
+            discrepancies: self.discrepancies.clone(),
             orders: self.orders,
             settled_s: self.settled.map(|settled| settled.as_secs_f64()),
         }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -40,7 +40,7 @@
 use std::sync::Arc;
 
 use milletlock_cells::BorrowedJob;
-use milletlock_recovery::Recovery;
+use milletlock_recovery::RecoveryTracker;
 use serde::Serialize;
 
 use crate::capacity::{Offer, Policy, Upkeep, View, WarmPool};
@@ -97,7 +97,7 @@
     /// Tasks lent to other cells and borrowed from them.
     pub loans: Loans,
     /// What is known of the machines that the earlier leader left, during reconciliation after failover.
-    pub recovery: Recovery,
+    pub recovery: RecoveryTracker,
     /// Run times of past jobs, for the expected run time of new ones.
     pub history: History,
     /// The latest plan's unmet tasks and reservation, for renting and the log.
@@ -178,7 +178,7 @@
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             loans: Loans::new(token),
-            recovery: Recovery::default(),
+            recovery: RecoveryTracker::default(),
             history: History::new(cfg.operator.history_per_key),
             plan: Plan::default(),
             dirty: true,
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -80,7 +80,7 @@
         if self.machines.insert(id.clone(), m).is_none_or(|old| old.heard) {
             self.unheard_machines += 1;
         }
-        self.recovery.expect(&id);
+        self.recovery.expect_machine(&id);
         if stamp > 0 {
             // It moves into a value with others; its own record goes when the machine does.
             self.packs.put(&id, r.clone());
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use milletlock_recovery::{
-    Difference, JobRecordState, OrderKind, Progress, RecordedJobs, ReportedTask, TaskState,
+    Discrepancy, JobRecordState, OrderKind, RecordedJobs, RecoveryProgress, ReportedTask, ReportedTaskState,
 };
 
 use super::*;
@@ -28,10 +28,10 @@
 impl RecordedJobs for JobRecordsView<'_> {
     fn job(&self, job: &str) -> JobRecordState {
         match self.jobs.get(job) {
-            Some(job) if job.cancelled => JobRecordState::Over,
-            Some(job) if job.spec.is_gang() => JobRecordState::LiveGang(job.spec.tasks),
+            Some(job) if job.cancelled => JobRecordState::Ended,
+            Some(job) if job.spec.is_gang() => JobRecordState::LiveGang { tasks: job.spec.tasks },
             Some(_) => JobRecordState::Live,
-            None => JobRecordState::Over,
+            None => JobRecordState::Ended,
         }
     }
 
@@ -46,12 +46,14 @@
     /// happens to be heard first.
     pub(super) fn is_hearing_machines(&self, now: Steady) -> bool {
         let heartbeat_interval = self.heartbeat_interval();
-        self.recovery
-            .is_gathering(self.since_takeover(now), heartbeat_interval.scale(REPORTS_TO_HEAR_ALL).std())
+        self.recovery.is_awaiting_reports(
+            self.since_takeover(now),
+            heartbeat_interval.scale(REPORTS_TO_HEAR_ALL).std(),
+        )
     }
 
     /// How far the recovery has come.
-    pub fn recovery_progress(&self, now: Steady) -> Progress {
+    pub fn recovery_progress(&self, now: Steady) -> RecoveryProgress {
         self.recovery.progress(self.since_takeover(now))
     }
 
@@ -63,19 +65,20 @@
     pub(super) fn compare_with_records(&mut self, id: &MachineId, report: &Report) {
         let tasks: Vec<ReportedTask<'_>> = report.tasks.iter().filter_map(reported).collect();
         let records = JobRecordsView { jobs: &self.jobs };
-        for (job, task, difference) in self.recovery.compare(id, &tasks, &records) {
+        for found in self.recovery.compare_first_report(id, &tasks, &records) {
+            let (job, task, difference) = (found.job, found.task, found.discrepancy);
             tracing::debug!(machine = %id, %job, task, ?difference, "reconciliation difference");
         }
     }
 
     /// A machine has shown this owner's token.
     pub(super) fn machine_heard(&mut self, id: &str, now: Steady) {
-        self.recovery.hear(id, self.since_takeover(now));
+        self.recovery.machine_reported(id, self.since_takeover(now));
     }
 
     /// All that was on a machine that was not heard is gone.
     pub(super) fn machine_given_up(&mut self, id: &str, now: Steady) {
-        self.recovery.lose(id, self.since_takeover(now));
+        self.recovery.machine_lost(id, self.since_takeover(now));
     }
 
     /// Counts orders that leave, as long as the recovery is of interest.
@@ -84,7 +87,7 @@
             return;
         }
         for order in orders {
-            self.recovery.note_order(match order {
+            self.recovery.count_order(match order {
                 Order::Start { .. } => OrderKind::Start,
                 Order::Halt { .. } => OrderKind::Halt,
                 Order::Forget { .. } => OrderKind::Forget,
@@ -102,7 +105,7 @@
         if progress.machines == 0 {
             return;
         }
-        let of = |difference: Difference| progress.differences.of(difference);
+        let of = |discrepancy: Discrepancy| progress.discrepancies.count(discrepancy);
         tracing::info!(
             token = self.token,
             after_s = progress.after_s,
@@ -110,13 +113,13 @@
             unheard = progress.unheard,
             lost = progress.lost,
             adopted = progress.adopted,
-            finished = of(Difference::Finished),
-            job_over = of(Difference::JobOver),
-            done_before = of(Difference::DoneBefore),
-            placed_twice = of(Difference::PlacedTwice),
-            failed = of(Difference::Failed),
-            partial_gang = of(Difference::PartialGang),
-            machine_lost = of(Difference::MachineLost),
+            finished = of(Discrepancy::Finished),
+            job_over = of(Discrepancy::JobOver),
+            done_before = of(Discrepancy::DoneBefore),
+            placed_twice = of(Discrepancy::PlacedTwice),
+            failed = of(Discrepancy::Failed),
+            partial_gang = of(Discrepancy::PartialGang),
+            machine_lost = of(Discrepancy::MachineLost),
             starts = progress.orders.starts,
             halts = progress.orders.halts,
             forgets = progress.orders.forgets,
@@ -130,9 +133,9 @@
 fn reported(task: &TaskReport) -> Option<ReportedTask<'_>> {
     let (job, number) = split_task(&task.task)?;
     let state = match (task.stage, task.why) {
-        (TaskStage::Exited, Some(Why::Done)) => TaskState::Done,
-        (TaskStage::Exited, _) => TaskState::Failed,
-        _ => TaskState::Present,
+        (TaskStage::Exited, Some(Why::Done)) => ReportedTaskState::Done,
+        (TaskStage::Exited, _) => ReportedTaskState::Failed,
+        _ => ReportedTaskState::Present,
     };
     Some(ReportedTask { job, task: number, attempt: task.attempt, state })
 }
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -1,6 +1,6 @@
 //! The view for people on call.
 
-use milletlock_recovery::Progress;
+use milletlock_recovery::RecoveryProgress;
 
 use super::*;
 
@@ -75,7 +75,7 @@
     /// A by key.
     pub factors: Vec<FactorView>,
     /// How far the recovery after the takeover has come; none for a team's view.
-    pub recovery: Option<Progress>,
+    pub recovery: Option<RecoveryProgress>,
 }
 
 impl Fleet {
