--- /dev/null
+++ b/src/report/chart.rs
@@ -0,0 +1,63 @@
+//! Line charts over the time since a failover, as SVG.
+
+use plotters::prelude::*;
+
+use super::ReportError;
+
+/// Width and height of a chart, in pixels.
+const CHART_SIZE: (u32, u32) = (760, 260);
+/// Colours of the lines, in turn.
+const COLORS: [RGBColor; 3] = [RGBColor(30, 100, 200), RGBColor(200, 60, 40), RGBColor(60, 140, 60)];
+/// The vertical axis ends above the greatest value by this factor.
+const HEADROOM: f64 = 1.05;
+/// Least extent of either axis.
+const MIN_EXTENT: f64 = 1.0;
+/// Length of a line's sample in the legend, in pixels.
+const LEGEND_LINE_LENGTH: i32 = 16;
+
+/// A value at a moment.
+#[derive(Clone, Copy)]
+pub(super) struct Point {
+    /// Seconds since the failover.
+    pub(super) after_s: f64,
+    pub(super) value: f64,
+}
+
+/// A line of a chart.
+pub(super) struct Series {
+    /// The line's name in the legend.
+    pub(super) name: &'static str,
+    pub(super) points: Vec<Point>,
+}
+
+/// The SVG of a chart with a line for each series.
+pub(super) fn render_chart(title: &str, series: &[Series]) -> Result<String, ReportError> {
+    let mut svg = String::new();
+    draw(&mut svg, title, series).map_err(|error| ReportError::Chart(error.to_string()))?;
+    Ok(svg)
+}
+
+fn draw(svg: &mut String, title: &str, series: &[Series]) -> Result<(), Box<dyn std::error::Error>> {
+    let points = || series.iter().flat_map(|series| &series.points);
+    let end = points().map(|point| point.after_s).fold(MIN_EXTENT, f64::max);
+    let top = points().map(|point| point.value).fold(MIN_EXTENT, f64::max) * HEADROOM;
+    let area = SVGBackend::with_string(svg, CHART_SIZE).into_drawing_area();
+    area.fill(&WHITE)?;
+    let mut chart = ChartBuilder::on(&area)
+        .caption(title, ("sans-serif", 16))
+        .margin(8)
+        .x_label_area_size(28)
+        .y_label_area_size(48)
+        .build_cartesian_2d(0.0..end, 0.0..top)?;
+    chart.configure_mesh().x_desc("seconds since the takeover").draw()?;
+    for (series, &color) in series.iter().zip(COLORS.iter().cycle()) {
+        let line = series.points.iter().map(|point| (point.after_s, point.value));
+        chart
+            .draw_series(LineSeries::new(line, color))?
+            .label(series.name)
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_LENGTH, y)], color));
+    }
+    chart.configure_series_labels().border_style(BLACK).background_style(WHITE).draw()?;
+    area.present()?;
+    Ok(())
+}
