--- a/crates/recovery/tests/discrepancies.rs
+++ b/crates/recovery/tests/discrepancies.rs
@@ -45,7 +45,7 @@
     ReportedTask { job, task, attempt: 1, state }
 }
 
-/// A machine's first report, which shows the owner's token as well.
+/// A machine's first report, which shows the leader's fencing token as well.
 fn report(recovery: &mut RecoveryTracker, machine: &str, tasks: &[ReportedTask<'_>]) -> Vec<TaskDiscrepancy> {
     let found = recovery.compare_first_report(machine, tasks, &records());
     recovery.machine_reported(machine, SECOND);
