--- a/crates/cells/src/borrower.rs
+++ b/crates/cells/src/borrower.rs
@@ -74,7 +74,7 @@
 }
 
 /// The loans that a cell holds, as recorded. A change is first made durable by the caller, then taken
-/// over with [`BorrowerLedger::apply`].
+/// over: with [`BorrowerLedger::apply`], or record by record as they were read back.
 #[derive(Clone, Debug, Default)]
 pub struct BorrowerLedger {
     jobs: BTreeMap<String, BorrowedJob>,
--- a/crates/cells/src/lender.rs
+++ b/crates/cells/src/lender.rs
@@ -115,7 +115,7 @@
     /// is beyond it: a message that does not name it may arrive when the borrower already holds it.
     pub fn horizon(&self) -> LoanNumber {
         match self.writes_in_flight.first() {
-            Some(first) => LoanNumber(first.0 - 1),
+            Some(first) => first.previous(),
             None => self.last_number,
         }
     }
--- a/crates/cells/src/loan.rs
+++ b/crates/cells/src/loan.rs
@@ -27,6 +27,11 @@
         let is_same_term = next.0 >> COUNTER_BITS == self.0 >> COUNTER_BITS;
         is_same_term.then_some(next)
     }
+
+    /// The number before this one. There is none before 0, which no loan has.
+    pub fn previous(self) -> LoanNumber {
+        LoanNumber(self.0 - 1)
+    }
 }
 
 /// A loan as its lender records it.
--- a/crates/cells/tests/bad_input.rs
+++ b/crates/cells/tests/bad_input.rs
@@ -148,7 +148,7 @@
     ));
     let later = LoanNumber(number.0 + 1);
     assert!(matches!(change_for("borrower", &report(later, "0-3", "1")), Err(LoanReportError::NeverMade(_))));
-    let earlier = LoanNumber(number.0 - 1);
+    let earlier = number.previous();
     assert_eq!(change_for("borrower", &report(earlier, "0-3", "1")), Ok(None), "closed long ago");
 }
 
--- a/crates/recovery/src/discrepancy.rs
+++ b/crates/recovery/src/discrepancy.rs
@@ -82,17 +82,6 @@
 }
 
 impl Discrepancy {
-    /// All kinds.
-    pub const ALL: [Discrepancy; 7] = [
-        Discrepancy::Finished,
-        Discrepancy::JobOver,
-        Discrepancy::DoneBefore,
-        Discrepancy::PlacedTwice,
-        Discrepancy::Failed,
-        Discrepancy::PartialGang,
-        Discrepancy::MachineLost,
-    ];
-
     /// The discrepancy between a reported task and the records, whatever other machines report; `None`
     /// if they agree.
     pub(crate) fn between(task: &ReportedTask<'_>, records: &impl RecordedJobs) -> Option<Discrepancy> {
--- a/src/loan_messages.rs
+++ b/src/loan_messages.rs
@@ -64,14 +64,14 @@
 pub fn request_to_proto(request: &LoanSyncRequest) -> proto::LoanRequest {
     let first_left_out = request.loans.get(MAX_LOANS);
     let horizon = match first_left_out {
-        Some(loan) => request.horizon.0.min(loan.number.0 - 1),
-        None => request.horizon.0,
+        Some(loan) => request.horizon.min(loan.number.previous()),
+        None => request.horizon,
     };
     proto::LoanRequest {
         from: request.from.clone(),
         to: request.to.clone(),
         term: request.term,
-        horizon,
+        horizon: horizon.0,
         loans: request.loans.iter().take(MAX_LOANS).map(item_to_proto).collect(),
     }
 }
