--- a/src/config/cells.rs
+++ b/src/config/cells.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use milletlock_cells::Script;
+use milletlock_cells::LendingScript;
 use serde::Deserialize;
 
 use super::validation::require_not_negative;
@@ -101,7 +101,7 @@
         }
         require_not_negative("cells.borrow_cpus", self.borrow_cpus)?;
         require_not_negative("cells.lend_after_s", self.lend_after_s)?;
-        match self.script.as_deref().map(Script::parse) {
+        match self.script.as_deref().map(LendingScript::parse) {
             Some(Err(e)) => Err(ConfigError::field("cells.script", e.to_string().replace('\n', " "))),
             _ => Ok(()),
         }
