--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -84,7 +84,7 @@
     /// The leader's announcement.
     fn summary(&self, leadership: &Leadership) -> Summary {
         let count = |id: &JobId| {
-            let c = leadership.fleet.counts(id).filter(|c| *c != JobProgress::default())?;
+            let c = leadership.fleet.progress(id).filter(|c| *c != JobProgress::default())?;
             Some(JobCounts { id: id.to_string(), done: c.done, running: c.running })
         };
         Summary {
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -69,7 +69,7 @@
     fn refresh_list(&self, fencing_token: u64) -> Option<usize> {
         let list = self.cloud.list().ok()?;
         if let Some(leadership) = self.lock().leadership_with(fencing_token) {
-            leadership.fleet.listed(&list, self.now());
+            leadership.fleet.machines_listed(&list, self.now());
         }
         Some(list.len())
     }
@@ -109,7 +109,7 @@
     /// Scales in: returns the machines that the leader no longer needs.
     fn scale_in(&self, fencing_token: u64) {
         let ids = match self.lock().leadership_with(fencing_token) {
-            Some(leadership) => leadership.fleet.leaving(),
+            Some(leadership) => leadership.fleet.machines_to_scale_in(),
             None => return,
         };
         if ids.is_empty() {
@@ -121,7 +121,7 @@
             match self.cloud.return_machines(part) {
                 Ok(()) => {
                     if let Some(leadership) = self.lock().leadership_with(fencing_token) {
-                        leadership.fleet.returned(part, self.now());
+                        leadership.fleet.machines_scaled_in(part, self.now());
                     }
                     self.wake.notify_all();
                 }
@@ -227,7 +227,7 @@
             if short {
                 fleet.offer_refused(offer, now + NO_CAPACITY_BACKOFF);
             }
-            fleet.rented(&ids, offer, now);
+            fleet.machines_scaled_out(&ids, offer, now);
             if short {
                 ScaleOutOutcome::Partial
             } else {
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -28,7 +28,7 @@
     pub(super) fn send_halts(&self) {
         while !self.stopping() {
             self.sleep(HALT_INTERVAL);
-            self.send_due(Fleet::to_halt, HALT_THREADS);
+            self.send_due(Fleet::halt_commands, HALT_THREADS);
         }
     }
 
@@ -36,14 +36,14 @@
     pub(super) fn raise_fencing_tokens(&self) {
         while !self.stopping() {
             self.sleep(RAISE_INTERVAL);
-            self.send_due(|fleet, now| fleet.to_raise(now), FENCING_TOKEN_THREADS);
+            self.send_due(|fleet, now| fleet.fencing_token_commands(now), FENCING_TOKEN_THREADS);
         }
     }
 
     /// Sends the direct commands that are due; false if there were none.
     pub fn command_once(&self) -> bool {
-        let raised = self.send_due(|fleet, now| fleet.to_raise(now), FENCING_TOKEN_THREADS);
-        self.send_due(Fleet::to_halt, HALT_THREADS) || raised
+        let raised = self.send_due(|fleet, now| fleet.fencing_token_commands(now), FENCING_TOKEN_THREADS);
+        self.send_due(Fleet::halt_commands, HALT_THREADS) || raised
     }
 
     fn send_due(&self, due: impl FnOnce(&mut Fleet, Steady) -> Vec<DirectCommand>, threads: usize) -> bool {
@@ -75,7 +75,10 @@
         // It may have reported by itself since the list was made.
         let due = |o: &Leadership| {
             o.claim.fencing_token == fencing_token
-                && o.fleet.machines.get(machine).is_some_and(|m| !orders.is_empty() || m.to_raise(self.now()))
+                && o.fleet
+                    .machines
+                    .get(machine)
+                    .is_some_and(|m| !orders.is_empty() || m.needs_fencing_token(self.now()))
         };
         if !self.lock().leadership.as_ref().is_some_and(due) {
             return;
@@ -108,7 +111,7 @@
             let Some(leadership) = shared.leadership_with(fencing_token) else {
                 return;
             };
-            if let Some(higher) = leadership.fleet.raised(&r, self.now()) {
+            if let Some(higher) = leadership.fleet.direct_command_answered(&r, self.now()) {
                 self.step_down(&mut shared, higher, "a worker has seen a higher fencing token");
             }
             return;
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -103,7 +103,7 @@
         };
         if !leadership.view.may_act(now) {
             // Cancellations cannot be seen any more: leases must be let run out.
-            leadership.fleet.not_answered(&report.machine, now);
+            leadership.fleet.heartbeat_unanswered(&report.machine, now);
             let refused = Response::error(503, "out of touch with the state service");
             return HeartbeatHandling::Answer(refused, reply);
         }
@@ -113,11 +113,11 @@
             HeartbeatOutcome::Reply(r) => {
                 // Other workers report when something changes, and must not be kept from it.
                 let id: MachineId = report.machine.as_str().into();
-                if r.orders.is_empty() && leadership.fleet.may_wait(&id, now) {
+                if r.orders.is_empty() && leadership.fleet.may_defer_reply(&id, now) {
                     if let Some(reply) = reply {
                         let deadline = now + MAX_REPLY_DELAY;
                         let deferred = DeferredHeartbeatReply { report, fencing_token, deadline, reply };
-                        leadership.fleet.reply_deferred(&id, deadline);
+                        leadership.fleet.defer_reply(&id, deadline);
                         // A second report takes the place of the first: its worker gave up.
                         shared.deferred_replies.insert(id, deferred);
                         return HeartbeatHandling::Deferred;
@@ -172,7 +172,7 @@
             .filter(|(id, w)| {
                 Some(w.fencing_token) != fencing_token
                     || now >= w.deadline
-                    || leadership.as_ref().is_some_and(|o| o.fleet.start_waits(id))
+                    || leadership.as_ref().is_some_and(|o| o.fleet.has_ready_start(id))
             })
             .map(|(id, _)| id.clone())
             .collect();
@@ -184,7 +184,7 @@
                 else {
                     continue;
                 };
-                let orders = leadership.fleet.later(&w.report, now, wall());
+                let orders = leadership.fleet.deferred_orders(&w.report, now, wall());
                 if orders.is_empty() && now < w.deadline {
                     continue;
                 }
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -73,7 +73,7 @@
         let Some(leadership) = shared.leadership_with(fencing_token) else { return };
         // A single controller is followed by nobody while it lives.
         if renewed || self.cfg.controller_count() == 1 {
-            leadership.fleet.confirm(begun);
+            leadership.fleet.confirm_lease(begun);
             leadership.view.note_renewal(begun);
         }
         match r {
@@ -229,7 +229,7 @@
         // Cancellations that were told of while the records were read.
         for id in fleet.jobs.keys().cloned().collect::<Vec<_>>() {
             if let Some((_, revision)) = shared.finals.get(&*id) {
-                fleet.job_over(&id, *revision);
+                fleet.job_ended(&id, *revision);
             }
         }
         shared.leader = Some(LeaderRecord {
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -127,9 +127,9 @@
         let mut shared = self.lock();
         if let Some(leadership) = shared.leadership.as_mut() {
             if n.record.is_empty() {
-                leadership.fleet.job_over(&n.id, n.revision);
+                leadership.fleet.job_ended(&n.id, n.revision);
             } else if let Ok(r) = serde_json::from_slice::<JobRecord>(&n.record) {
-                leadership.fleet.job_put(r, n.revision, self.now());
+                leadership.fleet.apply_job_record(r, n.revision, self.now());
             }
             self.wake.notify_all();
         }
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -20,7 +20,7 @@
         let mut shared = self.lock();
         let writes = shared.leadership.as_mut().is_some_and(|leadership| {
             leadership.fleet.tick(self.now(), wall());
-            leadership.fleet.starts_wait()
+            leadership.fleet.starts_await_marks()
         });
         if shared.leadership.as_ref().is_some_and(|o| o.fleet.attempts_exhausted()) {
             self.step_down(&mut shared, 0, "its attempt numbers are used up");
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -79,7 +79,7 @@
     fn counts(&self, id: &str) -> JobProgress {
         let shared = self.lock();
         match &shared.leadership {
-            Some(leadership) => leadership.fleet.counts(id).unwrap_or_default(),
+            Some(leadership) => leadership.fleet.progress(id).unwrap_or_default(),
             None => shared.announced_counts.get(id).copied().unwrap_or_default(),
         }
     }
@@ -88,7 +88,7 @@
         let to = {
             let mut shared = self.lock();
             if let Some(leadership) = shared.leadership.as_mut() {
-                leadership.fleet.job_put(record, revision, self.now());
+                leadership.fleet.apply_job_record(record, revision, self.now());
                 self.wake.notify_all();
                 return;
             }
@@ -123,7 +123,7 @@
     pub(super) fn apply_cancellation(&self, id: &str, record: FinalRecord, revision: u64) {
         self.learn_final(id, record, revision);
         if let Some(leadership) = self.lock().leadership.as_mut() {
-            leadership.fleet.job_over(id, revision);
+            leadership.fleet.job_ended(id, revision);
             self.wake.notify_all();
         }
     }
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -33,7 +33,7 @@
     /// this controller.
     pub fn watch_once(&self) -> Micros {
         let Some((fencing_token, from, view)) =
-            self.lock().leadership.as_ref().map(|o| (o.claim.fencing_token, o.fleet.read_to(), o.view))
+            self.lock().leadership.as_ref().map(|o| (o.claim.fencing_token, o.fleet.jobs_revision(), o.view))
         else {
             return WATCH_PAUSE;
         };
@@ -75,7 +75,7 @@
         for event in changes.events {
             apply_change(&mut leadership.fleet, event, self.now());
         }
-        leadership.fleet.has_read_to(if read_at.is_some() { changes.revision } else { latest });
+        leadership.fleet.advance_jobs_revision(if read_at.is_some() { changes.revision } else { latest });
         if let Some(sent) = read_at {
             leadership.view.note_read(sent);
         }
@@ -85,10 +85,10 @@
 /// Applies a change under the jobs' prefix.
 fn apply_change(fleet: &mut Fleet, e: Event, now: Steady) {
     if let Some(id) = e.drop.as_deref().and_then(|k| k.strip_prefix(JOBS_PREFIX)) {
-        fleet.job_over(id, e.mod_revision);
+        fleet.job_ended(id, e.mod_revision);
     } else if e.put.is_some() {
         match serde_json::from_value::<JobRecord>(e.value) {
-            Ok(r) => fleet.job_put(r, e.mod_revision, now),
+            Ok(r) => fleet.apply_job_record(r, e.mod_revision, now),
             Err(e) => tracing::error!(error = %e, "malformed job record"),
         }
     }
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -45,11 +45,11 @@
     pub fn write_once(&self) -> bool {
         let now = self.now();
         let work = self.lock().leadership.as_mut().map(|leadership| {
-            let ops = leadership.fleet.txn_ops();
-            let chunk = chunk_tasks(leadership.fleet.value_bytes());
+            let ops = leadership.fleet.max_txn_changes();
+            let chunk = chunk_tasks(leadership.fleet.max_value_bytes());
             let interval =
                 done_write_interval(leadership.fleet.jobs.len(), self.cfg.platform.settings.state.write_rps);
-            let pending = leadership.fleet.pending(now, interval, chunk);
+            let pending = leadership.fleet.pending_writes(now, interval, chunk);
             let shard_revision = leadership.claim.shard_revision;
             (
                 leadership.claim.clone(),
@@ -113,7 +113,7 @@
                         finals.push((id.clone(), j.spec.tasks));
                     }
                 }
-                leadership.fleet.written(item, revision, said, now);
+                leadership.fleet.write_applied(item, revision, said, now);
             }
         }
         for (id, tasks) in finals {
--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -18,11 +18,11 @@
     pub fn cell_summary(&self, wall: Wall) -> CellSummary {
         let backlog_s = self.array_backlog_s();
         let mut free_cpus: BTreeMap<String, f64> =
-            self.types.iter().map(|ty| (ty.name.clone(), 0.0)).collect();
-        for machine in self.machines.values().filter(|m| m.up && !m.leaving && !m.expired) {
-            let Some(ty) = machine.ty else { continue };
-            let free = machine.free(self.total(ty)).cpus.max(0.0);
-            *free_cpus.entry(machine.ty_name.clone()).or_default() += free;
+            self.catalog.types.iter().map(|ty| (ty.name.clone(), 0.0)).collect();
+        for machine in self.machines.values().filter(|m| m.up && !m.scaling_in && !m.lease_expired) {
+            let Some(ty) = machine.type_index else { continue };
+            let free = machine.free(self.type_capacity(ty)).cpus.max(0.0);
+            *free_cpus.entry(machine.type_name.clone()).or_default() += free;
         }
         CellSummary {
             format: SUMMARY_FORMAT,
@@ -35,7 +35,7 @@
 
     /// Processors' worth of tasks that may still be borrowed.
     fn spare_cpus(&self) -> f64 {
-        let Some(cells) = &self.cfg.operator.cells else { return 0.0 };
+        let Some(cells) = &self.config.operator.cells else { return 0.0 };
         let held_cpus = |(id, record): (&String, &milletlock_cells::BorrowedJob)| {
             let Some(job) = self.jobs.get(id.as_str()) else { return 0.0 };
             f64::from(record.tasks().difference(&job.done.task_set()).len()) * job.spec.cpus
@@ -81,19 +81,19 @@
         let own = JobRecord { spec, submitted_us: wall.0, high: 0, lending: Lending::default() };
         let mut job = Job::new(own, mod_revision, now);
         job.borrowed_from = Some(home);
-        let need = need_of(&job.spec);
+        let need = task_resources(&job.spec);
         let id = job.id.clone();
         let left = self.take_orphans_of(&id);
-        job.chunks.extend(left);
+        job.done_chunks.extend(left);
         for m in self.machines.values_mut() {
-            for (_, e) in m.tasks.range_mut((id.clone(), 0, 0)..=(id.clone(), u32::MAX, u64::MAX)) {
+            for (_, e) in m.tasks.range_mut(TaskKey::all_of_job(&id)) {
                 e.need = Some(need);
             }
         }
         self.jobs.insert(id.clone(), job);
         self.update_withheld(&id);
-        for (task, at) in self.located(&id) {
-            self.refresh(&id, task, &at);
+        for (task, at) in self.task_locations(&id) {
+            self.update_placement(&id, task, &at);
         }
     }
 
@@ -101,7 +101,7 @@
     fn take_orphans_of(&mut self, id: &JobId) -> Vec<(u32, u64)> {
         let prefix = borrowed_done_prefix(id);
         let mut taken = Vec::new();
-        self.orphans.retain(|key, mod_revision| {
+        self.cleanup.done_chunks.retain(|key, mod_revision| {
             let chunk = key.strip_prefix(&prefix).and_then(|chunk| chunk.parse().ok());
             taken.extend(chunk.map(|chunk| (chunk, *mod_revision)));
             chunk.is_none()
@@ -154,9 +154,9 @@
     pub(super) fn stop_withdrawn(&mut self, id: &str, withdrawn: &TaskSet) {
         let id: JobId = id.into();
         for m in self.machines.values_mut() {
-            let of_job = m.tasks.range_mut((id.clone(), 0, 0)..=(id.clone(), u32::MAX, u64::MAX));
-            for (_, e) in of_job.filter(|(key, e)| e.live() && withdrawn.contains(key.1)) {
-                e.stop = Some(0.0);
+            let of_job = m.tasks.range_mut(TaskKey::all_of_job(&id));
+            for (_, e) in of_job.filter(|(key, e)| e.live() && withdrawn.contains(key.number)) {
+                e.stop_grace_s = Some(0.0);
             }
         }
     }
@@ -196,8 +196,9 @@
         let Some(job) = self.fleet.jobs.get(job).filter(|job| job.borrowed_from.is_some()) else {
             return TaskSet::new();
         };
-        let has_not_begun =
-            |task: &u32| *task >= job.inherited && job.waiting.contains(*task) && !job.begun.contains(*task);
+        let has_not_begun = |task: &u32| {
+            *task >= job.inherited_start_mark && job.waiting.contains(*task) && !job.started.contains(*task)
+        };
         tasks.iter().filter(has_not_begun).collect()
     }
 
@@ -212,11 +213,11 @@
         if !is_array_without_rules(&spec) {
             return Err(BorrowRefusal::NotBorrowable);
         }
-        let cells = fleet.cfg.operator.cells.as_ref();
+        let cells = fleet.config.operator.cells.as_ref();
         if !cells.is_some_and(|cells| cells.borrows(spec.class.as_ref())) {
             return Err(BorrowRefusal::ClassNotBorrowed(spec.class.unwrap_or_default()));
         }
-        if let Some(why) = never_runs(&spec, &fleet.cfg, &fleet.types) {
+        if let Some(why) = never_runs(&spec, &fleet.config, &fleet.catalog.types) {
             return Err(BorrowRefusal::NotRunnable(why));
         }
         let cpus = f64::from(item.tasks.len()) * spec.cpus;
--- a/src/fleet/demand.rs
+++ b/src/fleet/demand.rs
@@ -43,18 +43,18 @@
         let types = self.allowed_types(s);
         let slowest = types
             .iter()
-            .filter_map(|&t| self.types.get(t))
+            .filter_map(|&t| self.catalog.types.get(t))
             .map(|t| t.boot_s + s.image_gb / t.fetch_gb_per_s.max(0.001));
         let ready = slowest.fold(f64::INFINITY, f64::min);
         let aim = self.start_aim(s);
         let service = s.is_service();
         // A service has its room for as long as it runs; what has to be ready for the next one is the
         // room for the time that a new machine would take.
-        let each = if service { ready.min(3600.0) } else { stated(s).secs().min(3600.0) };
-        self.submitted_count += 1;
+        let each = if service { ready.min(3600.0) } else { stated_run_time(s).secs().min(3600.0) };
+        self.recent_jobs.submitted += 1;
         self.demands.push(Demand {
             at: now,
-            need: need_of(s),
+            need: task_resources(s),
             priority: s.priority,
             types,
             work: each * f64::from(s.tasks),
@@ -67,7 +67,7 @@
 
     /// Seconds within which its class's aim has a job start, if there is such an aim.
     pub(super) fn start_aim(&self, s: &JobSpec) -> Option<f64> {
-        let aims = &self.cfg.platform.settings.objectives;
+        let aims = &self.config.platform.settings.objectives;
         let of = aims.iter().filter(|o| o.kind == "wait" && Some(&o.class) == s.class.as_ref());
         of.map(|o| o.within_s).reduce(f64::min)
     }
@@ -75,7 +75,7 @@
     /// Recent jobs as they are written: only what large machines are kept for, the latest first,
     /// no more than fit the bytes.
     pub fn recent(&self, now: Steady, wall: Wall, bytes: usize) -> Vec<DemandRecord> {
-        let name = |t: &usize| self.types.get(*t).map(|t| t.name.clone());
+        let name = |t: &usize| self.catalog.types.get(*t).map(|t| t.name.clone());
         let mut left = bytes;
         let kept = self.demands.iter().rev().filter(|d| d.starts_before_boot || d.priority > Priority::Idle);
         kept.map(|d| DemandRecord {
@@ -102,7 +102,7 @@
     pub fn inherit_recent(&mut self, list: Vec<DemandRecord>, now: Steady, wall: Wall) {
         for r in list {
             let age = (wall - Wall(r.at_us)).max(Micros::ZERO);
-            let index = |n: &String| self.types.iter().position(|t| t.name == *n);
+            let index = |n: &String| self.catalog.types.iter().position(|t| t.name == *n);
             self.demands.push(Demand {
                 at: now - age,
                 need: Resources { cpus: r.need.0, gpus: r.need.1, memory: r.need.2 },
@@ -132,7 +132,7 @@
     /// Seconds that the slowest type takes to boot. A machine that is given up for a shorter lull may have
     /// to be rented again.
     pub(super) fn slowest_boot_s(&self) -> f64 {
-        self.types.iter().map(|t| t.boot_s).fold(0.0, f64::max)
+        self.catalog.types.iter().map(|t| t.boot_s).fold(0.0, f64::max)
     }
 
     /// By type, how many machines stay though idle: those that recent jobs which start before a machine
@@ -140,14 +140,18 @@
     pub(super) fn warm(&self, now: Steady) -> Vec<WarmPool> {
         let early = || self.demands.iter().filter(|d| d.starts_before_boot);
         if !self.more_expected(early, LEAST_WARM_LULL_S, now) {
-            return vec![WarmPool::default(); self.types.len()];
+            return vec![WarmPool::default(); self.catalog.types.len()];
         }
         let span = span_of(early(), now);
-        (0..self.types.len())
+        (0..self.catalog.types.len())
             .map(|ty| {
                 let of = self.demands.iter().filter(|d| d.starts_before_boot && d.types.first() == Some(&ty));
                 let (work, any, spot) = of.fold((0.0, false, false), |(w, _, spot), d| {
-                    (w + d.work / f64::from(self.total(ty).fits(&d.need).max(1)), true, spot || d.spot)
+                    (
+                        w + d.work / f64::from(self.type_capacity(ty).fits(&d.need).max(1)),
+                        true,
+                        spot || d.spot,
+                    )
                 });
                 if !any {
                     return WarmPool::default();
@@ -167,19 +171,21 @@
             .iter()
             .filter(|d| d.starts_before_boot && d.extra_machines > 0)
             .map(|d| d.extra_machines as usize + 1);
-        wide.max().unwrap_or(0).max(self.cfg.operator.keep_clear)
+        wide.max().unwrap_or(0).max(self.config.operator.keep_clear)
     }
 
     /// By type: the largest recent demand of a higher rank that no smaller type takes.
     pub(super) fn keep(&self) -> Vec<Option<ReservedHeadroom>> {
         let size = |t: &MachineType| t.cpus + 8.0 * t.gpus;
-        (0..self.types.len())
+        (0..self.catalog.types.len())
             .map(|ty| {
                 self.demands
                     .iter()
                     .filter(|d| d.priority > Priority::Idle && d.types.contains(&ty))
-                    .filter(|d| d.types.iter().all(|&o| size(&self.types[o]) >= size(&self.types[ty])))
-                    .filter(|d| self.total(ty).fits(&d.need) == 1)
+                    .filter(|d| {
+                        d.types.iter().all(|&o| size(&self.catalog.types[o]) >= size(&self.catalog.types[ty]))
+                    })
+                    .filter(|d| self.type_capacity(ty).fits(&d.need) == 1)
                     .max_by(|a, b| a.priority.cmp(&b.priority).then(a.need.cpus.total_cmp(&b.need.cpus)))
                     .map(|d| ReservedHeadroom { need: d.need, priority: d.priority, spot: d.spot })
             })
@@ -191,13 +197,13 @@
     pub(super) fn should_wait_for_image(&self, s: &JobSpec, waited: Micros) -> bool {
         let Some(aim) = self.start_aim(s).filter(|_| s.is_array()) else { return false };
         let left = aim - waited.secs();
-        left > self.cfg.platform.settings.workers.report_s && self.least_fetch_s(s) > left
+        left > self.config.platform.settings.workers.report_s && self.least_fetch_s(s) > left
     }
 
     /// Seconds that a job's image takes to fetch on the fastest type that it may use.
     fn least_fetch_s(&self, s: &JobSpec) -> f64 {
         let types = self.allowed_types(s);
-        let fetch = types.iter().map(|&t| s.image_gb / self.types[t].fetch_gb_per_s.max(0.001));
+        let fetch = types.iter().map(|&t| s.image_gb / self.catalog.types[t].fetch_gb_per_s.max(0.001));
         let fetch = fetch.fold(f64::INFINITY, f64::min);
         if fetch.is_finite() {
             fetch
@@ -209,7 +215,7 @@
     /// How long a job may wait before others are stopped for it: what its class's aim allows, less
     /// the reports that carry the stops and the starts, and the fetch of its image.
     pub(super) fn patience(&self, s: &JobSpec) -> Micros {
-        let w = &self.cfg.platform.settings;
+        let w = &self.config.platform.settings;
         if s.is_service() {
             // Each moment without a replica is missed by its users.
             return Micros::ZERO;
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -1,207 +1,266 @@
-//! Heartbeats from workers and the answers to them: the check-in itself, orders in the reply,
-//! replies that wait for a start, and direct commands that carry this leader's fencing token or
-//! halts to machines that are not heard from.
+//! Heartbeats from workers and the replies to them: orders in the reply, replies that are deferred until
+//! a start comes up, and direct commands that carry this leader's fencing token or halts to machines
+//! that send no heartbeat.
 
-use super::reconciliation::is_over;
-use super::*;
+use std::collections::BTreeSet;
 
-/// With no more pairs of job and machine than this, each report is answered on a plan of the
-/// moment; with more, plans are made beside the answers.
+use super::machine::{HeartbeatPosition, Machine, TaskEntry, TaskKey};
+use super::reconciliation::has_job_ended;
+use super::starts::MAX_ORDERS;
+use super::tasks::task_name;
+use super::Fleet;
+use crate::direct_command::DirectCommand;
+use crate::jobs::MachineId;
+use crate::time::{Micros, Steady, Wall};
+use crate::wire::{ExitReason, Heartbeat, HeartbeatReply, Order, TaskStage};
+
+/// Up to this many pairs of job and machine a new plan is made for each heartbeat's reply; with more,
+/// plans are made apart from the replies.
 pub(super) const MAX_PAIRS_PLANNED_INLINE: usize = 4_000;
 
-/// Most machines whose report is overdue to which halts are sent at once. Behind a cut each is waited for in
-/// vain, and halts for tasks in whose place others wait would wait as well; the lease ends what is there.
+/// Most machines with an overdue heartbeat to which halts are sent at once. Each one behind a network
+/// partition is waited for in vain, and halts of preempted tasks would be held up; there the tasks end
+/// with the machine's lease.
 const MAX_OVERDUE_HALTS: usize = 6;
 
+/// Heartbeat intervals after which a heartbeat is overdue.
+const OVERDUE_INTERVALS: f64 = 1.5;
+
+/// Longest machine id that is accepted, in bytes.
+const MAX_MACHINE_ID_BYTES: usize = 100;
+
+/// Characters that a machine id may not hold, since it becomes part of keys and of addresses.
+const FORBIDDEN_IN_MACHINE_ID: [char; 6] = [' ', '/', '?', '&', '%', '#'];
+
+/// What to do with a worker's heartbeat, as decided by [`Fleet::check_in`].
+#[derive(Debug, PartialEq)]
+pub enum HeartbeatOutcome {
+    /// Answer 200 with this reply: this leader's fencing token and the orders for the machine.
+    Reply(HeartbeatReply),
+    /// The heartbeat carries this higher fencing token: another leader has taken over.
+    Superseded(u64),
+    /// Not to be answered with 200: the machine was removed, its id is malformed, or the heartbeat is a
+    /// copy or was overtaken by a newer one.
+    Refuse,
+}
+
 impl Fleet {
-    /// A heartbeat came while this leader may answer none (its own lease is not confirmed). Without
-    /// this a machine whose lease expired for that would be taken for silent and scaled in as soon as
-    /// the leader may act again: after a long outage of the state store all of them.
-    pub fn not_answered(&mut self, machine: &str, now: Steady) {
-        if let Some(m) = self.machines.get_mut(machine) {
-            m.alive = now;
+    /// Notes that a heartbeat came while this leader may answer none (its own lease is not confirmed).
+    /// Without this a machine whose lease expired for that would be taken for silent and scaled in as
+    /// soon as the leader may act again: after a long outage of the state store all of them.
+    pub fn heartbeat_unanswered(&mut self, machine: &str, now: Steady) {
+        if let Some(machine) = self.machines.get_mut(machine) {
+            machine.unanswered_heartbeat_at = now;
         }
     }
 
-    /// Takes a worker's heartbeat: reconciles it with what is held and says what to answer.
-    pub fn check_in(&mut self, r: &Heartbeat, now: Steady, wall: Wall) -> HeartbeatOutcome {
-        if r.fencing_token > self.fencing_token {
-            return HeartbeatOutcome::Superseded(r.fencing_token);
+    /// Takes a worker's heartbeat: reconciles the model with it and decides how to answer.
+    pub fn check_in(&mut self, heartbeat: &Heartbeat, now: Steady, wall: Wall) -> HeartbeatOutcome {
+        if heartbeat.fencing_token > self.fencing_token {
+            return HeartbeatOutcome::Superseded(heartbeat.fencing_token);
         }
-        let id: MachineId = r.machine.as_str().into();
-        if self.gone.contains_key(&id) {
+        let id: MachineId = heartbeat.machine.as_str().into();
+        if self.removed_machines.contains_key(&id) {
             return HeartbeatOutcome::Refuse;
         }
-        if !self.machines.contains_key(&id) {
-            if r.machine.is_empty()
-                || r.machine.len() > 100
-                || r.machine.contains([' ', '/', '?', '&', '%', '#'])
-            {
-                return HeartbeatOutcome::Refuse;
-            }
-            if !r.tasks.is_empty() {
-                // Nothing is started on a machine without a record, and it has none: a late copy
-                // from a machine that was returned before this owner came.
-                tracing::info!(machine = %id, "late heartbeat of a gone machine refused");
-                return HeartbeatOutcome::Refuse;
-            }
-            tracing::info!(machine = %id, ty = %r.ty, zone = %r.zone, "first heartbeat");
-            self.machines.insert(id.clone(), Machine::new(&id, now));
+        if !self.machines.contains_key(&id) && !self.add_machine_of(heartbeat, &id, now) {
+            return HeartbeatOutcome::Refuse;
         }
-        self.describe(&id, &r.addr, &r.ty, &r.zone, r.spot);
-        if !self.reconcile_heartbeat(&id, r, now) {
-            // A copy, or one that was overtaken: it renews nothing and revives nothing, and the
-            // worker does not wait for its answer.
+        self.describe_machine(&id, &heartbeat.addr, &heartbeat.ty, &heartbeat.zone, heartbeat.spot);
+        if !self.reconcile_heartbeat(&id, heartbeat, now) {
+            // A copy, or one that was overtaken: it renews no lease and adds no task, and the worker does
+            // not wait for its reply.
             return HeartbeatOutcome::Refuse;
         }
-        if let Some(m) = self.machines.get_mut(&id) {
-            m.answered = Some(now);
-            m.report = now;
-            m.expired = false;
-            m.missing = false;
+        if let Some(machine) = self.machines.get_mut(&id) {
+            machine.answered_at = Some(now);
+            machine.heartbeat_at = now;
+            machine.lease_expired = false;
+            machine.missing = false;
         }
         let orders = self.reply_orders(&id, now, wall);
         HeartbeatOutcome::Reply(HeartbeatReply { fencing_token: self.fencing_token, orders })
     }
 
+    /// Adds the machine of a first heartbeat; returns false if the heartbeat is to be refused.
+    fn add_machine_of(&mut self, heartbeat: &Heartbeat, id: &MachineId, now: Steady) -> bool {
+        if !is_well_formed_machine_id(&heartbeat.machine) {
+            return false;
+        }
+        if !heartbeat.tasks.is_empty() {
+            // Nothing is started on a machine without a record, and it has none: a late copy from a
+            // machine that was scaled in before the failover.
+            tracing::info!(machine = %id, "late heartbeat of a gone machine refused");
+            return false;
+        }
+        tracing::info!(machine = %id, ty = %heartbeat.ty, zone = %heartbeat.zone, "first heartbeat");
+        self.machines.insert(id.clone(), Machine::new(id, now));
+        true
+    }
+
     /// Takes the heartbeat that a direct command returned: it only tells that this leader's fencing
-    /// token has arrived. Its task list may be older than a start on its way, so once the machine is
-    /// heard it is not used at all. Returns a higher fencing token, if one shows (a newer leader).
-    pub fn raised(&mut self, r: &Heartbeat, now: Steady) -> Option<u64> {
-        if r.fencing_token > self.fencing_token {
-            return Some(r.fencing_token);
-        }
-        let id: MachineId = r.machine.as_str().into();
-        if self.machines.get(&id).is_some_and(|m| !m.heard) {
-            self.reconcile_heartbeat(&id, r, now);
-            // What an earlier owner answered was reported before this. A machine that never reports
-            // would otherwise hold its tasks until it is returned.
-            if let Some(m) = self.machines.get_mut(&id).filter(|_| r.fencing_token == self.fencing_token) {
-                m.ours_since = Some(now);
+    /// token has arrived. Its task list may be older than a start that is being delivered, so once the
+    /// machine has acknowledged the token it is not used at all. Returns a higher fencing token, if the
+    /// heartbeat carries one (of a newer leader).
+    pub fn direct_command_answered(&mut self, heartbeat: &Heartbeat, now: Steady) -> Option<u64> {
+        if heartbeat.fencing_token > self.fencing_token {
+            return Some(heartbeat.fencing_token);
+        }
+        let id: MachineId = heartbeat.machine.as_str().into();
+        if self.machines.get(&id).is_none_or(|machine| machine.acknowledged) {
+            return None;
+        }
+        self.reconcile_heartbeat(&id, heartbeat, now);
+        if heartbeat.fencing_token == self.fencing_token {
+            // What an earlier leader answered was sent before this. A machine that never sends a
+            // heartbeat would otherwise hold its tasks until it is scaled in.
+            if let Some(machine) = self.machines.get_mut(&id) {
+                machine.acknowledged_since = Some(now);
             }
         }
         None
     }
 
     /// Direct commands without orders to the machines to which this leader's fencing token has to be
-    /// brought.
-    pub fn to_raise(&self, now: Steady) -> Vec<DirectCommand> {
-        let due = self.machines.values().filter(|m| m.to_raise(now) && !m.addr.is_empty());
-        due.map(|m| m.direct_command(Vec::new())).collect()
+    /// sent.
+    pub fn fencing_token_commands(&self, now: Steady) -> Vec<DirectCommand> {
+        let is_due = |machine: &&Machine| machine.needs_fencing_token(now) && !machine.address.is_empty();
+        let due = self.machines.values().filter(is_due);
+        due.map(|machine| machine.direct_command(Vec::new())).collect()
     }
 
-    /// Direct commands with halts of tasks in whose place others wait, and of what is left of jobs
-    /// that are over on machines whose heartbeat is overdue. The reply to a heartbeat carries the same
-    /// halts; a machine that reaches no controller, or whose leader may no longer answer, has them
-    /// from here.
-    pub fn to_halt(&mut self, now: Steady) -> Vec<DirectCommand> {
+    /// Direct commands with halts of tasks whose capacity others wait for, and of what is left of ended
+    /// jobs on machines whose heartbeat is overdue. The reply to a heartbeat carries the same halts;
+    /// these reach a machine that reaches no controller, or whose leader may no longer answer.
+    pub fn halt_commands(&mut self, now: Steady) -> Vec<DirectCommand> {
         let overdue = self.overdue_with_remains(now);
-        let mut out = Vec::new();
-        for m in self.machines.values_mut() {
-            if m.addr.is_empty() {
-                continue;
-            }
-            let is_overdue = overdue.contains(&m.id);
+        let mut commands = Vec::new();
+        for machine in self.machines.values_mut().filter(|machine| !machine.address.is_empty()) {
+            let is_overdue = overdue.contains(&machine.id);
             let mut orders = Vec::new();
-            for (k, e) in m.tasks.iter_mut().filter(|x| x.1.live()) {
-                let Some(grace_s) = e.stop else { continue };
-                if e.stop_at_once || (is_overdue && grace_s == 0.0 && is_over(&self.jobs, k)) {
-                    e.stop_at_once = false;
-                    orders.push(Order::Halt { task: task_name(&k.0, k.1), attempt: k.2, grace_s });
+            for (key, task) in machine.tasks.iter_mut().filter(|(_, task)| task.live()) {
+                let Some(grace_s) = task.stop_grace_s else { continue };
+                let is_remainder = is_overdue && grace_s == 0.0 && has_job_ended(&self.jobs, key);
+                if task.stop_directly || is_remainder {
+                    task.stop_directly = false;
+                    orders.push(halt(key, grace_s));
                 }
             }
             if !orders.is_empty() {
-                m.commanded = now;
-                out.push(m.direct_command(orders));
+                machine.commanded_at = now;
+                commands.push(machine.direct_command(orders));
             }
         }
-        self.count_orders(out.iter().flat_map(|command| &command.orders), now);
-        out
+        self.count_orders(commands.iter().flat_map(|command| &command.orders), now);
+        commands
     }
 
-    /// Machines whose report is overdue and on which jobs that are over have tasks left: those that were
-    /// commanded least recently, and no more than are waited for without holding up other halts.
+    /// Machines whose heartbeat is overdue and on which tasks of ended jobs are left: those that were
+    /// commanded least recently, and no more than can be waited for without holding up other halts.
     fn overdue_with_remains(&self, now: Steady) -> BTreeSet<MachineId> {
-        let overdue = Micros::from_secs(self.cfg.platform.settings.workers.report_s * 1.5);
-        let has_remains = |m: &Machine| {
-            m.tasks.iter().any(|(k, e)| e.live() && e.stop == Some(0.0) && is_over(&self.jobs, k))
+        let interval_s = self.config.platform.settings.workers.report_s;
+        let overdue = Micros::from_secs(interval_s * OVERDUE_INTERVALS);
+        let is_remainder = |key: &TaskKey, task: &TaskEntry| {
+            task.live() && task.stop_grace_s == Some(0.0) && has_job_ended(&self.jobs, key)
         };
-        let due = self.machines.values().filter(|m| now - m.report.max(m.commanded) > overdue);
-        let mut machines: Vec<&Machine> = due.filter(|m| has_remains(m)).collect();
-        machines.sort_by_key(|m| m.commanded);
-        machines.into_iter().take(MAX_OVERDUE_HALTS).map(|m| m.id.clone()).collect()
+        let mut machines: Vec<&Machine> = self
+            .machines
+            .values()
+            .filter(|machine| now - machine.heartbeat_at.max(machine.commanded_at) > overdue)
+            .filter(|machine| machine.tasks.iter().any(|(key, task)| is_remainder(key, task)))
+            .collect();
+        machines.sort_by_key(|machine| machine.commanded_at);
+        machines.into_iter().take(MAX_OVERDUE_HALTS).map(|machine| machine.id.clone()).collect()
     }
 
-    /// The orders with which a machine's heartbeat is answered: forgets of ended tasks whose end is
+    /// The orders with which a machine's heartbeat is answered: forgets of exited tasks whose end is
     /// written, halts, and the starts of the plan (at most `MAX_ORDERS`).
     pub(super) fn reply_orders(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<Order> {
-        let mut out = Vec::new();
-        if let Some(m) = self.machines.get(id) {
-            for (k, e) in &m.tasks {
-                if out.len() >= MAX_ORDERS {
-                    break;
-                }
-                let task = task_name(&k.0, k.1);
-                match (e.ended, e.stop) {
-                    (Some(why), _) => {
-                        let written = match self.jobs.get(&k.0) {
-                            // A service is never done: nothing of its replicas' ends is written.
-                            Some(j) if j.spec.is_service() => true,
-                            Some(j) if why == ExitReason::Done && !j.cancelled => {
-                                j.done_written.contains(k.1)
-                            }
-                            _ => true,
-                        };
-                        if written {
-                            out.push(Order::Forget { task, attempt: k.2 });
-                        }
-                    }
-                    (None, Some(grace_s)) => out.push(Order::Halt { task, attempt: k.2, grace_s }),
-                    (None, None) => {}
-                }
-            }
+        let mut orders = Vec::new();
+        if let Some(machine) = self.machines.get(id) {
+            let of_tasks = machine.tasks.iter().filter_map(|(key, task)| self.order_for(key, task));
+            orders.extend(of_tasks.take(MAX_ORDERS));
         }
         if self.jobs.len() * self.machines.len() <= MAX_PAIRS_PLANNED_INLINE {
-            // Cheap enough to be up to date with what was just reported.
+            // Cheap enough to be up to date with this very heartbeat.
             self.replan(now, wall);
         }
-        self.start_on(id, now, &mut out);
-        self.count_orders(&out, now);
-        out
+        self.add_start_orders(id, now, &mut orders);
+        self.count_orders(&orders, now);
+        orders
+    }
+
+    /// The order for a task that a machine has, if there is one: a forget or a halt.
+    fn order_for(&self, key: &TaskKey, task: &TaskEntry) -> Option<Order> {
+        match (task.exit_reason, task.stop_grace_s) {
+            (Some(reason), _) if self.is_end_written(key, reason) => {
+                Some(Order::Forget { task: task_name(&key.job, key.number), attempt: key.attempt })
+            }
+            (None, Some(grace_s)) => Some(halt(key, grace_s)),
+            _ => None,
+        }
+    }
+
+    /// Whether nothing of a task's end has to be written any more.
+    fn is_end_written(&self, key: &TaskKey, reason: ExitReason) -> bool {
+        match self.jobs.get(&key.job) {
+            // A service is never done: nothing of its replicas' ends is written.
+            Some(job) if job.spec.is_service() => true,
+            Some(job) if reason == ExitReason::Done && !job.cancelled => {
+                job.done_written.contains(key.number)
+            }
+            _ => true,
+        }
     }
 
     /// Whether a heartbeat's reply may be deferred: nothing is on the machine but service replicas that
-    /// run, and there is nothing to tell it, so that a start which comes up meanwhile can leave at once.
-    pub fn may_wait(&self, id: &str, now: Steady) -> bool {
-        let Some(m) = self.machines.get(id).filter(|m| m.usable(now)) else { return false };
-        let steady_replica = |k: &TaskKey, e: &TaskEntry| {
-            let service = self.jobs.get(&k.0).is_some_and(|j| j.spec.is_service());
-            service && e.stage == Some(TaskStage::Running) && e.stop.is_none()
+    /// run, and there is no order for it, so that a start which comes up meanwhile can be sent at once.
+    pub fn may_defer_reply(&self, id: &str, now: Steady) -> bool {
+        let Some(machine) = self.machines.get(id).filter(|machine| machine.usable(now)) else {
+            return false;
+        };
+        let is_steady_replica = |key: &TaskKey, task: &TaskEntry| {
+            let is_service = self.jobs.get(&key.job).is_some_and(|job| job.spec.is_service());
+            is_service && task.stage == Some(TaskStage::Running) && task.stop_grace_s.is_none()
         };
-        m.notice.is_none() && m.tasks.iter().all(|(k, e)| steady_replica(k, e))
+        machine.interruption_at.is_none()
+            && machine.tasks.iter().all(|(key, task)| is_steady_replica(key, task))
     }
 
-    /// The reply to a machine's heartbeat is deferred until `until`: a start that comes up before
-    /// leaves at once.
-    pub fn reply_deferred(&mut self, id: &str, until: Steady) {
-        if let Some(m) = self.machines.get_mut(id) {
-            m.deferred_until = until;
+    /// The reply to a machine's heartbeat is deferred until `until`: a start that comes up before is sent
+    /// at once.
+    pub fn defer_reply(&mut self, id: &str, until: Steady) {
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.reply_deferred_until = until;
         }
     }
 
-    /// Whether a start for the machine may leave now: a gang place or an assigned job on it whose mark
-    /// (how many tasks may start) is written.
-    pub fn start_waits(&self, id: &str) -> bool {
-        let gang = || self.promised.get(id).is_some_and(|l| l.iter().any(|(j, n)| self.marked(j, *n)));
-        gang() || self.assigned.get(id).is_some_and(|l| l.iter().any(|(j, _)| self.marked(j, 0)))
+    /// Whether a start for the machine may be sent now: a gang place or an assigned job on it whose start
+    /// mark is written.
+    pub fn has_ready_start(&self, id: &str) -> bool {
+        let mut places = self.reserved_gang_places.get(id).into_iter().flatten();
+        let mut assigned = self.assigned.get(id).into_iter().flatten();
+        places.any(|(job, number)| self.is_below_start_mark(job, *number))
+            || assigned.any(|(job, _)| self.is_below_start_mark(job, 0))
     }
 
     /// The orders with which a deferred heartbeat is answered; empty if a newer heartbeat has come.
-    pub fn later(&mut self, r: &Heartbeat, now: Steady, wall: Wall) -> Vec<Order> {
-        let id: MachineId = r.machine.as_str().into();
-        if self.machines.get(&id).is_none_or(|m| m.seen != (r.agent_epoch, r.sequence)) {
+    pub fn deferred_orders(&mut self, heartbeat: &Heartbeat, now: Steady, wall: Wall) -> Vec<Order> {
+        let id: MachineId = heartbeat.machine.as_str().into();
+        let position = HeartbeatPosition::of(heartbeat);
+        if self.machines.get(&id).is_none_or(|machine| machine.latest_heartbeat != position) {
             return Vec::new();
         }
         self.reply_orders(&id, now, wall)
     }
 }
+
+/// Whether a machine id can be used in keys and addresses.
+fn is_well_formed_machine_id(id: &str) -> bool {
+    !id.is_empty() && id.len() <= MAX_MACHINE_ID_BYTES && !id.contains(FORBIDDEN_IN_MACHINE_ID)
+}
+
+/// The order that stops a task.
+fn halt(key: &TaskKey, grace_s: f64) -> Order {
+    Order::Halt { task: task_name(&key.job, key.number), attempt: key.attempt, grace_s }
+}
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -53,13 +53,13 @@
         let Some(job) = self.jobs.get(id) else { return false };
         let left = tasks.difference(&job.done.task_set()).len();
         let work_s = f64::from(left) * job.spec.cpus * job.spec.estimate_s;
-        left > 0 && work_s / self.array_cpus().max(1.0) <= self.cfg.operator.drain_s * RECALLED_SHARE
+        left > 0 && work_s / self.array_cpus().max(1.0) <= self.config.operator.drain_s * RECALLED_SHARE
     }
 
     /// Processors of the machines that arrays can run on.
     fn array_cpus(&self) -> f64 {
-        let machines = self.machines.values().filter(|m| m.up && !m.leaving && !m.expired);
-        machines.filter_map(|m| m.ty).map(|ty| self.total(ty).cpus).sum()
+        let machines = self.machines.values().filter(|m| m.up && !m.scaling_in && !m.lease_expired);
+        machines.filter_map(|m| m.type_index).map(|ty| self.type_capacity(ty).cpus).sum()
     }
 
     /// How many more tasks of a job can be lent so that the records of its loans fit a value at both sides,
@@ -69,27 +69,28 @@
         let taken = lent.fold(description, |bytes, tasks| {
             bytes.saturating_add(BYTES_PER_LOAN + BYTES_PER_LENT_TASK * tasks as usize)
         });
-        let left = self.value_limit.saturating_sub(RECORD_SLACK + BYTES_PER_LOAN).saturating_sub(taken);
+        let left =
+            self.write_limits.value_bytes.saturating_sub(RECORD_SLACK + BYTES_PER_LOAN).saturating_sub(taken);
         u32::try_from(left / BYTES_PER_LENT_TASK).unwrap_or(u32::MAX)
     }
 
     /// The job to lend from to a guest with this summary: the youngest that waits long enough, since the
     /// older ones are served first here. Only tasks above its mark: those have never been started.
     pub fn lending_candidate(&self, guest: &CellSummary, now: Wall) -> Option<LendingCandidate> {
-        let cells = self.cfg.operator.cells.as_ref()?;
+        let cells = self.config.operator.cells.as_ref()?;
         let backlog_s = self.array_backlog_s();
         let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| self.is_lendable(job, guest)).collect();
         jobs.sort_by_key(|job| std::cmp::Reverse(job.submitted));
         jobs.into_iter().find_map(|job| {
             let waited_s = (now - job.submitted).secs();
-            let begun = job.high.max(job.high_wanted);
+            let begun = job.start_mark.max(job.wanted_start_mark);
             let tasks: TaskSet = job.waiting.iter().filter(|task| *task >= begun).collect();
             let loans = self.loans.home.lending(&job.id).map(|lending| lending.loans.as_slice());
             let lent = loans.unwrap_or_default().iter().map(|loan| loan.tasks.len());
             let lendable = tasks.len().min(self.tasks_that_fit(&job.spec, lent));
             let view = LendingInputs {
                 backlog_s,
-                drain_s: self.cfg.operator.drain_s,
+                drain_s: self.config.operator.drain_s,
                 lendable,
                 task_cpus: job.spec.cpus,
                 task_s: job.spec.estimate_s,
@@ -106,7 +107,7 @@
     /// their tasks, and never what is borrowed itself.
     fn is_lendable(&self, job: &Job, guest: &CellSummary) -> bool {
         let spec = &job.spec;
-        let lends = self.cfg.operator.cells.as_ref().is_some_and(|cells| cells.lends(spec.class.as_ref()));
+        let lends = self.config.operator.cells.as_ref().is_some_and(|cells| cells.lends(spec.class.as_ref()));
         let has_type =
             spec.types.as_ref().is_none_or(|types| types.iter().any(|ty| guest.free_cpus.contains_key(ty)));
         lends
@@ -149,7 +150,7 @@
                 let submitted_us = job.submitted.0;
                 // Early versions keep the mark here: what it covers stays covered.
                 (
-                    JobRecord { spec, submitted_us, high: job.high, lending: Lending::default() },
+                    JobRecord { spec, submitted_us, high: job.start_mark, lending: Lending::default() },
                     job.mod_revision,
                 )
             }
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -211,9 +211,9 @@
                 }
                 if record.lending.is_cancelled() {
                     self.end_lending(job);
-                    self.job_over(job, revision);
+                    self.job_ended(job, revision);
                 } else {
-                    self.job_put((**record).clone(), revision, now);
+                    self.apply_job_record((**record).clone(), revision, now);
                 }
             }
             LoanWrite::Guest { change, lender, .. } => {
@@ -246,6 +246,6 @@
 
     /// Whether this cell lends or borrows.
     pub fn uses_cells(&self) -> bool {
-        self.cfg.operator.cells.is_some()
+        self.config.operator.cells.is_some()
     }
 }
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -57,8 +57,8 @@
     /// The run time expected of a waiting job's tasks: the stated one, scaled by its team's history of
     /// actual to stated run times when the operator setting `adjust` is on.
     pub fn adjusted(&self, s: &JobSpec, wall: Wall) -> Micros {
-        let stated = stated(s);
-        if !self.cfg.operator.adjust {
+        let stated = stated_run_time(s);
+        if !self.config.operator.adjust {
             return stated;
         }
         stated.scale(self.history.factor(&EstimateKey { team: s.team.clone(), stated }, wall))
@@ -66,10 +66,10 @@
 
     /// Until the stated end of a task; overrunning ones have a tenth of it, at least a second.
     pub(super) fn stated_left(&self, e: &TaskEntry, s: Option<&JobSpec>, now: Steady) -> Micros {
-        let stated = s.map_or(Micros::from_secs(60.0), stated);
+        let stated = s.map_or(Micros::from_secs(60.0), stated_run_time);
         let fetch =
             if matches!(e.stage, None | Some(TaskStage::Fetching | TaskStage::Waiting)) { 5.0 } else { 0.0 };
-        let left = stated - (now - e.running.unwrap_or(e.since)) + Micros::from_secs(fetch);
+        let left = stated - (now - e.running_since.unwrap_or(e.since)) + Micros::from_secs(fetch);
         left.max(stated.scale(0.1)).max(Micros::from_secs(1.0))
     }
 
@@ -81,11 +81,12 @@
         by_age.sort_by_key(|j| j.submitted);
         let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut fits = |j: &&Job| {
-            let Some((_, t)) = self.team(&j.spec.team).filter(|x| x.1.cpus > 0.0 || x.1.gpus > 0.0) else {
+            let Some((_, t)) = self.team_settings(&j.spec.team).filter(|x| x.1.cpus > 0.0 || x.1.gpus > 0.0)
+            else {
                 return false;
             };
             let sum = sums.entry(&t.name).or_default();
-            *sum = sum.plus(&need_of(&j.spec), j.spec.tasks - j.done.len());
+            *sum = sum.plus(&task_resources(&j.spec), j.spec.tasks - j.done.len());
             sum.cpus <= t.cpus + 1e-6 && sum.gpus <= t.gpus + 1e-6
         };
         by_age.into_iter().filter(|j| fits(j)).map(|j| j.id.clone()).collect()
@@ -94,14 +95,14 @@
     /// The planner's input.
     pub(super) fn snapshot(&mut self, now: Steady, wall: Wall) -> PlannerInput {
         self.demands.retain(|d| now - d.at < RECENT);
-        self.guaranteed = self.within_guarantee();
+        self.within_fair_share = self.within_guarantee();
         let (rooms, machines) = self.rooms(now);
         let (classes, jobs) = self.classes(&machines, now, wall);
         let snapshot = Snapshot {
-            zones: self.zones.len(),
-            reserve: self.cfg.operator.reserve,
+            zones: self.catalog.zones.len(),
+            reserve: self.config.operator.reserve,
             clear_rooms: self.clear(),
-            low_priority_delay_step: Micros::from_secs(1.5 * self.cfg.platform.settings.workers.report_s),
+            low_priority_delay_step: Micros::from_secs(1.5 * self.config.platform.settings.workers.report_s),
             delay_step: DELAY_STEP,
             keep: self.keep(),
             rooms,
@@ -116,9 +117,9 @@
         let mut promised: BTreeMap<&MachineId, (u32, Resources)> = BTreeMap::new();
         for j in self.jobs.values() {
             let Some(g) = &j.gang else { continue };
-            for (_, at) in g.places.iter().filter(|(n, _)| !g.sent.contains(**n)) {
+            for (_, at) in g.places.iter().filter(|(n, _)| !g.started.contains(**n)) {
                 let p = promised.entry(at).or_default();
-                *p = (p.0 + 1, p.1.plus(&need_of(&j.spec), 1));
+                *p = (p.0 + 1, p.1.plus(&task_resources(&j.spec), 1));
             }
         }
         promised
@@ -129,7 +130,12 @@
         let promised = self.promised_places();
         let (mut rooms, mut machines) = (Vec::new(), Vec::new());
         for m in self.machines.values() {
-            if m.leaving || m.expired || m.missing || !m.heard || (m.up && m.unknown_use()) {
+            if m.scaling_in
+                || m.lease_expired
+                || m.missing
+                || !m.acknowledged
+                || (m.up && m.has_unknown_use())
+            {
                 continue;
             }
             let (n, need) = promised.get(&m.id).copied().unwrap_or_default();
@@ -153,7 +159,7 @@
         let mut classes: Vec<JobClass> =
             by_age.iter().map(|j| self.class(j, widest, &room_of, now, wall)).collect();
         for (class, name) in classes.iter_mut().zip(images) {
-            class.image = name.map(|n| self.image(&n));
+            class.image = name.map(|n| self.image_index(&n));
         }
         self.wait_only_for_cached_images(&mut classes);
         (classes, jobs)
@@ -187,14 +193,17 @@
         JobClass {
             priority: sp.priority,
             raised: (gang && waited.secs() > Self::max_yield_s(sp, widest.gang)).then_some(Priority::Urgent),
-            team: self.team(&sp.team).map_or(usize::MAX, |t| t.0),
-            guaranteed: self.guaranteed.contains(&j.id),
+            team: self.team_settings(&sp.team).map_or(usize::MAX, |t| t.0),
+            guaranteed: self.within_fair_share.contains(&j.id),
             count: self.startable_tasks(j, now),
             tasks: sp.tasks,
             gang,
-            need: need_of(sp),
+            need: task_resources(sp),
             types: self.allowed_types(sp),
-            zone: sp.zone.as_ref().map(|z| self.zones.iter().position(|x| x == z).unwrap_or(usize::MAX)),
+            zone: sp
+                .zone
+                .as_ref()
+                .map(|z| self.catalog.zones.iter().position(|x| x == z).unwrap_or(usize::MAX)),
             one_zone: sp.one_zone,
             spread: sp.spread,
             spot: sp.spot,
@@ -204,9 +213,9 @@
             adjusted,
             waited,
             zones: if sp.one_zone || sp.spread || service {
-                self.zones_of(j)
+                self.placements_by_zone(j)
             } else {
-                vec![0; self.zones.len()]
+                vec![0; self.catalog.zones.len()]
             },
             slack: sp.deadline_s.map(|due| Micros::from_secs(due) - waited - adjusted),
             missed_aims: self.missed_aims(j, waited, adjusted, widest.of_shape(sp.shape)),
@@ -218,17 +227,17 @@
     /// How many of a job's tasks may start now.
     fn startable_tasks(&self, j: &Job, now: Steady) -> u32 {
         let gang = j.spec.is_gang();
-        if now < j.not_before || (gang && (j.gang.is_some() || !j.live.is_empty())) {
+        if now < j.not_before || (gang && (j.gang.is_some() || !j.placements.is_empty())) {
             return 0;
         }
-        if self.unheard_machines == 0 || !self.may_be_on_unheard(&j.spec) {
+        if self.unacknowledged_machines == 0 || !self.may_run_on_unacknowledged(&j.spec) {
             return j.waiting.len();
         }
         let tied = j.spec.one_zone || j.spec.spread || gang;
-        if tied && j.inherited > 0 {
+        if tied && j.inherited_start_mark > 0 {
             0
         } else {
-            j.waiting.count_from(j.inherited)
+            j.waiting.count_from(j.inherited_start_mark)
         }
     }
 
@@ -240,9 +249,9 @@
         promised: u32,
         promise: Resources,
     ) -> Option<MachineSnapshot> {
-        let ty = m.ty?;
-        let t = &self.types[ty];
-        let total = self.total(ty);
+        let ty = m.type_index?;
+        let t = &self.catalog.types[ty];
+        let total = self.type_capacity(ty);
         let heartbeat_interval = self.heartbeat_interval();
         let live_tasks = m.tasks.iter().filter(|x| x.1.live());
         let free = if promised > 0 { m.free(total).less(&promise, 1) } else { m.free(total) };
@@ -252,21 +261,21 @@
             spot: m.spot,
             total,
             free,
-            open: m.usable(now) && now - m.report < heartbeat_interval.scale(2.5),
+            open: m.usable(now) && now - m.heartbeat_at < heartbeat_interval.scale(2.5),
             opens_in: self.opens_in(m, t, now),
             images: m.images.iter().map(|i| i.0).collect(),
             fetch_rate: t.fetch_gb_per_s,
             rate: (if m.spot { t.spot_price.unwrap_or(t.price) } else { t.price } / t.cpus.max(0.1) * 1e3)
                 as i64,
-            penalty: Micros::from_secs(10.0 * m.failed.len() as f64),
-            until: m.notice.map(|n| n - now),
+            penalty: Micros::from_secs(10.0 * m.failed_jobs.len() as f64),
+            until: m.interruption_at.map(|n| n - now),
             held: live_tasks.map(|(k, e)| self.held(k, e, now)).collect(),
         })
     }
 
     /// A task on a machine as the planner sees it.
     fn held(&self, k: &TaskKey, e: &TaskEntry, now: Steady) -> PlacedTask {
-        let spec = self.jobs.get(&k.0).map(|j| &j.spec);
+        let spec = self.jobs.get(&k.job).map(|j| &j.spec);
         // The fetch of its image counts as well: stopped for others as soon as it was placed, a wide job
         // would never get beyond it.
         let ran = now - e.since;
@@ -276,16 +285,16 @@
         PlacedTask {
             need: e.need.unwrap_or_default(),
             priority: spec.map_or(Priority::Idle, |s| s.priority),
-            guaranteed: self.guaranteed.contains(&k.0),
-            team: spec.and_then(|s| self.team(&s.team)).map_or(usize::MAX, |t| t.0),
+            guaranteed: self.within_fair_share.contains(&k.job),
+            team: spec.and_then(|s| self.team_settings(&s.team)).map_or(usize::MAX, |t| t.0),
             left: self.stated_left(e, spec, now),
             lost_work: if saves {
                 Micros::ZERO
             } else {
                 worth.scale(e.need.map_or(1.0, |n| n.cpus.max(0.1)))
             },
-            stoppable: e.stop.is_none() && spec.is_some_and(|s| !s.is_gang() || s.tasks == 1),
-            stopping: e.stop.is_some(),
+            stoppable: e.stop_grace_s.is_none() && spec.is_some_and(|s| !s.is_gang() || s.tasks == 1),
+            stopping: e.stop_grace_s.is_some(),
             endless,
         }
     }
@@ -294,14 +303,15 @@
     fn opens_in(&self, m: &Machine, t: &MachineType, now: Steady) -> Micros {
         if !m.up {
             let boot = Micros::from_secs(t.boot_s);
-            return (boot.scale(1.1) - (m.age + (now - m.known))).max(Micros::from_secs(2.0));
+            return (boot.scale(1.1) - (m.age_when_known + (now - m.known_since)))
+                .max(Micros::from_secs(2.0));
         }
         let heartbeat_interval = self.heartbeat_interval();
         // A silent machine is not counted on until it reports again.
-        let silent = now - m.report;
+        let silent = now - m.heartbeat_at;
         if silent > heartbeat_interval.scale(2.5) {
             heartbeat_interval.scale(3.0)
-        } else if now < m.deferred_until {
+        } else if now < m.reply_deferred_until {
             Micros::ZERO
         } else {
             (heartbeat_interval - silent).max(Micros::ZERO)
@@ -322,14 +332,14 @@
     /// would otherwise wait behind all newer jobs, and the job miss its deadline for them.
     pub(super) fn missed_aims(&self, j: &Job, waited: Micros, adjusted: Micros, widest: u32) -> u8 {
         let s = &j.spec;
-        let begun = s.is_array() && (j.first_start.is_some() || j.inherited > 0);
+        let begun = s.is_array() && (j.first_start_at.is_some() || j.inherited_start_mark > 0);
         if s.is_service() {
             return 0;
         }
         let end = waited.secs() + 0.7 * adjusted.secs();
         let max_yield_s = Self::max_yield_s(s, widest);
         let by_end = |within: f64| end > within && waited.secs() < 5.0 * within;
-        let aims = &self.cfg.platform.settings.objectives;
+        let aims = &self.config.platform.settings.objectives;
         let of_class = || aims.iter().filter(|o| Some(&o.class) == s.class.as_ref());
         let lost = of_class().filter(|o| match (o.kind.as_str(), s.deadline_s) {
             ("wait", _) => !begun && waited.secs() > o.within_s && waited.secs() < max_yield_s,
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -20,7 +20,7 @@
 impl Fleet {
     /// Plans anew if something changed, or the plan is old.
     pub fn replan(&mut self, now: Steady, wall: Wall) {
-        let old = now - self.planned;
+        let old = now - self.planned_at;
         // A plan looks at each pair of job and machine: many pairs are planned less often.
         let pairs = (self.jobs.len() * self.machines.len()) as i64;
         let gap = Micros::from_millis(20).max(Micros(pairs.min(250_000) * 2));
@@ -33,11 +33,11 @@
     /// Plans, and returns what the plan's indices mean.
     pub(super) fn plan_now(&mut self, now: Steady, wall: Wall) -> (Snapshot, Vec<MachineId>) {
         self.dirty = false;
-        self.planned = now;
+        self.planned_at = now;
         self.drop_unsent_gangs(now);
         let input = self.snapshot(now, wall);
         let mut plan = sched::plan(&input.snapshot);
-        if self.is_hearing_machines(now) {
+        if self.awaits_heartbeats(now) {
             plan.preempt.clear();
         }
         self.assign(&input, &plan, now);
@@ -46,10 +46,10 @@
         self.note_waiting_services(&snapshot, &plan);
         let reserved = plan.reservation.iter().flat_map(|r| r.rooms.iter().map(|x| x.0));
         let closed = reserved.chain(plan.preempt.iter().map(|x| x.0));
-        self.closed = closed.map(|m| machines[m].clone()).collect();
+        self.closed_machines = closed.map(|m| machines[m].clone()).collect();
         self.plan = plan;
         self.planned_jobs = jobs;
-        self.planned_for = Snapshot { rooms: Vec::new(), ..snapshot.clone() };
+        self.planned_snapshot = Snapshot { rooms: Vec::new(), ..snapshot.clone() };
         (snapshot, machines)
     }
 
@@ -57,30 +57,36 @@
     /// none of whose starts has left is planned anew when a place is lost or it takes too long; one
     /// whose starts have left is stopped then.
     pub(super) fn drop_unsent_gangs(&mut self, now: Steady) {
-        let wait = Micros::from_secs(self.cfg.platform.settings.workers.gang_wait_s);
+        let wait = Micros::from_secs(self.config.platform.settings.workers.gang_wait_s);
         let heartbeat_interval = self.heartbeat_interval();
         let mut broken = Vec::new();
         for j in self.jobs.values_mut() {
             let Some(g) = &j.gang else { continue };
             let lost = g.places.iter().any(|(n, m)| {
-                !g.sent.contains(*n)
+                !g.started.contains(*n)
                     && self.machines.get(m).is_none_or(|m| {
-                        m.leaving || m.expired || m.missing || m.notice.is_some() || !m.usable(now)
+                        m.scaling_in
+                            || m.lease_expired
+                            || m.missing
+                            || m.interruption_at.is_some()
+                            || !m.usable(now)
                     })
             });
-            let stale = lost || now - g.placed > heartbeat_interval.scale(1.5);
-            let over = g.stopping.is_some() || (g.sent.is_empty() && stale);
-            if over && j.live.is_empty() {
+            let stale = lost || now - g.placed_at > heartbeat_interval.scale(1.5);
+            let over = g.stop_grace_s.is_some() || (g.started.is_empty() && stale);
+            if over && j.placements.is_empty() {
                 j.gang = None;
-            } else if g.stopping.is_none() {
-                let unsent = g.places.keys().any(|n| !g.sent.contains(*n));
-                if (lost && !g.sent.is_empty()) || (unsent && g.since.is_some_and(|s| now - s > wait)) {
+            } else if g.stop_grace_s.is_none() {
+                let unsent = g.places.keys().any(|n| !g.started.contains(*n));
+                if (lost && !g.started.is_empty())
+                    || (unsent && g.first_start_at.is_some_and(|s| now - s > wait))
+                {
                     broken.push((j.id.clone(), g.attempt));
                 }
             }
         }
         for (id, attempt) in broken {
-            self.gang_broken(&id, attempt);
+            self.stop_gang_attempt(&id, attempt);
         }
     }
 
@@ -112,13 +118,17 @@
     /// Has a job's mark written that allows as many of its waiting tasks to start.
     fn raise_mark(&mut self, job: &JobId, count: u32) {
         let Some(j) = self.jobs.get(job) else { return };
-        let from = if self.unheard_machines > 0 && self.may_be_on_unheard(&j.spec) { j.inherited } else { 0 };
+        let from = if self.unacknowledged_machines > 0 && self.may_run_on_unacknowledged(&j.spec) {
+            j.inherited_start_mark
+        } else {
+            0
+        };
         let top = j.waiting.iter().filter(|n| *n >= from).nth(count.saturating_sub(1) as usize);
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if let Some(top) = top.filter(|t| *t >= j.high) {
+        if let Some(top) = top.filter(|t| *t >= j.start_mark) {
             // A little ahead, so that starts do not wait for the write each time.
             let ahead = count.max(16);
-            j.high_wanted = j.high_wanted.max(top.saturating_add(1 + ahead).min(j.spec.tasks));
+            j.wanted_start_mark = j.wanted_start_mark.max(top.saturating_add(1 + ahead).min(j.spec.tasks));
         }
     }
 
@@ -128,24 +138,24 @@
         let Some(j) = self.jobs.get_mut(job) else { return };
         let places = j.waiting.iter().zip(at).collect();
         tracing::debug!(job = %j.id, tasks = j.spec.tasks, attempt, waited = waited.secs(), "gang placed");
-        j.high_wanted = j.spec.tasks;
+        j.wanted_start_mark = j.spec.tasks;
         j.gang = Some(GangAttempt {
             attempt,
             places,
-            sent: TaskRanges::new(),
-            placed: now,
-            since: None,
-            stopping: None,
+            started: TaskRanges::new(),
+            placed_at: now,
+            first_start_at: None,
+            stop_grace_s: None,
         });
     }
 
     /// Collects by machine the places of gangs whose starts have not left.
     fn promise_places(&mut self) {
-        self.promised.clear();
+        self.reserved_gang_places.clear();
         for j in self.jobs.values() {
-            let Some(g) = j.gang.as_ref().filter(|g| g.stopping.is_none()) else { continue };
-            for (n, at) in g.places.iter().filter(|(n, _)| !g.sent.contains(**n)) {
-                self.promised.entry(at.clone()).or_default().push((j.id.clone(), *n));
+            let Some(g) = j.gang.as_ref().filter(|g| g.stop_grace_s.is_none()) else { continue };
+            for (n, at) in g.places.iter().filter(|(n, _)| !g.started.contains(**n)) {
+                self.reserved_gang_places.entry(at.clone()).or_default().push((j.id.clone(), *n));
             }
         }
     }
@@ -156,8 +166,8 @@
         let mut stops = self.preempted_tasks(plan, machines);
         stops.extend(self.tasks_to_save(now));
         for (machine, task) in self.replicas_to_move(now) {
-            tracing::info!(machine = %machine, job = %task.0, task = task.1, "replica moved");
-            let grace_s = self.grace(&task.0);
+            tracing::info!(machine = %machine, job = %task.job, task = task.number, "replica moved");
+            let grace_s = self.grace(&task.job);
             stops.push(Eviction { machine, task, grace_s, at_once: true });
         }
         for stop in &stops {
@@ -165,7 +175,7 @@
         }
         for stop in stops.iter().filter(|s| s.at_once) {
             if let Some(e) = self.machines.get_mut(&stop.machine).and_then(|m| m.tasks.get_mut(&stop.task)) {
-                e.stop_at_once = e.live() && e.stop.is_some();
+                e.stop_directly = e.live() && e.stop_grace_s.is_some();
             }
         }
     }
@@ -178,9 +188,9 @@
             let Some(m) = self.machines.get(id) else { continue };
             // The planner's `held` lists the live tasks in this very order.
             if let Some((k, _)) = m.tasks.iter().filter(|x| x.1.live()).nth(held) {
-                let grace_s = self.grace(&k.0);
+                let grace_s = self.grace(&k.job);
                 stops.push(Eviction { machine: id.clone(), task: k.clone(), grace_s, at_once: true });
-                tracing::info!(machine = %id, job = %k.0, task = k.1, "preempted");
+                tracing::info!(machine = %id, job = %k.job, task = k.number, "preempted");
             }
         }
         stops
@@ -188,12 +198,12 @@
 
     /// Tasks that can save and have to begin with it now, before their spot machine is taken.
     fn tasks_to_save(&self, now: Steady) -> Vec<Eviction> {
-        let report = self.cfg.platform.settings.workers.report_s;
+        let report = self.config.platform.settings.workers.report_s;
         let mut stops = Vec::new();
         for m in self.machines.values() {
-            let Some(notice) = m.notice else { continue };
-            for (k, e) in m.tasks.iter().filter(|x| x.1.live() && x.1.stop.is_none()) {
-                let grace_s = self.grace(&k.0);
+            let Some(notice) = m.interruption_at else { continue };
+            for (k, e) in m.tasks.iter().filter(|x| x.1.live() && x.1.stop_grace_s.is_none()) {
+                let grace_s = self.grace(&k.job);
                 if grace_s > 0.0 && (notice - now).secs() < grace_s + 2.5 * report && e.stage.is_some() {
                     stops.push(Eviction { machine: m.id.clone(), task: k.clone(), grace_s, at_once: false });
                 }
@@ -204,17 +214,17 @@
 
     /// Marks a task as to be stopped, and with a gang's task its whole attempt.
     fn stop_task(&mut self, stop: &Eviction) {
-        let (job, attempt) = (&stop.task.0, stop.task.2);
+        let (job, attempt) = (&stop.task.job, stop.task.attempt);
         if self.jobs.get(job).is_some_and(|j| j.spec.is_gang()) {
-            self.stop_all(job, Some(attempt), stop.grace_s, false);
+            self.stop_tasks(job, Some(attempt), stop.grace_s, false);
         } else if let Some(e) = self.machines.get_mut(&stop.machine).and_then(|m| m.tasks.get_mut(&stop.task))
         {
-            if e.live() && e.stop.is_none() {
-                e.stop = Some(stop.grace_s);
+            if e.live() && e.stop_grace_s.is_none() {
+                e.stop_grace_s = Some(stop.grace_s);
             }
         }
         if let Some(g) = self.jobs.get_mut(job).and_then(|j| j.gang.as_mut()) {
-            g.stopping.get_or_insert(stop.grace_s);
+            g.stop_grace_s.get_or_insert(stop.grace_s);
         }
     }
 
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -1,304 +1,337 @@
-//! Reconciliation: squaring what a heartbeat says of its machine and tasks with what this leader
-//! holds, and what a task's end says of its machine and job.
+//! Reconciliation: bringing the model in line with what a heartbeat says of its machine and tasks, and
+//! what a task's exit says of its machine and job.
 
-use super::*;
+use std::collections::BTreeMap;
 
-/// After so many answers in a row that did not arrive, a machine is returned.
-const MAX_UNDELIVERED_ANSWERS: u32 = 4;
+use super::machine::{HeartbeatPosition, TaskEntry, TaskKey};
+use super::tasks::task_resources;
+use super::Fleet;
+use crate::jobs::{split_task, Job, JobId, MachineId};
+use crate::task_ranges::TaskRanges;
+use crate::time::{Micros, Steady};
+use crate::wire::{ExitReason, Heartbeat, JobSpec, TaskStage, TaskStatus};
 
-/// A machine on which tasks of so many jobs failed, with no success between, is returned; one on which a
+/// A machine to which so many replies in a row were not delivered is scaled in.
+const MAX_UNDELIVERED_REPLIES: u32 = 4;
+
+/// Undelivered replies from which on a machine gets nothing for a while: a single one may be lost on the
+/// way, only the next says that something is wrong.
+const SUSPECT_UNDELIVERED_REPLIES: u32 = 2;
+
+/// Exponent of two beyond which the pause after undelivered replies grows no more.
+const MAX_PAUSE_EXPONENT: u32 = 4;
+
+/// A machine on which tasks of so many jobs failed, with no success between, is scaled in; one on which a
 /// job failed that succeeds on others, at once.
 const MAX_FAILED_JOBS: usize = 2;
 
-/// How long a machine that had no room for a task gets no other.
-const NO_ROOM_PAUSE: Micros = Micros(2_000_000);
+/// How long nothing is placed on a machine that had too little free capacity for a task.
+const NO_CAPACITY_PAUSE: Micros = Micros(2_000_000);
 
-/// Tasks of a report beyond this many are not read.
+/// Tasks of a heartbeat beyond this many are not read.
 const MAX_REPORTED_TASKS: usize = 10_000;
 
-/// Whether the job of a task is over, or not known.
-pub(super) fn is_over(jobs: &BTreeMap<JobId, Job>, task: &TaskKey) -> bool {
-    jobs.get(&task.0).is_none_or(|j| j.cancelled)
+/// Whether the job of a task has ended, or is not known.
+pub(super) fn has_job_ended(jobs: &BTreeMap<JobId, Job>, task: &TaskKey) -> bool {
+    jobs.get(&task.job).is_none_or(|job| job.cancelled)
 }
 
-/// How a task ended, as taken from a heartbeat.
-pub(super) struct TaskEnd {
-    /// Why it exited, as the worker reported.
-    why: ExitReason,
-    /// How long it ran, if that was seen whole.
-    ran: Option<Micros>,
+/// How a task exited, as taken from a heartbeat.
+struct TaskExit {
+    reason: ExitReason,
+    /// How long it ran, if that was observed from start to end.
+    run_time: Option<Micros>,
     /// How long it has been known here.
-    lived: Micros,
+    known_for: Micros,
 }
 
 impl TaskEntry {
-    /// Marks the task as ended.
-    fn end(&mut self, why: ExitReason, now: Steady) -> TaskEnd {
-        self.ended = Some(why);
-        TaskEnd { why, ran: self.running.map(|r| now - r), lived: now - self.since }
+    /// Marks the task as exited.
+    fn exit(&mut self, reason: ExitReason, now: Steady) -> TaskExit {
+        self.exit_reason = Some(reason);
+        TaskExit {
+            reason,
+            run_time: self.running_since.map(|since| now - since),
+            known_for: now - self.since,
+        }
     }
 }
 
 impl Fleet {
-    /// Reconciles what a heartbeat says of its machine and tasks, unless it is no newer (by agent
-    /// epoch and sequence number) than the last one; returns whether it was taken.
-    pub(super) fn reconcile_heartbeat(&mut self, id: &MachineId, r: &Heartbeat, now: Steady) -> bool {
-        let Some(m) = self.machines.get_mut(id) else { return false };
-        if (r.agent_epoch, r.sequence) <= m.seen {
+    /// Reconciles the model with a heartbeat, unless it is no newer (by agent epoch and sequence number)
+    /// than the latest one of its machine; returns whether it was used.
+    pub(super) fn reconcile_heartbeat(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Steady) -> bool {
+        let Some(machine) = self.machines.get_mut(id) else { return false };
+        let position = HeartbeatPosition::of(heartbeat);
+        let previous = machine.latest_heartbeat;
+        if position <= previous {
             return false;
         }
-        let lost_lease = m.seen.0 > 0 && r.agent_epoch > m.seen.0;
-        m.seen = (r.agent_epoch, r.sequence);
-        let had_notice = m.notice.is_some();
-        self.reconcile_machine_state(id, r, now);
-        let mut there = self.reconcile_tasks(id, r, now);
+        let lost_lease = previous.agent_epoch > 0 && position.agent_epoch > previous.agent_epoch;
+        machine.latest_heartbeat = position;
+        let had_notice = machine.interruption_at.is_some();
+        self.reconcile_machine(id, heartbeat, now);
+        let mut reported = self.reconcile_tasks(id, heartbeat, now);
         if !had_notice {
             self.stop_unfinishable(id, now);
         }
-        self.note_reply_delivery(id, &there, lost_lease, now);
-        there.sort_unstable();
-        self.drop_absent_tasks(id, &there);
-        if let Some(m) = self.machines.get_mut(id).filter(|m| !m.tasks.is_empty()) {
-            m.idle = now;
+        self.note_reply_delivery(id, &reported, lost_lease, now);
+        reported.sort_unstable();
+        self.drop_absent_tasks(id, &reported);
+        if let Some(machine) = self.machines.get_mut(id).filter(|machine| !machine.tasks.is_empty()) {
+            machine.idle_since = now;
         }
         true
     }
 
-    /// Reconciles what a heartbeat says of the machine itself: that it is up, whose fencing token it
-    /// has, and any spot notice.
-    fn reconcile_machine_state(&mut self, id: &MachineId, r: &Heartbeat, now: Steady) {
-        let Some(m) = self.machines.get_mut(id) else { return };
-        let is_first = !m.up;
+    /// Reconciles what a heartbeat says of the machine itself: that it is up, whose fencing token it has,
+    /// and any spot interruption notice.
+    fn reconcile_machine(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Steady) {
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        let is_first = !machine.up;
         if is_first {
-            m.up = true;
-            m.idle = now;
+            machine.up = true;
+            machine.idle_since = now;
             self.dirty = true;
         }
-        let is_heard_now = !m.heard && r.fencing_token == self.fencing_token;
-        if is_heard_now {
-            m.heard = true;
-            self.unheard_machines = self.unheard_machines.saturating_sub(1);
-            self.uses.clear();
+        let acknowledges = !machine.acknowledged && heartbeat.fencing_token == self.fencing_token;
+        if acknowledges {
+            machine.acknowledged = true;
+            self.unacknowledged_machines = self.unacknowledged_machines.saturating_sub(1);
+            self.team_totals.clear();
             self.dirty = true;
         }
-        let notice = r.notice_s.filter(|s| s.is_finite()).map(|s| now + Micros::from_secs(s));
-        if notice.is_some() != m.notice.is_some() {
-            tracing::info!(machine = %id, seconds = r.notice_s, "spot notice");
+        let notice_s = heartbeat.notice_s.filter(|seconds| seconds.is_finite());
+        let interruption_at = notice_s.map(|seconds| now + Micros::from_secs(seconds));
+        if interruption_at.is_some() != machine.interruption_at.is_some() {
+            tracing::info!(machine = %id, seconds = heartbeat.notice_s, "spot notice");
             self.dirty = true;
         }
-        m.notice = notice;
+        machine.interruption_at = interruption_at;
         if is_first {
-            self.compare_with_records(id, r);
+            self.compare_with_records(id, heartbeat);
         }
-        if is_heard_now {
-            self.machine_heard(id, now);
+        if acknowledges {
+            self.machine_acknowledged(id, now);
         }
     }
 
     /// Reconciles the tasks that a heartbeat lists, and returns their keys.
-    fn reconcile_tasks(&mut self, id: &MachineId, r: &Heartbeat, now: Steady) -> Vec<TaskKey> {
-        let mut there: Vec<TaskKey> = Vec::with_capacity(r.tasks.len());
-        for t in r.tasks.iter().take(MAX_REPORTED_TASKS) {
-            let Some((job, n)) = split_task(&t.task) else {
-                tracing::error!(machine = %id, task = %t.task, "heartbeat names a malformed task");
+    fn reconcile_tasks(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Steady) -> Vec<TaskKey> {
+        let mut reported: Vec<TaskKey> = Vec::with_capacity(heartbeat.tasks.len());
+        for status in heartbeat.tasks.iter().take(MAX_REPORTED_TASKS) {
+            let Some((job, number)) = split_task(&status.task) else {
+                tracing::error!(machine = %id, task = %status.task, "heartbeat names a malformed task");
                 continue;
             };
-            let job = self.jobs.get_key_value(job).map_or_else(|| job.into(), |j| j.0.clone());
-            let key: TaskKey = (job, n, t.attempt);
-            self.reconcile_task(id, &key, t, now);
-            there.push(key);
+            let job = self.jobs.get_key_value(job).map_or_else(|| job.into(), |(id, _)| id.clone());
+            let key = TaskKey { job, number, attempt: status.attempt };
+            self.reconcile_task(id, &key, status, now);
+            reported.push(key);
         }
-        there
+        reported
     }
 
-    /// Stops the array tasks on a machine that the cloud is about to take which, by their stated time,
-    /// end only after that: what they have done is lost anyway, and the sooner they run elsewhere the
-    /// better. Decided once, when the notice comes: later on, one that overruns its stated time would be
-    /// stopped just before its end.
+    /// Stops the tasks of job arrays on a machine that the cloud is about to reclaim which, by their
+    /// stated run time, end only after that: what they have done is lost anyway, and the sooner they run
+    /// elsewhere the better. Decided once, when the spot interruption notice comes: later on, one that
+    /// overruns its stated run time would be stopped just before its end.
     fn stop_unfinishable(&mut self, id: &MachineId, now: Steady) {
-        let Some(m) = self.machines.get(id) else { return };
-        let Some(notice) = m.notice else { return };
-        let saves_nothing = |s: &JobSpec| s.is_array() && s.checkpoint_s <= 0.0;
-        let unfinishable = m.tasks.iter().filter(|(k, e)| {
-            let spec = self.jobs.get(&k.0).map(|j| &j.spec);
-            e.live() && spec.is_some_and(saves_nothing) && self.stated_left(e, spec, now) > notice - now
-        });
-        let stopped: Vec<TaskKey> = unfinishable.map(|(k, _)| k.clone()).collect();
-        let Some(m) = self.machines.get_mut(id) else { return };
-        for key in stopped {
-            if let Some(e) = m.tasks.get_mut(&key) {
-                e.stop.get_or_insert(0.0);
+        let Some(machine) = self.machines.get(id) else { return };
+        let Some(interruption_at) = machine.interruption_at else { return };
+        let saves_nothing = |spec: &JobSpec| spec.is_array() && spec.checkpoint_s <= 0.0;
+        let is_unfinishable = |key: &TaskKey, task: &TaskEntry| {
+            let spec = self.jobs.get(&key.job).map(|job| &job.spec);
+            task.live()
+                && spec.is_some_and(saves_nothing)
+                && self.stated_left(task, spec, now) > interruption_at - now
+        };
+        let tasks = machine.tasks.iter();
+        let unfinishable: Vec<TaskKey> =
+            tasks.filter(|(key, task)| is_unfinishable(key, task)).map(|(key, _)| key.clone()).collect();
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        for key in unfinishable {
+            if let Some(task) = machine.tasks.get_mut(&key) {
+                task.stop_grace_s.get_or_insert(0.0);
             }
         }
     }
 
     /// Drops a machine's tasks that are not among those reported, which are sorted.
-    fn drop_absent_tasks(&mut self, id: &MachineId, there: &[TaskKey]) {
-        let Some(m) = self.machines.get(id) else { return };
-        let absent: Vec<TaskKey> =
-            m.tasks.keys().filter(|k| there.binary_search(k).is_err()).cloned().collect();
-        for k in absent {
-            let Some(e) = self.machines.get_mut(id).and_then(|m| m.tasks.remove(&k)) else { continue };
-            if e.live() {
-                // The start did not arrive, or the worker's lease ran out and it forgot all.
-                tracing::debug!(machine = %id, job = %k.0, task = k.1, "task missing from heartbeat");
-                self.vanished(&k, id);
+    fn drop_absent_tasks(&mut self, id: &MachineId, reported: &[TaskKey]) {
+        let Some(machine) = self.machines.get(id) else { return };
+        let is_absent = |key: &&TaskKey| reported.binary_search(key).is_err();
+        let absent: Vec<TaskKey> = machine.tasks.keys().filter(is_absent).cloned().collect();
+        for key in absent {
+            let machine = self.machines.get_mut(id);
+            let Some(task) = machine.and_then(|machine| machine.tasks.remove(&key)) else { continue };
+            if task.live() {
+                // The start was not delivered, or the worker's lease expired and it forgot all.
+                tracing::debug!(machine = %id, job = %key.job, task = key.number, "task missing from heartbeat");
+                self.task_lost(&key, id);
             }
         }
     }
 
-    /// Whether the last reply arrived, by what the heartbeat after it shows. A machine whose
-    /// heartbeats come through while replies do not would have the same work promised to it for ever,
-    /// and nothing of it run: it gets nothing for longer and longer, and is scaled in if it stays so.
+    /// Judges from the next heartbeat whether the last reply was delivered. A machine whose heartbeats
+    /// come through while replies do not would have the same work assigned to it for ever, and nothing
+    /// of it run: it gets nothing for longer and longer, and is scaled in if it stays so.
     pub(super) fn note_reply_delivery(
         &mut self,
         id: &MachineId,
-        there: &[TaskKey],
+        reported: &[TaskKey],
         lost_lease: bool,
         now: Steady,
     ) {
         let heartbeat_interval = self.heartbeat_interval();
-        let Some(m) = self.machines.get_mut(id) else { return };
-        // Unless this owner itself let the lease run out, since it might not answer.
-        let answered = m.answered.is_some_and(|a| now - a < self.lease && m.alive <= a);
-        let sent = std::mem::take(&mut m.sent);
-        if lost_lease && answered {
-            // Its lease ran out although each report was answered.
-            m.undelivered += 2;
-        } else if !sent.is_empty() {
-            if sent.iter().any(|k| there.contains(k)) {
-                m.undelivered = 0;
-                return;
-            }
-            m.undelivered += 1;
-        } else {
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        // Unless this leader itself let the lease expire, since it might not answer.
+        let was_answered = machine.answered_at.is_some_and(|answered_at| {
+            now - answered_at < self.worker_lease && machine.unanswered_heartbeat_at <= answered_at
+        });
+        let sent_starts = std::mem::take(&mut machine.sent_starts);
+        if lost_lease && was_answered {
+            // Its lease expired although each heartbeat was answered.
+            machine.undelivered_replies += 2;
+        } else if sent_starts.is_empty() {
+            return;
+        } else if sent_starts.iter().any(|key| reported.contains(key)) {
+            machine.undelivered_replies = 0;
             return;
+        } else {
+            machine.undelivered_replies += 1;
         }
-        // One may be lost on the way: only the next says that something is wrong.
-        if m.undelivered >= 2 {
-            m.not_before =
-                m.not_before.max(now + heartbeat_interval.scale(f64::from(1u32 << m.undelivered.min(4))));
+        let undelivered = machine.undelivered_replies;
+        if undelivered >= SUSPECT_UNDELIVERED_REPLIES {
+            let intervals = f64::from(1u32 << undelivered.min(MAX_PAUSE_EXPONENT));
+            machine.not_before = machine.not_before.max(now + heartbeat_interval.scale(intervals));
         }
-        tracing::info!(machine = %id, undelivered = m.undelivered, "heartbeat reply not delivered");
-        if m.undelivered >= MAX_UNDELIVERED_ANSWERS && !m.leaving {
+        tracing::info!(machine = %id, undelivered, "heartbeat reply not delivered");
+        if undelivered >= MAX_UNDELIVERED_REPLIES && !machine.scaling_in {
             tracing::info!(machine = %id, reason = "replies not delivered", "scale in");
-            m.leaving = true;
+            machine.scaling_in = true;
         }
         self.dirty = true;
     }
 
     /// Reconciles what a heartbeat says of one task.
-    pub(super) fn reconcile_task(&mut self, id: &MachineId, key: &TaskKey, t: &TaskStatus, now: Steady) {
-        // Most of a report says what is known already.
-        let known = self.machines.get(id).and_then(|m| m.tasks.get(key));
-        if known.is_some_and(|e| e.ended.is_some() || (e.stage == Some(t.stage) && e.need.is_some())) {
+    pub(super) fn reconcile_task(&mut self, id: &MachineId, key: &TaskKey, status: &TaskStatus, now: Steady) {
+        // Most of a heartbeat repeats what is known already.
+        let known = self.machines.get(id).and_then(|machine| machine.tasks.get(key));
+        if known.is_some_and(|task| is_unchanged(task, status)) {
             return;
         }
-        let fresh = known.is_none();
-        if fresh {
-            self.uses.clear();
+        let is_new = known.is_none();
+        if is_new {
+            self.team_totals.clear();
         }
-        let job = self.jobs.get(&key.0);
-        let need = job.map(|j| need_of(&j.spec));
-        // Withdrawn, or done while this task was out of sight.
-        let job_is_over = job.is_none_or(|j| j.cancelled);
-        let Some(m) = self.machines.get_mut(id) else { return };
-        let e = m.tasks.entry(key.clone()).or_insert_with(|| TaskEntry::new(need, now));
-        if job_is_over {
-            e.stop = Some(0.0);
+        let job = self.jobs.get(&key.job);
+        let need = job.map(|job| task_resources(&job.spec));
+        // Cancelled, or done while this task was out of sight.
+        let job_ended = job.is_none_or(|job| job.cancelled);
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        let task = machine.tasks.entry(key.clone()).or_insert_with(|| TaskEntry::new(need, now));
+        if job_ended {
+            task.stop_grace_s = Some(0.0);
         }
-        let before = e.stage.replace(t.stage);
-        let changed = before != Some(t.stage);
-        if t.stage == TaskStage::Running && e.running.is_none() && !fresh && changed {
-            e.running = Some(now);
-            tracing::debug!(machine = %id, job = %key.0, task = key.1, "task running");
+        let previous_stage = task.stage.replace(status.stage);
+        let changed = previous_stage != Some(status.stage);
+        if status.stage == TaskStage::Running && task.running_since.is_none() && !is_new && changed {
+            task.running_since = Some(now);
+            tracing::debug!(machine = %id, job = %key.job, task = key.number, "task running");
         }
-        let ended = (t.stage == TaskStage::Exited).then(|| e.end(t.why.unwrap_or(ExitReason::Other), now));
+        let has_exited = status.stage == TaskStage::Exited;
+        let exit = has_exited.then(|| task.exit(status.why.unwrap_or(ExitReason::Other), now));
         if changed {
-            self.note_cached_image(id, &key.0);
+            self.note_cached_image(id, &key.job);
         }
-        if let Some(ended) = ended {
-            self.task_exited(id, key, ended, now);
-        } else if before.is_none() {
-            self.refresh(&key.0, key.1, id);
+        if let Some(exit) = exit {
+            self.task_exited(id, key, &exit, now);
+        } else if previous_stage.is_none() {
+            self.update_placement(&key.job, key.number, id);
         }
     }
 
-    /// Notes that a machine holds a job's image, and that the oldest ones beyond its cache are gone.
+    /// Notes that a machine caches a job's image, and drops the oldest ones beyond its cache's size.
     fn note_cached_image(&mut self, id: &MachineId, job: &JobId) {
-        let Some(spec) = self.jobs.get(job).map(|j| &j.spec) else { return };
+        let Some(spec) = self.jobs.get(job).map(|job| &job.spec) else { return };
         let (Some(name), image_gb) = (spec.image.clone(), spec.image_gb) else { return };
-        let image = self.image(&name);
-        let Some(m) = self.machines.get_mut(id) else { return };
-        let cache_gb = m.ty.and_then(|t| self.types.get(t)).map_or(0.0, |t| t.cache_gb);
-        m.images.retain(|i| i.0 != image);
-        m.images.push((image, image_gb));
-        let mut held: f64 = m.images.iter().map(|i| i.1).sum();
-        while held > cache_gb && m.images.len() > 1 {
-            held -= m.images.remove(0).1;
+        let image = self.image_index(&name);
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        let machine_type = machine.type_index.and_then(|index| self.catalog.types.get(index));
+        let cache_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
+        machine.images.retain(|(other, _)| *other != image);
+        machine.images.push((image, image_gb));
+        let mut cached_gb: f64 = machine.images.iter().map(|(_, image_gb)| image_gb).sum();
+        while cached_gb > cache_gb && machine.images.len() > 1 {
+            cached_gb -= machine.images.remove(0).1;
         }
     }
 
-    /// Takes the end of a task into its machine and job.
-    fn task_exited(&mut self, id: &MachineId, key: &TaskKey, ended: TaskEnd, now: Steady) {
-        let why = ended.why;
-        tracing::debug!(machine = %id, job = %key.0, task = key.1, reason = ?why, "task exited");
-        self.end_on_machine(id, &key.0, &ended, now);
-        let service = self.jobs.get(&key.0).is_some_and(|j| j.spec.is_service());
-        if service {
-            self.replica_ended(&key.0, id, why, ended.lived, now);
+    /// Applies a task's exit to its machine and job.
+    fn task_exited(&mut self, id: &MachineId, key: &TaskKey, exit: &TaskExit, now: Steady) {
+        let reason = exit.reason;
+        tracing::debug!(machine = %id, job = %key.job, task = key.number, ?reason, "task exited");
+        self.apply_exit_to_machine(id, &key.job, exit, now);
+        if self.jobs.get(&key.job).is_some_and(|job| job.spec.is_service()) {
+            self.replica_ended(&key.job, id, reason, exit.known_for, now);
         } else {
-            self.end_in_job(key, id, &ended, now);
+            self.apply_exit_to_job(key, id, exit, now);
         }
-        if why != ExitReason::Done {
-            self.gang_broken(&key.0, key.2);
+        if reason != ExitReason::Done {
+            self.stop_gang_attempt(&key.job, key.attempt);
         }
-        self.refresh(&key.0, key.1, id);
+        self.update_placement(&key.job, key.number, id);
     }
 
-    /// What a task's end says of its machine.
-    fn end_on_machine(&mut self, id: &MachineId, job: &JobId, ended: &TaskEnd, now: Steady) {
-        let succeeds_elsewhere = self.jobs.get(job).is_some_and(|j| !j.done.is_empty());
-        let Some(m) = self.machines.get_mut(id) else { return };
-        match ended.why {
+    /// What a task's exit says of its machine.
+    fn apply_exit_to_machine(&mut self, id: &MachineId, job: &JobId, exit: &TaskExit, now: Steady) {
+        let succeeds_elsewhere = self.jobs.get(job).is_some_and(|job| !job.done.is_empty());
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        match exit.reason {
             // What was started before a failure tells nothing of the machine as it is now.
-            ExitReason::Done if now - ended.lived > m.failed_at => m.failed.clear(),
+            ExitReason::Done if now - exit.known_for > machine.failed_at => machine.failed_jobs.clear(),
             ExitReason::Error => {
-                m.failed.insert(job.clone());
-                m.failed_at = now;
-                if (m.failed.len() >= MAX_FAILED_JOBS || succeeds_elsewhere) && !m.leaving {
-                    // Errors across different jobs, or of one that is not mistaken: the machine is at
+                machine.failed_jobs.insert(job.clone());
+                machine.failed_at = now;
+                let jobs = machine.failed_jobs.len();
+                if (jobs >= MAX_FAILED_JOBS || succeeds_elsewhere) && !machine.scaling_in {
+                    // Errors across different jobs, or of one that succeeds on others: the machine is at
                     // fault.
-                    let jobs = m.failed.len();
                     tracing::info!(machine = %id, jobs, reason = "tasks failed", "scale in");
-                    m.leaving = true;
+                    machine.scaling_in = true;
                 }
             }
-            ExitReason::NoRoom => m.not_before = now + NO_ROOM_PAUSE,
+            ExitReason::NoRoom => machine.not_before = now + NO_CAPACITY_PAUSE,
             _ => {}
         }
     }
 
-    /// What a task's end says of its job, which is no service.
-    fn end_in_job(&mut self, key: &TaskKey, id: &MachineId, ended: &TaskEnd, now: Steady) {
-        let Some(j) = self.jobs.get_mut(&key.0) else { return };
-        match ended.why {
-            ExitReason::Done if key.1 < j.spec.tasks => {
-                j.succeeded();
-                if j.spec.is_gang() {
+    /// What a task's exit says of its job, which is no service.
+    fn apply_exit_to_job(&mut self, key: &TaskKey, id: &MachineId, exit: &TaskExit, now: Steady) {
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        match exit.reason {
+            ExitReason::Done if key.number < job.spec.tasks => {
+                job.record_success();
+                if job.spec.is_gang() {
                     // A gang completes together.
-                    j.done = TaskRanges::span(0, j.spec.tasks);
-                    j.waiting = TaskRanges::new();
+                    job.done = TaskRanges::span(0, job.spec.tasks);
+                    job.waiting = TaskRanges::new();
                 } else {
-                    j.done.insert(key.1);
-                    j.waiting.remove(key.1);
+                    job.done.insert(key.number);
+                    job.waiting.remove(key.number);
                 }
-                if let Some(r) = ended.ran {
-                    j.ran = (j.ran.0 + r, j.ran.1 + 1);
+                if let Some(run_time) = exit.run_time {
+                    job.run_times.add(run_time);
                 }
             }
-            ExitReason::Error | ExitReason::Unknown => j.back_off(id, now),
+            ExitReason::Error | ExitReason::Unknown => job.back_off(id, now),
             _ => {}
         }
     }
 }
+
+/// Whether a heartbeat's status of a task says nothing new.
+fn is_unchanged(task: &TaskEntry, status: &TaskStatus) -> bool {
+    !task.live() || (task.stage == Some(status.stage) && task.need.is_some())
+}
--- /dev/null
+++ b/src/fleet/record_loading.rs
@@ -0,0 +1,107 @@
+//! Loading what earlier leaders wrote to the state store, at failover.
+
+use std::collections::BTreeMap;
+
+use super::machine::Machine;
+use super::Fleet;
+use crate::jobs::{Job, JobId, MachineId};
+use crate::keys::{borrowed_done_key, done_key};
+use crate::records::MachineRecord;
+use crate::task_ranges::TaskRanges;
+use crate::time::Steady;
+
+impl Fleet {
+    /// Loads a machine's record: tasks may be running on it until it has acknowledged this leader's
+    /// fencing token. `mod_revision` is the version of a record of its own, as earlier versions of the
+    /// program wrote it, or 0.
+    pub fn inherit_machine(&mut self, id: &str, record: &MachineRecord, mod_revision: u64, now: Steady) {
+        let mut machine = Machine::new(id, now);
+        machine.registered = true;
+        machine.mod_revision = mod_revision;
+        machine.inherited = true;
+        machine.acknowledged = false;
+        let id = machine.id.clone();
+        if self.machines.insert(id.clone(), machine).is_none_or(|replaced| replaced.acknowledged) {
+            self.unacknowledged_machines += 1;
+        }
+        self.recovery.expect_machine(&id);
+        if mod_revision > 0 {
+            // It moves into a value with others; its own record is deleted when the machine is removed.
+            self.machine_records.put(&id, record.clone());
+        }
+        self.team_totals.clear();
+        self.describe_machine(&id, &record.addr, &record.ty, &record.zone, record.spot);
+    }
+
+    /// Loads a value of machine records.
+    pub fn inherit_machines(
+        &mut self,
+        slot: u32,
+        records: BTreeMap<MachineId, MachineRecord>,
+        mod_revision: u64,
+        now: Steady,
+    ) {
+        for (id, record) in &records {
+            self.inherit_machine(id, record, 0, now);
+        }
+        // The copies of a moved record are the same.
+        self.machine_records.load(slot, mod_revision, records, |_, stored| stored);
+    }
+
+    /// Loads a value of start marks. Those of jobs that have ended are dropped.
+    pub fn inherit_start_marks(&mut self, slot: u32, marks: BTreeMap<JobId, u32>, mod_revision: u64) {
+        let ended: Vec<JobId> = marks.keys().filter(|id| !self.jobs.contains_key(*id)).cloned().collect();
+        for (id, mark) in &marks {
+            if let Some(job) = self.jobs.get_mut(id) {
+                job.raise_start_mark(*mark);
+            }
+        }
+        // A start mark only rises.
+        self.start_marks.load(slot, mod_revision, marks, u32::max);
+        ended.iter().for_each(|id| self.start_marks.remove(id));
+    }
+
+    /// All values have been loaded: those above the present size limit are split.
+    pub fn split_oversized(&mut self) {
+        self.machine_records.empty_oversized();
+        self.start_marks.empty_oversized();
+    }
+
+    /// Loads a chunk of done ranges. That of a job that has ended is to be deleted.
+    pub fn inherit_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
+        let own = self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none());
+        // An earlier version of the program counted a replica that ended as done; a service never is.
+        match own.filter(|job| !job.spec.is_service()) {
+            Some(job) => job.add_done_chunk(chunk, text, mod_revision),
+            None => {
+                self.cleanup.done_chunks.insert(done_key(id, chunk), mod_revision);
+            }
+        }
+    }
+
+    /// Loads a chunk of done ranges of borrowed tasks. That of a job that is not held any more is to be
+    /// deleted.
+    pub fn inherit_borrowed_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
+        match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_some()) {
+            Some(job) => job.add_done_chunk(chunk, text, mod_revision),
+            None if mod_revision > 0 => {
+                self.cleanup.done_chunks.insert(borrowed_done_key(id, chunk), mod_revision);
+            }
+            None => {}
+        }
+    }
+}
+
+impl Job {
+    /// Adds a chunk of done ranges as it is written.
+    fn add_done_chunk(&mut self, chunk: u32, text: &str, mod_revision: u64) {
+        let mut done = TaskRanges::new();
+        done.add_text(text, self.spec.tasks);
+        for number in done.iter() {
+            self.done.insert(number);
+            self.done_written.insert(number);
+            self.waiting.remove(number);
+        }
+        self.done_chunks.insert(chunk, mod_revision);
+    }
+}
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -1,298 +1,275 @@
-//! What the owner keeps in the state service: taking records over, and what waits to be written.
+//! What the leader writes to the state store: which records are due, and what follows once they are
+//! written.
 
-use super::*;
-use crate::keys::borrowed_done_key;
+use std::collections::BTreeMap;
 
-/// Something to write for the owner.
+use super::Fleet;
+use crate::jobs::{Job, JobId, MachineId};
+use crate::records::MachineRecord;
+use crate::task_ranges::{chunk_number, chunk_span, TaskRanges};
+use crate::time::{Micros, Steady};
+
+/// A record that the leader has to write or delete. Those that sort first are written first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PendingWrite {
-    /// A job is over: all tasks are done.
+    /// The end of a job: all its tasks are done.
     Final(JobId),
-    /// A value of machines' records, before the first start on a machine in it.
+    /// The value in this slot of machine records, before the first start on a machine in it.
     Machines(u32),
-    /// A value of marks, before tasks that they allow are started.
-    Marks(u32),
-    /// A chunk of done ranges.
+    /// The value in this slot of start marks, before tasks that they allow are started.
+    StartMarks(u32),
+    /// The chunk of this number of a job's done ranges.
     Done(JobId, u32),
-    /// A value of records from which only some have gone.
-    Tidy(PackKind, u32),
-    /// A value of the history.
+    /// The value in this slot of packed records, from which some were only removed.
+    Compaction(PackKind, u32),
+    /// The value in this bucket of the run-time history.
     History(u32),
-    /// A machine is gone that has a record of its own, as earlier versions wrote it.
-    Unenrol(MachineId, u64),
-    /// A chunk of done ranges that is no job's any more.
-    Orphan(String, u64),
+    /// Deletion of a removed machine's own record, as earlier versions of the program wrote it, with the
+    /// record's version.
+    ObsoleteMachineRecord(MachineId, u64),
+    /// Deletion of a chunk of done ranges of an ended job, by key, with the record's version.
+    OrphanedDoneChunk(String, u64),
     /// The list of recent jobs.
-    Recent,
+    RecentJobs,
 }
 
 impl PendingWrite {
     /// Whether somebody waits for it: a start, or a job's user.
     pub fn urgent(&self) -> bool {
-        matches!(self, PendingWrite::Final(_) | PendingWrite::Machines(_) | PendingWrite::Marks(_))
+        matches!(self, PendingWrite::Final(_) | PendingWrite::Machines(_) | PendingWrite::StartMarks(_))
     }
 }
 
-/// What is packed.
+/// Kinds of records of which many share a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PackKind {
-    /// Machines' records.
+    /// Machine records.
     Machines,
-    /// Jobs' marks.
-    Marks,
+    /// Start marks of jobs.
+    StartMarks,
 }
 
-/// What a write holds, as it stood when it was composed.
+/// What a write holds, as it was when the write was composed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteContents {
     /// Nothing that has to be remembered.
     Nothing,
     /// Done ranges.
     Done(TaskRanges),
-    /// Chunks of done ranges, by number, that go with the job's end.
-    DroppedChunks(Vec<u32>),
+    /// Chunks of done ranges, by number, that are deleted with the job's end.
+    RemovedDoneChunks(Vec<u32>),
     /// Machines, with the count of changes to their value.
     Machines(Vec<MachineId>, u64),
-    /// Marks, with the count of changes to their value.
-    Marks(Vec<(JobId, u32)>, u64),
+    /// Start marks, with the count of changes to their value.
+    StartMarks(Vec<(JobId, u32)>, u64),
+}
+
+/// Sizes that the state store accepts.
+pub(super) struct WriteLimits {
+    /// Bytes of a value.
+    pub(super) value_bytes: usize,
+    /// Changes of a transaction.
+    pub(super) txn_changes: usize,
+}
+
+/// Records that belong to nothing any more and are to be deleted, with their versions.
+#[derive(Default)]
+pub(super) struct RecordCleanup {
+    /// Machines' own records, as earlier versions of the program wrote them.
+    pub(super) machine_records: BTreeMap<MachineId, u64>,
+    /// Chunks of done ranges, by key.
+    pub(super) done_chunks: BTreeMap<String, u64>,
+}
+
+/// How far the list of recent jobs is written.
+pub(super) struct RecentJobs {
+    /// How many jobs this leader has added to the demands.
+    pub(super) submitted: u64,
+    /// That number when the list was last written.
+    pub(super) written: u64,
+    /// When the list was last written.
+    pub(super) written_at: Steady,
 }
 
-/// Values are not made smaller than this, in bytes.
-const LEAST_VALUE: usize = 512;
-/// Transactions are not made smaller than this, in changes.
-const LEAST_TXN: usize = 4;
-/// How long what nobody waits for is gathered before it is written.
-pub(super) const LAZY_WRITE_INTERVAL: Micros = Micros(3_000_000);
+/// The limit on values is not made smaller than this.
+const MIN_VALUE_BYTES: usize = 512;
+/// The limit on transactions is not made smaller than this.
+const MIN_TXN_CHANGES: usize = 4;
+/// How long records that nobody waits for are gathered before they are written.
+pub(super) const DEFERRED_WRITE_INTERVAL: Micros = Micros(3_000_000);
 
-/// How often done ranges of borrowed tasks are written: a user at their home waits for the last of them.
+/// Most time between two writes of the done ranges of borrowed tasks: a user of the cell that accepted the
+/// job waits for the last of them.
 const BORROWED_DONE_INTERVAL: Micros = Micros(400_000);
 
-/// How often the list of recent jobs is written at the most.
+/// Least time between two writes of the list of recent jobs.
 pub(super) const RECENT_JOBS_INTERVAL: Micros = Micros(10_000_000);
 
 impl Fleet {
-    /// Takes over a machine from its record: tasks may be on it until it is heard. `mod_revision` is the
-    /// version of a record of its own, as earlier versions wrote it, or 0.
-    pub fn inherit_machine(&mut self, id: &str, r: &MachineRecord, mod_revision: u64, now: Steady) {
-        let mut m = Machine::new(id, now);
-        (m.enrolled, m.mod_revision, m.inherited, m.heard) = (true, mod_revision, true, false);
-        let id = m.id.clone();
-        if self.machines.insert(id.clone(), m).is_none_or(|old| old.heard) {
-            self.unheard_machines += 1;
-        }
-        self.recovery.expect_machine(&id);
-        if mod_revision > 0 {
-            // It moves into a value with others; its own record goes when the machine does.
-            self.packs.put(&id, r.clone());
-        }
-        self.uses.clear();
-        self.describe(&id, &r.addr, &r.ty, &r.zone, r.spot);
-    }
-
-    /// Takes over a value of machines' records.
-    pub fn inherit_machines(
-        &mut self,
-        slot: u32,
-        records: BTreeMap<MachineId, MachineRecord>,
-        mod_revision: u64,
-        now: Steady,
-    ) {
-        for (id, r) in &records {
-            self.inherit_machine(id, r, 0, now);
-        }
-        // The copies of a moved record are the same.
-        self.packs.load(slot, mod_revision, records, |_, stored| stored);
-    }
-
-    /// Takes over a value of marks. Those of jobs that are over are dropped.
-    pub fn inherit_marks(&mut self, slot: u32, marks: BTreeMap<JobId, u32>, mod_revision: u64) {
-        let over: Vec<JobId> = marks.keys().filter(|id| !self.jobs.contains_key(*id)).cloned().collect();
-        for (id, high) in &marks {
-            if let Some(j) = self.jobs.get_mut(id) {
-                j.marked(*high);
-            }
-        }
-        // A mark only rises.
-        self.marks.load(slot, mod_revision, marks, u32::max);
-        over.iter().for_each(|id| self.marks.remove(id));
+    /// Bytes that a state-store value may hold; halved by `write_rejected`.
+    pub fn max_value_bytes(&self) -> usize {
+        self.write_limits.value_bytes
     }
 
-    /// All values have been taken over: those above the present limit are split.
-    pub fn split_oversized(&mut self) {
-        self.packs.empty_oversized();
-        self.marks.empty_oversized();
+    /// Changes that a state-store transaction may hold; halved by `write_rejected`.
+    pub fn max_txn_changes(&self) -> usize {
+        self.write_limits.txn_changes
     }
 
-    /// The state service rejected a write as too large, under limits smaller than any that were
-    /// announced: from now on values and transactions are half as large, so that no write is sent
-    /// again unchanged.
+    /// The state store rejected a write as too large, under limits smaller than any that were announced:
+    /// from now on values and transactions are half as large, so that no write is sent again unchanged.
     pub fn write_rejected(&mut self) {
-        self.value_limit = (self.value_limit / 2).max(LEAST_VALUE);
-        self.txn_limit = (self.txn_limit / 2).max(LEAST_TXN);
+        let limits = &mut self.write_limits;
+        limits.value_bytes = (limits.value_bytes / 2).max(MIN_VALUE_BYTES);
+        limits.txn_changes = (limits.txn_changes / 2).max(MIN_TXN_CHANGES);
         tracing::info!(
-            bytes = self.value_limit,
-            changes = self.txn_limit,
+            bytes = limits.value_bytes,
+            changes = limits.txn_changes,
             "state store value and transaction limits reduced"
         );
-        self.packs.limit_to(self.value_limit);
-        self.marks.limit_to(self.value_limit);
-    }
-
-    /// Learns done ranges from their record. Those of a job that is over are to be removed.
-    pub fn inherit_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
-        let Some(j) = self.jobs.get(id).filter(|j| j.borrowed_from.is_none()) else {
-            self.orphans.insert(done_key(id, chunk), mod_revision);
-            return;
-        };
-        if j.spec.is_service() {
-            // An earlier version took a replica that ended for done; a service never is.
-            self.orphans.insert(done_key(id, chunk), mod_revision);
-            return;
-        }
-        self.add_done(id, chunk, text, mod_revision);
-    }
-
-    /// Learns done ranges of borrowed tasks from their record. Those of a job that is not held any more
-    /// are to be removed.
-    pub fn inherit_borrowed_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
-        if self.jobs.get(id).is_some_and(|j| j.borrowed_from.is_some()) {
-            self.add_done(id, chunk, text, mod_revision);
-        } else if mod_revision > 0 {
-            self.orphans.insert(borrowed_done_key(id, chunk), mod_revision);
-        }
-    }
-
-    fn add_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        let mut r = TaskRanges::new();
-        r.add_text(text, j.spec.tasks);
-        for n in r.iter() {
-            j.done.insert(n);
-            j.done_written.insert(n);
-            j.waiting.remove(n);
-        }
-        j.chunks.insert(chunk, mod_revision);
+        self.machine_records.limit_to(limits.value_bytes);
+        self.start_marks.limit_to(limits.value_bytes);
     }
 
     /// Puts what has to be written before starts into packed values.
-    pub(super) fn pack(&mut self) {
-        for j in self.jobs.values().filter(|j| !j.cancelled && j.high_wanted > j.high) {
-            if self.marks.get(&j.id) != Some(&j.high_wanted) {
-                self.marks.put(&j.id, j.high_wanted);
+    pub(super) fn queue_records(&mut self) {
+        for job in self.jobs.values().filter(|job| !job.cancelled && job.wanted_start_mark > job.start_mark) {
+            if self.start_marks.get(&job.id) != Some(&job.wanted_start_mark) {
+                self.start_marks.put(&job.id, job.wanted_start_mark);
             }
         }
-        for m in self.machines.values() {
-            if m.up && !m.enrolled && !m.leaving && m.ty.is_some() && self.packs.get(&m.id).is_none() {
+        for machine in self.machines.values() {
+            let is_due = machine.up && !machine.registered && !machine.scaling_in;
+            if is_due && machine.type_index.is_some() && self.machine_records.get(&machine.id).is_none() {
                 let record = MachineRecord {
                     part: 0,
                     fencing_token: self.fencing_token,
-                    addr: m.addr.clone(),
-                    ty: m.ty_name.clone(),
-                    zone: self.zones.get(m.zone).cloned().unwrap_or_default(),
-                    spot: m.spot,
+                    addr: machine.address.clone(),
+                    ty: machine.type_name.clone(),
+                    zone: self.catalog.zones.get(machine.zone).cloned().unwrap_or_default(),
+                    spot: machine.spot,
                     ..MachineRecord::default()
                 };
-                self.packs.put(&m.id, record);
+                self.machine_records.put(&machine.id, record);
             }
         }
     }
 
-    /// What waits to be written, the most urgent first. Done ranges of a job that goes on are
-    /// written again after `batch`: until then its workers keep the results and report them.
-    pub fn pending(&mut self, now: Steady, batch: Micros, chunk: u32) -> Vec<PendingWrite> {
-        self.pack();
-        let mut v = self.pending_of_jobs(now, batch, chunk);
-        v.extend(self.packs.pending(true).map(PendingWrite::Machines));
-        v.extend(self.marks.pending(true).map(PendingWrite::Marks));
-        if now - self.lazily_written > LAZY_WRITE_INTERVAL {
-            v.extend(self.packs.pending(false).map(|s| PendingWrite::Tidy(PackKind::Machines, s)));
-            v.extend(self.marks.pending(false).map(|s| PendingWrite::Tidy(PackKind::Marks, s)));
-            v.extend(self.history.dirty().map(PendingWrite::History));
+    /// What is due to be written, the most urgent first. Done ranges of a job that goes on are written
+    /// again after `batch`: until then its workers keep the results and list them in their heartbeats.
+    /// `chunk` is how many tasks a chunk of done ranges holds.
+    pub fn pending_writes(&mut self, now: Steady, batch: Micros, chunk: u32) -> Vec<PendingWrite> {
+        self.queue_records();
+        let mut writes = self.pending_of_jobs(now, batch, chunk);
+        writes.extend(self.machine_records.pending(true).map(PendingWrite::Machines));
+        writes.extend(self.start_marks.pending(true).map(PendingWrite::StartMarks));
+        if now - self.deferred_write_at > DEFERRED_WRITE_INTERVAL {
+            self.add_deferred_writes(&mut writes);
         }
-        v.extend(self.unenrol.iter().map(|(id, s)| PendingWrite::Unenrol(id.clone(), *s)));
-        if self.submitted_count > self.recent_jobs_written.1
-            && now - self.recent_jobs_written.0 > RECENT_JOBS_INTERVAL
-        {
-            v.push(PendingWrite::Recent);
+        let machine_records = self.cleanup.machine_records.iter();
+        writes.extend(
+            machine_records.map(|(id, revision)| PendingWrite::ObsoleteMachineRecord(id.clone(), *revision)),
+        );
+        let recent = &self.recent_jobs;
+        if recent.submitted > recent.written && now - recent.written_at > RECENT_JOBS_INTERVAL {
+            writes.push(PendingWrite::RecentJobs);
         }
-        v.extend(self.orphans.iter().map(|(k, s)| PendingWrite::Orphan(k.clone(), *s)));
-        v.sort();
-        v
+        let done_chunks = self.cleanup.done_chunks.iter();
+        writes.extend(
+            done_chunks.map(|(key, revision)| PendingWrite::OrphanedDoneChunk(key.clone(), *revision)),
+        );
+        writes.sort();
+        writes
     }
 
-    /// Records of jobs that are complete, and chunks of done tasks that are due.
+    /// Adds the records that nobody waits for.
+    fn add_deferred_writes(&self, writes: &mut Vec<PendingWrite>) {
+        let machines = self.machine_records.pending(false);
+        writes.extend(machines.map(|slot| PendingWrite::Compaction(PackKind::Machines, slot)));
+        let marks = self.start_marks.pending(false);
+        writes.extend(marks.map(|slot| PendingWrite::Compaction(PackKind::StartMarks, slot)));
+        writes.extend(self.history.dirty().map(PendingWrite::History));
+    }
+
+    /// Ends of jobs that are complete, and chunks of done ranges that are due.
     fn pending_of_jobs(&self, now: Steady, batch: Micros, chunk: u32) -> Vec<PendingWrite> {
-        let mut v = Vec::new();
-        for j in self.jobs.values().filter(|j| !j.cancelled) {
-            // The end of a borrowed job is its home's to write, which waits for what is done here.
-            let is_own = j.borrowed_from.is_none();
-            if is_own && j.complete() {
-                v.push(PendingWrite::Final(j.id.clone()));
+        let mut writes = Vec::new();
+        for job in self.jobs.values().filter(|job| !job.cancelled) {
+            // The end of a borrowed job is written by the cell that accepted it, which waits for what is
+            // done here.
+            let is_own = job.borrowed_from.is_none();
+            if is_own && job.is_complete() {
+                writes.push(PendingWrite::Final(job.id.clone()));
                 continue;
             }
             let batch = if is_own { batch } else { batch.min(BORROWED_DONE_INTERVAL) };
-            if now - j.wrote_done >= batch && j.done.len() > j.done_written.len() {
-                for index in 0..j.spec.tasks.div_ceil(chunk) {
-                    let number = chunk_number(chunk, index);
-                    let (a, b) = chunk_span(number);
-                    if j.done.within(a, b) != j.done_written.within(a, b) {
-                        v.push(PendingWrite::Done(j.id.clone(), number));
-                    }
-                }
+            if now - job.done_written_at >= batch && job.done.len() > job.done_written.len() {
+                add_due_chunks(job, chunk, &mut writes);
             }
         }
-        v
+        writes
     }
 
-    /// A write has been applied at a revision.
-    pub fn written(&mut self, p: &PendingWrite, revision: u64, contents: &WriteContents, now: Steady) {
-        match p {
-            PendingWrite::Final(id) => {
-                // Chunks that did not go in the same transaction become orphans to be removed. Those
-                // that did would each cost a failed transaction and a read.
-                if let (WriteContents::DroppedChunks(chunks), Some(j)) = (contents, self.jobs.get_mut(id)) {
-                    j.chunks.retain(|chunk, _| !chunks.contains(chunk));
-                }
-                self.job_over(id, revision);
+    /// A write was applied at a revision.
+    pub fn write_applied(
+        &mut self,
+        write: &PendingWrite,
+        revision: u64,
+        contents: &WriteContents,
+        now: Steady,
+    ) {
+        match write {
+            PendingWrite::Final(id) => self.final_written(id, revision, contents),
+            PendingWrite::OrphanedDoneChunk(key, _) => {
+                self.cleanup.done_chunks.remove(key);
             }
-            PendingWrite::Orphan(key, _) => {
-                self.orphans.remove(key);
+            PendingWrite::RecentJobs => {
+                self.recent_jobs.written = self.recent_jobs.submitted;
+                self.recent_jobs.written_at = now;
             }
-            PendingWrite::Recent => self.recent_jobs_written = (now, self.submitted_count),
-            PendingWrite::Machines(slot) | PendingWrite::Tidy(PackKind::Machines, slot) => {
+            PendingWrite::Machines(slot) | PendingWrite::Compaction(PackKind::Machines, slot) => {
                 self.machines_written(*slot, revision, contents);
             }
-            PendingWrite::Marks(slot) | PendingWrite::Tidy(PackKind::Marks, slot) => {
-                self.marks_written(*slot, revision, contents);
+            PendingWrite::StartMarks(slot) | PendingWrite::Compaction(PackKind::StartMarks, slot) => {
+                self.start_marks_written(*slot, revision, contents);
             }
             PendingWrite::Done(id, chunk) => self.done_chunk_written(id, *chunk, revision, contents, now),
             PendingWrite::History(bucket) => self.history.written(*bucket, revision),
-            PendingWrite::Unenrol(id, _) => {
-                self.unenrol.remove(id);
+            PendingWrite::ObsoleteMachineRecord(id, _) => {
+                self.cleanup.machine_records.remove(id);
             }
         }
-        if matches!(p, PendingWrite::Tidy(..) | PendingWrite::History(_)) {
-            self.lazily_written = now;
+        if matches!(write, PendingWrite::Compaction(..) | PendingWrite::History(_)) {
+            self.deferred_write_at = now;
+        }
+        self.dirty |= write.urgent();
+    }
+
+    fn final_written(&mut self, id: &JobId, revision: u64, contents: &WriteContents) {
+        // Chunks that were not deleted in the same transaction are to be deleted next. For those that
+        // were, each would cost a failed transaction and a read.
+        if let (WriteContents::RemovedDoneChunks(removed), Some(job)) = (contents, self.jobs.get_mut(id)) {
+            job.done_chunks.retain(|chunk, _| !removed.contains(chunk));
         }
-        self.dirty |= p.urgent();
+        self.job_ended(id, revision);
     }
 
     fn machines_written(&mut self, slot: u32, revision: u64, contents: &WriteContents) {
         let WriteContents::Machines(ids, version) = contents else { return };
-        self.packs.written(slot, *version, revision);
+        self.machine_records.written(slot, *version, revision);
         for id in ids {
-            if let Some(m) = self.machines.get_mut(id) {
-                m.enrolled = true;
+            if let Some(machine) = self.machines.get_mut(id) {
+                machine.registered = true;
             }
         }
     }
 
-    fn marks_written(&mut self, slot: u32, revision: u64, contents: &WriteContents) {
-        let WriteContents::Marks(marks, version) = contents else { return };
-        self.marks.written(slot, *version, revision);
-        for (id, high) in marks {
-            if let Some(j) = self.jobs.get_mut(id) {
-                j.high = j.high.max(*high);
+    fn start_marks_written(&mut self, slot: u32, revision: u64, contents: &WriteContents) {
+        let WriteContents::StartMarks(marks, version) = contents else { return };
+        self.start_marks.written(slot, *version, revision);
+        for (id, mark) in marks {
+            if let Some(job) = self.jobs.get_mut(id) {
+                job.start_mark = job.start_mark.max(*mark);
             }
         }
     }
@@ -305,33 +282,49 @@
         contents: &WriteContents,
         now: Steady,
     ) {
-        let Some(j) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else { return };
         if let WriteContents::Done(tasks) = contents {
-            for n in tasks.iter() {
-                j.done_written.insert(n);
+            for number in tasks.iter() {
+                job.done_written.insert(number);
             }
         }
-        j.chunks.insert(chunk, revision);
-        j.wrote_done = now;
+        job.done_chunks.insert(chunk, revision);
+        job.done_written_at = now;
     }
 
-    /// How a chunk that is no job's stands, as read back.
-    pub fn learn_orphan(&mut self, key: &str, mod_revision: u64) {
-        if mod_revision == 0 {
-            self.orphans.remove(key);
-        } else if let Some(s) = self.orphans.get_mut(key) {
-            *s = mod_revision;
-        }
+    /// The version of a chunk of done ranges that is to be deleted, as read back after its deletion
+    /// failed; 0 if there is none.
+    pub fn done_chunk_read_back(&mut self, key: &str, mod_revision: u64) {
+        set_or_remove(&mut self.cleanup.done_chunks, key, mod_revision);
     }
 
-    /// A machine's own record, as earlier versions wrote it, as read back.
-    pub fn learn_machine(&mut self, id: &str, mod_revision: u64) {
-        if let Some(s) = self.unenrol.get_mut(id) {
-            if mod_revision == 0 {
-                self.unenrol.remove(id);
-            } else {
-                *s = mod_revision;
-            }
+    /// The version of a machine's own record that is to be deleted, as read back after its deletion
+    /// failed; 0 if there is none.
+    pub fn machine_record_read_back(&mut self, id: &str, mod_revision: u64) {
+        set_or_remove(&mut self.cleanup.machine_records, id, mod_revision);
+    }
+}
+
+/// Adds the chunks of a job's done ranges that hold more than is written.
+fn add_due_chunks(job: &Job, chunk: u32, writes: &mut Vec<PendingWrite>) {
+    for index in 0..job.spec.tasks.div_ceil(chunk) {
+        let number = chunk_number(chunk, index);
+        let (first, end) = chunk_span(number);
+        if job.done.within(first, end) != job.done_written.within(first, end) {
+            writes.push(PendingWrite::Done(job.id.clone(), number));
         }
     }
 }
+
+/// Sets the version of a record that is to be deleted, or removes it if the record does not exist.
+fn set_or_remove<K: Ord + std::borrow::Borrow<str>>(
+    records: &mut BTreeMap<K, u64>,
+    key: &str,
+    mod_revision: u64,
+) {
+    if mod_revision == 0 {
+        records.remove(key);
+    } else if let Some(known) = records.get_mut(key) {
+        *known = mod_revision;
+    }
+}
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -1,22 +1,26 @@
-//! Recovery after a takeover: what workers report, compared with the records, and what waits until the
-//! machines of the earlier owner can have been heard.
+//! Recovery after a failover: the workers' first heartbeats are compared with the records, and what has
+//! to wait until the earlier leader's machines can have sent theirs.
 
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 use milletlock_recovery::{
     Discrepancy, JobRecordState, OrderKind, RecordedJobs, RecoveryProgress, ReportedTask, ReportedTaskState,
 };
 
-use super::*;
+use super::Fleet;
+use crate::jobs::{split_task, Job, JobId, MachineId};
+use crate::time::{Micros, Steady};
+use crate::wire::{ExitReason, Heartbeat, Order, TaskStage, TaskStatus};
 
-/// So many report intervals after a takeover every worker that reaches the new owner has reported: at most
-/// one and a quarter between two reports.
-const REPORTS_TO_HEAR_ALL: f64 = 1.25;
+/// Heartbeat intervals after a failover until every worker that reaches the new leader has sent a
+/// heartbeat: at most one and a quarter lie between two.
+const INTERVALS_UNTIL_ALL_HEARTBEATS: f64 = 1.25;
 
-/// How often the log says how far a recovery has come.
-const PROGRESS_INTERVAL: Micros = Micros(500_000);
+/// Time between two log lines of a recovery's progress.
+const PROGRESS_LOG_INTERVAL: Micros = Micros(500_000);
 
-/// For so long after a takeover it says so, and orders are counted.
+/// How long after a failover progress is logged, and orders are counted.
 const RECOVERY_LOGGED_FOR: Micros = Micros(60_000_000);
 
 /// A read-only view of this leader's jobs for the recovery tracker: the jobs as the records had them
@@ -41,29 +45,30 @@
 }
 
 impl Fleet {
-    /// Whether machines of an earlier owner are about to be heard. What runs on the others is not stopped
-    /// for work that may have room there: after a takeover the first urgent job would otherwise stop what
-    /// happens to be heard first.
-    pub(super) fn is_hearing_machines(&self, now: Steady) -> bool {
+    /// Whether first heartbeats from an earlier leader's machines are about to come. Until then nothing is
+    /// preempted for work that may fit on those machines: after a failover the first urgent job would
+    /// otherwise preempt tasks on the machines that happen to send a heartbeat first.
+    pub(super) fn awaits_heartbeats(&self, now: Steady) -> bool {
         let heartbeat_interval = self.heartbeat_interval();
         self.recovery.is_awaiting_reports(
-            self.since_takeover(now),
-            heartbeat_interval.scale(REPORTS_TO_HEAR_ALL).std(),
+            self.since_failover(now),
+            heartbeat_interval.scale(INTERVALS_UNTIL_ALL_HEARTBEATS).std(),
         )
     }
 
-    /// How far the recovery has come.
+    /// Progress of the recovery.
     pub fn recovery_progress(&self, now: Steady) -> RecoveryProgress {
-        self.recovery.progress(self.since_takeover(now))
+        self.recovery.progress(self.since_failover(now))
     }
 
-    fn since_takeover(&self, now: Steady) -> Duration {
+    fn since_failover(&self, now: Steady) -> Duration {
         (now - self.failover_at).max(Micros::ZERO).std()
     }
 
-    /// A machine's first report after the takeover, before it is taken into the jobs.
-    pub(super) fn compare_with_records(&mut self, id: &MachineId, report: &Heartbeat) {
-        let tasks: Vec<ReportedTask<'_>> = report.tasks.iter().filter_map(reported).collect();
+    /// Compares a machine's first heartbeat after the failover with the records, before it is applied to
+    /// the jobs.
+    pub(super) fn compare_with_records(&mut self, id: &MachineId, heartbeat: &Heartbeat) {
+        let tasks: Vec<ReportedTask<'_>> = heartbeat.tasks.iter().filter_map(reported_task).collect();
         let records = JobRecordsView { jobs: &self.jobs };
         for found in self.recovery.compare_first_report(id, &tasks, &records) {
             let (job, task, difference) = (found.job, found.task, found.discrepancy);
@@ -71,17 +76,17 @@
         }
     }
 
-    /// A machine has shown this owner's token.
-    pub(super) fn machine_heard(&mut self, id: &str, now: Steady) {
-        self.recovery.machine_reported(id, self.since_takeover(now));
+    /// A machine has acknowledged this leader's fencing token.
+    pub(super) fn machine_acknowledged(&mut self, id: &str, now: Steady) {
+        self.recovery.machine_reported(id, self.since_failover(now));
     }
 
-    /// All that was on a machine that was not heard is gone.
-    pub(super) fn machine_given_up(&mut self, id: &str, now: Steady) {
-        self.recovery.machine_lost(id, self.since_takeover(now));
+    /// No task can be running any more on a machine that may not have acknowledged the fencing token.
+    pub(super) fn machine_lost(&mut self, id: &str, now: Steady) {
+        self.recovery.machine_lost(id, self.since_failover(now));
     }
 
-    /// Counts orders that leave, as long as the recovery is of interest.
+    /// Counts orders that are sent while the recovery's progress is logged.
     pub(super) fn count_orders<'a>(&mut self, orders: impl IntoIterator<Item = &'a Order>, now: Steady) {
         if now - self.failover_at > RECOVERY_LOGGED_FOR {
             return;
@@ -95,17 +100,18 @@
         }
     }
 
-    /// Says now and then how far the recovery has come.
+    /// Logs the progress of the recovery, at most every `PROGRESS_LOG_INTERVAL`.
     pub(super) fn log_recovery(&mut self, now: Steady) {
-        if now - self.recovery_logged < PROGRESS_INTERVAL || now - self.failover_at > RECOVERY_LOGGED_FOR {
+        let is_too_soon = now - self.log_state.recovery_at < PROGRESS_LOG_INTERVAL;
+        if is_too_soon || now - self.failover_at > RECOVERY_LOGGED_FOR {
             return;
         }
-        self.recovery_logged = now;
+        self.log_state.recovery_at = now;
         let progress = self.recovery_progress(now);
         if progress.machines == 0 {
             return;
         }
-        let of = |discrepancy: Discrepancy| progress.discrepancies.count(discrepancy);
+        let count = |discrepancy: Discrepancy| progress.discrepancies.count(discrepancy);
         tracing::info!(
             fencing_token = self.fencing_token,
             after_s = progress.after_s,
@@ -113,13 +119,13 @@
             unheard = progress.unheard,
             lost = progress.lost,
             adopted = progress.adopted,
-            finished = of(Discrepancy::Finished),
-            job_over = of(Discrepancy::JobOver),
-            done_before = of(Discrepancy::DoneBefore),
-            placed_twice = of(Discrepancy::PlacedTwice),
-            failed = of(Discrepancy::Failed),
-            partial_gang = of(Discrepancy::PartialGang),
-            machine_lost = of(Discrepancy::MachineLost),
+            finished = count(Discrepancy::Finished),
+            job_over = count(Discrepancy::JobOver),
+            done_before = count(Discrepancy::DoneBefore),
+            placed_twice = count(Discrepancy::PlacedTwice),
+            failed = count(Discrepancy::Failed),
+            partial_gang = count(Discrepancy::PartialGang),
+            machine_lost = count(Discrepancy::MachineLost),
             starts = progress.orders.starts,
             halts = progress.orders.halts,
             forgets = progress.orders.forgets,
@@ -129,8 +135,8 @@
     }
 }
 
-/// A task of a report, as the comparison sees it; none if it has no task's name.
-fn reported(task: &TaskStatus) -> Option<ReportedTask<'_>> {
+/// A task of a heartbeat as the recovery tracker takes it; `None` if its name is malformed.
+fn reported_task(task: &TaskStatus) -> Option<ReportedTask<'_>> {
     let (job, number) = split_task(&task.task)?;
     let state = match (task.stage, task.why) {
         (TaskStage::Exited, Some(ExitReason::Done)) => ReportedTaskState::Done,
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -38,7 +38,7 @@
         }
         j.vacated.insert(machine.clone(), now);
         if lived >= LIVED_SHORT {
-            j.succeeded();
+            j.record_success();
             return;
         }
         j.back_off(machine, now);
@@ -47,7 +47,7 @@
     /// Rooms, by their place in the plan's list, that a service's next replica should avoid: those
     /// with a replica and those that one has left of late.
     pub(super) fn replica_rooms(&self, j: &Job, rooms: &BTreeMap<&MachineId, usize>) -> Vec<usize> {
-        let live = j.live.values().flatten();
+        let live = j.placements.values().flatten();
         live.chain(j.vacated.keys()).filter_map(|id| rooms.get(id).copied()).collect()
     }
 
@@ -77,27 +77,30 @@
     /// Starts waiting replicas on a machine that has just reported, if they run sooner here than
     /// where the plan has them.
     pub(super) fn start_replicas(&mut self, id: &MachineId, now: Steady, out: &mut Vec<Order>) {
-        if self.waiting_services.is_empty() || self.closed.contains(id) || self.promised.contains_key(id) {
+        if self.waiting_services.is_empty()
+            || self.closed_machines.contains(id)
+            || self.reserved_gang_places.contains_key(id)
+        {
             return;
         }
-        let usable = |m: &&Machine| m.usable(now) && !m.missing && !m.unknown_use();
+        let usable = |m: &&Machine| m.usable(now) && !m.missing && !m.has_unknown_use();
         let Some(m) = self.machines.get(id).filter(usable) else { return };
-        if m.tasks.values().any(|e| e.live() && e.stop.is_some()) {
+        if m.tasks.values().any(|e| e.live() && e.stop_grace_s.is_some()) {
             return;
         }
         let Some(mut room) = self.room(m, now, 0, Resources::default()) else { return };
-        let since_plan = now - self.planned;
-        let kept = self.planned_for.kept(room.ty, room.spot).map(|k| k.need);
+        let since_plan = now - self.planned_at;
+        let kept = self.planned_snapshot.kept(room.ty, room.spot).map(|k| k.need);
         let mut chosen = Vec::new();
         for w in &self.waiting_services {
             let (Some(c), Some(job)) =
-                (self.planned_for.classes.get(w.class), self.planned_jobs.get(w.class))
+                (self.planned_snapshot.classes.get(w.class), self.planned_jobs.get(w.class))
             else {
                 continue;
             };
             let Some(j) = self.jobs.get(job) else { continue };
-            let here = j.live.values().flatten().any(|at| at == id) || j.vacated.contains_key(id);
-            let in_zone = self.zones_of(j).get(room.zone).copied().unwrap_or(0);
+            let here = j.placements.values().flatten().any(|at| at == id) || j.vacated.contains_key(id);
+            let in_zone = self.placements_by_zone(j).get(room.zone).copied().unwrap_or(0);
             let crowded_zone = in_zone >= j.spec.tasks.div_ceil(2);
             let reported = ReportingMachine { room: &room, kept, crowded_zone };
             let runs_here = !here && !j.waiting.is_empty();
@@ -108,21 +111,21 @@
             }
         }
         for job in chosen {
-            self.start_some(&job, 1, id, now, out);
+            self.start_tasks(&job, 1, id, now, out);
         }
     }
 
     /// Replicas to stop since the cloud is about to take their machine: as soon as another machine has
     /// room and their image, or at the last moment.
     pub(super) fn replicas_to_move(&self, now: Steady) -> Vec<(MachineId, TaskKey)> {
-        let report = self.cfg.platform.settings.workers.report_s;
+        let report = self.config.platform.settings.workers.report_s;
         let last_moment = Micros::from_secs(report * REPORTS_BEFORE_NOTICE_ENDS);
         let mut replacements = ReplicaReservations::default();
         let mut out = Vec::new();
         for m in self.machines.values() {
-            let Some(notice) = m.notice else { continue };
-            for (key, e) in m.tasks.iter().filter(|x| x.1.live() && x.1.stop.is_none()) {
-                let Some(j) = self.jobs.get(&key.0).filter(|j| j.spec.is_service()) else {
+            let Some(notice) = m.interruption_at else { continue };
+            for (key, e) in m.tasks.iter().filter(|x| x.1.live() && x.1.stop_grace_s.is_none()) {
+                let Some(j) = self.jobs.get(&key.job).filter(|j| j.spec.is_service()) else {
                     continue;
                 };
                 if e.stage.is_none() {
@@ -130,7 +133,7 @@
                 }
                 let replacement = self.replacement(j, &replacements, now);
                 if let Some(to) = &replacement {
-                    replacements.take(to, &j.id, need_of(&j.spec));
+                    replacements.take(to, &j.id, task_resources(&j.spec));
                 }
                 if replacement.is_some() || notice - now < last_moment {
                     out.push((m.id.clone(), key.clone()));
@@ -144,19 +147,23 @@
     /// has been promised to other replicas.
     fn replacement(&self, j: &Job, promised: &ReplicaReservations, now: Steady) -> Option<MachineId> {
         let types = self.allowed_types(&j.spec);
-        let need = need_of(&j.spec);
-        let image = j.spec.image.as_ref().and_then(|name| self.images.get(name));
+        let need = task_resources(&j.spec);
+        let image = j.spec.image.as_ref().and_then(|name| self.catalog.images.get(name));
         let ready = |m: &&Machine| {
-            let free = m.ty.filter(|t| types.contains(t)).map(|t| promised.free(m, m.free(self.total(t))));
+            let free = m
+                .type_index
+                .filter(|t| types.contains(t))
+                .map(|t| promised.free(m, m.free(self.type_capacity(t))));
             let has_image = j.spec.image.is_none() || m.images.iter().any(|i| Some(&i.0) == image);
             let allowed_here = (j.spec.spot || !m.spot)
                 && j.spec.zone.as_deref().is_none_or(|z| z == self.zone_name(m.zone));
-            let another_here = j.live.values().flatten().any(|at| *at == m.id) || promised.has(&m.id, &j.id);
+            let another_here =
+                j.placements.values().flatten().any(|at| *at == m.id) || promised.has(&m.id, &j.id);
             free.is_some_and(|f| f.fits(&need) > 0)
                 && has_image
                 && allowed_here
                 && m.usable(now)
-                && m.notice.is_none()
+                && m.interruption_at.is_none()
                 && !another_here
         };
         self.machines.values().find(ready).map(|m| m.id.clone())
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -1,143 +1,210 @@
-//! The view for people on call.
+//! The status that operators and teams read. The JSON names are part of the interface.
 
 use milletlock_recovery::RecoveryProgress;
+use serde::Serialize;
 
-use super::*;
+use super::machine::Machine;
+use super::Fleet;
+use crate::jobs::Job;
+use crate::time::{Micros, Steady, Wall};
+use crate::wire::Priority;
 
-/// A machine, for people on call.
+/// Heartbeat intervals without a heartbeat after which a machine is shown as silent.
+const SILENT_INTERVALS: f64 = 3.0;
+
+/// What was logged last, and when, of what is logged now and then.
+pub(super) struct LogState {
+    /// When the use of the machines was logged.
+    pub(super) machine_use_at: Steady,
+    /// When the progress of the recovery was logged.
+    pub(super) recovery_at: Steady,
+    /// Whether all machines had acknowledged this leader's fencing token.
+    pub(super) all_acknowledged: bool,
+}
+
+/// Whether a machine can be used, and if not, why.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum MachineState {
+    /// No heartbeat has come yet.
+    Booting,
+    /// In use.
+    Up,
+    /// It has not acknowledged this leader's fencing token.
+    #[serde(rename = "unheard")]
+    Unacknowledged,
+    /// No heartbeat has come of late.
+    Silent,
+    /// It is being scaled in.
+    #[serde(rename = "leaving")]
+    ScalingIn,
+}
+
+/// A machine, for operators.
 #[derive(Debug, Serialize)]
 pub struct MachineView {
-    /// Its name.
+    /// The cloud's id.
     pub id: String,
-    /// Type.
-    pub ty: String,
-    /// Zone.
+    /// Name of the machine type.
+    #[serde(rename = "ty")]
+    pub type_name: String,
+    /// Name of the zone.
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// `booting`, `up`, `unheard`, `silent` or `leaving`.
-    pub state: &'static str,
-    /// Tasks that are or may be on it.
+    /// Whether it can be used.
+    pub state: MachineState,
+    /// Tasks that are running on it, or may be.
     pub tasks: usize,
-    /// Seconds since its last report.
-    pub report_s: Option<f64>,
+    /// Seconds since its last heartbeat; `None` if none has come.
+    #[serde(rename = "report_s")]
+    pub heartbeat_age_s: Option<f64>,
 }
 
-/// A job, for people on call and for its team.
+/// A job, for operators and for its team.
 #[derive(Debug, Serialize)]
 pub struct JobView {
-    /// Its id.
+    /// The id.
     pub id: String,
-    /// Its team.
+    /// The team.
     pub team: String,
-    /// Its rank.
+    /// The priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
     /// Seconds since it was accepted.
     pub waited_s: f64,
     /// Tasks waiting.
     pub waiting: u32,
-    /// Tasks that are or may be somewhere.
+    /// Tasks that are running, or may be.
     pub placed: usize,
     /// Tasks or replicas in all.
     pub wanted: u32,
-    /// Tasks or replicas that run.
+    /// Tasks or replicas that run, by the latest heartbeats.
     pub running: u32,
     /// Tasks done; a service never has any.
     pub done: u32,
     /// Failures in a row.
-    pub errors: u32,
+    #[serde(rename = "errors")]
+    pub consecutive_failures: u32,
 }
 
-/// A of a key.
+/// How a team's actual run times compare to those that it states.
 #[derive(Debug, Serialize)]
 pub struct FactorView {
     /// The team.
     pub team: String,
-    /// The stated time in seconds.
+    /// The stated run time in seconds.
     pub stated_s: f64,
-    /// A.
-    pub a: f64,
-    /// Past jobs kept.
+    /// The factor from stated to expected run time.
+    #[serde(rename = "a")]
+    pub factor: f64,
+    /// Past jobs that it is computed from.
     pub jobs: usize,
 }
 
-/// What the owner sees.
+/// The leader's status.
 #[derive(Debug, Serialize)]
 pub struct StatusView {
-    /// Its token.
+    /// The leader's fencing token.
     #[serde(rename = "token")]
     pub fencing_token: u64,
     /// Machines; none for a team's view.
     pub machines: Vec<MachineView>,
-    /// Jobs in the queue's order of age; a team's own only, for a team's view.
+    /// Jobs, the oldest first; only a team's own, for a team's view.
     pub jobs: Vec<JobView>,
-    /// The reserved job and the seconds until its room is free.
+    /// The job that capacity is reserved for, and the seconds until the capacity is free.
     pub reservation: Option<(String, f64)>,
-    /// A by key.
+    /// Run-time factors by team and stated run time.
     pub factors: Vec<FactorView>,
-    /// How far the recovery after the takeover has come; none for a team's view.
+    /// Progress of the recovery after the failover; none for a team's view.
     pub recovery: Option<RecoveryProgress>,
 }
 
 impl Fleet {
-    /// What this owner sees, whole or for one team, which sees only what is its own.
+    /// The status, whole or for one team, which sees only what is its own.
     pub fn status(&self, team: Option<&str>, now: Steady, wall: Wall) -> StatusView {
-        let ours = |t: &str| team.is_none_or(|x| x == t);
-        let silent = Micros::from_secs(self.cfg.platform.settings.workers.report_s * 3.0);
-        let machine = |m: &Machine| MachineView {
-            id: m.id.to_string(),
-            ty: m.ty_name.clone(),
-            zone: self.zone_name(m.zone).to_string(),
-            spot: m.spot,
-            state: if m.leaving {
-                "leaving"
-            } else if !m.heard {
-                "unheard"
-            } else if !m.up {
-                "booting"
-            } else if now - m.report > silent {
-                "silent"
-            } else {
-                "up"
-            },
-            tasks: m.tasks.values().filter(|e| e.live()).count(),
-            report_s: (m.report.0 > 0).then(|| (now - m.report).secs()),
+        let is_visible = |other: &str| team.is_none_or(|team| team == other);
+        let mut jobs: Vec<&Job> =
+            self.jobs.values().filter(|job| !job.cancelled && is_visible(&job.spec.team)).collect();
+        jobs.sort_by_key(|job| job.submitted);
+        let machines = if team.is_none() {
+            self.machines.values().map(|machine| self.machine_view(machine, now)).collect()
+        } else {
+            Vec::new()
         };
-        let mut jobs: Vec<&Job> = self.jobs.values().filter(|j| !j.cancelled && ours(&j.spec.team)).collect();
-        jobs.sort_by_key(|j| j.submitted);
-        let reserved = self.plan.reservation.as_ref().and_then(|r| {
-            let id = self.planned_jobs.get(r.class)?;
-            let at = (r.at - (now - self.planned)).secs();
-            self.jobs.get(id).filter(|j| ours(&j.spec.team)).map(|_| (id.to_string(), at))
-        });
         StatusView {
             fencing_token: self.fencing_token,
-            machines: if team.is_none() { self.machines.values().map(machine).collect() } else { Vec::new() },
-            jobs: jobs
-                .into_iter()
-                .map(|j| JobView {
-                    id: j.id.to_string(),
-                    team: j.spec.team.clone(),
-                    priority: j.spec.priority,
-                    waited_s: (wall - j.submitted).secs(),
-                    waiting: j.waiting.len(),
-                    placed: j.live.len(),
-                    wanted: j.spec.tasks,
-                    running: self.counts(&j.id).unwrap_or_default().running,
-                    done: j.done.len(),
-                    errors: j.errors,
-                })
-                .collect(),
-            reservation: reserved,
+            machines,
+            jobs: jobs.into_iter().map(|job| self.job_view(job, wall)).collect(),
+            reservation: self.reservation_view(now, is_visible),
             recovery: team.is_none().then(|| self.recovery_progress(now)),
-            factors: self
-                .history
-                .factors(wall)
-                .into_iter()
-                .filter(|f| ours(&f.0.team))
-                .map(|(k, a, jobs)| FactorView { team: k.team, stated_s: k.stated.secs(), a, jobs })
-                .collect(),
+            factors: self.factor_views(wall, is_visible),
         }
     }
+
+    fn machine_view(&self, machine: &Machine, now: Steady) -> MachineView {
+        let has_heartbeat = machine.heartbeat_at.0 > 0;
+        MachineView {
+            id: machine.id.to_string(),
+            type_name: machine.type_name.clone(),
+            zone: self.zone_name(machine.zone).to_string(),
+            spot: machine.spot,
+            state: self.machine_state(machine, now),
+            tasks: machine.tasks.values().filter(|task| task.live()).count(),
+            heartbeat_age_s: has_heartbeat.then(|| (now - machine.heartbeat_at).secs()),
+        }
+    }
+
+    fn machine_state(&self, machine: &Machine, now: Steady) -> MachineState {
+        let interval_s = self.config.platform.settings.workers.report_s;
+        let silent_after = Micros::from_secs(interval_s * SILENT_INTERVALS);
+        if machine.scaling_in {
+            MachineState::ScalingIn
+        } else if !machine.acknowledged {
+            MachineState::Unacknowledged
+        } else if !machine.up {
+            MachineState::Booting
+        } else if now - machine.heartbeat_at > silent_after {
+            MachineState::Silent
+        } else {
+            MachineState::Up
+        }
+    }
+
+    fn job_view(&self, job: &Job, wall: Wall) -> JobView {
+        JobView {
+            id: job.id.to_string(),
+            team: job.spec.team.clone(),
+            priority: job.spec.priority,
+            waited_s: (wall - job.submitted).secs(),
+            waiting: job.waiting.len(),
+            placed: job.placements.len(),
+            wanted: job.spec.tasks,
+            running: self.progress(&job.id).unwrap_or_default().running,
+            done: job.done.len(),
+            consecutive_failures: job.consecutive_failures,
+        }
+    }
+
+    /// The latest plan's reservation, as it stands now, if it is for a visible team's job.
+    fn reservation_view(&self, now: Steady, is_visible: impl Fn(&str) -> bool) -> Option<(String, f64)> {
+        let reservation = self.plan.reservation.as_ref()?;
+        let id = self.planned_jobs.get(reservation.class)?;
+        self.jobs.get(id).filter(|job| is_visible(&job.spec.team))?;
+        let free_in = reservation.at - (now - self.planned_at);
+        Some((id.to_string(), free_in.secs()))
+    }
+
+    fn factor_views(&self, wall: Wall, is_visible: impl Fn(&str) -> bool) -> Vec<FactorView> {
+        let factors = self.history.factors(wall).into_iter();
+        factors
+            .filter(|(key, _, _)| is_visible(&key.team))
+            .map(|(key, factor, jobs)| FactorView {
+                team: key.team,
+                stated_s: key.stated.secs(),
+                factor,
+                jobs,
+            })
+            .collect()
+    }
 }
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -1,183 +1,258 @@
-//! Jobs as they come and end, and where their tasks are.
+//! Jobs as they are added and end, and the machines on which their tasks are running, or may be.
 
-use super::*;
+use std::collections::BTreeSet;
+
+use super::machine::{TaskEntry, TaskKey};
+use super::Fleet;
+use crate::jobs::{Job, JobId, MachineId};
+use crate::records::JobRecord;
+use crate::sched::Resources;
+use crate::time::{Micros, Steady};
+use crate::wire::{JobSpec, MachineType, TaskStage};
+
+/// Progress of a job's tasks, as answered to a poll.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct JobProgress {
+    /// Tasks done.
+    pub done: u32,
+    /// Tasks running or saving a checkpoint.
+    pub running: u32,
+}
+
+/// The run time that the planner assumes of services, which have no end: a day.
+const SERVICE_RUN_TIME: Micros = Micros(86_400_000_000);
+
+/// Resources of one task of a job.
+pub fn task_resources(spec: &JobSpec) -> Resources {
+    Resources { cpus: spec.cpus, gpus: spec.gpus, memory: spec.memory_gb }
+}
+
+/// Resources of an empty machine of a type.
+pub(super) fn type_resources(machine_type: &MachineType) -> Resources {
+    Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, memory: machine_type.memory_gb }
+}
+
+/// The stated run time of a job's tasks.
+pub(super) fn stated_run_time(spec: &JobSpec) -> Micros {
+    if spec.is_service() {
+        SERVICE_RUN_TIME
+    } else {
+        Micros::from_secs(spec.estimate_s)
+    }
+}
+
+/// A task's name on the wire: `JOB/NUMBER`, the form that `split_task` reads.
+pub(super) fn task_name(job: &JobId, number: u32) -> String {
+    format!("{job}/{number}")
+}
 
 impl Fleet {
-    /// Up to which revision all changes of jobs are known.
-    pub fn read_to(&self) -> u64 {
-        self.read_to
+    /// The revision of the state store up to which all changes of jobs have been applied.
+    pub fn jobs_revision(&self) -> u64 {
+        self.jobs_revision
     }
 
-    /// All changes of jobs up to a revision have been taken in.
-    pub fn has_read_to(&mut self, revision: u64) {
-        self.read_to = self.read_to.max(revision);
-        let known = self.read_to;
-        self.over.retain(|_, r| *r > known);
+    /// All changes of jobs up to a revision have been applied.
+    pub fn advance_jobs_revision(&mut self, revision: u64) {
+        self.jobs_revision = self.jobs_revision.max(revision);
+        let applied = self.jobs_revision;
+        self.ended_jobs.retain(|_, ended_at| *ended_at > applied);
     }
 
-    /// Learns of a job, new or changed. Late copies of what is over are ignored: what was written by
-    /// the revision up to which all is known, and is not known, has ended. Without this the word of
-    /// another controller, held up on the way until an owner had come that never knew the job, would
-    /// start a cancelled one.
-    pub fn job_put(&mut self, record: JobRecord, mod_revision: u64, now: Steady) {
+    /// Applies a job's record, new or changed. Late copies of jobs that have ended are ignored: what
+    /// was written at or before the revision up to which all is applied, and is not known, has ended.
+    /// Without this a message of another controller, delayed until after a failover to a leader that
+    /// never knew the job, would start a cancelled one.
+    pub fn apply_job_record(&mut self, record: JobRecord, mod_revision: u64, now: Steady) {
         let id: JobId = record.spec.id.as_str().into();
-        let late = mod_revision <= self.read_to && !self.jobs.contains_key(&id);
-        if late || self.over.get(&id).is_some_and(|&r| r >= mod_revision) {
+        let is_late = mod_revision <= self.jobs_revision && !self.jobs.contains_key(&id);
+        if is_late || self.ended_jobs.get(&id).is_some_and(|&ended_at| ended_at >= mod_revision) {
             return;
         }
         if record.lending.cancelling {
             // Its user waits for other cells to give up what they hold; nothing of it runs any more.
-            self.job_over(&id, mod_revision);
+            self.job_ended(&id, mod_revision);
             self.apply_lending(&record, mod_revision);
-            return;
+        } else if self.jobs.contains_key(&id) {
+            self.update_job(&id, &record, mod_revision);
+        } else {
+            self.add_job(id, record, mod_revision, now);
         }
-        if let Some(j) = self.jobs.get_mut(&id) {
-            if j.borrowed_from.is_some() {
-                tracing::error!(job = %id, "a job was accepted here while tasks of its id are borrowed");
-                return;
-            }
-            if mod_revision > j.mod_revision {
-                j.mod_revision = mod_revision;
-                j.high = j.high.max(record.high);
-                j.high_wanted = j.high_wanted.max(j.high);
-                self.apply_lending(&record, mod_revision);
-            }
+    }
+
+    /// Applies a newer record of a known job.
+    fn update_job(&mut self, id: &JobId, record: &JobRecord, mod_revision: u64) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        if job.borrowed_from.is_some() {
+            tracing::error!(job = %id, "a job was accepted here while tasks of its id are borrowed");
             return;
         }
+        if mod_revision > job.mod_revision {
+            job.mod_revision = mod_revision;
+            job.start_mark = job.start_mark.max(record.high);
+            job.wanted_start_mark = job.wanted_start_mark.max(job.start_mark);
+            self.apply_lending(record, mod_revision);
+        }
+    }
+
+    /// Adds a job from its record.
+    fn add_job(&mut self, id: JobId, record: JobRecord, mod_revision: u64, now: Steady) {
         let lending = (!record.lending.is_empty()).then(|| record.clone());
         let mut job = Job::new(record, mod_revision, now);
         let JobSpec { class, tasks, cpus, estimate_s, deadline_s, .. } = &job.spec;
         tracing::debug!(job = %id, ?class, tasks, cpus, estimate_s, ?deadline_s, "job added");
         if job.spec.is_service() {
-            // All its replicas are to run at once: their mark need not wait for a plan.
-            job.high_wanted = job.spec.tasks;
+            // All its replicas are to run at once: their start mark need not wait for a plan.
+            job.wanted_start_mark = job.spec.tasks;
         }
-        let need = need_of(&job.spec);
+        let need = task_resources(&job.spec);
         self.demand(&job.spec, now);
-        // Tasks of the job may have been reported before its record was known.
-        for m in self.machines.values_mut() {
-            for (_, e) in m.tasks.range_mut((id.clone(), 0, 0)..=(id.clone(), u32::MAX, u64::MAX)) {
-                e.need = Some(need);
+        // Heartbeats may have listed tasks of the job before its record was known.
+        for machine in self.machines.values_mut() {
+            for (_, task) in machine.tasks.range_mut(TaskKey::all_of_job(&id)) {
+                task.need = Some(need);
             }
         }
         self.jobs.insert(id.clone(), job);
         if let Some(record) = lending {
             self.apply_lending(&record, mod_revision);
         }
-        for (n, at) in self.located(&id) {
-            self.refresh(&id, n, &at);
+        for (number, machine) in self.task_locations(&id) {
+            self.update_placement(&id, number, &machine);
         }
         self.dirty = true;
     }
 
-    /// A job's record is gone at this revision: it is over, by its user's wish or because this
-    /// owner wrote its end. What is left of it is stopped.
-    pub fn job_over(&mut self, id: &str, revision: u64) {
+    /// A job's record was removed at this revision: it has ended, cancelled by its user or complete.
+    /// What is left of it is stopped.
+    pub fn job_ended(&mut self, id: &str, revision: u64) {
         let id: JobId = id.into();
-        if revision > self.read_to {
-            let r = self.over.entry(id.clone()).or_insert(0);
-            *r = (*r).max(revision);
+        if revision > self.jobs_revision {
+            let ended_at = self.ended_jobs.entry(id.clone()).or_insert(0);
+            *ended_at = (*ended_at).max(revision);
         }
         // A borrowed job has a record of its own; one of its id under the jobs' prefix is another's.
-        if self.jobs.get(&id).is_some_and(|j| j.mod_revision > revision || j.borrowed_from.is_some()) {
+        let is_other = |job: &Job| job.mod_revision > revision || job.borrowed_from.is_some();
+        if self.jobs.get(&id).is_some_and(is_other) {
             return;
         }
         self.end_lending(&id);
         self.end_job(&id);
     }
 
-    /// A job is over here: what is left of it is stopped, and its records go.
+    /// A job has ended here: what is left of it is stopped, and its records are removed.
     pub(super) fn end_job(&mut self, id: &str) {
         let id: JobId = id.into();
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        j.cancelled = true;
-        j.gang = None;
-        for (c, mod_revision) in std::mem::take(&mut j.chunks).into_iter().filter(|c| c.1 > 0) {
-            self.orphans.insert(j.done_chunk_key(c), mod_revision);
-        }
-        self.marks.remove(&id);
-        self.stop_all(&id, None, 0.0, true);
-        self.clear_job(&id);
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.cancelled = true;
+        job.gang = None;
+        for (chunk, mod_revision) in std::mem::take(&mut job.done_chunks) {
+            if mod_revision > 0 {
+                self.cleanup.done_chunks.insert(job.done_chunk_key(chunk), mod_revision);
+            }
+        }
+        self.start_marks.remove(&id);
+        self.stop_tasks(&id, None, 0.0, true);
+        self.remove_if_cleared(&id);
         self.dirty = true;
     }
 
-    pub(super) fn clear_job(&mut self, id: &JobId) {
-        if self.jobs.get(id).is_some_and(|j| j.cancelled && j.live.is_empty()) {
+    /// Forgets a job that has ended once none of its tasks may be running.
+    pub(super) fn remove_if_cleared(&mut self, id: &JobId) {
+        if self.jobs.get(id).is_some_and(|job| job.cancelled && job.placements.is_empty()) {
             self.jobs.remove(id);
         }
     }
 
-    pub(super) fn located(&self, id: &JobId) -> Vec<(u32, MachineId)> {
-        let all = || (id.clone(), 0, 0)..=(id.clone(), u32::MAX, u64::MAX);
-        self.machines.values().flat_map(|m| m.tasks.range(all()).map(|(k, _)| (k.1, m.id.clone()))).collect()
+    /// A job's tasks with the machines that have an entry of them.
+    pub(super) fn task_locations(&self, id: &JobId) -> Vec<(u32, MachineId)> {
+        let mut locations = Vec::new();
+        for machine in self.machines.values() {
+            let tasks = machine.tasks.range(TaskKey::all_of_job(id));
+            locations.extend(tasks.map(|(key, _)| (key.number, machine.id.clone())));
+        }
+        locations
     }
 
-    /// Machines on which live tasks of a job possibly are.
-    pub(super) fn places(&self, id: &str) -> Vec<MachineId> {
-        let all: BTreeSet<&MachineId> =
-            self.jobs.get(id).iter().flat_map(|j| j.live.values().flatten()).collect();
-        all.into_iter().cloned().collect()
+    /// Machines on which tasks of a job are running, or may be.
+    pub(super) fn machines_with_tasks(&self, id: &str) -> Vec<MachineId> {
+        let machines: BTreeSet<&MachineId> =
+            self.jobs.get(id).iter().flat_map(|job| job.placements.values().flatten()).collect();
+        machines.into_iter().cloned().collect()
     }
 
-    /// Tells live tasks of a job to stop, all or those of one attempt, on every machine.
-    pub(super) fn stop_all(&mut self, id: &JobId, attempt: Option<u64>, grace: f64, anew: bool) {
-        for at in self.places(id) {
-            let Some(m) = self.machines.get_mut(&at) else { continue };
-            for (k, e) in m.tasks.range_mut((id.clone(), 0, 0)..=(id.clone(), u32::MAX, u64::MAX)) {
-                if attempt.is_none_or(|a| a == k.2) && e.live() && (anew || e.stop.is_none()) {
-                    e.stop = Some(grace);
+    /// Stops live tasks of a job, all or those of one attempt, on every machine. With `replace`, the
+    /// grace of those that are being stopped is replaced as well.
+    pub(super) fn stop_tasks(&mut self, id: &JobId, attempt: Option<u64>, grace_s: f64, replace: bool) {
+        for machine in self.machines_with_tasks(id) {
+            let Some(machine) = self.machines.get_mut(&machine) else { continue };
+            for (key, task) in machine.tasks.range_mut(TaskKey::all_of_job(id)) {
+                let is_meant = attempt.is_none_or(|attempt| attempt == key.attempt) && task.live();
+                if is_meant && (replace || task.stop_grace_s.is_none()) {
+                    task.stop_grace_s = Some(grace_s);
                 }
             }
         }
     }
 
-    /// Brings a task's standing in its job in line with a machine on which it was, is or may be.
-    pub(super) fn refresh(&mut self, id: &JobId, n: u32, at: &MachineId) {
-        let there = self.machines.get(at).is_some_and(|m| {
-            m.tasks.range((id.clone(), n, 0)..=(id.clone(), n, u64::MAX)).any(|(_, e)| e.live())
+    /// Brings a task's placements in its job in line with the entries of one machine.
+    pub(super) fn update_placement(&mut self, id: &JobId, number: u32, machine: &MachineId) {
+        let may_be_running = self.machines.get(machine).is_some_and(|machine| {
+            machine.tasks.range(TaskKey::all_of_task(id, number)).any(|(_, task)| task.live())
         });
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        if n >= j.spec.tasks {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        if number >= job.spec.tasks {
             return;
         }
-        if there {
-            let places = j.live.entry(n).or_default();
-            if !places.contains(at) {
-                places.push(at.clone());
+        if may_be_running {
+            let machines = job.placements.entry(number).or_default();
+            if !machines.contains(machine) {
+                machines.push(machine.clone());
             }
-            j.waiting.remove(n);
+            job.waiting.remove(number);
         } else {
-            if let Some(places) = j.live.get_mut(&n) {
-                places.retain(|p| p != at);
-                if places.is_empty() {
-                    j.live.remove(&n);
-                }
-            }
-            if !j.live.contains_key(&n) && !j.done.contains(n) && !j.withheld.contains(n) {
-                j.waiting.insert(n);
-            }
+            job.remove_placement(number, machine);
         }
         self.dirty = true;
-        self.clear_job(id);
+        self.remove_if_cleared(id);
     }
 
-    /// A task's entry is gone from its machine without a word of how it ended.
-    pub(super) fn vanished(&mut self, key: &TaskKey, at: &MachineId) {
-        self.gang_broken(&key.0, key.2);
-        self.refresh(&key.0, key.1, at);
+    /// A task's entry was removed from its machine, and how it ended is not known.
+    pub(super) fn task_lost(&mut self, key: &TaskKey, machine: &MachineId) {
+        self.stop_gang_attempt(&key.job, key.attempt);
+        self.update_placement(&key.job, key.number, machine);
     }
 
-    /// A gang's attempt lost a task: the rest is stopped, and a new attempt waits until all are
-    /// gone.
-    pub(super) fn gang_broken(&mut self, id: &JobId, attempt: u64) {
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        if !j.spec.is_gang() {
+    /// A gang's attempt lost a task: the others are stopped, and a new attempt waits until none of them
+    /// may be running.
+    pub(super) fn stop_gang_attempt(&mut self, id: &JobId, attempt: u64) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        if !job.spec.is_gang() {
             return;
         }
-        if let Some(g) = j.gang.as_mut().filter(|g| g.attempt == attempt) {
-            g.stopping.get_or_insert(0.0);
+        if let Some(gang) = job.gang.as_mut().filter(|gang| gang.attempt == attempt) {
+            gang.stop_grace_s.get_or_insert(0.0);
         }
-        self.stop_all(id, Some(attempt), 0.0, false);
+        self.stop_tasks(id, Some(attempt), 0.0, false);
         self.dirty = true;
     }
+
+    /// Progress of a job for a poll; `None` if the job is not known here or is cancelled.
+    pub fn progress(&self, id: &str) -> Option<JobProgress> {
+        let job = self.jobs.get(id).filter(|job| !job.cancelled)?;
+        let placements = job.placements.iter();
+        let pairs = placements.flat_map(|(number, machines)| machines.iter().map(|id| (*number, id)));
+        let running = pairs.filter(|(number, machine)| self.is_running(&job.id, *number, machine)).count();
+        Some(JobProgress { done: job.done.len(), running: running as u32 })
+    }
+
+    /// Whether an attempt of a task runs on a machine, by its latest heartbeat.
+    fn is_running(&self, job: &JobId, number: u32, machine: &MachineId) -> bool {
+        let runs = |task: &TaskEntry| {
+            task.live() && matches!(task.stage, Some(TaskStage::Running | TaskStage::Saving))
+        };
+        self.machines.get(machine).is_some_and(|machine| {
+            machine.tasks.range(TaskKey::all_of_task(job, number)).any(|(_, task)| runs(task))
+        })
+    }
 }
--- a/src/fleet/upkeep.rs
+++ b/src/fleet/upkeep.rs
@@ -54,13 +54,13 @@
     /// Takes a machine that was not heard for expired once no earlier owner's lease can hold on
     /// it, and returns whether that is so now.
     fn outlive_earlier_owners(&self, m: &mut Machine) -> bool {
-        if m.heard || self.now - self.taken_over <= self.earlier_owners_limit {
+        if m.acknowledged || self.now - self.taken_over <= self.earlier_owners_limit {
             return false;
         }
         // Not heard and, with the cloud out, not returned: no earlier owner's command or
         // answer can still count on it.
         tracing::info!(machine = %m.id, "lease expiry of earlier leaders");
-        (m.heard, m.expired) = (true, true);
+        (m.acknowledged, m.lease_expired) = (true, true);
         true
     }
 
@@ -69,7 +69,7 @@
         let silent = self.now - self.taken_over;
         if silent > self.unheard_limit || (m.missing && silent > UNLISTED_GRACE) {
             tracing::info!(machine = %m.id, reason = "silent since failover", "scale in");
-            m.leaving = true;
+            m.scaling_in = true;
         }
     }
 
@@ -80,35 +80,35 @@
         // have been replaced before the lease ended, a later one: cut off from the state
         // service and from this machine, but not from others, it would start the same tasks
         // there.
-        let Some(renewed) = m.renewed() else { return false };
-        if m.expired || self.now - renewed <= self.lease || self.confirmed - renewed <= self.lease {
+        let Some(renewed) = m.lease_renewed_at() else { return false };
+        if m.lease_expired || self.now - renewed <= self.lease || self.confirmed - renewed <= self.lease {
             return false;
         }
         tracing::info!(machine = %m.id, "lease expiry");
-        m.expired = true;
+        m.lease_expired = true;
         // The worker is in its next session, or will be: a late copy of a report from
         // this one must not bring back what has ended.
-        m.seen.1 = u64::MAX;
+        m.latest_heartbeat.sequence = u64::MAX;
         true
     }
 
     /// Marks a machine as leaving if it was heard but does not report, or never came up.
     fn return_silent(&self, m: &mut Machine, boot_s: f64) {
-        match m.renewed() {
+        match m.lease_renewed_at() {
             Some(renewed) => self.return_unrenewed(m, renewed),
             None if m.up => {
                 // It has shown this owner's token in answer to a direct command, and is bound to
                 // report within moments.
-                if self.now - m.known > self.lease + PARTITION_GRACE {
+                if self.now - m.known_since > self.lease + PARTITION_GRACE {
                     tracing::info!(machine = %m.id, reason = "no heartbeat", "scale in");
-                    m.leaving = true;
+                    m.scaling_in = true;
                 }
             }
             None => {
-                let age = m.age + (self.now - m.known);
+                let age = m.age_when_known + (self.now - m.known_since);
                 if m.missing || age.secs() > (boot_s * 2.5).max(60.0) {
                     tracing::info!(machine = %m.id, age_s = age.secs(), reason = "never came up", "scale in");
-                    m.leaving = true;
+                    m.scaling_in = true;
                 }
             }
         }
@@ -116,23 +116,23 @@
 
     /// Marks a machine as leaving whose lease was last renewed too long ago.
     fn return_unrenewed(&self, m: &mut Machine, renewed: Steady) {
-        let silent = self.now - renewed.max(m.alive);
-        if m.expired && silent > self.lease + PARTITION_GRACE {
+        let silent = self.now - renewed.max(m.unanswered_heartbeat_at);
+        if m.lease_expired && silent > self.lease + PARTITION_GRACE {
             // The cloud says it runs: cut off, most likely, and good again afterwards.
             tracing::info!(machine = %m.id, reason = "silent for long", "scale in");
-            m.leaving = true;
+            m.scaling_in = true;
         } else if m.missing && silent > self.heartbeat_interval.scale(3.0) {
             tracing::info!(machine = %m.id, reason = "silent and not listed by the cloud", "scale in");
-            m.leaving = true;
+            m.scaling_in = true;
         } else if self.is_taken(m, silent) {
             tracing::info!(machine = %m.id, reason = "silent spot instance", "scale in");
-            m.leaving = true;
+            m.scaling_in = true;
         }
     }
 
     /// Whether the cloud has taken a machine, most likely, that has been silent for so long.
     fn is_taken(&self, m: &Machine, silent: Micros) -> bool {
-        let reports = if m.notice.is_some() { SILENT_REPORTS_AFTER_NOTICE } else { SILENT_REPORTS };
+        let reports = if m.interruption_at.is_some() { SILENT_REPORTS_AFTER_NOTICE } else { SILENT_REPORTS };
         let few_silent = self.few_silent.get(m.zone).copied().unwrap_or(false);
         m.spot && few_silent && silent > self.heartbeat_interval.scale(reports).max(LEAST_SILENCE)
     }
@@ -144,12 +144,12 @@
         self.check_leases(now);
         self.log_takeover_progress(now);
         self.log_recovery(now);
-        if now - self.usage_logged > USAGE_LOG_INTERVAL {
-            self.usage_logged = now;
+        if now - self.log_state.machine_use_at > USAGE_LOG_INTERVAL {
+            self.log_state.machine_use_at = now;
             self.log_machine_use();
         }
-        self.gone.retain(|_, at| now - *at < GONE_KEPT);
-        self.refused.retain(|_, until| now < *until);
+        self.removed_machines.retain(|_, at| now - *at < GONE_KEPT);
+        self.refused_offers.retain(|_, until| now < *until);
         self.forget_vacated(now);
         self.replan(now, wall);
     }
@@ -164,50 +164,53 @@
                 ended.push(m.id.clone());
                 given_up.push(m.id.clone());
             }
-            if m.leaving && (m.expired || !m.heard) {
+            if m.scaling_in && (m.lease_expired || !m.acknowledged) {
                 continue;
             }
-            if !m.heard {
+            if !m.acknowledged {
                 check.return_unheard(m);
             } else if check.expire(m) {
                 ended.push(m.id.clone());
-            } else if !m.leaving {
-                let boot_s = m.ty.and_then(|t| self.types.get(t)).map_or(60.0, |t| t.boot_s);
+            } else if !m.scaling_in {
+                let boot_s = m.type_index.and_then(|t| self.catalog.types.get(t)).map_or(60.0, |t| t.boot_s);
                 check.return_silent(m, boot_s);
             }
         }
         if outlasted > 0 {
-            self.unheard_machines = self.unheard_machines.saturating_sub(outlasted);
-            self.uses.clear();
+            self.unacknowledged_machines = self.unacknowledged_machines.saturating_sub(outlasted);
+            self.team_totals.clear();
         }
         for id in given_up {
-            self.machine_given_up(&id, now);
+            self.machine_lost(&id, now);
         }
         for id in ended {
-            self.emptied(&id);
+            self.drop_tasks(&id);
         }
     }
 
     /// The bounds for a check of the leases at a moment.
     fn lease_check(&self, now: Steady) -> LeaseExpiryBounds {
-        let fence = Micros::from_secs(self.cfg.operator.fence_after_s);
+        let fence = Micros::from_secs(self.config.operator.fence_after_s);
         // A few silent machines hold up all that was started: once the others are heard, the cloud
         // is asked to end them. Where many are silent a zone is cut off, and they are waited for.
-        let few = self.unheard_machines * 10 <= self.machines.len();
+        let few = self.unacknowledged_machines * 10 <= self.machines.len();
         let heartbeat_interval = self.heartbeat_interval();
         let silence = heartbeat_interval.scale(SILENT_REPORTS_AFTER_NOTICE);
-        let soon = Micros::from_secs(self.cfg.platform.settings.workers.report_s + 5.0).max(MIN_EARLY_FENCE);
+        let soon =
+            Micros::from_secs(self.config.platform.settings.workers.report_s + 5.0).max(MIN_EARLY_FENCE);
         LeaseExpiryBounds {
             now,
             taken_over: self.failover_at,
             confirmed: self.lease_confirmed_at,
-            lease: self.lease,
+            lease: self.worker_lease,
             // An earlier owner answers no longer than `max_staleness` after it last knew that nobody
             // had taken over, and that was before this owner's claim.
-            earlier_owners_limit: self.cfg.max_staleness().scale(1.001) + self.lease,
+            earlier_owners_limit: self.config.max_staleness().scale(1.001) + self.worker_lease,
             unheard_limit: if few { fence.min(soon) } else { fence },
             heartbeat_interval,
-            few_silent: (0..self.zones.len()).map(|zone| self.are_few_silent(zone, silence, now)).collect(),
+            few_silent: (0..self.catalog.zones.len())
+                .map(|zone| self.are_few_silent(zone, silence, now))
+                .collect(),
         }
     }
 
@@ -215,21 +218,24 @@
     /// ordinary machines only those count: the cloud may take most spot machines at once, while a
     /// cut silences both kinds.
     fn are_few_silent(&self, zone: usize, silence: Micros, now: Steady) -> bool {
-        let up = || self.machines.values().filter(|m| m.up && m.zone == zone && !m.leaving);
+        let up = || self.machines.values().filter(|m| m.up && m.zone == zone && !m.scaling_in);
         let ordinary = up().filter(|m| !m.spot).count();
         let counts = |m: &&Machine| ordinary < MIN_ORDINARY_MACHINES || !m.spot;
-        let silent = up().filter(counts).filter(|m| now - m.report.max(m.alive) > silence).count();
+        let silent = up()
+            .filter(counts)
+            .filter(|m| now - m.heartbeat_at.max(m.unanswered_heartbeat_at) > silence)
+            .count();
         silent * 10 <= up().filter(counts).count()
     }
 
     /// Logs when all machines of the earlier owner are heard or ended, and when no longer.
     fn log_takeover_progress(&mut self, now: Steady) {
-        if (self.unheard_machines == 0) != self.all_heard {
-            self.all_heard = self.unheard_machines == 0;
+        if (self.unacknowledged_machines == 0) != self.log_state.all_acknowledged {
+            self.log_state.all_acknowledged = self.unacknowledged_machines == 0;
             let after = (now - self.failover_at).secs();
             tracing::info!(
                 after_s = after,
-                unheard = self.unheard_machines,
+                unheard = self.unacknowledged_machines,
                 "all machines of the earlier leader heard or expired"
             );
         }
@@ -248,11 +254,11 @@
         }
         let mut by: BTreeMap<(&str, bool), Use> = BTreeMap::new();
         for m in self.machines.values() {
-            let u = by.entry((&m.ty_name, m.spot)).or_default();
+            let u = by.entry((&m.type_name, m.spot)).or_default();
             u.machines += 1;
             u.booting += u32::from(!m.up);
             u.idle += u32::from(m.up && m.tasks.is_empty());
-            u.cpus += m.ty.map_or(0.0, |t| self.total(t).cpus);
+            u.cpus += m.type_index.map_or(0.0, |t| self.type_capacity(t).cpus);
             for e in m.tasks.values().filter(|e| e.live()) {
                 let cpus = e.need.map_or(0.0, |n| n.cpus);
                 u.placed += cpus;
@@ -279,7 +285,7 @@
             snapshot: &snapshot,
             plan: &self.plan,
             upkeep: &self.upkeep_of(&machines, now),
-            types: &self.types,
+            types: &self.catalog.types,
             zones: &zones,
             refused: &self.offers_to_avoid(now),
             policy: self.capacity_policy(),
@@ -296,8 +302,8 @@
         let known = machines.iter().filter_map(|id| self.machines.get(id));
         known
             .map(|m| MachineStatus {
-                age: m.age + (now - m.known),
-                idle: (m.up && m.tasks.is_empty()).then(|| now - m.idle),
+                age: m.age_when_known + (now - m.known_since),
+                idle: (m.up && m.tasks.is_empty()).then(|| now - m.idle_since),
                 booting: !m.up,
             })
             .collect()
@@ -305,12 +311,17 @@
 
     /// The zones that each type is offered in.
     fn type_zones(&mut self) -> Vec<Vec<usize>> {
-        self.types.clone().iter().map(|t| t.zones.iter().map(|z| self.zone(z)).collect()).collect()
+        self.catalog
+            .types
+            .clone()
+            .iter()
+            .map(|t| t.zones.iter().map(|z| self.catalog.zone_index(z)).collect())
+            .collect()
     }
 
     /// For each type, whether more jobs with a deadline that may use it are expected.
     fn types_with_deadlines(&self, now: Steady) -> Vec<bool> {
-        (0..self.types.len())
+        (0..self.catalog.types.len())
             .map(|ty| {
                 let due = || self.demands.iter().filter(|d| d.due && d.types.contains(&ty));
                 self.more_expected(due, self.slowest_boot_s(), now)
@@ -321,9 +332,9 @@
     /// Offers that the cloud refused lately, and all of zones that are cut off: new machines there
     /// could not report either.
     fn offers_to_avoid(&self, now: Steady) -> Vec<Offer> {
-        let mut offers: Vec<Offer> = self.refused.keys().copied().collect();
-        for zone in (0..self.zones.len()).filter(|z| self.is_cut_off(*z, now)) {
-            let types = 0..self.types.len();
+        let mut offers: Vec<Offer> = self.refused_offers.keys().copied().collect();
+        for zone in (0..self.catalog.zones.len()).filter(|z| self.is_cut_off(*z, now)) {
+            let types = 0..self.catalog.types.len();
             offers.extend(types.flat_map(|ty| [false, true].map(|spot| Offer { ty, zone, spot })));
         }
         offers
@@ -332,13 +343,13 @@
     /// Whether most of a zone's machines are silent.
     fn is_cut_off(&self, zone: usize, now: Steady) -> bool {
         let heartbeat_interval = self.heartbeat_interval();
-        let up = || self.machines.values().filter(|m| m.up && m.zone == zone && !m.leaving);
-        let silent = up().filter(|m| now - m.report > heartbeat_interval.scale(3.0)).count();
+        let up = || self.machines.values().filter(|m| m.up && m.zone == zone && !m.scaling_in);
+        let silent = up().filter(|m| now - m.heartbeat_at > heartbeat_interval.scale(3.0)).count();
         silent >= 2 && silent * 2 > up().count()
     }
 
     fn capacity_policy(&self) -> ScalingPolicy {
-        let operator = &self.cfg.operator;
+        let operator = &self.config.operator;
         ScalingPolicy {
             drain: Micros::from_secs(operator.drain_s),
             idle: Micros::from_secs(operator.idle_s),
@@ -352,12 +363,12 @@
     fn return_idle(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id).filter(|m| m.tasks.is_empty()) {
             tracing::info!(machine = %m.id, reason = "idle", "scale in");
-            m.leaving = true;
+            m.scaling_in = true;
         }
     }
 
     /// The cloud had nothing of this for now.
     pub fn offer_refused(&mut self, offer: Offer, until: Steady) {
-        self.refused.insert(offer, until);
+        self.refused_offers.insert(offer, until);
     }
 }
