--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,4 +1,4 @@
-//! The owner's view of a job.
+//! The leader's view of a job.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,27 +14,62 @@
 /// A machine's id.
 pub type MachineId = Arc<str>;
 
-/// Where a gang's present attempt stands.
+/// The current attempt of a gang.
 #[derive(Clone, Debug)]
 pub struct GangAttempt {
     /// The attempt number, shared by all its tasks.
     pub attempt: u64,
-    /// Where each task goes; a start may have left already or not.
+    /// The machine of each task, whether its start has been sent or not.
     pub places: BTreeMap<u32, MachineId>,
-    /// Tasks whose start has left.
-    pub sent: TaskRanges,
+    /// Tasks whose start has been sent.
+    pub started: TaskRanges,
     /// When the places were chosen.
-    pub placed: Steady,
-    /// When the first start left.
-    pub since: Option<Steady>,
-    /// Being stopped, with this grace.
-    pub stopping: Option<f64>,
+    pub placed_at: Steady,
+    /// When the first start was sent.
+    pub first_start_at: Option<Steady>,
+    /// Seconds of grace with which it is being stopped; `None` if it is not.
+    pub stop_grace_s: Option<f64>,
 }
 
-/// Failures further apart than this are not in a row: twice the longest time between two tries.
+/// Run times that were observed from start to end.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RunTimes {
+    /// Their sum.
+    pub total: Micros,
+    /// How many they are.
+    pub count: u32,
+}
+
+impl RunTimes {
+    /// Adds a run time.
+    pub fn add(&mut self, run_time: Micros) {
+        self.total = self.total + run_time;
+        self.count += 1;
+    }
+}
+
+/// Failures further apart than this are not in a row: twice the longest time between two attempts.
 const FAILURES_APART: Micros = Micros::from_millis(120_000);
 
-/// The owner's view of a live job.
+/// Seconds until the next attempt after each of the first `QUICK_RETRIES` failures.
+const QUICK_RETRY_S: f64 = 0.5;
+
+/// Failures in a row that are retried at once.
+const QUICK_RETRIES: u32 = 2;
+
+/// Longest time between two attempts, in seconds.
+const MAX_RETRY_S: f64 = 60.0;
+
+/// Exponent of two beyond which the time between two attempts grows no more.
+const MAX_BACK_OFF_EXPONENT: u32 = 7;
+
+/// Failures in a row are counted up to this number.
+const MAX_COUNTED_FAILURES: u32 = 1000;
+
+/// Tasks by which a start mark is at least written ahead of the starts that need it.
+const MIN_MARK_AHEAD: u32 = 16;
+
+/// The leader's view of a live job.
 #[derive(Debug)]
 pub struct Job {
     /// The id.
@@ -43,34 +78,35 @@
     pub spec: JobSpec,
     /// When it was accepted.
     pub submitted: Wall,
-    /// When this owner came to know it.
-    pub known: Steady,
+    /// When this leader first knew of it.
+    pub known_since: Steady,
     /// Version of its record.
     pub mod_revision: u64,
-    /// Tasks below this may be started: written.
-    pub high: u32,
-    /// Tasks below this are to be made startable next.
-    pub high_wanted: u32,
-    /// `high` as this owner found it: tasks below may be anywhere until all machines are heard.
-    pub inherited: u32,
-    /// Tasks that are neither done nor anywhere.
+    /// High-water mark of started task numbers, as written: tasks below it may be started.
+    pub start_mark: u32,
+    /// The start mark to be written next.
+    pub wanted_start_mark: u32,
+    /// The start mark as this leader found it: tasks below it may be running on any machine until all
+    /// machines have acknowledged this leader's fencing token.
+    pub inherited_start_mark: u32,
+    /// Tasks that are not done and run nowhere.
     pub waiting: TaskRanges,
     /// Tasks that are done.
     pub done: TaskRanges,
     /// Done tasks whose ranges are written.
     pub done_written: TaskRanges,
-    /// Versions of the chunks of done ranges.
-    pub chunks: BTreeMap<u32, u64>,
+    /// Versions of the records of done ranges, by chunk number.
+    pub done_chunks: BTreeMap<u32, u64>,
     /// When done ranges were last written.
-    pub wrote_done: Steady,
-    /// Where tasks possibly are.
-    pub live: BTreeMap<u32, Vec<MachineId>>,
-    /// The gang's present attempt.
+    pub done_written_at: Steady,
+    /// The machines on which each task is running, or may be.
+    pub placements: BTreeMap<u32, Vec<MachineId>>,
+    /// The gang's current attempt.
     pub gang: Option<GangAttempt>,
-    /// The user withdrew it; only its remains are left to clear.
+    /// It has ended, cancelled by its user or complete; what is left of it is being stopped.
     pub cancelled: bool,
     /// Failures in a row, across machines.
-    pub errors: u32,
+    pub consecutive_failures: u32,
     /// When it last failed.
     pub failed_at: Steady,
     /// Machines on which it failed with no success since.
@@ -79,17 +115,17 @@
     pub not_before: Steady,
     /// Machines that a replica of a service has left by itself, and when.
     pub vacated: BTreeMap<MachineId, Steady>,
-    /// Run times seen whole: their sum and number.
-    pub ran: (Micros, u32),
-    /// A start has been counted (for the log).
-    pub first_start: Option<Steady>,
-    /// Tasks that must not start in this cell: those lent to others, or, of a borrowed job, all that are
-    /// not held here.
+    /// Run times of its tasks, for the history.
+    pub run_times: RunTimes,
+    /// When its first start was sent by this leader.
+    pub first_start_at: Option<Steady>,
+    /// Tasks that must not start in this cell: those lent to others, or, of a borrowed job, all that
+    /// are not held here.
     pub withheld: TaskRanges,
     /// The cell that accepted the job, if another one did.
     pub borrowed_from: Option<String>,
-    /// Tasks of a borrowed job whose start has left.
-    pub begun: TaskRanges,
+    /// Tasks of a borrowed job whose start has been sent.
+    pub started: TaskRanges,
 }
 
 impl Job {
@@ -99,29 +135,29 @@
             id: record.spec.id.as_str().into(),
             waiting: TaskRanges::span(0, record.spec.tasks),
             submitted: Wall(record.submitted_us),
-            known: now,
+            known_since: now,
             mod_revision,
-            high: record.high,
-            high_wanted: record.high,
-            inherited: record.high,
+            start_mark: record.high,
+            wanted_start_mark: record.high,
+            inherited_start_mark: record.high,
             spec: record.spec,
             done: TaskRanges::new(),
             done_written: TaskRanges::new(),
-            chunks: BTreeMap::new(),
-            wrote_done: now,
-            live: BTreeMap::new(),
+            done_chunks: BTreeMap::new(),
+            done_written_at: now,
+            placements: BTreeMap::new(),
             gang: None,
             cancelled: false,
-            errors: 0,
+            consecutive_failures: 0,
             failed_at: Steady(0),
             failed_on: BTreeSet::new(),
             not_before: Steady(0),
             vacated: BTreeMap::new(),
-            ran: (Micros::ZERO, 0),
-            first_start: None,
+            run_times: RunTimes::default(),
+            first_start_at: None,
             withheld: TaskRanges::new(),
             borrowed_from: None,
-            begun: TaskRanges::new(),
+            started: TaskRanges::new(),
         }
     }
 
@@ -145,7 +181,7 @@
     pub fn withhold(&mut self, tasks: TaskRanges) {
         let before = std::mem::replace(&mut self.withheld, tasks);
         for task in before.iter().filter(|task| !self.withheld.contains(*task)) {
-            if !self.live.contains_key(&task) && !self.done.contains(task) {
+            if !self.placements.contains_key(&task) && !self.done.contains(task) {
                 self.waiting.insert(task);
             }
         }
@@ -154,45 +190,93 @@
         }
     }
 
+    /// A task is on a machine no longer: it waits again if it is nowhere else and not done.
+    pub(crate) fn remove_placement(&mut self, number: u32, machine: &MachineId) {
+        if let Some(machines) = self.placements.get_mut(&number) {
+            machines.retain(|other| other != machine);
+            if machines.is_empty() {
+                self.placements.remove(&number);
+            }
+        }
+        let is_placed = self.placements.contains_key(&number);
+        if !is_placed && !self.done.contains(number) && !self.withheld.contains(number) {
+            self.waiting.insert(number);
+        }
+    }
+
     /// Whether all tasks are done.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.done.len() == self.spec.tasks
     }
 
     /// A task succeeded: the failures before it are no longer in a row.
-    pub fn succeeded(&mut self) {
-        self.errors = 0;
+    pub fn record_success(&mut self) {
+        self.consecutive_failures = 0;
         self.failed_on.clear();
     }
 
-    /// Counts a failure: the job is tried again ever more seldom, so that a mistaken one does not hold
-    /// room. While it waits, further failures on the same machine are of starts that left before and are
-    /// not counted: a machine at fault fails many tasks at once, and would put the job off for a minute.
+    /// Counts a failure: the job is retried ever more seldom, so that one which always fails does not
+    /// hold capacity. While it waits, further failures on the same machine are of starts that were sent
+    /// before and are not counted: a faulty machine fails many tasks at once, and would put the job off
+    /// for a minute.
     pub fn back_off(&mut self, machine: &MachineId, now: Steady) {
         if now - self.failed_at > FAILURES_APART {
             // Replicas of a service may fail hours apart, with no success that would end the row.
-            self.succeeded();
+            self.record_success();
         }
-        let is_elsewhere = self.failed_on.insert(machine.clone());
-        if now < self.not_before && !is_elsewhere {
+        let is_other_machine = self.failed_on.insert(machine.clone());
+        if now < self.not_before && !is_other_machine {
             return;
         }
         self.failed_at = now;
-        self.errors = (self.errors + 1).min(1000);
-        let wait = if self.errors <= 2 { 0.5 } else { f64::from(1u32 << self.errors.min(7)).min(60.0) };
-        self.not_before = now + Micros::from_secs(wait);
+        self.consecutive_failures = (self.consecutive_failures + 1).min(MAX_COUNTED_FAILURES);
+        self.not_before = now + Micros::from_secs(self.retry_delay_s());
+    }
+
+    /// Seconds from the latest failure to the next attempt.
+    fn retry_delay_s(&self) -> f64 {
+        if self.consecutive_failures <= QUICK_RETRIES {
+            return QUICK_RETRY_S;
+        }
+        let exponent = self.consecutive_failures.min(MAX_BACK_OFF_EXPONENT);
+        f64::from(1u32 << exponent).min(MAX_RETRY_S)
+    }
+
+    /// Asks for a start mark that covers task `last`, and a little more, so that starts do not wait for
+    /// the write each time. `count` is how many tasks are about to start.
+    pub fn request_start_mark(&mut self, last: u32, count: u32) {
+        if last < self.start_mark {
+            return;
+        }
+        let mark = last.saturating_add(1 + count.max(MIN_MARK_AHEAD)).min(self.spec.tasks);
+        self.wanted_start_mark = self.wanted_start_mark.max(mark);
+    }
+
+    /// Counts the start of a task that is sent now; returns its attempt number: the gang's, or else
+    /// `attempt`.
+    pub(crate) fn record_start(&mut self, number: u32, attempt: u64, now: Steady) -> u64 {
+        if self.borrowed_from.is_some() {
+            self.started.insert(number);
+        }
+        let Some(gang) = self.gang.as_mut() else { return attempt };
+        gang.started.insert(number);
+        gang.first_start_at.get_or_insert(now);
+        if gang.started.len() as usize == gang.places.len() {
+            tracing::debug!(job = %self.id, "all gang starts sent");
+        }
+        gang.attempt
     }
 
-    /// Learns from its mark that tasks below `high` may have been started.
-    pub fn marked(&mut self, high: u32) {
-        self.high = self.high.max(high);
-        self.high_wanted = self.high_wanted.max(high);
-        self.inherited = self.inherited.max(high);
+    /// Learns from a written start mark that tasks below it may have been started.
+    pub fn raise_start_mark(&mut self, mark: u32) {
+        self.start_mark = self.start_mark.max(mark);
+        self.wanted_start_mark = self.wanted_start_mark.max(mark);
+        self.inherited_start_mark = self.inherited_start_mark.max(mark);
     }
 }
 
-/// Splits `wk-000412/3`.
+/// Splits a task's name on the wire, `JOB/NUMBER`, into the job's id and the task number.
 pub fn split_task(task: &str) -> Option<(&str, u32)> {
-    let (job, n) = task.rsplit_once('/')?;
-    Some((job, n.parse().ok()?))
+    let (job, number) = task.rsplit_once('/')?;
+    Some((job, number.parse().ok()?))
 }
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -96,7 +96,7 @@
     match (parts.next(), parts.next(), parts.next()) {
         (Some("done"), Some(id), Some(chunk)) => {
             let mod_revision = row.as_ref().map_or(0, |row| row.mod_revision);
-            fleet.learn_orphan(key, mod_revision);
+            fleet.done_chunk_read_back(key, mod_revision);
             let text = row.as_ref().map_or(Some(""), |row| row.value.as_str());
             if let (Ok(chunk), Some(text)) = (chunk.parse(), text) {
                 fleet.inherit_borrowed_done(id, chunk, text, mod_revision);
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -195,7 +195,7 @@
     let (recent, _) = state.list(RECENT_KEY)?;
     let borrowed = if fleet.uses_cells() { loan_records::borrowed_rows(state)? } else { Vec::new() };
     load(&mut fleet, [recent, jobs, borrowed, machines, marks, done, history].concat(), now, wall());
-    fleet.has_read_to(revision);
+    fleet.advance_jobs_revision(revision);
     Ok(fleet)
 }
 
@@ -224,7 +224,7 @@
     let mut parts = row.key.split('/');
     match (parts.next(), parts.next(), parts.next()) {
         (Some("job"), Some(_), None) => match serde_json::from_value::<JobRecord>(row.value) {
-            Ok(job) => fleet.job_put(job, row.mod_revision, now),
+            Ok(job) => fleet.apply_job_record(job, row.mod_revision, now),
             Err(e) => unreadable(&row.key, &e),
         },
         (Some("machine"), Some(id), None) => {
@@ -234,14 +234,14 @@
             Ok((slot, machines)) => fleet.inherit_machines(slot, machines, row.mod_revision, now),
             Err(e) => {
                 unreadable(&row.key, &e);
-                slot.parse().into_iter().for_each(|s| fleet.packs.keep_unreadable(s));
+                slot.parse().into_iter().for_each(|s| fleet.machine_records.keep_unreadable(s));
             }
         },
         (Some(MARKS), Some(slot), None) => match packed(slot, row.value) {
-            Ok((slot, marks)) => fleet.inherit_marks(slot, marks, row.mod_revision),
+            Ok((slot, marks)) => fleet.inherit_start_marks(slot, marks, row.mod_revision),
             Err(e) => {
                 unreadable(&row.key, &e);
-                slot.parse().into_iter().for_each(|s| fleet.marks.keep_unreadable(s));
+                slot.parse().into_iter().for_each(|s| fleet.start_marks.keep_unreadable(s));
             }
         },
         (Some(BORROWED), ..) => loan_records::load_borrowed(fleet, row, now, wall),
@@ -295,25 +295,25 @@
     match (parts.next(), parts.next(), parts.next()) {
         (Some("job"), Some(id), _) => {
             match row.and_then(|r| serde_json::from_value::<JobRecord>(r.value).ok()) {
-                Some(r) => fleet.job_put(r, mod_revision, now),
+                Some(r) => fleet.apply_job_record(r, mod_revision, now),
                 None => {
                     let known = fleet.jobs.get(id).map_or(0, |j| j.mod_revision);
-                    fleet.job_over(id, fleet.read_to().max(known) + 1);
+                    fleet.job_ended(id, fleet.jobs_revision().max(known) + 1);
                 }
             }
         }
         (Some(BORROWED), ..) => loan_records::learn_borrowed(fleet, key, row, now, wall()),
-        (Some("machine"), Some(id), _) => fleet.learn_machine(id, mod_revision),
+        (Some("machine"), Some(id), _) => fleet.machine_record_read_back(id, mod_revision),
         (Some(prefix @ (MACHINES | MARKS | HISTORY)), Some(slot), None) => {
             let Ok(slot) = slot.parse() else { return };
             match prefix {
-                MACHINES => fleet.packs.learn(slot, mod_revision),
-                MARKS => fleet.marks.learn(slot, mod_revision),
+                MACHINES => fleet.machine_records.learn(slot, mod_revision),
+                MARKS => fleet.start_marks.learn(slot, mod_revision),
                 _ => fleet.history.learn(slot, mod_revision),
             }
         }
         (Some("done"), Some(id), Some(c)) => {
-            fleet.learn_orphan(key, mod_revision);
+            fleet.done_chunk_read_back(key, mod_revision);
             if let (true, Ok(c), Some(text)) =
                 (fleet.jobs.contains_key(id), c.parse(), row.as_ref().map_or(Some(""), |r| r.value.as_str()))
             {
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -5,7 +5,7 @@
 use super::SHARD_KEY;
 use crate::fleet::{Fleet, PackKind, PendingWrite, WriteContents};
 use crate::history::EstimateKey;
-use crate::jobs::JobId;
+use crate::jobs::{JobId, RunTimes};
 use crate::keys::{done_key, final_key, job_key, slot_key, HISTORY, MACHINES, MARKS, RECENT_KEY};
 use crate::records::FinalRecord;
 use crate::task_ranges::chunk_span;
@@ -117,26 +117,28 @@
 ) -> Option<Write> {
     match item {
         PendingWrite::Final(id) => compose_final(fleet, item, id, max_changes, wall),
-        PendingWrite::Machines(slot) | PendingWrite::Tidy(PackKind::Machines, slot) => {
+        PendingWrite::Machines(slot) | PendingWrite::Compaction(PackKind::Machines, slot) => {
             compose_machines(fleet, item, *slot)
         }
-        PendingWrite::Marks(slot) | PendingWrite::Tidy(PackKind::Marks, slot) => {
+        PendingWrite::StartMarks(slot) | PendingWrite::Compaction(PackKind::StartMarks, slot) => {
             compose_marks(fleet, item, *slot)
         }
         PendingWrite::History(bucket) => {
-            let value = fleet.history.value(*bucket, fleet.value_bytes().saturating_sub(VALUE_SLACK));
+            let value = fleet.history.value(*bucket, fleet.max_value_bytes().saturating_sub(VALUE_SLACK));
             let guard =
                 Guard { key: slot_key(HISTORY, *bucket), mod_revision: fleet.history.mod_revision(*bucket) };
             let change = Change::put(slot_key(HISTORY, *bucket), json!(value));
             Some(Write::new(item, vec![guard], vec![change]))
         }
         PendingWrite::Done(id, chunk) => compose_done(fleet, item, id, *chunk),
-        PendingWrite::Recent => {
-            let list = fleet.recent(now, wall, fleet.value_bytes().saturating_sub(VALUE_SLACK));
+        PendingWrite::RecentJobs => {
+            let list = fleet.recent(now, wall, fleet.max_value_bytes().saturating_sub(VALUE_SLACK));
             Some(Write::new(item, Vec::new(), vec![Change::put(RECENT_KEY, json!(list))]))
         }
-        PendingWrite::Orphan(key, mod_revision) => Some(compose_drop(item, key.clone(), *mod_revision)),
-        PendingWrite::Unenrol(id, mod_revision) => {
+        PendingWrite::OrphanedDoneChunk(key, mod_revision) => {
+            Some(compose_drop(item, key.clone(), *mod_revision))
+        }
+        PendingWrite::ObsoleteMachineRecord(id, mod_revision) => {
             Some(compose_drop(item, format!("machine/{id}"), *mod_revision))
         }
     }
@@ -164,19 +166,19 @@
     let final_record = FinalRecord { stage: Stage::Done, tasks: job.spec.tasks };
     let mut changes = vec![Change::drop(job_key(id)), Change::put(final_key(id), json!(final_record))];
     let room = max_changes.saturating_sub(changes.len());
-    let dropped: Vec<u32> = job.chunks.keys().take(room).copied().collect();
+    let dropped: Vec<u32> = job.done_chunks.keys().take(room).copied().collect();
     changes.extend(dropped.iter().map(|chunk| Change::drop(done_key(id, *chunk))));
-    Some(Write::new(item, guards, changes).with_contents(WriteContents::DroppedChunks(dropped)))
+    Some(Write::new(item, guards, changes).with_contents(WriteContents::RemovedDoneChunks(dropped)))
 }
 
 /// Counts the run times of a job that is over, once, even if its end has to be written again.
 fn add_to_history(fleet: &mut Fleet, id: &JobId, wall: Wall) {
     let Some(job) = fleet.jobs.get_mut(id) else { return };
-    let (total, count) = job.ran;
+    let RunTimes { total, count } = job.run_times;
     if count == 0 {
         return;
     }
-    job.ran.1 = 0;
+    job.run_times.count = 0;
     let stated = job.spec.estimate_s;
     let key = EstimateKey { team: job.spec.team.clone(), stated: Micros::from_secs(stated) };
     let ratio = total.secs() / f64::from(count) / stated.max(0.001);
@@ -184,7 +186,7 @@
 }
 
 fn compose_machines(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
-    let (mod_revision, version, items) = fleet.packs.slot(slot)?;
+    let (mod_revision, version, items) = fleet.machine_records.slot(slot)?;
     let key = slot_key(MACHINES, slot);
     let contents = WriteContents::Machines(items.keys().cloned().collect(), version);
     let change = Change::put(key.clone(), json!(items));
@@ -192,12 +194,12 @@
 }
 
 fn compose_marks(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
-    let (mod_revision, version, items) = fleet.marks.slot(slot)?;
+    let (mod_revision, version, items) = fleet.start_marks.slot(slot)?;
     let key = slot_key(MARKS, slot);
     let marks = items.iter().map(|(id, high)| (id.clone(), *high)).collect();
     let change = Change::put(key.clone(), json!(items));
     let write = Write::new(item, vec![Guard { key, mod_revision }], vec![change]);
-    Some(write.with_contents(WriteContents::Marks(marks, version)))
+    Some(write.with_contents(WriteContents::StartMarks(marks, version)))
 }
 
 fn compose_done(fleet: &Fleet, item: &PendingWrite, id: &JobId, chunk: u32) -> Option<Write> {
@@ -205,7 +207,7 @@
     let (from, to) = chunk_span(chunk);
     let tasks = job.done.within(from, to);
     let key = job.done_chunk_key(chunk);
-    let mod_revision = job.chunks.get(&chunk).copied().unwrap_or(0);
+    let mod_revision = job.done_chunks.get(&chunk).copied().unwrap_or(0);
     let guards = vec![
         Guard { key: job.record_key(), mod_revision: job.mod_revision },
         Guard { key: key.clone(), mod_revision },
--- a/tests/common/controllers.rs
+++ b/tests/common/controllers.rs
@@ -55,9 +55,9 @@
             match value {
                 Some(v) => {
                     let record: JobRecord = serde_json::from_value(v.clone()).expect("a job's record");
-                    self.fleet.job_put(record, *revision, now);
+                    self.fleet.apply_job_record(record, *revision, now);
                 }
-                None => self.fleet.job_over(id, *revision),
+                None => self.fleet.job_ended(id, *revision),
             }
         }
         self.watched = store.revision;
@@ -65,7 +65,7 @@
 
     /// The transactions that it would write now; done ranges may wait for a while.
     pub fn batches(&mut self, done_delay: Micros, chunk: u32, now: Steady) -> Vec<Batch> {
-        let pending = self.fleet.pending(now, done_delay, chunk);
+        let pending = self.fleet.pending_writes(now, done_delay, chunk);
         leadership::batches(&mut self.fleet, self.part, pending, 8, now, wall_at(now))
     }
 
@@ -79,7 +79,7 @@
         match result {
             Some(Ok(revision)) => {
                 for (item, said) in &batch.items {
-                    self.fleet.written(item, revision, said, now);
+                    self.fleet.write_applied(item, revision, said, now);
                 }
                 Ok(())
             }
--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -32,7 +32,7 @@
         let now = Steady(1_000_000_000);
         let mut fleet = Fleet::new(config, types(), 7, now);
         let machines: Vec<String> = (0..machines).map(|n| format!("i-{n:03}")).collect();
-        fleet.rented(&machines, Offer { ty: 0, zone: 0, spot }, now);
+        fleet.machines_scaled_out(&machines, Offer { ty: 0, zone: 0, spot }, now);
         let mut s = Scenario { fleet, now, sequence: 0, machines };
         s.step(&[]);
         s
@@ -41,24 +41,24 @@
     /// Adds ordinary machines in a zone.
     pub fn add_ordinary(&mut self, machines: usize, zone: usize) {
         let added: Vec<String> = (0..machines).map(|n| format!("j-{n:03}")).collect();
-        self.fleet.rented(&added, Offer { ty: 0, zone, spot: false }, self.now);
+        self.fleet.machines_scaled_out(&added, Offer { ty: 0, zone, spot: false }, self.now);
         self.machines.extend(added);
     }
 
     pub fn submit(&mut self, job: JobSpec) {
         let mut record = record(job);
         record.submitted_us = self.now.0;
-        self.fleet.job_put(record, self.fleet.jobs.len() as u64 + 1, self.now);
+        self.fleet.apply_job_record(record, self.fleet.jobs.len() as u64 + 1, self.now);
     }
 
     /// Lets a report's interval pass; all machines but the silent ones report what they run.
     pub fn step(&mut self, silent: &[&str]) {
         self.now = self.now + REPORT;
         self.fleet.tick(self.now, Wall(self.now.0));
-        let pending = self.fleet.pending(self.now, Micros::ZERO, 1000);
+        let pending = self.fleet.pending_writes(self.now, Micros::ZERO, 1000);
         for b in leadership::batches(&mut self.fleet, 1, pending, 64, self.now, Wall(self.now.0)) {
             for (p, said) in &b.items {
-                self.fleet.written(p, 1_000_000, said, self.now);
+                self.fleet.write_applied(p, 1_000_000, said, self.now);
             }
         }
         for id in self.machines.clone() {
@@ -81,7 +81,7 @@
     pub fn tasks(&self, id: &str) -> Vec<(String, u64)> {
         let id: MachineId = Arc::from(id);
         let tasks = &self.fleet.machines[&id].tasks;
-        tasks.keys().map(|(job, n, attempt)| (format!("{job}/{n}"), *attempt)).collect()
+        tasks.keys().map(|key| (format!("{}/{}", key.job, key.number), key.attempt)).collect()
     }
 
     pub fn report(&mut self, report: &Heartbeat) -> Vec<Order> {
@@ -95,7 +95,7 @@
     pub fn steps_until_returned(&mut self, silent: &[&str], most: usize) -> Option<usize> {
         (1..=most).find(|_| {
             self.step(silent);
-            self.fleet.leaving().iter().any(|id| silent.contains(&id.as_str()))
+            self.fleet.machines_to_scale_in().iter().any(|id| silent.contains(&id.as_str()))
         })
     }
 }
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -125,7 +125,7 @@
         self.take_over(None);
         zones.iter().enumerate().for_each(|(n, z)| self.add_machine(n as u32 + 1, z));
         self.run(4.0);
-        assert!(self.fleet().machines.values().all(|m| m.heard && m.enrolled));
+        assert!(self.fleet().machines.values().all(|m| m.acknowledged && m.registered));
     }
 
     fn add_machine(&mut self, n: u32, zone: &'static str) {
@@ -253,14 +253,14 @@
                 continue;
             }
             let fencing_token = self.owners[i].controller.fleet.fencing_token;
-            for due in self.owners[i].controller.fleet.to_raise(at(self.seconds)) {
+            for due in self.owners[i].controller.fleet.fencing_token_commands(at(self.seconds)) {
                 let (id, agent_epoch) = (due.machine, due.agent_epoch);
                 let Some(w) = self.workers.iter().find(|w| w.state.id == *id) else { continue };
                 if !matches!(w.link, Link::Up | Link::CommandsOnly) || !self.passes(w.state.zone, i) {
                     continue;
                 }
                 let r = self.command(&id, fencing_token, agent_epoch);
-                if self.owners[i].controller.fleet.raised(&r, at(self.seconds)).is_some() {
+                if self.owners[i].controller.fleet.direct_command_answered(&r, at(self.seconds)).is_some() {
                     self.end_owner(i);
                     break;
                 }
@@ -406,7 +406,7 @@
             let (now, wall) = (at(self.seconds), wall(self.seconds));
             let stands = self.owners[i].controller.holds_part(&self.store);
             if self.sees_state(i) && stands {
-                self.owners[i].controller.fleet.confirm(now);
+                self.owners[i].controller.fleet.confirm_lease(now);
             }
             self.owners[i].controller.fleet.tick(now, wall);
             if !self.sees_state(i) {
@@ -459,7 +459,7 @@
     fn return_machines(&mut self) {
         for i in 0..self.owners.len() {
             let o = &self.owners[i];
-            let ids = o.controller.fleet.leaving();
+            let ids = o.controller.fleet.machines_to_scale_in();
             if ids.is_empty()
                 || !o.alive
                 || !self.cloud_up
@@ -468,7 +468,7 @@
                 continue;
             }
             self.workers.retain(|w| !ids.contains(&w.state.id));
-            self.owners[i].controller.fleet.returned(&ids, at(self.seconds));
+            self.owners[i].controller.fleet.machines_scaled_in(&ids, at(self.seconds));
         }
     }
 
@@ -577,11 +577,11 @@
     s.cloud_up = false;
     s.take_over(None);
     s.run(2.0);
-    assert_eq!((s.fleet().unheard(), s.started(&b)), (1 + north.len(), 0));
+    assert_eq!((s.fleet().unacknowledged_machines(), s.started(&b)), (1 + north.len(), 0));
     // They are heard, and then do not hear that they are to halt.
     north.iter().for_each(|m| s.worker(m).link = Link::Up);
     s.run(4.0);
-    assert_eq!(s.fleet().unheard(), 1);
+    assert_eq!(s.fleet().unacknowledged_machines(), 1);
     north.iter().for_each(|m| s.worker(m).link = Link::ReportsOnly);
     assert!(s.cancel(&a));
     s.run(7.0);
@@ -591,14 +591,14 @@
     s.run(7.0);
     assert_eq!((s.placed(&a), s.placed(&b)), (3, 2));
     s.run(18.0);
-    assert!(s.fleet().leaving().contains(&"i-2".to_string()), "its return has no answer yet");
+    assert!(s.fleet().machines_to_scale_in().contains(&"i-2".to_string()), "its return has no answer yet");
     assert_eq!((s.placed(&a), s.placed(&b)), (3, 2), "a return without an answer has ended nothing");
     s.run(6.0);
     assert_eq!(s.placed(&b), 2, "44 s after the claim an earlier owner's answer may still count");
     // Later none can, though the cloud has not answered.
     s.run(14.0);
     assert_eq!((s.placed(&a), s.placed(&b)), (0, 6));
-    assert!(s.fleet().leaving().contains(&"i-2".to_string()));
+    assert!(s.fleet().machines_to_scale_in().contains(&"i-2".to_string()));
     s.cloud_up = true;
     s.run(8.0);
     assert_eq!(s.placed(&b), 6);
@@ -644,7 +644,7 @@
     late(&mut s);
     s.change_leader(2.0);
     s.run(5.0);
-    assert_eq!(s.fleet().unheard(), 0);
+    assert_eq!(s.fleet().unacknowledged_machines(), 0);
     late(&mut s);
     s.finish(100.0);
     assert_eq!((s.started(&a), s.started(&b)), (2, 2));
@@ -656,7 +656,7 @@
 #[test]
 fn a_transaction_without_an_answer_applied_late_undoes_no_newer_write() {
     let kinds: [(&str, WriteKind); 4] = [
-        ("marks", |p| matches!(p, PendingWrite::Marks(_))),
+        ("marks", |p| matches!(p, PendingWrite::StartMarks(_))),
         ("machines", |p| matches!(p, PendingWrite::Machines(_))),
         ("done", |p| matches!(p, PendingWrite::Done(..))),
         ("final", |p| matches!(p, PendingWrite::Final(_))),
@@ -686,7 +686,7 @@
             s.add_machine(4, "north");
             let c = s.submit(spec(3, 3, "batch"), 9.0);
             s.run(8.0);
-            assert!(s.fleet().machines["i-4"].enrolled, "{kind}, {delay} s late");
+            assert!(s.fleet().machines["i-4"].registered, "{kind}, {delay} s late");
             assert_eq!(s.started(&c), 3, "{kind}, {delay} s late");
             // What the next owner finds lets it start nothing that runs.
             s.change_leader(1.0);
@@ -709,14 +709,14 @@
     s.change_leader(1.0);
     let fencing_token = s.fleet().fencing_token;
     s.run(15.0);
-    assert_eq!((s.fleet().unheard(), s.started(&a)), (1, 1));
+    assert_eq!((s.fleet().unacknowledged_machines(), s.started(&a)), (1, 1));
     // Executed now. What it returns is held up as well and overtaken by a report.
     let back = s.command(&place, fencing_token, 1);
     s.link(&[&place], Link::Up);
     s.run(2.0);
-    assert_eq!(s.fleet().unheard(), 0);
+    assert_eq!(s.fleet().unacknowledged_machines(), 0);
     let now = at(s.seconds);
-    assert_eq!(s.fleet().raised(&back, now), None);
+    assert_eq!(s.fleet().direct_command_answered(&back, now), None);
     s.run(10.0);
     assert_eq!((s.placed(&a), s.started(&a)), (1, 1));
     // A command of an owner that has been replaced does nothing and tells it so.
@@ -724,7 +724,7 @@
     s.run(4.0);
     let stale = s.command(&place, fencing_token, 1);
     let newer = s.fleet().fencing_token;
-    assert_eq!(s.owners[1].controller.fleet.raised(&stale, at(s.seconds)), Some(newer));
+    assert_eq!(s.owners[1].controller.fleet.direct_command_answered(&stale, at(s.seconds)), Some(newer));
     s.finish(60.0);
     assert_eq!(s.started(&a), 1);
 }
@@ -767,7 +767,7 @@
     s.execute_orders(0, &reply);
     assert_eq!(s.placed(&a), 1);
     let now = at(s.seconds);
-    s.fleet().raised(&back, now);
+    s.fleet().direct_command_answered(&back, now);
     // The other reports first, and has room.
     s.link(&["i-2"], Link::Up);
     s.run(10.0);
@@ -940,7 +940,7 @@
         s.state_up = false;
         s.run(8.0);
         s.state_up = true;
-        assert!(s.fleet().jobs[a.as_str()].complete(), "all is done, nothing of it written");
+        assert!(s.fleet().jobs[a.as_str()].is_complete(), "all is done, nothing of it written");
         let known = s.store.row(&job_key(&a)).expect("live");
         let user = s.store.cancellation(&s.specs[&a]).expect("live");
         let owner = s.batches(0, chunk_tasks(4096)).remove(0);
@@ -975,12 +975,12 @@
         let stage = if s.cancelled.contains_key(&a) { Stage::Cancelled } else { Stage::Done };
         assert_eq!(stage == Stage::Done, matches!(race, Race::OwnerFirst | Race::NoAnswerButWritten));
         assert_eq!(s.stage(&a), Some(stage), "{race:?}: the first that was written stays");
-        assert_eq!(s.fleet().counts(&a), None, "{race:?}: it is over for the owner");
+        assert_eq!(s.fleet().progress(&a), None, "{race:?}: it is over for the owner");
         // A late message of its submission, and the submission itself again.
         let late: JobRecord = serde_json::from_value(known.value.clone()).expect("a job's record");
         let now = at(s.seconds);
-        s.fleet().job_put(late, known.mod_revision, now);
-        assert_eq!(s.fleet().counts(&a), None, "{race:?}: a late message revived it");
+        s.fleet().apply_job_record(late, known.mod_revision, now);
+        assert_eq!(s.fleet().progress(&a), None, "{race:?}: a late message revived it");
         let guards = [job_key(&a), final_key(&a)].map(|key| Guard { key, mod_revision: 0 }).to_vec();
         let again = Txn { guards, then: vec![Change::put(job_key(&a), known.value)] };
         assert!(s.store.txn(&again).is_err());
@@ -1014,7 +1014,7 @@
         s.change_leader(1.0);
         s.run(5.0);
         let unheard = usize::from(before_newer);
-        assert_eq!(s.fleet().unheard(), unheard);
+        assert_eq!(s.fleet().unacknowledged_machines(), unheard);
         let (now, t) = (at(s.seconds), wall(s.seconds));
         let out = s.fleet().check_in(&held, now, t);
         if before_newer {
@@ -1023,7 +1023,7 @@
             assert_eq!(out, HeartbeatOutcome::Refuse);
         }
         s.run(10.0);
-        assert_eq!((s.fleet().unheard(), s.started(&a), s.placed(&a)), (unheard, 1, 1));
+        assert_eq!((s.fleet().unacknowledged_machines(), s.started(&a), s.placed(&a)), (unheard, 1, 1));
         s.link(&[&place], Link::Up);
         s.finish(60.0);
         assert_eq!(s.started(&a), 1);
@@ -1129,7 +1129,7 @@
         let next = s.submit(tight(2, 2, "batch"), 10.0);
         let gang = s.submit(spec(3, 4, "gang"), 10.0);
         s.run(4.0);
-        assert_eq!(s.fleet().unheard(), 0, "heard by what the direct commands return");
+        assert_eq!(s.fleet().unacknowledged_machines(), 0, "heard by what the direct commands return");
         s.run(9.0);
         assert_eq!((s.started(&a), s.placed(&a), s.started(&next)), (6, 6, 0));
         assert!(s.begun.contains_key(&gang), "what has room does not wait for them");
@@ -1294,7 +1294,7 @@
     assert!(s.workers.iter().all(|w| w.state.agent_epoch == 2 && w.state.tasks.is_empty()));
     s.take_over(None);
     s.run(6.0);
-    assert_eq!((s.fleet().unheard(), s.placed(&gang), s.started(&gone)), (0, 3, 2));
+    assert_eq!((s.fleet().unacknowledged_machines(), s.placed(&gang), s.started(&gone)), (0, 3, 2));
     for r in &held {
         let (now, t) = (at(s.seconds), wall(s.seconds));
         assert_eq!(s.fleet().check_in(r, now, t), HeartbeatOutcome::Refuse);
--- a/tests/faulty_machines.rs
+++ b/tests/faulty_machines.rs
@@ -31,17 +31,17 @@
 
 fn errors(s: &Scenario, job: &str) -> u32 {
     let id: JobId = Arc::from(job);
-    s.fleet.jobs[&id].errors
+    s.fleet.jobs[&id].consecutive_failures
 }
 
 fn leaving(s: &Scenario, machine: &str) -> bool {
-    s.fleet.leaving().iter().any(|id| id == machine)
+    s.fleet.machines_to_scale_in().iter().any(|id| id == machine)
 }
 
 fn forget_on(s: &mut Scenario, machine: &str, job: &str) {
     let id: MachineId = Arc::from(machine);
     let machine = s.fleet.machines.get_mut(&id).expect("a machine");
-    machine.tasks.retain(|k, e| &*k.0 != job || e.ended.is_none());
+    machine.tasks.retain(|k, e| &*k.job != job || e.exit_reason.is_none());
 }
 
 /// A machine that failed sixteen tasks of an urgent job at once put the job off for a minute on all others.
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -82,7 +82,7 @@
                     .collect();
                 left -= names.len();
                 self.workers.extend(names.iter().map(|name| (name.clone(), Tasks::new())));
-                self.owner.fleet.rented(&names, offer, self.now);
+                self.owner.fleet.machines_scaled_out(&names, offer, self.now);
             }
         }
     }
@@ -164,9 +164,9 @@
     /// Returns what the owner gives back, a hundred at a time; how many.
     fn return_machines(&mut self) -> usize {
         self.owner.fleet.capacity(self.now, wall_at(self.now));
-        let leaving = self.owner.fleet.leaving();
+        let leaving = self.owner.fleet.machines_to_scale_in();
         for part in leaving.chunks(100) {
-            self.owner.fleet.returned(part, self.now);
+            self.owner.fleet.machines_scaled_in(part, self.now);
             for name in part {
                 assert!(self.workers.remove(name).is_some_and(|tasks| tasks.is_empty()), "{name} was in use");
             }
@@ -200,9 +200,9 @@
 
     // Another takes over: it hears all, and starts nothing that runs.
     c.change_owner();
-    assert_eq!(c.owner.fleet.unheard(), MACHINES);
+    assert_eq!(c.owner.fleet.unacknowledged_machines(), MACHINES);
     c.step();
-    assert_eq!(c.owner.fleet.unheard(), 0);
+    assert_eq!(c.owner.fleet.unacknowledged_machines(), 0);
     c.step();
     assert_eq!(c.running(), MACHINES * TASKS_PER_MACHINE);
 
--- a/tests/halts.rs
+++ b/tests/halts.rs
@@ -17,17 +17,17 @@
     (0..4).for_each(|_| s.step(&[]));
     let running: usize = s.machines.iter().map(|id| s.tasks(id).len()).sum();
     assert_eq!(running, 80);
-    s.fleet.job_over("wk-000001", 1000);
+    s.fleet.job_ended("wk-000001", 1000);
     // Nobody reports any more.
     s.now = s.now + Micros::from_secs(6.0);
     let mut halted = BTreeSet::new();
     for _ in 0..4 {
         s.now = s.now + Micros::from_millis(100);
-        let commands = s.fleet.to_halt(s.now);
+        let commands = s.fleet.halt_commands(s.now);
         assert!(commands.len() <= 6, "{} at once", commands.len());
         halted.extend(commands.iter().map(|c| c.machine.clone()));
     }
     assert_eq!(halted.len(), 20);
     // All have had one: none is due again before the time of one and a half reports.
-    assert!(s.fleet.to_halt(s.now).is_empty());
+    assert!(s.fleet.halt_commands(s.now).is_empty());
 }
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -107,7 +107,7 @@
     let mut s = scenario();
     s.submit(spec(1, 100, "batch"));
     (0..4).for_each(|_| s.step(&[]));
-    let begun = s.fleet.jobs["wk-000001"].high_wanted;
+    let begun = s.fleet.jobs["wk-000001"].wanted_start_mark;
     assert!(begun > 0);
     let candidate = s.fleet.lending_candidate(&guest(1000.0), wall(&s)).expect("a candidate");
     assert_eq!(candidate.tasks, TaskSet::span(begun, 100), "what the mark covers may have been started");
@@ -172,7 +172,7 @@
     handle(&mut s.fleet, &held, &mut store, s.now);
     assert_eq!(started(&mut s), tasks("10-19"));
     assert_eq!(s.fleet.recorded_done("wk-000001"), tasks("10-19"));
-    let pending = s.fleet.pending(s.now, milletlock::time::Micros::ZERO, 1000);
+    let pending = s.fleet.pending_writes(s.now, milletlock::time::Micros::ZERO, 1000);
     assert!(
         !pending.iter().any(|p| matches!(p, milletlock::fleet::PendingWrite::Final(_))),
         "the end is its home's"
@@ -318,7 +318,7 @@
     let LoanWrite::Home { record: lent, .. } = write else { panic!("a loan of this cell") };
     let mut cancelling = *lent;
     cancelling.lending.cancelling = true;
-    s.fleet.job_put(cancelling.clone(), 21, s.now);
+    s.fleet.apply_job_record(cancelling.clone(), 21, s.now);
     assert!(started(&mut s).is_empty());
     let over =
         s.fleet.settle_loan("wk-000001", Lending { loans: Vec::new(), cancelling: true }).expect("a write");
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -27,7 +27,7 @@
     ];
     let mut fleet = Fleet::new(config(), types(), 7, TAKEN_OVER);
     leadership::load(&mut fleet, rows, TAKEN_OVER, wall(TAKEN_OVER));
-    fleet.has_read_to(4);
+    fleet.advance_jobs_revision(4);
     fleet
 }
 
@@ -55,13 +55,17 @@
     let mut fleet = taken_over();
     let mut now = TAKEN_OVER + Micros::from_millis(200);
     check_in(&mut fleet, "i-1", 1, &RUNNING, now);
-    fleet.job_put(milletlock::records::JobRecord { submitted_us: now.0, ..record(urgent()) }, 10, now);
+    fleet.apply_job_record(
+        milletlock::records::JobRecord { submitted_us: now.0, ..record(urgent()) },
+        10,
+        now,
+    );
     for sequence in 2..=4 {
         now = now + Micros::from_millis(700);
         fleet.tick(now, wall(now));
         let orders = check_in(&mut fleet, "i-1", sequence, &RUNNING, now);
         assert!(!orders.iter().any(|o| matches!(o, Order::Halt { .. })), "{orders:?}");
-        assert!(fleet.to_halt(now).is_empty());
+        assert!(fleet.halt_commands(now).is_empty());
     }
 }
 
@@ -70,7 +74,11 @@
     let mut fleet = taken_over();
     let mut now = TAKEN_OVER + Micros::from_millis(200);
     check_in(&mut fleet, "i-1", 1, &RUNNING, now);
-    fleet.job_put(milletlock::records::JobRecord { submitted_us: now.0, ..record(urgent()) }, 10, now);
+    fleet.apply_job_record(
+        milletlock::records::JobRecord { submitted_us: now.0, ..record(urgent()) },
+        10,
+        now,
+    );
     // A report every 3 s in these settings, a quarter more at the most.
     now = TAKEN_OVER + Micros::from_millis(3_800);
     fleet.tick(now, wall(now));
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -34,11 +34,11 @@
 
 /// Acknowledges all writes that wait.
 fn write_all(f: &mut Fleet, s: f64) {
-    let pending = f.pending(at(s), Micros::ZERO, 1000);
+    let pending = f.pending_writes(at(s), Micros::ZERO, 1000);
     // Values are large enough here for all to go at once.
     for b in leadership::batches(f, 1, pending, 1000, at(s), wall(s)) {
         for (p, said) in &b.items {
-            f.written(p, 1000, said, at(s));
+            f.write_applied(p, 1000, said, at(s));
         }
     }
 }
@@ -63,7 +63,7 @@
 /// A machine that is enrolled and has reported, and a job that may start on it.
 fn ready(job: JobSpec) -> Fleet {
     let mut f = fleet(7);
-    f.job_put(record(job), 1, START);
+    f.apply_job_record(record(job), 1, START);
     orders(&mut f, 0.0, &report("i-1", 1, 0, &[]));
     write_all(&mut f, 0.0);
     f.tick(at(0.1), wall(0.1));
@@ -86,7 +86,7 @@
     let mut sequence = 2;
     for s in seconds {
         let s = f64::from(s);
-        f.confirm(at(s));
+        f.confirm_lease(at(s));
         f.tick(at(s), wall(s));
         assert!(starts(&orders(f, s, &report("i-2", sequence, 9, &[]))).is_empty(), "after {s} s");
         sequence += 1;
@@ -111,7 +111,7 @@
     let mut early = ready(spec(1, 4, "batch"));
     let a = starts(&orders(&mut early, 1.0, &report("i-1", 2, 7, &[])));
     let mut late = fleet(8);
-    late.job_put(record(spec(2, 4, "batch")), 1, START);
+    late.apply_job_record(record(spec(2, 4, "batch")), 1, START);
     orders(&mut late, 0.0, &report("i-9", 1, 0, &[]));
     write_all(&mut late, 0.0);
     late.tick(at(0.1), wall(0.1));
@@ -132,15 +132,15 @@
         assert!(starts(&o).is_empty(), "started elsewhere after {t} s");
     }
     // Lease 22 s from the last answer at 2 s, and the margin.
-    f.confirm(at(25.9));
+    f.confirm_lease(at(25.9));
     f.tick(at(26.0), wall(26.0));
     assert_eq!(starts(&orders(&mut f, 26.0, &report("i-2", 50, 7, &[]))).len(), 1);
-    assert!(f.leaving().is_empty(), "a machine that may only be cut off is waited for");
+    assert!(f.machines_to_scale_in().is_empty(), "a machine that may only be cut off is waited for");
     for t in [45, 60, 70] {
         orders(&mut f, t as f64, &report("i-2", 100 + t, 7, &[]));
         f.tick(at(t as f64), wall(t as f64));
     }
-    assert_eq!(f.leaving(), ["i-1"]);
+    assert_eq!(f.machines_to_scale_in(), ["i-1"]);
 }
 
 /// What a day with a zone cut off showed: the owner inside, without the state service and the other
@@ -152,14 +152,14 @@
     orders(&mut f, 2.0, &report("i-2", 1, 0, &[]));
     write_all(&mut f, 2.0);
     // Its own lease was last renewed before the machine's had run out.
-    f.confirm(at(25.0));
+    f.confirm_lease(at(25.0));
     for t in 26..60u32 {
         f.tick(at(f64::from(t)), wall(f64::from(t)));
         let o = orders(&mut f, f64::from(t), &report("i-2", u64::from(t), 7, &[]));
         assert!(starts(&o).is_empty(), "started elsewhere after {t} s");
     }
     // Once it knows that nobody had followed it by then, the task may start again.
-    f.confirm(at(60.0));
+    f.confirm_lease(at(60.0));
     f.tick(at(60.1), wall(60.1));
     assert_eq!(starts(&orders(&mut f, 61.0, &report("i-2", 99, 7, &[]))).len(), 1);
 }
@@ -168,7 +168,7 @@
 fn the_lease_of_a_machine_that_is_not_heard_is_not_counted() {
     let mut f = fleet(9);
     f.inherit_machine("i-1", &machine("small"), 5, START);
-    f.job_put(started(spec(1, 1, "batch"), 1), 6, START);
+    f.apply_job_record(started(spec(1, 1, "batch"), 1), 6, START);
     // It reports once, still with the old owner's token: that owner may yet renew its lease.
     orders(&mut f, 1.0, &report("i-1", 5, 8, &[]));
     orders(&mut f, 1.0, &report("i-2", 1, 0, &[]));
@@ -178,8 +178,8 @@
         assert!(starts(&orders(&mut f, t, &report("i-2", t as u64, 9, &[]))).is_empty());
     }
     // Only its return ends the doubt.
-    assert_eq!(f.leaving(), ["i-1"]);
-    f.returned(&["i-1".into()], at(61.0));
+    assert_eq!(f.machines_to_scale_in(), ["i-1"]);
+    f.machines_scaled_in(&["i-1".into()], at(61.0));
     f.tick(at(61.1), wall(61.1));
     assert_eq!(starts(&orders(&mut f, 62.0, &report("i-2", 99, 9, &[]))).len(), 1);
 }
@@ -189,8 +189,8 @@
     let mut f = fleet(9);
     f.inherit_machine("i-1", &machine("small"), 5, START);
     f.inherit_machine("i-2", &machine("small"), 5, START);
-    f.job_put(started(spec(1, 8, "batch"), 6), 6, START);
-    f.job_put(started(spec(2, 2, "gang"), 2), 7, START);
+    f.apply_job_record(started(spec(1, 8, "batch"), 6), 6, START);
+    f.apply_job_record(started(spec(2, 2, "gang"), 2), 7, START);
     orders(&mut f, 0.5, &report("i-2", 9, 9, &[]));
     f.tick(at(0.6), wall(0.6));
     write_all(&mut f, 0.6);
@@ -212,7 +212,7 @@
     f.inherit_machine("i-1", &machine("small"), 5, START);
     let mut s = spec(1, 8, "batch");
     s.team = "tight".into();
-    f.job_put(record(s), 6, START);
+    f.apply_job_record(record(s), 6, START);
     orders(&mut f, 0.5, &report("i-2", 1, 0, &[]));
     write_all(&mut f, 0.5);
     f.tick(at(0.6), wall(0.6));
@@ -225,7 +225,7 @@
 fn a_higher_token_ends_ownership_and_is_never_answered_with_200() {
     let mut f = ready(spec(1, 1, "batch"));
     assert_eq!(f.check_in(&report("i-1", 2, 8, &[]), at(1.0), wall(1.0)), HeartbeatOutcome::Superseded(8));
-    assert_eq!(f.raised(&report("i-1", 3, 9, &[]), at(1.0)), Some(9));
+    assert_eq!(f.direct_command_answered(&report("i-1", 3, 9, &[]), at(1.0)), Some(9));
 }
 
 #[test]
@@ -239,12 +239,15 @@
 #[test]
 fn nothing_starts_before_its_mark_and_its_machine_are_written() {
     let mut f = fleet(7);
-    f.job_put(record(spec(1, 1, "batch")), 1, START);
+    f.apply_job_record(record(spec(1, 1, "batch")), 1, START);
     assert!(starts(&orders(&mut f, 0.0, &report("i-1", 1, 0, &[]))).is_empty(), "not enrolled");
-    assert_eq!(f.pending(at(0.0), Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
+    assert_eq!(f.pending_writes(at(0.0), Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
     write_all(&mut f, 0.0);
     assert!(starts(&orders(&mut f, 1.0, &report("i-1", 2, 7, &[]))).is_empty(), "not marked as started");
-    assert!(f.pending(at(1.0), Micros::ZERO, 1000).iter().any(|p| matches!(p, PendingWrite::Marks(_))));
+    assert!(f
+        .pending_writes(at(1.0), Micros::ZERO, 1000)
+        .iter()
+        .any(|p| matches!(p, PendingWrite::StartMarks(_))));
     write_all(&mut f, 1.0);
     assert_eq!(starts(&orders(&mut f, 2.0, &report("i-1", 3, 7, &[]))).len(), 1);
 }
@@ -270,30 +273,30 @@
 #[test]
 fn a_start_leaves_with_an_answer_that_waited_unless_a_newer_report_has_come() {
     let (mut f, (task, attempt)) = with_a_running_task();
-    assert!(!f.may_wait("i-1", at(2.0)), "what changes on a busy machine must be heard at once");
+    assert!(!f.may_defer_reply("i-1", at(2.0)), "what changes on a busy machine must be heard at once");
     let done = [(task.as_str(), attempt, TaskStage::Exited, Some(ExitReason::Done))];
     orders(&mut f, 3.0, &report("i-1", 4, 7, &done));
     write_all(&mut f, 3.1);
     orders(&mut f, 3.5, &report("i-1", 5, 7, &done));
     let idle = report("i-1", 6, 7, &[]);
-    assert!(orders(&mut f, 4.0, &idle).is_empty() && f.may_wait("i-1", at(4.0)));
-    f.job_put(record(spec(2, 2, "gang")), 2000, at(4.2));
+    assert!(orders(&mut f, 4.0, &idle).is_empty() && f.may_defer_reply("i-1", at(4.0)));
+    f.apply_job_record(record(spec(2, 2, "gang")), 2000, at(4.2));
     f.tick(at(4.3), wall(4.3));
-    assert!(!f.start_waits("i-1"), "its mark is not written");
+    assert!(!f.has_ready_start("i-1"), "its mark is not written");
     write_all(&mut f, 4.4);
-    assert!(f.start_waits("i-1"));
+    assert!(f.has_ready_start("i-1"));
     // A newer report has come in between: its answer carries the starts, this one nothing.
     let mut g = ready(spec(1, 2, "batch"));
-    assert!(g.later(&report("i-1", 0, 7, &[]), at(4.5), wall(4.5)).is_empty());
-    assert_eq!(starts(&f.later(&idle, at(4.5), wall(4.5))).len(), 2);
-    assert!(starts(&f.later(&idle, at(4.6), wall(4.6))).is_empty(), "once");
+    assert!(g.deferred_orders(&report("i-1", 0, 7, &[]), at(4.5), wall(4.5)).is_empty());
+    assert_eq!(starts(&f.deferred_orders(&idle, at(4.5), wall(4.5))).len(), 2);
+    assert!(starts(&f.deferred_orders(&idle, at(4.6), wall(4.6))).is_empty(), "once");
 }
 
 #[test]
 fn a_late_copy_does_not_bring_a_job_back() {
     let mut f = ready(spec(1, 1, "batch"));
-    f.job_over("wk-000001", 1000);
-    f.job_put(record(spec(1, 1, "batch")), 999, at(1.0));
+    f.job_ended("wk-000001", 1000);
+    f.apply_job_record(record(spec(1, 1, "batch")), 999, at(1.0));
     assert!(f.jobs.is_empty());
     assert!(starts(&orders(&mut f, 1.0, &report("i-1", 2, 7, &[]))).is_empty());
 }
@@ -321,7 +324,7 @@
     let mut no_spot = spec(3, 1, "batch");
     no_spot.spot = false;
     let mut f = fleet(7);
-    f.job_put(record(no_spot), 1, START);
+    f.apply_job_record(record(no_spot), 1, START);
     let mut r = report("i-1", 1, 0, &[]);
     r.spot = true;
     orders(&mut f, 0.0, &r);
@@ -337,7 +340,7 @@
     for n in 1..=2 {
         let mut s = spec(n, 4, "batch");
         s.team = "tight".into();
-        f.job_put(record(s), u64::from(n), START);
+        f.apply_job_record(record(s), u64::from(n), START);
     }
     for m in ["i-1", "i-2"] {
         orders(&mut f, 0.0, &report(m, 1, 0, &[]));
@@ -363,7 +366,7 @@
     let held = starts(&orders(&mut f, 1.0, &report("i-1", 2, 7, &[])));
     let more = starts(&orders(&mut f, 1.1, &report("i-2", 2, 7, &[])));
     assert_eq!((held.len(), more.len()), (4, 2), "the limit of 6 is used up");
-    f.job_put(record(gang), 9, at(1.2));
+    f.apply_job_record(record(gang), 9, at(1.2));
     // Two end; four are in use and the gang needs three of six: the small ones may not refill.
     let mut there: Vec<_> =
         more.iter().map(|s| (s.0.as_str(), s.1, TaskStage::Exited, Some(ExitReason::Done))).collect();
@@ -384,16 +387,16 @@
 fn unknown_machines_are_enrolled_and_returned_ones_stay_gone() {
     let mut f = fleet(7);
     orders(&mut f, 0.0, &report("i-5", 1, 0, &[]));
-    assert_eq!(f.pending(START, Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
-    assert!(f.packs.get("i-5").is_some());
-    f.returned(&["i-5".into()], at(1.0));
+    assert_eq!(f.pending_writes(START, Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
+    assert!(f.machine_records.get("i-5").is_some());
+    f.machines_scaled_in(&["i-5".into()], at(1.0));
     assert_eq!(f.check_in(&report("i-5", 2, 7, &[]), at(2.0), wall(2.0)), HeartbeatOutcome::Refuse);
 }
 
 #[test]
 fn tasks_of_a_job_that_is_over_are_halted_and_hold_their_machine() {
     let mut f = fleet(7);
-    f.job_put(record(spec(2, 4, "batch")), 1, START);
+    f.apply_job_record(record(spec(2, 4, "batch")), 1, START);
     let there = [("wk-000001/0", 3, TaskStage::Running, None)];
     f.inherit_machine("i-1", &machine("small"), 0, START);
     orders(&mut f, 0.0, &report("i-1", 1, 7, &there));
@@ -446,14 +449,14 @@
         }
     }
     assert!((3..=6).contains(&tries), "{tries} tries within a minute");
-    assert!(f.leaving().is_empty(), "one mistaken job does not condemn a machine");
-    f.job_put(record(spec(2, 1, "batch")), 50, at(60.0));
+    assert!(f.machines_to_scale_in().is_empty(), "one mistaken job does not condemn a machine");
+    f.apply_job_record(record(spec(2, 1, "batch")), 50, at(60.0));
     f.tick(at(61.0), wall(61.0));
     write_all(&mut f, 61.0);
     let s = starts(&orders(&mut f, 62.0, &report("i-1", sequence, 7, &[])));
     let ended = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Error))];
     orders(&mut f, 63.0, &report("i-1", sequence + 1, 7, &ended));
-    assert_eq!(f.leaving(), ["i-1"]);
+    assert_eq!(f.machines_to_scale_in(), ["i-1"]);
 }
 
 #[test]
@@ -461,7 +464,7 @@
     let mut f = ready(spec(1, 1, "batch"));
     let mut other = spec(2, 1, "batch");
     other.team = "tight".into();
-    f.job_put(record(other), 2, START);
+    f.apply_job_record(record(other), 2, START);
     let all = f.status(None, at(1.0), wall(1.0));
     assert_eq!((all.jobs.len(), all.machines.len()), (2, 1));
     let one = f.status(Some("tight"), at(1.0), wall(1.0));
@@ -477,8 +480,8 @@
     hasty.image_gb = 5.0;
     hasty.cpus = 15.0;
     let mut f = fleet(7);
-    f.job_put(record(hasty), 1, START);
-    assert!(f.pending(at(20.0), Micros::ZERO, 1000).contains(&PendingWrite::Recent));
+    f.apply_job_record(record(hasty), 1, START);
+    assert!(f.pending_writes(at(20.0), Micros::ZERO, 1000).contains(&PendingWrite::RecentJobs));
     let list = f.recent(at(20.0), wall(20.0), 4000);
     assert_eq!(list.len(), 1);
     let mut next = fleet(8);
@@ -500,7 +503,7 @@
     let idle = |f: &mut Fleet, s: f64| {
         orders(f, s, &report("i-1", 10 + s as u64, 9, &[]));
         let _ = f.capacity(at(s), wall(s));
-        f.leaving().len()
+        f.machines_to_scale_in().len()
     };
     assert_eq!(idle(&mut f, 20.0), 0, "as far as is known it has just been rented");
     let listed = ListedMachine {
@@ -514,10 +517,10 @@
     };
     // One that has only answered a direct command so far is no boot that never ended.
     f.inherit_machine("i-2", &machine("small"), 0, at(19.0));
-    f.raised(&report("i-2", 9, 9, &[]), at(20.5));
-    f.listed(&[listed.clone(), ListedMachine { id: "i-2".into(), ..listed }], at(21.0));
+    f.direct_command_answered(&report("i-2", 9, 9, &[]), at(20.5));
+    f.machines_listed(&[listed.clone(), ListedMachine { id: "i-2".into(), ..listed }], at(21.0));
     f.tick(at(21.5), wall(21.5));
-    assert!(f.leaving().is_empty());
+    assert!(f.machines_to_scale_in().is_empty());
     assert_eq!(idle(&mut f, 22.0), 1);
 }
 
@@ -529,7 +532,7 @@
     let held = report("i-1", 4, 7, &running);
     // A copy within the lease does not put off its end.
     assert_eq!(f.check_in(&report("i-1", 3, 7, &running), at(20.0), wall(20.0)), HeartbeatOutcome::Refuse);
-    f.confirm(at(25.9));
+    f.confirm_lease(at(25.9));
     f.tick(at(26.0), wall(26.0));
     assert!(f.jobs["wk-000001"].waiting.contains(0), "the lease has surely run out");
     assert_eq!(f.check_in(&held, at(27.0), wall(27.0)), HeartbeatOutcome::Refuse);
@@ -545,26 +548,26 @@
     // A copy that shows an older token ends nobody's ownership, and does not count as heard.
     g.inherit_machine("i-8", &machine("small"), 0, START);
     assert!(matches!(g.check_in(&report("i-8", 40, 8, &[]), at(1.0), wall(1.0)), HeartbeatOutcome::Reply(_)));
-    assert_eq!(g.unheard(), 1);
+    assert_eq!(g.unacknowledged_machines(), 1);
 }
 
 #[test]
 fn a_machine_that_answers_do_not_reach_gets_nothing_more_and_goes_back() {
     let mut f = ready(spec(1, 400, "batch"));
     let (mut sequence, mut offered, mut t) = (2, Vec::new(), 1.0);
-    while f.leaving().is_empty() && t < 120.0 {
+    while f.machines_to_scale_in().is_empty() && t < 120.0 {
         // What it was told to start never shows in what it reports.
         offered.push(starts(&orders(&mut f, t, &report("i-1", sequence, 7, &[]))).len());
         write_all(&mut f, t + 0.1);
         f.tick(at(t + 0.2), wall(t + 0.2));
         (sequence, t) = (sequence + 1, t + 3.0);
     }
-    assert_eq!(f.leaving(), ["i-1"]);
+    assert_eq!(f.machines_to_scale_in(), ["i-1"]);
     assert!(t < 90.0, "returned after {t} s only");
     let busy = offered.iter().filter(|n| **n > 0).count();
     assert!(busy <= 5 && offered.len() > busy, "work kept going to it: {offered:?}");
     // Nothing counted as delivered: all is there to be started elsewhere.
-    f.returned(&["i-1".into()], at(t));
+    f.machines_scaled_in(&["i-1".into()], at(t));
     assert_eq!(f.jobs["wk-000001"].waiting.len(), 400);
 }
 
@@ -579,7 +582,7 @@
             f.check_in(&r, at(t), wall(t));
         }
     }
-    assert_eq!(f.leaving(), ["i-1"]);
+    assert_eq!(f.machines_to_scale_in(), ["i-1"]);
 }
 
 #[test]
@@ -593,7 +596,7 @@
             orders(&mut f, 1.0, &report(&format!("i-{n}"), 9, 9, &[]));
         }
         f.tick(at(t), wall(t));
-        f.leaving().len()
+        f.machines_to_scale_in().len()
     };
     assert_eq!((after(2, 7.0), after(2, 9.0)), (0, 2));
     assert_eq!((after(8, 9.0), after(8, 24.0), after(8, 26.0)), (0, 0, 8));
@@ -607,7 +610,7 @@
     let id = |m: u32| format!("i-{m:06}");
     (0..MACHINES).for_each(|m| f.inherit_machine(&id(m), &machine("small"), 0, START));
     for n in 1..=100 {
-        f.job_put(started(spec(n, 60, "batch"), 40), u64::from(n), START);
+        f.apply_job_record(started(spec(n, 60, "batch"), 40), u64::from(n), START);
     }
     // The first 3,000 tasks run, two on a machine; of each job ten more may have been started.
     let task = |k: u32| format!("wk-{:06}/{}", k % 100 + 1, k / 100);
@@ -624,7 +627,7 @@
             let r = report_of(m, 100 + round);
             given.extend(starts(&orders(&mut f, s, &r)).into_iter().map(|x| x.0));
         }
-        assert_eq!(f.unheard(), 0);
+        assert_eq!(f.unacknowledged_machines(), 0);
         let s = 3.0 + round as f64 * 3.0;
         f.tick(at(s), wall(s));
         write_all(&mut f, s);
@@ -639,7 +642,7 @@
 fn late_copies_by_the_thousand_change_nothing_and_are_not_remembered() {
     const MACHINES: u32 = 400;
     let mut f = fleet(7);
-    f.job_put(record(spec(1, 100, "batch")), 1, START);
+    f.apply_job_record(record(spec(1, 100, "batch")), 1, START);
     let id = |m: u32| format!("i-{m:06}");
     for sequence in 1..=3 {
         for m in 0..MACHINES {
@@ -654,7 +657,7 @@
     }
     // Half of them go.
     let gone: Vec<String> = (0..MACHINES / 2).map(id).collect();
-    f.returned(&gone, at(4.0));
+    f.machines_scaled_in(&gone, at(4.0));
     let (machines, before) = (f.machines.len(), format!("{:?}", f.machines));
     let stale = [("wk-000001/3", 99, TaskStage::Running, None)];
     for late in [5.0, 12.0, 23.0, 60.0, 300.0] {
@@ -679,19 +682,19 @@
 #[test]
 fn a_notice_held_up_until_a_new_owner_came_starts_nothing() {
     let mut f = fleet(8);
-    f.has_read_to(50);
-    f.job_put(record(spec(1, 1, "batch")), 40, at(1.0));
+    f.advance_jobs_revision(50);
+    f.apply_job_record(record(spec(1, 1, "batch")), 40, at(1.0));
     assert!(f.jobs.is_empty(), "its record was gone when all was read");
     // One that is newer than the read is news.
-    f.job_put(record(spec(2, 1, "batch")), 51, at(1.0));
+    f.apply_job_record(record(spec(2, 1, "batch")), 51, at(1.0));
     assert_eq!(f.jobs.len(), 1);
     // Told of its end before the read shows it, and of its beginning once more after that.
-    f.job_over("wk-000003", 55);
-    f.job_put(record(spec(3, 1, "batch")), 53, at(2.0));
-    f.has_read_to(60);
-    f.job_put(record(spec(3, 1, "batch")), 53, at(3.0));
-    f.job_over("wk-000002", 58);
-    f.job_put(record(spec(2, 1, "batch")), 51, at(3.0));
+    f.job_ended("wk-000003", 55);
+    f.apply_job_record(record(spec(3, 1, "batch")), 53, at(2.0));
+    f.advance_jobs_revision(60);
+    f.apply_job_record(record(spec(3, 1, "batch")), 53, at(3.0));
+    f.job_ended("wk-000002", 58);
+    f.apply_job_record(record(spec(2, 1, "batch")), 51, at(3.0));
     assert!(f.jobs.is_empty());
 }
 
@@ -701,14 +704,14 @@
 fn a_machine_heard_by_command_only_has_an_end_of_its_lease() {
     let mut f = fleet(9);
     f.inherit_machine("i-1", &machine("small"), 0, START);
-    f.job_put(started(spec(1, 1, "batch"), 1), 1, START);
+    f.apply_job_record(started(spec(1, 1, "batch"), 1), 1, START);
     let running = [("wk-000001/0", 5, TaskStage::Running, None)];
-    assert_eq!(f.raised(&report("i-1", 9, 9, &running), at(3.0)), None);
-    assert_eq!(f.unheard(), 0);
+    assert_eq!(f.direct_command_answered(&report("i-1", 9, 9, &running), at(3.0)), None);
+    assert_eq!(f.unacknowledged_machines(), 0);
     orders(&mut f, 3.0, &report("i-2", 1, 0, &[]));
     write_all(&mut f, 3.0);
     let sequence = starts_nothing_on_the_second(&mut f, 4..27);
-    f.confirm(at(27.5));
+    f.confirm_lease(at(27.5));
     f.tick(at(27.5), wall(27.5));
     assert_eq!(starts(&orders(&mut f, 27.5, &report("i-2", sequence, 9, &[]))).len(), 1);
 }
@@ -719,15 +722,15 @@
 fn unheard_machines_hold_work_up_no_longer_than_an_earlier_owner_can_answer_them() {
     let mut f = fleet(9);
     f.inherit_machine("i-1", &machine("small"), 0, START);
-    f.job_put(started(spec(1, 1, "batch"), 1), 1, START);
+    f.apply_job_record(started(spec(1, 1, "batch"), 1), 1, START);
     orders(&mut f, 0.0, &report("i-2", 1, 0, &[]));
     write_all(&mut f, 0.0);
     let sequence = starts_nothing_on_the_second(&mut f, 1..46);
     // Asked to be returned, but the cloud has not answered.
-    assert_eq!((f.unheard(), f.leaving().len()), (1, 1));
-    f.confirm(at(47.0));
+    assert_eq!((f.unacknowledged_machines(), f.machines_to_scale_in().len()), (1, 1));
+    f.confirm_lease(at(47.0));
     f.tick(at(47.0), wall(47.0));
-    assert_eq!(f.unheard(), 0);
+    assert_eq!(f.unacknowledged_machines(), 0);
     assert_eq!(starts(&orders(&mut f, 47.0, &report("i-2", sequence, 9, &[]))).len(), 1);
 }
 
@@ -738,14 +741,14 @@
 fn an_answer_before_the_token_arrived_is_no_beginning_of_a_lease() {
     let mut f = fleet(9);
     f.inherit_machine("i-1", &machine("small"), 0, START);
-    f.job_put(started(spec(1, 1, "batch"), 1), 1, START);
+    f.apply_job_record(started(spec(1, 1, "batch"), 1), 1, START);
     let running = [("wk-000001/0", 5, TaskStage::Running, None)];
     orders(&mut f, 1.0, &report("i-1", 8, 5, &running));
     orders(&mut f, 1.0, &report("i-2", 1, 0, &[]));
     write_all(&mut f, 1.0);
-    assert_eq!(f.raised(&report("i-1", 30, 9, &running), at(20.0)), None);
+    assert_eq!(f.direct_command_answered(&report("i-1", 30, 9, &running), at(20.0)), None);
     let sequence = starts_nothing_on_the_second(&mut f, 20..44);
-    f.confirm(at(44.0));
+    f.confirm_lease(at(44.0));
     f.tick(at(44.0), wall(44.0));
     assert_eq!(starts(&orders(&mut f, 44.0, &report("i-2", sequence, 9, &[]))).len(), 1);
 }
@@ -755,17 +758,17 @@
 #[test]
 fn what_is_left_of_cancelled_jobs_on_silent_machines_is_halted_by_command() {
     let (mut f, task) = with_a_running_task();
-    f.job_over("wk-000001", 5);
-    assert!(f.to_halt(at(3.0)).is_empty(), "the answer to its next report will tell it");
-    let due = f.to_halt(at(7.0));
+    f.job_ended("wk-000001", 5);
+    assert!(f.halt_commands(at(3.0)).is_empty(), "the answer to its next report will tell it");
+    let due = f.halt_commands(at(7.0));
     assert_eq!(due.len(), 1);
     assert_eq!((&*due[0].machine, due[0].agent_epoch), ("i-1", 1));
     assert_eq!(due[0].orders, [Order::Halt { task: task.0.clone(), attempt: task.1, grace_s: 0.0 }]);
-    assert!(f.to_halt(at(8.0)).is_empty(), "said a moment ago");
-    assert_eq!(f.to_halt(at(12.0)).len(), 1);
+    assert!(f.halt_commands(at(8.0)).is_empty(), "said a moment ago");
+    assert_eq!(f.halt_commands(at(12.0)).len(), 1);
     // A task that may run is not stopped for silence.
     let (mut f, _) = with_a_running_task();
-    assert!(f.to_halt(at(20.0)).is_empty());
+    assert!(f.halt_commands(at(20.0)).is_empty());
 }
 
 /// In a long outage the owner may answer nobody. The machines go on reporting, and are not taken for
@@ -776,17 +779,17 @@
     let s = starts(&orders(&mut f, 1.0, &report("i-1", 2, 7, &[]))).remove(0);
     orders(&mut f, 2.0, &report("i-1", 3, 7, &[(s.0.as_str(), s.1, TaskStage::Running, None)]));
     for t in 3..90 {
-        f.not_answered("i-1", at(f64::from(t)));
+        f.heartbeat_unanswered("i-1", at(f64::from(t)));
         f.tick(at(f64::from(t)), wall(f64::from(t)));
     }
-    f.confirm(at(90.0));
+    f.confirm_lease(at(90.0));
     f.tick(at(90.0), wall(90.0));
-    assert!(f.leaving().is_empty(), "it reports, and only was not answered");
+    assert!(f.machines_to_scale_in().is_empty(), "it reports, and only was not answered");
     let mut later = report("i-1", 1, 7, &[]);
     later.agent_epoch = 2;
     orders(&mut f, 90.5, &later);
     f.tick(at(90.6), wall(90.6));
-    assert_eq!(f.machines["i-1"].undelivered, 0);
+    assert_eq!(f.machines["i-1"].undelivered_replies, 0);
     later.sequence = 2;
     assert_eq!(starts(&orders(&mut f, 91.0, &later)).len(), 1, "and has work again");
 }
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -139,18 +139,18 @@
         }
         self.revision += 1;
         let submitted_us = self.now.0;
-        self.fleet.job_put(JobRecord { submitted_us, ..record(spec) }, self.revision, self.now);
+        self.fleet.apply_job_record(JobRecord { submitted_us, ..record(spec) }, self.revision, self.now);
         self.write();
     }
 
     fn cancel(&mut self, job: &str) {
         self.revision += 1;
-        self.fleet.job_over(job, self.revision);
+        self.fleet.job_ended(job, self.revision);
     }
 
     /// Writes all that waits to be written. Nothing ever says that a service is done.
     fn write(&mut self) {
-        let pending = self.fleet.pending(self.now, Micros::ZERO, 1000);
+        let pending = self.fleet.pending_writes(self.now, Micros::ZERO, 1000);
         for p in &pending {
             if let PendingWrite::Final(job) | PendingWrite::Done(job, _) = p {
                 assert!(!self.services.contains(&**job), "a service is said to be done: {p:?}");
@@ -160,7 +160,7 @@
         for batch in leadership::batches(&mut self.fleet, 1, pending, 1000, now, wall) {
             self.revision += 1;
             for (p, said) in &batch.items {
-                self.fleet.written(p, self.revision, said, now);
+                self.fleet.write_applied(p, self.revision, said, now);
             }
         }
     }
@@ -168,7 +168,7 @@
     /// Time passes for the owner, which knows that it is one; no worker reports.
     fn pass(&mut self, time: Micros) {
         self.now = self.now + time;
-        self.fleet.confirm(self.now);
+        self.fleet.confirm_lease(self.now);
         self.fleet.tick(self.now, self.wall());
         self.write();
     }
@@ -195,7 +195,7 @@
     /// The owner's direct commands reach their workers at once, but for those that are cut off.
     fn deliver_direct_commands(&mut self) -> Vec<Order> {
         let mut delivered = Vec::new();
-        for command in self.fleet.to_halt(self.now) {
+        for command in self.fleet.halt_commands(self.now) {
             let reachable = self.workers.get(&*command.machine).is_some_and(|w| w.silent_until <= self.now);
             if reachable {
                 self.apply(&command.machine, &command.orders);
@@ -330,7 +330,7 @@
     /// The machine is gone and the cloud has said so.
     fn lose(&mut self, machine: &str) {
         self.workers.remove(machine);
-        self.fleet.returned(&[machine.into()], self.now);
+        self.fleet.machines_scaled_in(&[machine.into()], self.now);
     }
 
     fn silence(&mut self, machine: &str, time: Micros) {
@@ -391,8 +391,8 @@
         world.run_until(SERVICE, 1, secs(6.0));
         assert_eq!(world.machines_of(SERVICE), ["b"], "{why:?}");
         world.run(secs(30.0));
-        assert_eq!(world.fleet.counts(SERVICE).map(|c| (c.done, c.running)), Some((0, 1)), "{why:?}");
-        assert!(!world.fleet.jobs[SERVICE].complete(), "{why:?}");
+        assert_eq!(world.fleet.progress(SERVICE).map(|c| (c.done, c.running)), Some((0, 1)), "{why:?}");
+        assert!(!world.fleet.jobs[SERVICE].is_complete(), "{why:?}");
         assert_eq!(world.fleet.history.dirty().count(), 0, "{why:?}: in the history");
     }
 }
@@ -536,7 +536,7 @@
 fn replace_machines(world: &mut World, next: &mut u32) {
     let taken = world.workers.iter().filter(|x| x.1.taken_at.is_some_and(|at| at <= world.now));
     let mut lost: Vec<String> = taken.map(|x| x.0.clone()).collect();
-    lost.extend(world.fleet.leaving());
+    lost.extend(world.fleet.machines_to_scale_in());
     for machine in lost {
         world.lose(&machine);
         *next += 1;
@@ -606,7 +606,7 @@
     let gaps: Vec<Micros> = starts.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(gaps.iter().all(|gap| *gap >= secs(60.0) && *gap <= secs(70.0)), "{gaps:?}");
     assert!(full >= 480, "the array had its room in {full} of 600 steps");
-    assert!(world.fleet.leaving().is_empty(), "one mistaken service does not condemn a machine");
+    assert!(world.fleet.machines_to_scale_in().is_empty(), "one mistaken service does not condemn a machine");
 }
 
 /// Guards against backing off a service whose replicas run well and end now and then.
@@ -769,16 +769,16 @@
 #[test]
 fn done_ranges_of_a_service_are_not_believed_and_are_removed() {
     let mut fleet = Fleet::new(config(), types(), TOKEN, T0);
-    fleet.job_put(record(service(1, 3)), 1, T0);
+    fleet.apply_job_record(record(service(1, 3)), 1, T0);
     fleet.inherit_done(SERVICE, 0, "0-2", 5);
-    assert_eq!(fleet.counts(SERVICE).map(|c| c.done), Some(0));
+    assert_eq!(fleet.progress(SERVICE).map(|c| c.done), Some(0));
     assert_eq!(fleet.jobs[SERVICE].waiting.len(), 3);
-    let pending = fleet.pending(T0, Micros::ZERO, 1000);
+    let pending = fleet.pending_writes(T0, Micros::ZERO, 1000);
     assert!(
         !pending.iter().any(|p| matches!(p, PendingWrite::Final(_) | PendingWrite::Done(..))),
         "{pending:?}"
     );
-    assert!(pending.contains(&PendingWrite::Orphan("done/wk-000001/0".into(), 5)), "{pending:?}");
+    assert!(pending.contains(&PendingWrite::OrphanedDoneChunk("done/wk-000001/0".into(), 5)), "{pending:?}");
 }
 
 /// Guards against a new owner that starts replicas which may run on a machine it has not heard.
@@ -793,7 +793,7 @@
     };
     fleet.inherit_machine("a", &machine, 0, T0);
     fleet.inherit_machine("b", &machine, 0, T0);
-    fleet.job_put(JobRecord { high: 2, ..record(service(1, 2)) }, 1, T0);
+    fleet.apply_job_record(JobRecord { high: 2, ..record(service(1, 2)) }, 1, T0);
     let mut orders_to_b = |sequence: u64, after: Micros| {
         let now = T0 + after;
         fleet.tick(now, Wall(now.0));
@@ -826,7 +826,7 @@
     assert_eq!((job.wanted, job.running, job.placed, job.waiting, job.done), (6, 4, 4, 2, 0));
     world.end("a", SERVICE, ExitReason::Done);
     world.report("a");
-    assert_eq!(world.fleet.counts(SERVICE).map(|c| (c.done, c.running)), Some((0, 3)));
+    assert_eq!(world.fleet.progress(SERVICE).map(|c| (c.done, c.running)), Some((0, 3)));
 }
 
 fn submission(shape: &str) -> Value {
@@ -882,20 +882,20 @@
     let mut world = World::new(&["a"]);
     world.submit(service(1, 1));
     world.run_until(SERVICE, 1, secs(10.0));
-    assert!(!world.fleet.may_wait("a", world.now), "its start has just left");
+    assert!(!world.fleet.may_defer_reply("a", world.now), "its start has just left");
     world.pass(STEP);
     world.report("a");
-    assert!(world.fleet.may_wait("a", world.now));
+    assert!(world.fleet.may_defer_reply("a", world.now));
     world.submit(array(2, 1));
     world.run_until(ARRAY, 1, secs(10.0));
     world.run(secs(4.0));
-    assert!(!world.fleet.may_wait("a", world.now), "another's task is there");
+    assert!(!world.fleet.may_defer_reply("a", world.now), "another's task is there");
     world.end("a", ARRAY, ExitReason::Done);
     world.run(secs(4.0));
-    assert!(world.fleet.may_wait("a", world.now));
+    assert!(world.fleet.may_defer_reply("a", world.now));
     world.notice("a", secs(60.0));
     world.report("a");
-    assert!(!world.fleet.may_wait("a", world.now), "its machine is about to go");
+    assert!(!world.fleet.may_defer_reply("a", world.now), "its machine is about to go");
 }
 
 /// Guards against a second replica on a machine that reports again before the next plan, as workers
--- a/tests/starving.rs
+++ b/tests/starving.rs
@@ -50,7 +50,7 @@
         let n = number(&s.id);
         let mut r = record(s.clone());
         r.submitted_us = self.now.0;
-        self.fleet.job_put(r, self.fleet.jobs.len() as u64 + 1, self.now);
+        self.fleet.apply_job_record(r, self.fleet.jobs.len() as u64 + 1, self.now);
         self.specs.insert(n, (s, Micros::from_secs(run_s)));
         self.began.insert(n, (self.now, None));
     }
@@ -59,10 +59,10 @@
         self.now = self.now + STEP;
         let (now, wall) = (self.now, Wall(self.now.0));
         self.fleet.tick(now, wall);
-        let pending = self.fleet.pending(now, Micros::ZERO, 1000);
+        let pending = self.fleet.pending_writes(now, Micros::ZERO, 1000);
         for b in leadership::batches(&mut self.fleet, 1, pending, 64, now, wall) {
             for (p, said) in &b.items {
-                self.fleet.written(p, 1_000_000, said, now);
+                self.fleet.write_applied(p, 1_000_000, said, now);
             }
         }
         // A gang runs once all of its tasks are there.
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -287,7 +287,7 @@
 
     fn take_over(&mut self) {
         let mut controller = Controller::claim(&mut self.store, &self.cfg, self.now);
-        controller.fleet.has_read_to(controller.watched);
+        controller.fleet.advance_jobs_revision(controller.watched);
         let view = StoreContact::new(self.now, self.bound);
         self.owners.push(Owner { controller, fresh: self.now, view, blind_until: Steady(0) });
         if self.owners.len() > 3 {
@@ -422,7 +422,7 @@
                 continue;
             }
             o.controller.read_changes(&self.store, self.now);
-            o.controller.fleet.has_read_to(o.controller.watched);
+            o.controller.fleet.advance_jobs_revision(o.controller.watched);
             o.fresh = self.now;
             o.view.note_read(self.now);
         }
@@ -438,7 +438,7 @@
             let renewed = newest && !blind && !self.chance(0.2);
             let o = &mut self.owners[i];
             if renewed {
-                o.controller.fleet.confirm(now);
+                o.controller.fleet.confirm_lease(now);
                 o.view.note_renewal(now);
             }
             o.controller.fleet.tick(now, wall_at(now));
@@ -604,8 +604,8 @@
                 .fleet
                 .machines
                 .values()
-                .filter(|m| !m.heard)
-                .map(|m| (m.id.to_string(), m.seen.0.max(1)))
+                .filter(|m| !m.acknowledged)
+                .map(|m| (m.id.to_string(), m.latest_heartbeat.agent_epoch.max(1)))
                 .collect();
             for (machine, agent_epoch) in unheard {
                 let away = self.partition.is_some()
@@ -645,7 +645,7 @@
             else {
                 continue;
             };
-            if self.owners[i].controller.fleet.raised(&r, now).is_some() {
+            if self.owners[i].controller.fleet.direct_command_answered(&r, now).is_some() {
                 self.owners.remove(i);
             }
         }
@@ -1004,7 +1004,7 @@
             if !self.cut_off(i) && self.rng.random_bool(0.1) {
                 let at = usize::from(self.rng.random_bool(0.8));
                 let now = self.now;
-                self.owners[i].controller.fleet.listed(&self.lists[at], now);
+                self.owners[i].controller.fleet.machines_listed(&self.lists[at], now);
             }
         }
     }
@@ -1023,7 +1023,7 @@
             return;
         }
         for i in 0..self.owners.len() {
-            let ids = self.owners[i].controller.fleet.leaving();
+            let ids = self.owners[i].controller.fleet.machines_to_scale_in();
             if self.cut_off(i) || ids.is_empty() || self.rng.random_bool(0.8) {
                 continue;
             }
@@ -1039,7 +1039,7 @@
             }
             if !self.chance(0.2) {
                 let now = self.now;
-                self.owners[i].controller.fleet.returned(&ids, now);
+                self.owners[i].controller.fleet.machines_scaled_in(&ids, now);
             }
         }
     }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -87,14 +87,14 @@
     let mut fleet = Fleet::new(falling(), types(), 42, NOW);
     let read_to = rows.iter().map(|r| r.mod_revision).max().unwrap_or(0);
     leadership::load(&mut fleet, rows, NOW, WALL);
-    fleet.has_read_to(read_to);
+    fleet.advance_jobs_revision(read_to);
     fleet
 }
 
 /// What an owner would write now, in its transactions.
 fn waiting(fleet: &mut Fleet, shard_revision: u64, now: Steady) -> Vec<leadership::Batch> {
-    let pending = fleet.pending(now, Micros::ZERO, chunk_tasks(fleet.value_bytes()));
-    let ops = fleet.txn_ops();
+    let pending = fleet.pending_writes(now, Micros::ZERO, chunk_tasks(fleet.max_value_bytes()));
+    let ops = fleet.max_txn_changes();
     leadership::batches(fleet, shard_revision, pending, ops, now, WALL)
 }
 
@@ -111,7 +111,7 @@
         for batch in batches {
             match store.txn(&batch.txn) {
                 Ok(revision) => {
-                    batch.items.iter().for_each(|(p, said)| fleet.written(p, revision, said, now))
+                    batch.items.iter().for_each(|(p, said)| fleet.write_applied(p, revision, said, now))
                 }
                 Err(failed) => failed.iter().for_each(|k| leadership::learn(fleet, k, store.row(k), now)),
             }
@@ -145,17 +145,20 @@
     let mut fleet = taken_over(production_rows());
     let job = &fleet.jobs["wk-000001"];
     assert_eq!((job.spec.tasks, job.mod_revision, job.submitted), (2500, 11, Wall(1_789_999_990_000_000)));
-    assert_eq!((job.high, job.inherited, fleet.jobs["wk-000002"].high), (2100, 2100, 4));
+    assert_eq!(
+        (job.start_mark, job.inherited_start_mark, fleet.jobs["wk-000002"].start_mark),
+        (2100, 2100, 4)
+    );
     assert_eq!(job.done.text(), "0-9,20,1016-1019,2031");
     assert_eq!(job.done_written, job.done);
-    assert_eq!(job.chunks, BTreeMap::from([(0, 15), (1, 16)]));
+    assert_eq!(job.done_chunks, BTreeMap::from([(0, 15), (1, 16)]));
     assert!(!job.waiting.contains(20) && job.waiting.contains(21));
     for (id, addr, ty, spot) in
         [("i-1", "127.0.0.1:9", "small", false), ("i-2", "127.0.0.1:8", "large", true)]
     {
         let m = &fleet.machines[id];
-        assert_eq!((m.addr.as_str(), m.ty_name.as_str(), m.spot), (addr, ty, spot));
-        assert!(m.enrolled && m.inherited && !m.heard, "tasks may be on {id}");
+        assert_eq!((m.address.as_str(), m.type_name.as_str(), m.spot), (addr, ty, spot));
+        assert!(m.registered && m.inherited && !m.acknowledged, "tasks may be on {id}");
     }
     assert_eq!(
         fleet.history.factor(&EstimateKey { team: "free".into(), stated: Micros(20_000_000) }, WALL),
@@ -165,7 +168,7 @@
     assert!(recent.iter().any(|d| d.extra_machines == 3 && d.types == ["large"]), "{recent:?}");
     // The list of recent jobs has been added to; nothing else is written for a takeover alone.
     let written = waiting(&mut fleet, 19, LATER);
-    assert!(written.iter().flat_map(|b| &b.items).all(|(p, _)| *p == PendingWrite::Recent));
+    assert!(written.iter().flat_map(|b| &b.items).all(|(p, _)| *p == PendingWrite::RecentJobs));
     // The others are read by themselves.
     let of = |key: &str| production_rows().into_iter().find(|r| r.key == key).expect("a row").value;
     let owner: LeaderRecord = serde_json::from_value(of("leader")).expect("an owner");
@@ -203,7 +206,7 @@
     (0..2500).for_each(|task| {
         job.done.insert(task);
     });
-    assert!(fleet.jobs["wk-000001"].chunks.len() > SMALL_TXN);
+    assert!(fleet.jobs["wk-000001"].done_chunks.len() > SMALL_TXN);
     let written = write_all(&mut fleet, &mut store);
     assert!(written.iter().all(|t| t.then.len() <= SMALL_TXN));
     assert!(store.row("job/wk-000001").is_none() && store.row("final/wk-000001").is_some());
@@ -260,11 +263,11 @@
     for n in 1..=300 {
         let mut spec = spec(n, if n == 1 { 30_000 } else { 40 }, "batch");
         spec.priority = milletlock::wire::Priority::Urgent;
-        fleet.job_put(record(spec), 1 + u64::from(n), NOW);
+        fleet.apply_job_record(record(spec), 1 + u64::from(n), NOW);
         let id: std::sync::Arc<str> = format!("wk-{n:06}").into();
         let job = fleet.jobs.get_mut(&id).expect("the job");
-        job.high_wanted = job.spec.tasks;
-        job.ran = (Micros(15_000_000), 1);
+        job.wanted_start_mark = job.spec.tasks;
+        job.run_times = milletlock::jobs::RunTimes { total: Micros(15_000_000), count: 1 };
         let every = if n % 3 == 0 { 1 } else { 2 };
         (0..job.spec.tasks).step_by(every).for_each(|task| {
             job.done.insert(task);
@@ -306,11 +309,11 @@
         ];
         let mut store = store_of(rows.clone());
         let mut fleet = taken_over(rows);
-        assert_eq!(fleet.jobs["wk-000001"].high, 200);
+        assert_eq!(fleet.jobs["wk-000001"].start_mark, 200);
         for round in 1..10_i64 {
             for batch in waiting(&mut fleet, 1, LATER + Micros(round * 20_000_000)) {
                 let revision = store.txn(&batch.txn).expect("no other owner");
-                batch.items.iter().for_each(|(p, said)| fleet.written(p, revision, said, LATER));
+                batch.items.iter().for_each(|(p, said)| fleet.write_applied(p, revision, said, LATER));
                 assert_eq!(production::marks_in(&store)["wk-000001"], 200);
             }
         }
@@ -326,7 +329,7 @@
     let mut fleet = taken_over(production_rows());
     let finish = |fleet: &mut Fleet, tasks: std::ops::Range<u32>| {
         let job = fleet.jobs.get_mut("wk-000001").expect("the job");
-        job.high_wanted = 2100 + tasks.end;
+        job.wanted_start_mark = 2100 + tasks.end;
         tasks.for_each(|task| {
             job.done.insert(task);
         });
@@ -342,7 +345,7 @@
     write_all(&mut fleet, &mut store);
     let before = store.keys.clone();
     // What is written without a guard of its own may come late: it is only a hint.
-    for batch in late.iter().filter(|b| b.items.iter().any(|(p, _)| *p != PendingWrite::Recent)) {
+    for batch in late.iter().filter(|b| b.items.iter().any(|(p, _)| *p != PendingWrite::RecentJobs)) {
         assert!(store.txn(&batch.txn).is_err(), "{:?}", batch.txn);
     }
     assert_eq!(store.keys, before);
--- a/tests/upgrade_takeovers.rs
+++ b/tests/upgrade_takeovers.rs
@@ -248,7 +248,7 @@
             Version::Present => {
                 let mut fleet = Fleet::new(self.cfg.clone(), types(), self.fencing_token, self.now);
                 leadership::load(&mut fleet, rows, self.now, self.wall());
-                fleet.has_read_to(self.store.revision);
+                fleet.advance_jobs_revision(self.store.revision);
                 Owner::Present(Box::new(fleet))
             }
         };
@@ -261,9 +261,9 @@
         match &mut self.owner {
             Owner::Production(_) => (0..most).take_while(|_| self.write_production()).count(),
             Owner::Present(fleet) => {
-                let chunk = chunk_tasks(fleet.value_bytes());
-                let pending = fleet.pending(now, Micros::ZERO, chunk);
-                let ops = fleet.txn_ops();
+                let chunk = chunk_tasks(fleet.max_value_bytes());
+                let pending = fleet.pending_writes(now, Micros::ZERO, chunk);
+                let ops = fleet.max_txn_changes();
                 let batches = leadership::batches(fleet, self.shard_revision, pending, ops, now, wall);
                 batches.iter().take(most).take_while(|b| self.write_batch(b)).count()
             }
@@ -306,7 +306,7 @@
         match self.submit(&batch.txn) {
             Answer::TxnOutcome(revision) => {
                 let Owner::Present(fleet) = &mut self.owner else { return false };
-                batch.items.iter().for_each(|(p, said)| fleet.written(p, revision, said, self.now));
+                batch.items.iter().for_each(|(p, said)| fleet.write_applied(p, revision, said, self.now));
                 true
             }
             Answer::Refused(failed) => {
@@ -344,8 +344,8 @@
         match &mut self.owner {
             Owner::Production(owner) => owner.next_write().is_none(),
             Owner::Present(fleet) => {
-                let chunk = chunk_tasks(fleet.value_bytes());
-                fleet.pending(self.now + Micros(20_000_000), Micros::ZERO, chunk).is_empty()
+                let chunk = chunk_tasks(fleet.max_value_bytes());
+                fleet.pending_writes(self.now + Micros(20_000_000), Micros::ZERO, chunk).is_empty()
             }
         }
     }
@@ -380,7 +380,7 @@
         );
         match &mut self.owner {
             Owner::Production(owner) => owner.job_put(&parsed(record), mod_revision),
-            Owner::Present(fleet) => fleet.job_put(parsed(record), mod_revision, self.now),
+            Owner::Present(fleet) => fleet.apply_job_record(parsed(record), mod_revision, self.now),
         }
     }
 
@@ -401,7 +401,7 @@
     fn hear_news(&mut self) {
         let news = std::mem::take(&mut self.news);
         if let Owner::Present(fleet) = &mut self.owner {
-            news.iter().for_each(|(id, revision)| fleet.job_over(id, *revision));
+            news.iter().for_each(|(id, revision)| fleet.job_ended(id, *revision));
         }
     }
 
@@ -431,7 +431,7 @@
         self.model.returned.insert(id.clone());
         match &mut self.owner {
             Owner::Production(owner) => owner.returned(&id),
-            Owner::Present(fleet) => fleet.returned(&[id], self.now),
+            Owner::Present(fleet) => fleet.machines_scaled_in(&[id], self.now),
         }
     }
 
@@ -442,7 +442,7 @@
             Owner::Production(owner) => owner.raise(&id, mark),
             Owner::Present(fleet) => {
                 if let Some(job) = fleet.jobs.get_mut(id.as_str()) {
-                    job.high_wanted = job.high_wanted.max(mark);
+                    job.wanted_start_mark = job.wanted_start_mark.max(mark);
                 }
             }
         }
@@ -482,9 +482,9 @@
         let mut on_their_way: Vec<Txn> = match &mut self.owner {
             Owner::Production(owner) => owner.next_write().into_iter().collect(),
             Owner::Present(fleet) => {
-                let chunk = chunk_tasks(fleet.value_bytes());
-                let pending = fleet.pending(self.now, Micros::ZERO, chunk);
-                let ops = fleet.txn_ops();
+                let chunk = chunk_tasks(fleet.max_value_bytes());
+                let pending = fleet.pending_writes(self.now, Micros::ZERO, chunk);
+                let ops = fleet.max_txn_changes();
                 let wall = Wall(WALL.0 + self.now.0);
                 let batches = leadership::batches(fleet, self.shard_revision, pending, ops, self.now, wall);
                 batches.into_iter().map(|b| b.txn).collect()
@@ -665,10 +665,10 @@
             assert!(largest(&world, prefix) <= SMALL.value_bytes, "seed {seed}: {prefix}");
         }
         let Owner::Present(fleet) = &mut world.owner else { panic!("the owner is of this version") };
-        assert!(fleet.machines.values().all(|m| m.enrolled), "seed {seed}");
-        assert!(fleet.value_bytes() <= SMALL.value_bytes && fleet.txn_ops() >= 4, "seed {seed}");
+        assert!(fleet.machines.values().all(|m| m.registered), "seed {seed}");
+        assert!(fleet.max_value_bytes() <= SMALL.value_bytes && fleet.max_txn_changes() >= 4, "seed {seed}");
         assert!(fleet
-            .pending(world.now, Micros::ZERO, 64)
+            .pending_writes(world.now, Micros::ZERO, 64)
             .iter()
             .all(|p| !matches!(p, PendingWrite::Machines(_))));
     }
