--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -5,9 +5,9 @@
 use crate::sched::TeamUse;
 use crate::wire::{JobSpec, MachineType};
 
-/// Why a submission can never run, as far as the settings and the catalog tell; `None` if it can.
-/// Whether a type is to be had as an on-demand machine they do not tell: capacity shows only when a
-/// scale-out is refused, and may be back at any time.
+/// Why a submission can never run, by the settings and the catalog, as its user is told; `None` if it
+/// can. Whether the cloud has capacity of a type they do not show: that is known only when a scale-out is
+/// refused, and capacity may be back at any time.
 pub fn never_runs(spec: &JobSpec, config: &Config, types: &[MachineType]) -> Option<String> {
     let Some(team) = config.team(&spec.team) else {
         return Some(format!("owner: no team {}", spec.team));
@@ -31,7 +31,7 @@
 }
 
 /// Types, by index, that a job allows and its tasks fit.
-pub fn allowed_types(types: &[MachineType], spec: &JobSpec) -> Vec<usize> {
+pub(super) fn allowed_types(types: &[MachineType], spec: &JobSpec) -> Vec<usize> {
     let need = task_resources(spec);
     let is_allowed = |machine_type: &MachineType| {
         spec.types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -35,7 +35,7 @@
 }
 
 impl Fleet {
-    /// Takes new prices, and the types if they were not known.
+    /// Replaces the machine types, for new prices or when they are first read.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
         self.catalog.types = types;
         let types = self.catalog.types.iter().enumerate();
@@ -80,8 +80,8 @@
         self.catalog.types.get(type_index).map(type_resources).unwrap_or_default()
     }
 
-    /// Takes what a record, a heartbeat or the cloud says a machine is. The address may change; type,
-    /// zone and kind are taken once, when the type is first named.
+    /// Fills in a machine's description from a record, a heartbeat or the cloud's list; empty strings are
+    /// unknown. The address may change; type, zone and kind are set once, when the type is first known.
     pub(super) fn describe_machine(
         &mut self,
         id: &MachineId,
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -90,16 +90,16 @@
         if !heartbeat.tasks.is_empty() {
             // Nothing is started on a machine without a record, and it has none: a late copy from a
             // machine that was scaled in before the failover.
-            tracing::info!(machine = %id, "late heartbeat of a gone machine refused");
+            tracing::info!(machine = %id, "late heartbeat of a removed machine refused");
             return false;
         }
-        tracing::info!(machine = %id, ty = %heartbeat.ty, zone = %heartbeat.zone, "first heartbeat");
+        tracing::info!(machine = %id, machine_type = %heartbeat.ty, zone = %heartbeat.zone, "first heartbeat");
         self.machines.insert(id.clone(), Machine::new(id, now));
         true
     }
 
-    /// Takes the heartbeat that a direct command returned: it only tells that this leader's fencing
-    /// token has arrived. Its task list may be older than a start that is being delivered, so once the
+    /// Takes the heartbeat that a direct command returned: it only shows that this leader's fencing
+    /// token was delivered. Its task list may be older than a start that is being delivered, so once the
     /// machine has acknowledged the token it is not used at all. Returns a higher fencing token, if the
     /// heartbeat carries one (of a newer leader).
     pub fn direct_command_answered(&mut self, heartbeat: &Heartbeat, now: Steady) -> Option<u64> {
@@ -206,9 +206,7 @@
         match self.jobs.get(&key.job) {
             // A service is never done: nothing of its replicas' ends is written.
             Some(job) if job.spec.is_service() => true,
-            Some(job) if reason == ExitReason::Done && !job.cancelled => {
-                job.done_written.contains(key.number)
-            }
+            Some(job) if reason == ExitReason::Done && !job.ended => job.done_written.contains(key.number),
             _ => true,
         }
     }
@@ -240,8 +238,8 @@
     pub fn has_ready_start(&self, id: &str) -> bool {
         let mut places = self.reserved_gang_places.get(id).into_iter().flatten();
         let mut assigned = self.assigned.get(id).into_iter().flatten();
-        places.any(|(job, number)| self.is_below_start_mark(job, *number))
-            || assigned.any(|(job, _)| self.is_below_start_mark(job, 0))
+        places.any(|place| self.is_below_start_mark(&place.job, place.number))
+            || assigned.any(|starts| self.is_below_start_mark(&starts.job, 0))
     }
 
     /// The orders with which a deferred heartbeat is answered; empty if a newer heartbeat has come.
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -40,10 +40,8 @@
     /// Seconds for which this cell's own waiting arrays keep its machines busy. Without a machine there is
     /// nothing to measure by: a processor is taken for it.
     pub fn array_backlog_s(&self) -> f64 {
-        let own_arrays = self
-            .jobs
-            .values()
-            .filter(|job| !job.cancelled && job.borrowed_from.is_none() && job.spec.is_array());
+        let own_arrays =
+            self.jobs.values().filter(|job| !job.ended && job.borrowed_from.is_none() && job.spec.is_array());
         let work = |job: &Job| f64::from(job.waiting.len()) * job.spec.cpus * job.spec.estimate_s;
         own_arrays.map(work).sum::<f64>() / self.array_cpus().max(1.0)
     }
@@ -112,7 +110,7 @@
             spec.types.as_ref().is_none_or(|types| types.iter().any(|ty| guest.free_cpus.contains_key(ty)));
         lends
             && has_type
-            && !job.cancelled
+            && !job.ended
             && job.borrowed_from.is_none()
             && is_array_without_rules(spec)
             && !self.loans.is_lending(&job.id)
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -54,7 +54,7 @@
     pub running_since: Option<Steady>,
     /// Seconds of grace with which it is to be stopped; `None` if it is not.
     pub stop_grace_s: Option<f64>,
-    /// Whether the halt is to leave by direct command, ahead of the next heartbeat's reply.
+    /// Whether the halt is to be sent by direct command, ahead of the next heartbeat's reply.
     pub stop_directly: bool,
     /// Why it exited, if it did.
     pub exit_reason: Option<ExitReason>,
@@ -96,6 +96,15 @@
     }
 }
 
+/// A container image in a machine's cache.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CachedImage {
+    /// The image's number.
+    pub image: u32,
+    /// Its size in GB.
+    pub size_gb: f64,
+}
+
 /// How long a worker is waited for before the fencing token of a new leader is sent to it.
 pub(super) const FENCING_TOKEN_DELAY: Micros = Micros(1_500_000);
 
@@ -154,8 +163,8 @@
     pub lease_expired: bool,
     /// The tasks that are running on it, or may be, and those whose end is not recorded yet.
     pub tasks: BTreeMap<TaskKey, TaskEntry>,
-    /// Cached images by number with their sizes in GB, the most recently used last.
-    pub images: Vec<(u32, f64)>,
+    /// Cached images, the most recently used last.
+    pub images: Vec<CachedImage>,
     /// Since when it has had no task.
     pub idle_since: Steady,
     /// Nothing is placed on it before this.
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -79,8 +79,8 @@
 
     /// Machines that are to be scaled in now.
     pub fn machines_to_scale_in(&self) -> Vec<String> {
-        let leaving = self.machines.values().filter(|machine| machine.scaling_in);
-        leaving.map(|machine| machine.id.to_string()).collect()
+        let scaling_in = self.machines.values().filter(|machine| machine.scaling_in);
+        scaling_in.map(|machine| machine.id.to_string()).collect()
     }
 
     /// The cloud confirmed that these machines have ended: nothing runs on them any more.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -29,12 +29,12 @@
 mod team_use;
 mod upkeep;
 
-pub use admission::{allowed_types, never_runs};
+pub use admission::never_runs;
 pub use borrowing::BorrowedTasks;
 pub use heartbeats::HeartbeatOutcome;
 pub use lending::LendingCandidate;
 pub use loans::{LoanWrite, Loans};
-pub use machine::{HeartbeatPosition, Machine, TaskEntry, TaskKey};
+pub use machine::{CachedImage, HeartbeatPosition, Machine, TaskEntry, TaskKey};
 pub use records::{PackKind, PendingWrite, WriteContents};
 pub use status::{FactorView, JobView, MachineState, MachineView, StatusView};
 pub use tasks::JobProgress;
@@ -62,6 +62,7 @@
 use demand::*;
 use records::{RecentJobs, RecordCleanup, WriteLimits};
 use replicas::WaitingService;
+use starts::{AssignedStarts, GangPlace};
 use status::LogState;
 use tasks::{stated_run_time, task_resources};
 
@@ -75,7 +76,7 @@
     pub machines: BTreeMap<MachineId, Machine>,
     /// Tasks lent to other cells and borrowed from them.
     pub loans: Loans,
-    /// What is known of the machines that the earlier leader left, during reconciliation after failover.
+    /// The progress of reconciliation with the earlier leader's machines after the failover.
     pub recovery: RecoveryTracker,
     /// Run times of past jobs, for the expected run time of new ones.
     pub history: History,
@@ -107,10 +108,10 @@
     closed_machines: BTreeSet<MachineId>,
     /// Services with replicas that wait for a start.
     waiting_services: Vec<WaitingService>,
-    /// What the latest plan starts on each machine: jobs with numbers of tasks.
-    assigned: BTreeMap<MachineId, Vec<(JobId, u32)>>,
-    /// Places of gangs whose starts have not been sent: jobs with task numbers.
-    reserved_gang_places: BTreeMap<MachineId, Vec<(JobId, u32)>>,
+    /// What the latest plan starts on each machine.
+    assigned: BTreeMap<MachineId, Vec<AssignedStarts>>,
+    /// Places of gang tasks whose starts have not been sent.
+    reserved_gang_places: BTreeMap<MachineId, Vec<GangPlace>>,
     /// Jobs that fit their team's fair share, its earlier unfinished ones counted first.
     within_fair_share: BTreeSet<JobId>,
     /// Resources used by teams with quotas, by team index; empty until it is counted anew.
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -76,7 +76,7 @@
     /// The jobs that fit their team's guarantee together with its earlier unfinished ones.
     pub(super) fn within_guarantee(&self) -> BTreeSet<JobId> {
         // What is borrowed counts towards its team's guarantee in the cell that accepted it.
-        let own = |j: &&Job| !j.cancelled && j.borrowed_from.is_none();
+        let own = |j: &&Job| !j.ended && j.borrowed_from.is_none();
         let mut by_age: Vec<&Job> = self.jobs.values().filter(own).collect();
         by_age.sort_by_key(|j| j.submitted);
         let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
@@ -151,7 +151,7 @@
     fn classes(&mut self, machines: &[MachineId], now: Steady, wall: Wall) -> (Vec<JobClass>, Vec<JobId>) {
         let room_of: BTreeMap<&MachineId, usize> =
             machines.iter().enumerate().map(|(i, id)| (id, i)).collect();
-        let mut by_age: Vec<&Job> = self.jobs.values().filter(|j| !j.cancelled).collect();
+        let mut by_age: Vec<&Job> = self.jobs.values().filter(|j| !j.ended).collect();
         by_age.sort_by_key(|j| j.submitted);
         let widest = WidestJobs::of(&by_age);
         let jobs: Vec<JobId> = by_age.iter().map(|j| j.id.clone()).collect();
@@ -171,7 +171,7 @@
             return;
         }
         let cached: BTreeSet<u32> =
-            self.machines.values().flat_map(|m| m.images.iter().map(|image| image.0)).collect();
+            self.machines.values().flat_map(|m| m.images.iter().map(|image| image.image)).collect();
         for class in classes {
             class.waits_for_image &= class.image.is_some_and(|image| cached.contains(&image));
         }
@@ -263,7 +263,7 @@
             free,
             open: m.usable(now) && now - m.heartbeat_at < heartbeat_interval.scale(2.5),
             opens_in: self.opens_in(m, t, now),
-            images: m.images.iter().map(|i| i.0).collect(),
+            images: m.images.iter().map(|i| i.image).collect(),
             fetch_rate: t.fetch_gb_per_s,
             rate: (if m.spot { t.spot_price.unwrap_or(t.price) } else { t.price } / t.cpus.max(0.1) * 1e3)
                 as i64,
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -2,6 +2,7 @@
 //! gangs, and the tasks it preempts or that must save before a spot machine is taken.
 
 use super::planner_input::PlannerInput;
+use super::starts::{AssignedStarts, GangPlace};
 use super::*;
 
 /// A task to be evicted from its machine: preempted for other work, checkpointed before its spot
@@ -103,7 +104,8 @@
                 continue;
             }
             *taken.entry(st.class).or_insert(0) += st.count;
-            self.assigned.entry(id.clone()).or_default().push((input.jobs[st.class].clone(), st.count));
+            let starts = AssignedStarts { job: input.jobs[st.class].clone(), count: st.count };
+            self.assigned.entry(id.clone()).or_default().push(starts);
         }
         for (class, count) in taken {
             self.raise_mark(&input.jobs[class], count);
@@ -155,7 +157,8 @@
         for j in self.jobs.values() {
             let Some(g) = j.gang.as_ref().filter(|g| g.stop_grace_s.is_none()) else { continue };
             for (n, at) in g.places.iter().filter(|(n, _)| !g.started.contains(**n)) {
-                self.reserved_gang_places.entry(at.clone()).or_default().push((j.id.clone(), *n));
+                let place = GangPlace { job: j.id.clone(), number: *n };
+                self.reserved_gang_places.entry(at.clone()).or_default().push(place);
             }
         }
     }
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -1,9 +1,9 @@
-//! Reconciliation: bringing the model in line with what a heartbeat says of its machine and tasks, and
-//! what a task's exit says of its machine and job.
+//! Reconciliation: bringing the model in line with the machine and the tasks that a heartbeat describes,
+//! and applying a task's exit to its machine and job.
 
 use std::collections::BTreeMap;
 
-use super::machine::{HeartbeatPosition, TaskEntry, TaskKey};
+use super::machine::{CachedImage, HeartbeatPosition, TaskEntry, TaskKey};
 use super::tasks::task_resources;
 use super::Fleet;
 use crate::jobs::{split_task, Job, JobId, MachineId};
@@ -14,8 +14,8 @@
 /// A machine to which so many replies in a row were not delivered is scaled in.
 const MAX_UNDELIVERED_REPLIES: u32 = 4;
 
-/// Undelivered replies from which on a machine gets nothing for a while: a single one may be lost on the
-/// way, only the next says that something is wrong.
+/// Undelivered replies in a row from which on nothing is placed on a machine for a while: a single one may
+/// be lost on the way.
 const SUSPECT_UNDELIVERED_REPLIES: u32 = 2;
 
 /// Exponent of two beyond which the pause after undelivered replies grows no more.
@@ -33,7 +33,7 @@
 
 /// Whether the job of a task has ended, or is not known.
 pub(super) fn has_job_ended(jobs: &BTreeMap<JobId, Job>, task: &TaskKey) -> bool {
-    jobs.get(&task.job).is_none_or(|job| job.cancelled)
+    jobs.get(&task.job).is_none_or(|job| job.ended)
 }
 
 /// How a task exited, as taken from a heartbeat.
@@ -84,8 +84,8 @@
         true
     }
 
-    /// Reconciles what a heartbeat says of the machine itself: that it is up, whose fencing token it has,
-    /// and any spot interruption notice.
+    /// Reconciles the machine itself with a heartbeat: that it is up, which fencing token it has, and any
+    /// spot interruption notice.
     fn reconcile_machine(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Steady) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let is_first = !machine.up;
@@ -175,7 +175,7 @@
 
     /// Judges from the next heartbeat whether the last reply was delivered. A machine whose heartbeats
     /// come through while replies do not would have the same work assigned to it for ever, and nothing
-    /// of it run: it gets nothing for longer and longer, and is scaled in if it stays so.
+    /// of it run: nothing is placed on it during pauses that grow, and it is scaled in if that persists.
     pub(super) fn note_reply_delivery(
         &mut self,
         id: &MachineId,
@@ -191,7 +191,7 @@
         });
         let sent_starts = std::mem::take(&mut machine.sent_starts);
         if lost_lease && was_answered {
-            // Its lease expired although each heartbeat was answered.
+            // Its lease expired although its heartbeats were answered.
             machine.undelivered_replies += 2;
         } else if sent_starts.is_empty() {
             return;
@@ -214,7 +214,7 @@
         self.dirty = true;
     }
 
-    /// Reconciles what a heartbeat says of one task.
+    /// Reconciles one task with its status in a heartbeat.
     pub(super) fn reconcile_task(&mut self, id: &MachineId, key: &TaskKey, status: &TaskStatus, now: Steady) {
         // Most of a heartbeat repeats what is known already.
         let known = self.machines.get(id).and_then(|machine| machine.tasks.get(key));
@@ -228,7 +228,7 @@
         let job = self.jobs.get(&key.job);
         let need = job.map(|job| task_resources(&job.spec));
         // Cancelled, or done while this task was out of sight.
-        let job_ended = job.is_none_or(|job| job.cancelled);
+        let job_ended = job.is_none_or(|job| job.ended);
         let Some(machine) = self.machines.get_mut(id) else { return };
         let task = machine.tasks.entry(key.clone()).or_insert_with(|| TaskEntry::new(need, now));
         if job_ended {
@@ -260,11 +260,11 @@
         let Some(machine) = self.machines.get_mut(id) else { return };
         let machine_type = machine.type_index.and_then(|index| self.catalog.types.get(index));
         let cache_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
-        machine.images.retain(|(other, _)| *other != image);
-        machine.images.push((image, image_gb));
-        let mut cached_gb: f64 = machine.images.iter().map(|(_, image_gb)| image_gb).sum();
+        machine.images.retain(|cached| cached.image != image);
+        machine.images.push(CachedImage { image, size_gb: image_gb });
+        let mut cached_gb: f64 = machine.images.iter().map(|cached| cached.size_gb).sum();
         while cached_gb > cache_gb && machine.images.len() > 1 {
-            cached_gb -= machine.images.remove(0).1;
+            cached_gb -= machine.images.remove(0).size_gb;
         }
     }
 
@@ -284,12 +284,12 @@
         self.update_placement(&key.job, key.number, id);
     }
 
-    /// What a task's exit says of its machine.
+    /// Applies a task's exit to its machine: repeated failures have it scaled in.
     fn apply_exit_to_machine(&mut self, id: &MachineId, job: &JobId, exit: &TaskExit, now: Steady) {
         let succeeds_elsewhere = self.jobs.get(job).is_some_and(|job| !job.done.is_empty());
         let Some(machine) = self.machines.get_mut(id) else { return };
         match exit.reason {
-            // What was started before a failure tells nothing of the machine as it is now.
+            // A task that started before the failure does not show that the machine is healthy now.
             ExitReason::Done if now - exit.known_for > machine.failed_at => machine.failed_jobs.clear(),
             ExitReason::Error => {
                 machine.failed_jobs.insert(job.clone());
@@ -307,7 +307,7 @@
         }
     }
 
-    /// What a task's exit says of its job, which is no service.
+    /// Applies a task's exit to its job, which is no service.
     fn apply_exit_to_job(&mut self, key: &TaskKey, id: &MachineId, exit: &TaskExit, now: Steady) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         match exit.reason {
@@ -331,7 +331,7 @@
     }
 }
 
-/// Whether a heartbeat's status of a task says nothing new.
+/// Whether a heartbeat's status of a task is known already.
 fn is_unchanged(task: &TaskEntry, status: &TaskStatus) -> bool {
     !task.live() || (task.stage == Some(status.stage) && task.need.is_some())
 }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -133,7 +133,7 @@
 
     /// Puts what has to be written before starts into packed values.
     pub(super) fn queue_records(&mut self) {
-        for job in self.jobs.values().filter(|job| !job.cancelled && job.wanted_start_mark > job.start_mark) {
+        for job in self.jobs.values().filter(|job| !job.ended && job.wanted_start_mark > job.start_mark) {
             if self.start_marks.get(&job.id) != Some(&job.wanted_start_mark) {
                 self.start_marks.put(&job.id, job.wanted_start_mark);
             }
@@ -194,7 +194,7 @@
     /// Ends of jobs that are complete, and chunks of done ranges that are due.
     fn pending_of_jobs(&self, now: Steady, batch: Micros, chunk: u32) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
-        for job in self.jobs.values().filter(|job| !job.cancelled) {
+        for job in self.jobs.values().filter(|job| !job.ended) {
             // The end of a borrowed job is written by the cell that accepted it, which waits for what is
             // done here.
             let is_own = job.borrowed_from.is_none();
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -32,7 +32,7 @@
 impl RecordedJobs for JobRecordsView<'_> {
     fn job(&self, job: &str) -> JobRecordState {
         match self.jobs.get(job) {
-            Some(job) if job.cancelled => JobRecordState::Ended,
+            Some(job) if job.ended => JobRecordState::Ended,
             Some(job) if job.spec.is_gang() => JobRecordState::LiveGang { tasks: job.spec.tasks },
             Some(_) => JobRecordState::Live,
             None => JobRecordState::Ended,
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -154,7 +154,7 @@
                 .type_index
                 .filter(|t| types.contains(t))
                 .map(|t| promised.free(m, m.free(self.type_capacity(t))));
-            let has_image = j.spec.image.is_none() || m.images.iter().any(|i| Some(&i.0) == image);
+            let has_image = j.spec.image.is_none() || m.images.iter().any(|i| Some(&i.image) == image);
             let allowed_here = (j.spec.spot || !m.spot)
                 && j.spec.zone.as_deref().is_none_or(|z| z == self.zone_name(m.zone));
             let another_here =
--- a/src/fleet/start_check.rs
+++ b/src/fleet/start_check.rs
@@ -98,7 +98,7 @@
 /// Whether the job itself allows a task to start: it waits, is below the written start mark, and no other
 /// cell may run it.
 fn is_startable(job: &Job, number: u32, now: Steady) -> bool {
-    !job.cancelled
+    !job.ended
         && job.waiting.contains(number)
         && !job.placements.contains_key(&number)
         && !job.withheld.contains(number)
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -8,6 +8,22 @@
 use crate::time::Steady;
 use crate::wire::Order;
 
+/// Waiting tasks of a job that the latest plan starts on a machine.
+pub(super) struct AssignedStarts {
+    /// The job.
+    pub(super) job: JobId,
+    /// How many of its tasks.
+    pub(super) count: u32,
+}
+
+/// A place on a machine that is reserved for a gang's task.
+pub(super) struct GangPlace {
+    /// The gang.
+    pub(super) job: JobId,
+    /// The task's number.
+    pub(super) number: u32,
+}
+
 /// Low bits of an attempt number, which count attempts; the high bits are the fencing token.
 const ATTEMPT_BITS: u32 = 24;
 
@@ -24,7 +40,7 @@
 impl Fleet {
     /// Whether starts wait for a start mark to be written.
     pub fn starts_await_marks(&self) -> bool {
-        self.jobs.values().any(|job| job.wanted_start_mark > job.start_mark && !job.cancelled)
+        self.jobs.values().any(|job| job.wanted_start_mark > job.start_mark && !job.ended)
     }
 
     /// Whether the start mark that allows a task to start is written.
@@ -38,29 +54,30 @@
         self.start_gang_tasks(id, now, orders);
         let is_service = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.spec.is_service());
         let assigned = self.assigned.remove(id).unwrap_or_default();
-        let (replicas, tasks): (Vec<_>, Vec<_>) = assigned.into_iter().partition(|(job, _)| is_service(job));
-        for (job, count) in replicas {
-            self.start_assigned_replicas(&job, count, id, now, orders);
+        let (replicas, tasks): (Vec<_>, Vec<_>) =
+            assigned.into_iter().partition(|starts| is_service(&starts.job));
+        for starts in replicas {
+            self.start_assigned_replicas(starts, id, now, orders);
         }
         self.start_replicas(id, now, orders);
-        for (job, count) in tasks {
-            self.start_tasks(&job, count, id, now, orders);
+        for starts in tasks {
+            self.start_tasks(&starts.job, starts.count, id, now, orders);
         }
         self.backfill(id, now, orders);
     }
 
     /// Starts gang tasks whose places are reserved on the machine.
     fn start_gang_tasks(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<Order>) {
-        for (job, number) in self.reserved_gang_places.remove(id).unwrap_or_default() {
-            let gang = self.jobs.get(&job).and_then(|job| job.gang.as_ref());
+        for place in self.reserved_gang_places.remove(id).unwrap_or_default() {
+            let gang = self.jobs.get(&place.job).and_then(|job| job.gang.as_ref());
             let is_due = gang.is_some_and(|gang| {
                 gang.stop_grace_s.is_none()
-                    && gang.places.get(&number) == Some(id)
-                    && !gang.started.contains(number)
+                    && gang.places.get(&place.number) == Some(id)
+                    && !gang.started.contains(place.number)
             });
-            if is_due && !self.start_task(&job, number, id, now, orders) {
+            if is_due && !self.start_task(&place.job, place.number, id, now, orders) {
                 // Its start mark or the machine's record is still being written.
-                self.reserved_gang_places.entry(id.clone()).or_default().push((job, number));
+                self.reserved_gang_places.entry(id.clone()).or_default().push(place);
             }
         }
     }
@@ -69,17 +86,18 @@
     /// cannot start yet.
     fn start_assigned_replicas(
         &mut self,
-        job: &JobId,
-        count: u32,
+        assigned: AssignedStarts,
         id: &MachineId,
         now: Steady,
         orders: &mut Vec<Order>,
     ) {
-        let started = self.start_tasks(job, count, id, now, orders);
-        let has_waiting = self.jobs.get(job).is_some_and(|job| !job.waiting.is_empty());
+        let AssignedStarts { job, count } = assigned;
+        let started = self.start_tasks(&job, count, id, now, orders);
+        let has_waiting = self.jobs.get(&job).is_some_and(|job| !job.waiting.is_empty());
         if started < count && has_waiting {
             // Its start mark is being written, or what it replaces has not ended yet.
-            self.assigned.entry(id.clone()).or_default().push((job.clone(), count - started));
+            let left = AssignedStarts { job, count: count - started };
+            self.assigned.entry(id.clone()).or_default().push(left);
         }
     }
 
@@ -133,7 +151,7 @@
         now: Steady,
         orders: &mut Vec<Order>,
     ) -> u32 {
-        let Some(job) = self.jobs.get(id).filter(|job| !job.cancelled) else { return 0 };
+        let Some(job) = self.jobs.get(id).filter(|job| !job.ended) else { return 0 };
         let from = if self.may_run_on_unacknowledged(&job.spec) { job.inherited_start_mark } else { 0 };
         let waiting = job.waiting.iter().filter(|number| *number >= from);
         let next: Vec<u32> = waiting.take(count as usize).collect();
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -125,7 +125,7 @@
     pub fn status(&self, team: Option<&str>, now: Steady, wall: Wall) -> StatusView {
         let is_visible = |other: &str| team.is_none_or(|team| team == other);
         let mut jobs: Vec<&Job> =
-            self.jobs.values().filter(|job| !job.cancelled && is_visible(&job.spec.team)).collect();
+            self.jobs.values().filter(|job| !job.ended && is_visible(&job.spec.team)).collect();
         jobs.sort_by_key(|job| job.submitted);
         let machines = if team.is_none() {
             self.machines.values().map(|machine| self.machine_view(machine, now)).collect()
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -144,7 +144,7 @@
     pub(super) fn end_job(&mut self, id: &str) {
         let id: JobId = id.into();
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.cancelled = true;
+        job.ended = true;
         job.gang = None;
         for (chunk, mod_revision) in std::mem::take(&mut job.done_chunks) {
             if mod_revision > 0 {
@@ -159,7 +159,7 @@
 
     /// Forgets a job that has ended once none of its tasks may be running.
     pub(super) fn remove_if_cleared(&mut self, id: &JobId) {
-        if self.jobs.get(id).is_some_and(|job| job.cancelled && job.placements.is_empty()) {
+        if self.jobs.get(id).is_some_and(|job| job.ended && job.placements.is_empty()) {
             self.jobs.remove(id);
         }
     }
@@ -239,7 +239,7 @@
 
     /// Progress of a job for a poll; `None` if the job is not known here or is cancelled.
     pub fn progress(&self, id: &str) -> Option<JobProgress> {
-        let job = self.jobs.get(id).filter(|job| !job.cancelled)?;
+        let job = self.jobs.get(id).filter(|job| !job.ended)?;
         let placements = job.placements.iter();
         let pairs = placements.flat_map(|(number, machines)| machines.iter().map(|id| (*number, id)));
         let running = pairs.filter(|(number, machine)| self.is_running(&job.id, *number, machine)).count();
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -104,7 +104,7 @@
     /// The gang's current attempt.
     pub gang: Option<GangAttempt>,
     /// It has ended, cancelled by its user or complete; what is left of it is being stopped.
-    pub cancelled: bool,
+    pub ended: bool,
     /// Failures in a row, across machines.
     pub consecutive_failures: u32,
     /// When it last failed.
@@ -147,7 +147,7 @@
             done_written_at: now,
             placements: BTreeMap::new(),
             gang: None,
-            cancelled: false,
+            ended: false,
             consecutive_failures: 0,
             failed_at: Steady(0),
             failed_on: BTreeSet::new(),
