--- a/src/controller/catalog.rs
+++ b/src/controller/catalog.rs
@@ -21,7 +21,7 @@
 
     /// Asks for the machine types; false if nobody can say.
     pub fn learn_types_once(&self) -> bool {
-        let found = match leadership::read_catalog(&self.state) {
+        let found = match leadership::read_machine_types(&self.state) {
             Ok(Some(t)) => Some(t),
             _ => self.cloud.catalog().ok().inspect(|t| self.write_types(t)),
         };
@@ -36,9 +36,9 @@
     fn write_types(&self, types: &[MachineType]) {
         let value = json!(types);
         if value.to_string().len() <= self.cfg.value_bytes() {
-            let guards = vec![Guard { key: leadership::CATALOG_KEY.into(), mod_revision: 0 }];
+            let guards = vec![Guard { key: leadership::MACHINE_TYPES_KEY.into(), mod_revision: 0 }];
             let _ = self.state.txn(
-                &Txn { guards, then: vec![Change::put(leadership::CATALOG_KEY, value)] },
+                &Txn { guards, then: vec![Change::put(leadership::MACHINE_TYPES_KEY, value)] },
                 RequestPriority::Background,
             );
         }
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -90,7 +90,7 @@
         while !self.stopping() {
             self.sleep(CLOUD_INTERVAL);
             let Some((fencing_token, first)) =
-                self.lock().leadership.as_ref().map(|o| (o.claim.fencing_token, o.claim.first))
+                self.lock().leadership.as_ref().map(|o| (o.claim.fencing_token, o.claim.is_first))
             else {
                 continue;
             };
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -6,7 +6,7 @@
 use crate::api::JobsBackend;
 use crate::config::Config;
 use crate::fleet::Fleet;
-use crate::leadership::{self, LeaderClaim, LeaderRecord, LEADER_KEY};
+use crate::leadership::{self, LeaderRecord, LeadershipTerm, LEADER_KEY};
 use crate::state::StateError;
 use crate::store_contact::StoreContact;
 use crate::time::{Micros, Steady};
@@ -185,7 +185,7 @@
 
     /// Rebuilds the fleet from the records after a claim, and leads with it unless another controller has
     /// meanwhile.
-    fn rebuild(&self, claim: LeaderClaim, begun: Steady) -> Result<(), StateError> {
+    fn rebuild(&self, claim: LeadershipTerm, begun: Steady) -> Result<(), StateError> {
         let types = self.machine_types().unwrap_or_default();
         let r = leadership::rebuild(&self.state, self.cfg.clone(), types, claim.fencing_token, self.now());
         let mut shared = self.lock();
@@ -209,7 +209,7 @@
     fn begin_leadership(
         &self,
         shared: &mut SharedState,
-        claim: LeaderClaim,
+        claim: LeadershipTerm,
         mut fleet: Fleet,
         begun: Steady,
     ) {
--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -90,7 +90,7 @@
         let Some(leadership) = shared.leadership_with(fencing_token) else { return LoanOutcome::Unknown };
         let fleet = &mut leadership.fleet;
         for (key, row) in rows {
-            leadership::learn(fleet, &key, row, self.now());
+            leadership::update_from_store(fleet, &key, row, self.now());
         }
         let job = write.job();
         let is_guest = matches!(write, LoanWrite::Guest { .. });
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -49,7 +49,7 @@
 use crate::fleet::{Fleet, JobProgress};
 use crate::http::{self, Reply, Request, RequestClass, Response};
 use crate::jobs::MachineId;
-use crate::leadership::{LeaderClaim, LeaderRecord};
+use crate::leadership::{LeaderRecord, LeadershipTerm};
 use crate::live_jobs::LiveJobs;
 use crate::peer::{Inbound, PeerHub};
 use crate::records::FinalRecord;
@@ -63,7 +63,7 @@
     /// Machines, jobs and the plan.
     fleet: Fleet,
     /// The claim by which it owns them.
-    claim: LeaderClaim,
+    claim: LeadershipTerm,
     /// Age of its knowledge of the state store, which limits how long it may act.
     view: StoreContact,
     /// When a worker's report was last accepted.
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -4,7 +4,7 @@
 use crate::api::JobsBackend;
 use crate::fleet::PendingWrite;
 use crate::jobs::JobId;
-use crate::leadership::{self, Batch, LeaderClaim, SHARD_KEY};
+use crate::leadership::{self, Batch, LeadershipTerm, SHARD_KEY};
 use crate::records::FinalRecord;
 use crate::state::{RequestPriority, StateError, TxnOutcome};
 use crate::task_ranges::chunk_tasks;
@@ -61,7 +61,7 @@
     }
 
     /// Writes a batch; false if writing should pause.
-    fn write_batch(&self, claim: &LeaderClaim, b: Batch) -> bool {
+    fn write_batch(&self, claim: &LeadershipTerm, b: Batch) -> bool {
         let urgency = if b.urgent { RequestPriority::Leader } else { RequestPriority::Background };
         match self.state.txn(&b.txn, urgency) {
             Ok(TxnOutcome::Committed(revision)) => self.batch_written(claim, &b, revision),
@@ -99,7 +99,7 @@
     }
 
     /// Records in the fleet what a batch has written; false if this controller no longer owns it.
-    fn batch_written(&self, claim: &LeaderClaim, b: &Batch, revision: u64) -> bool {
+    fn batch_written(&self, claim: &LeadershipTerm, b: &Batch, revision: u64) -> bool {
         let mut finals: Vec<(JobId, u32)> = Vec::new();
         {
             let mut shared = self.lock();
@@ -124,14 +124,14 @@
     }
 
     /// Reads the values of keys after a conflict or an unknown outcome.
-    fn read_back(&self, claim: &LeaderClaim, keys: &[String]) -> bool {
+    fn read_back(&self, claim: &LeadershipTerm, keys: &[String]) -> bool {
         for key in keys {
             let Ok(row) = self.state.get(key, RequestPriority::User) else { return false };
             let mut shared = self.lock();
             let Some(leadership) = shared.leadership_with(claim.fencing_token) else {
                 return false;
             };
-            leadership::learn(&mut leadership.fleet, key, row, self.now());
+            leadership::update_from_store(&mut leadership.fleet, key, row, self.now());
         }
         true
     }
--- /dev/null
+++ b/src/leadership/read_back.rs
@@ -0,0 +1,56 @@
+//! Updates the fleet with single keys that were read back, after a write that met a conflict or whose
+//! outcome is unknown.
+
+use super::loan_records;
+use super::record_keys::RecordKey;
+use crate::fleet::Fleet;
+use crate::records::JobRecord;
+use crate::time::{wall, Steady};
+use crate::wire::Row;
+
+/// Updates the fleet with a key as it stands in the state store; `row` is none if there is no such key.
+pub fn update_from_store(fleet: &mut Fleet, key: &str, row: Option<Row>, now: Steady) {
+    let mod_revision = row.as_ref().map_or(0, |row| row.mod_revision);
+    match RecordKey::parse(key) {
+        RecordKey::Job(id) => update_job(fleet, id, row, now),
+        RecordKey::Borrowed(borrowed) => {
+            loan_records::update_borrowed(fleet, borrowed, key, row, now, wall());
+        }
+        RecordKey::Machine(id) => fleet.learn_machine(id, mod_revision),
+        RecordKey::PackedMachines(slot) => {
+            if let Ok(slot) = slot.parse() {
+                fleet.packs.learn(slot, mod_revision);
+            }
+        }
+        RecordKey::PackedHighWaterMarks(slot) => {
+            if let Ok(slot) = slot.parse() {
+                fleet.marks.learn(slot, mod_revision);
+            }
+        }
+        RecordKey::HistoryBucket(bucket) => {
+            if let Ok(bucket) = bucket.parse() {
+                fleet.history.learn(bucket, mod_revision);
+            }
+        }
+        RecordKey::DoneChunk { job, chunk } => {
+            fleet.learn_orphan(key, mod_revision);
+            let text = row.as_ref().map_or(Some(""), |row| row.value.as_str());
+            if let (true, Ok(chunk), Some(text)) = (fleet.jobs.contains_key(job), chunk.parse(), text) {
+                fleet.inherit_done(job, chunk, text, mod_revision);
+            }
+        }
+        RecordKey::Recent | RecordKey::SingleHistory | RecordKey::Other => {}
+    }
+}
+
+/// Updates a job. One without a record, or with one that cannot be decoded, is over.
+fn update_job(fleet: &mut Fleet, id: &str, row: Option<Row>, now: Steady) {
+    let mod_revision = row.as_ref().map_or(0, |row| row.mod_revision);
+    match row.and_then(|row| serde_json::from_value::<JobRecord>(row.value).ok()) {
+        Some(record) => fleet.job_put(record, mod_revision, now),
+        None => {
+            let known = fleet.jobs.get(id).map_or(0, |job| job.mod_revision);
+            fleet.job_over(id, fleet.read_to().max(known) + 1);
+        }
+    }
+}
--- /dev/null
+++ b/src/leadership/rebuild.rs
@@ -0,0 +1,183 @@
+//! Rebuilds the fleet from the stored records after a won election.
+
+use std::sync::Arc;
+
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+
+use super::keys::MACHINE_TYPES_KEY;
+use super::loan_records;
+use super::record_keys::{
+    RecordKey, ALL_MACHINES_PREFIX, DONE_PREFIX, HISTORY_PREFIX, JOBS_PREFIX, PACKED_MACHINES_PREFIX,
+};
+use crate::config::Config;
+use crate::fleet::Fleet;
+use crate::history::HistoryRecord;
+use crate::keys::{MARKS, RECENT_KEY};
+use crate::records::{JobRecord, MachineRecord};
+use crate::state::{RequestPriority, StateClient, StateError};
+use crate::time::{wall, Steady, Wall};
+use crate::wire::{MachineType, Row};
+
+/// Machine types as last written (under [`MACHINE_TYPES_KEY`]); `None` if there are none or they cannot
+/// be decoded.
+///
+/// # Errors
+/// As any read from the state store.
+pub fn read_machine_types(state: &StateClient) -> Result<Option<Vec<MachineType>>, StateError> {
+    let row = state.get(MACHINE_TYPES_KEY, RequestPriority::Leadership)?;
+    Ok(row.and_then(|row| serde_json::from_value(row.value).ok()))
+}
+
+/// Reads all records after a won election into a new fleet under the leader's `fencing_token`; `now` is a
+/// moment after the election was answered.
+///
+/// # Errors
+/// As any read from the state store. Records that cannot be decoded are logged and left out.
+pub fn rebuild(
+    state: &StateClient,
+    config: Arc<Config>,
+    types: Vec<MachineType>,
+    fencing_token: u64,
+    now: Steady,
+) -> Result<Fleet, StateError> {
+    let mut fleet = Fleet::new(config, types, fencing_token, now);
+    let (jobs, revision) = state.list(JOBS_PREFIX)?;
+    let (machines, _) = state.list(ALL_MACHINES_PREFIX)?;
+    let (high_water_marks, _) = state.list(&format!("{MARKS}/"))?;
+    let (done, _) = state.list(DONE_PREFIX)?;
+    let (history, _) = state.list(HISTORY_PREFIX)?;
+    let (recent, _) = state.list(RECENT_KEY)?;
+    let borrowed = if fleet.uses_cells() { loan_records::borrowed_rows(state)? } else { Vec::new() };
+    // Jobs come before the records that belong to them.
+    let rows = [recent, jobs, borrowed, machines, high_water_marks, done, history].concat();
+    load_records(&mut fleet, rows, now, wall());
+    fleet.has_read_to(revision);
+    Ok(fleet)
+}
+
+/// Loads records into a new leader's fleet.
+pub fn load_records(fleet: &mut Fleet, mut rows: Vec<Row>, now: Steady, wall: Wall) {
+    // Packed values go first, so that single records of earlier versions fill them up.
+    rows.sort_by_key(|row| !row.key.starts_with(PACKED_MACHINES_PREFIX));
+    for row in rows {
+        load_record(fleet, row, now, wall);
+    }
+    fleet.split_oversized();
+}
+
+/// Loads one record, by the form of its key.
+fn load_record(fleet: &mut Fleet, row: Row, now: Steady, wall: Wall) {
+    let Row { key, value, mod_revision } = row;
+    match RecordKey::parse(&key) {
+        RecordKey::Job(_) => {
+            if let Some(job) = decode::<JobRecord>(&key, value) {
+                fleet.job_put(job, mod_revision, now);
+            }
+        }
+        RecordKey::Machine(id) => {
+            // One that cannot be decoded may hold tasks all the same: it stays unheard until it sends
+            // a heartbeat or is scaled in.
+            let machine = decode::<MachineRecord>(&key, value).unwrap_or_default();
+            fleet.inherit_machine(id, &machine, mod_revision, now);
+        }
+        RecordKey::PackedMachines(slot) => {
+            load_packed_machines(fleet, slot, &key, value, mod_revision, now);
+        }
+        RecordKey::PackedHighWaterMarks(slot) => {
+            load_packed_high_water_marks(fleet, slot, &key, value, mod_revision);
+        }
+        RecordKey::Borrowed(borrowed) => {
+            loan_records::load_borrowed(fleet, borrowed, &key, value, mod_revision, now, wall);
+        }
+        RecordKey::DoneChunk { job, chunk } => {
+            if let (Ok(chunk), Some(text)) = (chunk.parse(), value.as_str()) {
+                fleet.inherit_done(job, chunk, text, mod_revision);
+            }
+        }
+        RecordKey::Recent => {
+            if let Some(list) = decode(&key, value) {
+                fleet.inherit_recent(list, now, wall);
+            }
+        }
+        RecordKey::HistoryBucket(bucket) => load_history_bucket(fleet, bucket, &key, value, mod_revision),
+        RecordKey::SingleHistory => {
+            if let Some(record) = decode::<HistoryRecord>(&key, value) {
+                fleet.history.load_old(record);
+            }
+        }
+        RecordKey::Other => {}
+    }
+}
+
+/// Loads a value of packed machine records.
+fn load_packed_machines(
+    fleet: &mut Fleet,
+    slot: &str,
+    key: &str,
+    value: Value,
+    mod_revision: u64,
+    now: Steady,
+) {
+    match decode_packed(slot, value) {
+        Ok((slot, machines)) => fleet.inherit_machines(slot, machines, mod_revision, now),
+        Err(error) => {
+            log_unreadable(key, &error);
+            if let Ok(slot) = slot.parse() {
+                fleet.packs.keep_unreadable(slot);
+            }
+        }
+    }
+}
+
+/// Loads a value of packed high-water marks.
+fn load_packed_high_water_marks(fleet: &mut Fleet, slot: &str, key: &str, value: Value, mod_revision: u64) {
+    match decode_packed(slot, value) {
+        Ok((slot, high_water_marks)) => fleet.inherit_marks(slot, high_water_marks, mod_revision),
+        Err(error) => {
+            log_unreadable(key, &error);
+            if let Ok(slot) = slot.parse() {
+                fleet.marks.keep_unreadable(slot);
+            }
+        }
+    }
+}
+
+/// Loads a packed bucket of history records.
+fn load_history_bucket(fleet: &mut Fleet, bucket: &str, key: &str, value: Value, mod_revision: u64) {
+    match decode_packed::<Vec<HistoryRecord>>(bucket, value) {
+        Ok((bucket, records)) => {
+            for record in records {
+                fleet.history.load(record);
+            }
+            fleet.history.learn(bucket, mod_revision);
+        }
+        Err(error) => log_unreadable(key, &error),
+    }
+}
+
+/// Why a packed value cannot be loaded.
+#[derive(Debug, thiserror::Error)]
+enum PackedValueError {
+    /// Its key does not end with a number.
+    #[error(transparent)]
+    Slot(#[from] std::num::ParseIntError),
+    /// It cannot be decoded.
+    #[error(transparent)]
+    Value(#[from] serde_json::Error),
+}
+
+/// A packed value with its slot number, as stored under `<prefix>/<slot>`.
+fn decode_packed<T: DeserializeOwned>(slot: &str, value: Value) -> Result<(u32, T), PackedValueError> {
+    Ok((slot.parse()?, serde_json::from_value(value)?))
+}
+
+/// A record's value, or none if it cannot be decoded: that is logged, and the load goes on without it.
+pub(super) fn decode<T: DeserializeOwned>(key: &str, value: Value) -> Option<T> {
+    serde_json::from_value(value).map_err(|error| log_unreadable(key, &error)).ok()
+}
+
+/// Logs a record that cannot be decoded.
+fn log_unreadable(key: &str, error: &dyn std::fmt::Display) {
+    tracing::error!(key, %error, "record unreadable");
+}
--- /dev/null
+++ b/src/leadership/record_keys.rs
@@ -0,0 +1,94 @@
+//! The keys of the leader's records, parsed.
+
+use crate::keys::{BORROWED, HISTORY, MACHINES, MARKS, RECENT_KEY};
+
+/// Prefix of the live jobs' keys.
+pub(super) const JOBS_PREFIX: &str = "job/";
+/// Prefix of the machines' records in both forms, `machine/<id>` and `machines/<slot>`.
+pub(super) const ALL_MACHINES_PREFIX: &str = "machine";
+/// Prefix of the packed machine records.
+pub(super) const PACKED_MACHINES_PREFIX: &str = "machines/";
+/// Prefix of the chunks of done ranges.
+pub(super) const DONE_PREFIX: &str = "done/";
+/// Prefix of the history.
+pub(super) const HISTORY_PREFIX: &str = "hist/";
+
+/// What a key of the leader's records stands for. Numbers are kept as text: whether they can be read
+/// is for the record's reader to handle.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RecordKey<'a> {
+    /// A live job, by id.
+    Job(&'a str),
+    /// A single machine's record, by machine id, as versions before packed records wrote it.
+    Machine(&'a str),
+    /// A value of packed machine records, by slot.
+    PackedMachines(&'a str),
+    /// A value of packed started high-water marks, by slot.
+    PackedHighWaterMarks(&'a str),
+    /// A chunk of a job's done ranges.
+    DoneChunk {
+        /// The job's id.
+        job: &'a str,
+        /// The chunk's number.
+        chunk: &'a str,
+    },
+    /// The list of recent jobs.
+    Recent,
+    /// A packed bucket of history records, by number.
+    HistoryBucket(&'a str),
+    /// A single history record, as earlier versions wrote it.
+    SingleHistory,
+    /// A record of borrowed tasks.
+    Borrowed(BorrowedKey<'a>),
+    /// None of these.
+    Other,
+}
+
+/// What a key under the prefix of borrowed tasks stands for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum BorrowedKey<'a> {
+    /// A borrowed job, by id.
+    Job(&'a str),
+    /// A cell from which tasks are borrowed, by name.
+    Lender(&'a str),
+    /// A chunk of a borrowed job's done ranges.
+    DoneChunk {
+        /// The job's id.
+        job: &'a str,
+        /// The chunk's number.
+        chunk: &'a str,
+    },
+    /// None of these.
+    Other,
+}
+
+impl<'a> RecordKey<'a> {
+    /// What a key stands for, by its form.
+    pub(super) fn parse(key: &'a str) -> RecordKey<'a> {
+        let mut parts = key.split('/');
+        match (parts.next(), parts.next(), parts.next()) {
+            (Some(BORROWED), kind, id) => RecordKey::Borrowed(BorrowedKey::new(kind, id, parts.next())),
+            (Some("job"), Some(id), None) => RecordKey::Job(id),
+            (Some("machine"), Some(id), None) => RecordKey::Machine(id),
+            (Some(MACHINES), Some(slot), None) => RecordKey::PackedMachines(slot),
+            (Some(MARKS), Some(slot), None) => RecordKey::PackedHighWaterMarks(slot),
+            (Some("done"), Some(job), Some(chunk)) => RecordKey::DoneChunk { job, chunk },
+            (Some(RECENT_KEY), None, None) => RecordKey::Recent,
+            (Some(HISTORY), Some(bucket), None) => RecordKey::HistoryBucket(bucket),
+            (Some(HISTORY), Some(_), Some(_)) => RecordKey::SingleHistory,
+            _ => RecordKey::Other,
+        }
+    }
+}
+
+impl<'a> BorrowedKey<'a> {
+    /// What a key stands for, by its parts after the prefix of borrowed tasks.
+    fn new(kind: Option<&'a str>, id: Option<&'a str>, chunk: Option<&'a str>) -> BorrowedKey<'a> {
+        match (kind, id, chunk) {
+            (Some("job"), Some(id), None) => BorrowedKey::Job(id),
+            (Some("lender"), Some(cell), None) => BorrowedKey::Lender(cell),
+            (Some("done"), Some(job), Some(chunk)) => BorrowedKey::DoneChunk { job, chunk },
+            _ => BorrowedKey::Other,
+        }
+    }
+}
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -1,8 +1,8 @@
-//! What waits to be written, put into transactions.
+//! Puts the leader's pending writes into transactions, several to one where they fit.
 
 use serde_json::json;
 
-use super::SHARD_KEY;
+use super::keys::SHARD_KEY;
 use crate::fleet::{Fleet, PackKind, PendingWrite, WriteContents};
 use crate::history::EstimateKey;
 use crate::jobs::JobId;
@@ -12,35 +12,38 @@
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::{Change, Guard, Stage, Txn};
 
-/// Most transactions that are put together at once: what is newly urgent does not wait for more.
+/// Most transactions that are composed at once: a write that has newly become urgent waits for no more.
 const MAX_BATCHES: usize = 4;
 /// Most bytes of the changes in a transaction, which may take 64 KiB with its guards.
 const MAX_BATCH_BYTES: usize = 40_000;
 /// Guards for each change that a transaction may hold.
 const GUARDS_PER_CHANGE: usize = 4;
 /// Bytes of a value that are left free.
-const VALUE_SLACK: usize = 64;
+const VALUE_SLACK_BYTES: usize = 64;
+/// Least estimate, in seconds, that a run time is divided by.
+const MIN_ESTIMATE_S: f64 = 0.001;
 
 /// A transaction and what it writes.
 pub struct Batch {
     /// The transaction.
     pub txn: Txn,
-    /// What it writes, and what has to be remembered of it.
+    /// The pending writes in it, each with its contents as they were composed.
     pub items: Vec<(PendingWrite, WriteContents)>,
-    /// Somebody waits for it.
+    /// Whether a start or a user waits for it.
     pub urgent: bool,
+    /// Size of the changes in bytes.
     bytes: usize,
 }
 
 impl Batch {
-    /// One without changes yet, guarded by the part.
+    /// A batch without changes yet, guarded by the shard's revision.
     fn new(shard_revision: u64, urgent: bool) -> Batch {
         let guards = vec![Guard { key: SHARD_KEY.into(), mod_revision: shard_revision }];
         Batch { txn: Txn { guards, then: Vec::new() }, items: Vec::new(), urgent, bytes: 0 }
     }
 
-    /// Whether a write fits, within so many changes. What somebody waits for never shares a transaction
-    /// with what can wait.
+    /// Whether a write fits into the batch, which may hold `max_changes`. Urgent writes never share a
+    /// transaction with others, which are sent with a lower priority.
     fn fits(&self, write: &Write, max_changes: usize) -> bool {
         self.urgent == write.item.urgent()
             && self.txn.then.len() + write.changes.len() <= max_changes
@@ -48,6 +51,7 @@
             && self.bytes + write.bytes() <= MAX_BATCH_BYTES
     }
 
+    /// Adds a write. Guards that it shares with others are sent once.
     fn add(&mut self, write: Write) {
         self.bytes += write.bytes();
         for guard in write.guards {
@@ -60,7 +64,7 @@
     }
 }
 
-/// One thing to write.
+/// One pending write with its guards and changes.
 struct Write {
     item: PendingWrite,
     guards: Vec<Guard>,
@@ -69,20 +73,25 @@
 }
 
 impl Write {
+    /// A write of which nothing has to be remembered.
     fn new(item: &PendingWrite, guards: Vec<Guard>, changes: Vec<Change>) -> Write {
         Write { item: item.clone(), guards, changes, contents: WriteContents::Nothing }
     }
 
+    /// The same with the contents that the fleet compares once it is committed.
     fn with_contents(self, contents: WriteContents) -> Write {
         Write { contents, ..self }
     }
 
+    /// Size of the changes as JSON, in bytes.
     fn bytes(&self) -> usize {
-        self.changes.iter().map(|change| serde_json::to_string(change).map_or(0, |s| s.len())).sum()
+        let change_bytes = |change| serde_json::to_string(change).map_or(0, |text| text.len());
+        self.changes.iter().map(change_bytes).sum()
     }
 }
 
-/// Puts what waits to be written into transactions, each guarded by the part.
+/// Puts pending writes into transactions of at most `max_changes` changes, each guarded by the shard's
+/// revision. Writes beyond the limits stay pending for the next call.
 pub fn batches(
     fleet: &mut Fleet,
     shard_revision: u64,
@@ -91,23 +100,23 @@
     now: Steady,
     wall: Wall,
 ) -> Vec<Batch> {
-    let mut out: Vec<Batch> = Vec::new();
+    let mut batches: Vec<Batch> = Vec::new();
     for item in pending {
         let Some(write) = compose(fleet, &item, max_changes, now, wall) else { continue };
-        if !out.last().is_some_and(|batch| batch.fits(&write, max_changes)) {
-            if out.len() >= MAX_BATCHES {
+        if !batches.last().is_some_and(|batch| batch.fits(&write, max_changes)) {
+            if batches.len() >= MAX_BATCHES {
                 break;
             }
-            out.push(Batch::new(shard_revision, item.urgent()));
+            batches.push(Batch::new(shard_revision, item.urgent()));
         }
-        if let Some(batch) = out.last_mut() {
+        if let Some(batch) = batches.last_mut() {
             batch.add(write);
         }
     }
-    out
+    batches
 }
 
-/// What has to be written for an item; none if there is nothing any more.
+/// Composes the write for an item; none if there is nothing to write any more.
 fn compose(
     fleet: &mut Fleet,
     item: &PendingWrite,
@@ -121,20 +130,11 @@
             compose_machines(fleet, item, *slot)
         }
         PendingWrite::Marks(slot) | PendingWrite::Tidy(PackKind::Marks, slot) => {
-            compose_marks(fleet, item, *slot)
-        }
-        PendingWrite::History(bucket) => {
-            let value = fleet.history.value(*bucket, fleet.value_bytes().saturating_sub(VALUE_SLACK));
-            let guard =
-                Guard { key: slot_key(HISTORY, *bucket), mod_revision: fleet.history.mod_revision(*bucket) };
-            let change = Change::put(slot_key(HISTORY, *bucket), json!(value));
-            Some(Write::new(item, vec![guard], vec![change]))
+            compose_high_water_marks(fleet, item, *slot)
         }
+        PendingWrite::History(bucket) => Some(compose_history(fleet, item, *bucket)),
         PendingWrite::Done(id, chunk) => compose_done(fleet, item, id, *chunk),
-        PendingWrite::Recent => {
-            let list = fleet.recent(now, wall, fleet.value_bytes().saturating_sub(VALUE_SLACK));
-            Some(Write::new(item, Vec::new(), vec![Change::put(RECENT_KEY, json!(list))]))
-        }
+        PendingWrite::Recent => Some(compose_recent(fleet, item, now, wall)),
         PendingWrite::Orphan(key, mod_revision) => Some(compose_drop(item, key.clone(), *mod_revision)),
         PendingWrite::Unenrol(id, mod_revision) => {
             Some(compose_drop(item, format!("machine/{id}"), *mod_revision))
@@ -142,12 +142,32 @@
     }
 }
 
+/// A value's size limit in bytes, less the slack.
+fn max_value_bytes(fleet: &Fleet) -> usize {
+    fleet.value_bytes().saturating_sub(VALUE_SLACK_BYTES)
+}
+
+/// A bucket of the history.
+fn compose_history(fleet: &mut Fleet, item: &PendingWrite, bucket: u32) -> Write {
+    let value = fleet.history.value(bucket, max_value_bytes(fleet));
+    let key = slot_key(HISTORY, bucket);
+    let guard = Guard { key: key.clone(), mod_revision: fleet.history.mod_revision(bucket) };
+    Write::new(item, vec![guard], vec![Change::put(key, json!(value))])
+}
+
+/// The list of recent jobs; it has no guard besides the shard's revision.
+fn compose_recent(fleet: &Fleet, item: &PendingWrite, now: Steady, wall: Wall) -> Write {
+    let list = fleet.recent(now, wall, max_value_bytes(fleet));
+    Write::new(item, Vec::new(), vec![Change::put(RECENT_KEY, json!(list))])
+}
+
+/// The removal of a key that nothing belongs to any more.
 fn compose_drop(item: &PendingWrite, key: String, mod_revision: u64) -> Write {
     Write::new(item, vec![Guard { key: key.clone(), mod_revision }], vec![Change::drop(key)])
 }
 
-/// The end of a job: its final record takes the place of the live one, and as many of its chunks of done
-/// ranges go as the transaction has room for.
+/// The end of a job: its final record replaces the live one, and as many of its chunks of done ranges are
+/// removed as the transaction has room for.
 fn compose_final(
     fleet: &mut Fleet,
     item: &PendingWrite,
@@ -169,7 +189,7 @@
     Some(Write::new(item, guards, changes).with_contents(WriteContents::DroppedChunks(dropped)))
 }
 
-/// Counts the run times of a job that is over, once, even if its end has to be written again.
+/// Adds the run times of a finished job to the history, once, even if its end has to be written again.
 fn add_to_history(fleet: &mut Fleet, id: &JobId, wall: Wall) {
     let Some(job) = fleet.jobs.get_mut(id) else { return };
     let (total, count) = job.ran;
@@ -177,12 +197,13 @@
         return;
     }
     job.ran.1 = 0;
-    let stated = job.spec.estimate_s;
-    let key = EstimateKey { team: job.spec.team.clone(), stated: Micros::from_secs(stated) };
-    let ratio = total.secs() / f64::from(count) / stated.max(0.001);
+    let stated_s = job.spec.estimate_s;
+    let key = EstimateKey { team: job.spec.team.clone(), stated: Micros::from_secs(stated_s) };
+    let ratio = total.secs() / f64::from(count) / stated_s.max(MIN_ESTIMATE_S);
     fleet.history.add(&key, wall, ratio);
 }
 
+/// A value of packed machine records.
 fn compose_machines(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
     let (mod_revision, version, items) = fleet.packs.slot(slot)?;
     let key = slot_key(MACHINES, slot);
@@ -191,15 +212,17 @@
     Some(Write::new(item, vec![Guard { key, mod_revision }], vec![change]).with_contents(contents))
 }
 
-fn compose_marks(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
+/// A value of packed started high-water marks.
+fn compose_high_water_marks(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
     let (mod_revision, version, items) = fleet.marks.slot(slot)?;
     let key = slot_key(MARKS, slot);
-    let marks = items.iter().map(|(id, high)| (id.clone(), *high)).collect();
+    let high_water_marks = items.iter().map(|(id, high)| (id.clone(), *high)).collect();
     let change = Change::put(key.clone(), json!(items));
     let write = Write::new(item, vec![Guard { key, mod_revision }], vec![change]);
-    Some(write.with_contents(WriteContents::Marks(marks, version)))
+    Some(write.with_contents(WriteContents::Marks(high_water_marks, version)))
 }
 
+/// A chunk of a job's done ranges.
 fn compose_done(fleet: &Fleet, item: &PendingWrite, id: &JobId, chunk: u32) -> Option<Write> {
     let job = fleet.jobs.get(id)?;
     let (from, to) = chunk_span(chunk);
--- a/tests/common/controllers.rs
+++ b/tests/common/controllers.rs
@@ -39,7 +39,7 @@
         let part = store.txn(&Txn { guards: vec![], then }).expect("no guards");
         let mut fleet = Fleet::new(cfg.clone(), types(), fencing_token, now);
         let rows = RECORDS.iter().flat_map(|prefix| store.rows(prefix)).collect();
-        leadership::load(&mut fleet, rows, now, wall_at(now));
+        leadership::load_records(&mut fleet, rows, now, wall_at(now));
         Controller { fleet, part, watched: store.revision }
     }
 
@@ -91,7 +91,7 @@
     /// Reads keys back, except the part's own.
     pub fn read_back(&mut self, keys: &[String], store: &Store, now: Steady) {
         for key in keys.iter().filter(|k| *k != leadership::SHARD_KEY) {
-            leadership::learn(&mut self.fleet, key, store.row(key), now);
+            leadership::update_from_store(&mut self.fleet, key, store.row(key), now);
         }
     }
 }
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -301,7 +301,7 @@
     let put = milletlock::wire::Change::put("job/wk-000002".to_string(), json!(lent));
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then: vec![put] }).expect("written");
     let mut fleet = Fleet::new(with_cells(), types(), 8, s.now);
-    leadership::load(&mut fleet, store.rows(""), s.now, wall(&s));
+    leadership::load_records(&mut fleet, store.rows(""), s.now, wall(&s));
     assert_eq!(fleet.jobs["wk-000001"].waiting.task_set(), tasks("10-19"));
     assert_eq!(fleet.jobs["wk-000002"].waiting.task_set(), tasks("0-29"));
     assert_eq!(fleet.loans.guest.high_water("there"), LoanNumber(5));
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -26,7 +26,7 @@
         row("marks/0", 4, json!({ "wk-000001": 4 })),
     ];
     let mut fleet = Fleet::new(config(), types(), 7, TAKEN_OVER);
-    leadership::load(&mut fleet, rows, TAKEN_OVER, wall(TAKEN_OVER));
+    leadership::load_records(&mut fleet, rows, TAKEN_OVER, wall(TAKEN_OVER));
     fleet.has_read_to(4);
     fleet
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -86,7 +86,7 @@
 fn taken_over(rows: Vec<Row>) -> Fleet {
     let mut fleet = Fleet::new(falling(), types(), 42, NOW);
     let read_to = rows.iter().map(|r| r.mod_revision).max().unwrap_or(0);
-    leadership::load(&mut fleet, rows, NOW, WALL);
+    leadership::load_records(&mut fleet, rows, NOW, WALL);
     fleet.has_read_to(read_to);
     fleet
 }
@@ -113,7 +113,9 @@
                 Ok(revision) => {
                     batch.items.iter().for_each(|(p, said)| fleet.written(p, revision, said, now))
                 }
-                Err(failed) => failed.iter().for_each(|k| leadership::learn(fleet, k, store.row(k), now)),
+                Err(failed) => {
+                    failed.iter().for_each(|k| leadership::update_from_store(fleet, k, store.row(k), now))
+                }
             }
             all.push(batch.txn);
         }
--- a/tests/upgrade_takeovers.rs
+++ b/tests/upgrade_takeovers.rs
@@ -247,7 +247,7 @@
             }
             Version::Present => {
                 let mut fleet = Fleet::new(self.cfg.clone(), types(), self.fencing_token, self.now);
-                leadership::load(&mut fleet, rows, self.now, self.wall());
+                leadership::load_records(&mut fleet, rows, self.now, self.wall());
                 fleet.has_read_to(self.store.revision);
                 Owner::Present(Box::new(fleet))
             }
@@ -325,7 +325,7 @@
     fn read_back<'a>(&mut self, keys: impl Iterator<Item = &'a String>) {
         let Owner::Present(fleet) = &mut self.owner else { return };
         for key in keys.filter(|key| *key != SHARD_KEY) {
-            leadership::learn(fleet, key, self.store.row(key), self.now);
+            leadership::update_from_store(fleet, key, self.store.row(key), self.now);
         }
     }
 
