--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -1,7 +1,7 @@
 //! The announcing duty: tells the other controllers who leads and which cancellations were
 //! confirmed to users.
 
-use super::{Controller, Leadership, UNTOLD_VERSION, VERSION};
+use super::{lock_poisoned, Controller, Leadership, UNREPORTED_VERSION, VERSION};
 use crate::cancellation_notices::Cancellation;
 use crate::fleet::JobProgress;
 use crate::jobs::JobId;
@@ -10,70 +10,75 @@
 
 /// How often the others are told who leads.
 const ANNOUNCE_INTERVAL: Micros = Micros::from_millis(1000);
-/// When one that did not answer is told of cancellations again.
+/// When cancellations are sent again to a controller that did not answer.
 const NOTICE_RETRY_DELAY: Micros = Micros::from_millis(300);
-/// After this without a word from another controller, whether one can be heard is asked.
+/// A follower that has heard no other controller for this long sends a message to find out whether one
+/// answers.
 const PEER_PROBE_AFTER: Micros = Micros::from_millis(1500);
 /// How long another controller has to answer an announcement or a notice.
 const MESSAGE_TIMEOUT: Micros = Micros::from_millis(900);
-/// Most jobs whose numbers are announced.
+/// Most jobs whose task counts are announced.
 const MAX_ANNOUNCED_JOBS: usize = 2000;
 
 impl Controller {
     /// Tells the others who leads, about once a second, and of cancellations at once, repeated until
     /// each has acknowledged them.
     pub(super) fn announce(&self) {
-        let (mut last, mut all_told) = (Steady(0), true);
+        let (mut last_announced, mut all_acknowledged) = (Steady(0), true);
         while !self.stopping() {
-            let since = self.now() - last;
-            let left = if all_told { ANNOUNCE_INTERVAL - since } else { NOTICE_RETRY_DELAY };
-            {
-                let n = self.notices.lock().unwrap_or_else(|e| e.into_inner());
-                if left.0 > 0 && (n.is_empty() || !all_told) {
-                    drop(self.notices_added.wait_timeout(n, left.std()));
-                }
-            }
-            all_told = self.tell_once();
-            if self.now() - last >= ANNOUNCE_INTERVAL {
+            let since = self.now() - last_announced;
+            let timeout = if all_acknowledged { ANNOUNCE_INTERVAL - since } else { NOTICE_RETRY_DELAY };
+            self.await_notices(timeout, all_acknowledged);
+            all_acknowledged = self.send_cancellations_once();
+            if self.now() - last_announced >= ANNOUNCE_INTERVAL {
                 self.announce_once();
-                last = self.now();
+                last_announced = self.now();
             }
         }
     }
 
-    /// Announces this leader to the others; on any other controller probes them if none was heard of
-    /// late.
+    /// Waits for a new notice, no longer than `timeout`, unless a new one is there already.
+    fn await_notices(&self, timeout: Micros, all_acknowledged: bool) {
+        let notices = lock_poisoned(&self.notices);
+        if timeout.0 > 0 && (notices.is_empty() || !all_acknowledged) {
+            drop(self.notices_added.wait_timeout(notices, timeout.std()));
+        }
+    }
+
+    /// Announces this leader to the others; on any other controller probes them if none has been heard
+    /// lately.
     pub fn announce_once(&self) {
-        let summary = {
-            let shared = self.lock();
-            match &shared.leadership {
-                Some(leadership) => Some(self.summary(leadership)),
-                // Nobody has been heard of late: whether anybody can be is asked.
-                None if self.now() - shared.last_peer_contact > PEER_PROBE_AFTER => {
-                    Some(Summary { version: VERSION.into(), ..Summary::default() })
-                }
-                None => None,
-            }
-        };
-        let Some(s) = summary else { return };
+        let Some(summary) = self.due_summary() else { return };
         let sent: Vec<_> = (0..self.peers.count())
-            .filter_map(|to| {
-                let waiting = self.peers.begin(to, Message::Announce(s.clone()), MESSAGE_TIMEOUT).ok()?;
-                Some((to, waiting))
+            .filter_map(|peer| {
+                let message = Message::Announce(summary.clone());
+                Some((peer, self.peers.begin(peer, message, MESSAGE_TIMEOUT).ok()?))
             })
             .collect();
-        for (to, waiting) in sent {
-            if let Ok(Outcome::Ack(a)) = waiting.wait() {
-                self.peer_answered(a.token);
-                self.note_version(to, a.version);
+        for (peer, waiting) in sent {
+            if let Ok(Outcome::Ack(ack)) = waiting.wait() {
+                self.on_peer_answer(ack.token);
+                self.note_peer_version(peer, ack.version);
             }
         }
     }
 
-    /// Keeps the version of another controller, and says so when it changes.
-    fn note_version(&self, peer: usize, version: String) {
-        let Some(member) = self.cfg.platform.members.get(peer) else { return };
-        let version = if version.is_empty() { UNTOLD_VERSION.to_string() } else { version };
+    /// What to send to the others: the leader's announcement, or a follower's probe if it is due.
+    fn due_summary(&self) -> Option<Summary> {
+        let shared = self.lock();
+        if let Some(leadership) = &shared.leadership {
+            return Some(self.leader_summary(leadership));
+        }
+        if self.now() - shared.last_peer_contact > PEER_PROBE_AFTER {
+            return Some(Summary { version: VERSION.into(), ..Summary::default() });
+        }
+        None
+    }
+
+    /// Keeps the version of another controller, and logs it when it changes.
+    fn note_peer_version(&self, peer: usize, version: String) {
+        let Some(member) = self.config.platform.members.get(peer) else { return };
+        let version = if version.is_empty() { UNREPORTED_VERSION.to_string() } else { version };
         let mut shared = self.lock();
         if shared.peer_versions.get(&member.label) != Some(&version) {
             tracing::info!(peer = %member.label, %version, "peer version changed");
@@ -82,50 +87,54 @@
     }
 
     /// The leader's announcement.
-    fn summary(&self, leadership: &Leadership) -> Summary {
-        let count = |id: &JobId| {
-            let c = leadership.fleet.counts(id).filter(|c| *c != JobProgress::default())?;
-            Some(JobCounts { id: id.to_string(), done: c.done, running: c.running })
+    fn leader_summary(&self, leadership: &Leadership) -> Summary {
+        let counts = |id: &JobId| {
+            let progress = leadership.fleet.counts(id).filter(|counts| *counts != JobProgress::default())?;
+            Some(JobCounts { id: id.to_string(), done: progress.done, running: progress.running })
         };
         Summary {
-            leader: self.cfg.platform.label.clone(),
-            token: leadership.claim.fencing_token,
-            jobs: leadership.fleet.jobs.keys().take(MAX_ANNOUNCED_JOBS).filter_map(count).collect(),
+            leader: self.config.platform.label.clone(),
+            token: leadership.term.fencing_token,
+            jobs: leadership.fleet.jobs.keys().take(MAX_ANNOUNCED_JOBS).filter_map(counts).collect(),
             version: VERSION.into(),
         }
     }
 
     /// Sends each of the others the cancellations that it has not acknowledged; false if one did not
-    /// answer.
-    pub fn tell_once(&self) -> bool {
-        let due = self.notices.lock().unwrap_or_else(|e| e.into_inner()).due(self.now());
+    /// acknowledge them.
+    pub fn send_cancellations_once(&self) -> bool {
+        let due = lock_poisoned(&self.notices).due(self.now());
         let sent: Vec<_> = due
             .into_iter()
-            .map(|(to, batch)| {
-                let one = |c: &Cancellation| peer::Cancellation {
-                    id: c.id.clone(),
-                    tasks: c.tasks,
-                    revision: c.revision,
-                };
-                let message =
-                    Message::Cancelled(peer::Cancellations { jobs: batch.iter().map(one).collect() });
-                (to, self.peers.begin(to, message, MESSAGE_TIMEOUT), batch)
+            .map(|(peer, batch)| {
+                let waiting = self.peers.begin(peer, cancellations_message(&batch), MESSAGE_TIMEOUT);
+                (peer, waiting, batch)
             })
             .collect();
-        let mut all = true;
-        for (to, waiting, batch) in sent {
-            match waiting.and_then(|w| w.wait()) {
-                Ok(Outcome::Ack(a)) => {
-                    self.notices.lock().unwrap_or_else(|e| e.into_inner()).answered(to, &batch);
-                    self.peer_answered(a.token);
+        let mut all_acknowledged = true;
+        for (peer, waiting, batch) in sent {
+            match waiting.and_then(|waiting| waiting.wait()) {
+                Ok(Outcome::Ack(ack)) => {
+                    lock_poisoned(&self.notices).answered(peer, &batch);
+                    self.on_peer_answer(ack.token);
                 }
-                Ok(_) => all = false,
-                Err(e) => {
-                    tracing::debug!(peer = to, error = %e, "cancellation notice unanswered");
-                    all = false;
+                Ok(_) => all_acknowledged = false,
+                Err(error) => {
+                    tracing::debug!(peer, %error, "cancellation notice unanswered");
+                    all_acknowledged = false;
                 }
             }
         }
-        all
+        all_acknowledged
     }
 }
+
+/// The message that carries cancellations.
+fn cancellations_message(batch: &[Cancellation]) -> Message {
+    let job = |cancellation: &Cancellation| peer::Cancellation {
+        id: cancellation.id.clone(),
+        tasks: cancellation.tasks,
+        revision: cancellation.revision,
+    };
+    Message::Cancelled(peer::Cancellations { jobs: batch.iter().map(job).collect() })
+}
--- a/src/controller/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -1,38 +1,38 @@
-//! The borrowing side: answers the messages of other cells about their loans.
+//! The borrowing side of loans between cells: answers the messages of lending cells.
 
 use milletlock_cells::LoanSyncRequest;
 
 use super::loan_writes::LoanOutcome;
-use super::{Controller, Leadership, SharedState};
+use super::{lock_poisoned, Controller, Leadership, SharedState};
 use crate::config::CellsSettings;
+use crate::fleet::LoanWrite;
 use crate::loan_messages::{report_to_proto, request_from_proto, summary_to_proto, LoanMessageError};
 use crate::peer::{LoanReply, LoanRequest, Outcome};
 use crate::time::{wall, Micros};
 
 /// Most changes that one message leads to; the rest follow with the next.
 const MAX_CHANGES: usize = 32;
-/// No change is begun this long after the message came: its sender does not wait for the answer.
-const ANSWER_TIME: Micros = Micros::from_millis(600);
-
+/// No change is begun this long after the message came: its sender no longer waits for the answer.
+const ANSWER_TIMEOUT: Micros = Micros::from_millis(600);
 /// Most senders of refused messages that are remembered.
 const MAX_REFUSED_CELLS: usize = 100;
 
 impl Controller {
     /// Answers another cell's message about its loans.
     pub(super) fn on_loans(&self, message: &LoanRequest) -> Outcome {
-        let Some(cells) = &self.cfg.operator.cells else { return Outcome::Loans(LoanReply::default()) };
-        let request = match checked(cells, message) {
+        let Some(cells) = &self.config.operator.cells else { return Outcome::Loans(LoanReply::default()) };
+        let request = match checked_request(cells, message) {
             Ok(request) => request,
-            Err(why) => {
-                self.log_refused_message(&message.from, why.to_string());
+            Err(error) => {
+                self.log_refused_message(&message.from, error.to_string());
                 return Outcome::Loans(LoanReply { from: cells.name.clone(), ..LoanReply::default() });
             }
         };
-        let fencing_token = self.lock().leadership.as_ref().map(|leadership| leadership.claim.fencing_token);
+        let fencing_token = self.lock().fencing_token();
         if let Some(fencing_token) = fencing_token {
-            // One at a time: each change rests on the records as the one before left them.
-            let _guard = self.loan_changes.lock().unwrap_or_else(|e| e.into_inner());
-            self.carry_out(fencing_token, &request);
+            // One message at a time: each change rests on the records as the one before left them.
+            let _guard = lock_poisoned(&self.loan_changes);
+            self.apply_loan_request(fencing_token, &request);
         }
         let shared = self.lock();
         Outcome::Loans(match &shared.leadership {
@@ -41,37 +41,37 @@
         })
     }
 
-    /// Makes the changes that a message asks for.
-    fn carry_out(&self, fencing_token: u64, request: &LoanSyncRequest) {
+    /// Makes the changes that a message requests.
+    fn apply_loan_request(&self, fencing_token: u64, request: &LoanSyncRequest) {
         let begun = self.now();
         self.retry_loan_writes(fencing_token);
         for _ in 0..MAX_CHANGES {
-            if self.now() - begun > ANSWER_TIME {
+            if self.now() - begun > ANSWER_TIMEOUT {
                 return;
             }
-            let write = {
-                let mut shared = self.lock();
-                let Some(leadership) = shared.leadership_with(fencing_token) else { return };
-                let fleet = &mut leadership.fleet;
-                let Some(change) = fleet.loans.guest.next_change(request, &fleet.local_tasks()) else {
-                    return;
-                };
-                if fleet.loans.is_returning(&change.job) {
-                    return;
-                }
-                if let Some(why) = &change.refusal {
-                    tracing::info!(job = %change.job, home = %change.lender, %why, "loan refused");
-                }
-                fleet.begin_guest_change(change)
-            };
-            tracing::debug!(job = write.job(), home = %request.from, "borrowed job changed");
+            let Some(write) = self.begin_next_change(fencing_token, request) else { return };
+            tracing::debug!(job = write.job(), lender = %request.from, "borrowed job changed");
             if self.write_loan(fencing_token, write) == LoanOutcome::Unknown {
                 return;
             }
         }
     }
 
-    /// Logs why a message is refused, once for each sender and reason: it comes again and again.
+    /// The write of the next change that a message requests; none if there is none, or it has to wait.
+    fn begin_next_change(&self, fencing_token: u64, request: &LoanSyncRequest) -> Option<LoanWrite> {
+        let mut shared = self.lock();
+        let fleet = &mut shared.leadership_with(fencing_token)?.fleet;
+        let change = fleet.loans.guest.next_change(request, &fleet.local_tasks())?;
+        if fleet.loans.is_returning(&change.job) {
+            return None;
+        }
+        if let Some(why) = &change.refusal {
+            tracing::info!(job = %change.job, lender = %change.lender, %why, "loan refused");
+        }
+        Some(fleet.begin_guest_change(change))
+    }
+
+    /// Logs why a message is refused, once for each sender and reason: it is sent again and again.
     fn log_refused_message(&self, from: &str, why: String) {
         let mut shared = self.lock();
         if shared.refused_cells.len() >= MAX_REFUSED_CELLS {
@@ -86,15 +86,18 @@
     /// The answer of a controller that does not lead: who does.
     fn not_leading(&self, cells: &CellsSettings, shared: &SharedState) -> LoanReply {
         let leader = shared.leader.as_ref().and_then(|leader| {
-            let member = self.cfg.platform.members.iter().find(|member| member.label == leader.label)?;
+            let member = self.config.platform.members.iter().find(|member| member.label == leader.label)?;
             Some(member.addr.to_string())
         });
         LoanReply { from: cells.name.clone(), leader: leader.unwrap_or_default(), ..LoanReply::default() }
     }
 }
 
-/// The message, if it can be read and is from a cell that is known here.
-fn checked(cells: &CellsSettings, message: &LoanRequest) -> Result<LoanSyncRequest, LoanMessageError> {
+/// The message, if it can be decoded and is from a cell that the settings name.
+fn checked_request(
+    cells: &CellsSettings,
+    message: &LoanRequest,
+) -> Result<LoanSyncRequest, LoanMessageError> {
     if message.to != cells.name {
         return Err(LoanMessageError::Misaddressed { to: message.to.clone(), own: cells.name.clone() });
     }
@@ -104,12 +107,13 @@
     request_from_proto(message)
 }
 
+/// The leader's answer: how the loans stand, and this cell's summary.
 fn loan_reply(cells: &CellsSettings, leadership: &Leadership, request: &LoanSyncRequest) -> LoanReply {
     let fleet = &leadership.fleet;
     let reports = fleet.loans.guest.reports(request, |job| fleet.recorded_done(job));
     LoanReply {
         from: cells.name.clone(),
-        term: leadership.claim.fencing_token,
+        term: leadership.term.fencing_token,
         leads: true,
         leader: String::new(),
         summary: Some(summary_to_proto(fleet.cell_summary(wall()))),
--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -1,7 +1,9 @@
-//! What people on call see of loans, and their decision to write off what a lost cell holds.
+//! The operators' view of loans, and their decision to write off the loans of a lost cell.
 
 use std::collections::BTreeMap;
 
+use milletlock_cells::{BorrowedJob, Lending, Loan};
+
 use super::loan_writes::LoanOutcome;
 use super::{Controller, Leadership, SharedState};
 use crate::fleet::Fleet;
@@ -13,7 +15,7 @@
 impl Controller {
     /// Loans in both directions; none where cells are not in use.
     pub(super) fn cells_status(&self, shared: &SharedState, leadership: &Leadership) -> Option<CellsStatus> {
-        let cells = self.cfg.operator.cells.as_ref()?;
+        let cells = self.config.operator.cells.as_ref()?;
         let others = cells.others.iter().map(|cell| {
             let state = shared.other_cells.get(&cell.name);
             let summary = state.and_then(|state| state.summary());
@@ -35,42 +37,38 @@
         })
     }
 
-    /// Gives up all loans with a cell that is lost for good, as an operator decided: what is not known to
-    /// be done there runs here again. If the cell is alive after all, tasks may run twice until it hears.
-    pub(super) fn write_off(&self, req: &Request) -> Response {
-        let cell = req.path.strip_prefix(WRITE_OFF_PATH).unwrap_or("");
-        if req.method != "POST" {
+    /// Writes off all loans with a cell that is lost for good, as an operator decided: tasks that are not
+    /// known to be done there run here again. If the cell is alive after all, tasks may run twice until it
+    /// is reached.
+    pub(super) fn write_off(&self, request: &Request) -> Response {
+        let cell = request.path.strip_prefix(WRITE_OFF_PATH).unwrap_or("");
+        if request.method != "POST" {
             return Response::error(405, "only POST");
         }
-        if self.cfg.operator.cells.as_ref().is_none_or(|cells| cells.other(cell).is_none()) {
+        if self.config.operator.cells.as_ref().is_none_or(|cells| cells.other(cell).is_none()) {
             return Response::error(404, "no such cell in the settings");
         }
         let (fencing_token, jobs) = {
             let shared = self.lock();
             let Some(leadership) = &shared.leadership else {
-                let leader = shared.leader.as_ref().map(|l| l.label.clone()).unwrap_or_default();
+                let leader = shared.leader.as_ref().map(|leader| leader.label.clone()).unwrap_or_default();
                 return Response::json(421, &Redirect { leader });
             };
-            let loans = leadership.fleet.loans.home.loans_with(cell);
-            let jobs: BTreeMap<String, u32> = loans.fold(BTreeMap::new(), |mut jobs, (job, loan)| {
-                let done = leadership.fleet.done_tasks(job);
-                *jobs.entry(job.to_string()).or_default() += loan.tasks.difference(&done).len();
-                jobs
-            });
-            (leadership.claim.fencing_token, jobs)
+            (leadership.term.fencing_token, unfinished_loans(&leadership.fleet, cell))
         };
-        let mut answer = WrittenOff { cell: cell.to_string(), tasks: BTreeMap::new(), left: Vec::new() };
+        let mut result = WrittenOff { cell: cell.to_string(), tasks: BTreeMap::new(), left: Vec::new() };
         for (job, tasks) in jobs {
             if self.write_off_job(fencing_token, cell, &job) {
-                answer.tasks.insert(job, tasks);
+                result.tasks.insert(job, tasks);
             } else {
-                answer.left.push(job);
+                result.left.push(job);
             }
         }
-        tracing::warn!(cell, jobs = answer.tasks.len(), left = answer.left.len(), "loans written off");
-        Response::json(if answer.left.is_empty() { 200 } else { 503 }, &answer)
+        tracing::warn!(cell, jobs = result.tasks.len(), left = result.left.len(), "loans written off");
+        Response::json(if result.left.is_empty() { 200 } else { 503 }, &result)
     }
 
+    /// Writes off a job's loans with a cell; whether that is recorded.
     fn write_off_job(&self, fencing_token: u64, cell: &str, job: &str) -> bool {
         let write = {
             let mut shared = self.lock();
@@ -82,10 +80,21 @@
     }
 }
 
+/// Numbers of lent tasks that are not known to be done, by job, of the loans with a cell.
+fn unfinished_loans(fleet: &Fleet, cell: &str) -> BTreeMap<String, u32> {
+    let mut unfinished: BTreeMap<String, u32> = BTreeMap::new();
+    for (job, loan) in fleet.loans.home.loans_with(cell) {
+        let done = fleet.done_tasks(job);
+        *unfinished.entry(job.to_string()).or_default() += loan.tasks.difference(&done).len();
+    }
+    unfinished
+}
+
+/// The open loans that this cell has made.
 fn lent(fleet: &Fleet) -> Vec<LentStatus> {
-    let of_job = |(job, lending): (&String, &milletlock_cells::Lending)| {
+    let of_job = |(job, lending): (&String, &Lending)| {
         let done = fleet.done_tasks(job);
-        let loan = |loan: &milletlock_cells::Loan| LentStatus {
+        let loan = |loan: &Loan| LentStatus {
             job: job.clone(),
             cell: loan.borrower.clone(),
             number: loan.number.0,
@@ -98,8 +107,9 @@
     fleet.loans.home.jobs().flat_map(of_job).collect()
 }
 
+/// The jobs of which this cell has borrowed tasks.
 fn borrowed(fleet: &Fleet) -> Vec<BorrowedStatus> {
-    let of_job = |(job, record): (&String, &milletlock_cells::BorrowedJob)| {
+    let of_job = |(job, record): (&String, &BorrowedJob)| {
         let tasks = record.tasks();
         BorrowedStatus {
             job: job.clone(),
@@ -111,8 +121,8 @@
     fleet.loans.guest.jobs().map(of_job).collect()
 }
 
-/// Tasks finished for each cell: those of closed loans are recorded with the cell, the others still count
-/// with their jobs.
+/// Numbers of tasks finished for each cell: those of closed loans are recorded with the cell, those of
+/// open loans with their jobs.
 fn finished_for(fleet: &Fleet) -> BTreeMap<String, u64> {
     let closed = fleet.loans.lenders().map(|(cell, record)| (cell.clone(), record.finished));
     let mut finished: BTreeMap<String, u64> = closed.collect();
--- /dev/null
+++ b/src/controller/deferred_replies.rs
@@ -0,0 +1,96 @@
+//! Deferred replies to the heartbeats of idle workers: each is sent as soon as there is a task to start on
+//! its machine, and at the latest at its deadline.
+
+use std::collections::BTreeMap;
+
+use super::heartbeats::not_the_leader;
+use super::{Controller, Leadership, SharedState};
+use crate::http::{Reply, Response};
+use crate::jobs::MachineId;
+use crate::time::{wall, Steady};
+use crate::wire::{Heartbeat, HeartbeatReply};
+
+/// A heartbeat whose reply is deferred until there is a task to start on its machine.
+pub(super) struct DeferredHeartbeatReply {
+    pub(super) heartbeat: Heartbeat,
+    /// The leader's fencing token when the heartbeat came.
+    pub(super) fencing_token: u64,
+    /// When it is answered at the latest.
+    pub(super) deadline: Steady,
+    pub(super) reply: Reply,
+}
+
+/// A reply with the response to send through it.
+struct DueReply {
+    reply: Reply,
+    response: Response,
+}
+
+impl Controller {
+    /// Sends the deferred replies for which there is a start now, and those whose deadline has passed.
+    pub(super) fn send_deferred_replies(&self) {
+        let due_replies = take_due_replies(&mut self.lock(), self.now());
+        for due in due_replies {
+            due.reply.send(&due.response);
+        }
+    }
+}
+
+/// Removes the deferred replies that are to be sent now.
+fn take_due_replies(shared: &mut SharedState, now: Steady) -> Vec<DueReply> {
+    let SharedState { leadership, deferred_replies, .. } = shared;
+    let mut leadership = leadership.as_mut().filter(|leadership| leadership.store_contact.may_act(now));
+    let fencing_token = leadership.as_ref().map(|leadership| leadership.term.fencing_token);
+    let is_due = |machine: &MachineId, deferred: &DeferredHeartbeatReply| {
+        Some(deferred.fencing_token) != fencing_token
+            || now >= deferred.deadline
+            || leadership.as_ref().is_some_and(|leadership| leadership.fleet.start_waits(machine))
+    };
+    let due: Vec<MachineId> = deferred_replies
+        .iter()
+        .filter(|(machine, deferred)| is_due(machine, deferred))
+        .map(|(machine, _)| machine.clone())
+        .collect();
+    let mut due_replies = Vec::new();
+    if let Some(leadership) = leadership.as_mut() {
+        let replies = due.iter().filter_map(|machine| take_reply(leadership, deferred_replies, machine, now));
+        due_replies.extend(replies);
+    }
+    let stale = due.iter().filter_map(|machine| take_stale_reply(deferred_replies, machine, fencing_token));
+    due_replies.extend(stale);
+    due_replies
+}
+
+/// Removes the deferred reply of a machine, if it is of this term and has orders or has reached its
+/// deadline.
+fn take_reply(
+    leadership: &mut Leadership,
+    deferred_replies: &mut BTreeMap<MachineId, DeferredHeartbeatReply>,
+    machine: &MachineId,
+    now: Steady,
+) -> Option<DueReply> {
+    let fencing_token = leadership.term.fencing_token;
+    let deferred =
+        deferred_replies.get(machine).filter(|deferred| deferred.fencing_token == fencing_token)?;
+    let orders = leadership.fleet.later(&deferred.heartbeat, now, wall());
+    if orders.is_empty() && now < deferred.deadline {
+        return None;
+    }
+    let deferred = deferred_replies.remove(machine)?;
+    let response = Response::json(200, &HeartbeatReply { fencing_token, orders });
+    Some(DueReply { reply: deferred.reply, response })
+}
+
+/// Removes the deferred reply of a machine, if it is of an earlier term, or of any while this controller
+/// may not act as the leader (`fencing_token` is then none): the worker is to find the leader anew.
+fn take_stale_reply(
+    deferred_replies: &mut BTreeMap<MachineId, DeferredHeartbeatReply>,
+    machine: &MachineId,
+    fencing_token: Option<u64>,
+) -> Option<DueReply> {
+    if Some(deferred_replies.get(machine)?.fencing_token) == fencing_token {
+        return None;
+    }
+    let deferred = deferred_replies.remove(machine)?;
+    Some(DueReply { reply: deferred.reply, response: not_the_leader() })
+}
--- a/src/controller/error.rs
+++ b/src/controller/error.rs
@@ -1,4 +1,4 @@
-//! Why a controller could not start or stopped serving.
+//! Errors with which a controller ends: it could not start, or stopped serving.
 
 use std::net::SocketAddr;
 
@@ -11,13 +11,13 @@
     Listen {
         /// The address of the settings.
         addr: SocketAddr,
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The connections to the other controllers and cells could not be set up.
     #[error("cannot start the connections to the other controllers: {0}")]
     Peers(#[source] std::io::Error),
-    /// The histograms of response latencies could not be made.
+    /// The histograms of response latencies could not be created.
     #[error("cannot make the latency histograms: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
     /// A thread for one of the controller's duties could not be started.
--- a/src/controller/latency.rs
+++ b/src/controller/latency.rs
@@ -1,35 +1,34 @@
-//! Histograms of the answer times, logged once a minute.
+//! Histograms of response latencies, logged once a minute.
 
-use hdrhistogram::Histogram;
+use hdrhistogram::{CreationError, Histogram};
 
 use super::Controller;
 use crate::time::{Micros, Steady};
 use crate::wire::HEARTBEAT_PATH;
 
-/// Longest time that is told apart, in microseconds.
+/// Longest latency that is recorded as it is, in microseconds; longer ones count as this.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// How often the answer times are logged.
+/// Significant decimal digits of the recorded latencies.
+const SIGNIFICANT_DIGITS: u8 = 2;
+/// How often the latencies are logged.
 const LOG_INTERVAL: Micros = Micros::from_millis(60_000);
 
-/// Answer times since they were last logged.
+/// Latencies since they were last logged, in microseconds.
 pub(super) struct Latencies {
-    pub(super) users: Histogram<u64>,
-    pub(super) workers: Histogram<u64>,
-    pub(super) logged_at: Steady,
+    users: Histogram<u64>,
+    workers: Histogram<u64>,
+    logged_at: Steady,
 }
 
-impl Controller {
-    /// Records how long a request took; logs the histograms and resets them when they are due.
-    pub(super) fn record_latency(&self, path: &str, since: Steady) {
-        let took = (self.now() - since).0.clamp(1, MAX_LATENCY_US as i64) as u64;
-        let mut latencies = self.latencies.lock().unwrap_or_else(|e| e.into_inner());
-        let histogram = if path == HEARTBEAT_PATH { &mut latencies.workers } else { &mut latencies.users };
-        // Within the bounds by the clamp above.
-        let _ = histogram.record(took);
-        if self.now() - latencies.logged_at < LOG_INTERVAL {
-            return;
-        }
-        for (who, histogram) in [("users", &latencies.users), ("workers", &latencies.workers)] {
+impl Latencies {
+    /// Empty histograms, to be logged a while after `now`.
+    pub(super) fn new(now: Steady) -> Result<Latencies, CreationError> {
+        Ok(Latencies { users: empty_histogram()?, workers: empty_histogram()?, logged_at: now })
+    }
+
+    /// Logs the histograms and resets them.
+    fn log_and_reset(&mut self) {
+        for (who, histogram) in [("users", &mut self.users), ("workers", &mut self.workers)] {
             if !histogram.is_empty() {
                 tracing::info!(
                     who,
@@ -40,14 +39,28 @@
                     "response latency, last minute"
                 );
             }
+            histogram.reset();
+        }
+    }
+}
+
+impl Controller {
+    /// Records how long a request took; logs the histograms when they are due.
+    pub(super) fn record_latency(&self, path: &str, since: Steady) {
+        let latency_us = (self.now() - since).0.clamp(1, MAX_LATENCY_US as i64) as u64;
+        let mut latencies = super::lock_poisoned(&self.latencies);
+        let histogram = if path == HEARTBEAT_PATH { &mut latencies.workers } else { &mut latencies.users };
+        // Within the bounds by the clamp above.
+        let _ = histogram.record(latency_us);
+        if self.now() - latencies.logged_at < LOG_INTERVAL {
+            return;
         }
-        latencies.users.reset();
-        latencies.workers.reset();
+        latencies.log_and_reset();
         latencies.logged_at = self.now();
     }
 }
 
-/// An empty histogram of times in microseconds.
-pub(super) fn histogram() -> Result<Histogram<u64>, hdrhistogram::CreationError> {
-    Histogram::new_with_bounds(1, MAX_LATENCY_US, 2)
+/// An empty histogram of latencies in microseconds.
+fn empty_histogram() -> Result<Histogram<u64>, CreationError> {
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 }
--- /dev/null
+++ b/src/controller/leader_lease.rs
@@ -0,0 +1,143 @@
+//! The leadership duty: renews the leader's lease, or follows the leader until its lease expires.
+
+use super::{Controller, SharedState};
+use crate::leadership::{LeaderRecord, LEADER_KEY};
+use crate::state::StateError;
+use crate::time::Micros;
+
+use super::step_down::StepDownReason;
+
+/// Renewals of the lease begin no closer together than this.
+const MIN_RENEWAL_INTERVAL: Micros = Micros::from_millis(100);
+/// The lease is renewed after this part of its duration.
+const RENEWAL_SHARE_OF_LEASE: f64 = 0.3;
+/// The lease is renewed after this part of the time that a leader may act without the state store.
+const RENEWAL_SHARE_OF_STALENESS: f64 = 0.4;
+/// Pause before the leader's record is read again, after a failure or while others go first.
+const FOLLOW_RETRY_DELAY: Micros = Micros::from_millis(300);
+/// How long one watch of the leader's record lasts.
+const LEADER_WATCH_TIMEOUT: Micros = Micros::from_millis(3_000);
+/// A leader that hears no worker resigns if no other controller has been heard for this long.
+const PEER_SILENCE_TIMEOUT: Micros = Micros::from_millis(3_000);
+/// A leader hears no worker if no heartbeat came for so many heartbeat intervals.
+const SILENT_HEARTBEAT_INTERVALS: f64 = 2.5;
+/// How long a leader that resigned stands in no election.
+const RESIGNATION_PAUSE: Micros = Micros::from_millis(8_000);
+
+impl Controller {
+    /// Renews the leader's lease, or waits for its end and fails over, until the controller ends.
+    pub(super) fn maintain_leadership(&self) {
+        self.load_machine_types();
+        let ttl = Micros::from_secs(self.config.operator.leader_ttl_s);
+        while !self.stopping() {
+            let pause = self.maintain_leadership_once(ttl);
+            self.sleep(pause);
+        }
+    }
+
+    /// Renews the leader's lease, or waits a while for its end and fails over; returns how long to
+    /// pause. `ttl` is the duration of the lease.
+    pub fn maintain_leadership_once(&self, ttl: Micros) -> Micros {
+        let held = self
+            .lock()
+            .leadership
+            .as_ref()
+            .map(|leadership| (leadership.term.lease, leadership.term.fencing_token));
+        if let Some((lease, fencing_token)) = held {
+            self.renew_lease(lease, fencing_token);
+            return self.renewal_interval(ttl);
+        }
+        match self.follow_leader(ttl) {
+            Ok(()) => Micros::ZERO,
+            Err(error) => {
+                tracing::debug!(%error, "leader record unreadable");
+                FOLLOW_RETRY_DELAY
+            }
+        }
+    }
+
+    /// How long to wait between renewals. Renewals also count as contact with the state store, which must
+    /// not grow too old where the settings leave little time.
+    fn renewal_interval(&self, ttl: Micros) -> Micros {
+        let by_staleness = self.config.max_staleness().scale(RENEWAL_SHARE_OF_STALENESS);
+        ttl.scale(RENEWAL_SHARE_OF_LEASE).min(by_staleness).max(MIN_RENEWAL_INTERVAL)
+    }
+
+    /// Renews the leader's lease; steps down if it has expired, or if this leader is isolated.
+    fn renew_lease(&self, lease: u64, fencing_token: u64) {
+        let begun = self.now();
+        let renewal = self.state.renew(lease);
+        let renewed = renewal.is_ok();
+        let mut shared = self.lock();
+        let Some(leadership) = shared.leadership_with(fencing_token) else { return };
+        // A single controller is followed by no other while it lives.
+        if renewed || self.config.controller_count() == 1 {
+            leadership.fleet.confirm(begun);
+            leadership.store_contact.note_renewal(begun);
+        }
+        match renewal {
+            Ok(()) => {}
+            Err(StateError::NoLease) => self.step_down(&mut shared, StepDownReason::LeaseExpired),
+            Err(error) => tracing::info!(%error, "leader lease renewal failed"),
+        }
+        if renewed && self.is_isolated(&shared) {
+            shared.no_election_until = self.now() + RESIGNATION_PAUSE;
+            self.step_down(&mut shared, StepDownReason::Isolated);
+            drop(shared);
+            let _ = self.state.end_lease(lease);
+        }
+    }
+
+    /// Whether this leader is cut off from workers and controllers alike. While the state store
+    /// answers, others can serve the workers before their leases expire, this one cannot.
+    fn is_isolated(&self, shared: &SharedState) -> bool {
+        let heartbeat_interval_s = self.config.platform.settings.workers.report_s;
+        let worker_silence_timeout = Micros::from_secs(heartbeat_interval_s * SILENT_HEARTBEAT_INTERVALS);
+        let now = self.now();
+        let peer_silence = now - shared.last_peer_contact;
+        shared.leadership.as_ref().is_some_and(|leadership| {
+            self.peers.count() > 0
+                && now - leadership.last_heartbeat > worker_silence_timeout
+                && peer_silence > PEER_SILENCE_TIMEOUT
+                && leadership.fleet.machines.values().filter(|machine| machine.up).count() > 1
+        })
+    }
+
+    /// Reads the leader's record. While another controller leads, waits for the end of its lease; then, or
+    /// if no controller leads, fails over.
+    fn follow_leader(&self, ttl: Micros) -> Result<(), StateError> {
+        let (rows, revision) = self.state.list(LEADER_KEY)?;
+        let row = rows.into_iter().find(|row| row.key == LEADER_KEY);
+        let leader: Option<LeaderRecord> =
+            row.as_ref().and_then(|row| serde_json::from_value(row.value.clone()).ok());
+        if let Some(leader) = leader.filter(|leader| leader.label != self.config.platform.label) {
+            if self.await_lease_expiry(&leader, revision)? {
+                self.sleep(self.election_delay());
+                return self.fail_over(ttl, 0);
+            }
+            return Ok(());
+        }
+        // No controller leads, or an earlier run of this very process does.
+        if self.now() < self.lock().no_election_until {
+            self.sleep(FOLLOW_RETRY_DELAY);
+            return Ok(());
+        }
+        self.fail_over(ttl, row.map_or(0, |row| row.mod_revision))
+    }
+
+    /// Waits a while for the end of another leader's lease; whether it ended.
+    fn await_lease_expiry(&self, leader: &LeaderRecord, revision: u64) -> Result<bool, StateError> {
+        {
+            let mut shared = self.lock();
+            shared.highest_fencing_token = shared.highest_fencing_token.max(leader.fencing_token);
+            shared.leader = Some(leader.clone());
+        }
+        let changes = self.state.watch(LEADER_KEY, revision, LEADER_WATCH_TIMEOUT)?;
+        if !changes.events.iter().any(|event| event.drop.as_deref() == Some(LEADER_KEY)) {
+            return Ok(false);
+        }
+        self.lock().leader = None;
+        tracing::info!(leader = %leader.label, "leader lease expired");
+        Ok(true)
+    }
+}
--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -1,5 +1,6 @@
-//! Writing the records of loans, for the lending and the borrowing side alike.
+//! Writes the records of loans between cells, for the lending and the borrowing side alike.
 
+use super::step_down::StepDownReason;
 use super::Controller;
 use crate::fleet::LoanWrite;
 use crate::keys::{final_key, job_key};
@@ -7,19 +8,19 @@
 use crate::state::{RequestPriority, StateError, TxnOutcome};
 use crate::time::wall;
 
-/// What became of a write of loans.
+/// Outcome of a write of loans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LoanOutcome {
     /// It is durable.
     Written,
     /// It was not applied and never will be; the records have been read back.
     NotWritten,
-    /// Not known yet, or this controller owns nothing any more.
+    /// Not known yet, or this controller no longer leads.
     Unknown,
 }
 
 impl Controller {
-    /// Sends writes again that had no answer. Until they have one, a late copy of them may be applied.
+    /// Sends writes again that had no answer. Until they have one, a late copy of them may be carried out.
     pub(super) fn retry_loan_writes(&self, fencing_token: u64) {
         let unresolved = match self.lock().leadership_with(fencing_token) {
             Some(leadership) => leadership.fleet.loans.take_unresolved(),
@@ -33,7 +34,7 @@
     /// Carries out a write of loans.
     pub(super) fn write_loan(&self, fencing_token: u64, write: LoanWrite) -> LoanOutcome {
         let shard_revision = match self.lock().leadership_with(fencing_token) {
-            Some(leadership) => leadership.claim.shard_revision,
+            Some(leadership) => leadership.term.shard_revision,
             None => return LoanOutcome::Unknown,
         };
         let txn = leadership::loan_txn(&write, shard_revision);
@@ -47,13 +48,14 @@
                 }
                 LoanOutcome::NotWritten
             }
-            Err(e) => {
-                tracing::info!(job = write.job(), error = %e, "loan write outcome unknown");
+            Err(error) => {
+                tracing::info!(job = write.job(), %error, "loan write outcome unknown");
                 self.loan_unresolved(fencing_token, write)
             }
         }
     }
 
+    /// Records a committed write in the fleet.
     fn loan_written(&self, fencing_token: u64, write: &LoanWrite, revision: u64) -> LoanOutcome {
         let mut shared = self.lock();
         let Some(leadership) = shared.leadership_with(fencing_token) else { return LoanOutcome::Unknown };
@@ -62,6 +64,7 @@
         LoanOutcome::Written
     }
 
+    /// Keeps a write whose outcome is unknown, to be sent again.
     fn loan_unresolved(&self, fencing_token: u64, write: LoanWrite) -> LoanOutcome {
         if let Some(leadership) = self.lock().leadership_with(fencing_token) {
             leadership.fleet.loan_unresolved(write);
@@ -70,19 +73,16 @@
     }
 
     /// Some record has changed: by another's write, or by an earlier copy of this one. Either way no copy
-    /// of it can be applied any more, and the records tell how things stand.
+    /// of it can be committed any more, and the records are read back.
     fn loan_conflict(&self, fencing_token: u64, write: LoanWrite, keys: &[String]) -> LoanOutcome {
         if keys.iter().any(|key| key == SHARD_KEY) {
-            let mut shared = self.lock();
-            if shared.leadership_with(fencing_token).is_some() {
-                self.step_down(&mut shared, 0, "another owner has taken the part");
-            }
+            self.step_down_from(fencing_token, StepDownReason::ShardTaken);
             return LoanOutcome::Unknown;
         }
         let rows = match leadership::read_loan_records(&self.state, &write) {
             Ok(rows) => rows,
-            Err(e) => {
-                tracing::debug!(job = write.job(), error = %e, "loan record read-back failed");
+            Err(error) => {
+                tracing::debug!(job = write.job(), %error, "loan record read-back failed");
                 return self.loan_unresolved(fencing_token, write);
             }
         };
@@ -93,8 +93,8 @@
             leadership::update_from_store(fleet, &key, row, self.now());
         }
         let job = write.job();
-        let is_guest = matches!(write, LoanWrite::Guest { .. });
-        if is_guest && keys.iter().any(|key| *key == job_key(job) || *key == final_key(job)) {
+        let is_borrowing = matches!(write, LoanWrite::Guest { .. });
+        if is_borrowing && keys.iter().any(|key| *key == job_key(job) || *key == final_key(job)) {
             fleet.note_known_job(job);
         }
         fleet.loan_not_written(&write);
--- /dev/null
+++ b/src/controller/machine_types.rs
@@ -0,0 +1,46 @@
+//! Loads the machine types at the start, from the state store or the cloud.
+
+use serde_json::json;
+
+use super::Controller;
+use crate::leadership::{self, MACHINE_TYPES_KEY};
+use crate::state::RequestPriority;
+use crate::time::Micros;
+use crate::wire::{Change, Guard, MachineType, Txn};
+
+/// How long to wait before the machine types are requested again.
+const RETRY_DELAY: Micros = Micros::from_millis(500);
+
+impl Controller {
+    /// Requests the machine types until they are known.
+    pub(super) fn load_machine_types(&self) {
+        while !self.stopping() && !self.load_machine_types_once() {
+            self.sleep(RETRY_DELAY);
+        }
+    }
+
+    /// Requests the machine types; false if neither the state store nor the cloud has answered with them.
+    pub fn load_machine_types_once(&self) -> bool {
+        let found = match leadership::read_machine_types(&self.state) {
+            Ok(Some(types)) => Some(types),
+            _ => self.cloud.catalog().ok().inspect(|types| self.write_machine_types(types)),
+        };
+        let Some(types) = found else { return false };
+        self.lock().machine_types = Some(types);
+        true
+    }
+
+    /// Writes the machine types for controllers that start while the cloud cannot be reached.
+    fn write_machine_types(&self, types: &[MachineType]) {
+        let value = json!(types);
+        if value.to_string().len() > self.config.value_bytes() {
+            return;
+        }
+        let txn = Txn {
+            guards: vec![Guard { key: MACHINE_TYPES_KEY.into(), mod_revision: 0 }],
+            then: vec![Change::put(MACHINE_TYPES_KEY, value)],
+        };
+        // Without it they are read from the cloud the next time.
+        let _ = self.state.txn(&txn, RequestPriority::Background);
+    }
+}
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -1,138 +1,148 @@
 //! Messages from the other controllers, and requests that are relayed to them.
 
+use std::collections::BTreeMap;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::sync::Mutex;
 use std::time::Duration;
 
-use super::{Controller, VERSION};
+use super::step_down::StepDownReason;
+use super::{lock_poisoned, Controller, VERSION};
 use crate::fleet::JobProgress;
 use crate::http::{self, Request, Response};
 use crate::leadership::LeaderRecord;
-use crate::peer::{self, Ack, Answer, Call, Inbound, JobNews, Message, Outcome, Summary};
+use crate::peer::{self, Ack, Answer, Call, Inbound, JobCounts, JobNews, Message, Outcome, Summary};
 use crate::records::{FinalRecord, JobRecord};
 use crate::time::Micros;
 use crate::wire::{is_job_id, Stage};
 
-/// How long to wait for a message before looking whether to stop.
+/// How long to wait for a message before checking whether the controller is to end.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Controller {
-    /// Has another controller answer a request; none if it cannot be reached.
-    pub(super) fn relay(&self, to: usize, req: &Request, timeout: Micros) -> Option<Response> {
-        let call = Call { method: req.method.clone(), path: req.path.clone(), body: req.body.clone() };
-        match self.peers.call(to, Message::Relay(call), timeout) {
-            Ok(Outcome::Answer(a)) => Some(Response {
-                status: u16::try_from(a.status).unwrap_or(503),
-                body: a.body,
-                retry_after: (a.retry_after > 0).then_some(a.retry_after),
-            }),
-            _ => None,
-        }
+    /// Relays a request to another controller; none if it does not answer.
+    pub(super) fn relay(&self, peer: usize, request: &Request, timeout: Micros) -> Option<Response> {
+        let call =
+            Call { method: request.method.clone(), path: request.path.clone(), body: request.body.clone() };
+        let Ok(Outcome::Answer(answer)) = self.peers.call(peer, Message::Relay(call), timeout) else {
+            return None;
+        };
+        Some(Response {
+            status: u16::try_from(answer.status).unwrap_or(503),
+            body: answer.body,
+            retry_after: (answer.retry_after > 0).then_some(answer.retry_after),
+        })
     }
 
-    /// Takes note that another controller answered; steps down if it knows a higher fencing token.
-    pub(super) fn peer_answered(&self, fencing_token: u64) {
+    /// Notes that another controller answered; steps down if it knows a higher fencing token.
+    pub(super) fn on_peer_answer(&self, fencing_token: u64) {
         let mut shared = self.lock();
         shared.last_peer_contact = self.now();
         if fencing_token > shared.highest_fencing_token {
-            self.step_down(&mut shared, fencing_token, "another controller knows a higher fencing token");
+            self.step_down(&mut shared, StepDownReason::HigherTokenAtPeer(fencing_token));
         }
     }
 
     /// Answers the messages of other controllers until the controller ends.
     pub(super) fn answer_peers(&self, inbound: &Mutex<Receiver<Inbound>>) {
         while !self.stopping() {
-            let next = inbound.lock().unwrap_or_else(|e| e.into_inner()).recv_timeout(RECEIVE_TIMEOUT);
-            let msg = match next {
-                Ok(m) => m,
+            let received = lock_poisoned(inbound).recv_timeout(RECEIVE_TIMEOUT);
+            let inbound_message = match received {
+                Ok(inbound_message) => inbound_message,
                 Err(RecvTimeoutError::Timeout) => continue,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            let out = self.hear(&msg.message);
-            msg.answer(out);
+            let outcome = self.handle_peer_message(&inbound_message.message);
+            inbound_message.answer(outcome);
         }
     }
 
     /// Answers a message of another controller.
-    pub fn hear(&self, m: &Message) -> Outcome {
-        // Another cell's word says nothing of this cell's own controllers.
-        if !matches!(m, Message::Lend(_)) {
+    pub fn handle_peer_message(&self, message: &Message) -> Outcome {
+        // A message of another cell does not show that this cell's own controllers can be reached.
+        if !matches!(message, Message::Lend(_)) {
             self.lock().last_peer_contact = self.now();
         }
-        match m {
+        match message {
             Message::Lend(request) => self.on_loans(request),
-            Message::Announce(s) => self.on_announcement(s),
-            Message::Notify(n) => self.on_job_news(n),
-            Message::Cancelled(c) => self.on_cancellations(c),
-            Message::Relay(c) => self.on_relay(c),
+            Message::Announce(summary) => self.on_announcement(summary),
+            Message::Notify(news) => self.on_job_news(news),
+            Message::Cancelled(cancellations) => self.on_cancellations(cancellations),
+            Message::Relay(call) => self.on_relay(call),
         }
     }
 
     /// Answers a request that another controller relayed.
     fn on_relay(&self, call: &Call) -> Outcome {
-        let req = Request { method: call.method.clone(), path: call.path.clone(), body: call.body.clone() };
-        let r = if req.body.len() > http::MAX_BODY {
+        let request =
+            Request { method: call.method.clone(), path: call.path.clone(), body: call.body.clone() };
+        let response = if request.body.len() > http::MAX_BODY {
             Response::error(413, "body over 64 KiB")
         } else {
-            self.answer(&req, true)
+            self.answer(&request, true)
         };
         Outcome::Answer(Answer {
-            status: u32::from(r.status),
-            body: r.body,
-            retry_after: r.retry_after.unwrap_or(0),
+            status: u32::from(response.status),
+            body: response.body,
+            retry_after: response.retry_after.unwrap_or(0),
         })
     }
 
     /// Another controller has confirmed cancellations: what is left of the jobs is stopped, whether
-    /// this leader can see their records or not.
-    fn on_cancellations(&self, list: &peer::Cancellations) -> Outcome {
-        for c in &list.jobs {
-            if !is_job_id(&c.id) {
-                tracing::error!(job = %c.id, "malformed job id in cancellation notice");
+    /// this leader can read their records or not.
+    fn on_cancellations(&self, cancellations: &peer::Cancellations) -> Outcome {
+        for cancellation in &cancellations.jobs {
+            let id = &cancellation.id;
+            if !is_job_id(id) {
+                tracing::error!(job = %id, "malformed job id in cancellation notice");
                 continue;
             }
-            self.apply_cancellation(
-                &c.id,
-                FinalRecord { stage: Stage::Cancelled, tasks: c.tasks },
-                c.revision,
-            );
+            let record = FinalRecord { stage: Stage::Cancelled, tasks: cancellation.tasks };
+            self.apply_cancellation(id, record, cancellation.revision);
         }
-        Outcome::Ack(Ack { token: self.lock().highest_fencing_token, version: VERSION.into() })
+        acknowledgement(self.lock().highest_fencing_token)
     }
 
-    /// Another controller leads: its numbers of live jobs are kept for polls.
-    fn on_announcement(&self, s: &Summary) -> Outcome {
+    /// Another controller leads: its task counts of live jobs are kept for polls.
+    fn on_announcement(&self, summary: &Summary) -> Outcome {
         let mut shared = self.lock();
-        if s.token > shared.highest_fencing_token {
-            self.step_down(&mut shared, s.token, "another controller leads with a higher fencing token");
+        if summary.token > shared.highest_fencing_token {
+            self.step_down(&mut shared, StepDownReason::HigherTokenLeads(summary.token));
         }
-        if s.token > 0 && s.token == shared.highest_fencing_token && shared.leadership.is_none() {
+        let is_latest_leader = summary.token > 0 && summary.token == shared.highest_fencing_token;
+        if is_latest_leader && shared.leadership.is_none() {
             shared.leader = Some(LeaderRecord {
-                label: s.leader.clone(),
+                label: summary.leader.clone(),
                 incarnation: 0,
-                fencing_token: s.token,
+                fencing_token: summary.token,
                 lease: 0,
             });
-            shared.announced_counts = s
-                .jobs
-                .iter()
-                .map(|j| (j.id.clone(), JobProgress { done: j.done, running: j.running }))
-                .collect();
+            shared.announced_counts = announced_counts(summary);
         }
-        Outcome::Ack(Ack { token: shared.highest_fencing_token, version: VERSION.into() })
+        acknowledgement(shared.highest_fencing_token)
     }
 
     /// Another controller has written or ended a job.
-    fn on_job_news(&self, n: &JobNews) -> Outcome {
+    fn on_job_news(&self, news: &JobNews) -> Outcome {
         let mut shared = self.lock();
         if let Some(leadership) = shared.leadership.as_mut() {
-            if n.record.is_empty() {
-                leadership.fleet.job_over(&n.id, n.revision);
-            } else if let Ok(r) = serde_json::from_slice::<JobRecord>(&n.record) {
-                leadership.fleet.job_put(r, n.revision, self.now());
+            if news.record.is_empty() {
+                leadership.fleet.job_over(&news.id, news.revision);
+            } else if let Ok(record) = serde_json::from_slice::<JobRecord>(&news.record) {
+                leadership.fleet.job_put(record, news.revision, self.now());
             }
             self.wake.notify_all();
         }
-        Outcome::Ack(Ack { token: shared.highest_fencing_token, version: VERSION.into() })
+        acknowledgement(shared.highest_fencing_token)
     }
 }
+
+/// The acknowledgement of a message, with the highest fencing token that this controller has seen.
+fn acknowledgement(highest_fencing_token: u64) -> Outcome {
+    Outcome::Ack(Ack { token: highest_fencing_token, version: VERSION.into() })
+}
+
+/// The task counts in a leader's announcement, by job.
+fn announced_counts(summary: &Summary) -> BTreeMap<String, JobProgress> {
+    let counts = |job: &JobCounts| (job.id.clone(), JobProgress { done: job.done, running: job.running });
+    summary.jobs.iter().map(counts).collect()
+}
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -1,5 +1,6 @@
 //! The planning duty: advances the leader's clock and keeps its plan up to date.
 
+use super::step_down::StepDownReason;
 use super::Controller;
 use crate::time::{wall, Micros};
 
@@ -15,19 +16,19 @@
         }
     }
 
-    /// Advances the fleet to the present, plans, and sends the deferred answers that are due.
+    /// Advances the fleet to the present, plans, and sends the deferred replies that are due.
     pub fn plan_once(&self) {
         let mut shared = self.lock();
-        let writes = shared.leadership.as_mut().is_some_and(|leadership| {
+        let has_writes = shared.leadership.as_mut().is_some_and(|leadership| {
             leadership.fleet.tick(self.now(), wall());
             leadership.fleet.starts_wait()
         });
-        if shared.leadership.as_ref().is_some_and(|o| o.fleet.attempts_exhausted()) {
-            self.step_down(&mut shared, 0, "its attempt numbers are used up");
+        if shared.leadership.as_ref().is_some_and(|leadership| leadership.fleet.attempts_exhausted()) {
+            self.step_down(&mut shared, StepDownReason::AttemptsExhausted);
         }
         drop(shared);
-        self.answer_deferred();
-        if writes {
+        self.send_deferred_replies();
+        if has_writes {
             self.wake.notify_all();
         }
     }
--- /dev/null
+++ b/src/controller/scaling.rs
@@ -0,0 +1,201 @@
+//! The leader's duty that scales the fleet out (requests for new machines) and in (returning machines to
+//! the cloud).
+
+use super::Controller;
+use crate::capacity::Offer;
+use crate::cloud::{CloudError, MAX_MACHINES_PER_RENTAL};
+use crate::fleet::Fleet;
+use crate::time::{wall, Micros, Steady};
+use crate::wire::ScaleOutRequest;
+
+/// Pause between rounds.
+const SCALING_INTERVAL: Micros = Micros::from_millis(500);
+/// Most machines in one scale-in request.
+const MAX_MACHINES_PER_SCALE_IN: usize = 100;
+/// How often a scale-out request is repeated when its outcome is not known.
+const SCALE_OUT_RETRIES: usize = 2;
+/// How long an offer that the cloud could not meet in full is not requested.
+const NO_CAPACITY_BACKOFF: Micros = Micros::from_millis(10_000);
+/// The same after the cloud answered with an error, or not at all.
+const CLOUD_ERROR_BACKOFF: Micros = Micros::from_millis(2_000);
+/// A new leader scales out once this many times the lag of the cloud's list have passed.
+const FIRST_SCALE_OUT_DELAY_IN_LAGS: f64 = 1.2;
+
+impl Controller {
+    /// Scales out and in until the controller ends.
+    pub(super) fn scale_out_and_in(&self) {
+        let lag = Micros::from_secs(self.config.platform.settings.cloud.list_lag_s);
+        let first_scale_out_delay = lag.scale(FIRST_SCALE_OUT_DELAY_IN_LAGS);
+        let mut last_request_number = 0u64;
+        let (mut last_fencing_token, mut leader_since) = (0u64, Steady(0));
+        while !self.stopping() {
+            self.sleep(SCALING_INTERVAL);
+            let term = self
+                .lock()
+                .leadership
+                .as_ref()
+                .map(|leadership| (leadership.term.fencing_token, leadership.term.is_first));
+            let Some((fencing_token, is_first)) = term else { continue };
+            if last_fencing_token != fencing_token {
+                last_fencing_token = fencing_token;
+                leader_since = self.now();
+            }
+            self.scale_in(fencing_token);
+            // What the last leader requested shows in the list only after a while.
+            if is_first || self.now() - leader_since > first_scale_out_delay {
+                self.scale_out(fencing_token, &mut last_request_number);
+            }
+        }
+    }
+
+    /// Scales in: returns the machines that the leader no longer needs.
+    fn scale_in(&self, fencing_token: u64) {
+        let ids = match self.lock().leadership_with(fencing_token) {
+            Some(leadership) => leadership.fleet.leaving(),
+            None => return,
+        };
+        if ids.is_empty() {
+            return;
+        }
+        // Each answer counts at once: what the next request has to wait for must not hold up what
+        // can start elsewhere.
+        for batch in ids.chunks(MAX_MACHINES_PER_SCALE_IN) {
+            match self.cloud.return_machines(batch) {
+                Ok(()) => {
+                    if let Some(leadership) = self.lock().leadership_with(fencing_token) {
+                        leadership.fleet.returned(batch, self.now());
+                    }
+                    self.wake.notify_all();
+                }
+                Err(error) => {
+                    tracing::info!(%error, machines = ids.len(), "scale in failed");
+                    return;
+                }
+            }
+        }
+    }
+
+    /// Scales out by what the leader lacks; `last_request_number` counts the requests, whose names must
+    /// never repeat.
+    fn scale_out(&self, fencing_token: u64, last_request_number: &mut u64) {
+        let Some(wanted) = self.scale_out_requests(fencing_token) else { return };
+        let mut refused = Vec::new();
+        for (offer, request) in wanted {
+            if refused.contains(&offer) {
+                continue;
+            }
+            *last_request_number += 1;
+            let request = ScaleOutRequest {
+                request: format!("r-{fencing_token}-{}-{last_request_number}", self.incarnation),
+                ..request
+            };
+            let outcome = self.send_scale_out_request(&request);
+            let mut shared = self.lock();
+            let Some(leadership) = shared.leadership_with(fencing_token) else {
+                return;
+            };
+            let now = self.now();
+            match record_scale_out(&mut leadership.fleet, offer, &request, outcome, now) {
+                ScaleOutOutcome::Filled => {}
+                ScaleOutOutcome::Partial => refused.push(offer),
+                ScaleOutOutcome::Failed => return,
+            }
+        }
+    }
+
+    /// Requests for the machines that the leader lacks, still without names; `None` if this controller is
+    /// no longer the leader.
+    fn scale_out_requests(&self, fencing_token: u64) -> Option<Vec<(Offer, ScaleOutRequest)>> {
+        let mut shared = self.lock();
+        let leadership = shared.leadership_with(fencing_token)?;
+        let mut requests = Vec::new();
+        for (offer, count) in leadership.fleet.capacity(self.now(), wall()) {
+            let Some(ty) = leadership.fleet.types().get(offer.ty).map(|ty| ty.name.clone()) else { continue };
+            let zone = leadership.fleet.zone_name(offer.zone).to_string();
+            let mut remaining = count;
+            while remaining > 0 {
+                let count = remaining.min(MAX_MACHINES_PER_RENTAL);
+                remaining -= count;
+                let request = ScaleOutRequest {
+                    request: String::new(),
+                    ty: ty.clone(),
+                    zone: zone.clone(),
+                    spot: offer.spot,
+                    count,
+                };
+                requests.push((offer, request));
+            }
+        }
+        Some(requests)
+    }
+
+    /// Sends a scale-out request, again if its outcome is not known: requests are idempotent by their
+    /// name.
+    fn send_scale_out_request(&self, request: &ScaleOutRequest) -> Result<Vec<String>, CloudError> {
+        let mut outcome = self.cloud.rent(request);
+        for _ in 0..SCALE_OUT_RETRIES {
+            if !matches!(outcome, Err(CloudError::Unknown(_))) {
+                break;
+            }
+            outcome = self.cloud.rent(request);
+        }
+        outcome
+    }
+}
+
+/// Outcome of one scale-out request.
+enum ScaleOutOutcome {
+    /// All machines that were requested.
+    Filled,
+    /// Fewer, or none: no more of this offer are requested in this round.
+    Partial,
+    /// The cloud cannot be used now.
+    Failed,
+}
+
+/// Records the cloud's answer to a scale-out request in the fleet.
+fn record_scale_out(
+    fleet: &mut Fleet,
+    offer: Offer,
+    request: &ScaleOutRequest,
+    outcome: Result<Vec<String>, CloudError>,
+    now: Steady,
+) -> ScaleOutOutcome {
+    match outcome {
+        Ok(ids) => {
+            tracing::info!(
+                ty = %request.ty,
+                zone = %request.zone,
+                spot = request.spot,
+                asked = request.count,
+                got = ids.len(),
+                "scaled out"
+            );
+            let is_partial = (ids.len() as u32) < request.count;
+            if is_partial {
+                fleet.offer_refused(offer, now + NO_CAPACITY_BACKOFF);
+            }
+            fleet.rented(&ids, offer, now);
+            if is_partial {
+                ScaleOutOutcome::Partial
+            } else {
+                ScaleOutOutcome::Filled
+            }
+        }
+        Err(CloudError::NoCapacity) => {
+            tracing::debug!(
+                ty = %request.ty,
+                zone = %request.zone,
+                spot = request.spot,
+                "scale out: no capacity"
+            );
+            fleet.offer_refused(offer, now + NO_CAPACITY_BACKOFF);
+            ScaleOutOutcome::Partial
+        }
+        Err(error) => {
+            tracing::info!(%error, "scale out failed");
+            fleet.offer_refused(offer, now + CLOUD_ERROR_BACKOFF);
+            ScaleOutOutcome::Failed
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/shared_state.rs
@@ -0,0 +1,74 @@
+//! The state that all threads of a controller share, under one lock.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use super::deferred_replies::DeferredHeartbeatReply;
+use super::other_cells::OtherCellState;
+use crate::fleet::{Fleet, JobProgress};
+use crate::jobs::MachineId;
+use crate::leadership::{LeaderRecord, LeadershipTerm};
+use crate::records::FinalRecord;
+use crate::store_contact::StoreContact;
+use crate::time::Steady;
+use crate::wire::MachineType;
+
+/// The state of a controller that leads.
+pub(super) struct Leadership {
+    /// Machines, jobs and the plan.
+    pub(super) fleet: Fleet,
+    /// The term in which it leads.
+    pub(super) term: LeadershipTerm,
+    /// When it last reached the state store, which limits how long it may act.
+    pub(super) store_contact: StoreContact,
+    /// When a worker's heartbeat was last accepted.
+    pub(super) last_heartbeat: Steady,
+}
+
+/// The state that all threads of a controller share.
+#[derive(Default)]
+pub(super) struct SharedState {
+    /// None while another controller leads, or no controller does.
+    pub(super) leadership: Option<Leadership>,
+    /// An election was won and the records are being read: heartbeats wait a moment for the end of that.
+    pub(super) is_rebuilding: bool,
+    /// The leader, where known.
+    pub(super) leader: Option<LeaderRecord>,
+    /// The highest fencing token seen.
+    pub(super) highest_fencing_token: u64,
+    /// Versions of the other controllers, by label, as each last reported it.
+    pub(super) peer_versions: BTreeMap<String, String>,
+    /// The other cells, by name.
+    pub(super) other_cells: BTreeMap<String, OtherCellState>,
+    /// Why messages of other cells were last refused, by their sender's name.
+    pub(super) refused_cells: BTreeMap<String, String>,
+    /// The machine types, once known.
+    pub(super) machine_types: Option<Vec<MachineType>>,
+    /// Final stages known to be written, with the revisions at which they were written.
+    pub(super) final_records: BTreeMap<String, (FinalRecord, u64)>,
+    /// The keys of `final_records`, oldest first.
+    pub(super) final_records_order: VecDeque<String>,
+    /// Task counts of live jobs as the leader announced them.
+    pub(super) announced_counts: BTreeMap<String, JobProgress>,
+    /// Heartbeats of idle workers whose replies are deferred.
+    pub(super) deferred_replies: BTreeMap<MachineId, DeferredHeartbeatReply>,
+    /// When each worker was last redirected to the leader.
+    pub(super) redirected: BTreeMap<String, Steady>,
+    /// Until then users' requests are not relayed to other controllers.
+    pub(super) no_relay_until: Steady,
+    /// When a message or an answer of another controller last came.
+    pub(super) last_peer_contact: Steady,
+    /// Until then this controller stands in no election; after it resigned, another can lead.
+    pub(super) no_election_until: Steady,
+}
+
+impl SharedState {
+    /// The leadership, if it is still that of the term with this fencing token.
+    pub(super) fn leadership_with(&mut self, fencing_token: u64) -> Option<&mut Leadership> {
+        self.leadership.as_mut().filter(|leadership| leadership.term.fencing_token == fencing_token)
+    }
+
+    /// The fencing token of this controller's own term; none if it does not lead.
+    pub(super) fn fencing_token(&self) -> Option<u64> {
+        self.leadership.as_ref().map(|leadership| leadership.term.fencing_token)
+    }
+}
--- /dev/null
+++ b/src/controller/state_budget.rs
@@ -0,0 +1,58 @@
+//! Each controller's share of the state store's rate limits.
+
+use crate::config::Config;
+
+/// The share of the limits that all controllers together plan to use.
+const PLANNED_SHARE: f64 = 0.9;
+/// How many followers' requests the leader is allowed.
+const LEADER_REQUEST_WEIGHT: f64 = 2.0;
+/// The leader's share of the writes.
+const LEADER_WRITE_SHARE: f64 = 0.6;
+/// The share of the writes that all followers together are allowed.
+const FOLLOWERS_WRITE_SHARE: f64 = 0.8;
+/// The largest share of the writes that one follower is allowed.
+const MAX_FOLLOWER_WRITE_SHARE: f64 = 0.4;
+
+/// What a controller does among the controllers of its cell.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ControllerRole {
+    /// It leads.
+    Leader,
+    /// Another controller leads, or none does.
+    Follower,
+}
+
+/// This controller's share of the state store's requests and writes, per second.
+pub(super) struct StateBudget {
+    pub(super) requests_per_s: f64,
+    pub(super) writes_per_s: f64,
+}
+
+impl StateBudget {
+    /// The share by the controller's role. The leader writes for all, so it is allowed more of the writes
+    /// than the others. Those only accept and cancel, in bursts: their shares add up to more than there
+    /// is, and what the state store refuses then is tried again at once.
+    pub(super) fn new(config: &Config, role: ControllerRole) -> StateBudget {
+        let limits = &config.platform.settings.state;
+        let (request_share, write_share) = shares(config.controller_count(), role);
+        StateBudget {
+            requests_per_s: limits.rps * request_share,
+            writes_per_s: limits.write_rps * write_share,
+        }
+    }
+}
+
+/// The shares of the requests and of the writes.
+fn shares(controllers: usize, role: ControllerRole) -> (f64, f64) {
+    // The leader counts as two controllers.
+    let weights = controllers as f64 + 1.0;
+    match (controllers, role) {
+        (1, _) => (PLANNED_SHARE, PLANNED_SHARE),
+        (_, ControllerRole::Leader) => (PLANNED_SHARE * LEADER_REQUEST_WEIGHT / weights, LEADER_WRITE_SHARE),
+        (_, ControllerRole::Follower) => {
+            let followers = controllers.saturating_sub(1) as f64;
+            let write_share = (FOLLOWERS_WRITE_SHARE / followers).min(MAX_FOLLOWER_WRITE_SHARE);
+            (PLANNED_SHARE / weights, write_share)
+        }
+    }
+}
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -1,4 +1,4 @@
-//! The load balancer's health check and the status for people on call.
+//! The load balancer's health check and the operators' status view.
 
 use std::collections::BTreeMap;
 
@@ -13,56 +13,60 @@
 const PEER_TIMEOUT: Micros = Micros::from_millis(4500);
 /// After this without an answer the state store counts as unreachable.
 const STATE_TIMEOUT: Micros = Micros::from_millis(1500);
-/// Number of the one part that there is.
+/// Number of the only shard.
 const ONLY_SHARD: u32 = 0;
 
 impl Controller {
-    /// Whether users are well served here. Cut off from the state store and all others it can
-    /// answer nothing but 503, while the others may serve; an outage for all is not told by being
-    /// unhealthy, since it would take the longer to come back.
+    /// Whether users are well served here. A controller that reaches neither the state store nor any other
+    /// controller can answer nothing but 503, while the others may serve. An outage of the state store for
+    /// all does not make the controllers unhealthy: they would be out of the load balancer for longer than
+    /// the outage.
     pub(super) fn health(&self) -> Response {
         let shared = self.lock();
         if shared.machine_types.is_none() {
             return Response::error(503, "starting");
         }
-        let unheard = self.now() - shared.last_peer_contact;
-        let lost = self.state.out_of_reach() > STATE_TIMEOUT;
-        if lost && self.peers.count() > 0 && unheard > PEER_TIMEOUT {
+        let peer_silence = self.now() - shared.last_peer_contact;
+        let store_unreachable = self.state.out_of_reach() > STATE_TIMEOUT;
+        if store_unreachable && self.peers.count() > 0 && peer_silence > PEER_TIMEOUT {
             return Response::error(503, "cut off from the state service and the other controllers");
         }
         Response::json(200, &Health { healthy: true })
     }
 
     /// The status, whole or for the team that the path names.
-    pub(super) fn status(&self, req: &Request) -> Response {
-        let team = req.path.strip_prefix(STATUS).and_then(|r| r.strip_prefix('/'));
+    pub(super) fn status(&self, request: &Request) -> Response {
+        let team = request.path.strip_prefix(STATUS).and_then(|rest| rest.strip_prefix('/'));
         let shared = self.lock();
-        let label = &self.cfg.platform.label;
         let leadership = shared.leadership.as_ref();
-        let part = |o: &Leadership| ShardStatus {
-            leader: label.clone(),
-            shard: ONLY_SHARD,
-            fencing_token: o.claim.fencing_token,
+        let cells_status = |leadership| self.cells_status(&shared, leadership);
+        let status = ControllerStatus {
+            leader: shared.leader.as_ref().map(|leader| leader.label.clone()),
+            node: self.config.platform.label.clone(),
+            view: leadership.map(|leadership| leadership.fleet.status(team, self.now(), wall())),
+            parts: leadership.map(|leadership| vec![self.shard_status(leadership)]),
+            versions: Some(self.versions(&shared)),
+            view_age_s: leadership.map(|leadership| leadership.store_contact.age(self.now()).secs()),
+            cells: leadership.filter(|_| team.is_none()).and_then(cells_status),
         };
-        Response::json(
-            200,
-            &ControllerStatus {
-                leader: shared.leader.as_ref().map(|l| l.label.clone()),
-                node: label.clone(),
-                view: leadership.map(|o| o.fleet.status(team, self.now(), wall())),
-                parts: leadership.map(|o| vec![part(o)]),
-                versions: Some(self.versions(&shared)),
-                view_age_s: leadership.map(|o| o.view.age(self.now()).secs()),
-                cells: leadership.filter(|_| team.is_none()).and_then(|o| self.cells_status(&shared, o)),
-            },
-        )
+        Response::json(200, &status)
+    }
+
+    /// The status of the only shard, which this leader has.
+    fn shard_status(&self, leadership: &Leadership) -> ShardStatus {
+        ShardStatus {
+            leader: self.config.platform.label.clone(),
+            shard: ONLY_SHARD,
+            fencing_token: leadership.term.fencing_token,
+        }
     }
 
     /// Versions of all controllers, by label: none for those that have not been heard.
     fn versions(&self, shared: &SharedState) -> BTreeMap<String, Option<String>> {
-        let members = self.cfg.platform.members.iter();
-        let told = members.map(|m| (m.label.clone(), shared.peer_versions.get(&m.label).cloned()));
-        let own = (self.cfg.platform.label.clone(), Some(VERSION.to_string()));
-        told.chain([own]).collect()
+        let members = self.config.platform.members.iter();
+        let peers =
+            members.map(|member| (member.label.clone(), shared.peer_versions.get(&member.label).cloned()));
+        let own = (self.config.platform.label.clone(), Some(VERSION.to_string()));
+        peers.chain([own]).collect()
     }
 }
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -1,8 +1,8 @@
-//! The controller's side of the users' interface: it implements [`JobsBackend`] for
-//! [`crate::api`] with the final stages it knows, the task counts of live jobs, and by telling the
-//! leader what was written or cancelled.
+//! The controller's side of the users' interface: implements [`JobsBackend`] for [`crate::api`], which
+//! covers the final stages and task counts that this controller knows, and notices of written and cancelled
+//! jobs to the other controllers.
 
-use super::Controller;
+use super::{lock_poisoned, Controller};
 use crate::api::JobsBackend;
 use crate::cancellation_notices::Cancellation;
 use crate::config::Config;
@@ -15,18 +15,18 @@
 use crate::time::Micros;
 use crate::wire::MachineType;
 
-/// Most final stages that are kept; the oldest go first.
-const MAX_FINALS: usize = 20_000;
+/// Most final stages that are kept; the oldest are dropped first.
+const MAX_FINAL_RECORDS: usize = 20_000;
 /// How long another controller has to answer a user's request.
 const RELAY_TIMEOUT: Micros = Micros::from_millis(900);
-/// Pause after a request that no other controller could answer either.
+/// How long no request is relayed after one that no other controller could answer either.
 const RELAY_PAUSE: Micros = Micros::from_millis(2_000);
-/// How long the leader has to take word of a new job.
+/// How long the leader has to acknowledge a new job.
 const JOB_NEWS_TIMEOUT: Micros = Micros::from_millis(1000);
 
 impl JobsBackend for Controller {
     fn config(&self) -> &Config {
-        &self.cfg
+        &self.config
     }
 
     fn state(&self) -> &StateClient {
@@ -38,35 +38,35 @@
     }
 
     /// Relays a user's request to the other controllers until one can answer it.
-    fn relay_to_any(&self, req: &Request) -> Option<Response> {
+    fn relay_to_any(&self, request: &Request) -> Option<Response> {
         if self.now() < self.lock().no_relay_until {
             return None;
         }
-        for to in 0..self.peers.count() {
-            if let Some(r) = self.relay(to, req, RELAY_TIMEOUT).filter(|r| r.status != 503) {
-                return Some(r);
+        for peer in 0..self.peers.count() {
+            let response = self.relay(peer, request, RELAY_TIMEOUT);
+            if let Some(response) = response.filter(|response| response.status != 503) {
+                return Some(response);
             }
         }
-        // Most likely the state store is out for all: no need to ask each time.
+        // Most likely no controller reaches the state store: relaying each request would help nobody.
         self.lock().no_relay_until = self.now() + RELAY_PAUSE;
         None
     }
 
     fn final_of(&self, id: &str) -> Option<(FinalRecord, u64)> {
-        self.lock().finals.get(id).copied()
+        self.lock().final_records.get(id).copied()
     }
 
     fn learn_final(&self, id: &str, record: FinalRecord, revision: u64) {
         let mut shared = self.lock();
-        if shared.finals.contains_key(id) {
+        if shared.final_records.contains_key(id) {
             return;
         }
-        if shared.finals.insert(id.to_string(), (record, revision)).is_none() {
-            shared.finals_order.push_back(id.to_string());
-            if shared.finals_order.len() > MAX_FINALS {
-                if let Some(old) = shared.finals_order.pop_front() {
-                    shared.finals.remove(&old);
-                }
+        shared.final_records.insert(id.to_string(), (record, revision));
+        shared.final_records_order.push_back(id.to_string());
+        if shared.final_records_order.len() > MAX_FINAL_RECORDS {
+            if let Some(oldest) = shared.final_records_order.pop_front() {
+                shared.final_records.remove(&oldest);
             }
         }
     }
@@ -85,24 +85,21 @@
     }
 
     fn job_written(&self, id: &str, record: JobRecord, revision: u64) {
-        let to = {
+        let leader = {
             let mut shared = self.lock();
             if let Some(leadership) = shared.leadership.as_mut() {
                 leadership.fleet.job_put(record, revision, self.now());
                 self.wake.notify_all();
                 return;
             }
-            let leader = shared.leader.as_ref().map(|l| l.label.clone());
-            self.cfg.platform.members.iter().position(|m| Some(&m.label) == leader.as_ref())
+            let Some(leader) = &shared.leader else { return };
+            self.peer_index(&leader.label)
         };
-        let Some(to) = to else { return };
+        let Some(leader) = leader else { return };
         let record = serde_json::to_vec(&record).unwrap_or_default();
-        // Not waited for: the leader's watch sees it in any case, a little later.
-        let _ = self.peers.begin(
-            to,
-            Message::Notify(JobNews { id: id.to_string(), record, revision }),
-            JOB_NEWS_TIMEOUT,
-        );
+        let news = Message::Notify(JobNews { id: id.to_string(), record, revision });
+        // Not waited for: the leader's watch sees the job in any case, a little later.
+        let _ = self.peers.begin(leader, news, JOB_NEWS_TIMEOUT);
     }
 
     /// This controller confirms to a user that a job is cancelled: its tasks are stopped here, and
@@ -111,7 +108,7 @@
         if self.peers.count() > 0 {
             let since = self.now();
             let cancellation = Cancellation { id: id.to_string(), tasks: record.tasks, revision, since };
-            self.notices.lock().unwrap_or_else(|e| e.into_inner()).add(&cancellation);
+            lock_poisoned(&self.notices).add(&cancellation);
             self.notices_added.notify_one();
         }
         self.apply_cancellation(id, record, revision);
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -1,22 +1,44 @@
-//! The watching duty: follows the changes of the jobs' records that other controllers make.
+//! The watching duty: follows the changes to jobs' records that other controllers make.
 
+use super::step_down::StepDownReason;
 use super::{Controller, Leadership};
 use crate::fleet::Fleet;
 use crate::records::JobRecord;
 use crate::state::{RequestPriority, StateError};
+use crate::store_contact::StoreContact;
 use crate::time::{Micros, Steady};
 use crate::wire::{Event, Events};
 
 /// Prefix of the live jobs' keys.
 const JOBS_PREFIX: &str = "job/";
-/// Pause between two looks.
+/// Pause between two reads.
 const WATCH_PAUSE: Micros = Micros::from_millis(100);
-/// Pause after a look that failed.
+/// Pause after a read that failed.
 const WATCH_RETRY_DELAY: Micros = Micros::from_millis(250);
 /// Complete reads begin no closer together than this.
 const MIN_READ_INTERVAL: Micros = Micros::from_millis(100);
 /// Complete reads begin no further apart than this.
 const MAX_READ_INTERVAL: Micros = Micros::from_millis(1_000);
+/// Complete reads begin this part of the time apart that a leader may act without the state store.
+const READ_SHARE_OF_STALENESS: f64 = 0.4;
+
+/// Where a leader's watch stands.
+struct WatchPosition {
+    fencing_token: u64,
+    /// The revision up to which changes have been read.
+    revision: u64,
+    store_contact: StoreContact,
+}
+
+impl WatchPosition {
+    fn of(leadership: &Leadership) -> WatchPosition {
+        WatchPosition {
+            fencing_token: leadership.term.fencing_token,
+            revision: leadership.fleet.read_to(),
+            store_contact: leadership.store_contact,
+        }
+    }
+}
 
 impl Controller {
     /// Follows the changes of jobs until the controller ends.
@@ -28,68 +50,69 @@
     }
 
     /// Fetches changes of jobs; returns how long to pause. Only complete reads, which are answered at
-    /// once, renew the view; between them a watch brings changes as they come. A watch that stays
-    /// silent, or is answered late, proves nothing: it may have waited for a service that refuses
-    /// this controller.
+    /// once, count as contact with the state store; between them a watch brings changes as they come. A
+    /// watch that stays silent, or is answered late, proves nothing: it may have waited for a store that
+    /// refuses this controller.
     pub fn watch_once(&self) -> Micros {
-        let Some((fencing_token, from, view)) =
-            self.lock().leadership.as_ref().map(|o| (o.claim.fencing_token, o.fleet.read_to(), o.view))
-        else {
-            return WATCH_PAUSE;
-        };
+        let position = self.lock().leadership.as_ref().map(WatchPosition::of);
+        let Some(position) = position else { return WATCH_PAUSE };
         let sent = self.now();
-        // With tight settings the view must not age for long.
-        let block = self.cfg.max_staleness().scale(0.4).clamp(MIN_READ_INTERVAL, MAX_READ_INTERVAL);
-        let left = block - view.read_age(sent);
-        let read = left.0 <= 0;
-        let changes = if read {
-            self.state.changes(JOBS_PREFIX, from, RequestPriority::Leadership)
+        let until_read = self.read_interval() - position.store_contact.read_age(sent);
+        let is_complete_read = until_read.0 <= 0;
+        let changes = if is_complete_read {
+            self.state.changes(JOBS_PREFIX, position.revision, RequestPriority::Leadership)
         } else {
-            self.state.watch(JOBS_PREFIX, from, left)
+            self.state.watch(JOBS_PREFIX, position.revision, until_read)
         };
         match changes {
             Ok(changes) => {
                 let mut shared = self.lock();
-                let Some(leadership) = shared.leadership_with(fencing_token) else { return Micros::ZERO };
-                self.apply_changes(leadership, changes, read.then_some(sent));
+                let Some(leadership) = shared.leadership_with(position.fencing_token) else {
+                    return Micros::ZERO;
+                };
+                self.apply_changes(leadership, changes, is_complete_read.then_some(sent));
                 WATCH_PAUSE
             }
             Err(StateError::TooOld) => {
-                let mut shared = self.lock();
-                if shared.leadership_with(fencing_token).is_some() {
-                    self.step_down(&mut shared, 0, "watch revision compacted");
-                }
+                self.step_down_from(position.fencing_token, StepDownReason::WatchCompacted);
                 Micros::ZERO
             }
-            Err(e) => {
-                tracing::debug!(error = %e, "job watch failed");
+            Err(error) => {
+                tracing::debug!(%error, "job watch failed");
                 WATCH_RETRY_DELAY
             }
         }
     }
 
-    /// Applies changes; `read_at` is when they were asked for if they are a complete read, none if a
-    /// watch brought them.
+    /// How far apart complete reads begin. Contact with the state store must not grow too old where the
+    /// settings leave little time.
+    fn read_interval(&self) -> Micros {
+        let by_staleness = self.config.max_staleness().scale(READ_SHARE_OF_STALENESS);
+        by_staleness.clamp(MIN_READ_INTERVAL, MAX_READ_INTERVAL)
+    }
+
+    /// Applies changes; `read_at` is when they were requested if they are a complete read, none if a watch
+    /// brought them.
     fn apply_changes(&self, leadership: &mut Leadership, changes: Events, read_at: Option<Steady>) {
-        let latest = changes.events.iter().map(|e| e.mod_revision).max().unwrap_or(0);
+        let latest = changes.events.iter().map(|event| event.mod_revision).max().unwrap_or(0);
         for event in changes.events {
             apply_change(&mut leadership.fleet, event, self.now());
         }
         leadership.fleet.has_read_to(if read_at.is_some() { changes.revision } else { latest });
         if let Some(sent) = read_at {
-            leadership.view.note_read(sent);
+            leadership.store_contact.note_read(sent);
         }
     }
 }
 
 /// Applies a change under the jobs' prefix.
-fn apply_change(fleet: &mut Fleet, e: Event, now: Steady) {
-    if let Some(id) = e.drop.as_deref().and_then(|k| k.strip_prefix(JOBS_PREFIX)) {
-        fleet.job_over(id, e.mod_revision);
-    } else if e.put.is_some() {
-        match serde_json::from_value::<JobRecord>(e.value) {
-            Ok(r) => fleet.job_put(r, e.mod_revision, now),
-            Err(e) => tracing::error!(error = %e, "malformed job record"),
+fn apply_change(fleet: &mut Fleet, event: Event, now: Steady) {
+    if let Some(id) = event.drop.as_deref().and_then(|key| key.strip_prefix(JOBS_PREFIX)) {
+        fleet.job_over(id, event.mod_revision);
+    } else if event.put.is_some() {
+        match serde_json::from_value::<JobRecord>(event.value) {
+            Ok(record) => fleet.job_put(record, event.mod_revision, now),
+            Err(error) => tracing::error!(%error, "malformed job record"),
         }
     }
 }
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -1,5 +1,7 @@
-//! The writing duty: writes the leader's records in batches, and reads back what a failed write left.
+//! The writing duty: writes the leader's records in batches, and reads records back after a conflict or an
+//! unknown outcome.
 
+use super::step_down::StepDownReason;
 use super::Controller;
 use crate::api::JobsBackend;
 use crate::fleet::PendingWrite;
@@ -11,25 +13,32 @@
 use crate::time::{wall, Micros};
 use crate::wire::Stage;
 
-/// How often the done ranges of a job that goes on are written at least. Its workers keep the results;
-/// what is lost with a machine until then runs again.
+/// Longest interval between writes of the done ranges of an unfinished job. Its workers keep the results;
+/// tasks whose results are lost with a machine until then run again.
 const MAX_DONE_WRITE_INTERVAL: Micros = Micros::from_millis(12_000);
-/// They are written no more often than this: a short job is over before it matters.
+/// Shortest interval between these writes: a short job is finished before they matter.
 const MIN_DONE_WRITE_INTERVAL: Micros = Micros::from_millis(2_000);
-/// The part of the state store's changes that done ranges of jobs that go on may take.
+/// The share of the state store's allowed changes that done ranges of unfinished jobs may take.
 const DONE_WRITE_SHARE: f64 = 0.2;
-/// How long the writer waits to be woken.
+/// How long the writer waits to be notified.
 const WRITE_INTERVAL: Micros = Micros::from_millis(150);
 /// Pause after a write that did not succeed.
 const WRITE_RETRY_DELAY: Micros = Micros::from_millis(150);
 
-/// How far apart the done ranges of each job are written, so that those of all fit their part of the
-/// changes.
+/// How far apart the done ranges of each of `jobs` jobs are written, so that those of all take no more than
+/// their share of the allowed changes; `write_rps` is the number of changes allowed per second.
 pub fn done_write_interval(jobs: usize, write_rps: f64) -> Micros {
     let interval = Micros::from_secs(jobs as f64 / (write_rps * DONE_WRITE_SHARE));
     interval.clamp(MIN_DONE_WRITE_INTERVAL, MAX_DONE_WRITE_INTERVAL)
 }
 
+/// The pending writes of a leader, composed into batches.
+struct PendingBatches {
+    /// The term in which they may be written.
+    term: LeadershipTerm,
+    batches: Vec<Batch>,
+}
+
 impl Controller {
     /// Writes pending records until the controller ends.
     pub(super) fn write(&self) {
@@ -43,92 +52,89 @@
 
     /// Writes all records that are pending now; false if writing should pause.
     pub fn write_once(&self) -> bool {
+        let Some(pending) = self.compose_pending() else { return true };
+        pending.batches.into_iter().all(|batch| self.write_batch(&pending.term, batch))
+    }
+
+    /// Composes the records that are pending now; none if this controller does not lead.
+    fn compose_pending(&self) -> Option<PendingBatches> {
         let now = self.now();
-        let work = self.lock().leadership.as_mut().map(|leadership| {
-            let ops = leadership.fleet.txn_ops();
-            let chunk = chunk_tasks(leadership.fleet.value_bytes());
-            let interval =
-                done_write_interval(leadership.fleet.jobs.len(), self.cfg.platform.settings.state.write_rps);
-            let pending = leadership.fleet.pending(now, interval, chunk);
-            let shard_revision = leadership.claim.shard_revision;
-            (
-                leadership.claim.clone(),
-                leadership::batches(&mut leadership.fleet, shard_revision, pending, ops, now, wall()),
-            )
-        });
-        let Some((claim, batches)) = work else { return true };
-        batches.into_iter().all(|b| self.write_batch(&claim, b))
+        let mut shared = self.lock();
+        let leadership = shared.leadership.as_mut()?;
+        let fleet = &mut leadership.fleet;
+        let max_changes = fleet.txn_ops();
+        let chunk = chunk_tasks(fleet.value_bytes());
+        let write_rps = self.config.platform.settings.state.write_rps;
+        let interval = done_write_interval(fleet.jobs.len(), write_rps);
+        let pending = fleet.pending(now, interval, chunk);
+        let term = leadership.term.clone();
+        let batches = leadership::batches(fleet, term.shard_revision, pending, max_changes, now, wall());
+        Some(PendingBatches { term, batches })
     }
 
     /// Writes a batch; false if writing should pause.
-    fn write_batch(&self, claim: &LeadershipTerm, b: Batch) -> bool {
-        let urgency = if b.urgent { RequestPriority::Leader } else { RequestPriority::Background };
-        match self.state.txn(&b.txn, urgency) {
-            Ok(TxnOutcome::Committed(revision)) => self.batch_written(claim, &b, revision),
+    fn write_batch(&self, term: &LeadershipTerm, batch: Batch) -> bool {
+        let priority = if batch.urgent { RequestPriority::Leader } else { RequestPriority::Background };
+        match self.state.txn(&batch.txn, priority) {
+            Ok(TxnOutcome::Committed(revision)) => self.batch_written(term, &batch, revision),
             Ok(TxnOutcome::Conflict(keys)) => {
-                if keys.iter().any(|k| k == SHARD_KEY) {
-                    let mut shared = self.lock();
-                    if shared.leadership_with(claim.fencing_token).is_some() {
-                        self.step_down(&mut shared, 0, "another owner has taken the part");
-                    }
+                if keys.iter().any(|key| key == SHARD_KEY) {
+                    self.step_down_from(term.fencing_token, StepDownReason::ShardTaken);
                     return false;
                 }
-                self.read_back(claim, &keys)
+                self.read_back(term, &keys)
             }
-            Err(StateError::Unknown(e)) => {
-                tracing::info!(error = %e, "write outcome unknown, reading back");
-                let keys: Vec<String> =
-                    b.txn.guards.iter().map(|g| g.key.clone()).filter(|k| k != SHARD_KEY).collect();
-                self.read_back(claim, &keys)
+            Err(StateError::Unknown(error)) => {
+                tracing::info!(%error, "write outcome unknown, reading back");
+                self.read_back(term, &guarded_keys(&batch))
             }
-            Err(StateError::Rejected(e)) => {
-                tracing::error!(error = %e, "write rejected by state store");
-                let mut shared = self.lock();
-                if let Some(o) =
-                    shared.leadership.as_mut().filter(|o| o.claim.fencing_token == claim.fencing_token)
-                {
-                    o.fleet.write_rejected();
+            Err(StateError::Rejected(error)) => {
+                tracing::error!(%error, "write rejected by state store");
+                if let Some(leadership) = self.lock().leadership_with(term.fencing_token) {
+                    leadership.fleet.write_rejected();
                 }
                 false
             }
-            Err(e) => {
-                tracing::debug!(error = %e, "write deferred");
+            Err(error) => {
+                tracing::debug!(%error, "write deferred");
                 false
             }
         }
     }
 
-    /// Records in the fleet what a batch has written; false if this controller no longer owns it.
-    fn batch_written(&self, claim: &LeadershipTerm, b: &Batch, revision: u64) -> bool {
-        let mut finals: Vec<(JobId, u32)> = Vec::new();
+    /// Records in the fleet what a batch has written; false if this controller no longer leads in the
+    /// batch's term.
+    fn batch_written(&self, term: &LeadershipTerm, batch: &Batch, revision: u64) -> bool {
+        let mut finished: Vec<(JobId, u32)> = Vec::new();
         {
             let mut shared = self.lock();
-            let Some(leadership) = shared.leadership_with(claim.fencing_token) else {
+            let Some(leadership) = shared.leadership_with(term.fencing_token) else {
                 return false;
             };
             let now = self.now();
-            for (item, said) in &b.items {
+            for (item, contents) in &batch.items {
                 if let PendingWrite::Final(id) = item {
-                    if let Some(j) = leadership.fleet.jobs.get(id) {
-                        finals.push((id.clone(), j.spec.tasks));
+                    if let Some(job) = leadership.fleet.jobs.get(id) {
+                        finished.push((id.clone(), job.spec.tasks));
                     }
                 }
-                leadership.fleet.written(item, revision, said, now);
+                leadership.fleet.written(item, revision, contents, now);
             }
         }
-        for (id, tasks) in finals {
+        for (id, tasks) in finished {
             tracing::debug!(job = %id, "job done recorded");
             self.learn_final(&id, FinalRecord { stage: Stage::Done, tasks }, revision);
         }
         true
     }
 
-    /// Reads the values of keys after a conflict or an unknown outcome.
-    fn read_back(&self, claim: &LeadershipTerm, keys: &[String]) -> bool {
+    /// Reads keys back after a conflict or an unknown outcome; false if one could not be read, or this
+    /// controller no longer leads in the term.
+    fn read_back(&self, term: &LeadershipTerm, keys: &[String]) -> bool {
         for key in keys {
             let Ok(row) = self.state.get(key, RequestPriority::User) else { return false };
             let mut shared = self.lock();
-            let Some(leadership) = shared.leadership_with(claim.fencing_token) else {
+            let Some(leadership) = shared.leadership_with(term.fencing_token) else {
                 return false;
             };
             leadership::update_from_store(&mut leadership.fleet, key, row, self.now());
@@ -136,3 +142,9 @@
         true
     }
 }
+
+/// The keys that a batch guards, without the shard's.
+fn guarded_keys(batch: &Batch) -> Vec<String> {
+    let keys = batch.txn.guards.iter().map(|guard| guard.key.clone());
+    keys.filter(|key| key != SHARD_KEY).collect()
+}
--- a/tests/cancellation_in_outage.rs
+++ b/tests/cancellation_in_outage.rs
@@ -270,14 +270,14 @@
                 .get(others[o.to])
                 .cloned()
                 .filter(|_| !partitioned.load(Ordering::SeqCst));
-            let answer = to.map(|n| n.hear(&o.message)).ok_or(PeerError::TimedOut);
+            let answer = to.map(|n| n.handle_peer_message(&o.message)).ok_or(PeerError::TimedOut);
             o.answer(answer);
             Ok(())
         };
         let n =
             Controller::new(cfg, PeerHub::over(2, carry), Clock::Manual(self.clock.clone()), Arc::default());
         let n = n.expect("a controller");
-        assert!(n.learn_types_once());
+        assert!(n.load_machine_types_once());
         n
     }
 
@@ -340,14 +340,14 @@
         locked(&self.service).expire(now);
         for n in self.nodes() {
             if self.steps % 4 == 0 {
-                n.keep_once(TTL);
+                n.maintain_leadership_once(TTL);
                 n.announce_once();
             }
             n.watch_once();
             n.write_once();
             n.plan_once();
-            n.command_once();
-            n.tell_once();
+            n.send_commands_once();
+            n.send_cancellations_once();
         }
         self.run_worker(now);
         // ran_cancelled; what hangs counts when it goes on.
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -107,8 +107,8 @@
     let cfg = Config { platform, operator };
     let node = Controller::new(cfg, PeerHub::over(0, carry), Clock::Manual(clock.clone()), Arc::default());
     let node = node.expect("a controller");
-    assert!(node.learn_types_once());
-    node.keep_once(Micros::from_secs(3.0));
+    assert!(node.load_machine_types_once());
+    node.maintain_leadership_once(Micros::from_secs(3.0));
     let submission = json!(spec(1, 6, "batch")).to_string().into_bytes();
     assert_eq!(post(&node, "/api/jobs", submission).status, 201);
     (node, choice)
