--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -1,19 +1,18 @@
-//! The announcing duty: tells the other controllers who leads and which cancellations were
+//! The announcing duty: notifies the other controllers of the leader, and of cancellations that were
 //! confirmed to users.
 
-use super::{lock_poisoned, Controller, Leadership, UNREPORTED_VERSION, VERSION};
+use super::{lock_ignoring_poison, Controller, Leadership, UNREPORTED_VERSION, VERSION};
 use crate::cancellation_notices::Cancellation;
 use crate::fleet::JobProgress;
 use crate::jobs::JobId;
 use crate::peer::{self, JobCounts, Message, Outcome, Summary};
 use crate::time::{Micros, Steady};
 
-/// How often the others are told who leads.
+/// How often the leader announces itself.
 const ANNOUNCE_INTERVAL: Micros = Micros::from_millis(1000);
 /// When cancellations are sent again to a controller that did not answer.
 const NOTICE_RETRY_DELAY: Micros = Micros::from_millis(300);
-/// A follower that has heard no other controller for this long sends a message to find out whether one
-/// answers.
+/// A follower to which no other controller has sent anything for this long probes them all.
 const PEER_PROBE_AFTER: Micros = Micros::from_millis(1500);
 /// How long another controller has to answer an announcement or a notice.
 const MESSAGE_TIMEOUT: Micros = Micros::from_millis(900);
@@ -21,8 +20,8 @@
 const MAX_ANNOUNCED_JOBS: usize = 2000;
 
 impl Controller {
-    /// Tells the others who leads, about once a second, and of cancellations at once, repeated until
-    /// each has acknowledged them.
+    /// Announces the leader about once a second, and cancellations at once, repeated until each of the
+    /// others has acknowledged them.
     pub(super) fn announce(&self) {
         let (mut last_announced, mut all_acknowledged) = (Steady(0), true);
         while !self.stopping() {
@@ -39,14 +38,14 @@
 
     /// Waits for a new notice, no longer than `timeout`, unless a new one is there already.
     fn await_notices(&self, timeout: Micros, all_acknowledged: bool) {
-        let notices = lock_poisoned(&self.notices);
+        let notices = lock_ignoring_poison(&self.notices);
         if timeout.0 > 0 && (notices.is_empty() || !all_acknowledged) {
             drop(self.notices_added.wait_timeout(notices, timeout.std()));
         }
     }
 
-    /// Announces this leader to the others; on any other controller probes them if none has been heard
-    /// lately.
+    /// Announces this leader to the others; on any other controller probes them if no message
+    /// came lately.
     pub fn announce_once(&self) {
         let Some(summary) = self.due_summary() else { return };
         let sent: Vec<_> = (0..self.peers.count())
@@ -103,7 +102,7 @@
     /// Sends each of the others the cancellations that it has not acknowledged; false if one did not
     /// acknowledge them.
     pub fn send_cancellations_once(&self) -> bool {
-        let due = lock_poisoned(&self.notices).due(self.now());
+        let due = lock_ignoring_poison(&self.notices).due(self.now());
         let sent: Vec<_> = due
             .into_iter()
             .map(|(peer, batch)| {
@@ -115,7 +114,7 @@
         for (peer, waiting, batch) in sent {
             match waiting.and_then(|waiting| waiting.wait()) {
                 Ok(Outcome::Ack(ack)) => {
-                    lock_poisoned(&self.notices).answered(peer, &batch);
+                    lock_ignoring_poison(&self.notices).answered(peer, &batch);
                     self.on_peer_answer(ack.token);
                 }
                 Ok(_) => all_acknowledged = false,
--- a/src/controller/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -3,7 +3,7 @@
 use milletlock_cells::LoanSyncRequest;
 
 use super::loan_writes::LoanOutcome;
-use super::{lock_poisoned, Controller, Leadership, SharedState};
+use super::{lock_ignoring_poison, Controller, Leadership, SharedState};
 use crate::config::CellsSettings;
 use crate::fleet::LoanWrite;
 use crate::loan_messages::{report_to_proto, request_from_proto, summary_to_proto, LoanMessageError};
@@ -31,7 +31,7 @@
         let fencing_token = self.lock().fencing_token();
         if let Some(fencing_token) = fencing_token {
             // One message at a time: each change rests on the records as the one before left them.
-            let _guard = lock_poisoned(&self.loan_changes);
+            let _guard = lock_ignoring_poison(&self.loan_changes);
             self.apply_loan_request(fencing_token, &request);
         }
         let shared = self.lock();
--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -5,12 +5,11 @@
 use milletlock_cells::{BorrowedJob, Lending, Loan};
 
 use super::loan_writes::LoanOutcome;
+use super::responses::{redirect, METHOD_NOT_ALLOWED, NOT_FOUND, OK, UNAVAILABLE};
 use super::{Controller, Leadership, SharedState};
 use crate::fleet::Fleet;
 use crate::http::{Request, Response};
-use crate::wire::{
-    BorrowedStatus, CellsStatus, LentStatus, OtherCellStatus, Redirect, WrittenOff, WRITE_OFF_PATH,
-};
+use crate::wire::{BorrowedStatus, CellsStatus, LentStatus, OtherCellStatus, WrittenOff, WRITE_OFF_PATH};
 
 impl Controller {
     /// Loans in both directions; none where cells are not in use.
@@ -43,16 +42,16 @@
     pub(super) fn write_off(&self, request: &Request) -> Response {
         let cell = request.path.strip_prefix(WRITE_OFF_PATH).unwrap_or("");
         if request.method != "POST" {
-            return Response::error(405, "only POST");
+            return Response::error(METHOD_NOT_ALLOWED, "only POST");
         }
         if self.config.operator.cells.as_ref().is_none_or(|cells| cells.other(cell).is_none()) {
-            return Response::error(404, "no such cell in the settings");
+            return Response::error(NOT_FOUND, "no such cell in the settings");
         }
         let (fencing_token, jobs) = {
             let shared = self.lock();
             let Some(leadership) = &shared.leadership else {
                 let leader = shared.leader.as_ref().map(|leader| leader.label.clone()).unwrap_or_default();
-                return Response::json(421, &Redirect { leader });
+                return redirect(leader);
             };
             (leadership.term.fencing_token, unfinished_loans(&leadership.fleet, cell))
         };
@@ -65,7 +64,7 @@
             }
         }
         tracing::warn!(cell, jobs = result.tasks.len(), left = result.left.len(), "loans written off");
-        Response::json(if result.left.is_empty() { 200 } else { 503 }, &result)
+        Response::json(if result.left.is_empty() { OK } else { UNAVAILABLE }, &result)
     }
 
     /// Writes off a job's loans with a cell; whether that is recorded.
--- a/src/controller/deferred_replies.rs
+++ b/src/controller/deferred_replies.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use super::heartbeats::not_the_leader;
+use super::responses::{not_the_leader, OK};
 use super::{Controller, Leadership, SharedState};
 use crate::http::{Reply, Response};
 use crate::jobs::MachineId;
@@ -77,7 +77,7 @@
         return None;
     }
     let deferred = deferred_replies.remove(machine)?;
-    let response = Response::json(200, &HeartbeatReply { fencing_token, orders });
+    let response = Response::json(OK, &HeartbeatReply { fencing_token, orders });
     Some(DueReply { reply: deferred.reply, response })
 }
 
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -19,8 +19,10 @@
 const ELECTION_DELAY_RECENT_MS: i64 = 5;
 /// Random part of that delay, in milliseconds.
 const ELECTION_JITTER_MS: i64 = 50;
-/// How long records of a later format are left before they are looked at again.
+/// How long this controller stands in no election after it found records of a later format.
 const NEWER_RECORDS_PAUSE: Micros = Micros::from_millis(10_000);
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLI: i64 = 1000;
 
 impl Controller {
     /// How long to wait between the end of the leader's lease and an election. Most of the time one of
@@ -53,7 +55,7 @@
             }
             Err(error) => return Err(error),
         };
-        tracing::info!(fencing_token = term.fencing_token, "failover: leadership claimed");
+        tracing::info!(fencing_token = term.fencing_token, "failover: election won");
         {
             let mut shared = self.lock();
             shared.is_rebuilding = true;
@@ -103,7 +105,7 @@
             fencing_token = term.fencing_token,
             jobs = fleet.jobs.len(),
             machines = fleet.machines.len(),
-            ms = (now - begun).0 / 1000,
+            duration_ms = (now - begun).0 / MICROS_PER_MILLI,
             "failover: state rebuilt"
         );
         end_cancelled_jobs(&mut fleet, shared);
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -5,13 +5,14 @@
 use std::time::Duration;
 
 use super::deferred_replies::DeferredHeartbeatReply;
+use super::responses::{not_the_leader, redirect, unavailable, BAD_REQUEST, OK};
 use super::step_down::StepDownReason;
 use super::{Controller, SharedState};
 use crate::fleet::HeartbeatOutcome;
 use crate::http::{Reply, Request, Response};
 use crate::jobs::MachineId;
 use crate::time::{wall, Micros, Steady};
-use crate::wire::{Heartbeat, HeartbeatReply, Redirect};
+use crate::wire::{Heartbeat, HeartbeatReply};
 
 /// How long the reply to an idle worker's heartbeat is deferred at the most; the worker gives up
 /// after four seconds.
@@ -55,7 +56,7 @@
             Ok(heartbeat) => heartbeat,
             Err(error) => {
                 tracing::error!(%error, "malformed heartbeat");
-                return HeartbeatHandling::Answer(Response::error(400, &error.to_string()), reply);
+                return HeartbeatHandling::Answer(Response::error(BAD_REQUEST, &error.to_string()), reply);
             }
         };
         let mut shared = self.await_rebuild();
@@ -95,7 +96,7 @@
         if !leadership.store_contact.may_act(now) {
             // Cancellations cannot be seen any more: the workers' leases must be left to expire.
             leadership.fleet.not_answered(&heartbeat.machine, now);
-            let refused = Response::error(503, "out of touch with the state service");
+            let refused = unavailable("out of touch with the state service");
             return HeartbeatHandling::Answer(refused, reply);
         }
         leadership.last_heartbeat = now;
@@ -103,7 +104,7 @@
             HeartbeatOutcome::Reply(heartbeat_reply) => {
                 reply_or_defer(shared, heartbeat, &heartbeat_reply, reply, now)
             }
-            HeartbeatOutcome::Refuse => HeartbeatHandling::Answer(Response::error(503, "not now"), reply),
+            HeartbeatOutcome::Refuse => HeartbeatHandling::Answer(unavailable("not now"), reply),
             HeartbeatOutcome::Superseded(fencing_token) => {
                 self.step_down(shared, StepDownReason::HigherTokenAtWorker(fencing_token));
                 HeartbeatHandling::Answer(not_the_leader(), reply)
@@ -121,19 +122,19 @@
         let now = self.now();
         let own_label = &self.config.platform.label;
         let Some(leader) = shared.leader.clone().filter(|leader| leader.label != *own_label) else {
-            return Response::error(503, "no owner known");
+            return unavailable("no owner known");
         };
         shared.redirected.retain(|_, at| now - *at < REDIRECT_RETENTION);
         let is_back = shared.redirected.get(machine).is_some_and(|at| now - *at < REDIRECT_RETRY_WINDOW);
         if !is_back {
             shared.redirected.insert(machine.to_string(), now);
-            return Response::json(421, &Redirect { leader: leader.label });
+            return redirect(leader.label);
         }
         drop(shared);
         // It was redirected and is back: it cannot reach the leader, so its heartbeat is relayed.
         self.peer_index(&leader.label)
             .and_then(|peer| self.relay(peer, request, RELAY_HEARTBEAT_TIMEOUT))
-            .unwrap_or_else(|| Response::error(503, "the owner does not answer"))
+            .unwrap_or_else(|| unavailable("the owner does not answer"))
     }
 }
 
@@ -161,10 +162,5 @@
             return HeartbeatHandling::Deferred;
         }
     }
-    HeartbeatHandling::Answer(Response::json(200, heartbeat_reply), reply)
-}
-
-/// The answer to a heartbeat that only the leader can answer.
-pub(super) fn not_the_leader() -> Response {
-    Response::error(503, "not the owner")
+    HeartbeatHandling::Answer(Response::json(OK, heartbeat_reply), reply)
 }
--- a/src/controller/latency.rs
+++ b/src/controller/latency.rs
@@ -28,10 +28,10 @@
 
     /// Logs the histograms and resets them.
     fn log_and_reset(&mut self) {
-        for (who, histogram) in [("users", &mut self.users), ("workers", &mut self.workers)] {
+        for (caller, histogram) in [("users", &mut self.users), ("workers", &mut self.workers)] {
             if !histogram.is_empty() {
                 tracing::info!(
-                    who,
+                    caller,
                     answers = histogram.len(),
                     p50_us = histogram.value_at_quantile(0.5),
                     p99_us = histogram.value_at_quantile(0.99),
@@ -48,7 +48,7 @@
     /// Records how long a request took; logs the histograms when they are due.
     pub(super) fn record_latency(&self, path: &str, since: Steady) {
         let latency_us = (self.now() - since).0.clamp(1, MAX_LATENCY_US as i64) as u64;
-        let mut latencies = super::lock_poisoned(&self.latencies);
+        let mut latencies = super::lock_ignoring_poison(&self.latencies);
         let histogram = if path == HEARTBEAT_PATH { &mut latencies.workers } else { &mut latencies.users };
         // Within the bounds by the clamp above.
         let _ = histogram.record(latency_us);
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -17,9 +17,9 @@
 const FOLLOW_RETRY_DELAY: Micros = Micros::from_millis(300);
 /// How long one watch of the leader's record lasts.
 const LEADER_WATCH_TIMEOUT: Micros = Micros::from_millis(3_000);
-/// A leader that hears no worker resigns if no other controller has been heard for this long.
+/// A leader that no heartbeats reach resigns if no other controller has been in contact for this long.
 const PEER_SILENCE_TIMEOUT: Micros = Micros::from_millis(3_000);
-/// A leader hears no worker if no heartbeat came for so many heartbeat intervals.
+/// No heartbeats reach a leader if none came for so many heartbeat intervals.
 const SILENT_HEARTBEAT_INTERVALS: f64 = 2.5;
 /// How long a leader that resigned stands in no election.
 const RESIGNATION_PAUSE: Micros = Micros::from_millis(8_000);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -24,6 +24,7 @@
 mod other_cells;
 mod peers;
 mod planning;
+mod responses;
 mod routing;
 mod scaling;
 mod shared_state;
@@ -148,7 +149,7 @@
 
     /// Locks the shared state.
     fn lock(&self) -> MutexGuard<'_, SharedState> {
-        lock_poisoned(&self.shared)
+        lock_ignoring_poison(&self.shared)
     }
 
     /// Whether the controller is to end.
@@ -171,7 +172,7 @@
 
 /// Locks a mutex even if a thread panicked while it held it: one thread's panic must not take the other
 /// duties along.
-fn lock_poisoned<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -5,8 +5,9 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
+use super::responses::{CONTENT_TOO_LARGE, UNAVAILABLE};
 use super::step_down::StepDownReason;
-use super::{lock_poisoned, Controller, VERSION};
+use super::{lock_ignoring_poison, Controller, VERSION};
 use crate::fleet::JobProgress;
 use crate::http::{self, Request, Response};
 use crate::leadership::LeaderRecord;
@@ -27,7 +28,7 @@
             return None;
         };
         Some(Response {
-            status: u16::try_from(answer.status).unwrap_or(503),
+            status: u16::try_from(answer.status).unwrap_or(UNAVAILABLE),
             body: answer.body,
             retry_after: (answer.retry_after > 0).then_some(answer.retry_after),
         })
@@ -45,7 +46,7 @@
     /// Answers the messages of other controllers until the controller ends.
     pub(super) fn answer_peers(&self, inbound: &Mutex<Receiver<Inbound>>) {
         while !self.stopping() {
-            let received = lock_poisoned(inbound).recv_timeout(RECEIVE_TIMEOUT);
+            let received = lock_ignoring_poison(inbound).recv_timeout(RECEIVE_TIMEOUT);
             let inbound_message = match received {
                 Ok(inbound_message) => inbound_message,
                 Err(RecvTimeoutError::Timeout) => continue,
@@ -76,7 +77,7 @@
         let request =
             Request { method: call.method.clone(), path: call.path.clone(), body: call.body.clone() };
         let response = if request.body.len() > http::MAX_BODY {
-            Response::error(413, "body over 64 KiB")
+            Response::error(CONTENT_TOO_LARGE, "body over 64 KiB")
         } else {
             self.answer(&request, true)
         };
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -2,6 +2,7 @@
 
 use std::sync::Arc;
 
+use super::responses::{unavailable, METHOD_NOT_ALLOWED};
 use super::{Controller, STATUS};
 use crate::api;
 use crate::http::{self, Reply, Request, RequestClass, Response};
@@ -36,11 +37,11 @@
     pub fn answer(&self, request: &Request, relayed: bool) -> Response {
         match request.path.as_str() {
             HEARTBEAT_PATH if request.method == "POST" => {
-                let refused = || Response::error(503, "not now");
+                let refused = || unavailable("not now");
                 self.handle_heartbeat(request, None).unwrap_or_else(refused)
             }
             HEALTH_PATH if request.method == "GET" => self.health(),
-            HEARTBEAT_PATH | HEALTH_PATH => Response::error(405, "wrong method"),
+            HEARTBEAT_PATH | HEALTH_PATH => Response::error(METHOD_NOT_ALLOWED, "wrong method"),
             // For operators, over the controllers' own interface: users' connections never reach it.
             path if relayed && path.starts_with(STATUS) => self.status(request),
             path if relayed && path.starts_with(WRITE_OFF_PATH) => self.write_off(request),
--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -164,11 +164,11 @@
     match outcome {
         Ok(ids) => {
             tracing::info!(
-                ty = %request.ty,
+                machine_type = %request.ty,
                 zone = %request.zone,
                 spot = request.spot,
-                asked = request.count,
-                got = ids.len(),
+                requested = request.count,
+                granted = ids.len(),
                 "scaled out"
             );
             let is_partial = (ids.len() as u32) < request.count;
@@ -184,7 +184,7 @@
         }
         Err(CloudError::NoCapacity) => {
             tracing::debug!(
-                ty = %request.ty,
+                machine_type = %request.ty,
                 zone = %request.zone,
                 spot = request.spot,
                 "scale out: no capacity"
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeMap;
 
+use super::responses::{unavailable, OK};
 use super::{Controller, Leadership, SharedState, VERSION};
 use crate::http::{Request, Response};
 use crate::time::{wall, Micros};
@@ -24,14 +25,14 @@
     pub(super) fn health(&self) -> Response {
         let shared = self.lock();
         if shared.machine_types.is_none() {
-            return Response::error(503, "starting");
+            return unavailable("starting");
         }
         let peer_silence = self.now() - shared.last_peer_contact;
         let store_unreachable = self.state.out_of_reach() > STATE_TIMEOUT;
         if store_unreachable && self.peers.count() > 0 && peer_silence > PEER_TIMEOUT {
-            return Response::error(503, "cut off from the state service and the other controllers");
+            return unavailable("cut off from the state service and the other controllers");
         }
-        Response::json(200, &Health { healthy: true })
+        Response::json(OK, &Health { healthy: true })
     }
 
     /// The status, whole or for the team that the path names.
@@ -49,7 +50,7 @@
             view_age_s: leadership.map(|leadership| leadership.store_contact.age(self.now()).secs()),
             cells: leadership.filter(|_| team.is_none()).and_then(cells_status),
         };
-        Response::json(200, &status)
+        Response::json(OK, &status)
     }
 
     /// The status of the only shard, which this leader has.
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Versions of all controllers, by label: none for those that have not been heard.
+    /// Versions of all controllers, by label: none for those that have not reported theirs.
     fn versions(&self, shared: &SharedState) -> BTreeMap<String, Option<String>> {
         let members = self.config.platform.members.iter();
         let peers =
--- a/src/controller/step_down.rs
+++ b/src/controller/step_down.rs
@@ -15,7 +15,7 @@
     HigherTokenLeads(u64),
     /// The leader's lease expired, or was ended.
     LeaseExpired,
-    /// Neither workers nor other controllers can be heard.
+    /// Neither workers nor other controllers reach this leader.
     Isolated,
     /// Another leader has taken the shard: a guard of a write did not hold.
     ShardTaken,
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -2,7 +2,8 @@
 //! covers the final stages and task counts that this controller knows, and notices of written and cancelled
 //! jobs to the other controllers.
 
-use super::{lock_poisoned, Controller};
+use super::responses::UNAVAILABLE;
+use super::{lock_ignoring_poison, Controller};
 use crate::api::JobsBackend;
 use crate::cancellation_notices::Cancellation;
 use crate::config::Config;
@@ -44,7 +45,7 @@
         }
         for peer in 0..self.peers.count() {
             let response = self.relay(peer, request, RELAY_TIMEOUT);
-            if let Some(response) = response.filter(|response| response.status != 503) {
+            if let Some(response) = response.filter(|response| response.status != UNAVAILABLE) {
                 return Some(response);
             }
         }
@@ -103,12 +104,12 @@
     }
 
     /// This controller confirms to a user that a job is cancelled: its tasks are stopped here, and
-    /// all others are told, whichever of them leads.
+    /// all others are notified, whichever of them leads.
     fn cancellation_confirmed(&self, id: &str, record: FinalRecord, revision: u64) {
         if self.peers.count() > 0 {
             let since = self.now();
             let cancellation = Cancellation { id: id.to_string(), tasks: record.tasks, revision, since };
-            lock_poisoned(&self.notices).add(&cancellation);
+            lock_ignoring_poison(&self.notices).add(&cancellation);
             self.notices_added.notify_one();
         }
         self.apply_cancellation(id, record, revision);
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -3,14 +3,13 @@
 use super::step_down::StepDownReason;
 use super::{Controller, Leadership};
 use crate::fleet::Fleet;
+use crate::leadership::JOBS_PREFIX;
 use crate::records::JobRecord;
 use crate::state::{RequestPriority, StateError};
 use crate::store_contact::StoreContact;
 use crate::time::{Micros, Steady};
 use crate::wire::{Event, Events};
 
-/// Prefix of the live jobs' keys.
-const JOBS_PREFIX: &str = "job/";
 /// Pause between two reads.
 const WATCH_PAUSE: Micros = Micros::from_millis(100);
 /// Pause after a read that failed.
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -22,7 +22,7 @@
     /// Its fencing token.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// The lease that the leader's record hangs on. It tells two elections of one process apart: if an
+    /// The lease that the leader's record hangs on. It distinguishes two elections of one process: if an
     /// unanswered transaction were carried out late, the process would take it for its next one, renew
     /// the other lease and never learn from that that it had been replaced.
     #[serde(default)]
@@ -124,7 +124,7 @@
             return Ok(Some(LeadershipTerm::new(leader, shard.mod_revision)));
         }
     }
-    // Without its lease the transaction fails if it is carried out late, whatever its guards say.
+    // Without its lease the transaction fails if it is carried out late, whether or not its guards still hold.
     let _ = state.end_lease(leader.lease);
     Ok(None)
 }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -4,10 +4,10 @@
 //! - [`election`](try_become_leader): leader election by a lease and one compare-and-swap
 //!   transaction, which yields the fencing token;
 //! - [`rebuild`](rebuild()): reads all records after a won election;
-//! - [`update_from_store`]: takes over one key as it stands after a conflict or an unknown outcome;
+//! - [`update_from_store`]: updates the fleet with one key as it stands after a conflict or an unknown outcome;
 //! - [`batches`] and [`loan_txn`]: put pending writes into transactions.
 //!
-//! The records form one shard, which a leader takes over whole. Every write of a leader is guarded
+//! The records form one shard, which a leader takes as a whole. Every write of a leader is guarded
 //! by the shard's revision, so that a leader that was replaced cannot write any more.
 
 mod election;
@@ -23,4 +23,5 @@
 pub use loan_records::{loan_txn, read_loan_records};
 pub use read_back::update_from_store;
 pub use rebuild::{load_records, read_machine_types, rebuild};
+pub(crate) use record_keys::JOBS_PREFIX;
 pub use writes::{batches, Batch};
--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -82,10 +82,16 @@
             fleet.inherit_machine(id, &machine, mod_revision, now);
         }
         RecordKey::PackedMachines(slot) => {
-            load_packed_machines(fleet, slot, &key, value, mod_revision, now);
+            let keep_unreadable = |slot| fleet.packs.keep_unreadable(slot);
+            if let Some((slot, machines)) = decode_packed(&key, slot, value, keep_unreadable) {
+                fleet.inherit_machines(slot, machines, mod_revision, now);
+            }
         }
         RecordKey::PackedHighWaterMarks(slot) => {
-            load_packed_high_water_marks(fleet, slot, &key, value, mod_revision);
+            let keep_unreadable = |slot| fleet.marks.keep_unreadable(slot);
+            if let Some((slot, high_water_marks)) = decode_packed(&key, slot, value, keep_unreadable) {
+                fleet.inherit_marks(slot, high_water_marks, mod_revision);
+            }
         }
         RecordKey::Borrowed(borrowed) => {
             loan_records::load_borrowed(fleet, borrowed, &key, value, mod_revision, now, wall);
@@ -110,50 +116,15 @@
     }
 }
 
-/// Loads a value of packed machine records.
-fn load_packed_machines(
-    fleet: &mut Fleet,
-    slot: &str,
-    key: &str,
-    value: Value,
-    mod_revision: u64,
-    now: Steady,
-) {
-    match decode_packed(slot, value) {
-        Ok((slot, machines)) => fleet.inherit_machines(slot, machines, mod_revision, now),
-        Err(error) => {
-            log_unreadable(key, &error);
-            if let Ok(slot) = slot.parse() {
-                fleet.packs.keep_unreadable(slot);
-            }
-        }
-    }
-}
-
-/// Loads a value of packed high-water marks.
-fn load_packed_high_water_marks(fleet: &mut Fleet, slot: &str, key: &str, value: Value, mod_revision: u64) {
-    match decode_packed(slot, value) {
-        Ok((slot, high_water_marks)) => fleet.inherit_marks(slot, high_water_marks, mod_revision),
-        Err(error) => {
-            log_unreadable(key, &error);
-            if let Ok(slot) = slot.parse() {
-                fleet.marks.keep_unreadable(slot);
-            }
-        }
-    }
-}
-
 /// Loads a packed bucket of history records.
 fn load_history_bucket(fleet: &mut Fleet, bucket: &str, key: &str, value: Value, mod_revision: u64) {
-    match decode_packed::<Vec<HistoryRecord>>(bucket, value) {
-        Ok((bucket, records)) => {
-            for record in records {
-                fleet.history.load(record);
-            }
-            fleet.history.learn(bucket, mod_revision);
-        }
-        Err(error) => log_unreadable(key, &error),
+    let Some((bucket, records)) = decode_packed::<Vec<HistoryRecord>>(key, bucket, value, |_| {}) else {
+        return;
+    };
+    for record in records {
+        fleet.history.load(record);
     }
+    fleet.history.learn(bucket, mod_revision);
 }
 
 /// Why a packed value cannot be loaded.
@@ -167,8 +138,28 @@
     Value(#[from] serde_json::Error),
 }
 
+/// A packed value with its slot number, or none if it cannot be decoded: that is logged, and the slot is
+/// handed to `keep_unreadable`, so that the value is not overwritten.
+fn decode_packed<T: DeserializeOwned>(
+    key: &str,
+    slot: &str,
+    value: Value,
+    keep_unreadable: impl FnOnce(u32),
+) -> Option<(u32, T)> {
+    match try_decode_packed(slot, value) {
+        Ok(decoded) => Some(decoded),
+        Err(error) => {
+            log_unreadable(key, &error);
+            if let Ok(slot) = slot.parse() {
+                keep_unreadable(slot);
+            }
+            None
+        }
+    }
+}
+
 /// A packed value with its slot number, as stored under `<prefix>/<slot>`.
-fn decode_packed<T: DeserializeOwned>(slot: &str, value: Value) -> Result<(u32, T), PackedValueError> {
+fn try_decode_packed<T: DeserializeOwned>(slot: &str, value: Value) -> Result<(u32, T), PackedValueError> {
     Ok((slot.parse()?, serde_json::from_value(value)?))
 }
 
--- a/src/leadership/record_keys.rs
+++ b/src/leadership/record_keys.rs
@@ -3,7 +3,7 @@
 use crate::keys::{BORROWED, HISTORY, MACHINES, MARKS, RECENT_KEY};
 
 /// Prefix of the live jobs' keys.
-pub(super) const JOBS_PREFIX: &str = "job/";
+pub(crate) const JOBS_PREFIX: &str = "job/";
 /// Prefix of the machines' records in both forms, `machine/<id>` and `machines/<slot>`.
 pub(super) const ALL_MACHINES_PREFIX: &str = "machine";
 /// Prefix of the packed machine records.
