--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -23,7 +23,8 @@
     /// Announces the leader about once a second, and cancellations at once, repeated until each of the
     /// others has acknowledged them.
     pub(super) fn announce(&self) {
-        let (mut last_announced, mut all_acknowledged) = (Steady(0), true);
+        let mut last_announced = Steady(0);
+        let mut all_acknowledged = true;
         while !self.stopping() {
             let since = self.now() - last_announced;
             let timeout = if all_acknowledged { ANNOUNCE_INTERVAL - since } else { NOTICE_RETRY_DELAY };
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -22,8 +22,16 @@
 const RECALL_BACKLOG_S: f64 = 0.5;
 /// Most open loans with one cell: half of what a message may name.
 const MAX_OPEN_LOANS: usize = MAX_LOANS / 2;
-/// The first version that supports loans: major and minor number.
-const FIRST_LENDING_VERSION: (u32, u32) = (0, 3);
+/// The first version that supports loans.
+const FIRST_LENDING_VERSION: ReleaseVersion = ReleaseVersion { major: 0, minor: 3 };
+
+/// A version of this program, as far as it says which messages and records the program knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ReleaseVersion {
+    // Compared first.
+    major: u32,
+    minor: u32,
+}
 
 /// A message that was sent to another cell.
 struct CellExchange<'a> {
@@ -186,7 +194,7 @@
     fn all_support_loans(&self, shared: &SharedState) -> bool {
         self.config.platform.members.iter().all(|member| {
             let version = shared.peer_versions.get(&member.label);
-            let version = version.and_then(|version| parse_version(version));
+            let version = version.and_then(|version| ReleaseVersion::parse(version));
             version.is_some_and(|version| version >= FIRST_LENDING_VERSION)
         })
     }
@@ -210,10 +218,14 @@
     }
 }
 
-/// Major and minor number of a version.
-fn parse_version(version: &str) -> Option<(u32, u32)> {
-    let mut numbers = version.split('.').map(str::parse);
-    Some((numbers.next()?.ok()?, numbers.next()?.ok()?))
+impl ReleaseVersion {
+    /// The version that a text such as `0.3.0` begins with; none if it is of another form.
+    fn parse(text: &str) -> Option<ReleaseVersion> {
+        let mut numbers = text.split('.').map(str::parse);
+        let major = numbers.next()?.ok()?;
+        let minor = numbers.next()?.ok()?;
+        Some(ReleaseVersion { major, minor })
+    }
 }
 
 /// Whether a borrower has not decided on a loan yet, or holds as many as it may.
--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -4,7 +4,7 @@
 use super::Controller;
 use crate::fleet::LoanWrite;
 use crate::keys::{final_key, job_key};
-use crate::leadership::{self, SHARD_KEY};
+use crate::leadership::{self, KeyState, SHARD_KEY};
 use crate::state::{RequestPriority, StateError, TxnOutcome};
 use crate::time::wall;
 
@@ -79,8 +79,8 @@
             self.step_down_from(fencing_token, StepDownReason::ShardTaken);
             return LoanOutcome::Unknown;
         }
-        let rows = match leadership::read_loan_records(&self.state, &write) {
-            Ok(rows) => rows,
+        let records = match leadership::read_loan_records(&self.state, &write) {
+            Ok(records) => records,
             Err(error) => {
                 tracing::debug!(job = write.job(), %error, "loan record read-back failed");
                 return self.loan_unresolved(fencing_token, write);
@@ -89,7 +89,7 @@
         let mut shared = self.lock();
         let Some(leadership) = shared.leadership_with(fencing_token) else { return LoanOutcome::Unknown };
         let fleet = &mut leadership.fleet;
-        for (key, row) in rows {
+        for KeyState { key, row } in records {
             leadership::update_from_store(fleet, &key, row, self.now());
         }
         let job = write.job();
--- a/src/controller/machine_list.rs
+++ b/src/controller/machine_list.rs
@@ -20,7 +20,9 @@
     /// requests, which must not delay scaling out.
     pub(super) fn refresh_cloud(&self) {
         let mut list_interval = self.list_interval();
-        let (mut listed_at, mut priced_at, mut last_fencing_token) = (Steady(0), Steady(0), 0u64);
+        let mut listed_at = Steady(0);
+        let mut priced_at = Steady(0);
+        let mut last_fencing_token = 0u64;
         while !self.stopping() {
             self.sleep(REFRESH_INTERVAL);
             let Some(fencing_token) = self.lock().fencing_token() else { continue };
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -2,7 +2,7 @@
 //! machines out and in, and tells workers what to run.
 //!
 //! Each long-lived duty runs on a standard thread of its own, in a module of its own (`duties` starts
-//! them). All threads share one lock ([`Controller::lock`]), which is never held during I/O: a duty copies
+//! them). All threads share one lock (`Controller::lock`), which is never held during I/O: a duty copies
 //! what it needs, releases the lock, does its I/O with a deadline, and takes the lock again to record the
 //! outcome, checking that it still leads with the same fencing token.
 
--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -21,13 +21,20 @@
 /// A new leader scales out once this many times the lag of the cloud's list have passed.
 const FIRST_SCALE_OUT_DELAY_IN_LAGS: f64 = 1.2;
 
+/// A scale-out request with the offer that it makes use of.
+struct OfferRequest {
+    offer: Offer,
+    request: ScaleOutRequest,
+}
+
 impl Controller {
     /// Scales out and in until the controller ends.
     pub(super) fn scale_out_and_in(&self) {
         let lag = Micros::from_secs(self.config.platform.settings.cloud.list_lag_s);
         let first_scale_out_delay = lag.scale(FIRST_SCALE_OUT_DELAY_IN_LAGS);
         let mut last_request_number = 0u64;
-        let (mut last_fencing_token, mut leader_since) = (0u64, Steady(0));
+        let mut last_fencing_token = 0u64;
+        let mut leader_since = Steady(0);
         while !self.stopping() {
             self.sleep(SCALING_INTERVAL);
             let term = self
@@ -57,8 +64,8 @@
         if ids.is_empty() {
             return;
         }
-        // Each answer counts at once: what the next request has to wait for must not hold up what
-        // can start elsewhere.
+        // Each answer is recorded at once: a delay of the next request must not hold up tasks that can
+        // start elsewhere.
         for batch in ids.chunks(MAX_MACHINES_PER_SCALE_IN) {
             match self.cloud.return_machines(batch) {
                 Ok(()) => {
@@ -80,7 +87,7 @@
     fn scale_out(&self, fencing_token: u64, last_request_number: &mut u64) {
         let Some(wanted) = self.scale_out_requests(fencing_token) else { return };
         let mut refused = Vec::new();
-        for (offer, request) in wanted {
+        for OfferRequest { offer, request } in wanted {
             if refused.contains(&offer) {
                 continue;
             }
@@ -105,7 +112,7 @@
 
     /// Requests for the machines that the leader lacks, still without names; `None` if this controller is
     /// no longer the leader.
-    fn scale_out_requests(&self, fencing_token: u64) -> Option<Vec<(Offer, ScaleOutRequest)>> {
+    fn scale_out_requests(&self, fencing_token: u64) -> Option<Vec<OfferRequest>> {
         let mut shared = self.lock();
         let leadership = shared.leadership_with(fencing_token)?;
         let mut requests = Vec::new();
@@ -123,7 +130,7 @@
                     spot: offer.spot,
                     count,
                 };
-                requests.push((offer, request));
+                requests.push(OfferRequest { offer, request });
             }
         }
         Some(requests)
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -13,6 +13,7 @@
 use crate::time::{Steady, Wall};
 use crate::wire::{Change, Guard, Row, Stage, Txn};
 
+/// A guard that a key still has this revision; 0: that there is no such key.
 fn guard(key: String, mod_revision: u64) -> Guard {
     Guard { key, mod_revision }
 }
@@ -136,18 +137,26 @@
     }
 }
 
-/// Reads back the records that a write of loans guards, after a conflict; with each key its row, none if
-/// there is no such key.
+/// A key that was read back.
+pub struct KeyState {
+    /// The key.
+    pub key: String,
+    /// Its row; none if there is no such key.
+    pub row: Option<Row>,
+}
+
+/// Reads back the records that a write of loans guards, after a conflict.
 ///
 /// # Errors
 /// As any read from the state store; the first error ends the read.
-pub fn read_loan_records(
-    state: &StateClient,
-    write: &LoanWrite,
-) -> Result<Vec<(String, Option<Row>)>, StateError> {
+pub fn read_loan_records(state: &StateClient, write: &LoanWrite) -> Result<Vec<KeyState>, StateError> {
     let keys = match write {
         LoanWrite::Home { job, .. } => vec![job_key(job)],
         LoanWrite::Guest { change, .. } => vec![borrowed_key(&change.job), lender_key(&change.lender)],
     };
-    keys.into_iter().map(|key| Ok((key.clone(), state.get(&key, RequestPriority::User)?))).collect()
+    let read = |key: String| {
+        let row = state.get(&key, RequestPriority::User)?;
+        Ok(KeyState { key, row })
+    };
+    keys.into_iter().map(read).collect()
 }
--- a/src/leadership/record_keys.rs
+++ b/src/leadership/record_keys.rs
@@ -62,6 +62,11 @@
     Other,
 }
 
+/// Key of a single machine's record.
+pub(super) fn single_machine_key(id: &str) -> String {
+    format!("machine/{id}")
+}
+
 impl<'a> RecordKey<'a> {
     /// What a key stands for, by its form.
     pub(super) fn parse(key: &'a str) -> RecordKey<'a> {
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -3,6 +3,7 @@
 use serde_json::json;
 
 use super::keys::SHARD_KEY;
+use super::record_keys::single_machine_key;
 use crate::fleet::{Fleet, PackKind, PendingWrite, WriteContents};
 use crate::history::EstimateKey;
 use crate::jobs::JobId;
@@ -137,7 +138,7 @@
         PendingWrite::Recent => Some(compose_recent(fleet, item, now, wall)),
         PendingWrite::Orphan(key, mod_revision) => Some(compose_drop(item, key.clone(), *mod_revision)),
         PendingWrite::Unenrol(id, mod_revision) => {
-            Some(compose_drop(item, format!("machine/{id}"), *mod_revision))
+            Some(compose_drop(item, single_machine_key(id), *mod_revision))
         }
     }
 }
