--- a/src/cli.rs
+++ b/src/cli.rs
@@ -10,7 +10,7 @@
 use clap::{Parser, Subcommand};
 
 use crate::config::Config;
-use crate::controller::{Controller, STATUS};
+use crate::controller::{Controller, STATUS_PATH};
 use crate::http::{CallError, Client, ClientResponse};
 use crate::peer::{self, Call};
 use crate::report::RecoveryLog;
@@ -195,7 +195,7 @@
 }
 
 fn status(internal: SocketAddr, team: Option<String>) -> ExitCode {
-    let path = team.map_or(STATUS.to_string(), |t| format!("{STATUS}/{t}"));
+    let path = team.map_or(STATUS_PATH.to_string(), |t| format!("{STATUS_PATH}/{t}"));
     let call = Call { method: "GET".into(), path, body: Vec::new() };
     match peer::ask(internal, call, Micros::from_secs(5.0)) {
         Ok(a) => {
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -41,16 +41,16 @@
 }
 
 /// Decides whether to lend, and how much.
-pub struct LendingChoice {
+pub struct LendingPolicy {
     threshold: BacklogThreshold,
     script: Option<LendingScript>,
 }
 
-impl LendingChoice {
-    /// The choice by the settings, which were checked when they were read.
-    pub fn new(cells: &CellsSettings) -> LendingChoice {
+impl LendingPolicy {
+    /// The policy by the settings, which were checked when they were read.
+    pub fn new(cells: &CellsSettings) -> LendingPolicy {
         let script = cells.script.as_deref().and_then(|text| LendingScript::parse(text).ok());
-        LendingChoice { threshold: BacklogThreshold::default(), script }
+        LendingPolicy { threshold: BacklogThreshold::default(), script }
     }
 }
 
@@ -58,26 +58,26 @@
     /// Lends until the controller ends.
     pub(super) fn lend(&self) {
         let Some(cells) = &self.config.operator.cells else { return };
-        let mut choice = LendingChoice::new(cells);
+        let mut policy = LendingPolicy::new(cells);
         while !self.stopping() {
-            let is_active = self.lend_once(&mut choice);
+            let is_active = self.lend_once(&mut policy);
             self.sleep(if is_active { ACTIVE_INTERVAL } else { IDLE_INTERVAL });
         }
     }
 
     /// One round of messages with all other cells; whether there are loans or some are to be made.
-    pub fn lend_once(&self, choice: &mut LendingChoice) -> bool {
+    pub fn lend_once(&self, policy: &mut LendingPolicy) -> bool {
         let Some(cells) = &self.config.operator.cells else { return false };
         let (fencing_token, backlog_s) = match &self.lock().leadership {
             Some(leadership) => (leadership.term.fencing_token, leadership.fleet.array_backlog_s()),
             None => return false,
         };
-        let wants_to_lend = choice.threshold.update(backlog_s, self.config.operator.drain_s);
+        let wants_to_lend = policy.threshold.update(backlog_s, self.config.operator.drain_s);
         self.retry_loan_writes(fencing_token);
         for exchange in self.send_loan_requests(cells, fencing_token, backlog_s) {
             let cell = exchange.cell;
             match exchange.waiting.and_then(Waiting::wait) {
-                Ok(Outcome::Loans(reply)) => self.on_loan_reply(fencing_token, cell, &reply, choice),
+                Ok(Outcome::Loans(reply)) => self.on_loan_reply(fencing_token, cell, &reply, policy),
                 Ok(_) => self.cell_unreachable(cell, &CellExchangeError::WrongAnswer),
                 Err(error) => self.cell_unreachable(cell, &error.into()),
             }
@@ -116,7 +116,7 @@
     }
 
     /// Processes another cell's answer.
-    fn on_loan_reply(&self, fencing_token: u64, cell: &OtherCell, reply: &LoanReply, choice: &LendingChoice) {
+    fn on_loan_reply(&self, fencing_token: u64, cell: &OtherCell, reply: &LoanReply, policy: &LendingPolicy) {
         if reply.from != cell.name {
             self.cell_unreachable(cell, &CellExchangeError::WrongCell);
             return;
@@ -130,7 +130,7 @@
                 Err(error) => tracing::error!(cell = %cell.name, %error, "loan report refused"),
             }
         }
-        self.make_loan(fencing_token, cell, choice);
+        self.make_loan(fencing_token, cell, policy);
     }
 
     /// Processes a borrower's report on a loan.
@@ -160,11 +160,11 @@
 
     /// Lends tasks to a cell if this one's arrays do not drain in time and that one has spare capacity. One
     /// loan at a time: the next waits until the borrower has decided, so that its spare capacity is known.
-    fn make_loan(&self, fencing_token: u64, cell: &OtherCell, choice: &LendingChoice) {
-        if !choice.threshold.is_exceeded() {
+    fn make_loan(&self, fencing_token: u64, cell: &OtherCell, policy: &LendingPolicy) {
+        if !policy.threshold.is_exceeded() {
             return;
         }
-        let Some(write) = self.begin_loan(fencing_token, cell, choice) else { return };
+        let Some(write) = self.begin_loan(fencing_token, cell, policy) else { return };
         let job = write.job().to_string();
         if self.write_loan(fencing_token, write) == LoanOutcome::Written {
             tracing::info!(%job, cell = %cell.name, "loan made");
@@ -172,7 +172,7 @@
     }
 
     /// The write of a new loan to a cell; none if none is to be made now.
-    fn begin_loan(&self, fencing_token: u64, cell: &OtherCell, choice: &LendingChoice) -> Option<LoanWrite> {
+    fn begin_loan(&self, fencing_token: u64, cell: &OtherCell, policy: &LendingPolicy) -> Option<LoanWrite> {
         let mut shared = self.lock();
         let all_support_loans = self.all_support_loans(&shared);
         let summary = shared.other_cells.get(&cell.name).and_then(|state| state.summary().cloned())?;
@@ -183,7 +183,7 @@
         }
         let fleet = &mut leadership.fleet;
         let candidate = fleet.lending_candidate(&summary, wall())?;
-        let count = match &choice.script {
+        let count = match &policy.script {
             Some(script) => script.task_count(&candidate.view),
             None => candidate.view.default_task_count(),
         };
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -42,10 +42,10 @@
 
 pub use self::error::ControllerError;
 use self::latency::Latencies;
-pub use self::lending::LendingChoice;
+pub use self::lending::LendingPolicy;
 use self::shared_state::{Leadership, SharedState};
 use self::state_budget::{ControllerRole, StateBudget};
-pub use self::status::STATUS;
+pub use self::status::STATUS_PATH;
 pub use self::writer::done_write_interval;
 use crate::cancellation_notices::CancellationNotices;
 use crate::cloud::CloudClient;
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::responses::{unavailable, METHOD_NOT_ALLOWED};
-use super::{Controller, STATUS};
+use super::{Controller, STATUS_PATH};
 use crate::api;
 use crate::http::{self, Reply, Request, RequestClass, Response};
 use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH, WRITE_OFF_PATH};
@@ -43,7 +43,7 @@
             HEALTH_PATH if request.method == "GET" => self.health(),
             HEARTBEAT_PATH | HEALTH_PATH => Response::error(METHOD_NOT_ALLOWED, "wrong method"),
             // For operators, over the controllers' own interface: users' connections never reach it.
-            path if relayed && path.starts_with(STATUS) => self.status(request),
+            path if relayed && path.starts_with(STATUS_PATH) => self.status(request),
             path if relayed && path.starts_with(WRITE_OFF_PATH) => self.write_off(request),
             _ => api::handle(self, request, relayed),
         }
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -9,7 +9,7 @@
 use crate::wire::{ControllerStatus, Health, ShardStatus};
 
 /// Path of the status view between controllers; a team's name may follow.
-pub const STATUS: &str = "/status";
+pub const STATUS_PATH: &str = "/status";
 /// After this without any message or answer the other controllers count as unreachable.
 const PEER_TIMEOUT: Micros = Micros::from_millis(4500);
 /// After this without an answer the state store counts as unreachable.
@@ -37,7 +37,7 @@
 
     /// The status, whole or for the team that the path names.
     pub(super) fn status(&self, request: &Request) -> Response {
-        let team = request.path.strip_prefix(STATUS).and_then(|rest| rest.strip_prefix('/'));
+        let team = request.path.strip_prefix(STATUS_PATH).and_then(|rest| rest.strip_prefix('/'));
         let shared = self.lock();
         let leadership = shared.leadership.as_ref();
         let cells_status = |leadership| self.cells_status(&shared, leadership);
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -11,7 +11,7 @@
 use common::store::Store;
 use common::{platform_json, report, spec};
 use milletlock::config::{Config, OperatorConfig, PlatformConfig};
-use milletlock::controller::{Controller, LendingChoice};
+use milletlock::controller::{Controller, LendingPolicy};
 use milletlock::http::{Request, Response};
 use milletlock::leadership::SHARD_KEY;
 use milletlock::peer::{proto, LoanReply, Outbound, Outcome, PeerError, PeerHub};
@@ -98,12 +98,12 @@
     state: std::net::SocketAddr,
     clock: &Arc<AtomicI64>,
     carry: impl Fn(Outbound) -> Result<(), PeerError> + Send + Sync + 'static,
-) -> (Arc<Controller>, LendingChoice) {
+) -> (Arc<Controller>, LendingPolicy) {
     let mut p = platform_json();
     p["services"] = json!({ "cloud": cloud(), "state": state });
     let platform = PlatformConfig::parse(&p.to_string(), "test").expect("settings");
     let operator = OperatorConfig::parse(CELLS, "test").expect("settings");
-    let choice = LendingChoice::new(operator.cells.as_ref().expect("cells"));
+    let choice = LendingPolicy::new(operator.cells.as_ref().expect("cells"));
     let cfg = Config { platform, operator };
     let node = Controller::new(cfg, PeerHub::over(0, carry), Clock::Manual(clock.clone()), Arc::default());
     let node = node.expect("a controller");
@@ -152,7 +152,7 @@
     assert!(!is_lent(), "another name");
     // Without a choice to lend, the term is noted all the same.
     *name.lock().expect("a name") = "there";
-    let mut never = LendingChoice::new(&never_lends());
+    let mut never = LendingPolicy::new(&never_lends());
     node.lend_once(&mut never);
     assert!(!is_lent());
     term.store(4, Ordering::SeqCst);
