--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -1,71 +1,61 @@
 //! Scale out for job arrays: machines for waiting array work that would not drain in time.
 
 use super::offers::{add_scale_out, FittingOffer};
-use super::{CapacityView, ScaleOut};
+use super::{Autoscaler, ScaleOutItem};
 use crate::sched::{allowed, JobClass};
 
 /// Waiting arrays that can use the same machines.
 struct ArrayDemand<'a> {
     /// The first of them.
     class: &'a JobClass,
-    /// Processor seconds of waiting work, weighted up for what has waited long.
+    /// Processor seconds of waiting work, weighted up for arrays that have waited long.
     work: f64,
     /// Processors of all their waiting tasks.
     cpus: f64,
 }
 
-impl CapacityView<'_> {
-    /// Scales out for arrays whose waiting work would not drain within `policy.drain`.
-    pub(super) fn scale_out_for_arrays(&self, rents: &mut Vec<ScaleOut>) {
+impl Autoscaler<'_> {
+    /// Scales out for arrays whose waiting work would not drain within `policy.drain_time`.
+    pub(super) fn scale_out_for_arrays(&self, scale_out: &mut Vec<ScaleOutItem>) {
+        let drain_s = self.policy.drain_time.secs();
         for demand in self.array_demands() {
-            let Some(FittingOffer { offer, .. }) = self.offers(demand.class).into_iter().next() else {
+            let Some(FittingOffer { offer, .. }) = self.fitting_offers(demand.class).into_iter().next()
+            else {
                 continue;
             };
             let machine = &self.types[offer.ty];
-            let supply = self.array_supply(demand.class, self.policy.drain.secs() + machine.boot_s);
+            let supply = self.array_supply(demand.class, drain_s + machine.boot_s);
             let falls_short = demand.work > supply;
             if !falls_short {
                 continue;
             }
-            let by_work = (demand.work - supply) / (machine.cpus * self.policy.drain.secs());
-            // What waits cannot use more processors than it has, and some are coming already.
-            let by_width = (demand.cpus - self.coming_cpus(demand.class)) / machine.cpus;
+            let by_work = (demand.work - supply) / (machine.cpus * drain_s);
+            // The waiting tasks cannot use more processors than they ask for, and some are booting already.
+            let by_width = (demand.cpus - self.booting_cpus(demand.class)) / machine.cpus;
             // Less than half a machine is not worth one, unless there is none at all.
             let least = if supply > 0.0 { 0.0 } else { 1.0 };
             let count = by_work.min(by_width).round().max(least) as u32;
             if count > 0 {
-                add_scale_out(rents, ScaleOut { offer, count });
+                add_scale_out(scale_out, ScaleOutItem { offer, count });
             }
         }
     }
 
-    /// Processors of machines that boot and that a class may use. Without counting them, a few tasks that
-    /// had waited for long had machines rented for them again and again until the first was up.
-    fn coming_cpus(&self, class: &JobClass) -> f64 {
-        let rooms = self.snapshot.rooms.iter().enumerate();
-        let coming =
-            rooms.filter(|(index, _)| self.upkeep[*index].booting && self.serves_array(class, *index));
-        coming.map(|(_, room)| room.free.cpus).sum()
-    }
-
-    /// What the waiting arrays ask for. Classes that can use the same machines share them; they are
-    /// counted together.
+    /// The waiting arrays. Classes that can use the same machines share them; they are counted together.
     fn array_demands(&self) -> Vec<ArrayDemand<'_>> {
+        let drain_s = self.policy.drain_time.secs();
         let mut demands: Vec<ArrayDemand> = Vec::new();
-        for &(class_index, left) in &self.plan.unmet {
+        for &(class_index, unmet) in &self.plan.unmet {
             let class = &self.snapshot.classes[class_index];
             if class.gang || class.replicas.is_some() {
                 continue;
             }
-            let cpus = class.need.cpus.max(0.1) * f64::from(left);
-            // Estimates may be mostly too low for a whole day; then room seems enough while jobs
+            let cpus = class.need.cpus.max(0.1) * f64::from(unmet);
+            // Estimates may be mostly too low for a whole day; then capacity seems enough while jobs
             // wait. What has waited long counts for more.
-            let pressed = (class.waited.secs() / (self.policy.drain.secs() / 2.0)).max(1.0);
-            let work = cpus * class.adjusted.secs() * pressed;
-            let alike = |other: &JobClass| {
-                other.types == class.types && other.spot == class.spot && other.zone == class.zone
-            };
-            match demands.iter_mut().find(|demand| alike(demand.class)) {
+            let wait_weight = (class.waited.secs() / (drain_s / 2.0)).max(1.0);
+            let work = cpus * class.adjusted.secs() * wait_weight;
+            match demands.iter_mut().find(|demand| uses_same_machines(demand.class, class)) {
                 Some(demand) => {
                     demand.work += work;
                     demand.cpus += cpus;
@@ -76,26 +66,41 @@
         demands
     }
 
-    /// Whether an array's tasks can count on a room.
-    fn serves_array(&self, class: &JobClass, index: usize) -> bool {
-        let room = &self.snapshot.rooms[index];
-        let kept = self.snapshot.is_below_reserved_priority(class, room);
-        let stays = room.until.is_none() && self.coming(index);
-        allowed(class, room) && stays && !kept && room.total.fits(&class.need) > 0
+    /// Processors of booting machines that a class may use. Without counting them, a few tasks that had
+    /// waited for long scaled out again and again until the first machine was up.
+    fn booting_cpus(&self, class: &JobClass) -> f64 {
+        let machines = self.snapshot.rooms.iter().enumerate();
+        let booting = machines
+            .filter(|(index, _)| self.machine_status[*index].booting && self.serves_array(class, *index));
+        booting.map(|(_, machine)| machine.free.cpus).sum()
     }
 
-    /// Processor seconds that the rooms there are have for a class within so many seconds.
+    /// Processor seconds that the present machines have for a class within `horizon_s` seconds.
     fn array_supply(&self, class: &JobClass, horizon_s: f64) -> f64 {
         let mut supply = 0.0;
-        for (index, room) in self.snapshot.rooms.iter().enumerate() {
+        for (index, machine) in self.snapshot.rooms.iter().enumerate() {
             if !self.serves_array(class, index) {
                 continue;
             }
-            let late = if self.upkeep[index].booting { room.opens_in.secs() } else { 0.0 };
+            let is_booting = self.machine_status[index].booting;
+            let boot_left_s = if is_booting { machine.opens_in.secs() } else { 0.0 };
             let busy: f64 =
-                room.held.iter().map(|task| task.need.cpus * task.left.secs().min(horizon_s)).sum();
-            supply += (room.total.cpus * (horizon_s - late).max(0.0) - busy).max(0.0);
+                machine.held.iter().map(|task| task.need.cpus * task.left.secs().min(horizon_s)).sum();
+            supply += (machine.total.cpus * (horizon_s - boot_left_s).max(0.0) - busy).max(0.0);
         }
         supply
     }
+
+    /// Whether an array's tasks can count on a machine.
+    fn serves_array(&self, class: &JobClass, index: usize) -> bool {
+        let machine = &self.snapshot.rooms[index];
+        let is_reserved = self.snapshot.is_below_reserved_priority(class, machine);
+        let stays = machine.until.is_none() && self.is_reliable(index);
+        allowed(class, machine) && stays && !is_reserved && machine.total.fits(&class.need) > 0
+    }
+}
+
+/// Whether two classes may use the same machines.
+fn uses_same_machines(one: &JobClass, other: &JobClass) -> bool {
+    one.types == other.types && one.spot == other.spot && one.zone == other.zone
 }
--- a/src/capacity/gangs.rs
+++ b/src/capacity/gangs.rs
@@ -1,72 +1,82 @@
-//! Scale out for gangs: machines for the tasks of gangs that find no room soon.
+//! Scale out for gangs: machines for the tasks of gangs that find no place soon.
 
 use super::offers::scale_out_for_tasks;
-use super::{CapacityView, ScaleOut};
-use crate::sched::{allowed, JobClass};
+use super::{Autoscaler, ScaleOutItem};
+use crate::sched::{allowed, JobClass, MachineSnapshot};
 use crate::time::Micros;
 
-/// When a room has place for one more task of a gang. Slots compare by their fields in this order.
+/// When a machine has capacity for one more task of a gang. Slots compare by their fields in this order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct GangSlot {
     at: Micros,
-    room: usize,
+    machine: usize,
 }
 
-impl CapacityView<'_> {
-    /// When each room has place for tasks of a gang, by stated ends, soonest first: one entry for
-    /// each task it takes beyond those in `used`.
-    fn slots(&self, class: &JobClass, used: &[u32], most: u32) -> Vec<GangSlot> {
-        let mut slots = Vec::new();
-        for (index, room) in self.snapshot.rooms.iter().enumerate() {
-            let total = room.total.fits(&class.need);
-            if !allowed(class, room) || room.until.is_some() || !self.coming(index) || total <= used[index] {
-                continue;
-            }
-            let mut ends: Vec<_> = room.held.iter().map(|task| (task.left, task.need)).collect();
-            ends.sort_by_key(|end| end.0);
-            let mut ends = ends.into_iter();
-            let mut free = room.free;
-            let mut at = room.opens_in;
-            let mut taken = used[index];
-            while taken < total.min(used[index].saturating_add(most)) {
-                while free.fits(&class.need) <= taken {
-                    let Some((left, need)) = ends.next() else { break };
-                    free = free.plus(&need, 1);
-                    at = at.max(left);
-                }
-                if free.fits(&class.need) <= taken {
-                    break;
-                }
-                taken += 1;
-                slots.push(GangSlot { at, room: index });
-            }
-        }
-        slots.sort_unstable();
-        slots
-    }
-
-    /// Scales out for the tasks of gangs that find no machine soon, by stated ends.
-    pub(super) fn scale_out_for_gangs(&self, rents: &mut Vec<ScaleOut>) {
-        let mut used = vec![0u32; self.snapshot.rooms.len()];
-        for &(class_index, left) in &self.plan.unmet {
+impl Autoscaler<'_> {
+    /// Scales out for the tasks of gangs that find no machine soon, by the stated ends of the running
+    /// tasks.
+    pub(super) fn scale_out_for_gangs(&self, scale_out: &mut Vec<ScaleOutItem>) {
+        let mut used_slots = vec![0u32; self.snapshot.rooms.len()];
+        for &(class_index, unmet) in &self.plan.unmet {
             let class = &self.snapshot.classes[class_index];
             if !class.gang {
                 continue;
             }
-            let offers = self.offers(class);
+            let offers = self.fitting_offers(class);
             let boot_s = offers.first().map(|best| self.types[best.offer.ty].boot_s);
             let boot = boot_s.map_or(Micros::ZERO, Micros::from_secs);
             let mut found = 0u32;
-            for GangSlot { at, room } in self.slots(class, &used, left) {
-                // The promise of a room soon, by stated ends, counts only until it is broken.
-                let promised = at <= boot && class.patience.0 > 0;
-                if found < left && (promised || self.upkeep[room].booting) {
-                    used[room] += 1;
+            for GangSlot { at, machine } in self.gang_slots(class, &used_slots, unmet) {
+                // That a slot frees soon, by stated ends, counts only while the gang can still wait:
+                // stated times may be too short.
+                let is_free_soon = at <= boot && class.patience.0 > 0;
+                if found < unmet && (is_free_soon || self.machine_status[machine].booting) {
+                    used_slots[machine] += 1;
                     found += 1;
                 }
             }
             // Machines scaled out for an earlier class in this same round were not asked for this one.
-            scale_out_for_tasks(rents, left - found, offers.first());
+            scale_out_for_tasks(scale_out, unmet - found, offers.first());
+        }
+    }
+
+    /// When each machine has capacity for tasks of a gang, soonest first: one slot for each task beyond
+    /// those in `used_slots`, at most `max_slots` to a machine.
+    fn gang_slots(&self, class: &JobClass, used_slots: &[u32], max_slots: u32) -> Vec<GangSlot> {
+        let mut slots = Vec::new();
+        for (index, machine) in self.snapshot.rooms.iter().enumerate() {
+            if !allowed(class, machine) || machine.until.is_some() || !self.is_reliable(index) {
+                continue;
+            }
+            let used = used_slots[index];
+            let last = machine.total.fits(&class.need).min(used.saturating_add(max_slots));
+            let times = slot_times(class, machine, used, last);
+            slots.extend(times.into_iter().map(|at| GangSlot { at, machine: index }));
+        }
+        slots.sort_unstable();
+        slots
+    }
+}
+
+/// When a machine has capacity for its slots from `used` to before `last`, by the stated ends of the
+/// tasks on it.
+fn slot_times(class: &JobClass, machine: &MachineSnapshot, used: u32, last: u32) -> Vec<Micros> {
+    if used >= last {
+        return Vec::new();
+    }
+    let mut by_end: Vec<_> = machine.held.iter().map(|task| (task.left, task.need)).collect();
+    by_end.sort_by_key(|(left, _)| *left);
+    let mut ends = by_end.into_iter();
+    let mut free = machine.free;
+    let mut at = machine.opens_in;
+    let mut times = Vec::new();
+    for slot in used..last {
+        while free.fits(&class.need) <= slot {
+            let Some((left, need)) = ends.next() else { return times };
+            free = free.plus(&need, 1);
+            at = at.max(left);
         }
+        times.push(at);
     }
+    times
 }
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -1,9 +1,10 @@
-//! Scale out and scale in: as pure as the planner. It sees the plan's unmet tasks and the machines,
-//! and says which machines to rent and which idle ones to give back.
+//! Autoscaling: which machines to add (scale out) and which idle ones to remove (scale in). Pure, like
+//! the planner: it reads the plan's unmet tasks and the state of the machines and returns a decision;
+//! others send it to the cloud.
 //!
 //! - `offers`: which cloud offers fit a class, cheapest per task first.
 //! - `gangs`, `arrays`, `services`: scale out for each kind of waiting work.
-//! - `scale_in`: which idle machines go back, beside the warm pools.
+//! - `scale_in`: which idle machines are removed, beyond the warm pools.
 
 mod arrays;
 mod gangs;
@@ -15,13 +16,13 @@
 use crate::time::Micros;
 use crate::wire::MachineType;
 
-/// What the fleet knows of a machine beside the planner's view, by the same index as
+/// What scaling needs to know of a machine beyond the planner's snapshot. Indexed like
 /// `Snapshot::rooms`.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineStatus {
-    /// Time since the machine was rented (scaled out), as far as known.
+    /// Time since the machine was requested from the cloud, as far as known.
     pub age: Micros,
-    /// How long it has run no task; `None` while it runs one.
+    /// How long it has had no task; `None` while it has one or is booting.
     pub idle: Option<Micros>,
     /// Whether it is still booting.
     pub booting: bool,
@@ -29,7 +30,7 @@
 
 /// A cloud offer: a machine type in a zone, on demand or spot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Offer {
+pub struct MachineOffer {
     /// Index into the machine types.
     pub ty: usize,
     /// Index into the zones.
@@ -38,11 +39,11 @@
     pub spot: bool,
 }
 
-/// Machines of one offer to rent (scale out).
+/// Machines of one offer to add.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ScaleOut {
-    /// The offer to rent from.
-    pub offer: Offer,
+pub struct ScaleOutItem {
+    /// The offer to take them from.
+    pub offer: MachineOffer,
     /// How many machines.
     pub count: u32,
 }
@@ -51,73 +52,74 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ScalingPolicy {
     /// Waiting array work should drain within this time once new machines are up.
-    pub drain: Micros,
-    /// Idle time after which a machine is returned (scaled in).
-    pub idle: Micros,
-    /// The same for machine types that a warm pool keeps for a higher rank.
-    pub idle_kept: Micros,
-    /// The same for machine types that jobs with deadlines used of late.
-    pub idle_due: Micros,
+    pub drain_time: Micros,
+    /// Idle time after which a machine is removed.
+    pub idle_timeout: Micros,
+    /// The idle timeout of machine types that have a warm pool.
+    pub warm_idle_timeout: Micros,
+    /// The idle timeout of machine types on which more jobs with deadlines are expected.
+    pub deadline_idle_timeout: Micros,
     /// A machine that boots for longer than this many times its type's nominal boot time is no
     /// longer counted on.
-    pub slow_boot: f64,
+    pub max_boot_factor: f64,
 }
 
-/// Machines of a type that stay though idle.
+/// Machines of a type that stay up though idle, so that urgent work need not wait for a boot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WarmPool {
     /// How many machines stay.
     pub count: usize,
-    /// Whether the jobs they stay for may use spot machines; if not, spot machines are not kept.
+    /// Whether the jobs they stay for may use spot machines; if not, spot machines do not count.
     pub spot: bool,
 }
 
 /// Everything scale out and scale in decide from. Slices by machine are indexed like
 /// `Snapshot::rooms`, slices by type like `types`.
-pub struct CapacityView<'a> {
+pub struct Autoscaler<'a> {
     /// The planner's snapshot.
     pub snapshot: &'a Snapshot,
     /// The plan made from it; its unmet tasks are what scale out is for.
     pub plan: &'a Plan,
-    /// By machine: what the fleet knows of it.
-    pub upkeep: &'a [MachineStatus],
+    /// By machine: its age and use.
+    pub machine_status: &'a [MachineStatus],
     /// The machine types.
     pub types: &'a [MachineType],
     /// By type: indices of the zones that offer it.
     pub zones: &'a [Vec<usize>],
     /// Offers that the cloud refused lately; they are not asked for again yet.
-    pub refused: &'a [Offer],
+    pub refused: &'a [MachineOffer],
     /// By type: the warm pool.
-    pub warm: &'a [WarmPool],
-    /// By type: whether jobs with deadlines used it of late.
-    pub due: &'a [bool],
+    pub warm_pools: &'a [WarmPool],
+    /// By type: whether more jobs with deadlines are expected on it.
+    pub deadline_jobs_expected: &'a [bool],
     /// Settings.
     pub policy: ScalingPolicy,
 }
 
-/// What to rent and which machines to return.
+/// Which machines to add and which to remove.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ScalingDecision {
-    /// Machines to rent (scale out), at most one entry per offer.
-    pub rents: Vec<ScaleOut>,
-    /// Indices into `Snapshot::rooms` of the machines to return (scale in), dearest first.
-    pub returns: Vec<usize>,
+    /// Machines to add, at most one entry per offer.
+    pub scale_out: Vec<ScaleOutItem>,
+    /// Indices into `Snapshot::rooms` of the machines to remove, most expensive first.
+    pub scale_in: Vec<usize>,
 }
 
-impl CapacityView<'_> {
-    /// Whether a machine can be counted on: it is up, or it boots no longer than the policy allows.
-    fn coming(&self, room: usize) -> bool {
-        let boot = self.types[self.snapshot.rooms[room].ty].boot_s;
-        !self.upkeep[room].booting || self.upkeep[room].age.secs() <= boot * self.policy.slow_boot
-    }
-
-    /// What to rent and which machines to return. Gangs go first, then arrays, then services: the
+impl Autoscaler<'_> {
+    /// Which machines to add and which to remove. Gangs go first, then arrays, then services: the
     /// order in which their scale-outs are merged into one list.
     pub fn decide(&self) -> ScalingDecision {
-        let mut rents = Vec::new();
-        self.scale_out_for_gangs(&mut rents);
-        self.scale_out_for_arrays(&mut rents);
-        self.scale_out_for_services(&mut rents);
-        ScalingDecision { rents, returns: self.scale_in() }
+        let mut scale_out = Vec::new();
+        self.scale_out_for_gangs(&mut scale_out);
+        self.scale_out_for_arrays(&mut scale_out);
+        self.scale_out_for_services(&mut scale_out);
+        ScalingDecision { scale_out, scale_in: self.scale_in() }
+    }
+
+    /// Whether a machine can be counted on: it is up, or it boots no longer than the policy allows.
+    fn is_reliable(&self, machine: usize) -> bool {
+        let nominal_boot_s = self.types[self.snapshot.rooms[machine].ty].boot_s;
+        let status = &self.machine_status[machine];
+        !status.booting || status.age.secs() <= nominal_boot_s * self.policy.max_boot_factor
     }
 }
--- a/src/capacity/scale_in.rs
+++ b/src/capacity/scale_in.rs
@@ -1,63 +1,75 @@
-//! Scale in: which idle machines go back, beside those that the warm pools keep.
+//! Scale in: which idle machines are removed, beyond those that the warm pools keep up.
 
-use super::CapacityView;
+use super::Autoscaler;
 use crate::sched::MachineSnapshot;
 use crate::time::Micros;
 
-/// The least time the cloud charges for a machine: returning one younger than this saves nothing.
-const LEAST_CHARGE: Micros = Micros::from_millis(60_000);
+/// The least time the cloud charges for a machine: removing one younger than this saves nothing.
+const MIN_CHARGED_TIME: Micros = Micros::from_millis(60_000);
+
+impl Autoscaler<'_> {
+    /// Indices of the machines to remove, most expensive first.
+    pub(super) fn scale_in(&self) -> Vec<usize> {
+        let mut remaining = self.warm_candidates_by_type();
+        let mut removed = Vec::new();
+        for index in self.most_expensive_first() {
+            let machine = &self.snapshot.rooms[index];
+            let status = &self.machine_status[index];
+            let warm = self.warm_count(machine);
+            let timed_out = status.idle.is_some_and(|idle| idle > self.idle_timeout(machine));
+            let charged = status.age > MIN_CHARGED_TIME;
+            let beyond_pool = warm == 0 || remaining[machine.ty] > warm;
+            if timed_out && charged && beyond_pool && !self.is_planned(index) {
+                remaining[machine.ty] = remaining[machine.ty].saturating_sub(usize::from(warm > 0));
+                removed.push(index);
+            }
+        }
+        removed
+    }
+
+    /// By type: how many machines count towards its warm pool now.
+    fn warm_candidates_by_type(&self) -> Vec<usize> {
+        let mut candidates = vec![0; self.types.len()];
+        for (machine, status) in self.snapshot.rooms.iter().zip(self.machine_status) {
+            let counts = !status.booting && machine.until.is_none() && self.warm_count(machine) > 0;
+            candidates[machine.ty] += usize::from(counts);
+        }
+        candidates
+    }
+
+    /// Indices of all machines, by falling price.
+    fn most_expensive_first(&self) -> Vec<usize> {
+        let count = self.snapshot.rooms.len().min(self.machine_status.len());
+        let mut machines: Vec<usize> = (0..count).collect();
+        machines.sort_by_key(|&index| std::cmp::Reverse(self.snapshot.rooms[index].rate));
+        machines
+    }
 
-impl CapacityView<'_> {
     /// Whether the plan starts tasks on a machine or reserves it.
-    fn planned(&self, room: usize) -> bool {
+    fn is_planned(&self, machine: usize) -> bool {
         let reservation = self.plan.reservation.as_ref();
-        reservation.is_some_and(|reservation| reservation.rooms.iter().any(|place| place.0 == room))
-            || self.plan.starts.iter().any(|start| start.room == room)
+        let reserved = reservation
+            .is_some_and(|reservation| reservation.rooms.iter().any(|&(reserved, _)| reserved == machine));
+        reserved || self.plan.starts.iter().any(|start| start.room == machine)
     }
 
-    /// How many machines like this one stay though idle. A spot machine that those for whom some stay
-    /// may not use is kept for nobody.
-    fn warm_count(&self, room: &MachineSnapshot) -> usize {
-        let pool = self.warm.get(room.ty).copied().unwrap_or_default();
-        if room.spot && !pool.spot {
+    /// The size of the warm pool that a machine counts towards. A spot machine counts towards none
+    /// whose jobs may not use spot machines.
+    fn warm_count(&self, machine: &MachineSnapshot) -> usize {
+        let pool = self.warm_pools.get(machine.ty).copied().unwrap_or_default();
+        if machine.spot && !pool.spot {
             0
         } else {
             pool.count
         }
     }
 
-    /// How long a machine has to be idle to be returned.
-    fn idle_limit(&self, room: &MachineSnapshot) -> Micros {
-        match self.due.get(room.ty) {
-            Some(true) => self.policy.idle_due,
-            _ if self.warm_count(room) > 0 => self.policy.idle_kept,
-            _ => self.policy.idle,
-        }
-    }
-
-    /// Indices of the machines to return (scale in), dearest first.
-    pub(super) fn scale_in(&self) -> Vec<usize> {
-        let mut left: Vec<usize> = vec![0; self.types.len()];
-        for (room, upkeep) in self.snapshot.rooms.iter().zip(self.upkeep) {
-            let counts = !upkeep.booting && room.until.is_none() && self.warm_count(room) > 0;
-            left[room.ty] += usize::from(counts);
-        }
-        let mut returns = Vec::new();
-        // The dear ones first.
-        let mut by_price: Vec<usize> = (0..self.snapshot.rooms.len().min(self.upkeep.len())).collect();
-        by_price.sort_by_key(|&index| std::cmp::Reverse(self.snapshot.rooms[index].rate));
-        for index in by_price {
-            let (room, upkeep) = (&self.snapshot.rooms[index], &self.upkeep[index]);
-            let warm = self.warm_count(room);
-            let idle = upkeep.idle.is_some_and(|idle| idle > self.idle_limit(room));
-            // Under the least charge nothing is saved by giving a machine back.
-            let charged = upkeep.age > LEAST_CHARGE;
-            let spare = warm == 0 || left[room.ty] > warm;
-            if idle && charged && spare && !self.planned(index) {
-                left[room.ty] = left[room.ty].saturating_sub(usize::from(warm > 0));
-                returns.push(index);
-            }
+    /// How long a machine has to be idle to be removed.
+    fn idle_timeout(&self, machine: &MachineSnapshot) -> Micros {
+        match self.deadline_jobs_expected.get(machine.ty) {
+            Some(true) => self.policy.deadline_idle_timeout,
+            _ if self.warm_count(machine) > 0 => self.policy.warm_idle_timeout,
+            _ => self.policy.idle_timeout,
         }
-        returns
     }
 }
--- a/src/capacity/services.rs
+++ b/src/capacity/services.rs
@@ -1,34 +1,47 @@
 //! Scale out for services: whole machines for replicas that found no place.
 
 use super::offers::scale_out_for_tasks;
-use super::{CapacityView, ScaleOut};
+use super::{Autoscaler, ScaleOutItem};
 use crate::sched::{allowed, Resources};
 
-impl CapacityView<'_> {
+impl Autoscaler<'_> {
     /// Scales out for replicas that found no place: whole machines, on-demand ones if they are offered,
     /// since a replica outlives most spot machines.
-    pub(super) fn scale_out_for_services(&self, rents: &mut Vec<ScaleOut>) {
-        let rooms = &self.snapshot.rooms;
-        let booting = |index: usize| self.upkeep[index].booting && self.coming(index);
-        let mut coming: Vec<Resources> = rooms
-            .iter()
-            .enumerate()
-            .map(|(index, room)| if booting(index) { room.free } else { Resources::default() })
-            .collect();
-        for &(class_index, left) in &self.plan.unmet {
+    pub(super) fn scale_out_for_services(&self, scale_out: &mut Vec<ScaleOutItem>) {
+        let mut booting_capacity = self.booting_capacity();
+        for &(class_index, unmet) in &self.plan.unmet {
             let class = &self.snapshot.classes[class_index];
             if class.replicas.is_none() {
                 continue;
             }
-            let mut missing = left;
-            for (index, _) in rooms.iter().enumerate().filter(|(_, room)| allowed(class, room)) {
-                let taken = coming[index].fits(&class.need).min(missing);
-                coming[index] = coming[index].less(&class.need, taken);
+            let mut missing = unmet;
+            for (index, machine) in self.snapshot.rooms.iter().enumerate() {
+                if !allowed(class, machine) {
+                    continue;
+                }
+                let free = &mut booting_capacity[index];
+                let taken = free.fits(&class.need).min(missing);
+                *free = free.less(&class.need, taken);
                 missing -= taken;
             }
-            let offers = self.offers(class);
-            let lasting = offers.iter().find(|fitting| !fitting.offer.spot).or(offers.first());
-            scale_out_for_tasks(rents, missing, lasting);
+            let offers = self.fitting_offers(class);
+            let on_demand = offers.iter().find(|fitting| !fitting.offer.spot);
+            scale_out_for_tasks(scale_out, missing, on_demand.or(offers.first()));
         }
     }
+
+    /// By machine: its free capacity if it is booting and can be counted on, else nothing. What is up
+    /// the planner has filled already.
+    fn booting_capacity(&self) -> Vec<Resources> {
+        let machines = self.snapshot.rooms.iter().enumerate();
+        machines
+            .map(|(index, machine)| {
+                if self.machine_status[index].booting && self.is_reliable(index) {
+                    machine.free
+                } else {
+                    Resources::default()
+                }
+            })
+            .collect()
+    }
 }
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -2,7 +2,7 @@
 //! out (rental requests) and in (returning machines).
 
 use super::Controller;
-use crate::capacity::Offer;
+use crate::capacity::MachineOffer;
 use crate::cloud::{CloudError, MACHINES_PER_LIST_PAGE, MAX_MACHINES_PER_RENTAL};
 use crate::fleet::Fleet;
 use crate::time::{wall, Micros, Steady};
@@ -163,7 +163,7 @@
 
     /// Requests for the machines that the leader lacks, still without names; none if this controller is no
     /// longer the leader.
-    fn scale_out_requests(&self, fencing_token: u64) -> Option<Vec<(Offer, ScaleOutRequest)>> {
+    fn scale_out_requests(&self, fencing_token: u64) -> Option<Vec<(MachineOffer, ScaleOutRequest)>> {
         let mut shared = self.lock();
         let leadership = shared.leadership_with(fencing_token)?;
         let mut requests = Vec::new();
@@ -214,7 +214,7 @@
 /// Records the cloud's answer to a scale-out request in the fleet.
 fn record_scale_out(
     fleet: &mut Fleet,
-    offer: Offer,
+    offer: MachineOffer,
     request: &ScaleOutRequest,
     outcome: Result<Vec<String>, CloudError>,
     now: Steady,
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -196,7 +196,7 @@
     }
 
     /// Machines that the cloud rented to this owner.
-    pub fn rented(&mut self, ids: &[String], offer: Offer, now: Steady) {
+    pub fn rented(&mut self, ids: &[String], offer: MachineOffer, now: Steady) {
         let (ty, zone) =
             (self.types.get(offer.ty).map(|t| t.name.clone()), self.zone_name(offer.zone).to_string());
         for id in ids {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -39,7 +39,7 @@
 use milletlock_recovery::RecoveryTracker;
 use serde::Serialize;
 
-use crate::capacity::{CapacityView, MachineStatus, Offer, ScalingPolicy, WarmPool};
+use crate::capacity::{Autoscaler, MachineOffer, MachineStatus, ScalingPolicy, WarmPool};
 use crate::config::{Config, Team};
 use crate::direct_command::DirectCommand;
 use crate::history::{EstimateKey, History};
@@ -153,7 +153,7 @@
     gone: BTreeMap<MachineId, Steady>,
     unenrol: BTreeMap<MachineId, u64>,
     orphans: BTreeMap<String, u64>,
-    refused: BTreeMap<Offer, Steady>,
+    refused: BTreeMap<MachineOffer, Steady>,
     /// Demands of recent jobs by type, for what low ranks leave free.
     demands: Vec<Demand>,
     /// When the list of recent jobs was last written, and `submitted_count` at that time.
--- a/src/fleet/upkeep.rs
+++ b/src/fleet/upkeep.rs
@@ -269,26 +269,26 @@
     }
 
     /// What to rent, and idle machines marked as leaving.
-    pub fn capacity(&mut self, now: Steady, wall: Wall) -> Vec<(Offer, u32)> {
+    pub fn capacity(&mut self, now: Steady, wall: Wall) -> Vec<(MachineOffer, u32)> {
         // Always on a plan of this very moment: its indices are the snapshot's.
         let (snapshot, machines) = self.plan_now(now, wall);
         let zones = self.type_zones();
-        let view = CapacityView {
-            warm: &self.warm(now),
-            due: &self.types_with_deadlines(now),
+        let view = Autoscaler {
+            warm_pools: &self.warm(now),
+            deadline_jobs_expected: &self.types_with_deadlines(now),
             snapshot: &snapshot,
             plan: &self.plan,
-            upkeep: &self.upkeep_of(&machines, now),
+            machine_status: &self.upkeep_of(&machines, now),
             types: &self.types,
             zones: &zones,
             refused: &self.offers_to_avoid(now),
             policy: self.capacity_policy(),
         };
         let decision = view.decide();
-        for m in decision.returns {
+        for m in decision.scale_in {
             self.return_idle(&machines[m]);
         }
-        decision.rents.into_iter().map(|r| (r.offer, r.count)).collect()
+        decision.scale_out.into_iter().map(|r| (r.offer, r.count)).collect()
     }
 
     /// What renting and returning need to know of each machine.
@@ -320,11 +320,11 @@
 
     /// Offers that the cloud refused lately, and all of zones that are cut off: new machines there
     /// could not report either.
-    fn offers_to_avoid(&self, now: Steady) -> Vec<Offer> {
-        let mut offers: Vec<Offer> = self.refused.keys().copied().collect();
+    fn offers_to_avoid(&self, now: Steady) -> Vec<MachineOffer> {
+        let mut offers: Vec<MachineOffer> = self.refused.keys().copied().collect();
         for zone in (0..self.zones.len()).filter(|z| self.is_cut_off(*z, now)) {
             let types = 0..self.types.len();
-            offers.extend(types.flat_map(|ty| [false, true].map(|spot| Offer { ty, zone, spot })));
+            offers.extend(types.flat_map(|ty| [false, true].map(|spot| MachineOffer { ty, zone, spot })));
         }
         offers
     }
@@ -340,11 +340,11 @@
     fn capacity_policy(&self) -> ScalingPolicy {
         let operator = &self.cfg.operator;
         ScalingPolicy {
-            drain: Micros::from_secs(operator.drain_s),
-            idle: Micros::from_secs(operator.idle_s),
-            idle_kept: Micros::from_secs(operator.idle_protected_s),
-            idle_due: Micros::from_secs(operator.idle_deadline_s),
-            slow_boot: operator.slow_boot,
+            drain_time: Micros::from_secs(operator.drain_s),
+            idle_timeout: Micros::from_secs(operator.idle_s),
+            warm_idle_timeout: Micros::from_secs(operator.idle_protected_s),
+            deadline_idle_timeout: Micros::from_secs(operator.idle_deadline_s),
+            max_boot_factor: operator.slow_boot,
         }
     }
 
@@ -357,7 +357,7 @@
     }
 
     /// The cloud had nothing of this for now.
-    pub fn offer_refused(&mut self, offer: Offer, until: Steady) {
+    pub fn offer_refused(&mut self, offer: MachineOffer, until: Steady) {
         self.refused.insert(offer, until);
     }
 }
--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{config, record, report, types};
-use milletlock::capacity::Offer;
+use milletlock::capacity::MachineOffer;
 use milletlock::config::Config;
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
 use milletlock::jobs::MachineId;
@@ -32,7 +32,7 @@
         let now = Steady(1_000_000_000);
         let mut fleet = Fleet::new(config, types(), 7, now);
         let machines: Vec<String> = (0..machines).map(|n| format!("i-{n:03}")).collect();
-        fleet.rented(&machines, Offer { ty: 0, zone: 0, spot }, now);
+        fleet.rented(&machines, MachineOffer { ty: 0, zone: 0, spot }, now);
         let mut s = Scenario { fleet, now, sequence: 0, machines };
         s.step(&[]);
         s
@@ -41,7 +41,7 @@
     /// Adds ordinary machines in a zone.
     pub fn add_ordinary(&mut self, machines: usize, zone: usize) {
         let added: Vec<String> = (0..machines).map(|n| format!("j-{n:03}")).collect();
-        self.fleet.rented(&added, Offer { ty: 0, zone, spot: false }, self.now);
+        self.fleet.rented(&added, MachineOffer { ty: 0, zone, spot: false }, self.now);
         self.machines.extend(added);
     }
 
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -5,7 +5,7 @@
 use common::fleet_scenario::Scenario;
 use common::planner::{class, need, one_small_type, secs};
 use common::{report, spec};
-use milletlock::capacity::{CapacityView, MachineStatus, Offer, ScalingPolicy, WarmPool};
+use milletlock::capacity::{Autoscaler, MachineOffer, MachineStatus, ScalingPolicy, WarmPool};
 use milletlock::sched::{plan, JobClass, MachineSnapshot, PlacedTask, ReservedHeadroom, Snapshot};
 use milletlock::time::{Micros, Wall};
 use milletlock::wire::{JobSpec, Priority};
@@ -44,19 +44,19 @@
     rooms: Vec<MachineSnapshot>,
     classes: Vec<JobClass>,
     idle: Option<i64>,
-    refused: &[Offer],
-    due: bool,
+    refused: &[MachineOffer],
+    deadline_jobs_expected: bool,
 ) -> (Vec<(bool, u32)>, usize) {
-    let upkeep = MachineStatus { age: secs(100), idle: idle.map(secs), booting: false };
-    decide_with(rooms, classes, upkeep, refused, due)
+    let machine_status = MachineStatus { age: secs(100), idle: idle.map(secs), booting: false };
+    decide_with(rooms, classes, machine_status, refused, deadline_jobs_expected)
 }
 
 fn decide_with(
     rooms: Vec<MachineSnapshot>,
     classes: Vec<JobClass>,
-    upkeep: MachineStatus,
-    refused: &[Offer],
-    due: bool,
+    machine_status: MachineStatus,
+    refused: &[MachineOffer],
+    deadline_jobs_expected: bool,
 ) -> (Vec<(bool, u32)>, usize) {
     let s = Snapshot {
         zones: 1,
@@ -67,36 +67,36 @@
         keep: vec![None],
         ..Snapshot::default()
     };
-    let upkeep = vec![upkeep; s.rooms.len()];
+    let machine_status = vec![machine_status; s.rooms.len()];
     let policy = ScalingPolicy {
-        drain: secs(40),
-        idle: secs(20),
-        idle_due: secs(60),
-        idle_kept: secs(30),
-        slow_boot: 1.6,
+        drain_time: secs(40),
+        idle_timeout: secs(20),
+        deadline_idle_timeout: secs(60),
+        warm_idle_timeout: secs(30),
+        max_boot_factor: 1.6,
     };
     let p = plan(&s);
     let types = one_small_type();
-    let view = CapacityView {
+    let view = Autoscaler {
         snapshot: &s,
         plan: &p,
-        upkeep: &upkeep,
+        machine_status: &machine_status,
         types: &types,
         zones: &[vec![0]],
         refused,
-        warm: &[WarmPool { count: 1, spot: false }],
-        due: &[due],
+        warm_pools: &[WarmPool { count: 1, spot: false }],
+        deadline_jobs_expected: &[deadline_jobs_expected],
         policy,
     };
     let d = view.decide();
-    (d.rents.iter().map(|r| (r.offer.spot, r.count)).collect(), d.returns.len())
+    (d.scale_out.iter().map(|r| (r.offer.spot, r.count)).collect(), d.scale_in.len())
 }
 
 #[test]
 fn the_cheapest_offer_is_taken_and_a_refused_one_passed_over() {
     let all = decide(vec![], vec![class(16, 40, 0)], None, &[], false);
     assert_eq!(all.0, [(true, 2)]);
-    let refused = Offer { ty: 0, zone: 0, spot: true };
+    let refused = MachineOffer { ty: 0, zone: 0, spot: true };
     assert_eq!(decide(vec![], vec![class(16, 40, 0)], None, &[refused], false).0, [(false, 2)]);
 }
 
@@ -155,9 +155,9 @@
 #[test]
 fn no_more_machines_are_rented_than_what_waits_can_fill() {
     let booting = MachineSnapshot { open: false, opens_in: secs(20), ..room(0, 0) };
-    let upkeep = MachineStatus { age: secs(10), idle: None, booting: true };
+    let machine_status = MachineStatus { age: secs(10), idle: None, booting: true };
     let rented = |rooms: Vec<MachineSnapshot>, tasks: u32| {
-        decide_with(rooms, vec![class(tasks, 150, 400)], upkeep, &[], false).0
+        decide_with(rooms, vec![class(tasks, 150, 400)], machine_status, &[], false).0
     };
     assert_eq!(rented(vec![], 1), [(true, 1)]);
     assert_eq!(rented(vec![booting.clone()], 1), []);
--- a/tests/service_placement.rs
+++ b/tests/service_placement.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use common::planner::{class, need, one_small_type, secs};
-use milletlock::capacity::{CapacityView, MachineStatus, ScalingPolicy, WarmPool};
+use milletlock::capacity::{Autoscaler, MachineStatus, ScalingPolicy, WarmPool};
 use milletlock::sched::{
     order, plan, JobClass, MachineSnapshot, PlacedTask, Plan, ReservedHeadroom, Resources, Snapshot, TeamUse,
 };
@@ -448,24 +448,24 @@
     let closed = MachineSnapshot { open: false, opens_in: secs(20), ..room(8.0) };
     let snapshot = Snapshot { keep: vec![None], ..snapshot(vec![closed; booting], classes) };
     let plan = plan(&snapshot);
-    let view = CapacityView {
+    let view = Autoscaler {
         snapshot: &snapshot,
         plan: &plan,
-        upkeep: &vec![MachineStatus { age, idle: None, booting: true }; booting],
+        machine_status: &vec![MachineStatus { age, idle: None, booting: true }; booting],
         types: &one_small_type(),
         zones: &[vec![0]],
         refused: &[],
-        warm: &[WarmPool::default()],
-        due: &[false],
+        warm_pools: &[WarmPool::default()],
+        deadline_jobs_expected: &[false],
         policy: ScalingPolicy {
-            drain: secs(40),
-            idle: secs(20),
-            idle_due: secs(60),
-            idle_kept: secs(30),
-            slow_boot: 1.6,
+            drain_time: secs(40),
+            idle_timeout: secs(20),
+            deadline_idle_timeout: secs(60),
+            warm_idle_timeout: secs(30),
+            max_boot_factor: 1.6,
         },
     };
-    view.decide().rents.iter().map(|rent| (rent.offer.spot, rent.count)).collect()
+    view.decide().scale_out.iter().map(|rent| (rent.offer.spot, rent.count)).collect()
 }
 
 /// Guards against a small service that waits for ever, and against renting what is coming already.
