--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -135,8 +135,13 @@
                 .history
                 .factors(wall)
                 .into_iter()
-                .filter(|f| ours(&f.0.team))
-                .map(|(k, a, jobs)| FactorView { team: k.team, stated_s: k.stated.secs(), a, jobs })
+                .filter(|f| ours(&f.key.team))
+                .map(|f| FactorView {
+                    team: f.key.team,
+                    stated_s: f.key.stated.secs(),
+                    a: f.factor,
+                    jobs: f.jobs,
+                })
                 .collect(),
         }
     }
--- a/src/history.rs
+++ b/src/history.rs
@@ -1,7 +1,7 @@
-//! A, the runtime-estimate adjustment factor between stated and adjusted run times (section 4.2.3
-//! of the paper): the 85th percentile of past actual-to-stated ratios, each capped at 1, and never
-//! under one half. Pure: finished jobs go in, factors and the records to store come out; the caller
-//! does the reads and compare-and-swap writes of the state store.
+//! Run-time history of finished jobs, and A, the factor between stated and adjusted run times
+//! (section 4.2.3 of the paper): the 85th percentile of past actual-to-stated ratios, each capped at 1,
+//! and never under one half. No I/O: finished jobs go in, factors and the records to store come out;
+//! the caller does the reads and compare-and-swap writes of the state store.
 //!
 //! Keys are packed into `BUCKETS` stored values by a hash that must stay the same between versions,
 //! since it names the stored value.
@@ -12,16 +12,16 @@
 
 use crate::time::{Micros, Wall};
 
-/// The least that A may be: estimates are never scaled below half.
-pub const FLOOR: f64 = 0.5;
+/// The lower bound of A: estimates are never scaled below half.
+pub const MIN_FACTOR: f64 = 0.5;
 /// The percentile of past ratios that A is.
 pub const PERCENTILE: f64 = 0.85;
 /// With fewer finished jobs than this within `WINDOW`, A is 1 and the stated time stands.
-pub const FEWEST: usize = 10;
+pub const MIN_FINISHED_JOBS: usize = 10;
 /// How far back finished jobs count: 30 days.
 pub const WINDOW: Micros = Micros(30 * 86_400 * 1_000_000);
 /// The largest ratio stored: a job that ran far over its estimate says little more beyond this.
-const MOST_RATIO: f64 = 100.0;
+const MAX_RATIO: f64 = 100.0;
 /// Ratios are stored rounded to this many parts of one (four decimals), to keep records small.
 const RATIO_PARTS: f64 = 1e4;
 /// Offset basis of 32-bit FNV-1a.
@@ -43,14 +43,15 @@
 /// How many stored values the history is packed into.
 pub const BUCKETS: u32 = 32;
 /// Most keys kept in memory; the keys whose latest job ended longest ago go first.
-const MOST_KEYS: usize = 4096;
+const MAX_KEYS: usize = 4096;
 
 impl EstimateKey {
     /// The stored value, in `0..BUCKETS`, that the key is packed into (FNV-1a over the team's bytes
     /// and the stated micros in little-endian: it must not change between versions).
     pub fn bucket(&self) -> u32 {
         let bytes = self.team.bytes().chain(self.stated.0.to_le_bytes());
-        let hash = bytes.fold(FNV_OFFSET_BASIS, |h, b| (h ^ u32::from(b)).wrapping_mul(FNV_PRIME));
+        let hash =
+            bytes.fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME));
         hash % BUCKETS
     }
 }
@@ -60,7 +61,7 @@
 pub struct FinishedJob {
     /// When it ended, in seconds of wall-clock time.
     pub end_s: i64,
-    /// Actual over stated run time, at most `MOST_RATIO`, rounded to four decimals.
+    /// Actual over stated run time, at most `MAX_RATIO`, rounded to four decimals.
     pub ratio: f64,
 }
 
@@ -76,7 +77,18 @@
     pub past: Vec<FinishedJob>,
 }
 
-/// Finished jobs by key, a bounded number for each, with what of them is still to be stored.
+/// A for one key, with the number of finished jobs behind it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AdjustmentFactor {
+    /// Team and stated run time that it applies to.
+    pub key: EstimateKey,
+    /// A, from `MIN_FACTOR` to 1.
+    pub factor: f64,
+    /// Finished jobs kept for the key, within `WINDOW` or not.
+    pub jobs: usize,
+}
+
+/// Finished jobs by key, a bounded number for each, and which of them are still to be stored.
 #[derive(Debug)]
 pub struct History {
     /// Most finished jobs kept for each key.
@@ -90,18 +102,13 @@
 }
 
 impl History {
-    /// An empty history that keeps `most` jobs for each key.
-    pub fn new(most: usize) -> History {
-        History {
-            jobs_per_key: most,
-            jobs: BTreeMap::new(),
-            dirty: BTreeSet::new(),
-            revisions: BTreeMap::new(),
-        }
+    /// An empty history that keeps `jobs_per_key` jobs for each key.
+    pub fn new(jobs_per_key: usize) -> History {
+        History { jobs_per_key, jobs: BTreeMap::new(), dirty: BTreeSet::new(), revisions: BTreeMap::new() }
     }
 
-    /// Takes a key over from its stored record, dropping ratios that are not finite or negative and
-    /// keeping the latest `most` jobs.
+    /// Loads a key from its stored record, dropping ratios that are negative or not finite and keeping
+    /// the latest jobs.
     pub fn load(&mut self, record: HistoryRecord) {
         let mut jobs = record.past;
         jobs.retain(|job| job.ratio.is_finite() && job.ratio >= 0.0);
@@ -112,21 +119,26 @@
 
     /// Adds a finished job with its actual-to-stated `ratio`; its key's bucket is to be written.
     pub fn add(&mut self, key: &EstimateKey, end: Wall, ratio: f64) {
-        if self.jobs.len() >= MOST_KEYS && !self.jobs.contains_key(key) {
-            let ended = |v: &Vec<FinishedJob>| v.last().map_or(0, |p| p.end_s);
-            if let Some(old) = self.jobs.iter().min_by_key(|x| ended(x.1)).map(|x| x.0.clone()) {
-                self.jobs.remove(&old);
-            }
+        if self.jobs.len() >= MAX_KEYS && !self.jobs.contains_key(key) {
+            self.remove_oldest_key();
         }
-        let list = self.jobs.entry(key.clone()).or_default();
-        let ratio = (ratio.clamp(0.0, MOST_RATIO) * RATIO_PARTS).round() / RATIO_PARTS;
-        list.push(FinishedJob { end_s: end.0 / MICROS_PER_SECOND, ratio });
-        if list.len() > self.jobs_per_key {
-            list.remove(0);
+        let jobs = self.jobs.entry(key.clone()).or_default();
+        let ratio = (ratio.clamp(0.0, MAX_RATIO) * RATIO_PARTS).round() / RATIO_PARTS;
+        jobs.push(FinishedJob { end_s: end.0 / MICROS_PER_SECOND, ratio });
+        if jobs.len() > self.jobs_per_key {
+            jobs.remove(0);
         }
         self.dirty.insert(key.bucket());
     }
 
+    /// Removes the key whose latest job ended longest ago.
+    fn remove_oldest_key(&mut self) {
+        let oldest = self.jobs.iter().min_by_key(|(_, jobs)| latest_end_s(jobs)).map(|(key, _)| key.clone());
+        if let Some(key) = oldest {
+            self.jobs.remove(&key);
+        }
+    }
+
     /// Buckets that have changed since they were last written.
     pub fn dirty(&self) -> impl Iterator<Item = u32> + '_ {
         self.dirty.iter().copied()
@@ -137,20 +149,20 @@
         self.revisions.get(&bucket).copied().unwrap_or(0)
     }
 
-    /// A bucket was found, or read back, at a revision.
-    pub fn learn(&mut self, bucket: u32, mod_revision: u64) {
+    /// Sets the revision at which a bucket was found or read back in the state store.
+    pub fn set_mod_revision(&mut self, bucket: u32, mod_revision: u64) {
         self.revisions.insert(bucket, mod_revision);
     }
 
-    /// A bucket was written at a revision: it is clean again.
+    /// Records that a bucket was written at a revision: it is clean again.
     pub fn written(&mut self, bucket: u32, revision: u64) {
         self.revisions.insert(bucket, revision);
         self.dirty.remove(&bucket);
     }
 
-    /// Takes a key over from a record stored under a key of its own, as earlier versions wrote it;
-    /// its bucket is to be written in the present form.
-    pub fn load_old(&mut self, record: HistoryRecord) {
+    /// Loads a key from a record under a state-store key of its own, as earlier versions wrote it; its
+    /// bucket is to be written in the present form.
+    pub fn load_unpacked(&mut self, record: HistoryRecord) {
         let bucket = EstimateKey { team: record.team.clone(), stated: Micros(record.stated_us) }.bucket();
         self.load(record);
         self.dirty.insert(bucket);
@@ -161,53 +173,69 @@
     /// the latest jobs are written: with half the bytes to a value a full key would otherwise keep
     /// its whole value from being written.
     pub fn value(&self, bucket: u32, bytes: usize) -> Vec<HistoryRecord> {
-        let mut all: Vec<(&EstimateKey, &Vec<FinishedJob>)> =
-            self.jobs.iter().filter(|x| x.0.bucket() == bucket).collect();
-        all.sort_by_key(|x| std::cmp::Reverse(x.1.last().map_or(0, |p| p.end_s)));
-        let mut left = bytes;
-        let mut out = Vec::new();
-        for (key, jobs) in all {
-            let mut record =
-                HistoryRecord { team: key.team.clone(), stated_us: key.stated.0, past: Vec::new() };
-            left = left.saturating_sub(json_size(&record) + 1);
-            for job in jobs.iter().rev() {
-                let size = json_size(job) + 1;
-                if size > left {
-                    break;
-                }
-                left -= size;
-                record.past.insert(0, *job);
-            }
+        let mut latest_first: Vec<(&EstimateKey, &Vec<FinishedJob>)> =
+            self.jobs.iter().filter(|(key, _)| key.bucket() == bucket).collect();
+        latest_first.sort_by_key(|(_, jobs)| std::cmp::Reverse(latest_end_s(jobs)));
+        let mut bytes_left = bytes;
+        let mut records = Vec::new();
+        for (key, jobs) in latest_first {
+            let record = record_within(key, jobs, &mut bytes_left);
             if record.past.is_empty() {
                 break;
             }
-            out.push(record);
+            records.push(record);
         }
-        out
+        records
     }
 
-    /// A for a waiting job of the key at wall time `now`: 1 with fewer than `FEWEST` jobs within
-    /// `WINDOW`, else the `PERCENTILE` of their ratios capped at 1, floored at `FLOOR`.
+    /// A for a waiting job of the key at wall time `now`: 1 with fewer than `MIN_FINISHED_JOBS` jobs within
+    /// `WINDOW`, else the `PERCENTILE` of their ratios capped at 1, floored at `MIN_FACTOR`.
     pub fn factor(&self, key: &EstimateKey, now: Wall) -> f64 {
-        let Some(list) = self.jobs.get(key) else { return 1.0 };
-        let oldest = (now - WINDOW).0 / MICROS_PER_SECOND;
-        let mut ratios: Vec<f64> =
-            list.iter().filter(|p| p.end_s >= oldest).map(|p| p.ratio.min(1.0)).collect();
-        if ratios.len() < FEWEST {
+        let Some(jobs) = self.jobs.get(key) else { return 1.0 };
+        let window_start_s = (now - WINDOW).0 / MICROS_PER_SECOND;
+        let in_window = jobs.iter().filter(|job| job.end_s >= window_start_s);
+        let mut ratios: Vec<f64> = in_window.map(|job| job.ratio.min(1.0)).collect();
+        if ratios.len() < MIN_FINISHED_JOBS {
             return 1.0;
         }
         ratios.sort_by(f64::total_cmp);
-        let nth = (PERCENTILE * ratios.len() as f64).ceil() as usize;
-        ratios[nth.clamp(1, ratios.len()) - 1].max(FLOOR)
+        let rank = (PERCENTILE * ratios.len() as f64).ceil() as usize;
+        ratios[rank.clamp(1, ratios.len()) - 1].max(MIN_FACTOR)
+    }
+
+    /// All keys with their A.
+    pub fn factors(&self, now: Wall) -> Vec<AdjustmentFactor> {
+        let keys = self.jobs.iter();
+        keys.map(|(key, jobs)| AdjustmentFactor {
+            key: key.clone(),
+            factor: self.factor(key, now),
+            jobs: jobs.len(),
+        })
+        .collect()
     }
+}
 
-    /// All keys with their A and how many jobs are kept for them (within the window or not).
-    pub fn factors(&self, now: Wall) -> Vec<(EstimateKey, f64, usize)> {
-        self.jobs.iter().map(|(k, v)| (k.clone(), self.factor(k, now), v.len())).collect()
+/// When the latest of a key's jobs ended, in seconds of wall-clock time; 0 without jobs.
+fn latest_end_s(jobs: &[FinishedJob]) -> i64 {
+    jobs.last().map_or(0, |job| job.end_s)
+}
+
+/// A key's record with as many of its latest jobs as fit `bytes_left`, which is reduced by its size.
+fn record_within(key: &EstimateKey, jobs: &[FinishedJob], bytes_left: &mut usize) -> HistoryRecord {
+    let mut record = HistoryRecord { team: key.team.clone(), stated_us: key.stated.0, past: Vec::new() };
+    *bytes_left = bytes_left.saturating_sub(json_size(&record) + 1);
+    for job in jobs.iter().rev() {
+        let size = json_size(job) + 1;
+        if size > *bytes_left {
+            break;
+        }
+        *bytes_left -= size;
+        record.past.insert(0, *job);
     }
+    record
 }
 
 /// Bytes of the JSON form; a form that fails counts as too large to fit anywhere.
-fn json_size(v: &impl Serialize) -> usize {
-    serde_json::to_string(v).map_or(usize::MAX / 4, |s| s.len())
+fn json_size(value: &impl Serialize) -> usize {
+    serde_json::to_string(value).map_or(usize::MAX / 4, |text| text.len())
 }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -259,7 +259,7 @@
         }
         // As earlier versions wrote it.
         (Some(HISTORY), Some(_), Some(_)) => match serde_json::from_value::<HistoryRecord>(row.value) {
-            Ok(record) => fleet.history.load_old(record),
+            Ok(record) => fleet.history.load_unpacked(record),
             Err(e) => unreadable(&row.key, &e),
         },
         _ => {}
@@ -282,7 +282,7 @@
     match packed::<Vec<HistoryRecord>>(bucket, value) {
         Ok((bucket, list)) => {
             list.into_iter().for_each(|h| fleet.history.load(h));
-            fleet.history.learn(bucket, mod_revision);
+            fleet.history.set_mod_revision(bucket, mod_revision);
         }
         Err(e) => unreadable(key, &e),
     }
@@ -309,7 +309,7 @@
             match prefix {
                 MACHINES => fleet.packs.learn(slot, mod_revision),
                 MARKS => fleet.marks.learn(slot, mod_revision),
-                _ => fleet.history.learn(slot, mod_revision),
+                _ => fleet.history.set_mod_revision(slot, mod_revision),
             }
         }
         (Some("done"), Some(id), Some(c)) => {
