--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -167,7 +167,7 @@
         let mut shared = self.lock();
         let leadership = shared.leadership_with(fencing_token)?;
         let mut requests = Vec::new();
-        for (offer, count) in leadership.fleet.capacity(self.now(), wall()) {
+        for (offer, count) in leadership.fleet.decide_scaling(self.now(), wall()) {
             let Some(ty) = leadership.fleet.types().get(offer.ty).map(|t| t.name.clone()) else { continue };
             let zone = leadership.fleet.zone_name(offer.zone).to_string();
             let mut left = count;
@@ -225,7 +225,7 @@
             tracing::info!(ty = %r.ty, zone = %r.zone, spot = r.spot, asked = r.count, got = ids.len(), "scaled out");
             let short = (ids.len() as u32) < r.count;
             if short {
-                fleet.offer_refused(offer, now + NO_CAPACITY_BACKOFF);
+                fleet.note_offer_refused(offer, now + NO_CAPACITY_BACKOFF);
             }
             fleet.rented(&ids, offer, now);
             if short {
@@ -236,12 +236,12 @@
         }
         Err(CloudError::NoCapacity) => {
             tracing::debug!(ty = %r.ty, zone = %r.zone, spot = r.spot, "scale out: no capacity");
-            fleet.offer_refused(offer, now + NO_CAPACITY_BACKOFF);
+            fleet.note_offer_refused(offer, now + NO_CAPACITY_BACKOFF);
             ScaleOutOutcome::Partial
         }
         Err(e) => {
             tracing::info!(error = %e, "scale out failed");
-            fleet.offer_refused(offer, now + CLOUD_ERROR_BACKOFF);
+            fleet.note_offer_refused(offer, now + CLOUD_ERROR_BACKOFF);
             ScaleOutOutcome::Failed
         }
     }
--- /dev/null
+++ b/src/fleet/gang_placement.rs
@@ -0,0 +1,75 @@
+//! Gang scheduling: the machines given to the tasks of a gang's attempt, until all its starts are sent.
+
+use super::Fleet;
+use crate::jobs::{GangAttempt, JobId, MachineId};
+use crate::task_ranges::TaskRanges;
+use crate::time::{Micros, Steady};
+
+/// After this many heartbeat intervals a gang none of whose starts has been sent is planned anew.
+const MAX_UNSENT_INTERVALS: f64 = 1.5;
+
+impl Fleet {
+    /// Ends attempts of gangs that cannot start as placed. A gang keeps the places it was given, so that
+    /// their workers can be told to send a heartbeat for it. One none of whose starts has been sent is
+    /// planned anew when a place is lost or it takes too long; one whose starts have been sent is stopped
+    /// then.
+    pub(super) fn drop_unsent_gangs(&mut self, now: Steady) {
+        let max_wait = Micros::from_secs(self.cfg.platform.settings.workers.gang_wait_s);
+        let max_unsent = self.heartbeat_interval().scale(MAX_UNSENT_INTERVALS);
+        let mut broken = Vec::new();
+        for job in self.jobs.values_mut() {
+            let Some(gang) = &job.gang else { continue };
+            let lost_place = gang.places.iter().any(|(task, machine)| {
+                !gang.sent.contains(*task)
+                    && self.machines.get(machine).is_none_or(|machine| {
+                        let is_gone = machine.leaving || machine.expired || machine.missing;
+                        is_gone || machine.notice.is_some() || !machine.usable(now)
+                    })
+            });
+            let is_stale = lost_place || now - gang.placed > max_unsent;
+            let is_over = gang.stopping.is_some() || (gang.sent.is_empty() && is_stale);
+            if is_over && job.live.is_empty() {
+                job.gang = None;
+            } else if gang.stopping.is_none() {
+                let has_unsent = gang.places.keys().any(|task| !gang.sent.contains(*task));
+                let waited_too_long = has_unsent && gang.since.is_some_and(|since| now - since > max_wait);
+                if (lost_place && !gang.sent.is_empty()) || waited_too_long {
+                    broken.push((job.id.clone(), gang.attempt));
+                }
+            }
+        }
+        for (job, attempt) in broken {
+            self.gang_broken(&job, attempt);
+        }
+    }
+
+    /// Begins an attempt of a gang on the machines given, one for each task.
+    pub(super) fn place_gang(&mut self, job: &JobId, machines: Vec<MachineId>, waited: Micros, now: Steady) {
+        let attempt = self.next_attempt();
+        let Some(job) = self.jobs.get_mut(job) else { return };
+        let places = job.waiting.iter().zip(machines).collect();
+        let tasks = job.spec.tasks;
+        tracing::debug!(job = %job.id, tasks, attempt, waited = waited.secs(), "gang placed");
+        job.high_wanted = tasks;
+        job.gang = Some(GangAttempt {
+            attempt,
+            places,
+            sent: TaskRanges::new(),
+            placed: now,
+            since: None,
+            stopping: None,
+        });
+    }
+
+    /// Collects by machine the places of gangs whose starts have not been sent: nothing else starts on
+    /// those machines first.
+    pub(super) fn reserve_gang_places(&mut self) {
+        self.promised.clear();
+        for job in self.jobs.values() {
+            let Some(gang) = job.gang.as_ref().filter(|gang| gang.stopping.is_none()) else { continue };
+            for (task, machine) in gang.places.iter().filter(|(task, _)| !gang.sent.contains(**task)) {
+                self.promised.entry(machine.clone()).or_default().push((job.id.clone(), *task));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/fleet/lease_expiry.rs
@@ -0,0 +1,259 @@
+//! Lease expiry of machines, and scale in of those that stay silent or never come up.
+//!
+//! A worker stops its tasks when its lease runs out. Once this leader knows for certain that a lease has
+//! ended, the machine's tasks are gone and may start elsewhere; a machine that stays silent beyond that is
+//! returned to the cloud.
+
+use super::{Fleet, Machine};
+use crate::jobs::MachineId;
+use crate::time::{Micros, Steady};
+
+/// How long a machine that the cloud lists as running is waited for after its lease ran out.
+const PARTITION_GRACE: Micros = Micros(40_000_000);
+
+/// If few machines are silent, they are fenced no sooner than this after a failover.
+const MIN_EARLY_FENCE: Micros = Micros(8_000_000);
+
+/// Seconds beyond a heartbeat interval after which few silent machines are fenced after a failover.
+const EARLY_FENCE_MARGIN_S: f64 = 5.0;
+
+/// Silent machines that the cloud does not list are removed this long after a failover.
+const UNLISTED_GRACE: Micros = Micros(4_000_000);
+
+/// A machine that the cloud does not list is removed after this many heartbeat intervals of silence.
+const UNLISTED_SILENT_INTERVALS: f64 = 3.0;
+
+/// A spot machine that has been silent for this many heartbeat intervals has most likely been reclaimed,
+/// and is removed: the cloud's answer shows that its tasks are gone, well before its lease would. With
+/// fewer, a worker that was not answered in time and tries other controllers would be taken for gone;
+/// with more, the tasks of each machine that is reclaimed without notice start again later.
+const SPOT_SILENT_INTERVALS: f64 = 3.0;
+
+/// The same after a spot interruption notice.
+const SPOT_SILENT_INTERVALS_AFTER_NOTICE: f64 = 2.5;
+
+/// Spot machines are not taken for gone sooner than this: a worker waits for four seconds for an answer
+/// and another one before it tries the next controller.
+const MIN_SPOT_SILENCE: Micros = Micros(5_000_000);
+
+/// With fewer on-demand machines than this their heartbeats do not show whether a network is partitioned.
+const MIN_ON_DEMAND_MACHINES: usize = 20;
+
+/// Few machines are silent, or not heard since the failover, if they are at most one in this many.
+const FEW_MACHINES_DIVISOR: usize = 10;
+
+/// A machine that is not up after this many times its type's boot time never will be.
+const MAX_BOOT_FACTOR: f64 = 2.5;
+
+/// The least seconds a machine is given to come up.
+const MIN_BOOT_GRACE_S: f64 = 60.0;
+
+/// Boot time in seconds of a machine whose type is not known.
+const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
+
+/// Clocks of two machines may run apart by this factor.
+const CLOCK_DRIFT_FACTOR: f64 = 1.001;
+
+/// The moments and time limits that a check for lease expiry holds each machine to.
+struct LeaseExpiryCheck {
+    now: Steady,
+    /// When this leader took over.
+    failover_at: Steady,
+    /// The latest moment at which this leader's own lease is known to have been valid.
+    leader_lease_confirmed_at: Steady,
+    /// How long a worker's lease lasts, with a safety margin.
+    lease: Micros,
+    /// This long after the failover no lease granted by an earlier leader is left.
+    earlier_leases_end_after: Micros,
+    /// This long after the failover a machine that has not been heard is removed.
+    unheard_timeout: Micros,
+    heartbeat_interval: Micros,
+    /// By zone, whether few machines are silent: neither the zone nor this leader is partitioned.
+    few_silent: Vec<bool>,
+}
+
+impl LeaseExpiryCheck {
+    /// Expires a machine that has not been heard once no lease granted by an earlier leader can be
+    /// valid, and returns whether that is so now.
+    fn expire_unheard(&self, machine: &mut Machine) -> bool {
+        if machine.heard || self.now - self.failover_at <= self.earlier_leases_end_after {
+            return false;
+        }
+        // Not heard and, with the cloud out, not removed: no earlier leader's command or reply can
+        // still count on it.
+        tracing::info!(machine = %machine.id, "lease expiry of earlier leaders");
+        machine.heard = true;
+        machine.expired = true;
+        true
+    }
+
+    /// Marks a machine as leaving if it has not been heard for too long since the failover.
+    fn remove_unheard(&self, machine: &mut Machine) {
+        let silent = self.now - self.failover_at;
+        if silent > self.unheard_timeout || (machine.missing && silent > UNLISTED_GRACE) {
+            tracing::info!(machine = %machine.id, reason = "silent since failover", "scale in");
+            machine.leaving = true;
+        }
+    }
+
+    /// Expires a machine's lease if it ran out, and returns whether it did.
+    fn expire(&self, machine: &mut Machine) -> bool {
+        // The last reply was this leader's and its fencing token had arrived: the lease is ours to
+        // count. Otherwise an earlier leader may still be renewing it, or, if this leader may have been
+        // replaced before the lease ended, a later one: a leader cut off from the state store and from
+        // this machine, but not from others, would start the same tasks there.
+        let Some(renewed) = machine.renewed() else { return false };
+        let is_valid =
+            self.now - renewed <= self.lease || self.leader_lease_confirmed_at - renewed <= self.lease;
+        if machine.expired || is_valid {
+            return false;
+        }
+        tracing::info!(machine = %machine.id, "lease expiry");
+        machine.expired = true;
+        // The worker is in its next session, or will be: a late copy of a heartbeat from this one must
+        // not bring back what has ended.
+        machine.seen.1 = u64::MAX;
+        true
+    }
+
+    /// Marks a machine as leaving if it was heard but sends no heartbeats, or never came up.
+    fn remove_silent(&self, machine: &mut Machine, boot_s: f64) {
+        match machine.renewed() {
+            Some(renewed) => self.remove_unrenewed(machine, renewed),
+            None if machine.up => self.remove_without_heartbeat(machine),
+            None => self.remove_never_up(machine, boot_s),
+        }
+    }
+
+    /// Marks a machine as leaving whose lease was last renewed too long ago.
+    fn remove_unrenewed(&self, machine: &mut Machine, renewed: Steady) {
+        let silent = self.now - renewed.max(machine.alive);
+        let reason = if machine.expired && silent > self.lease + PARTITION_GRACE {
+            // The cloud lists it as running: partitioned, most likely, and good again afterwards.
+            "silent for long"
+        } else if machine.missing && silent > self.heartbeat_interval.scale(UNLISTED_SILENT_INTERVALS) {
+            "silent and not listed by the cloud"
+        } else if self.is_reclaimed(machine, silent) {
+            "silent spot instance"
+        } else {
+            return;
+        };
+        tracing::info!(machine = %machine.id, reason, "scale in");
+        machine.leaving = true;
+    }
+
+    /// Marks a machine as leaving that has shown this leader's fencing token in answer to a direct
+    /// command, and so was bound to send a heartbeat within moments, but has not.
+    fn remove_without_heartbeat(&self, machine: &mut Machine) {
+        if self.now - machine.known > self.lease + PARTITION_GRACE {
+            tracing::info!(machine = %machine.id, reason = "no heartbeat", "scale in");
+            machine.leaving = true;
+        }
+    }
+
+    /// Marks a machine as leaving that boots for too long.
+    fn remove_never_up(&self, machine: &mut Machine, boot_s: f64) {
+        let age_s = (machine.age + (self.now - machine.known)).secs();
+        if machine.missing || age_s > (boot_s * MAX_BOOT_FACTOR).max(MIN_BOOT_GRACE_S) {
+            tracing::info!(machine = %machine.id, age_s, reason = "never came up", "scale in");
+            machine.leaving = true;
+        }
+    }
+
+    /// Whether a machine that has been silent for this long is a spot instance that the cloud has most
+    /// likely reclaimed.
+    fn is_reclaimed(&self, machine: &Machine, silent: Micros) -> bool {
+        let intervals = match machine.notice {
+            Some(_) => SPOT_SILENT_INTERVALS_AFTER_NOTICE,
+            None => SPOT_SILENT_INTERVALS,
+        };
+        let few_silent = self.few_silent.get(machine.zone).copied().unwrap_or(false);
+        machine.spot && few_silent && silent > self.heartbeat_interval.scale(intervals).max(MIN_SPOT_SILENCE)
+    }
+}
+
+impl Fleet {
+    /// Expires leases, and marks machines that have been silent for too long as leaving.
+    pub(super) fn check_leases(&mut self, now: Steady) {
+        let check = self.lease_expiry_check(now);
+        let mut expired = Vec::new();
+        let mut expired_unheard = Vec::new();
+        for machine in self.machines.values_mut() {
+            if check.expire_unheard(machine) {
+                expired.push(machine.id.clone());
+                expired_unheard.push(machine.id.clone());
+            }
+            if machine.leaving && (machine.expired || !machine.heard) {
+                continue;
+            }
+            if !machine.heard {
+                check.remove_unheard(machine);
+            } else if check.expire(machine) {
+                expired.push(machine.id.clone());
+            } else if !machine.leaving {
+                let ty = machine.ty.and_then(|ty| self.types.get(ty));
+                check.remove_silent(machine, ty.map_or(UNKNOWN_TYPE_BOOT_S, |ty| ty.boot_s));
+            }
+        }
+        self.end_unheard(&expired_unheard, now);
+        for id in expired {
+            self.emptied(&id);
+        }
+    }
+
+    /// Takes machines that were never heard since the failover out of what is waited for.
+    fn end_unheard(&mut self, machines: &[MachineId], now: Steady) {
+        if machines.is_empty() {
+            return;
+        }
+        self.unheard_machines = self.unheard_machines.saturating_sub(machines.len());
+        self.uses.clear();
+        for id in machines {
+            self.machine_given_up(id, now);
+        }
+    }
+
+    /// The time limits for a check at a moment.
+    fn lease_expiry_check(&self, now: Steady) -> LeaseExpiryCheck {
+        let heartbeat_interval = self.heartbeat_interval();
+        let max_silence = heartbeat_interval.scale(SPOT_SILENT_INTERVALS_AFTER_NOTICE);
+        LeaseExpiryCheck {
+            now,
+            failover_at: self.failover_at,
+            leader_lease_confirmed_at: self.lease_confirmed_at,
+            lease: self.lease,
+            // An earlier leader answers no longer than `max_staleness` after it last knew that nobody
+            // had taken over, and that was before this leader's claim.
+            earlier_leases_end_after: self.cfg.max_staleness().scale(CLOCK_DRIFT_FACTOR) + self.lease,
+            unheard_timeout: self.unheard_timeout(),
+            heartbeat_interval,
+            few_silent: (0..self.zones.len()).map(|zone| self.few_silent(zone, max_silence, now)).collect(),
+        }
+    }
+
+    /// How long after a failover machines that have not been heard are removed. A few silent machines
+    /// hold up all that was started: once the others are heard, the cloud is asked to end them. Where
+    /// many are silent a zone is partitioned, and they are waited for.
+    fn unheard_timeout(&self) -> Micros {
+        let fence = Micros::from_secs(self.cfg.operator.fence_after_s);
+        let interval_s = self.cfg.platform.settings.workers.report_s;
+        let early = Micros::from_secs(interval_s + EARLY_FENCE_MARGIN_S).max(MIN_EARLY_FENCE);
+        let few_unheard = self.unheard_machines * FEW_MACHINES_DIVISOR <= self.machines.len();
+        if few_unheard {
+            fence.min(early)
+        } else {
+            fence
+        }
+    }
+
+    /// Whether at most a tenth of a zone's machines have been silent for longer than `max_silence`. Where
+    /// there are enough on-demand machines only those count: the cloud may reclaim most spot machines at
+    /// once, while a partition silences both kinds.
+    fn few_silent(&self, zone: usize, max_silence: Micros, now: Steady) -> bool {
+        let up = || self.machines.values().filter(|m| m.up && m.zone == zone && !m.leaving);
+        let on_demand = up().filter(|m| !m.spot).count();
+        let counts = |m: &&Machine| on_demand < MIN_ON_DEMAND_MACHINES || !m.spot;
+        let silent = up().filter(counts).filter(|m| now - m.report.max(m.alive) > max_silence).count();
+        silent * FEW_MACHINES_DIVISOR <= up().filter(counts).count()
+    }
+}
--- /dev/null
+++ b/src/fleet/machine_snapshots.rs
@@ -0,0 +1,183 @@
+//! Machines and the tasks on them as the planner sees them.
+
+use std::collections::BTreeMap;
+
+use super::replicas::PREEMPTED_REPLICA_COST;
+use super::{need_of, stated, Fleet, Machine, TaskEntry, TaskKey};
+use crate::jobs::MachineId;
+use crate::sched::{MachineSnapshot, PlacedTask, Resources};
+use crate::time::{Micros, Steady};
+use crate::wire::{JobSpec, MachineType, Priority, TaskStage};
+
+/// After this many heartbeat intervals of silence nothing is started on a machine.
+const MAX_SILENT_INTERVALS: f64 = 2.5;
+
+/// How long, in heartbeat intervals, a silent machine is expected to stay so: it is not counted on until
+/// it sends a heartbeat again.
+const SILENT_OPENS_IN_INTERVALS: f64 = 3.0;
+
+/// A machine is expected to be up after this many times its type's boot time.
+const EXPECTED_BOOT_FACTOR: f64 = 1.1;
+
+/// The least time until a booting machine is expected to be up.
+const MIN_BOOT_LEFT: Micros = Micros(2_000_000);
+
+/// Added to a machine's delay for each job that failed there, in seconds.
+const PENALTY_PER_FAILED_JOB_S: f64 = 10.0;
+
+/// The run time assumed of a task whose job is not known, in seconds.
+const UNKNOWN_RUN_TIME_S: f64 = 60.0;
+
+/// The time added for a task that has not fetched its image yet, in seconds.
+const FETCH_ALLOWANCE_S: f64 = 5.0;
+
+/// The part of its stated run time that a task which exceeds it is expected to run on, and the least
+/// time, in seconds.
+const OVERRUN_SHARE: f64 = 0.1;
+const MIN_TIME_LEFT_S: f64 = 1.0;
+
+/// Processors that a price or lost work is counted for at least.
+const MIN_CPUS: f64 = 0.1;
+
+/// Prices of a processor are compared in thousandths.
+const PRICE_PARTS: f64 = 1e3;
+
+/// Capacity of a machine that is reserved for gang tasks whose starts have not been sent yet.
+#[derive(Clone, Copy, Default)]
+struct ReservedPlaces {
+    /// How many tasks.
+    tasks: u32,
+    /// What they take together.
+    need: Resources,
+}
+
+impl Fleet {
+    /// The machines that can be planned on, and their identities in the same order.
+    pub(super) fn machine_snapshots(&self, now: Steady) -> (Vec<MachineSnapshot>, Vec<MachineId>) {
+        let reserved = self.reserved_gang_places();
+        let (mut snapshots, mut ids) = (Vec::new(), Vec::new());
+        for machine in self.machines.values() {
+            let is_gone = machine.leaving || machine.expired || machine.missing;
+            if is_gone || !machine.heard || (machine.up && machine.unknown_use()) {
+                continue;
+            }
+            let places = reserved.get(&machine.id).copied().unwrap_or_default();
+            if let Some(snapshot) = self.snapshot_without(places, machine, now) {
+                snapshots.push(snapshot);
+                ids.push(machine.id.clone());
+            }
+        }
+        (snapshots, ids)
+    }
+
+    /// By machine: places reserved for gang tasks whose starts have not been sent yet.
+    fn reserved_gang_places(&self) -> BTreeMap<&MachineId, ReservedPlaces> {
+        let mut reserved: BTreeMap<&MachineId, ReservedPlaces> = BTreeMap::new();
+        for job in self.jobs.values() {
+            let Some(gang) = &job.gang else { continue };
+            for (_, machine) in gang.places.iter().filter(|(task, _)| !gang.sent.contains(**task)) {
+                let places = reserved.entry(machine).or_default();
+                places.tasks += 1;
+                places.need = places.need.plus(&need_of(&job.spec), 1);
+            }
+        }
+        reserved
+    }
+
+    /// A machine as the planner sees it, if no place on it is reserved; none if its type is not known.
+    pub(super) fn machine_snapshot(&self, machine: &Machine, now: Steady) -> Option<MachineSnapshot> {
+        self.snapshot_without(ReservedPlaces::default(), machine, now)
+    }
+
+    /// A machine as the planner sees it, without the places reserved on it.
+    fn snapshot_without(
+        &self,
+        reserved: ReservedPlaces,
+        machine: &Machine,
+        now: Steady,
+    ) -> Option<MachineSnapshot> {
+        let ty = machine.ty?;
+        let machine_type = &self.types[ty];
+        let total = self.total(ty);
+        let free = machine.free(total);
+        let price = match machine_type.spot_price {
+            Some(spot_price) if machine.spot => spot_price,
+            _ => machine_type.price,
+        };
+        let max_silence = self.heartbeat_interval().scale(MAX_SILENT_INTERVALS);
+        let live_tasks = machine.tasks.iter().filter(|(_, task)| task.live());
+        Some(MachineSnapshot {
+            ty,
+            zone: machine.zone,
+            spot: machine.spot,
+            total,
+            free: if reserved.tasks > 0 { free.less(&reserved.need, 1) } else { free },
+            open: machine.usable(now) && now - machine.report < max_silence,
+            opens_in: self.opens_in(machine, machine_type, now),
+            images: machine.images.iter().map(|image| image.0).collect(),
+            fetch_rate: machine_type.fetch_gb_per_s,
+            rate: (price / machine_type.cpus.max(MIN_CPUS) * PRICE_PARTS) as i64,
+            penalty: Micros::from_secs(PENALTY_PER_FAILED_JOB_S * machine.failed.len() as f64),
+            until: machine.notice.map(|notice| notice - now),
+            held: live_tasks.map(|(key, task)| self.placed_task(key, task, now)).collect(),
+        })
+    }
+
+    /// How long until a start can reach a machine: with its next heartbeat, or once it has booted.
+    fn opens_in(&self, machine: &Machine, machine_type: &MachineType, now: Steady) -> Micros {
+        if !machine.up {
+            let boot = Micros::from_secs(machine_type.boot_s).scale(EXPECTED_BOOT_FACTOR);
+            return (boot - (machine.age + (now - machine.known))).max(MIN_BOOT_LEFT);
+        }
+        let heartbeat_interval = self.heartbeat_interval();
+        let silent = now - machine.report;
+        if silent > heartbeat_interval.scale(MAX_SILENT_INTERVALS) {
+            heartbeat_interval.scale(SILENT_OPENS_IN_INTERVALS)
+        } else if now < machine.deferred_until {
+            Micros::ZERO
+        } else {
+            (heartbeat_interval - silent).max(Micros::ZERO)
+        }
+    }
+
+    /// A task on a machine as the planner sees it.
+    fn placed_task(&self, key: &TaskKey, task: &TaskEntry, now: Steady) -> PlacedTask {
+        let spec = self.jobs.get(&key.0).map(|job| &job.spec);
+        let is_service = spec.is_some_and(|spec| spec.is_service());
+        let is_preemptible = spec.is_some_and(|spec| !spec.is_gang() || spec.tasks == 1);
+        PlacedTask {
+            need: task.need.unwrap_or_default(),
+            priority: spec.map_or(Priority::Idle, |spec| spec.priority),
+            guaranteed: self.guaranteed.contains(&key.0),
+            team: spec.and_then(|spec| self.team(&spec.team)).map_or(usize::MAX, |(index, _)| index),
+            left: self.stated_left(task, spec, now),
+            lost_work: lost_work(task, spec, now),
+            stoppable: task.stop.is_none() && is_preemptible,
+            stopping: task.stop.is_some(),
+            endless: is_service,
+        }
+    }
+
+    /// Time until the stated end of a task. One that exceeds its stated time has a tenth of it left, and
+    /// any at least a second.
+    pub(super) fn stated_left(&self, task: &TaskEntry, spec: Option<&JobSpec>, now: Steady) -> Micros {
+        let stated = spec.map_or(Micros::from_secs(UNKNOWN_RUN_TIME_S), stated);
+        let may_fetch = matches!(task.stage, None | Some(TaskStage::Fetching | TaskStage::Waiting));
+        let fetch = Micros::from_secs(if may_fetch { FETCH_ALLOWANCE_S } else { 0.0 });
+        let left = stated - (now - task.running.unwrap_or(task.since)) + fetch;
+        left.max(stated.scale(OVERRUN_SHARE)).max(Micros::from_secs(MIN_TIME_LEFT_S))
+    }
+}
+
+/// Work lost if a task is preempted now, in processor time: none if it saves checkpoints.
+fn lost_work(task: &TaskEntry, spec: Option<&JobSpec>, now: Steady) -> Micros {
+    if spec.is_some_and(|spec| spec.checkpoint_s > 0.0) {
+        return Micros::ZERO;
+    }
+    // The fetch of its image counts as well: preempted as soon as it was placed, a wide job would never
+    // get beyond it.
+    let since_start = now - task.since;
+    let is_service = spec.is_some_and(|spec| spec.is_service());
+    let lost = if is_service { PREEMPTED_REPLICA_COST } else { since_start };
+    lost.scale(task.need.map_or(1.0, |need| need.cpus.max(MIN_CPUS)))
+}
--- /dev/null
+++ b/src/fleet/maintenance.rs
@@ -0,0 +1,89 @@
+//! Periodic maintenance of the fleet: lease expiry, forgetting what is out of date, progress and
+//! utilization in the log, and a new plan if one is due.
+
+use std::collections::BTreeMap;
+
+use super::Fleet;
+use crate::time::{Micros, Steady, Wall};
+use crate::wire::TaskStage;
+
+/// How often the log tells how the machines are used.
+const UTILIZATION_LOG_INTERVAL: Micros = Micros(15_000_000);
+
+/// How long a machine that is gone is remembered, so that late heartbeats from it are refused.
+const GONE_MACHINE_MEMORY: Micros = Micros(900_000_000);
+
+/// Least processors that a share is taken of, so that a type without any does not divide by zero.
+const MIN_CPUS: f64 = 0.1;
+
+/// How the machines of a type and kind are used.
+#[derive(Default)]
+struct Utilization {
+    machines: u32,
+    booting: u32,
+    idle: u32,
+    cpus: f64,
+    /// Processors of tasks that are or may be on the machines.
+    placed_cpus: f64,
+    /// Processors of tasks that run.
+    running_cpus: f64,
+}
+
+impl Fleet {
+    /// Does what is due at a moment: expires leases, removes machines that stay silent or never come
+    /// up, and plans anew if something changed.
+    pub fn tick(&mut self, now: Steady, wall: Wall) {
+        self.check_leases(now);
+        self.log_failover_progress(now);
+        self.log_recovery(now);
+        if now - self.usage_logged > UTILIZATION_LOG_INTERVAL {
+            self.usage_logged = now;
+            self.log_utilization();
+        }
+        self.gone.retain(|_, gone_at| now - *gone_at < GONE_MACHINE_MEMORY);
+        self.refused.retain(|_, until| now < *until);
+        self.forget_vacated(now);
+        self.replan(now, wall);
+    }
+
+    /// Logs when all machines of the earlier leader are heard or expired, and when no longer.
+    fn log_failover_progress(&mut self, now: Steady) {
+        if (self.unheard_machines == 0) != self.all_heard {
+            self.all_heard = self.unheard_machines == 0;
+            let after_s = (now - self.failover_at).secs();
+            let unheard = self.unheard_machines;
+            tracing::info!(after_s, unheard, "all machines of the earlier leader heard or expired");
+        }
+    }
+
+    /// Logs by type and kind how many machines there are and what share of them is used, and the
+    /// length of the queue.
+    fn log_utilization(&self) {
+        for ((ty, spot), used) in self.utilization() {
+            let (machines, booting, idle) = (used.machines, used.booting, used.idle);
+            let placed = used.placed_cpus / used.cpus.max(MIN_CPUS);
+            let running = used.running_cpus / used.cpus.max(MIN_CPUS);
+            tracing::info!(ty, spot, machines, booting, idle, placed, running, "machine utilization");
+        }
+        let waiting: u32 = self.plan.unmet.iter().map(|(_, tasks)| tasks).sum();
+        tracing::info!(jobs = self.jobs.len(), waiting, "queue");
+    }
+
+    /// How the machines are used, by type name and whether they are spot instances.
+    fn utilization(&self) -> BTreeMap<(&str, bool), Utilization> {
+        let mut by_kind: BTreeMap<(&str, bool), Utilization> = BTreeMap::new();
+        for machine in self.machines.values() {
+            let used = by_kind.entry((&machine.ty_name, machine.spot)).or_default();
+            used.machines += 1;
+            used.booting += u32::from(!machine.up);
+            used.idle += u32::from(machine.up && machine.tasks.is_empty());
+            used.cpus += machine.ty.map_or(0.0, |ty| self.total(ty).cpus);
+            for task in machine.tasks.values().filter(|task| task.live()) {
+                let cpus = task.need.map_or(0.0, |need| need.cpus);
+                used.placed_cpus += cpus;
+                used.running_cpus += if task.stage == Some(TaskStage::Running) { cpus } else { 0.0 };
+            }
+        }
+        by_kind
+    }
+}
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -7,22 +7,29 @@
 
 mod admission;
 mod borrowing;
-mod demand;
+mod eviction;
+mod gang_placement;
+mod headroom;
 mod heartbeats;
+mod lease_expiry;
 mod lending;
 mod loans;
+mod machine_snapshots;
 mod machines;
+mod maintenance;
+mod objectives;
 mod planner_input;
 mod planning;
+mod recent_jobs;
 mod reconciliation;
 mod records;
 mod recovery;
 mod replicas;
+mod scaling;
 mod starts;
 mod status;
 mod tasks;
 mod team_use;
-mod upkeep;
 
 pub use admission::never_runs;
 pub use borrowing::BorrowedTasks;
@@ -39,26 +46,23 @@
 use milletlock_recovery::RecoveryTracker;
 use serde::Serialize;
 
-use crate::capacity::{Autoscaler, MachineOffer, MachineStatus, ScalingPolicy, WarmPool};
+use crate::capacity::MachineOffer;
 use crate::config::{Config, Team};
 use crate::direct_command::DirectCommand;
-use crate::history::{EstimateKey, History};
-use crate::jobs::{split_task, GangAttempt, Job, JobId, MachineId};
+use crate::history::History;
+use crate::jobs::{split_task, Job, JobId, MachineId};
 use crate::keys::done_key;
 use crate::packed_records::PackedRecords;
-use crate::records::{DemandRecord, JobRecord, MachineRecord};
-use crate::sched::{
-    self, IncrementalBackfill, JobClass, MachineSnapshot, PlacedTask, Plan, ReservedHeadroom, Resources,
-    Snapshot, TeamUse,
-};
+use crate::records::{JobRecord, MachineRecord};
+use crate::sched::{self, IncrementalBackfill, MachineSnapshot, Plan, Resources, Snapshot, TeamUse};
 use crate::task_ranges::{chunk_number, chunk_span, TaskRanges};
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::{
-    ExitReason, Heartbeat, HeartbeatReply, JobSpec, ListedMachine, MachineType, Order, Priority, Shape,
-    TaskStage, TaskStatus,
+    ExitReason, Heartbeat, HeartbeatReply, JobSpec, ListedMachine, MachineType, Order, Priority, TaskStage,
+    TaskStatus,
 };
 
-use demand::*;
+use recent_jobs::RecentJob;
 use replicas::WaitingService;
 use starts::MAX_ORDERS;
 
@@ -155,7 +159,7 @@
     orphans: BTreeMap<String, u64>,
     refused: BTreeMap<MachineOffer, Steady>,
     /// Demands of recent jobs by type, for what low ranks leave free.
-    demands: Vec<Demand>,
+    demands: Vec<RecentJob>,
     /// When the list of recent jobs was last written, and `submitted_count` at that time.
     recent_jobs_written: (Steady, u64),
     /// How many jobs this owner has added to the demands.
@@ -232,7 +236,7 @@
             // Jobs that came before the types were known.
             let specs: Vec<(Steady, JobSpec)> =
                 self.jobs.values().map(|j| (j.known, j.spec.clone())).collect();
-            specs.iter().for_each(|(known, s)| self.demand(s, *known));
+            specs.iter().for_each(|(known, s)| self.note_submitted(s, *known));
         }
         self.dirty = true;
     }
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -1,27 +1,31 @@
-//! The planner's input: the machines and jobs of the owner's world as `sched::plan` sees them.
+//! The planner's input: the fleet's machines and jobs as `sched::plan` sees them.
 //!
-//! `Fleet::snapshot` builds a [`Snapshot`] with one `MachineSnapshot` per machine that can be planned on and
-//! one `JobClass` per job that is not cancelled; [`PlannerInput`] keeps which machine and job each index
-//! of the snapshot stands for, so that the plan can be carried out (see `planning`).
+//! `Fleet::planner_input` builds a [`Snapshot`] with one `MachineSnapshot` per machine that can be planned
+//! on and one `JobClass` per job that is not cancelled; [`PlannerInput`] keeps which machine and job each
+//! index of the snapshot stands for, so that the plan can be carried out (see `planning`).
 
-use super::replicas::STOPPED_REPLICA_COSTS;
-use super::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::{need_of, Fleet};
+use crate::jobs::{Job, JobId, MachineId};
+use crate::sched::{JobClass, Resources, Snapshot};
+use crate::time::{Micros, Steady, Wall};
+use crate::wire::{JobSpec, Priority, Shape};
 
 /// Delays that differ by less count as alike.
-pub(super) const DELAY_STEP: Micros = Micros(2_000_000);
+const DELAY_STEP: Micros = Micros(2_000_000);
 
-/// Seconds after which a narrow job that missed its start yields to others no more: it must begin
-/// within four minutes.
-pub(super) const MAX_YIELD_S: f64 = 150.0;
+/// The same for the lowest priority, in heartbeat intervals.
+const LOW_PRIORITY_DELAY_STEP_INTERVALS: f64 = 1.5;
 
-/// The same for the widest job of its shape, which takes longer to find its room.
-pub(super) const MAX_YIELD_OF_WIDEST_S: f64 = 90.0;
+/// Resources that a team may exceed its fair share by: rounding errors.
+const FAIR_SHARE_TOLERANCE: f64 = 1e-6;
 
 /// The planner's input, and what its indices mean.
 pub(super) struct PlannerInput {
     /// What the planner reads.
     pub(super) snapshot: Snapshot,
-    /// The machines of its rooms.
+    /// The identities of the snapshot's machines.
     pub(super) machines: Vec<MachineId>,
     /// The jobs of its classes.
     pub(super) jobs: Vec<JobId>,
@@ -37,9 +41,9 @@
 impl WidestJobs {
     fn of(jobs: &[&Job]) -> WidestJobs {
         let mut widest = WidestJobs::default();
-        for j in jobs {
-            let w = if j.spec.is_gang() { &mut widest.gang } else { &mut widest.other };
-            *w = (*w).max(j.spec.tasks);
+        for job in jobs {
+            let of_shape = if job.spec.is_gang() { &mut widest.gang } else { &mut widest.other };
+            *of_shape = (*of_shape).max(job.spec.tasks);
         }
         widest
     }
@@ -53,57 +57,30 @@
     }
 }
 
-impl Fleet {
-    /// The run time expected of a waiting job's tasks: the stated one, scaled by its team's history of
-    /// actual to stated run times when the operator setting `adjust` is on.
-    pub fn adjusted(&self, s: &JobSpec, wall: Wall) -> Micros {
-        let stated = stated(s);
-        if !self.cfg.operator.adjust {
-            return stated;
-        }
-        stated.scale(self.history.factor(&EstimateKey { team: s.team.clone(), stated }, wall))
-    }
-
-    /// Until the stated end of a task; overrunning ones have a tenth of it, at least a second.
-    pub(super) fn stated_left(&self, e: &TaskEntry, s: Option<&JobSpec>, now: Steady) -> Micros {
-        let stated = s.map_or(Micros::from_secs(60.0), stated);
-        let fetch =
-            if matches!(e.stage, None | Some(TaskStage::Fetching | TaskStage::Waiting)) { 5.0 } else { 0.0 };
-        let left = stated - (now - e.running.unwrap_or(e.since)) + Micros::from_secs(fetch);
-        left.max(stated.scale(0.1)).max(Micros::from_secs(1.0))
-    }
-
-    /// The jobs that fit their team's guarantee together with its earlier unfinished ones.
-    pub(super) fn within_guarantee(&self) -> BTreeSet<JobId> {
-        // What is borrowed counts towards its team's guarantee in the cell that accepted it.
-        let own = |j: &&Job| !j.cancelled && j.borrowed_from.is_none();
-        let mut by_age: Vec<&Job> = self.jobs.values().filter(own).collect();
-        by_age.sort_by_key(|j| j.submitted);
-        let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
-        let mut fits = |j: &&Job| {
-            let Some((_, t)) = self.team(&j.spec.team).filter(|x| x.1.cpus > 0.0 || x.1.gpus > 0.0) else {
-                return false;
-            };
-            let sum = sums.entry(&t.name).or_default();
-            *sum = sum.plus(&need_of(&j.spec), j.spec.tasks - j.done.len());
-            sum.cpus <= t.cpus + 1e-6 && sum.gpus <= t.gpus + 1e-6
-        };
-        by_age.into_iter().filter(|j| fits(j)).map(|j| j.id.clone()).collect()
-    }
+/// What all job classes of a snapshot are made from.
+struct ClassInputs<'a> {
+    /// Index into the snapshot's machines by identity.
+    machine_index: BTreeMap<&'a MachineId, usize>,
+    widest: WidestJobs,
+    now: Steady,
+    wall: Wall,
+}
 
+impl Fleet {
     /// The planner's input.
-    pub(super) fn snapshot(&mut self, now: Steady, wall: Wall) -> PlannerInput {
-        self.demands.retain(|d| now - d.at < RECENT);
-        self.guaranteed = self.within_guarantee();
-        let (rooms, machines) = self.rooms(now);
-        let (classes, jobs) = self.classes(&machines, now, wall);
+    pub(super) fn planner_input(&mut self, now: Steady, wall: Wall) -> PlannerInput {
+        self.forget_old_jobs(now);
+        self.guaranteed = self.jobs_within_fair_share();
+        let heartbeat_s = self.cfg.platform.settings.workers.report_s;
+        let (rooms, machines) = self.machine_snapshots(now);
+        let (classes, jobs) = self.job_classes(&machines, now, wall);
         let snapshot = Snapshot {
             zones: self.zones.len(),
             reserve: self.cfg.operator.reserve,
-            clear_rooms: self.clear(),
-            low_priority_delay_step: Micros::from_secs(1.5 * self.cfg.platform.settings.workers.report_s),
+            clear_rooms: self.clear_machines(),
+            low_priority_delay_step: Micros::from_secs(LOW_PRIORITY_DELAY_STEP_INTERVALS * heartbeat_s),
             delay_step: DELAY_STEP,
-            keep: self.keep(),
+            keep: self.reserved_headroom(),
             rooms,
             classes,
             teams: self.team_uses(),
@@ -111,49 +88,42 @@
         PlannerInput { snapshot, machines, jobs }
     }
 
-    /// Places promised to gangs whose starts have not left yet: their number and need by machine.
-    fn promised_places(&self) -> BTreeMap<&MachineId, (u32, Resources)> {
-        let mut promised: BTreeMap<&MachineId, (u32, Resources)> = BTreeMap::new();
-        for j in self.jobs.values() {
-            let Some(g) = &j.gang else { continue };
-            for (_, at) in g.places.iter().filter(|(n, _)| !g.sent.contains(**n)) {
-                let p = promised.entry(at).or_default();
-                *p = (p.0 + 1, p.1.plus(&need_of(&j.spec), 1));
-            }
-        }
-        promised
-    }
-
-    /// The machines that can be planned on, and their identities in the same order.
-    fn rooms(&self, now: Steady) -> (Vec<MachineSnapshot>, Vec<MachineId>) {
-        let promised = self.promised_places();
-        let (mut rooms, mut machines) = (Vec::new(), Vec::new());
-        for m in self.machines.values() {
-            if m.leaving || m.expired || m.missing || !m.heard || (m.up && m.unknown_use()) {
-                continue;
-            }
-            let (n, need) = promised.get(&m.id).copied().unwrap_or_default();
-            if let Some(r) = self.room(m, now, n, need) {
-                rooms.push(r);
-                machines.push(m.id.clone());
+    /// The jobs that fit their team's fair share together with its earlier unfinished ones.
+    fn jobs_within_fair_share(&self) -> BTreeSet<JobId> {
+        // Borrowed tasks count towards their team's fair share in the cell that accepted their job.
+        let is_own = |job: &&Job| !job.cancelled && job.borrowed_from.is_none();
+        let mut by_age: Vec<&Job> = self.jobs.values().filter(is_own).collect();
+        by_age.sort_by_key(|job| job.submitted);
+        let mut used_by_team: BTreeMap<&str, Resources> = BTreeMap::new();
+        let mut fits = |job: &&Job| {
+            let Some((_, team)) = self.team(&job.spec.team) else { return false };
+            let has_fair_share = team.cpus > 0.0 || team.gpus > 0.0;
+            if !has_fair_share {
+                return false;
             }
-        }
-        (rooms, machines)
+            let used = used_by_team.entry(&team.name).or_default();
+            *used = used.plus(&need_of(&job.spec), job.spec.tasks - job.done.len());
+            used.cpus <= team.cpus + FAIR_SHARE_TOLERANCE && used.gpus <= team.gpus + FAIR_SHARE_TOLERANCE
+        };
+        by_age.into_iter().filter(|job| fits(job)).map(|job| job.id.clone()).collect()
     }
 
     /// The jobs as the planner sees them, oldest first, and their identities in the same order.
-    fn classes(&mut self, machines: &[MachineId], now: Steady, wall: Wall) -> (Vec<JobClass>, Vec<JobId>) {
-        let room_of: BTreeMap<&MachineId, usize> =
-            machines.iter().enumerate().map(|(i, id)| (id, i)).collect();
-        let mut by_age: Vec<&Job> = self.jobs.values().filter(|j| !j.cancelled).collect();
-        by_age.sort_by_key(|j| j.submitted);
-        let widest = WidestJobs::of(&by_age);
-        let jobs: Vec<JobId> = by_age.iter().map(|j| j.id.clone()).collect();
-        let images: Vec<Option<String>> = by_age.iter().map(|j| j.spec.image.clone()).collect();
-        let mut classes: Vec<JobClass> =
-            by_age.iter().map(|j| self.class(j, widest, &room_of, now, wall)).collect();
-        for (class, name) in classes.iter_mut().zip(images) {
-            class.image = name.map(|n| self.image(&n));
+    fn job_classes(
+        &mut self,
+        machines: &[MachineId],
+        now: Steady,
+        wall: Wall,
+    ) -> (Vec<JobClass>, Vec<JobId>) {
+        let mut by_age: Vec<&Job> = self.jobs.values().filter(|job| !job.cancelled).collect();
+        by_age.sort_by_key(|job| job.submitted);
+        let machine_index = machines.iter().enumerate().map(|(index, id)| (id, index)).collect();
+        let inputs = ClassInputs { machine_index, widest: WidestJobs::of(&by_age), now, wall };
+        let jobs: Vec<JobId> = by_age.iter().map(|job| job.id.clone()).collect();
+        let images: Vec<Option<String>> = by_age.iter().map(|job| job.spec.image.clone()).collect();
+        let mut classes: Vec<JobClass> = by_age.iter().map(|job| self.job_class(job, &inputs)).collect();
+        for (class, image) in classes.iter_mut().zip(images) {
+            class.image = image.map(|name| self.image(&name));
         }
         self.wait_only_for_cached_images(&mut classes);
         (classes, jobs)
@@ -164,183 +134,83 @@
         if !classes.iter().any(|class| class.waits_for_image) {
             return;
         }
+        let machines = self.machines.values();
         let cached: BTreeSet<u32> =
-            self.machines.values().flat_map(|m| m.images.iter().map(|image| image.0)).collect();
+            machines.flat_map(|machine| machine.images.iter().map(|image| image.0)).collect();
         for class in classes {
             class.waits_for_image &= class.image.is_some_and(|image| cached.contains(&image));
         }
     }
 
     /// A job as the planner sees it, but for its image.
-    fn class(
-        &self,
-        j: &Job,
-        widest: WidestJobs,
-        room_of: &BTreeMap<&MachineId, usize>,
-        now: Steady,
-        wall: Wall,
-    ) -> JobClass {
-        let sp = &j.spec;
-        let gang = sp.is_gang();
-        let service = sp.is_service();
-        let (waited, adjusted) = (wall - j.submitted, self.adjusted(sp, wall));
+    fn job_class(&self, job: &Job, inputs: &ClassInputs) -> JobClass {
+        let spec = &job.spec;
+        let waited = inputs.wall - job.submitted;
+        let adjusted = self.adjusted(spec, inputs.wall);
+        let widest = inputs.widest.of_shape(spec.shape);
         JobClass {
-            priority: sp.priority,
-            raised: (gang && waited.secs() > Self::max_yield_s(sp, widest.gang)).then_some(Priority::Urgent),
-            team: self.team(&sp.team).map_or(usize::MAX, |t| t.0),
-            guaranteed: self.guaranteed.contains(&j.id),
-            count: self.startable_tasks(j, now),
-            tasks: sp.tasks,
-            gang,
-            need: need_of(sp),
-            types: self.allowed_types(sp),
-            zone: sp.zone.as_ref().map(|z| self.zones.iter().position(|x| x == z).unwrap_or(usize::MAX)),
-            one_zone: sp.one_zone,
-            spread: sp.spread,
-            spot: sp.spot,
+            priority: spec.priority,
+            raised: raised_priority(spec, waited, inputs.widest.gang),
+            team: self.team(&spec.team).map_or(usize::MAX, |(index, _)| index),
+            guaranteed: self.guaranteed.contains(&job.id),
+            count: self.startable_tasks(job, inputs.now),
+            tasks: spec.tasks,
+            gang: spec.is_gang(),
+            need: need_of(spec),
+            types: self.allowed_types(spec),
+            zone: spec.zone.as_ref().map(|name| self.zone_index(name)),
+            one_zone: spec.one_zone,
+            spread: spec.spread,
+            spot: spec.spot,
             image: None,
-            image_gb: sp.image_gb,
-            waits_for_image: self.should_wait_for_image(sp, waited),
+            image_gb: spec.image_gb,
+            waits_for_image: self.should_wait_for_image(spec, waited),
             adjusted,
             waited,
-            zones: if sp.one_zone || sp.spread || service {
-                self.zones_of(j)
-            } else {
-                vec![0; self.zones.len()]
-            },
-            slack: sp.deadline_s.map(|due| Micros::from_secs(due) - waited - adjusted),
-            missed_aims: self.missed_aims(j, waited, adjusted, widest.of_shape(sp.shape)),
-            patience: self.patience(sp) - waited,
-            replicas: service.then(|| self.replica_rooms(j, room_of)),
+            zones: self.tasks_by_zone(job),
+            slack: spec.deadline_s.map(|due_s| Micros::from_secs(due_s) - waited - adjusted),
+            missed_aims: self.missed_objectives(job, waited, adjusted, widest),
+            patience: self.patience(spec) - waited,
+            replicas: spec.is_service().then(|| self.machines_to_avoid(job, &inputs.machine_index)),
         }
     }
 
-    /// How many of a job's tasks may start now.
-    fn startable_tasks(&self, j: &Job, now: Steady) -> u32 {
-        let gang = j.spec.is_gang();
-        if now < j.not_before || (gang && (j.gang.is_some() || !j.live.is_empty())) {
-            return 0;
-        }
-        if self.unheard_machines == 0 || !self.may_be_on_unheard(&j.spec) {
-            return j.waiting.len();
-        }
-        let tied = j.spec.one_zone || j.spec.spread || gang;
-        if tied && j.inherited > 0 {
-            0
-        } else {
-            j.waiting.count_from(j.inherited)
-        }
-    }
-
-    /// A machine as the planner sees it, with places promised on it.
-    pub(super) fn room(
-        &self,
-        m: &Machine,
-        now: Steady,
-        promised: u32,
-        promise: Resources,
-    ) -> Option<MachineSnapshot> {
-        let ty = m.ty?;
-        let t = &self.types[ty];
-        let total = self.total(ty);
-        let heartbeat_interval = self.heartbeat_interval();
-        let live_tasks = m.tasks.iter().filter(|x| x.1.live());
-        let free = if promised > 0 { m.free(total).less(&promise, 1) } else { m.free(total) };
-        Some(MachineSnapshot {
-            ty,
-            zone: m.zone,
-            spot: m.spot,
-            total,
-            free,
-            open: m.usable(now) && now - m.report < heartbeat_interval.scale(2.5),
-            opens_in: self.opens_in(m, t, now),
-            images: m.images.iter().map(|i| i.0).collect(),
-            fetch_rate: t.fetch_gb_per_s,
-            rate: (if m.spot { t.spot_price.unwrap_or(t.price) } else { t.price } / t.cpus.max(0.1) * 1e3)
-                as i64,
-            penalty: Micros::from_secs(10.0 * m.failed.len() as f64),
-            until: m.notice.map(|n| n - now),
-            held: live_tasks.map(|(k, e)| self.held(k, e, now)).collect(),
-        })
+    /// Index of a zone that a job asks for; `usize::MAX`, which no machine has, if it is not known.
+    fn zone_index(&self, name: &str) -> usize {
+        self.zones.iter().position(|zone| zone == name).unwrap_or(usize::MAX)
     }
 
-    /// A task on a machine as the planner sees it.
-    fn held(&self, k: &TaskKey, e: &TaskEntry, now: Steady) -> PlacedTask {
-        let spec = self.jobs.get(&k.0).map(|j| &j.spec);
-        // The fetch of its image counts as well: stopped for others as soon as it was placed, a wide job
-        // would never get beyond it.
-        let ran = now - e.since;
-        let endless = spec.is_some_and(|s| s.is_service());
-        let worth = if endless { STOPPED_REPLICA_COSTS } else { ran };
-        let saves = spec.is_some_and(|s| s.checkpoint_s > 0.0);
-        PlacedTask {
-            need: e.need.unwrap_or_default(),
-            priority: spec.map_or(Priority::Idle, |s| s.priority),
-            guaranteed: self.guaranteed.contains(&k.0),
-            team: spec.and_then(|s| self.team(&s.team)).map_or(usize::MAX, |t| t.0),
-            left: self.stated_left(e, spec, now),
-            lost_work: if saves {
-                Micros::ZERO
-            } else {
-                worth.scale(e.need.map_or(1.0, |n| n.cpus.max(0.1)))
-            },
-            stoppable: e.stop.is_none() && spec.is_some_and(|s| !s.is_gang() || s.tasks == 1),
-            stopping: e.stop.is_some(),
-            endless,
+    /// By zone: a job's tasks that are or may be there, if the planner places it by zone.
+    fn tasks_by_zone(&self, job: &Job) -> Vec<u32> {
+        let spec = &job.spec;
+        if spec.one_zone || spec.spread || spec.is_service() {
+            self.zones_of(job)
+        } else {
+            vec![0; self.zones.len()]
         }
     }
 
-    /// How long until a start can reach a machine: with its next report, or once it has booted.
-    fn opens_in(&self, m: &Machine, t: &MachineType, now: Steady) -> Micros {
-        if !m.up {
-            let boot = Micros::from_secs(t.boot_s);
-            return (boot.scale(1.1) - (m.age + (now - m.known))).max(Micros::from_secs(2.0));
+    /// How many of a job's tasks may start now.
+    fn startable_tasks(&self, job: &Job, now: Steady) -> u32 {
+        let is_gang = job.spec.is_gang();
+        let is_placed_gang = is_gang && (job.gang.is_some() || !job.live.is_empty());
+        if now < job.not_before || is_placed_gang {
+            return 0;
         }
-        let heartbeat_interval = self.heartbeat_interval();
-        // A silent machine is not counted on until it reports again.
-        let silent = now - m.report;
-        if silent > heartbeat_interval.scale(2.5) {
-            heartbeat_interval.scale(3.0)
-        } else if now < m.deferred_until {
-            Micros::ZERO
+        if self.unheard_machines == 0 || !self.may_be_on_unheard(&job.spec) {
+            return job.waiting.len();
+        }
+        let depends_on_all_tasks = job.spec.one_zone || job.spec.spread || is_gang;
+        if depends_on_all_tasks && job.inherited > 0 {
+            0
         } else {
-            (heartbeat_interval - silent).max(Micros::ZERO)
+            job.waiting.count_from(job.inherited)
         }
     }
+}
 
-    /// After so many seconds a job yields to others no more: the sooner the wider it is.
-    pub(super) fn max_yield_s(s: &JobSpec, widest: u32) -> f64 {
-        let width = f64::from(s.tasks) / f64::from(widest.max(s.tasks).max(1));
-        MAX_YIELD_S - (MAX_YIELD_S - MAX_YIELD_OF_WIDEST_S) * width
-    }
-
-    /// How many of its class's aims a job has lost, by its age or by the time it would end if it
-    /// started now. So that nothing starves or might be taken for forgotten, a lost aim stops
-    /// counting against it after a while: one for its end after five times the aim, one for its
-    /// start sooner, and the sooner the wider the job is: it takes longer to find its room.
-    /// An array of which tasks have begun has its start behind it: tasks that are lost with a machine
-    /// would otherwise wait behind all newer jobs, and the job miss its deadline for them.
-    pub(super) fn missed_aims(&self, j: &Job, waited: Micros, adjusted: Micros, widest: u32) -> u8 {
-        let s = &j.spec;
-        let begun = s.is_array() && (j.first_start.is_some() || j.inherited > 0);
-        if s.is_service() {
-            return 0;
-        }
-        let end = waited.secs() + 0.7 * adjusted.secs();
-        let max_yield_s = Self::max_yield_s(s, widest);
-        let by_end = |within: f64| end > within && waited.secs() < 5.0 * within;
-        let aims = &self.cfg.platform.settings.objectives;
-        let of_class = || aims.iter().filter(|o| Some(&o.class) == s.class.as_ref());
-        let lost = of_class().filter(|o| match (o.kind.as_str(), s.deadline_s) {
-            ("wait", _) => !begun && waited.secs() > o.within_s && waited.secs() < max_yield_s,
-            ("deadline", Some(due)) => by_end(due * o.times),
-            _ => false,
-        });
-        // Of aims for the end only the last counts: those that lost an earlier one have little time
-        // left, those that did not have some to spare.
-        let finished = of_class().filter(|o| o.kind == "finished").map(|o| o.within_s).reduce(f64::max);
-        let own = s.deadline_s.filter(|_| !of_class().any(|o| o.kind == "deadline"));
-        let by_ends = [finished, own].into_iter().flatten().filter(|within| by_end(*within));
-        (lost.count() + by_ends.count()).min(200) as u8
-    }
+/// The priority that the queue counts a gang with once it has waited for long.
+fn raised_priority(spec: &JobSpec, waited: Micros, widest_gang: u32) -> Option<Priority> {
+    let has_waited_long = spec.is_gang() && waited.secs() > Fleet::max_yield_s(spec, widest_gang);
+    has_waited_long.then_some(Priority::Urgent)
 }
--- /dev/null
+++ b/src/fleet/scaling.rs
@@ -0,0 +1,109 @@
+//! Scale out and scale in of the fleet: what the autoscaler is told of it, and the machines that its
+//! decision removes.
+
+use super::{Fleet, Machine};
+use crate::capacity::{Autoscaler, MachineOffer, MachineStatus, ScalingPolicy};
+use crate::jobs::MachineId;
+use crate::time::{Micros, Steady, Wall};
+
+/// A zone counts as cut off only if at least this many of its machines are silent.
+const MIN_SILENT_IN_CUT_OFF_ZONE: usize = 2;
+
+/// After this many heartbeat intervals a machine counts as silent when its zone is checked.
+const SILENT_INTERVALS: f64 = 3.0;
+
+impl Fleet {
+    /// Plans and decides on scaling: returns the offers to take machines from, with how many, and marks
+    /// idle machines as leaving.
+    pub fn decide_scaling(&mut self, now: Steady, wall: Wall) -> Vec<(MachineOffer, u32)> {
+        // Always on a plan of this very moment: its indices are the snapshot's.
+        let (snapshot, machines) = self.plan_now(now, wall);
+        let zones = self.zones_by_type();
+        let autoscaler = Autoscaler {
+            snapshot: &snapshot,
+            plan: &self.plan,
+            machine_status: &self.machine_status(&machines, now),
+            types: &self.types,
+            zones: &zones,
+            refused: &self.offers_to_avoid(now),
+            warm_pools: &self.warm_pools(now),
+            deadline_jobs_expected: &self.deadline_jobs_expected(now),
+            policy: self.scaling_policy(),
+        };
+        let decision = autoscaler.decide();
+        for index in decision.scale_in {
+            self.remove_idle(&machines[index]);
+        }
+        decision.scale_out.into_iter().map(|item| (item.offer, item.count)).collect()
+    }
+
+    /// Age and use of the machines of a snapshot, in its order.
+    fn machine_status(&self, machines: &[MachineId], now: Steady) -> Vec<MachineStatus> {
+        let known = machines.iter().filter_map(|id| self.machines.get(id));
+        let status = |machine: &Machine| MachineStatus {
+            age: machine.age + (now - machine.known),
+            idle: (machine.up && machine.tasks.is_empty()).then(|| now - machine.idle),
+            booting: !machine.up,
+        };
+        known.map(status).collect()
+    }
+
+    /// By type: indices of the zones that it is offered in.
+    fn zones_by_type(&mut self) -> Vec<Vec<usize>> {
+        let types = self.types.clone();
+        types.iter().map(|ty| ty.zones.iter().map(|name| self.zone(name)).collect()).collect()
+    }
+
+    /// By type: whether more jobs with a deadline that may use it are expected.
+    fn deadline_jobs_expected(&self, now: Steady) -> Vec<bool> {
+        let expected = |ty: usize| {
+            let recent = || self.demands.iter().filter(move |job| job.due && job.types.contains(&ty));
+            self.more_expected(recent, self.slowest_boot_s(), now)
+        };
+        (0..self.types.len()).map(expected).collect()
+    }
+
+    /// Offers that the cloud refused lately, and all of zones that are cut off: new machines there
+    /// could not send heartbeats either.
+    fn offers_to_avoid(&self, now: Steady) -> Vec<MachineOffer> {
+        let mut offers: Vec<MachineOffer> = self.refused.keys().copied().collect();
+        for zone in (0..self.zones.len()).filter(|zone| self.is_cut_off(*zone, now)) {
+            let types = 0..self.types.len();
+            offers.extend(types.flat_map(|ty| [false, true].map(|spot| MachineOffer { ty, zone, spot })));
+        }
+        offers
+    }
+
+    /// Whether most of a zone's machines are silent.
+    fn is_cut_off(&self, zone: usize, now: Steady) -> bool {
+        let max_silence = self.heartbeat_interval().scale(SILENT_INTERVALS);
+        let up = || self.machines.values().filter(|m| m.up && m.zone == zone && !m.leaving);
+        let silent = up().filter(|m| now - m.report > max_silence).count();
+        silent >= MIN_SILENT_IN_CUT_OFF_ZONE && silent * 2 > up().count()
+    }
+
+    /// The operator's settings for scaling.
+    fn scaling_policy(&self) -> ScalingPolicy {
+        let operator = &self.cfg.operator;
+        ScalingPolicy {
+            drain_time: Micros::from_secs(operator.drain_s),
+            idle_timeout: Micros::from_secs(operator.idle_s),
+            warm_idle_timeout: Micros::from_secs(operator.idle_protected_s),
+            deadline_idle_timeout: Micros::from_secs(operator.idle_deadline_s),
+            max_boot_factor: operator.slow_boot,
+        }
+    }
+
+    /// Marks a machine as leaving if no task is on it.
+    fn remove_idle(&mut self, id: &MachineId) {
+        if let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.tasks.is_empty()) {
+            tracing::info!(machine = %machine.id, reason = "idle", "scale in");
+            machine.leaving = true;
+        }
+    }
+
+    /// Records that the cloud refused an offer, which is not asked for again before `until`.
+    pub fn note_offer_refused(&mut self, offer: MachineOffer, until: Steady) {
+        self.refused.insert(offer, until);
+    }
+}
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -83,7 +83,7 @@
         if m.tasks.values().any(|e| e.live() && e.stop.is_some()) {
             return None;
         }
-        self.room(m, now, 0, Resources::default()).filter(|r| r.free.cpus > 0.0)
+        self.machine_snapshot(m, now).filter(|r| r.free.cpus > 0.0)
     }
 
     /// Starts up to so many waiting tasks of a job on the machine that is being answered; returns how
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -53,7 +53,7 @@
             job.high_wanted = job.spec.tasks;
         }
         let need = need_of(&job.spec);
-        self.demand(&job.spec, now);
+        self.note_submitted(&job.spec, now);
         // Tasks of the job may have been reported before its record was known.
         for m in self.machines.values_mut() {
             for (_, e) in m.tasks.range_mut((id.clone(), 0, 0)..=(id.clone(), u32::MAX, u64::MAX)) {
--- a/src/fleet/team_use.rs
+++ b/src/fleet/team_use.rs
@@ -1,102 +1,114 @@
-//! What the teams use of their limits. All that may be somewhere counts.
+//! What the teams use of their quotas. All tasks that are or may be on a machine count.
 
-use super::*;
+use super::{need_of, Fleet, Machine};
+use crate::config::Team;
+use crate::jobs::{Job, JobId};
+use crate::sched::{Resources, TeamUse};
+
+/// Counted against every team for a machine of which nothing is known, not even its type: it leaves
+/// none of their quotas.
+const UNKNOWN_USE: Resources = Resources { cpus: 1e9, gpus: 1e9, memory: 0.0 };
 
 impl Fleet {
-    /// The use of all teams for a plan, with the places promised to their gangs.
+    /// The use of all teams for a plan, with the places reserved for their gangs.
     pub(super) fn team_uses(&mut self) -> Vec<TeamUse> {
         // Counted anew with each plan, so that what has ended is seen.
         self.uses.clear();
-        self.uses_with_promises()
+        self.uses_with_reservations()
     }
 
-    /// The use of all teams at this moment; none if no team is limited.
+    /// The use of all teams at this moment; empty if no team has a quota.
     pub(super) fn current_team_uses(&mut self) -> Vec<TeamUse> {
-        if self.cfg.platform.settings.teams.iter().any(is_limited) {
-            self.uses_with_promises()
+        if self.cfg.platform.settings.teams.iter().any(has_quota) {
+            self.uses_with_reservations()
         } else {
             Vec::new()
         }
     }
 
-    /// What a team uses, against its limit. Kept between plans: starts are added, ends only lower it,
-    /// and all else that may raise it empties it.
+    /// What a team uses, against its quota. Cached between plans: starts are added, ends only lower it,
+    /// and all else that may raise it clears the cache.
     pub(super) fn team_use(&mut self, name: &str) -> TeamUse {
-        let Some((at, _)) = self.team(name) else { return TeamUse::default() };
-        self.use_of(at)
+        let Some((index, _)) = self.team(name) else { return TeamUse::default() };
+        self.use_of(index)
     }
 
-    /// Adds a started task to its team's use, if that is counted at present.
+    /// Adds a started task to its team's use, if that is cached.
     pub(super) fn add_use(&mut self, team: &str, need: &Resources) {
-        let Some((at, _)) = self.team(team) else { return };
-        if let Some(used) = self.uses.get_mut(at) {
+        let Some((index, _)) = self.team(team) else { return };
+        if let Some(used) = self.uses.get_mut(index) {
             *used = used.plus(need, 1);
         }
     }
 
-    fn uses_with_promises(&mut self) -> Vec<TeamUse> {
+    fn uses_with_reservations(&mut self) -> Vec<TeamUse> {
         let count = self.cfg.platform.settings.teams.len();
-        let mut teams: Vec<TeamUse> = (0..count).map(|at| self.use_of(at)).collect();
-        // Places promised to gangs count against their teams' limits: nothing lower takes them.
-        for j in self.jobs.values() {
-            let (Some(g), Some((at, _))) = (&j.gang, self.team(&j.spec.team)) else { continue };
-            let unsent = g.places.len() as u32 - g.sent.len().min(g.places.len() as u32);
-            if let Some(t) = teams.get_mut(at) {
-                t.used = t.used.plus(&need_of(&j.spec), unsent);
+        let mut teams: Vec<TeamUse> = (0..count).map(|index| self.use_of(index)).collect();
+        // Places reserved for gangs count against their teams' quotas: lower priorities do not take them.
+        for job in self.jobs.values() {
+            let (Some(gang), Some((index, _))) = (&job.gang, self.team(&job.spec.team)) else { continue };
+            let places = gang.places.len() as u32;
+            let unsent = places - gang.sent.len().min(places);
+            if let Some(team) = teams.get_mut(index) {
+                team.used = team.used.plus(&need_of(&job.spec), unsent);
             }
         }
         teams
     }
 
-    /// What a team uses, by its index. That of a team without limits is not counted.
-    fn use_of(&mut self, at: usize) -> TeamUse {
-        let team = &self.cfg.platform.settings.teams[at];
+    /// What a team uses, by its index. That of a team without a quota is not counted.
+    fn use_of(&mut self, index: usize) -> TeamUse {
+        let team = &self.cfg.platform.settings.teams[index];
         let (cpus_max, gpus_max) = (team.cpus_max, team.gpus_max);
-        if !is_limited(team) {
+        if !has_quota(team) {
             return TeamUse { used: Resources::default(), cpus_max, gpus_max };
         }
         if self.uses.is_empty() {
             self.uses = self.count_uses();
         }
-        TeamUse { used: self.uses[at], cpus_max, gpus_max }
+        TeamUse { used: self.uses[index], cpus_max, gpus_max }
     }
 
     /// What all teams use, in one pass over all tasks: with a pass for each team, counting took a third
-    /// of the owner's processor time where eight teams are limited.
+    /// of the leader's processor time where eight teams have quotas.
     fn count_uses(&self) -> Vec<Resources> {
         let count = self.cfg.platform.settings.teams.len();
-        let mut uses = vec![Resources::default(); count];
-        let mut of_all = Resources::default();
-        for m in self.machines.values() {
-            if !m.heard || m.unknown_use() {
-                // Nothing is known of what is there: it may all be any team's.
-                let unknown = Resources { cpus: 1e9, gpus: 1e9, memory: 0.0 };
-                of_all = of_all.plus(&m.ty.map_or(unknown, |t| self.total(t)), 1);
-                continue;
+        let mut by_team = vec![Resources::default(); count];
+        // Tasks of unknown jobs, and machines with unknown tasks: they may be any team's.
+        let mut unknown = Resources::default();
+        for machine in self.machines.values() {
+            if !machine.heard || machine.unknown_use() {
+                unknown = unknown.plus(&machine.ty.map_or(UNKNOWN_USE, |ty| self.total(ty)), 1);
+            } else {
+                self.count_tasks(machine, &mut by_team, &mut unknown);
             }
-            // The tasks of a job stand together.
-            let mut job: Option<(&JobId, Option<&Job>)> = None;
-            for (key, entry) in m.tasks.iter().filter(|x| x.1.live()) {
-                let Some(need) = entry.need else { continue };
-                let known = match job {
-                    Some((id, known)) if *id == key.0 => known,
-                    _ => self.jobs.get(&key.0),
-                };
-                job = Some((&key.0, known));
-                match known {
-                    None => of_all = of_all.plus(&need, 1),
-                    Some(j) => {
-                        if let Some((at, _)) = self.team(&j.spec.team) {
-                            uses[at] = uses[at].plus(&need, 1);
-                        }
-                    }
-                }
+        }
+        by_team.into_iter().map(|used| used.plus(&unknown, 1)).collect()
+    }
+
+    /// Adds the live tasks of a machine to what their teams use.
+    fn count_tasks(&self, machine: &Machine, by_team: &mut [Resources], unknown: &mut Resources) {
+        // Tasks are ordered by job: each job is looked up once.
+        let mut latest: Option<(&JobId, Option<&Job>)> = None;
+        for (key, task) in machine.tasks.iter().filter(|(_, task)| task.live()) {
+            let Some(need) = task.need else { continue };
+            let job = match latest {
+                Some((id, job)) if *id == key.0 => job,
+                _ => self.jobs.get(&key.0),
+            };
+            latest = Some((&key.0, job));
+            let Some(job) = job else {
+                *unknown = unknown.plus(&need, 1);
+                continue;
+            };
+            if let Some((index, _)) = self.team(&job.spec.team) {
+                by_team[index] = by_team[index].plus(&need, 1);
             }
         }
-        uses.into_iter().map(|used| used.plus(&of_all, 1)).collect()
     }
 }
 
-fn is_limited(team: &Team) -> bool {
+/// Whether a team has a quota: 0 means none.
+fn has_quota(team: &Team) -> bool {
     team.cpus_max > 0.0 || team.gpus_max > 0.0
 }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -251,7 +251,7 @@
             }
         }
         (Some(RECENT_KEY), None, None) => match serde_json::from_value(row.value) {
-            Ok(list) => fleet.inherit_recent(list, now, wall),
+            Ok(list) => fleet.inherit_recent_jobs(list, now, wall),
             Err(e) => unreadable(&row.key, &e),
         },
         (Some(HISTORY), Some(bucket), None) => {
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -132,7 +132,7 @@
         }
         PendingWrite::Done(id, chunk) => compose_done(fleet, item, id, *chunk),
         PendingWrite::Recent => {
-            let list = fleet.recent(now, wall, fleet.value_bytes().saturating_sub(VALUE_SLACK));
+            let list = fleet.recent_job_records(now, wall, fleet.value_bytes().saturating_sub(VALUE_SLACK));
             Some(Write::new(item, Vec::new(), vec![Change::put(RECENT_KEY, json!(list))]))
         }
         PendingWrite::Orphan(key, mod_revision) => Some(compose_drop(item, key.clone(), *mod_revision)),
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -74,7 +74,7 @@
 
     /// Rents as the owner asks, fifty at a time, up to what the cloud has.
     fn rent(&mut self) {
-        for (offer, count) in self.owner.fleet.capacity(self.now, wall_at(self.now)) {
+        for (offer, count) in self.owner.fleet.decide_scaling(self.now, wall_at(self.now)) {
             let mut left = (count as usize).min(MACHINES - self.workers.len());
             while left > 0 {
                 let names: Vec<String> = (0..left.min(MACHINES_PER_RENTAL))
@@ -163,7 +163,7 @@
 
     /// Returns what the owner gives back, a hundred at a time; how many.
     fn return_machines(&mut self) -> usize {
-        self.owner.fleet.capacity(self.now, wall_at(self.now));
+        self.owner.fleet.decide_scaling(self.now, wall_at(self.now));
         let leaving = self.owner.fleet.leaving();
         for part in leaving.chunks(100) {
             self.owner.fleet.returned(part, self.now);
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -183,7 +183,7 @@
         }
         let is_returned = |_: &usize| {
             s.step(&[]);
-            s.fleet.capacity(s.now, Wall(s.now.0));
+            s.fleet.decide_scaling(s.now, Wall(s.now.0));
             !s.fleet.leaving().is_empty()
         };
         (1..=30).find(is_returned)
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -479,16 +479,16 @@
     let mut f = fleet(7);
     f.job_put(record(hasty), 1, START);
     assert!(f.pending(at(20.0), Micros::ZERO, 1000).contains(&PendingWrite::Recent));
-    let list = f.recent(at(20.0), wall(20.0), 4000);
+    let list = f.recent_job_records(at(20.0), wall(20.0), 4000);
     assert_eq!(list.len(), 1);
     let mut next = fleet(8);
-    next.inherit_recent(list, at(30.0), wall(30.0));
-    let again = next.recent(at(30.0), wall(30.0), 4000);
+    next.inherit_recent_jobs(list, at(30.0), wall(30.0));
+    let again = next.recent_job_records(at(30.0), wall(30.0), 4000);
     assert_eq!(
         (again[0].at_us, again[0].starts_before_boot, &again[0].types[..]),
         (wall(0.0).0, true, &["large".to_string()][..])
     );
-    assert!(f.recent(at(20.0), wall(20.0), 50).is_empty(), "a list that does not fit a value");
+    assert!(f.recent_job_records(at(20.0), wall(20.0), 50).is_empty(), "a list that does not fit a value");
 }
 
 /// After each takeover nothing idle was returned for a minute, since every machine seemed new.
@@ -499,7 +499,7 @@
     orders(&mut f, 0.5, &report("i-1", 9, 9, &[]));
     let idle = |f: &mut Fleet, s: f64| {
         orders(f, s, &report("i-1", 10 + s as u64, 9, &[]));
-        let _ = f.capacity(at(s), wall(s));
+        let _ = f.decide_scaling(at(s), wall(s));
         f.leaving().len()
     };
     assert_eq!(idle(&mut f, 20.0), 0, "as far as is known it has just been rented");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -161,7 +161,7 @@
         fleet.history.factor(&EstimateKey { team: "free".into(), stated: Micros(20_000_000) }, WALL),
         0.6
     );
-    let recent = fleet.recent(NOW, WALL, 4000);
+    let recent = fleet.recent_job_records(NOW, WALL, 4000);
     assert!(recent.iter().any(|d| d.extra_machines == 3 && d.types == ["large"]), "{recent:?}");
     // The list of recent jobs has been added to; nothing else is written for a takeover alone.
     let written = waiting(&mut fleet, 19, LATER);
