--- a/src/controller/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -53,7 +53,8 @@
                 let mut shared = self.lock();
                 let Some(leadership) = shared.leadership_with(fencing_token) else { return };
                 let fleet = &mut leadership.fleet;
-                let Some(change) = fleet.loans.guest.next_change(request, &fleet.local_tasks()) else {
+                let Some(change) = fleet.loans.borrower_ledger.next_change(request, &fleet.local_tasks())
+                else {
                     return;
                 };
                 if fleet.loans.is_returning(&change.job) {
@@ -62,7 +63,7 @@
                 if let Some(why) = &change.refusal {
                     tracing::info!(job = %change.job, home = %change.lender, %why, "loan refused");
                 }
-                fleet.begin_guest_change(change)
+                fleet.begin_borrower_change(change)
             };
             tracing::debug!(job = write.job(), home = %request.from, "borrowed job changed");
             if self.write_loan(fencing_token, write) == LoanOutcome::Unknown {
@@ -106,7 +107,7 @@
 
 fn loan_reply(cells: &CellsSettings, leadership: &Leadership, request: &LoanSyncRequest) -> LoanReply {
     let fleet = &leadership.fleet;
-    let reports = fleet.loans.guest.reports(request, |job| fleet.recorded_done(job));
+    let reports = fleet.loans.borrower_ledger.reports(request, |job| fleet.recorded_done(job));
     LoanReply {
         from: cells.name.clone(),
         term: leadership.claim.fencing_token,
--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -51,7 +51,7 @@
                 let leader = shared.leader.as_ref().map(|l| l.label.clone()).unwrap_or_default();
                 return Response::json(421, &Redirect { leader });
             };
-            let loans = leadership.fleet.loans.home.loans_with(cell);
+            let loans = leadership.fleet.loans.lender_ledger.loans_with(cell);
             let jobs: BTreeMap<String, u32> = loans.fold(BTreeMap::new(), |mut jobs, (job, loan)| {
                 let done = leadership.fleet.done_tasks(job);
                 *jobs.entry(job.to_string()).or_default() += loan.tasks.difference(&done).len();
@@ -75,7 +75,9 @@
         let write = {
             let mut shared = self.lock();
             let Some(leadership) = shared.leadership_with(fencing_token) else { return false };
-            let Some(lending) = leadership.fleet.loans.home.without_borrower(job, cell) else { return true };
+            let Some(lending) = leadership.fleet.loans.lender_ledger.without_borrower(job, cell) else {
+                return true;
+            };
             leadership.fleet.settle_loan(job, lending)
         };
         write.is_some_and(|write| self.write_loan(fencing_token, write) == LoanOutcome::Written)
@@ -95,7 +97,7 @@
         };
         lending.loans.iter().map(loan).collect::<Vec<_>>()
     };
-    fleet.loans.home.jobs().flat_map(of_job).collect()
+    fleet.loans.lender_ledger.jobs().flat_map(of_job).collect()
 }
 
 fn borrowed(fleet: &Fleet) -> Vec<BorrowedStatus> {
@@ -108,7 +110,7 @@
             done: tasks.intersection(&fleet.recorded_done(job)).len(),
         }
     };
-    fleet.loans.guest.jobs().map(of_job).collect()
+    fleet.loans.borrower_ledger.jobs().map(of_job).collect()
 }
 
 /// Tasks finished for each cell: those of closed loans are recorded with the cell, the others still count
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -102,7 +102,7 @@
             }
         }
         let has_loans = match &self.lock().leadership {
-            Some(leadership) => leadership.fleet.loans.home.jobs().next().is_some(),
+            Some(leadership) => leadership.fleet.loans.lender_ledger.jobs().next().is_some(),
             None => false,
         };
         has_loans || wants_to_lend
@@ -126,7 +126,8 @@
             let fleet = &leadership.fleet;
             let wish = |job: &str, loan: &Loan| recall_or_run(fleet, job, loan, backlog_s);
             let offer = |job: &str, number| fleet.loans.offer(job, number);
-            let request = fleet.loans.home.request(&cells.name, &cell.name, fencing_token, wish, offer);
+            let request =
+                fleet.loans.lender_ledger.request(&cells.name, &cell.name, fencing_token, wish, offer);
             drop(shared);
             let message = Message::Lend(request_to_proto(&request));
             let waiting = self.peers.begin(first_address + controller, message, CELL_TIMEOUT);
@@ -203,11 +204,13 @@
             let mut shared = self.lock();
             let Some(leadership) = shared.leadership_with(fencing_token) else { return };
             let fleet = &mut leadership.fleet;
-            let settled =
-                fleet.loans.home.change_for_report(&cell.name, report, |job| fleet.recorded_done(job));
+            let settled = fleet
+                .loans
+                .lender_ledger
+                .change_for_report(&cell.name, report, |job| fleet.recorded_done(job));
             match settled {
                 Ok(Some(settlement)) => {
-                    fleet.loans.note_decided_by_guest(report.number);
+                    fleet.loans.note_decided_by_borrower(report.number);
                     fleet.lent_tasks_done(&settlement.job, &settlement.done);
                     settlement.lending.and_then(|lending| fleet.settle_loan(&settlement.job, lending))
                 }
@@ -226,7 +229,7 @@
 
     fn settle_loan(&self, fencing_token: u64, cell: &OtherCell, write: LoanWrite) {
         let job = write.job().to_string();
-        let is_end = matches!(&write, LoanWrite::Home { record, .. } if record.lending.is_cancelled());
+        let is_end = matches!(&write, LoanWrite::Lender { record, .. } if record.lending.is_cancelled());
         if self.write_loan(fencing_token, write) == LoanOutcome::Written {
             tracing::debug!(%job, cell = %cell.name, "loan settled");
             if is_end {
@@ -254,8 +257,8 @@
             let fleet = &mut leadership.fleet;
             let Some(candidate) = fleet.lending_candidate(&summary, wall()) else { return };
             let count = match &choice.script {
-                Some(script) => script.task_count(&candidate.view),
-                None => candidate.view.default_task_count(),
+                Some(script) => script.task_count(&candidate.inputs),
+                None => candidate.inputs.default_task_count(),
             };
             fleet.begin_loan(&candidate, count, &cell.name)
         };
@@ -287,7 +290,7 @@
 /// Whether a guest has not decided on a loan yet, or holds as many as one message names.
 fn has_undecided(leadership: &Leadership, cell: &str) -> bool {
     let loans = &leadership.fleet.loans;
-    let open: Vec<_> = loans.home.loans_with(cell).collect();
+    let open: Vec<_> = loans.lender_ledger.loans_with(cell).collect();
     open.len() >= MAX_LOANS / 2 || open.iter().any(|(job, loan)| loans.offer(job, loan.number).is_some())
 }
 
--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -93,7 +93,7 @@
             leadership::learn(fleet, &key, row, self.now());
         }
         let job = write.job();
-        let is_guest = matches!(write, LoanWrite::Guest { .. });
+        let is_guest = matches!(write, LoanWrite::Borrower { .. });
         if is_guest && keys.iter().any(|key| *key == job_key(job) || *key == final_key(job)) {
             fleet.note_known_job(job);
         }
--- /dev/null
+++ b/src/fleet/borrow_admission.rs
@@ -0,0 +1,130 @@
+//! What this cell takes on for other cells: the capacity it announces, and which of the tasks that are
+//! offered to it are admitted.
+
+use std::collections::BTreeMap;
+
+use milletlock_cells::{
+    BorrowRefusal, BorrowedJob, CellSummary, LoanItem, LoanOffer, LocalTasks, TaskSet, SUMMARY_FORMAT,
+};
+
+use super::borrowing::is_array_without_rules;
+use super::{never_runs, Fleet};
+use crate::time::Wall;
+use crate::wire::JobSpec;
+
+/// A cell with more of its own array work waiting than this borrows nothing, in seconds of its machines.
+const MAX_BACKLOG_S: f64 = 1.0;
+
+impl Fleet {
+    /// The summary of this cell's capacity for the other cells.
+    pub fn cell_summary(&self, wall: Wall) -> CellSummary {
+        let backlog_s = self.array_backlog_s();
+        let mut free_cpus: BTreeMap<String, f64> =
+            self.types.iter().map(|ty| (ty.name.clone(), 0.0)).collect();
+        for machine in self.machines.values().filter(|m| m.up && !m.leaving && !m.expired) {
+            let Some(ty) = machine.ty else { continue };
+            let free = machine.free(self.total(ty)).cpus.max(0.0);
+            *free_cpus.entry(machine.ty_name.clone()).or_default() += free;
+        }
+        CellSummary {
+            format: SUMMARY_FORMAT,
+            composed_us: wall.0,
+            free_cpus,
+            spare_cpus: if backlog_s > MAX_BACKLOG_S { 0.0 } else { self.spare_cpus() },
+            backlog_s,
+        }
+    }
+
+    /// Processors' worth of tasks that may still be borrowed.
+    fn spare_cpus(&self) -> f64 {
+        let Some(cells) = &self.cfg.operator.cells else { return 0.0 };
+        let held_cpus = |(id, record): (&String, &BorrowedJob)| {
+            let Some(job) = self.jobs.get(id.as_str()) else { return 0.0 };
+            f64::from(record.tasks().difference(&job.done.task_set()).len()) * job.spec.cpus
+        };
+        let held: f64 = self.loans.borrower_ledger.jobs().map(held_cpus).sum();
+        (cells.borrow_cpus - held).max(0.0)
+    }
+
+    /// This cell's tasks as its borrower ledger asks for them.
+    pub fn local_tasks(&self) -> BorrowedTasks<'_> {
+        BorrowedTasks { fleet: self, backlog_s: self.array_backlog_s() }
+    }
+}
+
+/// The borrowed tasks of a cell, for its borrower ledger.
+pub struct BorrowedTasks<'a> {
+    fleet: &'a Fleet,
+    backlog_s: f64,
+}
+
+impl BorrowedTasks<'_> {
+    /// The job that an offer describes.
+    fn parse(item: &LoanItem, offer: &LoanOffer) -> Result<JobSpec, BorrowRefusal> {
+        let spec = JobSpec::parse(offer.description.to_string().as_bytes())
+            .map_err(|e| BorrowRefusal::MalformedDescription(e.to_string()))?;
+        if spec.id != item.job || spec.tasks != offer.job_tasks {
+            return Err(BorrowRefusal::MalformedDescription("the job differs from its description".into()));
+        }
+        Ok(spec)
+    }
+
+    /// Whether a job of this id was accepted in this cell.
+    fn is_own_job(&self, id: &str) -> bool {
+        let loans = &self.fleet.loans;
+        let is_live = self.fleet.jobs.get(id).is_some_and(|job| job.borrowed_from.is_none());
+        is_live || loans.known.contains(id) || loans.lent.contains_key(id)
+    }
+
+    /// Whether this cell may ever run tasks of a job for another cell.
+    fn check_job(&self, spec: &JobSpec) -> Result<(), BorrowRefusal> {
+        let fleet = self.fleet;
+        if !is_array_without_rules(spec) {
+            return Err(BorrowRefusal::NotBorrowable);
+        }
+        let cells = fleet.cfg.operator.cells.as_ref();
+        if !cells.is_some_and(|cells| cells.borrows(spec.class.as_ref())) {
+            return Err(BorrowRefusal::ClassNotBorrowed(spec.class.clone().unwrap_or_default()));
+        }
+        match never_runs(spec, &fleet.cfg, &fleet.types) {
+            Some(reason) => Err(BorrowRefusal::NotRunnable(reason)),
+            None => Ok(()),
+        }
+    }
+
+    /// Whether this cell has capacity now for the tasks of a loan, and their record fits a value.
+    fn check_capacity(&self, item: &LoanItem, spec: &JobSpec) -> Result<(), BorrowRefusal> {
+        let fleet = self.fleet;
+        let cpus = f64::from(item.tasks.len()) * spec.cpus;
+        let record = fleet.loans.borrower_ledger.job(&item.job);
+        let loans = record.map(|record| record.loans.as_slice()).unwrap_or_default();
+        let held = loans.iter().map(|loan| loan.tasks.len());
+        let fits_record = item.tasks.len() <= fleet.tasks_that_fit(spec, held);
+        if !fits_record || self.backlog_s > MAX_BACKLOG_S || cpus > fleet.spare_cpus() {
+            return Err(BorrowRefusal::NoCapacity(item.tasks.len()));
+        }
+        Ok(())
+    }
+}
+
+impl LocalTasks for BorrowedTasks<'_> {
+    /// A waiting task may have been started by an earlier leader and stopped since, unless it is above the
+    /// mark that this leader found: a task below that counts as begun.
+    fn unstarted(&self, job: &str, tasks: &TaskSet) -> TaskSet {
+        let Some(job) = self.fleet.jobs.get(job).filter(|job| job.borrowed_from.is_some()) else {
+            return TaskSet::new();
+        };
+        let has_not_begun =
+            |task: &u32| *task >= job.inherited && job.waiting.contains(*task) && !job.begun.contains(*task);
+        tasks.iter().filter(has_not_begun).collect()
+    }
+
+    fn admit(&self, item: &LoanItem, offer: &LoanOffer) -> Result<(), BorrowRefusal> {
+        let spec = Self::parse(item, offer)?;
+        if self.is_own_job(&item.job) {
+            return Err(BorrowRefusal::JobIdInUse);
+        }
+        self.check_job(&spec)?;
+        self.check_capacity(item, &spec)
+    }
+}
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -1,137 +1,150 @@
-//! Array tasks that are lent to other cells or borrowed from them: the ledgers, and what they mean for the
-//! jobs here.
+//! Array tasks that are lent to other cells or borrowed from them: the ledgers, and which tasks of the
+//! jobs here must not start because of them.
+
+use std::collections::{BTreeMap, BTreeSet};
 
 use milletlock_cells::{
     BorrowerChange, BorrowerLedger, LenderLedger, Lending, LoanNumber, LoanOffer, TaskSet,
 };
 
-use super::*;
-use crate::records::LenderRecord;
+use super::Fleet;
+use crate::jobs::JobId;
+use crate::records::{JobRecord, LenderRecord};
+use crate::time::{Steady, Wall};
 
-/// Most decided loans, and refused ids, that are remembered beyond what the records say.
+/// Most decided loans, and refused job ids, that are remembered beyond what the records say.
 pub(super) const MAX_REMEMBERED: usize = 4_096;
 
-/// A change of the records of loans, on its way to the state service.
+/// A change of the records of loans, on its way to the state store.
 #[derive(Clone, Debug)]
 pub enum LoanWrite {
-    /// What a job's record at its home says of loans.
-    Home {
+    /// As the lender: what the record of a job of this cell says of its loans.
+    Lender {
         /// The job.
         job: JobId,
         /// Its record from now on.
         record: Box<JobRecord>,
-        /// The version that it replaces.
+        /// The revision of the record that it replaces.
         mod_revision: u64,
-        /// The loan that is made by it, if one is.
-        made: Option<LoanNumber>,
+        /// The loan that it makes, if it makes one.
+        new_loan: Option<LoanNumber>,
     },
-    /// What is kept of a borrowed job and of the cell it comes from.
-    Guest {
+    /// As the borrower: the records of a borrowed job and of the cell it comes from.
+    Borrower {
         /// The change of the ledger.
         change: Box<BorrowerChange>,
-        /// The version of the job's record that it replaces; 0: this cell has none from that home.
-        job_stamp: u64,
-        /// What is kept of the cell from now on.
+        /// The revision of the job's record that it replaces; 0: this cell has none from that lender.
+        job_revision: u64,
+        /// The record of the lender from now on.
         lender: LenderRecord,
-        /// The version of what was kept of it.
-        lender_stamp: u64,
+        /// The revision of the lender's record that it replaces.
+        lender_revision: u64,
     },
 }
 
 impl LoanWrite {
-    /// The job that it is about.
+    /// The id of the job whose loans it changes.
     pub fn job(&self) -> &str {
         match self {
-            LoanWrite::Home { job, .. } => job,
-            LoanWrite::Guest { change, .. } => &change.job,
+            LoanWrite::Lender { job, .. } => job,
+            LoanWrite::Borrower { change, .. } => &change.job,
         }
     }
 }
 
-/// A record of a job of which something is lent, with its version.
+/// The record of a job of which tasks are lent, with its revision.
 #[derive(Debug)]
 pub(super) struct LentJob {
     pub(super) record: JobRecord,
     pub(super) mod_revision: u64,
 }
 
+/// The record of a cell from which tasks are borrowed, with its revision; 0: none is written yet.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct KnownLender {
+    pub(super) record: LenderRecord,
+    pub(super) mod_revision: u64,
+}
+
 /// Loans made and held, as recorded.
 #[derive(Debug)]
 pub struct Loans {
     /// Loans that this cell has made.
-    pub home: LenderLedger,
-    /// Loans that it holds.
-    pub guest: BorrowerLedger,
+    pub lender_ledger: LenderLedger,
+    /// Loans that this cell holds.
+    pub borrower_ledger: BorrowerLedger,
+    /// Jobs of this cell of which tasks are lent.
     pub(super) lent: BTreeMap<JobId, LentJob>,
-    pub(super) lenders: BTreeMap<String, (LenderRecord, u64)>,
-    /// Versions of the records of borrowed jobs.
+    /// By name: the cells from which tasks are or were borrowed.
+    pub(super) lenders: BTreeMap<String, KnownLender>,
+    /// Revisions of the records of borrowed jobs.
     pub(super) borrowed: BTreeMap<String, u64>,
     /// Tasks of own jobs that are withheld for a write in flight, by job.
     pub(super) lending_in_flight: BTreeMap<JobId, TaskSet>,
     /// Tasks of borrowed jobs that are withheld for a write in flight, by job.
     pub(super) returning_in_flight: BTreeMap<JobId, TaskSet>,
-    /// Writes without an answer, which are sent again until they have one.
+    /// Writes whose outcome is unknown, which are sent again until it is known.
     unresolved: Vec<LoanWrite>,
-    /// Loans that their guests have said they hold.
-    accepted: BTreeSet<LoanNumber>,
-    /// Jobs that are known here from elsewhere, as a failed write showed.
+    /// Loans on which their borrowers have decided.
+    decided: BTreeSet<LoanNumber>,
+    /// Ids of jobs that were accepted in this cell, as a failed write showed.
     pub(super) known: BTreeSet<String>,
 }
 
 impl Loans {
     pub(super) fn new(fencing_token: u64) -> Loans {
         Loans {
-            home: LenderLedger::new(fencing_token),
-            guest: BorrowerLedger::default(),
+            lender_ledger: LenderLedger::new(fencing_token),
+            borrower_ledger: BorrowerLedger::default(),
             lent: BTreeMap::new(),
             lenders: BTreeMap::new(),
             borrowed: BTreeMap::new(),
             lending_in_flight: BTreeMap::new(),
             returning_in_flight: BTreeMap::new(),
             unresolved: Vec::new(),
-            accepted: BTreeSet::new(),
+            decided: BTreeSet::new(),
             known: BTreeSet::new(),
         }
     }
 
-    /// Whether a write about an own job has no answer yet.
+    /// Whether the outcome of a write about an own job is not known yet.
     pub fn is_lending(&self, job: &str) -> bool {
         self.lending_in_flight.contains_key(job)
     }
 
-    /// Whether a write about a borrowed job has no answer yet.
+    /// Whether the outcome of a write about a borrowed job is not known yet.
     pub fn is_returning(&self, job: &str) -> bool {
         self.returning_in_flight.contains_key(job)
     }
 
     fn in_flight(&mut self, write: &LoanWrite) -> &mut BTreeMap<JobId, TaskSet> {
         match write {
-            LoanWrite::Home { .. } => &mut self.lending_in_flight,
-            LoanWrite::Guest { .. } => &mut self.returning_in_flight,
+            LoanWrite::Lender { .. } => &mut self.lending_in_flight,
+            LoanWrite::Borrower { .. } => &mut self.returning_in_flight,
         }
     }
 
-    /// Takes the writes that have no answer, to be sent again.
+    /// Takes the writes whose outcome is unknown, to be sent again.
     pub fn take_unresolved(&mut self) -> Vec<LoanWrite> {
         std::mem::take(&mut self.unresolved)
     }
 
-    /// A guest holds a loan or has closed it: the job need not be described to it any more.
-    pub fn note_decided_by_guest(&mut self, number: LoanNumber) {
-        self.accepted.insert(number);
-        if self.accepted.len() > MAX_REMEMBERED {
+    /// Notes that a borrower holds a loan or has closed it: the job need not be described to it any more.
+    pub fn note_decided_by_borrower(&mut self, number: LoanNumber) {
+        self.decided.insert(number);
+        if self.decided.len() > MAX_REMEMBERED {
             let is_open = |number: &LoanNumber| {
-                self.lent
-                    .values()
-                    .any(|lent| lent.record.lending.loans.iter().any(|loan| loan.number == *number))
+                let mut loans = self.lent.values().flat_map(|lent| &lent.record.lending.loans);
+                loans.any(|loan| loan.number == *number)
             };
-            self.accepted.retain(is_open);
+            self.decided.retain(is_open);
         }
     }
 
-    /// The job to be described to a guest with a loan, unless the guest has decided on that.
+    /// The description of the job that goes to a borrower with a loan; none if the borrower has decided
+    /// on the loan, or the job is not lent.
     pub fn offer(&self, job: &str, number: LoanNumber) -> Option<LoanOffer> {
-        if self.accepted.contains(&number) {
+        if self.decided.contains(&number) {
             return None;
         }
         let spec = &self.lent.get(job)?.record.spec;
@@ -139,24 +152,24 @@
         Some(LoanOffer { description, job_tasks: spec.tasks })
     }
 
-    /// What is kept of the cells from which tasks are borrowed.
+    /// By name: the records of the cells from which tasks are or were borrowed.
     pub fn lenders(&self) -> impl Iterator<Item = (&String, &LenderRecord)> {
-        self.lenders.iter().map(|(cell, (record, _))| (cell, record))
+        self.lenders.iter().map(|(cell, lender)| (cell, &lender.record))
     }
 
-    pub(super) fn lender(&self, cell: &str) -> (LenderRecord, u64) {
+    pub(super) fn lender(&self, cell: &str) -> KnownLender {
         self.lenders.get(cell).copied().unwrap_or_default()
     }
 }
 
 impl Fleet {
-    /// Takes what a job's record says of loans. Of a job that is being cancelled nothing may run.
+    /// Takes in what a job's record says of loans. Of a job that is being cancelled nothing may run.
     pub(super) fn apply_lending(&mut self, record: &JobRecord, mod_revision: u64) {
         let id: JobId = record.spec.id.as_str().into();
-        if record.lending.is_empty() && self.loans.home.lending(&id).is_none() {
+        if record.lending.is_empty() && self.loans.lender_ledger.lending(&id).is_none() {
             return;
         }
-        self.loans.home.load(&id, record.lending.clone());
+        self.loans.lender_ledger.load(&id, record.lending.clone());
         if record.lending.is_empty() {
             self.loans.lent.remove(&id);
         } else {
@@ -165,9 +178,9 @@
         self.update_withheld(&id);
     }
 
-    /// A job's record is gone, and its loans with it.
+    /// Drops the loans of a job whose record is gone.
     pub(super) fn end_lending(&mut self, id: &str) {
-        self.loans.home.remove(id);
+        self.loans.lender_ledger.remove(id);
         self.loans.lent.remove(id);
     }
 
@@ -177,13 +190,14 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         let (recorded, in_flight) = match job.borrowed_from {
             Some(_) => {
-                let held = self.loans.guest.job(id).map(|record| record.tasks()).unwrap_or_default();
+                let record = self.loans.borrower_ledger.job(id);
+                let held = record.map(|record| record.tasks()).unwrap_or_default();
                 let not_held = TaskSet::span(0, job.spec.tasks).difference(&held);
                 (not_held, &self.loans.returning_in_flight)
             }
             None => {
-                let lent = self.loans.home.lending(id).map(Lending::tasks).unwrap_or_default();
-                (lent, &self.loans.lending_in_flight)
+                let lending = self.loans.lender_ledger.lending(id);
+                (lending.map(Lending::tasks).unwrap_or_default(), &self.loans.lending_in_flight)
             }
         };
         let in_flight = in_flight.get(id).cloned().unwrap_or_default();
@@ -201,13 +215,13 @@
         self.jobs.get(id).map(|job| job.done.task_set()).unwrap_or_default()
     }
 
-    /// A write of loans was applied.
+    /// Takes in a write of loans that was applied at a revision.
     pub fn loan_written(&mut self, write: &LoanWrite, revision: u64, now: Steady, wall: Wall) {
         self.loans.in_flight(write).remove(write.job());
         match write {
-            LoanWrite::Home { job, record, made, .. } => {
-                if let Some(number) = made {
-                    self.loans.home.write_resolved(*number);
+            LoanWrite::Lender { job, record, new_loan, .. } => {
+                if let Some(number) = new_loan {
+                    self.loans.lender_ledger.write_resolved(*number);
                 }
                 if record.lending.is_cancelled() {
                     self.end_lending(job);
@@ -216,7 +230,7 @@
                     self.job_put((**record).clone(), revision, now);
                 }
             }
-            LoanWrite::Guest { change, lender, .. } => {
+            LoanWrite::Borrower { change, lender, .. } => {
                 self.inherit_lender(&change.lender, *lender, revision);
                 match &change.record {
                     Some(record) => {
@@ -230,16 +244,16 @@
         self.update_withheld(write.job());
     }
 
-    /// A write of loans was not applied and never will be.
+    /// Takes back a write of loans that was not applied and never will be.
     pub fn loan_not_written(&mut self, write: &LoanWrite) {
         self.loans.in_flight(write).remove(write.job());
-        if let LoanWrite::Home { made: Some(number), .. } = write {
-            self.loans.home.write_resolved(*number);
+        if let LoanWrite::Lender { new_loan: Some(number), .. } = write {
+            self.loans.lender_ledger.write_resolved(*number);
         }
         self.update_withheld(write.job());
     }
 
-    /// Whether a write of loans was applied is not known: it stays in flight and is sent again.
+    /// Keeps a write of loans whose outcome is unknown: it stays in flight and is sent again.
     pub fn loan_unresolved(&mut self, write: LoanWrite) {
         self.loans.unresolved.push(write);
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -6,6 +6,7 @@
 //! shows it exited, or the machine is gone for certain. Nothing is started elsewhere before.
 
 mod admission;
+mod borrow_admission;
 mod borrowing;
 mod eviction;
 mod gang_placement;
@@ -32,7 +33,7 @@
 mod team_use;
 
 pub use admission::never_runs;
-pub use borrowing::BorrowedTasks;
+pub use borrow_admission::BorrowedTasks;
 pub use lending::LendingCandidate;
 pub use loans::{LoanWrite, Loans};
 pub use machines::{Machine, TaskEntry};
@@ -42,7 +43,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use milletlock_cells::BorrowedJob;
 use milletlock_recovery::RecoveryTracker;
 use serde::Serialize;
 
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -18,9 +18,9 @@
 /// The transaction that carries out a write of loans, guarded by the part.
 pub fn loan_txn(write: &LoanWrite, shard_revision: u64) -> Txn {
     let mut txn = match write {
-        LoanWrite::Home { job, record, mod_revision, .. } => home_txn(job, record, *mod_revision),
-        LoanWrite::Guest { change, job_stamp, lender, lender_stamp } => {
-            guest_txn(change, *job_stamp, *lender, *lender_stamp)
+        LoanWrite::Lender { job, record, mod_revision, .. } => home_txn(job, record, *mod_revision),
+        LoanWrite::Borrower { change, job_revision, lender, lender_revision } => {
+            guest_txn(change, *job_revision, *lender, *lender_revision)
         }
     };
     txn.guards.push(guard(SHARD_KEY.into(), shard_revision));
@@ -102,7 +102,7 @@
                 fleet.inherit_borrowed_done(id, chunk, text, mod_revision);
             }
         }
-        (Some("job"), Some(id), None) if row.is_none() => fleet.borrowed_gone(id),
+        (Some("job"), Some(id), None) if row.is_none() => fleet.forget_borrowed(id),
         _ => row.into_iter().for_each(|row| load_borrowed(fleet, row, now, wall)),
     }
 }
@@ -113,8 +113,8 @@
     write: &LoanWrite,
 ) -> Result<Vec<(String, Option<Row>)>, StateError> {
     let keys = match write {
-        LoanWrite::Home { job, .. } => vec![job_key(job)],
-        LoanWrite::Guest { change, .. } => vec![borrowed_key(&change.job), lender_key(&change.lender)],
+        LoanWrite::Lender { job, .. } => vec![job_key(job)],
+        LoanWrite::Borrower { change, .. } => vec![borrowed_key(&change.job), lender_key(&change.lender)],
     };
     keys.into_iter().map(|key| Ok((key.clone(), state.get(&key, RequestPriority::User)?))).collect()
 }
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -149,10 +149,10 @@
     now: Steady,
 ) -> Vec<BorrowerChange> {
     let mut changes = Vec::new();
-    while let Some(change) = fleet.loans.guest.next_change(request, &fleet.local_tasks()) {
+    while let Some(change) = fleet.loans.borrower_ledger.next_change(request, &fleet.local_tasks()) {
         changes.push(change.clone());
         assert!(changes.len() < 100, "it changes without end");
-        let write = fleet.begin_guest_change(change);
+        let write = fleet.begin_borrower_change(change);
         match store.txn(&leadership::loan_txn(&write, store.mod_revision(SHARD_KEY))) {
             Ok(revision) => fleet.loan_written(&write, revision, now, Wall(now.0)),
             Err(keys) => {
@@ -264,9 +264,9 @@
     let mut record = None;
     for revision in 20..60 {
         let Some(candidate) = s.fleet.lending_candidate(&guest(1e9), wall(&s)) else { break };
-        let write = s.fleet.begin_loan(&candidate, candidate.view.lendable, "there").expect("a loan");
+        let write = s.fleet.begin_loan(&candidate, candidate.inputs.lendable, "there").expect("a loan");
         s.fleet.loan_written(&write, revision, s.now, wall(&s));
-        let LoanWrite::Home { record: written, .. } = write else { panic!("a loan of this cell") };
+        let LoanWrite::Lender { record: written, .. } = write else { panic!("a loan of this cell") };
         record = Some(*written);
     }
     assert!(s.fleet.lending_candidate(&guest(1e9), wall(&s)).is_none(), "no more fits");
@@ -304,8 +304,9 @@
     leadership::load(&mut fleet, store.rows(""), s.now, wall(&s));
     assert_eq!(fleet.jobs["wk-000001"].waiting.task_set(), tasks("10-19"));
     assert_eq!(fleet.jobs["wk-000002"].waiting.task_set(), tasks("0-29"));
-    assert_eq!(fleet.loans.guest.high_water("there"), LoanNumber(5));
-    let late = fleet.loans.guest.next_change(&request(vec![offer(4, 3, "0-9")]), &fleet.local_tasks());
+    assert_eq!(fleet.loans.borrower_ledger.high_water("there"), LoanNumber(5));
+    let late =
+        fleet.loans.borrower_ledger.next_change(&request(vec![offer(4, 3, "0-9")]), &fleet.local_tasks());
     assert_eq!(late, None, "a late copy of an offer that was decided on creates nothing");
 }
 
@@ -315,7 +316,7 @@
     s.submit(spec(1, 100, "batch"));
     let write = lend(&mut s, 60);
     s.fleet.loan_written(&write, 20, s.now, wall(&s));
-    let LoanWrite::Home { record: lent, .. } = write else { panic!("a loan of this cell") };
+    let LoanWrite::Lender { record: lent, .. } = write else { panic!("a loan of this cell") };
     let mut cancelling = *lent;
     cancelling.lending.cancelling = true;
     s.fleet.job_put(cancelling.clone(), 21, s.now);
@@ -326,7 +327,7 @@
     let keys: Vec<String> = txn.then.iter().map(|change| format!("{change:?}")).collect();
     assert!(keys.iter().any(|change| change.contains("final/wk-000001")), "{keys:?}");
     s.fleet.loan_written(&over, 22, s.now, wall(&s));
-    assert!(s.fleet.loans.home.jobs().next().is_none());
+    assert!(s.fleet.loans.lender_ledger.jobs().next().is_none());
 }
 
 /// An earlier owner that does not know yet that it was replaced must not lend, take or give back.
