--- a/src/fleet/borrow_admission.rs
+++ b/src/fleet/borrow_admission.rs
@@ -21,7 +21,7 @@
         let backlog_s = self.array_backlog_s();
         let mut free_cpus: BTreeMap<String, f64> =
             self.types.iter().map(|ty| (ty.name.clone(), 0.0)).collect();
-        for machine in self.machines.values().filter(|m| m.up && !m.leaving && !m.expired) {
+        for machine in self.machines_in_use() {
             let Some(ty) = machine.ty else { continue };
             let free = machine.free(self.total(ty)).cpus.max(0.0);
             *free_cpus.entry(machine.ty_name.clone()).or_default() += free;
--- a/src/fleet/gang_placement.rs
+++ b/src/fleet/gang_placement.rs
@@ -1,6 +1,8 @@
 //! Gang scheduling: the machines given to the tasks of a gang's attempt, until all its starts are sent.
 
-use super::Fleet;
+use std::collections::BTreeMap;
+
+use super::{Fleet, Machine};
 use crate::jobs::{GangAttempt, JobId, MachineId};
 use crate::task_ranges::TaskRanges;
 use crate::time::{Micros, Steady};
@@ -19,13 +21,7 @@
         let mut broken = Vec::new();
         for job in self.jobs.values_mut() {
             let Some(gang) = &job.gang else { continue };
-            let lost_place = gang.places.iter().any(|(task, machine)| {
-                !gang.sent.contains(*task)
-                    && self.machines.get(machine).is_none_or(|machine| {
-                        let is_gone = machine.leaving || machine.expired || machine.missing;
-                        is_gone || machine.notice.is_some() || !machine.usable(now)
-                    })
-            });
+            let lost_place = has_lost_place(gang, &self.machines, now);
             let is_stale = lost_place || now - gang.placed > max_unsent;
             let is_over = gang.stopping.is_some() || (gang.sent.is_empty() && is_stale);
             if is_over && job.live.is_empty() {
@@ -73,3 +69,14 @@
         }
     }
 }
+
+/// Whether a machine can no longer take the start of a gang's task that was placed on it.
+fn has_lost_place(gang: &GangAttempt, machines: &BTreeMap<MachineId, Machine>, now: Steady) -> bool {
+    let mut unsent = gang.places.iter().filter(|(task, _)| !gang.sent.contains(**task));
+    unsent.any(|(_, machine)| {
+        machines.get(machine).is_none_or(|machine| {
+            let is_gone = machine.leaving || machine.expired || machine.missing;
+            is_gone || machine.notice.is_some() || !machine.usable(now)
+        })
+    })
+}
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -250,10 +250,17 @@
     /// there are enough on-demand machines only those count: the cloud may reclaim most spot machines at
     /// once, while a partition silences both kinds.
     fn few_silent(&self, zone: usize, max_silence: Micros, now: Steady) -> bool {
-        let up = || self.machines.values().filter(|m| m.up && m.zone == zone && !m.leaving);
-        let on_demand = up().filter(|m| !m.spot).count();
-        let counts = |m: &&Machine| on_demand < MIN_ON_DEMAND_MACHINES || !m.spot;
-        let silent = up().filter(counts).filter(|m| now - m.report.max(m.alive) > max_silence).count();
-        silent * FEW_MACHINES_DIVISOR <= up().filter(counts).count()
+        let on_demand = self.machines_up_in(zone).filter(|machine| !machine.spot).count();
+        let counts = |machine: &&Machine| on_demand < MIN_ON_DEMAND_MACHINES || !machine.spot;
+        let is_silent = |machine: &&Machine| now - machine.report.max(machine.alive) > max_silence;
+        let counted = self.machines_up_in(zone).filter(counts).count();
+        let silent = self.machines_up_in(zone).filter(counts).filter(is_silent).count();
+        silent * FEW_MACHINES_DIVISOR <= counted
+    }
+
+    /// The machines of a zone that are up and not about to be removed.
+    pub(super) fn machines_up_in(&self, zone: usize) -> impl Iterator<Item = &Machine> {
+        let machines = self.machines.values();
+        machines.filter(move |machine| machine.up && machine.zone == zone && !machine.leaving)
     }
 }
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -3,7 +3,7 @@
 use milletlock_cells::{CellSummary, Lending, LendingInputs, Loan, LoanNumber, TaskSet, MAX_TASKS_PER_LOAN};
 
 use super::borrowing::is_array_without_rules;
-use super::{Fleet, LoanWrite};
+use super::{Fleet, LoanWrite, Machine};
 use crate::jobs::{Job, JobId};
 use crate::records::JobRecord;
 use crate::time::Wall;
@@ -60,8 +60,12 @@
 
     /// Processors of the machines that arrays can run on.
     fn array_cpus(&self) -> f64 {
-        let usable = self.machines.values().filter(|m| m.up && !m.leaving && !m.expired);
-        usable.filter_map(|machine| machine.ty).map(|ty| self.total(ty).cpus).sum()
+        self.machines_in_use().filter_map(|machine| machine.ty).map(|ty| self.total(ty).cpus).sum()
+    }
+
+    /// The machines that tasks of arrays run on: up, with a valid lease, and not about to be removed.
+    pub(super) fn machines_in_use(&self) -> impl Iterator<Item = &Machine> {
+        self.machines.values().filter(|machine| machine.up && !machine.leaving && !machine.expired)
     }
 
     /// How many more tasks of a job can be lent so that the records of its loans fit a value on both sides,
--- a/src/fleet/machine_snapshots.rs
+++ b/src/fleet/machine_snapshots.rs
@@ -31,9 +31,10 @@
 /// The time added for a task that has not fetched its image yet, in seconds.
 const FETCH_ALLOWANCE_S: f64 = 5.0;
 
-/// The part of its stated run time that a task which exceeds it is expected to run on, and the least
-/// time, in seconds.
+/// The part of its stated run time that a task which exceeds it is expected to run on.
 const OVERRUN_SHARE: f64 = 0.1;
+
+/// The least time that any task is expected to run on, in seconds.
 const MIN_TIME_LEFT_S: f64 = 1.0;
 
 /// Processors that a price or lost work is counted for at least.
--- a/src/fleet/scaling.rs
+++ b/src/fleet/scaling.rs
@@ -6,8 +6,8 @@
 use crate::jobs::MachineId;
 use crate::time::{Micros, Steady, Wall};
 
-/// A zone counts as cut off only if at least this many of its machines are silent.
-const MIN_SILENT_IN_CUT_OFF_ZONE: usize = 2;
+/// A zone counts as partitioned only if at least this many of its machines are silent.
+const MIN_SILENT_IN_PARTITIONED_ZONE: usize = 2;
 
 /// After this many heartbeat intervals a machine counts as silent when its zone is checked.
 const SILENT_INTERVALS: f64 = 3.0;
@@ -63,23 +63,23 @@
         (0..self.types.len()).map(expected).collect()
     }
 
-    /// Offers that the cloud refused lately, and all of zones that are cut off: new machines there
+    /// Offers that the cloud refused lately, and all of partitioned zones: new machines there
     /// could not send heartbeats either.
     fn offers_to_avoid(&self, now: Steady) -> Vec<MachineOffer> {
         let mut offers: Vec<MachineOffer> = self.refused.keys().copied().collect();
-        for zone in (0..self.zones.len()).filter(|zone| self.is_cut_off(*zone, now)) {
+        for zone in (0..self.zones.len()).filter(|zone| self.is_partitioned(*zone, now)) {
             let types = 0..self.types.len();
             offers.extend(types.flat_map(|ty| [false, true].map(|spot| MachineOffer { ty, zone, spot })));
         }
         offers
     }
 
-    /// Whether most of a zone's machines are silent.
-    fn is_cut_off(&self, zone: usize, now: Steady) -> bool {
+    /// Whether a zone is cut off by a network partition, most likely: most of its machines are silent.
+    fn is_partitioned(&self, zone: usize, now: Steady) -> bool {
         let max_silence = self.heartbeat_interval().scale(SILENT_INTERVALS);
-        let up = || self.machines.values().filter(|m| m.up && m.zone == zone && !m.leaving);
-        let silent = up().filter(|m| now - m.report > max_silence).count();
-        silent >= MIN_SILENT_IN_CUT_OFF_ZONE && silent * 2 > up().count()
+        let is_silent = |machine: &&Machine| now - machine.report > max_silence;
+        let silent = self.machines_up_in(zone).filter(is_silent).count();
+        silent >= MIN_SILENT_IN_PARTITIONED_ZONE && silent * 2 > self.machines_up_in(zone).count()
     }
 
     /// The operator's settings for scaling.
