--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -25,6 +25,7 @@
 mod reconciliation;
 mod records;
 mod recovery;
+mod replica_moves;
 mod replicas;
 mod scaling;
 mod starts;
--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -47,7 +47,7 @@
     /// Machines that it takes at once, beyond the first: a gang's tasks.
     pub(super) extra_machines: u32,
     /// It has a deadline.
-    pub(super) due: bool,
+    pub(super) has_deadline: bool,
     /// It may use spot machines.
     pub(super) spot: bool,
 }
@@ -71,7 +71,7 @@
             work: task_s * f64::from(spec.tasks),
             starts_before_boot: is_service || starts_before_boot,
             extra_machines: if spec.is_gang() { spec.tasks - 1 } else { 0 },
-            due: spec.deadline_s.is_some(),
+            has_deadline: spec.deadline_s.is_some(),
             spot: spec.spot,
         });
     }
@@ -110,7 +110,7 @@
             work: job.work,
             starts_before_boot: job.starts_before_boot,
             extra_machines: job.extra_machines,
-            due: job.due,
+            due: job.has_deadline,
             spot: job.spot,
         }
     }
@@ -130,7 +130,7 @@
                 work: record.work,
                 starts_before_boot: record.starts_before_boot,
                 extra_machines: record.extra_machines,
-                due: record.due,
+                has_deadline: record.due,
                 spot: record.spot,
             });
         }
--- /dev/null
+++ b/src/fleet/replica_moves.rs
@@ -0,0 +1,89 @@
+//! Replicas that leave a spot machine before it is reclaimed, and the machines they move to.
+
+use std::collections::BTreeMap;
+
+use super::{need_of, Fleet, Machine, TaskKey};
+use crate::jobs::{Job, JobId, MachineId};
+use crate::sched::Resources;
+use crate::time::{Micros, Steady};
+
+/// Before a spot machine is reclaimed its replicas are stopped at the latest this many heartbeat
+/// intervals ahead.
+const MOVE_LEAD_INTERVALS: f64 = 1.5;
+
+impl Fleet {
+    /// Replicas to stop since their spot machine is about to be reclaimed: as soon as another machine has
+    /// capacity and their image, or at the last moment.
+    pub(super) fn replicas_to_move(&self, now: Steady) -> Vec<(MachineId, TaskKey)> {
+        let last_moment =
+            Micros::from_secs(self.cfg.platform.settings.workers.report_s * MOVE_LEAD_INTERVALS);
+        let mut reservations = ReplicaReservations::default();
+        let mut moves = Vec::new();
+        for machine in self.machines.values() {
+            let Some(notice) = machine.notice else { continue };
+            for (key, task) in machine.tasks.iter().filter(|(_, task)| task.live() && task.stop.is_none()) {
+                let Some(job) = self.jobs.get(&key.0).filter(|job| job.spec.is_service()) else {
+                    continue;
+                };
+                if task.stage.is_none() {
+                    continue;
+                }
+                let replacement = self.replacement(job, &reservations, now);
+                if let Some(to) = &replacement {
+                    reservations.add(to, &job.id, need_of(&job.spec));
+                }
+                if replacement.is_some() || notice - now < last_moment {
+                    moves.push((machine.id.clone(), key.clone()));
+                }
+            }
+        }
+        moves
+    }
+
+    /// A machine with capacity for a replica and its image and none of its service's replicas, beyond
+    /// what is reserved for other replicas.
+    fn replacement(&self, job: &Job, reservations: &ReplicaReservations, now: Steady) -> Option<MachineId> {
+        let spec = &job.spec;
+        let types = self.allowed_types(spec);
+        let need = need_of(spec);
+        let image = spec.image.as_ref().and_then(|name| self.images.get(name));
+        let is_replacement = |machine: &&Machine| {
+            let ty = machine.ty.filter(|ty| types.contains(ty));
+            let free = ty.map(|ty| reservations.free(machine, machine.free(self.total(ty))));
+            let has_image = spec.image.is_none() || machine.images.iter().any(|held| Some(&held.0) == image);
+            let is_in_zone = spec.zone.as_deref().is_none_or(|zone| zone == self.zone_name(machine.zone));
+            let is_allowed = (spec.spot || !machine.spot) && is_in_zone;
+            let has_replica = job.live.values().flatten().any(|at| *at == machine.id)
+                || reservations.has(&machine.id, &job.id);
+            free.is_some_and(|free| free.fits(&need) > 0)
+                && has_image
+                && is_allowed
+                && machine.usable(now)
+                && machine.notice.is_none()
+                && !has_replica
+        };
+        self.machines.values().find(is_replacement).map(|machine| machine.id.clone())
+    }
+}
+
+/// Capacity that replicas about to move are to take, by machine, with their services, so that two
+/// moves do not count on the same free capacity.
+#[derive(Default)]
+struct ReplicaReservations(BTreeMap<MachineId, Vec<(JobId, Resources)>>);
+
+impl ReplicaReservations {
+    fn add(&mut self, machine: &MachineId, job: &JobId, need: Resources) {
+        self.0.entry(machine.clone()).or_default().push((job.clone(), need));
+    }
+
+    /// What remains of a machine's free capacity.
+    fn free(&self, machine: &Machine, free: Resources) -> Resources {
+        let reserved = self.0.get(&machine.id).into_iter().flatten();
+        reserved.fold(free, |free, (_, need)| free.less(need, 1))
+    }
+
+    /// Whether a replica of the service is to go to the machine.
+    fn has(&self, machine: &MachineId, job: &JobId) -> bool {
+        self.0.get(machine).into_iter().flatten().any(|(reserved_for, _)| reserved_for == job)
+    }
+}
--- a/src/fleet/scaling.rs
+++ b/src/fleet/scaling.rs
@@ -57,7 +57,8 @@
     /// By type: whether more jobs with a deadline that may use it are expected.
     fn deadline_jobs_expected(&self, now: Steady) -> Vec<bool> {
         let expected = |ty: usize| {
-            let recent = || self.demands.iter().filter(move |job| job.due && job.types.contains(&ty));
+            let recent =
+                || self.demands.iter().filter(move |job| job.has_deadline && job.types.contains(&ty));
             self.more_expected(recent, self.slowest_boot_s(), now)
         };
         (0..self.types.len()).map(expected).collect()
