--- a/src/controller/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -61,14 +61,14 @@
     fn begin_next_change(&self, fencing_token: u64, request: &LoanSyncRequest) -> Option<LoanWrite> {
         let mut shared = self.lock();
         let fleet = &mut shared.leadership_with(fencing_token)?.fleet;
-        let change = fleet.loans.guest.next_change(request, &fleet.local_tasks())?;
+        let change = fleet.loans.borrower_ledger.next_change(request, &fleet.local_tasks())?;
         if fleet.loans.is_returning(&change.job) {
             return None;
         }
         if let Some(why) = &change.refusal {
             tracing::info!(job = %change.job, lender = %change.lender, %why, "loan refused");
         }
-        Some(fleet.begin_guest_change(change))
+        Some(fleet.begin_borrower_change(change))
     }
 
     /// Logs why a message is refused, once for each sender and reason: it is sent again and again.
@@ -110,7 +110,7 @@
 /// The leader's answer: how the loans stand, and this cell's summary.
 fn loan_reply(cells: &CellsSettings, leadership: &Leadership, request: &LoanSyncRequest) -> LoanReply {
     let fleet = &leadership.fleet;
-    let reports = fleet.loans.guest.reports(request, |job| fleet.recorded_done(job));
+    let reports = fleet.loans.borrower_ledger.reports(request, |job| fleet.recorded_done(job));
     LoanReply {
         from: cells.name.clone(),
         term: leadership.term.fencing_token,
--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -72,7 +72,9 @@
         let write = {
             let mut shared = self.lock();
             let Some(leadership) = shared.leadership_with(fencing_token) else { return false };
-            let Some(lending) = leadership.fleet.loans.home.without_borrower(job, cell) else { return true };
+            let Some(lending) = leadership.fleet.loans.lender_ledger.without_borrower(job, cell) else {
+                return true;
+            };
             leadership.fleet.settle_loan(job, lending)
         };
         write.is_some_and(|write| self.write_loan(fencing_token, write) == LoanOutcome::Written)
@@ -82,7 +84,7 @@
 /// Numbers of lent tasks that are not known to be done, by job, of the loans with a cell.
 fn unfinished_loans(fleet: &Fleet, cell: &str) -> BTreeMap<String, u32> {
     let mut unfinished: BTreeMap<String, u32> = BTreeMap::new();
-    for (job, loan) in fleet.loans.home.loans_with(cell) {
+    for (job, loan) in fleet.loans.lender_ledger.loans_with(cell) {
         let done = fleet.done_tasks(job);
         *unfinished.entry(job.to_string()).or_default() += loan.tasks.difference(&done).len();
     }
@@ -103,7 +105,7 @@
         };
         lending.loans.iter().map(loan).collect::<Vec<_>>()
     };
-    fleet.loans.home.jobs().flat_map(of_job).collect()
+    fleet.loans.lender_ledger.jobs().flat_map(of_job).collect()
 }
 
 /// The jobs of which this cell has borrowed tasks.
@@ -117,7 +119,7 @@
             done: tasks.intersection(&fleet.recorded_done(job)).len(),
         }
     };
-    fleet.loans.guest.jobs().map(of_job).collect()
+    fleet.loans.borrower_ledger.jobs().map(of_job).collect()
 }
 
 /// Numbers of tasks finished for each cell: those of closed loans are recorded with the cell, those of
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -83,7 +83,7 @@
             }
         }
         let has_loans = match &self.lock().leadership {
-            Some(leadership) => leadership.fleet.loans.home.jobs().next().is_some(),
+            Some(leadership) => leadership.fleet.loans.lender_ledger.jobs().next().is_some(),
             None => false,
         };
         has_loans || wants_to_lend
@@ -105,7 +105,8 @@
             let fleet = &leadership.fleet;
             let action = |job: &str, loan: &Loan| recall_or_run(fleet, job, loan, backlog_s);
             let offer = |job: &str, number| fleet.loans.offer(job, number);
-            let request = fleet.loans.home.request(&cells.name, &cell.name, fencing_token, action, offer);
+            let request =
+                fleet.loans.lender_ledger.request(&cells.name, &cell.name, fencing_token, action, offer);
             drop(shared);
             let message = Message::Lend(request_to_proto(&request));
             let waiting = self.peers.begin(first_address + controller, message, CELL_TIMEOUT);
@@ -149,7 +150,7 @@
     /// Writes a settled loan.
     fn settle_loan(&self, fencing_token: u64, cell: &OtherCell, write: LoanWrite) {
         let job = write.job().to_string();
-        let ends_job = matches!(&write, LoanWrite::Home { record, .. } if record.lending.is_cancelled());
+        let ends_job = matches!(&write, LoanWrite::Lender { record, .. } if record.lending.is_cancelled());
         if self.write_loan(fencing_token, write) == LoanOutcome::Written {
             tracing::debug!(%job, cell = %cell.name, "loan settled");
             if ends_job {
@@ -184,8 +185,8 @@
         let fleet = &mut leadership.fleet;
         let candidate = fleet.lending_candidate(&summary, wall())?;
         let count = match &policy.script {
-            Some(script) => script.task_count(&candidate.view),
-            None => candidate.view.default_task_count(),
+            Some(script) => script.task_count(&candidate.inputs),
+            None => candidate.inputs.default_task_count(),
         };
         fleet.begin_loan(&candidate, count, &cell.name)
     }
@@ -203,10 +204,11 @@
 /// Applies a borrower's report on a loan to the fleet; returns the write that settles the loan, if it is to
 /// be settled.
 fn apply_loan_report(fleet: &mut Fleet, cell: &OtherCell, report: &LoanReport) -> Option<LoanWrite> {
-    let change = fleet.loans.home.change_for_report(&cell.name, report, |job| fleet.recorded_done(job));
+    let change =
+        fleet.loans.lender_ledger.change_for_report(&cell.name, report, |job| fleet.recorded_done(job));
     match change {
         Ok(Some(settlement)) => {
-            fleet.loans.note_decided_by_guest(report.number);
+            fleet.loans.note_decided_by_borrower(report.number);
             fleet.lent_tasks_done(&settlement.job, &settlement.done);
             settlement.lending.and_then(|lending| fleet.settle_loan(&settlement.job, lending))
         }
@@ -231,7 +233,7 @@
 /// Whether a borrower has not decided on a loan yet, or holds as many as it may.
 fn has_undecided(leadership: &Leadership, cell: &str) -> bool {
     let loans = &leadership.fleet.loans;
-    let open: Vec<_> = loans.home.loans_with(cell).collect();
+    let open: Vec<_> = loans.lender_ledger.loans_with(cell).collect();
     open.len() >= MAX_OPEN_LOANS || open.iter().any(|(job, loan)| loans.offer(job, loan.number).is_some())
 }
 
--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -93,7 +93,7 @@
             leadership::update_from_store(fleet, &key, row, self.now());
         }
         let job = write.job();
-        let is_borrowing = matches!(write, LoanWrite::Guest { .. });
+        let is_borrowing = matches!(write, LoanWrite::Borrower { .. });
         if is_borrowing && keys.iter().any(|key| *key == job_key(job) || *key == final_key(job)) {
             fleet.note_known_job(job);
         }
--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -2,7 +2,7 @@
 //! the cloud).
 
 use super::Controller;
-use crate::capacity::Offer;
+use crate::capacity::MachineOffer;
 use crate::cloud::{CloudError, MAX_MACHINES_PER_RENTAL};
 use crate::fleet::Fleet;
 use crate::time::{wall, Micros, Steady};
@@ -23,7 +23,7 @@
 
 /// A scale-out request with the offer that it makes use of.
 struct OfferRequest {
-    offer: Offer,
+    offer: MachineOffer,
     request: ScaleOutRequest,
 }
 
@@ -116,7 +116,7 @@
         let mut shared = self.lock();
         let leadership = shared.leadership_with(fencing_token)?;
         let mut requests = Vec::new();
-        for (offer, count) in leadership.fleet.capacity(self.now(), wall()) {
+        for (offer, count) in leadership.fleet.decide_scaling(self.now(), wall()) {
             let Some(ty) = leadership.fleet.types().get(offer.ty).map(|ty| ty.name.clone()) else { continue };
             let zone = leadership.fleet.zone_name(offer.zone).to_string();
             let mut remaining = count;
@@ -163,7 +163,7 @@
 /// Records the cloud's answer to a scale-out request in the fleet.
 fn record_scale_out(
     fleet: &mut Fleet,
-    offer: Offer,
+    offer: MachineOffer,
     request: &ScaleOutRequest,
     outcome: Result<Vec<String>, CloudError>,
     now: Steady,
@@ -180,7 +180,7 @@
             );
             let is_partial = (ids.len() as u32) < request.count;
             if is_partial {
-                fleet.offer_refused(offer, now + NO_CAPACITY_BACKOFF);
+                fleet.note_offer_refused(offer, now + NO_CAPACITY_BACKOFF);
             }
             fleet.machines_scaled_out(&ids, offer, now);
             if is_partial {
@@ -196,12 +196,12 @@
                 spot = request.spot,
                 "scale out: no capacity"
             );
-            fleet.offer_refused(offer, now + NO_CAPACITY_BACKOFF);
+            fleet.note_offer_refused(offer, now + NO_CAPACITY_BACKOFF);
             ScaleOutOutcome::Partial
         }
         Err(error) => {
             tracing::info!(%error, "scale out failed");
-            fleet.offer_refused(offer, now + CLOUD_ERROR_BACKOFF);
+            fleet.note_offer_refused(offer, now + CLOUD_ERROR_BACKOFF);
             ScaleOutOutcome::Failed
         }
     }
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -4,7 +4,7 @@
 
 use super::machine::Machine;
 use super::Fleet;
-use crate::capacity::Offer;
+use crate::capacity::MachineOffer;
 use crate::jobs::MachineId;
 use crate::time::{Micros, Steady};
 use crate::wire::ListedMachine;
@@ -20,7 +20,7 @@
     }
 
     /// Adds machines that the cloud granted to this leader.
-    pub fn machines_scaled_out(&mut self, ids: &[String], offer: Offer, now: Steady) {
+    pub fn machines_scaled_out(&mut self, ids: &[String], offer: MachineOffer, now: Steady) {
         let machine_type = self.catalog.types.get(offer.ty);
         let type_name = machine_type.map(|machine_type| machine_type.name.clone()).unwrap_or_default();
         let zone = self.zone_name(offer.zone).to_string();
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -7,30 +7,39 @@
 //! not started elsewhere.
 
 mod admission;
+mod borrow_admission;
 mod borrowing;
 mod catalog;
-mod demand;
+mod eviction;
+mod gang_placement;
+mod headroom;
 mod heartbeats;
+mod lease_expiry;
 mod lending;
 mod loans;
 mod machine;
+mod machine_snapshots;
 mod machines;
+mod maintenance;
+mod objectives;
 mod planner_input;
 mod planning;
+mod recent_jobs;
 mod reconciliation;
 mod record_loading;
 mod records;
 mod recovery;
+mod replica_moves;
 mod replicas;
+mod scaling;
 mod start_check;
 mod starts;
 mod status;
 mod tasks;
 mod team_use;
-mod upkeep;
 
 pub use admission::never_runs;
-pub use borrowing::BorrowedTasks;
+pub use borrow_admission::BorrowedTasks;
 pub use heartbeats::HeartbeatOutcome;
 pub use lending::LendingCandidate;
 pub use loans::{LoanWrite, Loans};
@@ -42,24 +51,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use milletlock_cells::BorrowedJob;
 use milletlock_recovery::RecoveryTracker;
 
-use crate::capacity::{CapacityView, MachineStatus, Offer, ScalingPolicy, WarmPool};
+use crate::capacity::MachineOffer;
 use crate::config::{Config, Team};
-use crate::history::{EstimateKey, History};
-use crate::jobs::{GangAttempt, Job, JobId, MachineId};
+use crate::history::History;
+use crate::jobs::{Job, JobId, MachineId};
 use crate::packed_records::PackedRecords;
-use crate::records::{DemandRecord, JobRecord, MachineRecord};
-use crate::sched::{
-    self, JobClass, MachineSnapshot, PlacedTask, Plan, ReservedHeadroom, Resources, Snapshot, TeamUse,
-};
-use crate::task_ranges::TaskRanges;
-use crate::time::{Micros, Steady, Wall};
-use crate::wire::{ExitReason, JobSpec, MachineType, Order, Priority, Shape, TaskStage};
+use crate::records::MachineRecord;
+use crate::sched::{Plan, Resources, Snapshot};
+use crate::time::{Micros, Steady};
+use crate::wire::MachineType;
 
 use catalog::Catalog;
-use demand::*;
+use recent_jobs::RecentJob;
 use records::{RecentJobs, RecordCleanup, WriteLimits};
 use replicas::WaitingService;
 use starts::{AssignedStarts, GangPlace};
@@ -127,9 +132,9 @@
     removed_machines: BTreeMap<MachineId, Steady>,
     cleanup: RecordCleanup,
     /// Until when offers that the cloud refused are not asked for again.
-    refused_offers: BTreeMap<Offer, Steady>,
+    refused_offers: BTreeMap<MachineOffer, Steady>,
     /// Demands of recent jobs by type, for what low priorities leave free.
-    demands: Vec<Demand>,
+    demands: Vec<RecentJob>,
     recent_jobs: RecentJobs,
     /// When a record that nobody waits for was last written.
     deferred_write_at: Steady,
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -4,7 +4,7 @@
 use super::tasks::{task_name, task_resources};
 use super::Fleet;
 use crate::jobs::{JobId, MachineId};
-use crate::sched::{self, IncrementalBackfill, MachineSnapshot, Resources};
+use crate::sched::{self, IncrementalBackfill, MachineSnapshot};
 use crate::time::Steady;
 use crate::wire::Order;
 
@@ -138,7 +138,7 @@
         if machine.tasks.values().any(|task| task.live() && task.stop_grace_s.is_some()) {
             return None;
         }
-        self.room(machine, now, 0, Resources::default()).filter(|snapshot| snapshot.free.cpus > 0.0)
+        self.machine_snapshot(machine, now).filter(|snapshot| snapshot.free.cpus > 0.0)
     }
 
     /// Starts up to `count` waiting tasks of a job on the machine whose heartbeat is being answered;
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -198,12 +198,12 @@
     fn factor_views(&self, wall: Wall, is_visible: impl Fn(&str) -> bool) -> Vec<FactorView> {
         let factors = self.history.factors(wall).into_iter();
         factors
-            .filter(|(key, _, _)| is_visible(&key.team))
-            .map(|(key, factor, jobs)| FactorView {
-                team: key.team,
-                stated_s: key.stated.secs(),
-                factor,
-                jobs,
+            .filter(|adjustment| is_visible(&adjustment.key.team))
+            .map(|adjustment| FactorView {
+                team: adjustment.key.team,
+                stated_s: adjustment.key.stated.secs(),
+                factor: adjustment.factor,
+                jobs: adjustment.jobs,
             })
             .collect()
     }
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -21,9 +21,9 @@
 /// The transaction that carries out a write of loans, guarded by the shard's revision.
 pub fn loan_txn(write: &LoanWrite, shard_revision: u64) -> Txn {
     let mut txn = match write {
-        LoanWrite::Home { job, record, mod_revision, .. } => lender_txn(job, record, *mod_revision),
-        LoanWrite::Guest { change, job_stamp, lender, lender_stamp } => {
-            borrower_txn(change, *job_stamp, *lender, *lender_stamp)
+        LoanWrite::Lender { job, record, mod_revision, .. } => lender_txn(job, record, *mod_revision),
+        LoanWrite::Borrower { change, job_revision, lender, lender_revision } => {
+            borrower_txn(change, *job_revision, *lender, *lender_revision)
         }
     };
     txn.guards.push(guard(SHARD_KEY.into(), shard_revision));
@@ -129,7 +129,7 @@
                 fleet.inherit_borrowed_done(job, chunk, text, mod_revision);
             }
         }
-        (BorrowedKey::Job(id), None) => fleet.borrowed_gone(id),
+        (BorrowedKey::Job(id), None) => fleet.forget_borrowed(id),
         (borrowed, Some(row)) => {
             load_borrowed(fleet, borrowed, &row.key, row.value, mod_revision, now, wall);
         }
@@ -151,8 +151,8 @@
 /// As any read from the state store; the first error ends the read.
 pub fn read_loan_records(state: &StateClient, write: &LoanWrite) -> Result<Vec<KeyState>, StateError> {
     let keys = match write {
-        LoanWrite::Home { job, .. } => vec![job_key(job)],
-        LoanWrite::Guest { change, .. } => vec![borrowed_key(&change.job), lender_key(&change.lender)],
+        LoanWrite::Lender { job, .. } => vec![job_key(job)],
+        LoanWrite::Borrower { change, .. } => vec![borrowed_key(&change.job), lender_key(&change.lender)],
     };
     let read = |key: String| {
         let row = state.get(&key, RequestPriority::User)?;
--- a/src/leadership/read_back.rs
+++ b/src/leadership/read_back.rs
@@ -29,7 +29,7 @@
         }
         RecordKey::HistoryBucket(bucket) => {
             if let Ok(bucket) = bucket.parse() {
-                fleet.history.learn(bucket, mod_revision);
+                fleet.history.set_mod_revision(bucket, mod_revision);
             }
         }
         RecordKey::DoneChunk { job, chunk } => {
--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -103,13 +103,13 @@
         }
         RecordKey::Recent => {
             if let Some(list) = decode(&key, value) {
-                fleet.inherit_recent(list, now, wall);
+                fleet.inherit_recent_jobs(list, now, wall);
             }
         }
         RecordKey::HistoryBucket(bucket) => load_history_bucket(fleet, bucket, &key, value, mod_revision),
         RecordKey::SingleHistory => {
             if let Some(record) = decode::<HistoryRecord>(&key, value) {
-                fleet.history.load_old(record);
+                fleet.history.load_unpacked(record);
             }
         }
         RecordKey::Other => {}
@@ -124,7 +124,7 @@
     for record in records {
         fleet.history.load(record);
     }
-    fleet.history.learn(bucket, mod_revision);
+    fleet.history.set_mod_revision(bucket, mod_revision);
 }
 
 /// Why a packed value cannot be loaded.
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -160,7 +160,7 @@
 
 /// The list of recent jobs; it has no guard besides the shard's revision.
 fn compose_recent(fleet: &Fleet, item: &PendingWrite, now: Steady, wall: Wall) -> Write {
-    let list = fleet.recent(now, wall, max_value_bytes(fleet));
+    let list = fleet.recent_job_records(now, wall, max_value_bytes(fleet));
     Write::new(item, Vec::new(), vec![Change::put(RECENT_KEY, json!(list))])
 }
 
