--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -42,7 +42,7 @@
     /// Processors of machines that boot and that a class may use. Without counting them, a few tasks that
     /// had waited for long had machines rented for them again and again until the first was up.
     fn coming_cpus(&self, class: &JobClass) -> f64 {
-        let rooms = self.snapshot.rooms.iter().enumerate();
+        let rooms = self.snapshot.machines.iter().enumerate();
         let coming =
             rooms.filter(|(index, _)| self.upkeep[*index].booting && self.serves_array(class, *index));
         coming.map(|(_, room)| room.free.cpus).sum()
@@ -54,14 +54,14 @@
         let mut demands: Vec<ArrayDemand> = Vec::new();
         for &(class_index, left) in &self.plan.unmet {
             let class = &self.snapshot.classes[class_index];
-            if class.gang || class.replicas.is_some() {
+            if class.gang || class.replica_machines.is_some() {
                 continue;
             }
             let cpus = class.need.cpus.max(0.1) * f64::from(left);
             // Estimates may be mostly too low for a whole day; then room seems enough while jobs
             // wait. What has waited long counts for more.
             let pressed = (class.waited.secs() / (self.policy.drain.secs() / 2.0)).max(1.0);
-            let work = cpus * class.adjusted.secs() * pressed;
+            let work = cpus * class.adjusted_runtime.secs() * pressed;
             let alike = |other: &JobClass| {
                 other.types == class.types && other.spot == class.spot && other.zone == class.zone
             };
@@ -78,22 +78,22 @@
 
     /// Whether an array's tasks can count on a room.
     fn serves_array(&self, class: &JobClass, index: usize) -> bool {
-        let room = &self.snapshot.rooms[index];
+        let room = &self.snapshot.machines[index];
         let kept = self.snapshot.is_below_reserved_priority(class, room);
-        let stays = room.until.is_none() && self.coming(index);
+        let stays = room.reclaimed_in.is_none() && self.coming(index);
         allowed(class, room) && stays && !kept && room.total.fits(&class.need) > 0
     }
 
     /// Processor seconds that the rooms there are have for a class within so many seconds.
     fn array_supply(&self, class: &JobClass, horizon_s: f64) -> f64 {
         let mut supply = 0.0;
-        for (index, room) in self.snapshot.rooms.iter().enumerate() {
+        for (index, room) in self.snapshot.machines.iter().enumerate() {
             if !self.serves_array(class, index) {
                 continue;
             }
-            let late = if self.upkeep[index].booting { room.opens_in.secs() } else { 0.0 };
+            let late = if self.upkeep[index].booting { room.accepts_starts_in.secs() } else { 0.0 };
             let busy: f64 =
-                room.held.iter().map(|task| task.need.cpus * task.left.secs().min(horizon_s)).sum();
+                room.placed.iter().map(|task| task.need.cpus * task.remaining.secs().min(horizon_s)).sum();
             supply += (room.total.cpus * (horizon_s - late).max(0.0) - busy).max(0.0);
         }
         supply
--- a/src/capacity/gangs.rs
+++ b/src/capacity/gangs.rs
@@ -17,16 +17,20 @@
     /// each task it takes beyond those in `used`.
     fn slots(&self, class: &JobClass, used: &[u32], most: u32) -> Vec<GangSlot> {
         let mut slots = Vec::new();
-        for (index, room) in self.snapshot.rooms.iter().enumerate() {
+        for (index, room) in self.snapshot.machines.iter().enumerate() {
             let total = room.total.fits(&class.need);
-            if !allowed(class, room) || room.until.is_some() || !self.coming(index) || total <= used[index] {
+            if !allowed(class, room)
+                || room.reclaimed_in.is_some()
+                || !self.coming(index)
+                || total <= used[index]
+            {
                 continue;
             }
-            let mut ends: Vec<_> = room.held.iter().map(|task| (task.left, task.need)).collect();
+            let mut ends: Vec<_> = room.placed.iter().map(|task| (task.remaining, task.need)).collect();
             ends.sort_by_key(|end| end.0);
             let mut ends = ends.into_iter();
             let mut free = room.free;
-            let mut at = room.opens_in;
+            let mut at = room.accepts_starts_in;
             let mut taken = used[index];
             while taken < total.min(used[index].saturating_add(most)) {
                 while free.fits(&class.need) <= taken {
@@ -47,7 +51,7 @@
 
     /// Scales out for the tasks of gangs that find no machine soon, by stated ends.
     pub(super) fn scale_out_for_gangs(&self, rents: &mut Vec<ScaleOut>) {
-        let mut used = vec![0u32; self.snapshot.rooms.len()];
+        let mut used = vec![0u32; self.snapshot.machines.len()];
         for &(class_index, left) in &self.plan.unmet {
             let class = &self.snapshot.classes[class_index];
             if !class.gang {
@@ -59,7 +63,7 @@
             let mut found = 0u32;
             for GangSlot { at, room } in self.slots(class, &used, left) {
                 // The promise of a room soon, by stated ends, counts only until it is broken.
-                let promised = at <= boot && class.patience.0 > 0;
+                let promised = at <= boot && class.preempt_after.0 > 0;
                 if found < left && (promised || self.upkeep[room].booting) {
                     used[room] += 1;
                     found += 1;
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -107,7 +107,7 @@
 impl CapacityView<'_> {
     /// Whether a machine can be counted on: it is up, or it boots no longer than the policy allows.
     fn coming(&self, room: usize) -> bool {
-        let boot = self.types[self.snapshot.rooms[room].ty].boot_s;
+        let boot = self.types[self.snapshot.machines[room].machine_type].boot_s;
         !self.upkeep[room].booting || self.upkeep[room].age.secs() <= boot * self.policy.slow_boot
     }
 
--- a/src/capacity/services.rs
+++ b/src/capacity/services.rs
@@ -8,7 +8,7 @@
     /// Scales out for replicas that found no place: whole machines, on-demand ones if they are offered,
     /// since a replica outlives most spot machines.
     pub(super) fn scale_out_for_services(&self, rents: &mut Vec<ScaleOut>) {
-        let rooms = &self.snapshot.rooms;
+        let rooms = &self.snapshot.machines;
         let booting = |index: usize| self.upkeep[index].booting && self.coming(index);
         let mut coming: Vec<Resources> = rooms
             .iter()
@@ -17,13 +17,13 @@
             .collect();
         for &(class_index, left) in &self.plan.unmet {
             let class = &self.snapshot.classes[class_index];
-            if class.replicas.is_none() {
+            if class.replica_machines.is_none() {
                 continue;
             }
             let mut missing = left;
             for (index, _) in rooms.iter().enumerate().filter(|(_, room)| allowed(class, room)) {
                 let taken = coming[index].fits(&class.need).min(missing);
-                coming[index] = coming[index].less(&class.need, taken);
+                coming[index] = coming[index].minus(&class.need, taken);
                 missing -= taken;
             }
             let offers = self.offers(class);
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -19,7 +19,7 @@
     if allowed.is_empty() {
         return Some("a task fits no allowed machine type".into());
     }
-    let limit = TeamUse { cpus_max: team.cpus_max, gpus_max: team.gpus_max, ..TeamUse::default() };
+    let limit = TeamUse { cpu_quota: team.cpus_max, gpu_quota: team.gpus_max, ..TeamUse::default() };
     // Gangs and services need all their tasks at once; an array gets on with one at a time.
     let least = if s.is_array() { 1 } else { s.tasks };
     if limit.allows(&need_of(s)) < least {
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -161,7 +161,7 @@
     }
 
     pub(super) fn free(&self, total: Resources) -> Resources {
-        self.tasks.values().filter(|e| e.live()).filter_map(|e| e.need).fold(total, |t, n| t.less(&n, 1))
+        self.tasks.values().filter(|e| e.live()).filter_map(|e| e.need).fold(total, |t, n| t.minus(&n, 1))
     }
 
     /// The last moment at which its lease may have been renewed, if that is for this owner to know.
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -98,13 +98,13 @@
         let (rooms, machines) = self.rooms(now);
         let (classes, jobs) = self.classes(&machines, now, wall);
         let snapshot = Snapshot {
-            zones: self.zones.len(),
+            zone_count: self.zones.len(),
             reserve: self.cfg.operator.reserve,
-            clear_rooms: self.clear(),
+            headroom_machines: self.clear(),
             low_priority_delay_step: Micros::from_secs(1.5 * self.cfg.platform.settings.workers.report_s),
             delay_step: DELAY_STEP,
-            keep: self.keep(),
-            rooms,
+            reserved_headroom: self.keep(),
+            machines: rooms,
             classes,
             teams: self.team_uses(),
         };
@@ -186,9 +186,10 @@
         let (waited, adjusted) = (wall - j.submitted, self.adjusted(sp, wall));
         JobClass {
             priority: sp.priority,
-            raised: (gang && waited.secs() > Self::max_yield_s(sp, widest.gang)).then_some(Priority::Urgent),
+            aged_priority: (gang && waited.secs() > Self::max_yield_s(sp, widest.gang))
+                .then_some(Priority::Urgent),
             team: self.team(&sp.team).map_or(usize::MAX, |t| t.0),
-            guaranteed: self.guaranteed.contains(&j.id),
+            within_fair_share: self.guaranteed.contains(&j.id),
             count: self.startable_tasks(j, now),
             tasks: sp.tasks,
             gang,
@@ -201,17 +202,17 @@
             image: None,
             image_gb: sp.image_gb,
             waits_for_image: self.should_wait_for_image(sp, waited),
-            adjusted,
+            adjusted_runtime: adjusted,
             waited,
-            zones: if sp.one_zone || sp.spread || service {
+            tasks_by_zone: if sp.one_zone || sp.spread || service {
                 self.zones_of(j)
             } else {
                 vec![0; self.zones.len()]
             },
-            slack: sp.deadline_s.map(|due| Micros::from_secs(due) - waited - adjusted),
-            missed_aims: self.missed_aims(j, waited, adjusted, widest.of_shape(sp.shape)),
-            patience: self.patience(sp) - waited,
-            replicas: service.then(|| self.replica_rooms(j, room_of)),
+            deadline_slack: sp.deadline_s.map(|due| Micros::from_secs(due) - waited - adjusted),
+            missed_objectives: self.missed_aims(j, waited, adjusted, widest.of_shape(sp.shape)),
+            preempt_after: self.patience(sp) - waited,
+            replica_machines: service.then(|| self.replica_rooms(j, room_of)),
         }
     }
 
@@ -245,22 +246,22 @@
         let total = self.total(ty);
         let heartbeat_interval = self.heartbeat_interval();
         let live_tasks = m.tasks.iter().filter(|x| x.1.live());
-        let free = if promised > 0 { m.free(total).less(&promise, 1) } else { m.free(total) };
+        let free = if promised > 0 { m.free(total).minus(&promise, 1) } else { m.free(total) };
         Some(MachineSnapshot {
-            ty,
+            machine_type: ty,
             zone: m.zone,
             spot: m.spot,
             total,
             free,
-            open: m.usable(now) && now - m.report < heartbeat_interval.scale(2.5),
-            opens_in: self.opens_in(m, t, now),
+            accepts_starts: m.usable(now) && now - m.report < heartbeat_interval.scale(2.5),
+            accepts_starts_in: self.opens_in(m, t, now),
             images: m.images.iter().map(|i| i.0).collect(),
             fetch_rate: t.fetch_gb_per_s,
-            rate: (if m.spot { t.spot_price.unwrap_or(t.price) } else { t.price } / t.cpus.max(0.1) * 1e3)
-                as i64,
+            cpu_price: (if m.spot { t.spot_price.unwrap_or(t.price) } else { t.price } / t.cpus.max(0.1)
+                * 1e3) as i64,
             penalty: Micros::from_secs(10.0 * m.failed.len() as f64),
-            until: m.notice.map(|n| n - now),
-            held: live_tasks.map(|(k, e)| self.held(k, e, now)).collect(),
+            reclaimed_in: m.notice.map(|n| n - now),
+            placed: live_tasks.map(|(k, e)| self.held(k, e, now)).collect(),
         })
     }
 
@@ -276,17 +277,17 @@
         PlacedTask {
             need: e.need.unwrap_or_default(),
             priority: spec.map_or(Priority::Idle, |s| s.priority),
-            guaranteed: self.guaranteed.contains(&k.0),
+            within_fair_share: self.guaranteed.contains(&k.0),
             team: spec.and_then(|s| self.team(&s.team)).map_or(usize::MAX, |t| t.0),
-            left: self.stated_left(e, spec, now),
+            remaining: self.stated_left(e, spec, now),
             lost_work: if saves {
                 Micros::ZERO
             } else {
                 worth.scale(e.need.map_or(1.0, |n| n.cpus.max(0.1)))
             },
-            stoppable: e.stop.is_none() && spec.is_some_and(|s| !s.is_gang() || s.tasks == 1),
+            preemptible: e.stop.is_none() && spec.is_some_and(|s| !s.is_gang() || s.tasks == 1),
             stopping: e.stop.is_some(),
-            endless,
+            is_replica: endless,
         }
     }
 
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -44,12 +44,12 @@
         let PlannerInput { snapshot, machines, jobs } = input;
         self.stop_for(&plan, &machines, now);
         self.note_waiting_services(&snapshot, &plan);
-        let reserved = plan.reservation.iter().flat_map(|r| r.rooms.iter().map(|x| x.0));
+        let reserved = plan.reservation.iter().flat_map(|r| r.machines.iter().map(|x| x.0));
         let closed = reserved.chain(plan.preempt.iter().map(|x| x.0));
         self.closed = closed.map(|m| machines[m].clone()).collect();
         self.plan = plan;
         self.planned_jobs = jobs;
-        self.planned_for = Snapshot { rooms: Vec::new(), ..snapshot.clone() };
+        self.planned_for = Snapshot { machines: Vec::new(), ..snapshot.clone() };
         (snapshot, machines)
     }
 
@@ -90,7 +90,7 @@
         let mut taken: BTreeMap<usize, u32> = BTreeMap::new();
         let mut gangs: BTreeMap<usize, Vec<MachineId>> = BTreeMap::new();
         for st in &plan.starts {
-            let id = &input.machines[st.room];
+            let id = &input.machines[st.machine];
             if input.snapshot.classes[st.class].gang {
                 let at = gangs.entry(st.class).or_default();
                 at.extend((0..st.count).map(|_| id.clone()));
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -63,12 +63,12 @@
         let mut waiting: BTreeMap<usize, Option<Micros>> = BTreeMap::new();
         for start in &plan.starts {
             let c = &s.classes[start.class];
-            if c.replicas.is_some() {
+            if c.replica_machines.is_some() {
                 let planned = waiting.entry(start.class).or_default();
-                *planned = (*planned).max(Some(sched::runs_in(c, &s.rooms[start.room])));
+                *planned = (*planned).max(Some(sched::runs_in(c, &s.machines[start.machine])));
             }
         }
-        let unmet = plan.unmet.iter().filter(|u| s.classes[u.0].replicas.is_some());
+        let unmet = plan.unmet.iter().filter(|u| s.classes[u.0].replica_machines.is_some());
         waiting.extend(unmet.map(|u| (u.0, None)));
         self.waiting_services =
             waiting.into_iter().map(|(class, planned)| WaitingService { class, planned }).collect();
@@ -87,7 +87,7 @@
         }
         let Some(mut room) = self.room(m, now, 0, Resources::default()) else { return };
         let since_plan = now - self.planned;
-        let kept = self.planned_for.kept(room.ty, room.spot).map(|k| k.need);
+        let kept = self.planned_for.headroom_for(room.machine_type, room.spot).map(|k| k.need);
         let mut chosen = Vec::new();
         for w in &self.waiting_services {
             let (Some(c), Some(job)) =
@@ -99,11 +99,11 @@
             let here = j.live.values().flatten().any(|at| at == id) || j.vacated.contains_key(id);
             let in_zone = self.zones_of(j).get(room.zone).copied().unwrap_or(0);
             let crowded_zone = in_zone >= j.spec.tasks.div_ceil(2);
-            let reported = ReportingMachine { room: &room, kept, crowded_zone };
+            let reported = ReportingMachine { machine: &room, headroom: kept, crowded_zone };
             let runs_here = !here && !j.waiting.is_empty();
             if runs_here && reported.runs_sooner(c, w.planned.map(|p| p - since_plan)) {
-                room.free = room.free.less(&c.need, 1);
-                room.held.push(PlacedTask::replica(c));
+                room.free = room.free.minus(&c.need, 1);
+                room.placed.push(PlacedTask::replica(c));
                 chosen.push(job.clone());
             }
         }
@@ -175,7 +175,7 @@
 
     /// What remains of a machine's free room.
     fn free(&self, m: &Machine, free: Resources) -> Resources {
-        self.0.get(&m.id).into_iter().flatten().fold(free, |n, (_, need)| n.less(need, 1))
+        self.0.get(&m.id).into_iter().flatten().fold(free, |n, (_, need)| n.minus(need, 1))
     }
 
     /// Whether a replica of the service is to go to the machine.
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -62,9 +62,9 @@
         let top_up = IncrementalBackfill {
             snapshot: &self.planned_for,
             contended_types: &self.plan.contended_types,
-            claimed_limits: &self.plan.claimed_limits,
+            gang_awaits_quota: &self.plan.gang_awaits_quota,
             team_uses,
-            room: &room,
+            machine: &room,
             gang_waits,
         };
         for (class, count) in top_up.starts(&mut self.plan.unmet) {
--- a/src/fleet/team_use.rs
+++ b/src/fleet/team_use.rs
@@ -53,12 +53,12 @@
         let team = &self.cfg.platform.settings.teams[at];
         let (cpus_max, gpus_max) = (team.cpus_max, team.gpus_max);
         if !is_limited(team) {
-            return TeamUse { used: Resources::default(), cpus_max, gpus_max };
+            return TeamUse { used: Resources::default(), cpu_quota: cpus_max, gpu_quota: gpus_max };
         }
         if self.uses.is_empty() {
             self.uses = self.count_uses();
         }
-        TeamUse { used: self.uses[at], cpus_max, gpus_max }
+        TeamUse { used: self.uses[at], cpu_quota: cpus_max, gpu_quota: gpus_max }
     }
 
     /// What all teams use, in one pass over all tasks: with a pass for each team, counting took a third
--- a/src/sched/arrays.rs
+++ b/src/sched/arrays.rs
@@ -12,12 +12,12 @@
             if left == 0 {
                 break;
             }
-            let zone = self.snapshot.rooms[room_index].zone;
+            let zone = self.snapshot.machines[room_index].zone;
             let fits = self.fits_now(class, room_index);
             let count = fits.min(left).min(self.zone_allowance(class_index, zone));
             if count > 0 {
                 self.allocate(class_index, room_index, count);
-                starts.push(Start { class: class_index, room: room_index, count });
+                starts.push(Start { class: class_index, machine: room_index, count });
                 left -= count;
             }
         }
--- a/src/sched/availability.rs
+++ b/src/sched/availability.rs
@@ -29,17 +29,17 @@
 impl<'a> AvailabilityProfile<'a> {
     /// As things stand now.
     fn new(state: &'a PlanState<'a>, class: &JobClass, rooms: &[usize]) -> AvailabilityProfile<'a> {
-        let room_count = state.snapshot.rooms.len();
+        let room_count = state.snapshot.machines.len();
         let mut availability = AvailabilityProfile {
             state,
             need: class.need,
             free: vec![None; room_count],
             freed_early: vec![Resources::default(); room_count],
             fits: vec![0; room_count],
-            by_zone: vec![0; state.snapshot.zones.max(1)],
+            by_zone: vec![0; state.snapshot.zone_count.max(1)],
         };
         for &room in rooms {
-            if state.snapshot.rooms[room].open {
+            if state.snapshot.machines[room].accepts_starts {
                 availability.free[room] = Some(state.free[room]);
                 availability.count(room);
             }
@@ -54,7 +54,7 @@
             self.free[room] = Some(free.plus(&event.freed, 1));
         } else {
             self.freed_early[room] = self.freed_early[room].plus(&event.freed, 1);
-            if event.at >= self.state.snapshot.rooms[room].opens_in {
+            if event.at >= self.state.snapshot.machines[room].accepts_starts_in {
                 self.free[room] = Some(self.state.free[room].plus(&self.freed_early[room], 1));
             }
         }
@@ -66,7 +66,7 @@
         let Some(free) = &self.free[room] else { return };
         let fits = free.fits(&self.need);
         let more = fits.saturating_sub(self.fits[room]);
-        self.by_zone[self.state.snapshot.rooms[room].zone] += u64::from(more);
+        self.by_zone[self.state.snapshot.machines[room].zone] += u64::from(more);
         self.fits[room] = fits;
     }
 }
@@ -74,11 +74,11 @@
 impl PlanState<'_> {
     /// What is free on a room at a time, by stated ends.
     pub(super) fn free_at(&self, room_index: usize, at: Micros) -> Resources {
-        let room = &self.snapshot.rooms[room_index];
-        if room.opens_in > at && !room.open {
+        let room = &self.snapshot.machines[room_index];
+        if room.accepts_starts_in > at && !room.accepts_starts {
             return Resources::default();
         }
-        let ended = room.held.iter().filter(|task| task.left <= at);
+        let ended = room.placed.iter().filter(|task| task.remaining <= at);
         ended.fold(self.free[room_index], |free, task| free.plus(&task.need, 1))
     }
 
@@ -103,17 +103,17 @@
     fn room_events(&self, rooms: &[usize]) -> Vec<CapacityEvent> {
         let mut events = Vec::new();
         for &room_index in rooms {
-            let room = &self.snapshot.rooms[room_index];
-            if !room.open {
+            let room = &self.snapshot.machines[room_index];
+            if !room.accepts_starts {
                 events.push(CapacityEvent {
-                    at: room.opens_in,
+                    at: room.accepts_starts_in,
                     room: room_index,
                     freed: Resources::default(),
                 });
             }
-            let ends = room.held.iter();
+            let ends = room.placed.iter();
             events.extend(ends.map(|task| CapacityEvent {
-                at: task.left,
+                at: task.remaining,
                 room: room_index,
                 freed: task.need,
             }));
--- a/src/sched/gangs.rs
+++ b/src/sched/gangs.rs
@@ -57,13 +57,13 @@
     ) -> Option<Vec<(usize, u32)>> {
         let class = &self.snapshot.classes[class_index];
         let zones: Vec<Option<usize>> =
-            if class.one_zone { (0..self.snapshot.zones).map(Some).collect() } else { vec![None] };
+            if class.one_zone { (0..self.snapshot.zone_count).map(Some).collect() } else { vec![None] };
         for only in zones {
             let mut left = class.count;
             let mut by_zone = self.zones[class_index].clone();
             let mut places = Vec::new();
             for &room_index in rooms {
-                let zone = self.snapshot.rooms[room_index].zone;
+                let zone = self.snapshot.machines[room_index].zone;
                 if left == 0 {
                     break;
                 }
@@ -101,7 +101,7 @@
         };
         for (room_index, count) in places {
             self.allocate(class_index, room_index, count);
-            starts.push(Start { class: class_index, room: room_index, count });
+            starts.push(Start { class: class_index, machine: room_index, count });
         }
         true
     }
--- a/src/sched/limits.rs
+++ b/src/sched/limits.rs
@@ -27,7 +27,7 @@
         let Some(team_use) = self.teams.get(class.team) else { return class.count };
         let mut team_use = *team_use;
         if let Some(reservation) = self.quota_reservations[class.team]
-            .filter(|x| class.adjusted + self.snapshot.low_priority_delay_step > x.at)
+            .filter(|x| class.adjusted_runtime + self.snapshot.low_priority_delay_step > x.at)
         {
             team_use.used = team_use.used.plus(&reservation.need, reservation.count);
         }
@@ -38,16 +38,17 @@
     pub(super) fn limit_allows_at(&self, class_index: usize) -> Micros {
         let class = &self.snapshot.classes[class_index];
         let Some(mut team_use) = self.teams.get(class.team).copied() else { return Micros::ZERO };
-        let held = self.snapshot.rooms.iter().flat_map(|room| &room.held).filter(|h| h.team == class.team);
+        let held =
+            self.snapshot.machines.iter().flat_map(|room| &room.placed).filter(|h| h.team == class.team);
         let end = |task: &PlacedTask| {
-            let at = if task.stopping { Micros::ZERO } else { task.left };
+            let at = if task.stopping { Micros::ZERO } else { task.remaining };
             StatedEnd { at, need: task.need, count: 1 }
         };
         let mut ends: Vec<StatedEnd> = held.map(end).collect();
         ends.extend(&self.planned_ends[class.team]);
         ends.sort_unstable_by_key(|end| end.at);
         for StatedEnd { at, need, count } in ends {
-            team_use.used = team_use.used.less(&need, count);
+            team_use.used = team_use.used.minus(&need, count);
             if team_use.allows(&class.need) >= class.count {
                 return at;
             }
@@ -60,14 +61,14 @@
     pub(super) fn preempt_within_limit(&self, class_index: usize) -> Vec<(usize, usize)> {
         let class = &self.snapshot.classes[class_index];
         let Some(mut team_use) = self.teams.get(class.team).copied() else { return Vec::new() };
-        if class.patience.0 > 0 {
+        if class.preempt_after.0 > 0 {
             return Vec::new();
         }
         let mut victims: Vec<PreemptibleTask> = Vec::new();
-        for (room_index, room) in self.snapshot.rooms.iter().enumerate() {
-            for (held, task) in room.held.iter().enumerate().filter(|(_, task)| task.team == class.team) {
+        for (room_index, room) in self.snapshot.machines.iter().enumerate() {
+            for (held, task) in room.placed.iter().enumerate().filter(|(_, task)| task.team == class.team) {
                 if task.stopping {
-                    team_use.used = team_use.used.less(&task.need, 1);
+                    team_use.used = team_use.used.minus(&task.need, 1);
                 } else if may_preempt(task, class) {
                     victims.push(PreemptibleTask { lost_work: task.lost_work, room: room_index, held });
                 }
@@ -79,8 +80,8 @@
             if team_use.allows(&class.need) >= class.count {
                 return stops;
             }
-            let task = &self.snapshot.rooms[victim.room].held[victim.held];
-            team_use.used = team_use.used.less(&task.need, 1);
+            let task = &self.snapshot.machines[victim.room].placed[victim.held];
+            team_use.used = team_use.used.minus(&task.need, 1);
             stops.push((victim.room, victim.held));
         }
         if team_use.allows(&class.need) >= class.count {
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -41,7 +41,7 @@
         }
     }
     plan.contended_types = state.contended_types;
-    plan.claimed_limits = state.gang_at_limit;
+    plan.gang_awaits_quota = state.gang_at_limit;
     plan
 }
 
@@ -55,7 +55,7 @@
                 GangOutcome::NoRoom => class.count,
                 GangOutcome::AtQuota => return,
             }
-        } else if class.replicas.is_some() {
+        } else if class.replica_machines.is_some() {
             self.start_service(class_index, &mut plan.starts, &mut plan.preempt)
         } else {
             self.start_array(class_index, &mut plan.starts)
@@ -66,7 +66,7 @@
         plan.unmet.push((class_index, unmet));
         self.mark_contended_types(class);
         // All that can be stopped for a service is by now; what it needs beyond that has to be rented.
-        if class.replicas.is_none() {
+        if class.replica_machines.is_none() {
             self.reserve_or_preempt(class_index, plan);
         }
     }
@@ -74,7 +74,8 @@
     /// Notes on which types tasks of this class wait for the room that is kept for them.
     fn mark_contended_types(&mut self, class: &JobClass) {
         for &ty in &class.types {
-            let kept = self.snapshot.kept(ty, false).is_some_and(|kept| class.priority >= kept.priority);
+            let kept =
+                self.snapshot.headroom_for(ty, false).is_some_and(|kept| class.priority >= kept.priority);
             if let (true, Some(contended)) = (kept, self.contended_types.get_mut(ty)) {
                 *contended = true;
             }
--- a/src/sched/placement.rs
+++ b/src/sched/placement.rs
@@ -5,7 +5,9 @@
 
 /// Whether the class may use the room at all.
 pub(crate) fn allowed(class: &JobClass, room: &MachineSnapshot) -> bool {
-    class.types.contains(&room.ty) && class.zone.is_none_or(|z| z == room.zone) && (class.spot || !room.spot)
+    class.types.contains(&room.machine_type)
+        && class.zone.is_none_or(|z| z == room.zone)
+        && (class.spot || !room.spot)
 }
 
 /// Whether the class passes the room over for one that has its image.
@@ -23,5 +25,5 @@
 
 /// Until a task of the class would run there.
 pub(super) fn delay(class: &JobClass, room: &MachineSnapshot) -> Micros {
-    room.opens_in + Micros::from_secs(fetch_seconds(class, room)) + room.penalty
+    room.accepts_starts_in + Micros::from_secs(fetch_seconds(class, room)) + room.penalty
 }
--- a/src/sched/preemptible.rs
+++ b/src/sched/preemptible.rs
@@ -8,13 +8,13 @@
 /// least work first.
 pub(super) fn preemptible_for(class: &JobClass, room: &MachineSnapshot) -> Vec<usize> {
     let mut victims: Vec<usize> =
-        (0..room.held.len()).filter(|&held| may_preempt(&room.held[held], class)).collect();
-    victims.sort_by_key(|&held| room.held[held].lost_work);
+        (0..room.placed.len()).filter(|&held| may_preempt(&room.placed[held], class)).collect();
+    victims.sort_by_key(|&held| room.placed[held].lost_work);
     victims
 }
 
 /// Whether a task may be preempted for the class. A task that goes before the class in the queue by
 /// its team's guarantee (fair share) may not: it would be queued again at once, and preempted again.
 pub(super) fn may_preempt(task: &PlacedTask, class: &JobClass) -> bool {
-    task.stoppable && task.priority < class.priority && (class.guaranteed || !task.guaranteed)
+    task.preemptible && task.priority < class.priority && (class.within_fair_share || !task.within_fair_share)
 }
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -28,11 +28,11 @@
         if plan.reservation.is_none() && self.snapshot.reserve {
             plan.reservation = self.reserve(class_index);
             let too_late =
-                plan.reservation.as_ref().is_none_or(|reservation| reservation.at > class.patience);
+                plan.reservation.as_ref().is_none_or(|reservation| reservation.at > class.preempt_after);
             if too_late {
                 plan.preempt.extend(self.preempt(class_index));
             }
-        } else if class.patience.0 <= 0 {
+        } else if class.preempt_after.0 <= 0 {
             // Not the head, but out of patience as well: each finds rooms of its own.
             plan.preempt.extend(self.preempt(class_index));
         }
@@ -42,7 +42,7 @@
     /// class's image would take to fetch counted as lost too.
     fn preempt(&mut self, class_index: usize) -> Vec<(usize, usize)> {
         let class = &self.snapshot.classes[class_index];
-        let room_count = self.snapshot.rooms.len();
+        let room_count = self.snapshot.machines.len();
         let mut options: Vec<PreemptionOption> =
             (0..room_count).filter_map(|room| self.preemption_option(class, room)).collect();
         options.sort();
@@ -69,14 +69,14 @@
 
     /// What it takes for at least one task of the class to fit into a room; `None` if it cannot.
     fn preemption_option(&self, class: &JobClass, room_index: usize) -> Option<PreemptionOption> {
-        let room = &self.snapshot.rooms[room_index];
-        if !room.open || room.until.is_some() || self.being_preempted_for[room_index] {
+        let room = &self.snapshot.machines[room_index];
+        if !room.accepts_starts || room.reclaimed_in.is_some() || self.being_preempted_for[room_index] {
             return None;
         }
         if !allowed(class, room) || lacks_awaited_image(class, room) {
             return None;
         }
-        let ending = room.held.iter().filter(|task| task.stopping);
+        let ending = room.placed.iter().filter(|task| task.stopping);
         let mut free = ending.fold(self.free[room_index], |free, task| free.plus(&task.need, 1));
         let mut lost = Micros::from_secs(fetch_seconds(class, room) * class.need.cpus.max(0.1));
         let mut stops = Vec::new();
@@ -85,8 +85,8 @@
                 if free.fits(&class.need) > 0 {
                     break;
                 }
-                free = free.plus(&room.held[held].need, 1);
-                lost = lost + room.held[held].lost_work;
+                free = free.plus(&room.placed[held].need, 1);
+                lost = lost + room.placed[held].lost_work;
                 stops.push(held);
             }
         }
--- a/src/sched/reservation.rs
+++ b/src/sched/reservation.rs
@@ -9,10 +9,10 @@
     /// Reserves the room that the class finds first; `None` if it finds none.
     pub(super) fn reserve(&mut self, class_index: usize) -> Option<Reservation> {
         let class = &self.snapshot.classes[class_index];
-        let rooms: Vec<usize> = (0..self.snapshot.rooms.len())
+        let rooms: Vec<usize> = (0..self.snapshot.machines.len())
             .filter(|&room_index| {
-                let room = &self.snapshot.rooms[room_index];
-                allowed(class, room) && room.until.is_none() && room.total.fits(&class.need) > 0
+                let room = &self.snapshot.machines[room_index];
+                allowed(class, room) && room.reclaimed_in.is_none() && room.total.fits(&class.need) > 0
             })
             .collect();
         let at = self.earliest_start(class_index, &rooms)?;
@@ -36,8 +36,8 @@
         self.reserved_at = at;
         let need = self.snapshot.classes[class_index].need;
         for &(room_index, count) in &rooms {
-            self.shadow[room_index] = Some(self.free_at(room_index, at).less(&need, count));
+            self.shadow[room_index] = Some(self.free_at(room_index, at).minus(&need, count));
         }
-        Reservation { class: class_index, at, rooms }
+        Reservation { class: class_index, at, machines: rooms }
     }
 }
--- a/src/sched/services.rs
+++ b/src/sched/services.rs
@@ -61,13 +61,13 @@
             // Its team's own lower work makes room within the limit.
             preempt.extend(self.preempt_within_limit(class_index));
         }
-        let mut occupied: Vec<usize> = class.replicas.clone().unwrap_or_default();
+        let mut occupied: Vec<usize> = class.replica_machines.clone().unwrap_or_default();
         let mut left = limited;
         let mut candidates = self.service_candidates(class_index, &occupied);
         while left > 0 && !candidates.is_empty() {
             let best = self.best_candidate(class_index, &candidates);
             let chosen = candidates.swap_remove(best);
-            let zone = self.snapshot.rooms[chosen.room].zone;
+            let zone = self.snapshot.machines[chosen.room].zone;
             if self.zone_allowance(class_index, zone) == 0 {
                 continue;
             }
@@ -75,7 +75,7 @@
             self.being_preempted_for[chosen.room] |= !chosen.stops.is_empty();
             preempt.extend(chosen.stops.iter().map(|&held| (chosen.room, held)));
             self.preemptions_for_replicas.extend(chosen.stops.iter().map(|&held| (chosen.room, held)));
-            starts.push(Start { class: class_index, room: chosen.room, count: 1 });
+            starts.push(Start { class: class_index, machine: chosen.room, count: 1 });
             occupied.push(chosen.room);
             left -= 1;
             // There may be room for another replica, if there is nowhere else to go.
@@ -85,7 +85,7 @@
     }
 
     fn service_candidates(&self, class_index: usize, occupied: &[usize]) -> Vec<ReplicaCandidate> {
-        let rooms = 0..self.snapshot.rooms.len();
+        let rooms = 0..self.snapshot.machines.len();
         rooms.filter_map(|room_index| self.service_candidate(class_index, room_index, occupied)).collect()
     }
 
@@ -93,7 +93,7 @@
     fn best_candidate(&self, class_index: usize, candidates: &[ReplicaCandidate]) -> usize {
         let class = &self.snapshot.classes[class_index];
         let crowded = |room_index: usize| {
-            self.zones[class_index][self.snapshot.rooms[room_index].zone] >= class.tasks.div_ceil(2)
+            self.zones[class_index][self.snapshot.machines[room_index].zone] >= class.tasks.div_ceil(2)
         };
         let key = |x: &ReplicaCandidate| {
             let zone = if crowded(x.room) { CROWDED_ZONE } else { Micros::ZERO };
@@ -111,8 +111,8 @@
         occupied: &[usize],
     ) -> Option<ReplicaCandidate> {
         let class = &self.snapshot.classes[class_index];
-        let room = &self.snapshot.rooms[room_index];
-        if !room.open || room.until.is_some() || !allowed(class, room) {
+        let room = &self.snapshot.machines[room_index];
+        if !room.accepts_starts || room.reclaimed_in.is_some() || !allowed(class, room) {
             return None;
         }
         let ReplicaPreemption { stops, lost, ready_in } = self.preemption_for_replica(class, room_index)?;
@@ -131,15 +131,15 @@
     /// Which tasks have to be stopped for one more replica, the work that is lost by it, and when the
     /// machine can take the start.
     fn preemption_for_replica(&self, class: &JobClass, room_index: usize) -> Option<ReplicaPreemption> {
-        let room = &self.snapshot.rooms[room_index];
+        let room = &self.snapshot.machines[room_index];
         let stopped = |held: usize| self.preemptions_for_replicas.contains(&(room_index, held));
-        let stopping = room.held.iter().any(|h| h.stopping);
-        let soon = if stopping { room.opens_in.min(STOPPED_WITHIN) } else { room.opens_in };
+        let stopping = room.placed.iter().any(|h| h.stopping);
+        let soon = if stopping { room.accepts_starts_in.min(STOPPED_WITHIN) } else { room.accepts_starts_in };
         if self.free[room_index].fits(&class.need) > 0 {
             return Some(ReplicaPreemption { stops: Vec::new(), lost: Micros::ZERO, ready_in: soon });
         }
         // What this plan stops here for another replica may leave room for this one.
-        let ending = room.held.iter().enumerate().filter(|(held, task)| task.stopping || stopped(*held));
+        let ending = room.placed.iter().enumerate().filter(|(held, task)| task.stopping || stopped(*held));
         let mut free = ending.fold(self.free[room_index], |n, (_, task)| n.plus(&task.need, 1));
         if free.fits(&class.need) > 0 {
             return Some(ReplicaPreemption {
@@ -148,14 +148,14 @@
                 ready_in: STOPPED_WITHIN,
             });
         }
-        let cleared_for_replicas = (0..room.held.len()).any(stopped);
+        let cleared_for_replicas = (0..room.placed.len()).any(stopped);
         if self.being_preempted_for[room_index] && !cleared_for_replicas {
             return None;
         }
         let (mut stops, mut lost) = (Vec::new(), Micros::ZERO);
         for held in preemptible_for(class, room).into_iter().filter(|&held| !stopped(held)) {
-            free = free.plus(&room.held[held].need, 1);
-            lost = lost + room.held[held].lost_work;
+            free = free.plus(&room.placed[held].need, 1);
+            lost = lost + room.placed[held].lost_work;
             stops.push(held);
             if free.fits(&class.need) > 0 {
                 return Some(ReplicaPreemption { stops, lost, ready_in: STOPPED_WITHIN });
@@ -167,13 +167,15 @@
     /// What a replica on a machine of a type that is kept for larger tasks costs: replicas never end,
     /// so the larger task would have no whole machine any more.
     fn headroom_cost(&self, class: &JobClass, room_index: usize) -> Micros {
-        let room = &self.snapshot.rooms[room_index];
-        let Some(keep) = self.snapshot.kept(room.ty, room.spot) else { return Micros::ZERO };
+        let room = &self.snapshot.machines[room_index];
+        let Some(keep) = self.snapshot.headroom_for(room.machine_type, room.spot) else {
+            return Micros::ZERO;
+        };
         if class.need.fits(&keep.need) > 0 {
             return Micros::ZERO;
         }
-        let beside = capacity_beside_endless(room).less(&self.endless[room_index], 1);
-        if beside.less(&class.need, 1).fits(&keep.need) > 0 {
+        let beside = capacity_beside_endless(room).minus(&self.endless[room_index], 1);
+        if beside.minus(&class.need, 1).fits(&keep.need) > 0 {
             KEPT_TYPE
         } else {
             BREAKS_KEPT_ROOM
@@ -183,17 +185,17 @@
 
 /// What a machine has beside the tasks on it that never end.
 fn capacity_beside_endless(room: &MachineSnapshot) -> Resources {
-    let endless = room.held.iter().filter(|h: &&PlacedTask| h.endless);
-    endless.fold(room.total, |n, h| n.less(&h.need, 1))
+    let endless = room.placed.iter().filter(|h: &&PlacedTask| h.is_replica);
+    endless.fold(room.total, |n, h| n.minus(&h.need, 1))
 }
 
 /// A machine that has just sent a heartbeat, for replicas that wait: whether one may start on it
 /// ahead of the next plan.
 pub struct ReportingMachine<'a> {
     /// The room.
-    pub room: &'a MachineSnapshot,
+    pub machine: &'a MachineSnapshot,
     /// What a larger task takes for which its type is kept.
-    pub kept: Option<Resources>,
+    pub headroom: Option<Resources>,
     /// Whether the service has half of its replicas in the room's zone already.
     pub crowded_zone: bool,
 }
@@ -203,13 +205,13 @@
     /// in the place that the plan gave it, if it gave it one. A place in another zone is waited for if
     /// there are many replicas in this one.
     pub fn runs_sooner(&self, class: &JobClass, planned: Option<Micros>) -> bool {
-        let room = self.room;
+        let room = self.machine;
         let fits_beside =
-            self.kept.is_none_or(|k| capacity_beside_endless(room).less(&class.need, 1).fits(&k) > 0);
+            self.headroom.is_none_or(|k| capacity_beside_endless(room).minus(&class.need, 1).fits(&k) > 0);
         let here = Micros::from_secs(fetch_seconds(class, room)) + room.penalty;
         let sooner = planned.is_none_or(|planned| !self.crowded_zone && here < planned);
         allowed(class, room)
-            && room.until.is_none()
+            && room.reclaimed_in.is_none()
             && fits_beside
             && room.free.fits(&class.need) > 0
             && sooner
--- a/src/sched/state.rs
+++ b/src/sched/state.rs
@@ -86,35 +86,35 @@
     /// Nothing planned yet.
     pub(super) fn new(snapshot: &'a Snapshot) -> PlanState<'a> {
         // Of each type, the first few rooms that could take the kept task stay clear for it.
-        let mut clear = vec![0usize; snapshot.keep.len()];
+        let mut clear = vec![0usize; snapshot.reserved_headroom.len()];
         let free_beside_headroom = snapshot
-            .rooms
+            .machines
             .iter()
             .map(|room| {
-                let kept = snapshot.kept(room.ty, room.spot)?;
-                if clear[room.ty] >= snapshot.clear_rooms
+                let kept = snapshot.headroom_for(room.machine_type, room.spot)?;
+                if clear[room.machine_type] >= snapshot.headroom_machines
                     || room.free.fits(&kept.need) == 0
-                    || room.until.is_some()
+                    || room.reclaimed_in.is_some()
                 {
                     return None;
                 }
-                clear[room.ty] += 1;
-                let low = room.held.iter().filter(|h| h.priority < kept.priority);
-                Some(low.fold(room.total.less(&kept.need, 1), |n, h| n.less(&h.need, 1)))
+                clear[room.machine_type] += 1;
+                let low = room.placed.iter().filter(|h| h.priority < kept.priority);
+                Some(low.fold(room.total.minus(&kept.need, 1), |n, h| n.minus(&h.need, 1)))
             })
             .collect();
         PlanState {
             snapshot,
-            free: snapshot.rooms.iter().map(|room| room.free).collect(),
+            free: snapshot.machines.iter().map(|room| room.free).collect(),
             free_beside_headroom,
             teams: snapshot.teams.clone(),
-            shadow: vec![None; snapshot.rooms.len()],
+            shadow: vec![None; snapshot.machines.len()],
             reserved_at: Micros::ZERO,
-            zones: snapshot.classes.iter().map(|class| class.zones.clone()).collect(),
-            contended_types: vec![false; snapshot.keep.len()],
-            being_preempted_for: vec![false; snapshot.rooms.len()],
+            zones: snapshot.classes.iter().map(|class| class.tasks_by_zone.clone()).collect(),
+            contended_types: vec![false; snapshot.reserved_headroom.len()],
+            being_preempted_for: vec![false; snapshot.machines.len()],
             preemptions_for_replicas: BTreeSet::new(),
-            endless: vec![Resources::default(); snapshot.rooms.len()],
+            endless: vec![Resources::default(); snapshot.machines.len()],
             quota_reservations: vec![None; snapshot.teams.len()],
             gang_at_limit: vec![false; snapshot.teams.len()],
             planned_ends: vec![Vec::new(); snapshot.teams.len()],
@@ -123,20 +123,20 @@
 
     /// How many tasks of the class could start there now.
     pub(super) fn fits_now(&self, class: &JobClass, room_index: usize) -> u32 {
-        let room = &self.snapshot.rooms[room_index];
-        if !room.open || !allowed(class, room) || lacks_awaited_image(class, room) {
+        let room = &self.snapshot.machines[room_index];
+        if !room.accepts_starts || !allowed(class, room) || lacks_awaited_image(class, room) {
             return 0;
         }
         let mut count = self.free[room_index].fits(&class.need);
         if count > 0 && self.snapshot.is_below_reserved_priority(class, room) {
-            if self.contended_types[room.ty] {
+            if self.contended_types[room.machine_type] {
                 return 0;
             }
             let beside_kept = self.free_beside_headroom[room_index];
             count = count.min(beside_kept.map_or(count, |free| free.fits(&class.need)));
         }
-        let ends_in = delay(class, room) + class.adjusted;
-        if room.until.is_some_and(|until| ends_in > until) {
+        let ends_in = delay(class, room) + class.adjusted_runtime;
+        if room.reclaimed_in.is_some_and(|until| ends_in > until) {
             return 0;
         }
         match &self.shadow[room_index] {
@@ -149,24 +149,24 @@
     /// Takes room, and as much of its team's limit, for tasks of the class.
     pub(super) fn allocate(&mut self, class_index: usize, room_index: usize, count: u32) {
         let class = &self.snapshot.classes[class_index];
-        let room = &self.snapshot.rooms[room_index];
-        self.free[room_index] = self.free[room_index].less(&class.need, count);
+        let room = &self.snapshot.machines[room_index];
+        self.free[room_index] = self.free[room_index].minus(&class.need, count);
         if self.snapshot.is_below_reserved_priority(class, room) {
             self.free_beside_headroom[room_index] =
-                self.free_beside_headroom[room_index].map(|free| free.less(&class.need, count));
+                self.free_beside_headroom[room_index].map(|free| free.minus(&class.need, count));
         }
-        if delay(class, room) + class.adjusted > self.reserved_at {
-            self.shadow[room_index] = self.shadow[room_index].map(|free| free.less(&class.need, count));
+        if delay(class, room) + class.adjusted_runtime > self.reserved_at {
+            self.shadow[room_index] = self.shadow[room_index].map(|free| free.minus(&class.need, count));
         }
         if let Some(team_use) = self.teams.get_mut(class.team) {
             team_use.used = team_use.used.plus(&class.need, count);
             self.planned_ends[class.team].push(StatedEnd {
-                at: delay(class, room) + class.adjusted,
+                at: delay(class, room) + class.adjusted_runtime,
                 need: class.need,
                 count,
             });
         }
-        if class.replicas.is_some() {
+        if class.replica_machines.is_some() {
             self.endless[room_index] = self.endless[room_index].plus(&class.need, count);
         }
         self.zones[class_index][room.zone] += count;
@@ -181,17 +181,17 @@
             _ => self.snapshot.delay_step,
         };
         let candidate = |index: usize| {
-            let room = &self.snapshot.rooms[index];
+            let room = &self.snapshot.machines[index];
             MachineCandidate {
                 kept_for_others: self.snapshot.is_below_reserved_priority(class, room),
                 delay_steps: delay(class, room).0 / step.0.max(1),
-                rate: room.rate,
+                rate: room.cpu_price,
                 total_tenths: cpu_tenths(room.total.cpus),
                 free_tenths: cpu_tenths(self.free[index].cpus),
                 room: index,
             }
         };
-        let fitting = (0..self.snapshot.rooms.len()).filter(|&index| self.fits_now(class, index) > 0);
+        let fitting = (0..self.snapshot.machines.len()).filter(|&index| self.fits_now(class, index) > 0);
         let mut candidates: Vec<MachineCandidate> = fitting.map(candidate).collect();
         candidates.sort_unstable();
         candidates.into_iter().map(|candidate| candidate.room).collect()
@@ -199,7 +199,7 @@
 
     /// Whether one more task of the class may go to the machine's zone.
     pub(super) fn zone_takes(&self, class_index: usize, room_index: usize) -> bool {
-        self.zone_allowance(class_index, self.snapshot.rooms[room_index].zone) > 0
+        self.zone_allowance(class_index, self.snapshot.machines[room_index].zone) > 0
     }
 
     /// How many tasks of the class may still go to the zone.
--- a/src/sched/top_up.rs
+++ b/src/sched/top_up.rs
@@ -25,11 +25,11 @@
     /// By type, whether tasks wait that it is kept for.
     pub contended_types: &'a [bool],
     /// By team, whether what frees of its limit is claimed by a gang.
-    pub claimed_limits: &'a [bool],
+    pub gang_awaits_quota: &'a [bool],
     /// By team, what it uses now; none for teams that are not limited.
     pub team_uses: Vec<TeamUse>,
     /// The machine.
-    pub room: &'a MachineSnapshot,
+    pub machine: &'a MachineSnapshot,
     /// Whether a gang waits that may use the machine.
     pub gang_waits: bool,
 }
@@ -40,10 +40,10 @@
     /// whose image the machine has go first: where all machines are in use, each would otherwise fetch
     /// every image, and fetching takes as much of its time as running.
     pub fn starts(mut self, unmet: &mut [(usize, u32)]) -> Vec<(usize, u32)> {
-        let group = |c: &JobClass| (c.guaranteed, c.queue_priority(), c.missed_aims);
+        let group = |c: &JobClass| (c.within_fair_share, c.queue_priority(), c.missed_objectives);
         let classes = &self.snapshot.classes;
         let mut starts = Vec::new();
-        let mut free = self.room.free;
+        let mut free = self.machine.free;
         // Classes of one group stand together in the queue.
         for alike in unmet.chunk_by_mut(|a, b| group(&classes[a.0]) == group(&classes[b.0])) {
             for goes_first in [true, false] {
@@ -71,7 +71,7 @@
             }
             let count = free.fits(&class.need).min(*left).min(self.limit_allows(class));
             if count > 0 {
-                *free = free.less(&class.need, count);
+                *free = free.minus(&class.need, count);
                 *left -= count;
                 self.add_use(class, count);
                 starts.push((*class_index, count));
@@ -81,9 +81,9 @@
 
     /// Whether the class goes before others of its group.
     fn goes_first(&self, class: &JobClass) -> bool {
-        let has_image = class.image.is_none_or(|image| self.room.images.contains(&image));
-        let is_pressed = match class.slack {
-            Some(slack) => slack < class.adjusted.scale(LEAST_SLACK),
+        let has_image = class.image.is_none_or(|image| self.machine.images.contains(&image));
+        let is_pressed = match class.deadline_slack {
+            Some(slack) => slack < class.adjusted_runtime.scale(LEAST_SLACK),
             None => class.waited > PASSED_OVER,
         };
         has_image || is_pressed
@@ -91,15 +91,16 @@
 
     /// Whether tasks of the class may start on the machine before the next plan.
     fn may_start(&self, class: &JobClass) -> bool {
-        let room = self.room;
+        let room = self.machine;
         let below_kept = self.snapshot.is_below_reserved_priority(class, room);
-        let contended = self.contended_types.get(room.ty).copied().unwrap_or(false);
-        let left_clear = below_kept && (self.snapshot.clear_rooms > 0 || contended);
-        let claimed = self.claimed_limits.get(class.team).copied().unwrap_or(false);
+        let contended = self.contended_types.get(room.machine_type).copied().unwrap_or(false);
+        let left_clear = below_kept && (self.snapshot.headroom_machines > 0 || contended);
+        let claimed = self.gang_awaits_quota.get(class.team).copied().unwrap_or(false);
         let team_use = self.team_uses.get(class.team);
-        let limited = team_use.is_some_and(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0);
+        let limited = team_use.is_some_and(|t| t.cpu_quota > 0.0 || t.gpu_quota > 0.0);
         let tied = class.gang || class.one_zone || class.spread || (limited && self.gang_waits);
-        let ends_in_time = room.until.is_none_or(|until| delay(class, room) + class.adjusted <= until);
+        let ends_in_time =
+            room.reclaimed_in.is_none_or(|until| delay(class, room) + class.adjusted_runtime <= until);
         let usable = allowed(class, room) && !lacks_awaited_image(class, room);
         !(tied || claimed || left_clear) && usable && ends_in_time
     }
--- a/src/sched/types.rs
+++ b/src/sched/types.rs
@@ -37,7 +37,7 @@
     }
 
     /// This less `count` tasks of need `task`.
-    pub fn less(&self, task: &Resources, count: u32) -> Resources {
+    pub fn minus(&self, task: &Resources, count: u32) -> Resources {
         let count = f64::from(count);
         Resources {
             cpus: self.cpus - task.cpus * count,
@@ -65,19 +65,19 @@
     /// Its job's rank (priority).
     pub priority: Priority,
     /// Whether its job is within its team's guarantee (fair share).
-    pub guaranteed: bool,
+    pub within_fair_share: bool,
     /// Index into `Snapshot::teams`.
     pub team: usize,
     /// Until its stated end; overrunning tasks have a little left.
-    pub left: Micros,
+    pub remaining: Micros,
     /// Work lost if it is preempted now, in processor time (zero for jobs that checkpoint).
     pub lost_work: Micros,
     /// Whether it may be stopped for others: it runs and is not being stopped already.
-    pub stoppable: bool,
+    pub preemptible: bool,
     /// Whether it is being preempted or cancelled already.
     pub stopping: bool,
     /// Whether it runs until its job is cancelled.
-    pub endless: bool,
+    pub is_replica: bool,
 }
 
 impl PlacedTask {
@@ -86,13 +86,13 @@
         PlacedTask {
             need: class.need,
             priority: class.priority,
-            guaranteed: class.guaranteed,
+            within_fair_share: class.within_fair_share,
             team: class.team,
-            left: class.adjusted,
+            remaining: class.adjusted_runtime,
             lost_work: Micros::ZERO,
-            stoppable: false,
+            preemptible: false,
             stopping: false,
-            endless: true,
+            is_replica: true,
         }
     }
 }
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug)]
 pub struct MachineSnapshot {
     /// Index into the machine types.
-    pub ty: usize,
+    pub machine_type: usize,
     /// Index into the zones, below `Snapshot::zones`.
     pub zone: usize,
     /// Whether it is a spot (preemptible) instance.
@@ -111,21 +111,21 @@
     /// Resources that no task takes.
     pub free: Resources,
     /// Whether tasks may start on it now.
-    pub open: bool,
+    pub accepts_starts: bool,
     /// When it is expected to take a start: its next report, or the end of its boot.
-    pub opens_in: Micros,
+    pub accepts_starts_in: Micros,
     /// Ids of the images it has or is fetching.
     pub images: Vec<u32>,
     /// Image fetch rate in GB a second.
     pub fetch_rate: f64,
     /// Price an hour of a processor, in thousandths.
-    pub rate: i64,
+    pub cpu_price: i64,
     /// Time added to its delay for machines that did badly, so that others go first.
     pub penalty: Micros,
     /// Only tasks that end within this may start (a spot notice).
-    pub until: Option<Micros>,
+    pub reclaimed_in: Option<Micros>,
     /// The tasks placed on it; `Plan::preempt` points into this list.
-    pub held: Vec<PlacedTask>,
+    pub placed: Vec<PlacedTask>,
 }
 
 /// A job's tasks that could start, taken together: all tasks of a job are alike (a job class).
@@ -136,11 +136,11 @@
     /// It has waited so long that the queue counts it with this rank, if that is higher: otherwise more
     /// work of higher ranks than there is room would keep a wide gang waiting for ever. Nothing is
     /// stopped by it.
-    pub raised: Option<Priority>,
+    pub aged_priority: Option<Priority>,
     /// Index into `Snapshot::teams`.
     pub team: usize,
     /// Whether the job is within its team's guarantee (fair share).
-    pub guaranteed: bool,
+    pub within_fair_share: bool,
     /// Tasks that could start now.
     pub count: u32,
     /// All tasks of the job.
@@ -167,26 +167,26 @@
     /// machines that have the image come free.
     pub waits_for_image: bool,
     /// Adjusted run time of a task: the stated one times the factor A (`history::History::factor`).
-    pub adjusted: Micros,
+    pub adjusted_runtime: Micros,
     /// Time since the job was accepted.
     pub waited: Micros,
     /// Its tasks that are or may be somewhere, by zone.
-    pub zones: Vec<u32>,
+    pub tasks_by_zone: Vec<u32>,
     /// How long it may still wait without missing its deadline; none if it has no deadline.
-    pub slack: Option<Micros>,
+    pub deadline_slack: Option<Micros>,
     /// How many of its aims it has missed, or will even if it starts now: beyond capacity, those
     /// that can still make more of theirs go first.
-    pub missed_aims: u8,
+    pub missed_objectives: u8,
     /// How long it may still wait before others are stopped for it.
-    pub patience: Micros,
+    pub preempt_after: Micros,
     /// For a service: rooms with a replica of it, and those that one has left of late.
-    pub replicas: Option<Vec<usize>>,
+    pub replica_machines: Option<Vec<usize>>,
 }
 
 impl JobClass {
     /// The rank that counts in the queue.
     pub fn queue_priority(&self) -> Priority {
-        self.raised.map_or(self.priority, |r| r.max(self.priority))
+        self.aged_priority.map_or(self.priority, |r| r.max(self.priority))
     }
 }
 
@@ -196,9 +196,9 @@
     /// What its tasks take, those possibly there included.
     pub used: Resources,
     /// Processor quota; 0: no limit.
-    pub cpus_max: f64,
+    pub cpu_quota: f64,
     /// GPU quota; 0: no limit.
-    pub gpus_max: f64,
+    pub gpu_quota: f64,
 }
 
 impl TeamUse {
@@ -211,7 +211,7 @@
                 ((max - used + EPS) / need).floor().clamp(0.0, 1e9) as u32
             }
         };
-        one(self.cpus_max, self.used.cpus, task.cpus).min(one(self.gpus_max, self.used.gpus, task.gpus))
+        one(self.cpu_quota, self.used.cpus, task.cpus).min(one(self.gpu_quota, self.used.gpus, task.gpus))
     }
 }
 
@@ -230,15 +230,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// Number of zones.
-    pub zones: usize,
+    pub zone_count: usize,
     /// The machines; their index is used everywhere in the plan.
-    pub rooms: Vec<MachineSnapshot>,
+    pub machines: Vec<MachineSnapshot>,
     /// The jobs with tasks that could start, as job classes.
     pub classes: Vec<JobClass>,
     /// The teams' use and quota.
     pub teams: Vec<TeamUse>,
     /// By machine type: the headroom that lower ranks leave free, if any.
-    pub keep: Vec<Option<ReservedHeadroom>>,
+    pub reserved_headroom: Vec<Option<ReservedHeadroom>>,
     /// Whether the blocked head job gets a reservation.
     pub reserve: bool,
     /// Delays that differ by less than this count as alike for the lowest rank: it waits politely,
@@ -248,18 +248,19 @@
     pub delay_step: Micros,
     /// Rooms of a type that are kept clear for the tasks in `keep`; low ranks use the others and
     /// are stopped if need be.
-    pub clear_rooms: usize,
+    pub headroom_machines: usize,
 }
 
 impl Snapshot {
     /// What is kept on machines of a type and kind, if anything is.
-    pub fn kept(&self, ty: usize, spot: bool) -> Option<ReservedHeadroom> {
-        self.keep.get(ty).copied().flatten().filter(|kept| kept.spot || !spot)
+    pub fn headroom_for(&self, ty: usize, spot: bool) -> Option<ReservedHeadroom> {
+        self.reserved_headroom.get(ty).copied().flatten().filter(|kept| kept.spot || !spot)
     }
 
     /// Whether headroom on the machine is reserved for tasks of a higher rank than the class's.
     pub fn is_below_reserved_priority(&self, class: &JobClass, machine: &MachineSnapshot) -> bool {
-        self.kept(machine.ty, machine.spot).is_some_and(|kept| class.priority < kept.priority)
+        self.headroom_for(machine.machine_type, machine.spot)
+            .is_some_and(|kept| class.priority < kept.priority)
     }
 }
 
@@ -269,7 +270,7 @@
     /// Index into `Snapshot::classes`.
     pub class: usize,
     /// Index into `Snapshot::rooms`.
-    pub room: usize,
+    pub machine: usize,
     /// How many tasks.
     pub count: u32,
 }
@@ -282,7 +283,7 @@
     /// When, from now, its machines are free by the stated ends of the tasks on them.
     pub at: Micros,
     /// The machines by index, with the number of tasks on each.
-    pub rooms: Vec<(usize, u32)>,
+    pub machines: Vec<(usize, u32)>,
 }
 
 /// The planner's decisions: its only output.
@@ -299,5 +300,5 @@
     /// By type, whether tasks wait that it is kept for: nothing lower starts on it.
     pub contended_types: Vec<bool>,
     /// By team, whether a gang is held back by its limit: what frees of it is left to that gang.
-    pub claimed_limits: Vec<bool>,
+    pub gang_awaits_quota: Vec<bool>,
 }
--- a/tests/common/planner.rs
+++ b/tests/common/planner.rs
@@ -18,9 +18,9 @@
 pub fn class(count: u32, adjusted: i64, waited: i64) -> JobClass {
     JobClass {
         priority: Priority::Normal,
-        raised: None,
+        aged_priority: None,
         team: 0,
-        guaranteed: false,
+        within_fair_share: false,
         count,
         tasks: count,
         gang: false,
@@ -33,13 +33,13 @@
         image: None,
         image_gb: 0.0,
         waits_for_image: false,
-        adjusted: secs(adjusted),
+        adjusted_runtime: secs(adjusted),
         waited: secs(waited),
-        zones: vec![0, 0],
-        slack: None,
-        missed_aims: 0,
-        patience: secs(10),
-        replicas: None,
+        tasks_by_zone: vec![0, 0],
+        deadline_slack: None,
+        missed_objectives: 0,
+        preempt_after: secs(10),
+        replica_machines: None,
     }
 }
 
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -26,12 +26,12 @@
               held in prop::collection::vec((1u32..3, priority(), 1i64..90, any::<bool>()), 0..4)) -> MachineSnapshot {
         let total = need(if ty == 0 { 4.0 } else { 16.0 });
         let held: Vec<PlacedTask> = held.into_iter().map(|(cpus, priority, left, stoppable)| PlacedTask {
-            need: need(f64::from(cpus)), priority, guaranteed: false, team: usize::from(!stoppable), left: secs(left), lost_work: secs(left), stoppable, stopping: false, endless: false,
+            need: need(f64::from(cpus)), priority, within_fair_share: false, team: usize::from(!stoppable), remaining: secs(left), lost_work: secs(left), preemptible: stoppable, stopping: false, is_replica: false,
         }).scan(0.0, |sum, h| { *sum += h.need.cpus; Some((*sum, h)) }).filter(|x| x.0 <= total.cpus).map(|x| x.1).collect();
-        let free = held.iter().fold(total, |f, h| f.less(&h.need, 1));
-        MachineSnapshot { ty, zone, spot, total, free, rate, open, opens_in: secs(if open { opens % 4 } else { opens }),
+        let free = held.iter().fold(total, |f, h| f.minus(&h.need, 1));
+        MachineSnapshot { machine_type: ty, zone, spot, total, free, cpu_price: rate, accepts_starts: open, accepts_starts_in: secs(if open { opens % 4 } else { opens }),
                images: if has { vec![1] } else { vec![] }, fetch_rate: 0.5, penalty: Micros::ZERO,
-               until: until.map(secs), held }
+               reclaimed_in: until.map(secs), placed: held }
     }
 }
 
@@ -40,22 +40,22 @@
                types in prop_oneof![Just(vec![0]), Just(vec![1]), Just(vec![0, 1])],
                zone in prop::option::weighted(0.2, 0usize..2), tie in 0u8..3, spot in any::<bool>(),
                adjusted in 1i64..100, waited in 0i64..200, live in 0u32..2) -> JobClass {
-        JobClass { priority, raised: (missed_aims == 2 && gang).then_some(Priority::Urgent), team, guaranteed: false, count, tasks: count + live, gang, need: need(f64::from(cpus)), types, zone,
-                one_zone: tie == 1, spread: tie == 2, spot, image: Some(1), image_gb: 2.0, waits_for_image: false, adjusted: secs(adjusted),
-                waited: secs(waited), zones: vec![live, 0], patience: secs(1000), slack: None, missed_aims, replicas: None }
+        JobClass { priority, aged_priority: (missed_aims == 2 && gang).then_some(Priority::Urgent), team, within_fair_share: false, count, tasks: count + live, gang, need: need(f64::from(cpus)), types, zone,
+                one_zone: tie == 1, spread: tie == 2, spot, image: Some(1), image_gb: 2.0, waits_for_image: false, adjusted_runtime: secs(adjusted),
+                waited: secs(waited), tasks_by_zone: vec![live, 0], preempt_after: secs(1000), deadline_slack: None, missed_objectives: missed_aims, replica_machines: None }
     }
 }
 
 prop_compose! {
     fn snapshot(most: usize, widest: u32)(rooms in prop::collection::vec(room(), 0..most),
                   classes in prop::collection::vec(class(widest), 0..7), limit in 0..widest + 4, keep in any::<(bool, bool)>(), reserve in any::<bool>()) -> Snapshot {
-        let held = rooms.iter().flat_map(|r| &r.held).filter(|h| h.team == 0);
+        let held = rooms.iter().flat_map(|r| &r.placed).filter(|h| h.team == 0);
         let used = held.fold(Resources::default(), |n, h| n.plus(&h.need, 1));
         // Somewhat over what runs, so that the limit is met now and then.
         let cpus_max = if limit == 0 { 0.0 } else { used.cpus + f64::from(limit) };
-        Snapshot { zones: 2, rooms, classes, reserve, low_priority_delay_step: secs(4), delay_step: secs(2), clear_rooms: 1,
-                   teams: vec![TeamUse { used, cpus_max, gpus_max: 0.0 }, TeamUse::default()],
-                   keep: vec![None, keep.0.then(|| ReservedHeadroom { need: need(15.0), priority: Priority::Urgent, spot: keep.1 })] }
+        Snapshot { zone_count: 2, machines: rooms, classes, reserve, low_priority_delay_step: secs(4), delay_step: secs(2), headroom_machines: 1,
+                   teams: vec![TeamUse { used, cpu_quota: cpus_max, gpu_quota: 0.0 }, TeamUse::default()],
+                   reserved_headroom: vec![None, keep.0.then(|| ReservedHeadroom { need: need(15.0), priority: Priority::Urgent, spot: keep.1 })] }
     }
 }
 
@@ -76,41 +76,43 @@
 impl Model<'_> {
     fn delay(&self, c: &JobClass, r: &MachineSnapshot) -> Micros {
         let fetch = if r.images.contains(&1) { 0.0 } else { c.image_gb / r.fetch_rate };
-        r.opens_in + Micros::from_secs(fetch) + r.penalty
+        r.accepts_starts_in + Micros::from_secs(fetch) + r.penalty
     }
 
     fn low(&self, class: usize, m: usize) -> bool {
-        let r = &self.s.rooms[m];
-        self.s.keep[r.ty].is_some_and(|k| self.s.classes[class].priority < k.priority && (k.spot || !r.spot))
+        let r = &self.s.machines[m];
+        self.s.reserved_headroom[r.machine_type]
+            .is_some_and(|k| self.s.classes[class].priority < k.priority && (k.spot || !r.spot))
     }
 
     fn free(&self, m: usize) -> f64 {
         let used: f64 = self.placed.iter().filter(|p| p.1 == m).map(|p| self.s.classes[p.0].need.cpus).sum();
-        self.s.rooms[m].free.cpus - used
+        self.s.machines[m].free.cpus - used
     }
 
     fn clear(&self, m: usize) -> bool {
-        let ty = self.s.rooms[m].ty;
+        let ty = self.s.machines[m].machine_type;
         let could = |r: &MachineSnapshot| {
-            r.ty == ty
-                && r.until.is_none()
-                && self.s.keep[ty].is_some_and(|k| r.free.fits(&k.need) > 0 && (k.spot || !r.spot))
+            r.machine_type == ty
+                && r.reclaimed_in.is_none()
+                && self.s.reserved_headroom[ty]
+                    .is_some_and(|k| r.free.fits(&k.need) > 0 && (k.spot || !r.spot))
         };
-        could(&self.s.rooms[m])
-            && self.s.rooms.iter().take(m).filter(|r| could(r)).count() < self.s.clear_rooms
+        could(&self.s.machines[m])
+            && self.s.machines.iter().take(m).filter(|r| could(r)).count() < self.s.headroom_machines
     }
 
     /// What a reservation leaves on the room at its time.
     fn shadow(&self, m: usize) -> Option<f64> {
         let (class, at, rooms) = self.reserved.as_ref()?;
         let n = rooms.iter().find(|r| r.0 == m)?.1;
-        let r = &self.s.rooms[m];
-        let back: f64 = r.held.iter().filter(|h| h.left <= *at).map(|h| h.need.cpus).sum();
+        let r = &self.s.machines[m];
+        let back: f64 = r.placed.iter().filter(|h| h.remaining <= *at).map(|h| h.need.cpus).sum();
         // What was placed before the reservation counts as there; afterwards by its end.
         let before: f64 = self.placed_before(m);
         let after: f64 = self
             .placed_after(m)
-            .filter(|c| self.delay(&self.s.classes[*c], r) + self.s.classes[*c].adjusted > *at)
+            .filter(|c| self.delay(&self.s.classes[*c], r) + self.s.classes[*c].adjusted_runtime > *at)
             .map(|c| self.s.classes[c].need.cpus)
             .sum();
         Some(r.free.cpus + back - before - after - f64::from(n) * self.s.classes[*class].need.cpus)
@@ -135,17 +137,20 @@
     }
 
     fn room_for_one(&self, class: usize, m: usize) -> bool {
-        let (c, r) = (&self.s.classes[class], &self.s.rooms[m]);
+        let (c, r) = (&self.s.classes[class], &self.s.machines[m]);
         let placed = || self.placed.iter().filter(|p| p.0 == class);
-        let ends = self.delay(c, r) + c.adjusted;
-        let place =
-            r.open && c.types.contains(&r.ty) && c.zone.is_none_or(|z| z == r.zone) && (c.spot || !r.spot);
+        let ends = self.delay(c, r) + c.adjusted_runtime;
+        let place = r.accepts_starts
+            && c.types.contains(&r.machine_type)
+            && c.zone.is_none_or(|z| z == r.zone)
+            && (c.spot || !r.spot);
         let fits = self.free(m) + 1e-6 >= c.need.cpus;
-        let notice = r.until.is_none_or(|u| ends <= u);
-        let wanted = self.low(class, m) && self.wanted[r.ty];
+        let notice = r.reclaimed_in.is_none_or(|u| ends <= u);
+        let wanted = self.low(class, m) && self.wanted[r.machine_type];
         let kept = !self.low(class, m) || !self.clear(m) || {
-            let k = self.s.keep[r.ty].expect("kept").need.cpus;
-            let low: f64 = r.held.iter().filter(|h| h.priority < Priority::Urgent).map(|h| h.need.cpus).sum();
+            let k = self.s.reserved_headroom[r.machine_type].expect("kept").need.cpus;
+            let low: f64 =
+                r.placed.iter().filter(|h| h.priority < Priority::Urgent).map(|h| h.need.cpus).sum();
             let new: f64 = self
                 .placed
                 .iter()
@@ -158,7 +163,9 @@
             (Some((_, at, _)), Some(left)) => ends <= *at || left + 1e-6 >= c.need.cpus,
             _ => true,
         };
-        let zone = |z: usize| c.zones[z] + placed().filter(|p| self.s.rooms[p.1].zone == z).count() as u32;
+        let zone = |z: usize| {
+            c.tasks_by_zone[z] + placed().filter(|p| self.s.machines[p.1].zone == z).count() as u32
+        };
         let tied = !c.one_zone || zone(1 - r.zone) == 0;
         let spread = !c.spread || zone(r.zone) < c.tasks.div_ceil(2);
         place && fits && notice && !wanted && kept && back && tied && spread
@@ -172,10 +179,10 @@
             .filter(|p| self.s.classes[p.0].team == c.team)
             .map(|p| self.s.classes[p.0].need.cpus)
             .sum();
-        let ends = c.adjusted + self.s.low_priority_delay_step;
+        let ends = c.adjusted_runtime + self.s.low_priority_delay_step;
         let claimed = self.claims.iter().filter(|x| x.0 == c.team && ends > x.2).map(|x| x.1);
         let used = used + self.s.teams[c.team].used.cpus + claimed.sum::<f64>();
-        let max = self.s.teams[c.team].cpus_max;
+        let max = self.s.teams[c.team].cpu_quota;
         if max <= 0.0 {
             u32::MAX
         } else {
@@ -200,15 +207,15 @@
     fn limit_frees(&self, class: usize) -> Micros {
         let c = &self.s.classes[class];
         let mut ends: Vec<(Micros, f64)> = Vec::new();
-        for h in self.s.rooms.iter().flat_map(|r| &r.held).filter(|h| h.team == c.team) {
-            ends.push((h.left, h.need.cpus));
+        for h in self.s.machines.iter().flat_map(|r| &r.placed).filter(|h| h.team == c.team) {
+            ends.push((h.remaining, h.need.cpus));
         }
         for &(other, m) in self.placed.iter().filter(|p| self.s.classes[p.0].team == c.team) {
             let o = &self.s.classes[other];
-            ends.push((self.delay(o, &self.s.rooms[m]) + o.adjusted, o.need.cpus));
+            ends.push((self.delay(o, &self.s.machines[m]) + o.adjusted_runtime, o.need.cpus));
         }
         let total: f64 = ends.iter().map(|e| e.1).sum::<f64>() + self.outside(c.team);
-        let max = self.s.teams[c.team].cpus_max;
+        let max = self.s.teams[c.team].cpu_quota;
         let freed = |at: Micros| ends.iter().filter(|e| e.0 <= at).map(|e| e.1).sum::<f64>();
         let enough = |at: Micros| max - total + freed(at) + 1e-6 >= f64::from(c.count) * c.need.cpus;
         ends.iter().map(|e| e.0).filter(|at| enough(*at)).min().unwrap_or(secs(86_400))
@@ -216,13 +223,13 @@
 
     /// What the team uses beside the tasks that are held.
     fn outside(&self, team: usize) -> f64 {
-        let held = self.s.rooms.iter().flat_map(|r| &r.held).filter(|h| h.team == team);
+        let held = self.s.machines.iter().flat_map(|r| &r.placed).filter(|h| h.team == team);
         self.s.teams[team].used.cpus - held.map(|h| h.need.cpus).sum::<f64>()
     }
 
     fn best_first(&self, class: usize) -> Vec<usize> {
         let c = &self.s.classes[class];
-        let mut v: Vec<usize> = (0..self.s.rooms.len())
+        let mut v: Vec<usize> = (0..self.s.machines.len())
             .filter(|&m| {
                 // The zone's ties are looked at task by task.
                 let free = JobClass { one_zone: false, spread: false, ..c.clone() };
@@ -242,12 +249,12 @@
         v.sort_by_key(|&m| {
             let step =
                 if c.priority == Priority::Idle { self.s.low_priority_delay_step } else { self.s.delay_step };
-            let d = self.delay(c, &self.s.rooms[m]).0 / step.0;
+            let d = self.delay(c, &self.s.machines[m]).0 / step.0;
             (
                 self.low(class, m),
                 d,
-                self.s.rooms[m].rate,
-                (self.s.rooms[m].total.cpus * 10.0) as i64,
+                self.s.machines[m].cpu_price,
+                (self.s.machines[m].total.cpus * 10.0) as i64,
                 (self.free(m) * 10.0) as i64,
                 m,
             )
@@ -265,7 +272,7 @@
         for only in zones {
             let before = self.placed.len();
             left = want;
-            for &m in rooms.iter().filter(|&&m| only.is_none_or(|z| z == self.s.rooms[m].zone)) {
+            for &m in rooms.iter().filter(|&&m| only.is_none_or(|z| z == self.s.machines[m].zone)) {
                 while left > 0 && self.room_for_one(class, m) {
                     self.placed.push((class, m));
                     left -= 1;
@@ -306,7 +313,10 @@
             if want == left {
                 left = self.place(class, want);
             }
-            if left > 0 && self.s.keep[1].is_some_and(|k| c.priority >= k.priority) && c.types.contains(&1) {
+            if left > 0
+                && self.s.reserved_headroom[1].is_some_and(|k| c.priority >= k.priority)
+                && c.types.contains(&1)
+            {
                 self.wanted[1] = true;
             }
             if left > 0 && self.reserved.is_none() && self.s.reserve {
@@ -318,11 +328,11 @@
 
 /// The reservation as the planner says it; that it is right is tested by itself below.
 fn plan_reservation(s: &Snapshot, _class: usize, _placed: &[(usize, usize)]) -> Option<Promise> {
-    plan(s).reservation.map(|r| (r.class, r.at, r.rooms))
+    plan(s).reservation.map(|r| (r.class, r.at, r.machines))
 }
 
 fn by_room(starts: &[Start]) -> Vec<(usize, usize, u32)> {
-    let mut v: Vec<_> = starts.iter().map(|s| (s.class, s.room, s.count)).collect();
+    let mut v: Vec<_> = starts.iter().map(|s| (s.class, s.machine, s.count)).collect();
     v.sort_unstable();
     v
 }
@@ -352,15 +362,15 @@
 fn free_at(s: &Snapshot, p: &Plan, m: usize, at: Micros, before: usize) -> f64 {
     let order = milletlock::sched::order(&s.classes);
     let pos = |c: usize| order.iter().position(|&o| o == c);
-    let r = &s.rooms[m];
-    if !r.open && r.opens_in > at {
+    let r = &s.machines[m];
+    if !r.accepts_starts && r.accepts_starts_in > at {
         return 0.0;
     }
-    let back: f64 = r.held.iter().filter(|h| h.left <= at).map(|h| h.need.cpus).sum();
+    let back: f64 = r.placed.iter().filter(|h| h.remaining <= at).map(|h| h.need.cpus).sum();
     let new: f64 = p
         .starts
         .iter()
-        .filter(|x| x.room == m && pos(x.class) <= pos(before))
+        .filter(|x| x.machine == m && pos(x.class) <= pos(before))
         .map(|x| f64::from(x.count) * s.classes[x.class].need.cpus)
         .sum();
     r.free.cpus + back - new
@@ -397,27 +407,27 @@
         let p = plan(&s);
         let Some(r) = &p.reservation else { return Ok(()) };
         let c = &s.classes[r.class];
-        for &(m, n) in &r.rooms {
+        for &(m, n) in &r.machines {
             let need = f64::from(n) * c.need.cpus;
             prop_assert!(free_at(&s, &p, m, r.at, r.class) + 1e-6 >= need, "there is no room at its time");
             // With all that was started behind it and still runs then.
-            let room = &s.rooms[m];
+            let room = &s.machines[m];
             let order = milletlock::sched::order(&s.classes);
             let pos = |c: usize| order.iter().position(|&o| o == c);
-            let late: f64 = p.starts.iter().filter(|x| x.room == m && pos(x.class) > pos(r.class)).filter(|x| {
+            let late: f64 = p.starts.iter().filter(|x| x.machine == m && pos(x.class) > pos(r.class)).filter(|x| {
                 let c = &s.classes[x.class];
                 let fetch = if room.images.contains(&1) { 0.0 } else { c.image_gb / room.fetch_rate };
-                room.opens_in + Micros::from_secs(fetch) + c.adjusted > r.at
+                room.accepts_starts_in + Micros::from_secs(fetch) + c.adjusted_runtime > r.at
             }).map(|x| f64::from(x.count) * s.classes[x.class].need.cpus).sum();
             prop_assert!(free_at(&s, &p, m, r.at, r.class) - late + 1e-6 >= need, "backfill delays the reservation");
         }
         if !c.gang && !c.one_zone && !c.spread {
             // No room has place for a task at any earlier end.
-            for m in (0..s.rooms.len()).filter(|&m| {
-                let x = &s.rooms[m];
-                c.types.contains(&x.ty) && c.zone.is_none_or(|z| z == x.zone) && (c.spot || !x.spot) && x.until.is_none()
+            for m in (0..s.machines.len()).filter(|&m| {
+                let x = &s.machines[m];
+                c.types.contains(&x.machine_type) && c.zone.is_none_or(|z| z == x.zone) && (c.spot || !x.spot) && x.reclaimed_in.is_none()
             }) {
-                let ends = s.rooms[m].held.iter().map(|h| h.left).chain((!s.rooms[m].open).then_some(s.rooms[m].opens_in));
+                let ends = s.machines[m].placed.iter().map(|h| h.remaining).chain((!s.machines[m].accepts_starts).then_some(s.machines[m].accepts_starts_in));
                 for at in ends.filter(|e| *e < r.at) {
                     prop_assert!(free_at(&s, &p, m, at, r.class) + 1e-6 < c.need.cpus, "room at {:?} already", at);
                 }
@@ -433,15 +443,15 @@
     let b = JobClass { waited: secs(30), count: 1, ..base.clone() };
     let c = JobClass { count: 4, ..base.clone() };
     let d = JobClass { priority: Priority::Urgent, waited: secs(1), ..base.clone() };
-    let e = JobClass { guaranteed: true, priority: Priority::Idle, waited: secs(1), ..base.clone() };
+    let e = JobClass { within_fair_share: true, priority: Priority::Idle, waited: secs(1), ..base.clone() };
     // Whoever lost more aims yields, however long it waited.
-    let f = JobClass { missed_aims: 1, waited: secs(900), ..base.clone() };
-    let g = JobClass { missed_aims: 2, waited: secs(9000), ..base.clone() };
+    let f = JobClass { missed_objectives: 1, waited: secs(900), ..base.clone() };
+    let g = JobClass { missed_objectives: 2, waited: secs(9000), ..base.clone() };
     assert_eq!(milletlock::sched::order(&[g, f, base.clone(), b, c, d.clone(), e]), [6, 5, 4, 3, 2, 1, 0]);
     // One that waited for long stands with the urgent, never behind its own rank and not above them.
-    let h = JobClass { raised: Some(Priority::Urgent), ..base.clone() };
+    let h = JobClass { aged_priority: Some(Priority::Urgent), ..base.clone() };
     let i = JobClass {
-        raised: Some(Priority::Urgent),
+        aged_priority: Some(Priority::Urgent),
         priority: Priority::Critical,
         waited: secs(1),
         ..base.clone()
@@ -457,29 +467,29 @@
     gang_waits: bool,
 ) -> Vec<(usize, u32)> {
     let room = MachineSnapshot {
-        ty: 0,
+        machine_type: 0,
         zone: 0,
         spot: false,
         total: need(4.0),
         free: need(4.0),
-        open: true,
-        opens_in: Micros::ZERO,
+        accepts_starts: true,
+        accepts_starts_in: Micros::ZERO,
         images: vec![7],
         fetch_rate: 1.0,
-        rate: 1,
+        cpu_price: 1,
         penalty: Micros::ZERO,
-        until: None,
-        held: vec![],
+        reclaimed_in: None,
+        placed: vec![],
     };
-    let s = Snapshot { zones: 1, classes, ..Snapshot::default() };
+    let s = Snapshot { zone_count: 1, classes, ..Snapshot::default() };
     let mut unmet: Vec<(usize, u32)> =
         milletlock::sched::order(&s.classes).into_iter().map(|c| (c, s.classes[c].count)).collect();
     IncrementalBackfill {
         snapshot: &s,
         contended_types: &[false],
-        claimed_limits: &[claimed],
+        gang_awaits_quota: &[claimed],
         team_uses,
-        room: &room,
+        machine: &room,
         gang_waits,
     }
     .starts(&mut unmet)
@@ -497,7 +507,7 @@
         top(vec![JobClass { priority: Priority::Urgent, ..with(1, 20) }, with(7, 10)]),
         [(0, 3), (1, 1)]
     );
-    assert_eq!(top(vec![with(1, 20), JobClass { missed_aims: 1, ..with(7, 90) }]), [(0, 3), (1, 1)]);
+    assert_eq!(top(vec![with(1, 20), JobClass { missed_objectives: 1, ..with(7, 90) }]), [(0, 3), (1, 1)]);
 }
 
 /// With every team limited, what was left to the next plan was all work: each processor that came free
@@ -506,7 +516,7 @@
 fn between_plans_limited_teams_start_as_much_as_their_limit_allows() {
     let two = || vec![JobClass { team: 1, ..job(3, 30, 20) }, JobClass { team: 0, ..job(3, 30, 10) }];
     let uses = |used: f64| {
-        let limited = |used: f64| TeamUse { used: need(used), cpus_max: 10.0, gpus_max: 0.0 };
+        let limited = |used: f64| TeamUse { used: need(used), cpu_quota: 10.0, gpu_quota: 0.0 };
         vec![limited(0.0), limited(used)]
     };
     assert_eq!(top_up(two(), uses(0.0), false, false), [(0, 3), (1, 1)]);
@@ -529,48 +539,48 @@
     let held = PlacedTask {
         need: need(1.0),
         priority: Priority::Idle,
-        guaranteed: false,
+        within_fair_share: false,
         team: 0,
-        left: secs(40),
+        remaining: secs(40),
         lost_work: secs(5),
-        stoppable: true,
+        preemptible: true,
         stopping: false,
-        endless: false,
+        is_replica: false,
     };
     let room = |ty: usize, free: f64, held: Vec<PlacedTask>| MachineSnapshot {
-        ty,
+        machine_type: ty,
         zone: 0,
         spot: false,
         total: need(16.0),
         free: need(free),
-        open: true,
-        opens_in: Micros::ZERO,
+        accepts_starts: true,
+        accepts_starts_in: Micros::ZERO,
         images: vec![1],
         fetch_rate: 1.0,
-        rate: 1,
+        cpu_price: 1,
         penalty: Micros::ZERO,
-        until: None,
-        held,
+        reclaimed_in: None,
+        placed: held,
     };
     let gang = JobClass {
         priority: Priority::Urgent,
         gang: true,
         need: need(2.0),
         types: vec![1],
-        patience: secs(-1),
+        preempt_after: secs(-1),
         ..common::planner::class(2, 30, 40)
     };
     let small = JobClass { priority: Priority::Idle, ..common::planner::class(8, 20, 5) };
     let snapshot = |large: f64, classes: Vec<JobClass>| Snapshot {
-        zones: 2,
-        rooms: vec![room(0, 8.0, vec![held.clone(); 8]), room(1, large, Vec::new())],
+        zone_count: 2,
+        machines: vec![room(0, 8.0, vec![held.clone(); 8]), room(1, large, Vec::new())],
         classes,
         reserve: true,
         low_priority_delay_step: secs(4),
         delay_step: secs(2),
-        clear_rooms: 0,
-        teams: vec![TeamUse { used: need(8.0), cpus_max: 10.0, gpus_max: 0.0 }],
-        keep: vec![None, None],
+        headroom_machines: 0,
+        teams: vec![TeamUse { used: need(8.0), cpu_quota: 10.0, gpu_quota: 0.0 }],
+        reserved_headroom: vec![None, None],
     };
     // Its room is taken: nothing is stopped for the limit, which the small ones use meanwhile.
     let p = plan(&snapshot(0.0, vec![gang.clone(), small.clone()]));
@@ -581,20 +591,22 @@
     let p = plan(&s);
     assert_eq!((p.preempt.len(), p.starts.len()), (2, 0));
     for &(m, i) in &p.preempt {
-        s.rooms[m].held[i].stopping = true;
+        s.machines[m].placed[i].stopping = true;
     }
     let p = plan(&s);
     assert_eq!((p.preempt.len(), p.starts.len()), (0, 0));
     // What goes before it by its team's guarantee is not stopped: it would begin again at once.
     let mut s = snapshot(16.0, vec![gang.clone(), small.clone()]);
-    s.rooms[0].held.iter_mut().for_each(|h| h.guaranteed = true);
+    s.machines[0].placed.iter_mut().for_each(|h| h.within_fair_share = true);
     assert!(plan(&s).preempt.is_empty());
-    s.rooms[0].held.iter_mut().take(2).for_each(|h| h.guaranteed = false);
+    s.machines[0].placed.iter_mut().take(2).for_each(|h| h.within_fair_share = false);
     assert_eq!(plan(&s).preempt, [(0, 0), (0, 1)]);
     // Of several that wait only the first does. What ends before the limit frees may start.
-    let mut s =
-        snapshot(16.0, vec![gang.clone(), gang.clone(), gang, JobClass { adjusted: secs(10), ..small }]);
-    s.classes.iter_mut().for_each(|c| c.patience = secs(100));
+    let mut s = snapshot(
+        16.0,
+        vec![gang.clone(), gang.clone(), gang, JobClass { adjusted_runtime: secs(10), ..small }],
+    );
+    s.classes.iter_mut().for_each(|c| c.preempt_after = secs(100));
     let p = plan(&s);
     assert_eq!((p.preempt.len(), by_room(&p.starts)), (0, vec![(3, 0, 2)]));
 }
@@ -604,42 +616,48 @@
 #[test]
 fn an_array_that_waits_for_its_image_takes_only_machines_that_have_it() {
     let room = |images: Vec<u32>, held: Vec<PlacedTask>| MachineSnapshot {
-        ty: 0,
+        machine_type: 0,
         zone: 0,
         spot: false,
         total: need(4.0),
         free: need(4.0 - held.len() as f64),
-        open: true,
-        opens_in: Micros::ZERO,
+        accepts_starts: true,
+        accepts_starts_in: Micros::ZERO,
         images,
         fetch_rate: 0.2,
-        rate: 1,
+        cpu_price: 1,
         penalty: Micros::ZERO,
-        until: None,
-        held,
+        reclaimed_in: None,
+        placed: held,
     };
     let low = PlacedTask {
         need: need(1.0),
         priority: Priority::Idle,
-        guaranteed: false,
+        within_fair_share: false,
         team: 0,
-        left: secs(40),
+        remaining: secs(40),
         lost_work: secs(1),
-        stoppable: true,
+        preemptible: true,
         stopping: false,
-        endless: false,
+        is_replica: false,
     };
     let urgent = |waits_for_image: bool| JobClass {
         priority: Priority::Urgent,
         image: Some(7),
         image_gb: 1.0,
         waits_for_image,
-        patience: secs(-1),
+        preempt_after: secs(-1),
         ..job(6, 15, 1)
     };
     let planned = |class: JobClass| {
         let rooms = vec![room(vec![], vec![]), room(vec![7], vec![low.clone(); 2])];
-        let s = Snapshot { zones: 1, rooms, classes: vec![class], keep: vec![None], ..Snapshot::default() };
+        let s = Snapshot {
+            zone_count: 1,
+            machines: rooms,
+            classes: vec![class],
+            reserved_headroom: vec![None],
+            ..Snapshot::default()
+        };
         let p = plan(&s);
         (by_room(&p.starts), p.preempt)
     };
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -15,28 +15,28 @@
     let one = PlacedTask {
         need: need(1.0),
         priority: Priority::Normal,
-        guaranteed: false,
+        within_fair_share: false,
         team: 0,
-        left: secs(left),
+        remaining: secs(left),
         lost_work: secs(1),
-        stoppable: true,
+        preemptible: true,
         stopping: false,
-        endless: false,
+        is_replica: false,
     };
     MachineSnapshot {
-        ty: 0,
+        machine_type: 0,
         zone: 0,
         spot: false,
         total: need(8.0),
         free: need(8.0 - held as f64),
-        open: true,
-        opens_in: Micros::ZERO,
+        accepts_starts: true,
+        accepts_starts_in: Micros::ZERO,
         images: vec![],
         fetch_rate: 1.0,
-        rate: 100,
+        cpu_price: 100,
         penalty: Micros::ZERO,
-        until: None,
-        held: vec![one; held],
+        reclaimed_in: None,
+        placed: vec![one; held],
     }
 }
 
@@ -59,15 +59,15 @@
     due: bool,
 ) -> (Vec<(bool, u32)>, usize) {
     let s = Snapshot {
-        zones: 1,
-        rooms,
+        zone_count: 1,
+        machines: rooms,
         classes,
         reserve: true,
         low_priority_delay_step: secs(4),
-        keep: vec![None],
+        reserved_headroom: vec![None],
         ..Snapshot::default()
     };
-    let upkeep = vec![upkeep; s.rooms.len()];
+    let upkeep = vec![upkeep; s.machines.len()];
     let policy = ScalingPolicy {
         drain: secs(40),
         idle: secs(20),
@@ -128,10 +128,10 @@
     let rents = |r: MachineSnapshot| {
         let keep = ReservedHeadroom { need: need(8.0), priority: Priority::Urgent, spot: false };
         let s = Snapshot {
-            zones: 1,
-            rooms: vec![r],
+            zone_count: 1,
+            machines: vec![r],
             classes: vec![low.clone()],
-            keep: vec![Some(keep)],
+            reserved_headroom: vec![Some(keep)],
             ..Snapshot::default()
         };
         plan(&s).unmet.len()
@@ -139,22 +139,26 @@
     let full = |spot: bool| MachineSnapshot { spot, ..room(8, 1) };
     assert_eq!((rents(spot()), rents(full(true))), (0, 1));
     let s = Snapshot {
-        zones: 1,
-        rooms: vec![spot(), room(0, 0)],
-        clear_rooms: 1,
-        keep: vec![Some(ReservedHeadroom { need: need(8.0), priority: Priority::Urgent, spot: false })],
+        zone_count: 1,
+        machines: vec![spot(), room(0, 0)],
+        headroom_machines: 1,
+        reserved_headroom: vec![Some(ReservedHeadroom {
+            need: need(8.0),
+            priority: Priority::Urgent,
+            spot: false,
+        })],
         classes: vec![JobClass { priority: Priority::Idle, ..class(16, 20, 1) }],
         ..Snapshot::default()
     };
     // All of the spot machine, and none of the one that is kept clear.
-    assert_eq!(plan(&s).starts.iter().map(|x| (x.room, x.count)).collect::<Vec<_>>(), [(0, 8)]);
+    assert_eq!(plan(&s).starts.iter().map(|x| (x.machine, x.count)).collect::<Vec<_>>(), [(0, 8)]);
 }
 
 /// For a single task that had waited for minutes a machine was rented in each round until the first was up:
 /// thirty of them.
 #[test]
 fn no_more_machines_are_rented_than_what_waits_can_fill() {
-    let booting = MachineSnapshot { open: false, opens_in: secs(20), ..room(0, 0) };
+    let booting = MachineSnapshot { accepts_starts: false, accepts_starts_in: secs(20), ..room(0, 0) };
     let upkeep = MachineStatus { age: secs(10), idle: None, booting: true };
     let rented = |rooms: Vec<MachineSnapshot>, tasks: u32| {
         decide_with(rooms, vec![class(tasks, 150, 400)], upkeep, &[], false).0
--- a/tests/service_placement.rs
+++ b/tests/service_placement.rs
@@ -19,19 +19,19 @@
 /// An open, empty, ordinary machine of the first type and zone, which has the image.
 fn room(cpus: f64) -> MachineSnapshot {
     MachineSnapshot {
-        ty: 0,
+        machine_type: 0,
         zone: 0,
         spot: false,
         total: need(cpus),
         free: need(cpus),
-        open: true,
-        opens_in: Micros::ZERO,
+        accepts_starts: true,
+        accepts_starts_in: Micros::ZERO,
         images: vec![IMAGE],
         fetch_rate: 1.0,
-        rate: 100,
+        cpu_price: 100,
         penalty: Micros::ZERO,
-        until: None,
-        held: Vec::new(),
+        reclaimed_in: None,
+        placed: Vec::new(),
     }
 }
 
@@ -44,46 +44,46 @@
     PlacedTask {
         need: need(cpus),
         priority,
-        guaranteed: false,
+        within_fair_share: false,
         team: 0,
-        left: secs(60),
+        remaining: secs(60),
         lost_work: secs(5),
-        stoppable: true,
+        preemptible: true,
         stopping: false,
-        endless: false,
+        is_replica: false,
     }
 }
 
 fn replica(cpus: f64) -> PlacedTask {
-    PlacedTask { endless: true, left: secs(86_400), ..held(cpus, Priority::Critical) }
+    PlacedTask { is_replica: true, remaining: secs(86_400), ..held(cpus, Priority::Critical) }
 }
 
 /// The room with these tasks on it.
 fn with(room: MachineSnapshot, tasks: Vec<PlacedTask>) -> MachineSnapshot {
-    let free = tasks.iter().fold(room.free, |free, task| free.less(&task.need, 1));
-    MachineSnapshot { free, held: tasks, ..room }
+    let free = tasks.iter().fold(room.free, |free, task| free.minus(&task.need, 1));
+    MachineSnapshot { free, placed: tasks, ..room }
 }
 
 /// A service of one-processor replicas, none of which runs yet.
 fn service(replicas: u32) -> JobClass {
     JobClass {
         priority: Priority::Critical,
-        adjusted: secs(86_400),
-        patience: Micros::ZERO,
+        adjusted_runtime: secs(86_400),
+        preempt_after: Micros::ZERO,
         image: Some(IMAGE),
         image_gb: 2.0,
-        replicas: Some(Vec::new()),
+        replica_machines: Some(Vec::new()),
         ..class(replicas, 0, 0)
     }
 }
 
 fn snapshot(rooms: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
     Snapshot {
-        zones: 2,
-        rooms,
+        zone_count: 2,
+        machines: rooms,
         classes,
         teams: vec![TeamUse::default()],
-        keep: vec![None, None],
+        reserved_headroom: vec![None, None],
         low_priority_delay_step: secs(4),
         delay_step: secs(2),
         ..Snapshot::default()
@@ -94,7 +94,7 @@
 fn rooms_of(plan: &Plan, class: usize) -> Vec<usize> {
     let starts = plan.starts.iter().filter(|start| start.class == class);
     let mut rooms: Vec<usize> =
-        starts.flat_map(|start| std::iter::repeat_n(start.room, start.count as usize)).collect();
+        starts.flat_map(|start| std::iter::repeat_n(start.machine, start.count as usize)).collect();
     rooms.sort_unstable();
     rooms
 }
@@ -114,8 +114,8 @@
     fn any_held()(cpus in 1u32..5, priority in any_rank(), guaranteed in prop::bool::weighted(0.2),
                   team in 0usize..2, lost in 0i64..90, state in 0u8..4, endless in any::<bool>()) -> PlacedTask {
         PlacedTask {
-            guaranteed, team, lost_work: secs(lost), endless,
-            stoppable: state < 2, stopping: state == 2,
+            within_fair_share: guaranteed, team, lost_work: secs(lost), is_replica: endless,
+            preemptible: state < 2, stopping: state == 2,
             ..held(f64::from(cpus), priority)
         }
     }
@@ -133,7 +133,7 @@
             fits
         }).collect();
         let empty = MachineSnapshot {
-            ty, zone, spot, open, opens_in: secs(opens_in), until: until.map(secs),
+            machine_type: ty, zone, spot, accepts_starts: open, accepts_starts_in: secs(opens_in), reclaimed_in: until.map(secs),
             images: if has_image { vec![IMAGE] } else { Vec::new() },
             ..room(total)
         };
@@ -149,11 +149,11 @@
                    zone in prop::option::weighted(0.2, 0usize..2), tie in 0u8..4, spot in any::<bool>(),
                    live in 0u32..2, occupied in prop::collection::vec(0usize..8, 0..3)) -> JobClass {
         JobClass {
-            priority, guaranteed, team, tasks: count + live, need: need(f64::from(cpus)), types, zone,
-            one_zone: tie == 1, spread: tie == 2, spot, zones: vec![live, 0],
-            patience: if is_service { Micros::ZERO } else { secs(1000) },
-            adjusted: if is_service { secs(86_400) } else { secs(30) },
-            replicas: is_service.then_some(occupied),
+            priority, within_fair_share: guaranteed, team, tasks: count + live, need: need(f64::from(cpus)), types, zone,
+            one_zone: tie == 1, spread: tie == 2, spot, tasks_by_zone: vec![live, 0],
+            preempt_after: if is_service { Micros::ZERO } else { secs(1000) },
+            adjusted_runtime: if is_service { secs(86_400) } else { secs(30) },
+            replica_machines: is_service.then_some(occupied),
             ..service(count)
         }
     }
@@ -163,13 +163,13 @@
     fn any_snapshot()(rooms in prop::collection::vec(any_room(), 0..8),
                       classes in prop::collection::vec(any_class(), 1..6),
                       limit in prop::option::of(0u32..12), kept in any::<bool>()) -> Snapshot {
-        let tasks = rooms.iter().flat_map(|room| &room.held).filter(|task| task.team == 0);
+        let tasks = rooms.iter().flat_map(|room| &room.placed).filter(|task| task.team == 0);
         let used = tasks.fold(Resources::default(), |sum, task| sum.plus(&task.need, 1));
         let cpus_max = limit.map_or(0.0, |more| used.cpus + f64::from(more));
         let keep = ReservedHeadroom { need: need(15.0), priority: Priority::Urgent, spot: false };
         Snapshot {
-            teams: vec![TeamUse { used, cpus_max, gpus_max: 0.0 }, TeamUse::default()],
-            keep: vec![None, kept.then_some(keep)],
+            teams: vec![TeamUse { used, cpu_quota: cpus_max, gpu_quota: 0.0 }, TeamUse::default()],
+            reserved_headroom: vec![None, kept.then_some(keep)],
             ..snapshot(rooms, classes)
         }
     }
@@ -188,22 +188,26 @@
     }
 
     fn is_service(&self, class: usize) -> bool {
-        self.snapshot.classes[class].replicas.is_some()
+        self.snapshot.classes[class].replica_machines.is_some()
     }
 
     /// Whether the class may use the room whatever is on it.
     fn may_use(&self, class: usize, room: usize) -> bool {
-        let (c, r) = (&self.snapshot.classes[class], &self.snapshot.rooms[room]);
-        let lasting = r.until.is_none() || !self.is_service(class);
+        let (c, r) = (&self.snapshot.classes[class], &self.snapshot.machines[room]);
+        let lasting = r.reclaimed_in.is_none() || !self.is_service(class);
         let zone_allowed = c.zone.is_none_or(|zone| zone == r.zone);
-        r.open && lasting && zone_allowed && c.types.contains(&r.ty) && (c.spot || !r.spot)
+        r.accepts_starts
+            && lasting
+            && zone_allowed
+            && c.types.contains(&r.machine_type)
+            && (c.spot || !r.spot)
     }
 
     /// Tasks of a class in a zone, with those that the plan starts.
     fn in_zone(&self, class: usize, zone: usize) -> u32 {
         let rooms = rooms_of(self.plan, class);
-        let new = rooms.iter().filter(|room| self.snapshot.rooms[**room].zone == zone).count();
-        self.snapshot.classes[class].zones[zone] + new as u32
+        let new = rooms.iter().filter(|room| self.snapshot.machines[**room].zone == zone).count();
+        self.snapshot.classes[class].tasks_by_zone[zone] + new as u32
     }
 
     fn zone_takes_more(&self, class: usize, zone: usize) -> bool {
@@ -214,26 +218,26 @@
     }
 
     fn placed_cpus(&self, room: usize, counts: impl Fn(usize) -> bool) -> f64 {
-        let starts = self.plan.starts.iter().filter(|start| start.room == room && counts(start.class));
+        let starts = self.plan.starts.iter().filter(|start| start.machine == room && counts(start.class));
         starts.map(|start| f64::from(start.count) * self.snapshot.classes[start.class].need.cpus).sum()
     }
 
     /// What is free in a room with all tasks ended for which `ends` holds.
     fn cpus_with(&self, room: usize, ends: impl Fn(usize, &PlacedTask) -> bool) -> f64 {
-        let r = &self.snapshot.rooms[room];
-        let ended = r.held.iter().enumerate().filter(|(place, task)| ends(*place, task));
+        let r = &self.snapshot.machines[room];
+        let ended = r.placed.iter().enumerate().filter(|(place, task)| ends(*place, task));
         r.free.cpus + ended.map(|(_, task)| task.need.cpus).sum::<f64>()
     }
 
     fn may_stop(&self, class: usize, task: &PlacedTask) -> bool {
         let c = &self.snapshot.classes[class];
-        task.stoppable && task.priority < c.priority && (c.guaranteed || !task.guaranteed)
+        task.preemptible && task.priority < c.priority && (c.within_fair_share || !task.within_fair_share)
     }
 
     fn limit_allows_another(&self, class: usize) -> bool {
         let c = &self.snapshot.classes[class];
         let team = &self.snapshot.teams[c.team];
-        team.cpus_max <= 0.0 || self.used_by_team(c.team) + c.need.cpus <= team.cpus_max + 1e-6
+        team.cpu_quota <= 0.0 || self.used_by_team(c.team) + c.need.cpus <= team.cpu_quota + 1e-6
     }
 
     fn used_by_team(&self, team: usize) -> f64 {
@@ -245,7 +249,7 @@
 
     /// Whether one more replica could go to the room, even by stopping all that may be stopped.
     fn could_take_another(&self, class: usize, room: usize) -> bool {
-        let zone = self.snapshot.rooms[room].zone;
+        let zone = self.snapshot.machines[room].zone;
         if !self.may_use(class, room) || !self.zone_takes_more(class, zone) {
             return false;
         }
@@ -270,7 +274,7 @@
     fn replicas_are_placed_only_where_they_are_allowed(snapshot in any_snapshot()) {
         let plan = plan(&snapshot);
         let model = Model::new(&snapshot, &plan);
-        for (class, c) in snapshot.classes.iter().enumerate().filter(|x| x.1.replicas.is_some()) {
+        for (class, c) in snapshot.classes.iter().enumerate().filter(|x| x.1.replica_machines.is_some()) {
             let rooms = rooms_of(&plan, class);
             prop_assert!(rooms.len() <= c.count as usize);
             prop_assert!(rooms.iter().all(|&room| model.may_use(class, room)));
@@ -279,7 +283,7 @@
             prop_assert!(!c.spread || (0..2).all(|zone| model.in_zone(class, zone) <= most));
         }
         let team = &snapshot.teams[0];
-        prop_assert!(team.cpus_max <= 0.0 || model.used_by_team(0) <= team.cpus_max + 1e-6);
+        prop_assert!(team.cpu_quota <= 0.0 || model.used_by_team(0) <= team.cpu_quota + 1e-6);
     }
 
     /// Guards against promising room that does not come free.
@@ -287,7 +291,7 @@
     fn what_is_free_or_comes_free_covers_what_is_placed(snapshot in any_snapshot()) {
         let plan = plan(&snapshot);
         let model = Model::new(&snapshot, &plan);
-        for room in 0..snapshot.rooms.len() {
+        for room in 0..snapshot.machines.len() {
             let comes = model.cpus_with(room, |place, task| task.stopping || model.stopped.contains(&(room, place)));
             prop_assert!(model.placed_cpus(room, |_| true) <= comes + 1e-6, "room {}", room);
         }
@@ -299,7 +303,7 @@
         let plan = plan(&snapshot);
         let model = Model::new(&snapshot, &plan);
         for &(room, place) in &model.stopped {
-            let task = &snapshot.rooms[room].held[place];
+            let task = &snapshot.machines[room].placed[place];
             let here = |class: &usize| rooms_of(&plan, *class).contains(&room);
             let by_limit = |class: &usize| snapshot.classes[*class].team == 0 && task.team == 0;
             let beneficiary = (0..snapshot.classes.len()).filter(|class| model.is_service(*class)).any(|class| {
@@ -321,7 +325,7 @@
             let placed = rooms_of(&plan, class).len() as u32;
             prop_assert_eq!(placed + left, snapshot.classes[class].count);
             if model.limit_allows_another(class) {
-                let room = (0..snapshot.rooms.len()).find(|&room| model.could_take_another(class, room));
+                let room = (0..snapshot.machines.len()).find(|&room| model.could_take_another(class, room));
                 prop_assert_eq!(room, None);
             }
         }
@@ -336,7 +340,7 @@
     let p = plan(&snapshot(vec![room(8.0), room(8.0), room(8.0)], vec![service(3)]));
     assert_eq!(rooms_of(&p, 0), [0, 1, 2]);
     // Rooms with a replica, or that one has left of late, are avoided.
-    let second = JobClass { replicas: Some(vec![0, 2]), ..service(1) };
+    let second = JobClass { replica_machines: Some(vec![0, 2]), ..service(1) };
     let p = plan(&snapshot(vec![room(8.0), room(8.0), room(8.0)], vec![second]));
     assert_eq!(rooms_of(&p, 0), [1]);
     let p = plan(&snapshot(vec![room(8.0)], vec![service(3)]));
@@ -352,7 +356,7 @@
     let in_south = rooms_of(&p, 0).iter().filter(|&&room| room >= 4).count();
     assert_eq!(in_south, 2);
     // Zones are not worth more than a little time.
-    let late = || MachineSnapshot { opens_in: secs(8), ..south() };
+    let late = || MachineSnapshot { accepts_starts_in: secs(8), ..south() };
     let rooms = vec![room(8.0), room(8.0), room(8.0), room(8.0), late(), late()];
     assert_eq!(rooms_of(&plan(&snapshot(rooms, vec![service(4)])), 0), [0, 1, 2, 3]);
 }
@@ -365,7 +369,7 @@
     let full = || with(room(1.0), vec![held(1.0, Priority::Idle)]);
     let p = plan(&snapshot(vec![full(), room(8.0)], vec![service(1)]));
     assert_eq!((rooms_of(&p, 0), p.preempt), (vec![1], Vec::new()));
-    let opens_soon = MachineSnapshot { opens_in: Micros::from_millis(1500), ..room(8.0) };
+    let opens_soon = MachineSnapshot { accepts_starts_in: Micros::from_millis(1500), ..room(8.0) };
     let p = plan(&snapshot(vec![full(), opens_soon], vec![service(1)]));
     assert_eq!((rooms_of(&p, 0), p.preempt), (vec![1], Vec::new()));
     // Stopping another is worth it where the free room has to fetch for long.
@@ -378,12 +382,12 @@
 fn kept(rooms: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
     let keep = ReservedHeadroom { need: need(30.0), priority: Priority::Urgent, spot: false };
     let both_types = classes.into_iter().map(|c| JobClass { types: vec![0, 1], ..c }).collect();
-    Snapshot { keep: vec![Some(keep), None], ..snapshot(rooms, both_types) }
+    Snapshot { reserved_headroom: vec![Some(keep), None], ..snapshot(rooms, both_types) }
 }
 
 /// Another type's machine, on which a replica would run ten seconds later.
 fn later_elsewhere() -> MachineSnapshot {
-    MachineSnapshot { ty: 1, fetch_rate: 0.2, ..without_image(room(8.0)) }
+    MachineSnapshot { machine_type: 1, fetch_rate: 0.2, ..without_image(room(8.0)) }
 }
 
 /// Guards against replicas, which never end, that take the last whole machines of large tasks.
@@ -396,7 +400,7 @@
     assert_eq!(choice(vec![beside(2), later_elsewhere()]), [1]);
     assert_eq!(choice(vec![beside(2)]), [0], "nowhere else to go");
     // Another type's room goes first where a replica runs as soon, be it the emptier one.
-    let as_soon = MachineSnapshot { ty: 1, ..room(64.0) };
+    let as_soon = MachineSnapshot { machine_type: 1, ..room(64.0) };
     assert_eq!(choice(vec![beside(0), as_soon]), [1]);
 }
 
@@ -405,7 +409,7 @@
 fn replicas_of_one_plan_count_where_a_larger_task_has_to_fit() {
     let services = vec![service(1), service(1), service(1)];
     let p = plan(&kept(vec![room(32.0), later_elsewhere()], services));
-    let beside = p.starts.iter().filter(|start| start.room == 0).count();
+    let beside = p.starts.iter().filter(|start| start.machine == 0).count();
     assert_eq!(beside, 2);
 }
 
@@ -429,7 +433,7 @@
 /// Guards against stopping more tasks while those that were stopped are still ending.
 #[test]
 fn room_that_is_being_freed_is_waited_for() {
-    let ending = PlacedTask { stoppable: false, stopping: true, ..held(1.0, Priority::Idle) };
+    let ending = PlacedTask { preemptible: false, stopping: true, ..held(1.0, Priority::Idle) };
     let p = plan(&snapshot(vec![with(room(2.0), vec![ending, held(1.0, Priority::Idle)])], vec![service(1)]));
     assert_eq!((rooms_of(&p, 0), p.preempt), (vec![0], Vec::new()));
 }
@@ -445,8 +449,8 @@
 
 /// What is rented, by kind, with so many machines booting for so long.
 fn rents(classes: Vec<JobClass>, booting: usize, age: Micros) -> Vec<(bool, u32)> {
-    let closed = MachineSnapshot { open: false, opens_in: secs(20), ..room(8.0) };
-    let snapshot = Snapshot { keep: vec![None], ..snapshot(vec![closed; booting], classes) };
+    let closed = MachineSnapshot { accepts_starts: false, accepts_starts_in: secs(20), ..room(8.0) };
+    let snapshot = Snapshot { reserved_headroom: vec![None], ..snapshot(vec![closed; booting], classes) };
     let plan = plan(&snapshot);
     let view = CapacityView {
         snapshot: &snapshot,
