--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -2,7 +2,7 @@
 
 use super::offers::{add_scale_out, FittingOffer};
 use super::{CapacityView, ScaleOut};
-use crate::sched::{allowed, JobClass};
+use crate::sched::{may_use, JobClass};
 
 /// Waiting arrays that can use the same machines.
 struct ArrayDemand<'a> {
@@ -81,7 +81,7 @@
         let room = &self.snapshot.machines[index];
         let kept = self.snapshot.is_below_reserved_priority(class, room);
         let stays = room.reclaimed_in.is_none() && self.coming(index);
-        allowed(class, room) && stays && !kept && room.total.fits(&class.need) > 0
+        may_use(class, room) && stays && !kept && room.total.fits(&class.need) > 0
     }
 
     /// Processor seconds that the rooms there are have for a class within so many seconds.
--- a/src/capacity/gangs.rs
+++ b/src/capacity/gangs.rs
@@ -2,7 +2,7 @@
 
 use super::offers::scale_out_for_tasks;
 use super::{CapacityView, ScaleOut};
-use crate::sched::{allowed, JobClass};
+use crate::sched::{may_use, JobClass};
 use crate::time::Micros;
 
 /// When a room has place for one more task of a gang. Slots compare by their fields in this order.
@@ -19,7 +19,7 @@
         let mut slots = Vec::new();
         for (index, room) in self.snapshot.machines.iter().enumerate() {
             let total = room.total.fits(&class.need);
-            if !allowed(class, room)
+            if !may_use(class, room)
                 || room.reclaimed_in.is_some()
                 || !self.coming(index)
                 || total <= used[index]
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -16,7 +16,7 @@
 use crate::wire::MachineType;
 
 /// What the fleet knows of a machine beside the planner's view, by the same index as
-/// `Snapshot::rooms`.
+/// `Snapshot::machines`.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineStatus {
     /// Time since the machine was rented (scaled out), as far as known.
@@ -73,7 +73,7 @@
 }
 
 /// Everything scale out and scale in decide from. Slices by machine are indexed like
-/// `Snapshot::rooms`, slices by type like `types`.
+/// `Snapshot::machines`, slices by type like `types`.
 pub struct CapacityView<'a> {
     /// The planner's snapshot.
     pub snapshot: &'a Snapshot,
@@ -100,7 +100,7 @@
 pub struct ScalingDecision {
     /// Machines to rent (scale out), at most one entry per offer.
     pub rents: Vec<ScaleOut>,
-    /// Indices into `Snapshot::rooms` of the machines to return (scale in), dearest first.
+    /// Indices into `Snapshot::machines` of the machines to return (scale in), dearest first.
     pub returns: Vec<usize>,
 }
 
--- a/src/capacity/services.rs
+++ b/src/capacity/services.rs
@@ -2,7 +2,7 @@
 
 use super::offers::scale_out_for_tasks;
 use super::{CapacityView, ScaleOut};
-use crate::sched::{allowed, Resources};
+use crate::sched::{may_use, Resources};
 
 impl CapacityView<'_> {
     /// Scales out for replicas that found no place: whole machines, on-demand ones if they are offered,
@@ -21,7 +21,7 @@
                 continue;
             }
             let mut missing = left;
-            for (index, _) in rooms.iter().enumerate().filter(|(_, room)| allowed(class, room)) {
+            for (index, _) in rooms.iter().enumerate().filter(|(_, room)| may_use(class, room)) {
                 let taken = coming[index].fits(&class.need).min(missing);
                 coming[index] = coming[index].minus(&class.need, taken);
                 missing -= taken;
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -65,7 +65,7 @@
             let c = &s.classes[start.class];
             if c.replica_machines.is_some() {
                 let planned = waiting.entry(start.class).or_default();
-                *planned = (*planned).max(Some(sched::runs_in(c, &s.machines[start.machine])));
+                *planned = (*planned).max(Some(sched::start_delay(c, &s.machines[start.machine])));
             }
         }
         let unmet = plan.unmet.iter().filter(|u| s.classes[u.0].replica_machines.is_some());
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -58,7 +58,7 @@
         let team_uses = self.current_team_uses();
         let classes = &self.planned_for.classes;
         let waits = |unmet: &(usize, u32)| unmet.1 > 0 && classes[unmet.0].gang;
-        let gang_waits = self.plan.unmet.iter().any(|u| waits(u) && sched::allowed(&classes[u.0], &room));
+        let gang_waits = self.plan.unmet.iter().any(|u| waits(u) && sched::may_use(&classes[u.0], &room));
         let top_up = IncrementalBackfill {
             snapshot: &self.planned_for,
             contended_types: &self.plan.contended_types,
--- a/src/sched/arrays.rs
+++ b/src/sched/arrays.rs
@@ -1,26 +1,25 @@
-//! Arrays: independent tasks, of which as many start as there is room for.
+//! Job arrays: independent tasks, of which as many start as there is free capacity for.
 
-use super::state::PlanState;
-use super::Start;
+use super::decisions::Start;
+use super::plan_state::PlanState;
 
 impl PlanState<'_> {
-    /// Starts as many tasks of an array as possible; returns how many found no room.
+    /// Starts as many tasks of an array as possible; returns how many found no capacity.
     pub(super) fn start_array(&mut self, class_index: usize, starts: &mut Vec<Start>) -> u32 {
         let class = &self.snapshot.classes[class_index];
-        let mut left = self.startable_count(class_index);
-        for room_index in self.candidates(class) {
-            if left == 0 {
+        let mut waiting = self.startable_count(class_index);
+        for machine_index in self.candidates(class) {
+            if waiting == 0 {
                 break;
             }
-            let zone = self.snapshot.machines[room_index].zone;
-            let fits = self.fits_now(class, room_index);
-            let count = fits.min(left).min(self.zone_allowance(class_index, zone));
+            let fits = self.fits_now(class, machine_index);
+            let count = fits.min(waiting).min(self.zone_allowance(class_index, machine_index));
             if count > 0 {
-                self.allocate(class_index, room_index, count);
-                starts.push(Start { class: class_index, machine: room_index, count });
-                left -= count;
+                self.allocate(class_index, machine_index, count);
+                starts.push(Start { class: class_index, machine: machine_index, count });
+                waiting -= count;
             }
         }
-        left
+        waiting
     }
 }
--- /dev/null
+++ b/src/sched/decisions.rs
@@ -0,0 +1,54 @@
+//! The planner's output: what starts, what is reserved and what is preempted.
+//!
+//! Indices are those of the [`super::Snapshot`] that the plan was made for.
+
+use crate::time::Micros;
+
+/// Tasks of one class on one machine: index into `Snapshot::machines`, number of tasks.
+pub type TasksOnMachine = (usize, u32);
+
+/// Tasks of one class that could not be placed: index into `Snapshot::classes`, number of tasks.
+pub type UnmetTasks = (usize, u32);
+
+/// A placed task: index into `Snapshot::machines`, index into that machine's `placed`.
+pub type PlacedTaskIndex = (usize, usize);
+
+/// Tasks of a class to start on a machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Start {
+    /// Index into `Snapshot::classes`.
+    pub class: usize,
+    /// Index into `Snapshot::machines`.
+    pub machine: usize,
+    /// Number of tasks.
+    pub count: u32,
+}
+
+/// The reservation of the first blocked job: jobs behind it in the queue may not delay it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Reservation {
+    /// Index into `Snapshot::classes`.
+    pub class: usize,
+    /// Time until its machines are free, by the stated ends of the tasks on them.
+    pub at: Micros,
+    /// The machines, each with the number of the class's tasks it is reserved for.
+    pub machines: Vec<TasksOnMachine>,
+}
+
+/// The planner's decisions: its only output.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Plan {
+    /// Tasks to start now.
+    pub starts: Vec<Start>,
+    /// The reservation of the first blocked job, if there is one.
+    pub reservation: Option<Reservation>,
+    /// Tasks to preempt.
+    pub preempt: Vec<PlacedTaskIndex>,
+    /// Tasks that found no capacity, in the queue's order.
+    pub unmet: Vec<UnmetTasks>,
+    /// By machine type: whether tasks wait that headroom on it is reserved for. Lower priorities do not
+    /// start there meanwhile.
+    pub contended_types: Vec<bool>,
+    /// By team: whether a gang of it is held back by its quota. Quota that comes free is left to that gang.
+    pub gang_awaits_quota: Vec<bool>,
+}
--- /dev/null
+++ b/src/sched/plan_state.rs
@@ -0,0 +1,154 @@
+//! The state of planning: the snapshot, and what is left of free capacity, quotas and zones while the
+//! plan is made.
+
+use std::collections::BTreeSet;
+
+use super::decisions::PlacedTaskIndex;
+use super::eligibility::{adjusted_end, lacks_awaited_image, may_use};
+use super::headroom::free_beside_headroom;
+use super::resources::Resources;
+use super::snapshot::{JobClass, Snapshot, TeamUse};
+use super::zone_limits;
+use crate::time::Micros;
+
+/// The state of planning. Classes are planned one after the other; each sees what those before it in the
+/// queue have taken.
+pub(super) struct PlanState<'a> {
+    /// What is planned for.
+    pub(super) snapshot: &'a Snapshot,
+    /// By machine: free resources.
+    pub(super) free: Vec<Resources>,
+    /// By machine: resources that lower priorities may still take beside the headroom reserved there;
+    /// none where no headroom is kept free.
+    pub(super) free_beside_headroom: Vec<Option<Resources>>,
+    /// By team: its use, including what this plan starts.
+    pub(super) team_uses: Vec<TeamUse>,
+    /// By machine of the reservation: what is free when the reservation begins, besides what the reserved
+    /// class takes. None for all other machines.
+    pub(super) free_at_reservation: Vec<Option<Resources>>,
+    /// When the reservation begins.
+    pub(super) reserved_at: Micros,
+    /// By class: its tasks in each zone, including what this plan starts.
+    pub(super) tasks_by_zone: Vec<Vec<u32>>,
+    /// By machine type: whether tasks wait that headroom on it is reserved for. Lower priorities do not
+    /// start there now.
+    pub(super) contended_types: Vec<bool>,
+    /// By machine: whether this plan preempts tasks on it for a class.
+    pub(super) being_preempted_for: Vec<bool>,
+    /// Tasks that this plan preempts for replicas.
+    pub(super) preempted_for_replicas: BTreeSet<PlacedTaskIndex>,
+    /// By machine: what this plan has given to replicas, which do not end.
+    pub(super) given_to_replicas: Vec<Resources>,
+    /// By team: the part of its quota that is reserved for its first gang that the quota holds back.
+    pub(super) quota_reservations: Vec<Option<QuotaReservation>>,
+    /// By team: whether a gang of it is held back by its quota, whether it finds capacity or not.
+    pub(super) gang_awaits_quota: Vec<bool>,
+    /// By team: when the tasks that this plan starts give their quota back.
+    pub(super) planned_releases: Vec<Vec<QuotaRelease>>,
+}
+
+/// What a gang that is held back by its team's quota alone reserves of that quota, so that the
+/// team's lower jobs do not take what comes free of it first.
+#[derive(Clone, Copy)]
+pub(super) struct QuotaReservation {
+    /// Resources that each of the gang's tasks takes.
+    pub(super) need: Resources,
+    /// Number of the gang's tasks.
+    pub(super) count: u32,
+    /// Time until the quota lets the gang start, by the ends of the team's tasks.
+    pub(super) at: Micros,
+}
+
+/// Tasks whose end gives quota back: placed ones end by their stated run time, those that this plan starts
+/// by their adjusted one.
+#[derive(Clone, Copy)]
+pub(super) struct QuotaRelease {
+    /// Time until then.
+    pub(super) at: Micros,
+    /// Resources that each of the tasks takes.
+    pub(super) need: Resources,
+    /// Number of tasks.
+    pub(super) count: u32,
+}
+
+impl<'a> PlanState<'a> {
+    /// Nothing planned yet.
+    pub(super) fn new(snapshot: &'a Snapshot) -> PlanState<'a> {
+        let machine_count = snapshot.machines.len();
+        let team_count = snapshot.teams.len();
+        PlanState {
+            snapshot,
+            free: snapshot.machines.iter().map(|machine| machine.free).collect(),
+            free_beside_headroom: free_beside_headroom(snapshot),
+            team_uses: snapshot.teams.clone(),
+            free_at_reservation: vec![None; machine_count],
+            reserved_at: Micros::ZERO,
+            tasks_by_zone: snapshot.classes.iter().map(|class| class.tasks_by_zone.clone()).collect(),
+            contended_types: vec![false; snapshot.reserved_headroom.len()],
+            being_preempted_for: vec![false; machine_count],
+            preempted_for_replicas: BTreeSet::new(),
+            given_to_replicas: vec![Resources::default(); machine_count],
+            quota_reservations: vec![None; team_count],
+            gang_awaits_quota: vec![false; team_count],
+            planned_releases: vec![Vec::new(); team_count],
+        }
+    }
+
+    /// How many tasks of the class could start on the machine now.
+    pub(super) fn fits_now(&self, class: &JobClass, machine_index: usize) -> u32 {
+        let machine = &self.snapshot.machines[machine_index];
+        if !machine.accepts_starts || !may_use(class, machine) || lacks_awaited_image(class, machine) {
+            return 0;
+        }
+        let mut count = self.free[machine_index].fits(&class.need);
+        if count > 0 && self.snapshot.is_below_reserved_priority(class, machine) {
+            if self.contended_types[machine.machine_type] {
+                return 0;
+            }
+            let beside_headroom = self.free_beside_headroom[machine_index];
+            count = count.min(beside_headroom.map_or(count, |free| free.fits(&class.need)));
+        }
+        let ends_in = adjusted_end(class, machine);
+        if machine.reclaimed_in.is_some_and(|reclaimed_in| ends_in > reclaimed_in) {
+            return 0;
+        }
+        match &self.free_at_reservation[machine_index] {
+            // It would still run when the reserved job starts: it may take only what that job leaves.
+            Some(free) if ends_in > self.reserved_at => count.min(free.fits(&class.need)),
+            _ => count,
+        }
+    }
+
+    /// Takes capacity of the machine and quota of the team for tasks of the class.
+    pub(super) fn allocate(&mut self, class_index: usize, machine_index: usize, count: u32) {
+        let class = &self.snapshot.classes[class_index];
+        let machine = &self.snapshot.machines[machine_index];
+        let ends_in = adjusted_end(class, machine);
+        let take = |free: Resources| free.minus(&class.need, count);
+        let free = &mut self.free[machine_index];
+        *free = take(*free);
+        if self.snapshot.is_below_reserved_priority(class, machine) {
+            self.free_beside_headroom[machine_index] = self.free_beside_headroom[machine_index].map(take);
+        }
+        if ends_in > self.reserved_at {
+            self.free_at_reservation[machine_index] = self.free_at_reservation[machine_index].map(take);
+        }
+        if let Some(team_use) = self.team_uses.get_mut(class.team) {
+            team_use.used = team_use.used.plus(&class.need, count);
+            let release = QuotaRelease { at: ends_in, need: class.need, count };
+            self.planned_releases[class.team].push(release);
+        }
+        if class.replica_machines.is_some() {
+            let given = &mut self.given_to_replicas[machine_index];
+            *given = given.plus(&class.need, count);
+        }
+        self.tasks_by_zone[class_index][machine.zone] += count;
+    }
+
+    /// How many more tasks of the class may go to the machine's zone.
+    pub(super) fn zone_allowance(&self, class_index: usize, machine_index: usize) -> u32 {
+        let class = &self.snapshot.classes[class_index];
+        let zone = self.snapshot.machines[machine_index].zone;
+        zone_limits::zone_allowance(class, &self.tasks_by_zone[class_index], zone)
+    }
+}
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -1,96 +1,87 @@
-//! Preemption: which running tasks are stopped so that a class of higher rank can start.
+//! Preemption for capacity: which placed tasks are preempted so that a blocked class can start.
 
-use super::placement::{allowed, fetch_seconds, lacks_awaited_image};
-use super::preemptible::preemptible_for;
-use super::state::PlanState;
-use super::{JobClass, Plan};
+use super::decisions::PlacedTaskIndex;
+use super::eligibility::{fetch_seconds, lacks_awaited_image, may_use};
+use super::plan_state::PlanState;
+use super::preemption_rule::preemptible_for;
+use super::resources::Resources;
+use super::snapshot::{JobClass, MachineSnapshot};
 use crate::time::Micros;
 
-/// A room that the class can have, and what is stopped for it. Options compare by their fields in this
-/// order: where least work is lost goes first.
+/// Lower bound of the processors of a task when the time to fetch its image is counted as lost work.
+const LEAST_COUNTED_CPUS: f64 = 0.1;
+
+/// A machine that the class can have, and what is preempted for that. Options compare by their fields in
+/// this order, and the least is the best.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionOption {
-    /// Work lost, with the time of fetching the class's image.
-    lost: Micros,
-    /// The room's index.
-    room: usize,
-    /// Tasks to stop, by their place in the room's list.
-    stops: Vec<usize>,
-    /// How many tasks of the class fit then.
+    /// Work lost, in processor time, including the time to fetch the class's image.
+    lost_work: Micros,
+    /// Index into `Snapshot::machines`.
+    machine: usize,
+    /// Tasks to preempt, as indices into the machine's `placed`.
+    victims: Vec<usize>,
+    /// How many tasks of the class fit afterwards.
     fits: u32,
 }
 
 impl PlanState<'_> {
-    /// Reserves room for a blocked class if none is reserved yet, and stops others for it if it cannot
-    /// wait that long.
-    pub(super) fn reserve_or_preempt(&mut self, class_index: usize, plan: &mut Plan) {
-        let class = &self.snapshot.classes[class_index];
-        if plan.reservation.is_none() && self.snapshot.reserve {
-            plan.reservation = self.reserve(class_index);
-            let too_late =
-                plan.reservation.as_ref().is_none_or(|reservation| reservation.at > class.preempt_after);
-            if too_late {
-                plan.preempt.extend(self.preempt(class_index));
-            }
-        } else if class.preempt_after.0 <= 0 {
-            // Not the head, but out of patience as well: each finds rooms of its own.
-            plan.preempt.extend(self.preempt(class_index));
-        }
-    }
-
-    /// Tasks to stop so that the class can start: where least is lost, with the time that the
-    /// class's image would take to fetch counted as lost too.
-    fn preempt(&mut self, class_index: usize) -> Vec<(usize, usize)> {
+    /// Tasks to preempt so that the class can start, where the least work is lost.
+    pub(super) fn preempt(&mut self, class_index: usize) -> Vec<PlacedTaskIndex> {
         let class = &self.snapshot.classes[class_index];
-        let room_count = self.snapshot.machines.len();
+        let machine_count = self.snapshot.machines.len();
         let mut options: Vec<PreemptionOption> =
-            (0..room_count).filter_map(|room| self.preemption_option(class, room)).collect();
+            (0..machine_count).filter_map(|machine| self.preemption_option(class, machine)).collect();
         options.sort();
-        let rooms: Vec<usize> = options.iter().map(|option| option.room).collect();
-        let mut by_room: Vec<Option<&PreemptionOption>> = vec![None; room_count];
+        let machines: Vec<usize> = options.iter().map(|option| option.machine).collect();
+        let mut by_machine: Vec<Option<&PreemptionOption>> = vec![None; machine_count];
         for option in &options {
-            by_room[option.room] = Some(option);
+            by_machine[option.machine] = Some(option);
         }
-        let places = if class.gang {
-            let fit = |room: usize| by_room[room].map_or(0, |option| option.fits);
-            self.place_gang(class_index, &rooms, &fit)
-        } else {
-            let first = rooms.iter().find(|&&room| self.zone_takes(class_index, room));
-            first.map(|&room| vec![(room, 1)])
-        };
-        let mut stopped = Vec::new();
-        for (room, _) in places.unwrap_or_default() {
-            self.being_preempted_for[room] = true;
-            let stops = by_room[room].iter().flat_map(|option| &option.stops);
-            stopped.extend(stops.map(|&held| (room, held)));
+        let fits = |machine: usize| by_machine[machine].map_or(0, |option| option.fits);
+        let places = self.place_blocked(class_index, &machines, &fits);
+        let mut preempted = Vec::new();
+        for (machine, _) in places.unwrap_or_default() {
+            self.being_preempted_for[machine] = true;
+            let victims = by_machine[machine].iter().flat_map(|option| &option.victims);
+            preempted.extend(victims.map(|&task| (machine, task)));
         }
-        stopped
+        preempted
     }
 
-    /// What it takes for at least one task of the class to fit into a room; `None` if it cannot.
-    fn preemption_option(&self, class: &JobClass, room_index: usize) -> Option<PreemptionOption> {
-        let room = &self.snapshot.machines[room_index];
-        if !room.accepts_starts || room.reclaimed_in.is_some() || self.being_preempted_for[room_index] {
+    /// What is preempted on a machine for at least one task of the class to fit; none if it cannot.
+    fn preemption_option(&self, class: &JobClass, machine_index: usize) -> Option<PreemptionOption> {
+        let machine = &self.snapshot.machines[machine_index];
+        if !machine.accepts_starts
+            || machine.reclaimed_in.is_some()
+            || self.being_preempted_for[machine_index]
+        {
             return None;
         }
-        if !allowed(class, room) || lacks_awaited_image(class, room) {
+        if !may_use(class, machine) || lacks_awaited_image(class, machine) {
             return None;
         }
-        let ending = room.placed.iter().filter(|task| task.stopping);
-        let mut free = ending.fold(self.free[room_index], |free, task| free.plus(&task.need, 1));
-        let mut lost = Micros::from_secs(fetch_seconds(class, room) * class.need.cpus.max(0.1));
-        let mut stops = Vec::new();
+        let mut free = with_stopping_ended(machine, self.free[machine_index]);
+        let counted_cpus = class.need.cpus.max(LEAST_COUNTED_CPUS);
+        let mut lost_work = Micros::from_secs(fetch_seconds(class, machine) * counted_cpus);
+        let mut victims = Vec::new();
         if free.fits(&class.need) == 0 {
-            for held in preemptible_for(class, room) {
+            for task in preemptible_for(class, machine) {
                 if free.fits(&class.need) > 0 {
                     break;
                 }
-                free = free.plus(&room.placed[held].need, 1);
-                lost = lost + room.placed[held].lost_work;
-                stops.push(held);
+                free = free.plus(&machine.placed[task].need, 1);
+                lost_work = lost_work + machine.placed[task].lost_work;
+                victims.push(task);
             }
         }
         let fits = free.fits(&class.need);
-        (fits > 0).then_some(PreemptionOption { lost, room: room_index, stops, fits })
+        (fits > 0).then_some(PreemptionOption { lost_work, machine: machine_index, victims, fits })
     }
 }
+
+/// What is free on the machine once the tasks that are being stopped have ended.
+fn with_stopping_ended(machine: &MachineSnapshot, free: Resources) -> Resources {
+    let stopping = machine.placed.iter().filter(|task| task.stopping);
+    stopping.fold(free, |free, task| free.plus(&task.need, 1))
+}
--- a/src/sched/queue.rs
+++ b/src/sched/queue.rs
@@ -1,25 +1,58 @@
-//! The order in which jobs are considered.
+//! The queue: the order in which job classes are planned.
 
-use super::JobClass;
+use std::cmp::Reverse;
 
-/// The queue's score within a rank: (wait / adjusted time)^3 x size.
+use super::snapshot::JobClass;
+use crate::wire::Priority;
+
+/// Lower bound, in seconds, of the times in the score.
+const LEAST_SCORED_SECONDS: f64 = 0.001;
+
+/// Lower bound of a task's size in the score, in processors or GPUs.
+const LEAST_SCORED_SIZE: f64 = 0.1;
+
+/// Classes of one group differ in the queue by their score only. Groups compare by their fields in this
+/// order, and the lesser goes first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct QueueGroup {
+    /// Work within its team's fair share goes first.
+    within_fair_share: Reverse<bool>,
+    /// Then the higher priority.
+    priority: Reverse<Priority>,
+    /// Then the class that has missed fewer of its objectives.
+    missed_objectives: u8,
+}
+
+impl QueueGroup {
+    /// The class's group.
+    pub(super) fn of(class: &JobClass) -> QueueGroup {
+        QueueGroup {
+            within_fair_share: Reverse(class.within_fair_share),
+            priority: Reverse(class.queue_priority()),
+            missed_objectives: class.missed_objectives,
+        }
+    }
+}
+
+/// The score within a group, Eq. 5 of the paper: (wait / adjusted run time)^3 x size. The size is that
+/// of the tasks that could start, in processors or GPUs, whichever are more.
 pub fn score(class: &JobClass) -> f64 {
-    let wait = class.waited.secs().max(0.001);
-    let time = class.adjusted_runtime.secs().max(0.001);
-    let size = class.need.cpus.max(class.need.gpus).max(0.1) * f64::from(class.count.max(1));
-    (wait / time).powi(3) * size
+    let wait = class.waited.secs().max(LEAST_SCORED_SECONDS);
+    let runtime = class.adjusted_runtime.secs().max(LEAST_SCORED_SECONDS);
+    let task_size = class.need.cpus.max(class.need.gpus).max(LEAST_SCORED_SIZE);
+    let size = task_size * f64::from(class.count.max(1));
+    (wait / runtime).powi(3) * size
 }
 
-/// The queue's order: guaranteed work, then rank, then fewest aims missed, then score.
+/// The queue: indices into `classes` by fair share, priority, missed objectives and score; of equal
+/// classes the first one goes first.
 pub fn order(classes: &[JobClass]) -> Vec<usize> {
     let scores: Vec<f64> = classes.iter().map(score).collect();
-    let mut indexes: Vec<usize> = (0..classes.len()).collect();
-    indexes.sort_by(|&a, &b| {
-        let (x, y) = (&classes[a], &classes[b]);
-        (y.within_fair_share, y.queue_priority(), x.missed_objectives)
-            .cmp(&(x.within_fair_share, x.queue_priority(), y.missed_objectives))
-            .then(scores[b].total_cmp(&scores[a]))
-            .then(a.cmp(&b))
+    let mut queue: Vec<usize> = (0..classes.len()).collect();
+    queue.sort_by(|&a, &b| {
+        let by_group = QueueGroup::of(&classes[a]).cmp(&QueueGroup::of(&classes[b]));
+        let by_score = scores[b].total_cmp(&scores[a]);
+        by_group.then(by_score).then(a.cmp(&b))
     });
-    indexes
+    queue
 }
--- /dev/null
+++ b/src/sched/quota.rs
@@ -0,0 +1,112 @@
+//! Team quotas: how many tasks of a class they let start, when, and what is preempted for that.
+
+use super::decisions::PlacedTaskIndex;
+use super::plan_state::{PlanState, QuotaRelease};
+use super::preemption_rule::may_preempt;
+use super::snapshot::{JobClass, PlacedTask, TeamUse};
+use crate::time::Micros;
+
+/// Later than anything that is planned.
+const BEYOND_PLANNING: Micros = Micros::from_millis(86_400_000);
+
+/// A placed task that may be preempted. Tasks compare by their fields in this order, and the least is
+/// preempted first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct PreemptibleTask {
+    /// Work that is lost if it is preempted.
+    lost_work: Micros,
+    /// Index into `Snapshot::machines`.
+    machine: usize,
+    /// Index into the machine's `placed`.
+    task: usize,
+}
+
+impl PlanState<'_> {
+    /// How many tasks of the class its team's quota lets start. What a gang of the team has reserved of
+    /// the quota is left to it, unless the class ends before the gang starts.
+    pub(super) fn startable_count(&self, class_index: usize) -> u32 {
+        let class = &self.snapshot.classes[class_index];
+        let Some(mut team_use) = self.team_uses.get(class.team).copied() else { return class.count };
+        let runs_for = class.adjusted_runtime + self.snapshot.low_priority_delay_step;
+        let reservation = self.quota_reservations[class.team];
+        if let Some(reservation) = reservation.filter(|reservation| runs_for > reservation.at) {
+            team_use.used = team_use.used.plus(&reservation.need, reservation.count);
+        }
+        class.count.min(team_use.allows(&class.need))
+    }
+
+    /// Time until the team's quota lets the class start whole, as the team's tasks end.
+    pub(super) fn quota_allows_at(&self, class_index: usize) -> Micros {
+        let class = &self.snapshot.classes[class_index];
+        let Some(mut team_use) = self.team_uses.get(class.team).copied() else { return Micros::ZERO };
+        for QuotaRelease { at, need, count } in self.quota_releases(class.team) {
+            team_use.used = team_use.used.minus(&need, count);
+            if allows_whole(&team_use, class) {
+                return at;
+            }
+        }
+        BEYOND_PLANNING
+    }
+
+    /// When the team's tasks, placed and planned, give their quota back, soonest first.
+    fn quota_releases(&self, team: usize) -> Vec<QuotaRelease> {
+        let release = |task: &PlacedTask| {
+            let at = if task.stopping { Micros::ZERO } else { task.remaining };
+            QuotaRelease { at, need: task.need, count: 1 }
+        };
+        let placed = self.snapshot.machines.iter().flat_map(|machine| &machine.placed);
+        let mut releases: Vec<QuotaRelease> = placed.filter(|task| task.team == team).map(release).collect();
+        releases.extend(&self.planned_releases[team]);
+        releases.sort_unstable_by_key(|release| release.at);
+        releases
+    }
+
+    /// Tasks of the same team and lower priority to preempt so that the quota lets the class start, once
+    /// it has waited long enough. None if that would not be enough.
+    pub(super) fn preempt_within_quota(&self, class_index: usize) -> Vec<PlacedTaskIndex> {
+        let class = &self.snapshot.classes[class_index];
+        let Some(mut team_use) = self.team_uses.get(class.team).copied() else { return Vec::new() };
+        if class.preempt_after.0 > 0 {
+            return Vec::new();
+        }
+        let victims = self.preemptible_in_team(class, &mut team_use);
+        let mut preempted = Vec::new();
+        for victim in victims {
+            if allows_whole(&team_use, class) {
+                return preempted;
+            }
+            let task = &self.snapshot.machines[victim.machine].placed[victim.task];
+            team_use.used = team_use.used.minus(&task.need, 1);
+            preempted.push((victim.machine, victim.task));
+        }
+        if allows_whole(&team_use, class) {
+            preempted
+        } else {
+            Vec::new()
+        }
+    }
+
+    /// The tasks of the class's team that may be preempted for it, those that lose the least work first.
+    /// Tasks that are being stopped already are taken off `team_use`.
+    fn preemptible_in_team(&self, class: &JobClass, team_use: &mut TeamUse) -> Vec<PreemptibleTask> {
+        let mut victims: Vec<PreemptibleTask> = Vec::new();
+        for (machine_index, machine) in self.snapshot.machines.iter().enumerate() {
+            let of_team = machine.placed.iter().enumerate().filter(|(_, task)| task.team == class.team);
+            for (task_index, task) in of_team {
+                if task.stopping {
+                    team_use.used = team_use.used.minus(&task.need, 1);
+                } else if may_preempt(task, class) {
+                    let lost_work = task.lost_work;
+                    victims.push(PreemptibleTask { lost_work, machine: machine_index, task: task_index });
+                }
+            }
+        }
+        victims.sort_unstable();
+        victims
+    }
+}
+
+/// Whether the quota lets all the class's tasks that could start do so at once.
+fn allows_whole(team_use: &TeamUse, class: &JobClass) -> bool {
+    team_use.allows(&class.need) >= class.count
+}
--- a/src/sched/reservation.rs
+++ b/src/sched/reservation.rs
@@ -1,43 +1,46 @@
-//! The reservation: when and where the first blocked job finds its room, by stated ends.
+//! The reservation of backfilling (paper, 5.1): when and where the first blocked job starts, by the
+//! stated ends of the tasks that run.
 
-use super::placement::allowed;
-use super::state::PlanState;
-use super::Reservation;
+use super::decisions::{Reservation, TasksOnMachine};
+use super::eligibility::may_use;
+use super::plan_state::PlanState;
 use crate::time::Micros;
 
 impl PlanState<'_> {
-    /// Reserves the room that the class finds first; `None` if it finds none.
+    /// Reserves the machines where the class can start first; none if it can start nowhere.
     pub(super) fn reserve(&mut self, class_index: usize) -> Option<Reservation> {
         let class = &self.snapshot.classes[class_index];
-        let rooms: Vec<usize> = (0..self.snapshot.machines.len())
-            .filter(|&room_index| {
-                let room = &self.snapshot.machines[room_index];
-                allowed(class, room) && room.reclaimed_in.is_none() && room.total.fits(&class.need) > 0
-            })
-            .collect();
-        let at = self.earliest_start(class_index, &rooms)?;
-        let fit = |room_index: usize| self.free_at(room_index, at).fits(&class.need);
-        let places = if class.gang {
-            self.place_gang(class_index, &rooms, &fit)?
-        } else {
-            let first = rooms.iter().find(|&&room| fit(room) > 0 && self.zone_takes(class_index, room))?;
-            vec![(*first, 1)]
+        let machines = self.reservable_machines(class_index);
+        let at = self.earliest_start(class_index, &machines)?;
+        let fits = |machine_index: usize| self.free_at(machine_index, at).fits(&class.need);
+        let places = self.place_blocked(class_index, &machines, &fits)?;
+        Some(self.reserve_machines(class_index, at, places))
+    }
+
+    /// The machines that last and on which a task of the class would fit if they were empty.
+    fn reservable_machines(&self, class_index: usize) -> Vec<usize> {
+        let class = &self.snapshot.classes[class_index];
+        let is_reservable = |machine_index: &usize| {
+            let machine = &self.snapshot.machines[*machine_index];
+            let lasts = machine.reclaimed_in.is_none();
+            may_use(class, machine) && lasts && machine.total.fits(&class.need) > 0
         };
-        Some(self.reserve_rooms(class_index, at, places))
+        (0..self.snapshot.machines.len()).filter(is_reservable).collect()
     }
 
-    /// Reserves rooms for the class from a time on.
-    pub(super) fn reserve_rooms(
+    /// Reserves machines for the class from a time on.
+    pub(super) fn reserve_machines(
         &mut self,
         class_index: usize,
         at: Micros,
-        rooms: Vec<(usize, u32)>,
+        machines: Vec<TasksOnMachine>,
     ) -> Reservation {
         self.reserved_at = at;
         let need = self.snapshot.classes[class_index].need;
-        for &(room_index, count) in &rooms {
-            self.shadow[room_index] = Some(self.free_at(room_index, at).minus(&need, count));
+        for &(machine_index, count) in &machines {
+            let free = self.free_at(machine_index, at).minus(&need, count);
+            self.free_at_reservation[machine_index] = Some(free);
         }
-        Reservation { class: class_index, at, machines: rooms }
+        Reservation { class: class_index, at, machines }
     }
 }
--- /dev/null
+++ b/src/sched/service_placement.rs
@@ -0,0 +1,167 @@
+//! Services: replicas that run until their job is cancelled. Replicas start where they run soonest,
+//! no two of a service on one machine while others will do, and in different zones as far as that
+//! costs little time. Where no machine is free soon enough, tasks of lower priority are preempted at once.
+
+use super::decisions::{Plan, Start};
+use super::eligibility::{fetch_seconds, may_use};
+use super::headroom::capacity_beside_replicas;
+use super::plan_state::PlanState;
+use super::replica_preemption::ReplicaPreemption;
+use super::resources::cpu_tenths;
+use super::snapshot::JobClass;
+use super::zone_limits::half_of_tasks;
+use crate::time::Micros;
+
+/// Costs that differ by less than this count as alike.
+const COST_STEP: Micros = Micros::from_millis(500);
+
+/// Cost of preemption: preempting others has to save a replica this much time.
+const PREEMPTION_COST: Micros = Micros::from_millis(1500);
+
+/// Cost of a zone that has half of the service's replicas already.
+const CROWDED_ZONE_COST: Micros = Micros::from_millis(1500);
+
+/// Cost of a machine with reserved headroom where a task of the headroom's size still fits beside.
+const RESERVED_TYPE_COST: Micros = Micros::from_millis(1000);
+
+/// Cost of a machine with reserved headroom where a task of the headroom's size would no longer fit.
+const HEADROOM_LOST_COST: Micros = Micros::from_millis(20_000);
+
+/// Cost of a machine with another replica of the service.
+const SAME_MACHINE_COST: Micros = Micros::from_millis(600_000);
+
+/// A machine that could take a replica.
+struct ReplicaCandidate {
+    /// Time until the replica would run, plus the costs of all that speaks against the machine.
+    cost: Micros,
+    /// Work that is lost by preemption, in processor time.
+    lost_work: Micros,
+    /// Free processors in tenths: full machines go before empty ones.
+    free_tenths: i64,
+    /// Index into `Snapshot::machines`.
+    machine: usize,
+    /// Tasks to preempt, as indices into the machine's `placed`.
+    victims: Vec<usize>,
+}
+
+/// How good a candidate is at present. Ranks compare by their fields in this order, and the least is the
+/// best.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ReplicaRank {
+    /// The cost, with that of the zone, in steps of `COST_STEP`.
+    cost_steps: i64,
+    lost_work: Micros,
+    free_tenths: i64,
+    machine: usize,
+}
+
+impl PlanState<'_> {
+    /// Starts as many of a service's waiting replicas as possible; returns how many found no place.
+    pub(super) fn start_service(&mut self, class_index: usize, plan: &mut Plan) -> u32 {
+        let class = &self.snapshot.classes[class_index];
+        let startable = self.startable_count(class_index);
+        if startable < class.count {
+            // Its team's own lower work gives quota back.
+            plan.preempt.extend(self.preempt_within_quota(class_index));
+        }
+        let mut occupied: Vec<usize> = class.replica_machines.clone().unwrap_or_default();
+        let mut waiting = startable;
+        let mut candidates = self.replica_candidates(class_index, &occupied);
+        while waiting > 0 && !candidates.is_empty() {
+            let best = self.best_candidate(class_index, &candidates);
+            let chosen = candidates.swap_remove(best);
+            if self.zone_allowance(class_index, chosen.machine) == 0 {
+                continue;
+            }
+            self.start_replica(class_index, &chosen, plan);
+            waiting -= 1;
+            occupied.push(chosen.machine);
+            // The machine may take another replica, if there is nowhere else to go.
+            candidates.extend(self.replica_candidate(class_index, chosen.machine, &occupied));
+        }
+        class.count - (startable - waiting)
+    }
+
+    /// Starts a replica on the chosen machine and preempts what it takes.
+    fn start_replica(&mut self, class_index: usize, chosen: &ReplicaCandidate, plan: &mut Plan) {
+        let machine = chosen.machine;
+        self.allocate(class_index, machine, 1);
+        self.being_preempted_for[machine] |= !chosen.victims.is_empty();
+        let victims = || chosen.victims.iter().map(|&task| (machine, task));
+        plan.preempt.extend(victims());
+        self.preempted_for_replicas.extend(victims());
+        plan.starts.push(Start { class: class_index, machine, count: 1 });
+    }
+
+    /// The machines that could take a replica. `occupied` are the machines to avoid.
+    fn replica_candidates(&self, class_index: usize, occupied: &[usize]) -> Vec<ReplicaCandidate> {
+        (0..self.snapshot.machines.len())
+            .filter_map(|machine| self.replica_candidate(class_index, machine, occupied))
+            .collect()
+    }
+
+    /// Index of the candidate to take next, with the zones as they stand.
+    fn best_candidate(&self, class_index: usize, candidates: &[ReplicaCandidate]) -> usize {
+        let rank = |index: &usize| self.replica_rank(class_index, &candidates[*index]);
+        (0..candidates.len()).min_by_key(rank).unwrap_or(0)
+    }
+
+    /// How good a candidate is, with the zones as they stand.
+    fn replica_rank(&self, class_index: usize, candidate: &ReplicaCandidate) -> ReplicaRank {
+        let class = &self.snapshot.classes[class_index];
+        let zone = self.snapshot.machines[candidate.machine].zone;
+        let is_crowded = self.tasks_by_zone[class_index][zone] >= half_of_tasks(class);
+        let zone_cost = if is_crowded { CROWDED_ZONE_COST } else { Micros::ZERO };
+        ReplicaRank {
+            cost_steps: (candidate.cost + zone_cost).0 / COST_STEP.0,
+            lost_work: candidate.lost_work,
+            free_tenths: candidate.free_tenths,
+            machine: candidate.machine,
+        }
+    }
+
+    /// What it takes to run a replica on a machine; none if it cannot run there.
+    fn replica_candidate(
+        &self,
+        class_index: usize,
+        machine_index: usize,
+        occupied: &[usize],
+    ) -> Option<ReplicaCandidate> {
+        let class = &self.snapshot.classes[class_index];
+        let machine = &self.snapshot.machines[machine_index];
+        if !machine.accepts_starts || machine.reclaimed_in.is_some() || !may_use(class, machine) {
+            return None;
+        }
+        let ReplicaPreemption { victims, lost_work, ready_in } =
+            self.preemption_for_replica(class, machine_index)?;
+        let mut cost = ready_in + Micros::from_secs(fetch_seconds(class, machine)) + machine.penalty;
+        if !victims.is_empty() {
+            cost = cost + PREEMPTION_COST;
+        }
+        if occupied.contains(&machine_index) {
+            cost = cost + SAME_MACHINE_COST;
+        }
+        cost = cost + self.headroom_cost(class, machine_index);
+        let free_tenths = cpu_tenths(self.free[machine_index].cpus);
+        Some(ReplicaCandidate { cost, lost_work, free_tenths, machine: machine_index, victims })
+    }
+
+    /// Cost of a machine with reserved headroom: replicas do not end, so a task of the headroom's size
+    /// might never fit there again.
+    fn headroom_cost(&self, class: &JobClass, machine_index: usize) -> Micros {
+        let machine = &self.snapshot.machines[machine_index];
+        let Some(headroom) = self.snapshot.headroom_for(machine.machine_type, machine.spot) else {
+            return Micros::ZERO;
+        };
+        let is_as_large = class.need.fits(&headroom.need) > 0;
+        if is_as_large {
+            return Micros::ZERO;
+        }
+        let beside = capacity_beside_replicas(machine).minus(&self.given_to_replicas[machine_index], 1);
+        if beside.minus(&class.need, 1).fits(&headroom.need) > 0 {
+            RESERVED_TYPE_COST
+        } else {
+            HEADROOM_LOST_COST
+        }
+    }
+}
