--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -21,17 +21,17 @@
 }
 
 prop_compose! {
-    fn room()(rate in 0i64..3, ty in 0usize..2, zone in 0usize..2, spot in any::<bool>(), open in prop::bool::weighted(0.85),
-              opens in 0i64..30, has in any::<bool>(), until in prop::option::weighted(0.1, 1i64..60),
+    fn machine()(cpu_price in 0i64..3, machine_type in 0usize..2, zone in 0usize..2, spot in any::<bool>(), accepts_starts in prop::bool::weighted(0.85),
+              opens_s in 0i64..30, has in any::<bool>(), reclaimed_in in prop::option::weighted(0.1, 1i64..60),
               held in prop::collection::vec((1u32..3, priority(), 1i64..90, any::<bool>()), 0..4)) -> MachineSnapshot {
-        let total = need(if ty == 0 { 4.0 } else { 16.0 });
+        let total = need(if machine_type == 0 { 4.0 } else { 16.0 });
         let held: Vec<PlacedTask> = held.into_iter().map(|(cpus, priority, left, stoppable)| PlacedTask {
             need: need(f64::from(cpus)), priority, within_fair_share: false, team: usize::from(!stoppable), remaining: secs(left), lost_work: secs(left), preemptible: stoppable, stopping: false, is_replica: false,
         }).scan(0.0, |sum, h| { *sum += h.need.cpus; Some((*sum, h)) }).filter(|x| x.0 <= total.cpus).map(|x| x.1).collect();
         let free = held.iter().fold(total, |f, h| f.minus(&h.need, 1));
-        MachineSnapshot { machine_type: ty, zone, spot, total, free, cpu_price: rate, accepts_starts: open, accepts_starts_in: secs(if open { opens % 4 } else { opens }),
+        MachineSnapshot { machine_type, zone, spot, total, free, cpu_price, accepts_starts, accepts_starts_in: secs(if accepts_starts { opens_s % 4 } else { opens_s }),
                images: if has { vec![1] } else { vec![] }, fetch_rate: 0.5, penalty: Micros::ZERO,
-               reclaimed_in: until.map(secs), placed: held }
+               reclaimed_in: reclaimed_in.map(secs), placed: held }
     }
 }
 
@@ -47,30 +47,30 @@
 }
 
 prop_compose! {
-    fn snapshot(most: usize, widest: u32)(rooms in prop::collection::vec(room(), 0..most),
+    fn snapshot(most: usize, widest: u32)(machines in prop::collection::vec(machine(), 0..most),
                   classes in prop::collection::vec(class(widest), 0..7), limit in 0..widest + 4, keep in any::<(bool, bool)>(), reserve in any::<bool>()) -> Snapshot {
-        let held = rooms.iter().flat_map(|r| &r.placed).filter(|h| h.team == 0);
+        let held = machines.iter().flat_map(|r| &r.placed).filter(|h| h.team == 0);
         let used = held.fold(Resources::default(), |n, h| n.plus(&h.need, 1));
-        // Somewhat over what runs, so that the limit is met now and then.
+        // Somewhat over what runs, so that the quota is met now and then.
         let cpus_max = if limit == 0 { 0.0 } else { used.cpus + f64::from(limit) };
-        Snapshot { zone_count: 2, machines: rooms, classes, reserve, low_priority_delay_step: secs(4), delay_step: secs(2), headroom_machines: 1,
+        Snapshot { zone_count: 2, machines, classes, reserve, low_priority_delay_step: secs(4), delay_step: secs(2), headroom_machines: 1,
                    teams: vec![TeamUse { used, cpu_quota: cpus_max, gpu_quota: 0.0 }, TeamUse::default()],
                    reserved_headroom: vec![None, keep.0.then(|| ReservedHeadroom { need: need(15.0), priority: Priority::Urgent, spot: keep.1 })] }
     }
 }
 
-/// Class, time, and the rooms with their tasks.
-type Promise = (usize, Micros, Vec<(usize, u32)>);
+/// Class, time, and the machines with the number of tasks on each.
+type ReservedPlaces = (usize, Micros, Vec<(usize, u32)>);
 
 /// The model keeps single tasks and asks each question anew from all that was placed.
 struct Model<'a> {
     s: &'a Snapshot,
     placed: Vec<(usize, usize)>,
-    reserved: Option<Promise>,
-    claims: Vec<(usize, f64, Micros)>,
-    /// Teams of which a gang is held back by the limit.
-    behind: Vec<usize>,
-    wanted: [bool; 2],
+    reserved: Option<ReservedPlaces>,
+    quota_reservations: Vec<(usize, f64, Micros)>,
+    /// Teams of which a gang is held back by the quota.
+    gang_awaits_quota: Vec<usize>,
+    contended: [bool; 2],
 }
 
 impl Model<'_> {
@@ -91,21 +91,21 @@
     }
 
     fn clear(&self, m: usize) -> bool {
-        let ty = self.s.machines[m].machine_type;
+        let machine_type = self.s.machines[m].machine_type;
         let could = |r: &MachineSnapshot| {
-            r.machine_type == ty
+            r.machine_type == machine_type
                 && r.reclaimed_in.is_none()
-                && self.s.reserved_headroom[ty]
+                && self.s.reserved_headroom[machine_type]
                     .is_some_and(|k| r.free.fits(&k.need) > 0 && (k.spot || !r.spot))
         };
         could(&self.s.machines[m])
             && self.s.machines.iter().take(m).filter(|r| could(r)).count() < self.s.headroom_machines
     }
 
-    /// What a reservation leaves on the room at its time.
+    /// What a reservation leaves on the machine at its time.
     fn shadow(&self, m: usize) -> Option<f64> {
-        let (class, at, rooms) = self.reserved.as_ref()?;
-        let n = rooms.iter().find(|r| r.0 == m)?.1;
+        let (class, at, machines) = self.reserved.as_ref()?;
+        let n = machines.iter().find(|r| r.0 == m)?.1;
         let r = &self.s.machines[m];
         let back: f64 = r.placed.iter().filter(|h| h.remaining <= *at).map(|h| h.need.cpus).sum();
         // What was placed before the reservation counts as there; afterwards by its end.
@@ -136,7 +136,7 @@
         self.placed.iter().filter(move |p| p.1 == m && head.is_some_and(|h| pos(p.0) > pos(h))).map(|p| p.0)
     }
 
-    fn room_for_one(&self, class: usize, m: usize) -> bool {
+    fn fits_one(&self, class: usize, m: usize) -> bool {
         let (c, r) = (&self.s.classes[class], &self.s.machines[m]);
         let placed = || self.placed.iter().filter(|p| p.0 == class);
         let ends = self.delay(c, r) + c.adjusted_runtime;
@@ -146,7 +146,7 @@
             && (c.spot || !r.spot);
         let fits = self.free(m) + 1e-6 >= c.need.cpus;
         let notice = r.reclaimed_in.is_none_or(|u| ends <= u);
-        let wanted = self.low(class, m) && self.wanted[r.machine_type];
+        let contended = self.low(class, m) && self.contended[r.machine_type];
         let kept = !self.low(class, m) || !self.clear(m) || {
             let k = self.s.reserved_headroom[r.machine_type].expect("kept").need.cpus;
             let low: f64 =
@@ -168,10 +168,10 @@
         };
         let tied = !c.one_zone || zone(1 - r.zone) == 0;
         let spread = !c.spread || zone(r.zone) < c.tasks.div_ceil(2);
-        place && fits && notice && !wanted && kept && back && tied && spread
+        place && fits && notice && !contended && kept && back && tied && spread
     }
 
-    fn limit_left(&self, class: usize) -> u32 {
+    fn quota_left(&self, class: usize) -> u32 {
         let c = &self.s.classes[class];
         let used: f64 = self
             .placed
@@ -180,7 +180,7 @@
             .map(|p| self.s.classes[p.0].need.cpus)
             .sum();
         let ends = c.adjusted_runtime + self.s.low_priority_delay_step;
-        let claimed = self.claims.iter().filter(|x| x.0 == c.team && ends > x.2).map(|x| x.1);
+        let claimed = self.quota_reservations.iter().filter(|x| x.0 == c.team && ends > x.2).map(|x| x.1);
         let used = used + self.s.teams[c.team].used.cpus + claimed.sum::<f64>();
         let max = self.s.teams[c.team].cpu_quota;
         if max <= 0.0 {
@@ -190,21 +190,21 @@
         }
     }
 
-    /// Whether the gang would start if its team had no limit.
-    fn finds_room(&self, class: usize) -> bool {
+    /// Whether the gang would start if its team had no quota.
+    fn finds_capacity(&self, class: usize) -> bool {
         let mut m = Model {
             s: self.s,
             placed: self.placed.clone(),
             reserved: self.reserved.clone(),
-            claims: Vec::new(),
-            behind: Vec::new(),
-            wanted: self.wanted,
+            quota_reservations: Vec::new(),
+            gang_awaits_quota: Vec::new(),
+            contended: self.contended,
         };
         m.place(class, self.s.classes[class].count) == 0
     }
 
-    /// The first stated end after which the limit lets the whole gang start.
-    fn limit_frees(&self, class: usize) -> Micros {
+    /// The first stated end after which the quota lets the whole gang start.
+    fn quota_allows_at(&self, class: usize) -> Micros {
         let c = &self.s.classes[class];
         let mut ends: Vec<(Micros, f64)> = Vec::new();
         for h in self.s.machines.iter().flat_map(|r| &r.placed).filter(|h| h.team == c.team) {
@@ -239,11 +239,11 @@
                     s: &s,
                     placed: self.placed.clone(),
                     reserved: self.reserved.clone(),
-                    claims: Vec::new(),
-                    behind: Vec::new(),
-                    wanted: self.wanted,
+                    quota_reservations: Vec::new(),
+                    gang_awaits_quota: Vec::new(),
+                    contended: self.contended,
                 }
-                .room_for_one(class, m)
+                .fits_one(class, m)
             })
             .collect();
         v.sort_by_key(|&m| {
@@ -262,18 +262,18 @@
         v
     }
 
-    /// Places tasks of a class, a gang's all or none; returns how many found no room.
+    /// Places tasks of a class, a gang's all or none; returns how many found no capacity.
     fn place(&mut self, class: usize, want: u32) -> u32 {
         let c = &self.s.classes[class];
         let zones: Vec<Option<usize>> =
             if c.gang && c.one_zone { vec![Some(0), Some(1)] } else { vec![None] };
-        let rooms = self.best_first(class);
+        let machines = self.best_first(class);
         let mut left = want;
         for only in zones {
             let before = self.placed.len();
             left = want;
-            for &m in rooms.iter().filter(|&&m| only.is_none_or(|z| z == self.s.machines[m].zone)) {
-                while left > 0 && self.room_for_one(class, m) {
+            for &m in machines.iter().filter(|&&m| only.is_none_or(|z| z == self.s.machines[m].zone)) {
+                while left > 0 && self.fits_one(class, m) {
                     self.placed.push((class, m));
                     left -= 1;
                 }
@@ -291,24 +291,24 @@
     fn run(&mut self) {
         for class in milletlock::sched::order(&self.s.classes) {
             let c = &self.s.classes[class];
-            let limited = self.limit_left(class) < c.count;
-            if c.gang && limited && self.behind.contains(&c.team) {
+            let limited = self.quota_left(class) < c.count;
+            if c.gang && limited && self.gang_awaits_quota.contains(&c.team) {
                 continue;
             }
             if c.gang && limited {
-                self.behind.push(c.team);
+                self.gang_awaits_quota.push(c.team);
             }
-            // Held back by the limit alone: its team's lower jobs leave it what it needs, unless they end
-            // before the limit frees.
-            if c.gang && limited && self.finds_room(class) {
-                let at = self.limit_frees(class);
-                self.claims.push((c.team, f64::from(c.count) * c.need.cpus, at));
+            // Held back by the quota alone: its team's lower jobs leave it what it needs, unless they end
+            // before the quota comes free.
+            if c.gang && limited && self.finds_capacity(class) {
+                let at = self.quota_allows_at(class);
+                self.quota_reservations.push((c.team, f64::from(c.count) * c.need.cpus, at));
                 if self.reserved.is_none() && self.s.reserve {
                     self.reserved = plan_reservation(self.s, class, &self.placed);
                 }
                 continue;
             }
-            let want = c.count.min(self.limit_left(class));
+            let want = c.count.min(self.quota_left(class));
             let mut left = if c.gang { c.count } else { want };
             if want == left {
                 left = self.place(class, want);
@@ -317,7 +317,7 @@
                 && self.s.reserved_headroom[1].is_some_and(|k| c.priority >= k.priority)
                 && c.types.contains(&1)
             {
-                self.wanted[1] = true;
+                self.contended[1] = true;
             }
             if left > 0 && self.reserved.is_none() && self.s.reserve {
                 self.reserved = plan_reservation(self.s, class, &self.placed);
@@ -327,11 +327,11 @@
 }
 
 /// The reservation as the planner says it; that it is right is tested by itself below.
-fn plan_reservation(s: &Snapshot, _class: usize, _placed: &[(usize, usize)]) -> Option<Promise> {
+fn plan_reservation(s: &Snapshot, _class: usize, _placed: &[(usize, usize)]) -> Option<ReservedPlaces> {
     plan(s).reservation.map(|r| (r.class, r.at, r.machines))
 }
 
-fn by_room(starts: &[Start]) -> Vec<(usize, usize, u32)> {
+fn by_machine(starts: &[Start]) -> Vec<(usize, usize, u32)> {
     let mut v: Vec<_> = starts.iter().map(|s| (s.class, s.machine, s.count)).collect();
     v.sort_unstable();
     v
@@ -342,9 +342,9 @@
         s,
         placed: Vec::new(),
         reserved: None,
-        claims: Vec::new(),
-        behind: Vec::new(),
-        wanted: [false; 2],
+        quota_reservations: Vec::new(),
+        gang_awaits_quota: Vec::new(),
+        contended: [false; 2],
     };
     m.run();
     let mut v: Vec<(usize, usize, u32)> = Vec::new();
@@ -358,7 +358,7 @@
     v
 }
 
-/// Free processors of a room at a time, with what the plan starts before a class in the queue.
+/// Free processors of a machine at a time, with what the plan starts before a class in the queue.
 fn free_at(s: &Snapshot, p: &Plan, m: usize, at: Micros, before: usize) -> f64 {
     let order = milletlock::sched::order(&s.classes);
     let pos = |c: usize| order.iter().position(|&o| o == c);
@@ -389,8 +389,8 @@
     #![proptest_config(settings(150))]
 
     #[test]
-    fn large_classes_on_many_rooms_are_placed_as_the_plain_model_does_task_by_task(s in snapshot(30, 300)) {
-        prop_assert_eq!(by_room(&plan(&s).starts), model_starts(&s));
+    fn large_classes_on_many_machines_are_placed_as_the_plain_model_does_task_by_task(s in snapshot(30, 300)) {
+        prop_assert_eq!(by_machine(&plan(&s).starts), model_starts(&s));
     }
 }
 
@@ -399,7 +399,7 @@
 
     #[test]
     fn starts_are_those_of_the_plain_model(s in snapshot(7, 9)) {
-        prop_assert_eq!(by_room(&plan(&s).starts), model_starts(&s));
+        prop_assert_eq!(by_machine(&plan(&s).starts), model_starts(&s));
     }
 
     #[test]
@@ -409,27 +409,27 @@
         let c = &s.classes[r.class];
         for &(m, n) in &r.machines {
             let need = f64::from(n) * c.need.cpus;
-            prop_assert!(free_at(&s, &p, m, r.at, r.class) + 1e-6 >= need, "there is no room at its time");
+            prop_assert!(free_at(&s, &p, m, r.at, r.class) + 1e-6 >= need, "there is no capacity at its time");
             // With all that was started behind it and still runs then.
-            let room = &s.machines[m];
+            let machine = &s.machines[m];
             let order = milletlock::sched::order(&s.classes);
             let pos = |c: usize| order.iter().position(|&o| o == c);
             let late: f64 = p.starts.iter().filter(|x| x.machine == m && pos(x.class) > pos(r.class)).filter(|x| {
                 let c = &s.classes[x.class];
-                let fetch = if room.images.contains(&1) { 0.0 } else { c.image_gb / room.fetch_rate };
-                room.accepts_starts_in + Micros::from_secs(fetch) + c.adjusted_runtime > r.at
+                let fetch = if machine.images.contains(&1) { 0.0 } else { c.image_gb / machine.fetch_rate };
+                machine.accepts_starts_in + Micros::from_secs(fetch) + c.adjusted_runtime > r.at
             }).map(|x| f64::from(x.count) * s.classes[x.class].need.cpus).sum();
             prop_assert!(free_at(&s, &p, m, r.at, r.class) - late + 1e-6 >= need, "backfill delays the reservation");
         }
         if !c.gang && !c.one_zone && !c.spread {
-            // No room has place for a task at any earlier end.
+            // No machine has capacity for a task at any earlier end.
             for m in (0..s.machines.len()).filter(|&m| {
                 let x = &s.machines[m];
                 c.types.contains(&x.machine_type) && c.zone.is_none_or(|z| z == x.zone) && (c.spot || !x.spot) && x.reclaimed_in.is_none()
             }) {
                 let ends = s.machines[m].placed.iter().map(|h| h.remaining).chain((!s.machines[m].accepts_starts).then_some(s.machines[m].accepts_starts_in));
                 for at in ends.filter(|e| *e < r.at) {
-                    prop_assert!(free_at(&s, &p, m, at, r.class) + 1e-6 < c.need.cpus, "room at {:?} already", at);
+                    prop_assert!(free_at(&s, &p, m, at, r.class) + 1e-6 < c.need.cpus, "capacity at {:?} already", at);
                 }
             }
         }
@@ -444,11 +444,11 @@
     let c = JobClass { count: 4, ..base.clone() };
     let d = JobClass { priority: Priority::Urgent, waited: secs(1), ..base.clone() };
     let e = JobClass { within_fair_share: true, priority: Priority::Idle, waited: secs(1), ..base.clone() };
-    // Whoever lost more aims yields, however long it waited.
+    // Whoever missed more objectives yields, however long it waited.
     let f = JobClass { missed_objectives: 1, waited: secs(900), ..base.clone() };
     let g = JobClass { missed_objectives: 2, waited: secs(9000), ..base.clone() };
     assert_eq!(milletlock::sched::order(&[g, f, base.clone(), b, c, d.clone(), e]), [6, 5, 4, 3, 2, 1, 0]);
-    // One that waited for long stands with the urgent, never behind its own rank and not above them.
+    // One that waited for long counts as urgent, never behind its own priority and not above the urgent.
     let h = JobClass { aged_priority: Some(Priority::Urgent), ..base.clone() };
     let i = JobClass {
         aged_priority: Some(Priority::Urgent),
@@ -460,13 +460,13 @@
 }
 
 /// What starts between two plans on an empty machine of four processors that has image 7.
-fn top_up(
+fn backfill(
     classes: Vec<JobClass>,
     team_uses: Vec<TeamUse>,
     claimed: bool,
     gang_waits: bool,
 ) -> Vec<(usize, u32)> {
-    let room = MachineSnapshot {
+    let machine = MachineSnapshot {
         machine_type: 0,
         zone: 0,
         spot: false,
@@ -489,7 +489,7 @@
         contended_types: &[false],
         gang_awaits_quota: &[claimed],
         team_uses,
-        machine: &room,
+        machine: &machine,
         gang_waits,
     }
     .starts(&mut unmet)
@@ -498,10 +498,10 @@
 #[test]
 fn between_plans_a_machine_takes_first_what_it_has_the_image_for() {
     let with = |image: u32, waited: i64| JobClass { image: Some(image), image_gb: 5.0, ..job(3, 30, waited) };
-    let top = |classes: Vec<JobClass>| top_up(classes, Vec::new(), false, true);
+    let top = |classes: Vec<JobClass>| backfill(classes, Vec::new(), false, true);
     // The older one has to fetch: it gets what is left.
     assert_eq!(top(vec![with(1, 20), with(7, 10)]), [(1, 3), (0, 1)]);
-    // Not for ever, and never past a higher rank or one that is not late.
+    // Not for ever, and never past a higher priority or one that is not late.
     assert_eq!(top(vec![with(1, 70), with(7, 10)]), [(0, 3), (1, 1)]);
     assert_eq!(
         top(vec![JobClass { priority: Priority::Urgent, ..with(1, 20) }, with(7, 10)]),
@@ -510,32 +510,32 @@
     assert_eq!(top(vec![with(1, 20), JobClass { missed_objectives: 1, ..with(7, 90) }]), [(0, 3), (1, 1)]);
 }
 
-/// With every team limited, what was left to the next plan was all work: each processor that came free
+/// With a quota for every team, what was left to the next plan was all work: each processor that came free
 /// waited for the next report, two seconds or more of tasks that take fifteen.
 #[test]
-fn between_plans_limited_teams_start_as_much_as_their_limit_allows() {
+fn between_plans_teams_start_as_much_as_their_quota_allows() {
     let two = || vec![JobClass { team: 1, ..job(3, 30, 20) }, JobClass { team: 0, ..job(3, 30, 10) }];
     let uses = |used: f64| {
         let limited = |used: f64| TeamUse { used: need(used), cpu_quota: 10.0, gpu_quota: 0.0 };
         vec![limited(0.0), limited(used)]
     };
-    assert_eq!(top_up(two(), uses(0.0), false, false), [(0, 3), (1, 1)]);
-    // What the limit lets start of the one leaves room for the other.
-    assert_eq!(top_up(two(), uses(8.0), false, false), [(0, 2), (1, 2)]);
-    assert_eq!(top_up(two(), uses(10.0), false, false), [(1, 3)]);
-    // A gang of the second one's team waits for what frees of its limit.
-    assert_eq!(top_up(two(), uses(0.0), true, false), [(0, 3)]);
-    // A gang waits for room: it is left to the next plan.
-    assert_eq!(top_up(two(), uses(0.0), false, true), []);
-    // Classes of one team share its limit.
+    assert_eq!(backfill(two(), uses(0.0), false, false), [(0, 3), (1, 1)]);
+    // What the quota lets start of the one leaves capacity for the other.
+    assert_eq!(backfill(two(), uses(8.0), false, false), [(0, 2), (1, 2)]);
+    assert_eq!(backfill(two(), uses(10.0), false, false), [(1, 3)]);
+    // A gang of the second one's team waits for what comes free of its quota.
+    assert_eq!(backfill(two(), uses(0.0), true, false), [(0, 3)]);
+    // A gang waits for capacity: it is left to the next plan.
+    assert_eq!(backfill(two(), uses(0.0), false, true), []);
+    // Classes of one team share its quota.
     let one_team = || vec![JobClass { team: 1, ..job(3, 30, 20) }, JobClass { team: 1, ..job(3, 30, 10) }];
-    assert_eq!(top_up(one_team(), uses(7.0), false, false), [(0, 3)]);
+    assert_eq!(backfill(one_team(), uses(7.0), false, false), [(0, 3)]);
 }
 
-/// On a calm day of a team with a limit each waiting gang claimed its part of it, and had the team's small
-/// tasks stopped though there was no room for it: they began again and were stopped again, 21,000 times.
+/// On a calm day of a team with a quota each waiting gang reserved its part of it, and had the team's small
+/// tasks preempted though there was no capacity for it: they began and were preempted again, 21,000 times.
 #[test]
-fn a_gang_at_its_teams_limit_stops_nothing_unless_it_has_room_and_only_the_first_claims() {
+fn a_gang_at_its_teams_quota_preempts_nothing_unless_it_finds_capacity_and_only_the_first_reserves() {
     let held = PlacedTask {
         need: need(1.0),
         priority: Priority::Idle,
@@ -547,8 +547,8 @@
         stopping: false,
         is_replica: false,
     };
-    let room = |ty: usize, free: f64, held: Vec<PlacedTask>| MachineSnapshot {
-        machine_type: ty,
+    let machine = |machine_type: usize, free: f64, held: Vec<PlacedTask>| MachineSnapshot {
+        machine_type,
         zone: 0,
         spot: false,
         total: need(16.0),
@@ -573,7 +573,7 @@
     let small = JobClass { priority: Priority::Idle, ..common::planner::class(8, 20, 5) };
     let snapshot = |large: f64, classes: Vec<JobClass>| Snapshot {
         zone_count: 2,
-        machines: vec![room(0, 8.0, vec![held.clone(); 8]), room(1, large, Vec::new())],
+        machines: vec![machine(0, 8.0, vec![held.clone(); 8]), machine(1, large, Vec::new())],
         classes,
         reserve: true,
         low_priority_delay_step: secs(4),
@@ -582,11 +582,11 @@
         teams: vec![TeamUse { used: need(8.0), cpu_quota: 10.0, gpu_quota: 0.0 }],
         reserved_headroom: vec![None, None],
     };
-    // Its room is taken: nothing is stopped for the limit, which the small ones use meanwhile.
+    // Its machine is in use: nothing is preempted for the quota, which the small ones use meanwhile.
     let p = plan(&snapshot(0.0, vec![gang.clone(), small.clone()]));
     assert!(p.preempt.is_empty(), "{:?}", p.preempt);
-    assert_eq!(by_room(&p.starts), [(1, 0, 2)]);
-    // It has room: as many are stopped as it takes, once, and the small ones leave the limit to it.
+    assert_eq!(by_machine(&p.starts), [(1, 0, 2)]);
+    // It finds capacity: as many are preempted as it takes, once, and the small ones leave the quota to it.
     let mut s = snapshot(16.0, vec![gang.clone(), small.clone()]);
     let p = plan(&s);
     assert_eq!((p.preempt.len(), p.starts.len()), (2, 0));
@@ -595,27 +595,27 @@
     }
     let p = plan(&s);
     assert_eq!((p.preempt.len(), p.starts.len()), (0, 0));
-    // What goes before it by its team's guarantee is not stopped: it would begin again at once.
+    // What goes before it by its team's fair share is not preempted: it would begin again at once.
     let mut s = snapshot(16.0, vec![gang.clone(), small.clone()]);
     s.machines[0].placed.iter_mut().for_each(|h| h.within_fair_share = true);
     assert!(plan(&s).preempt.is_empty());
     s.machines[0].placed.iter_mut().take(2).for_each(|h| h.within_fair_share = false);
     assert_eq!(plan(&s).preempt, [(0, 0), (0, 1)]);
-    // Of several that wait only the first does. What ends before the limit frees may start.
+    // Of several that wait only the first does. What ends before the quota comes free may start.
     let mut s = snapshot(
         16.0,
         vec![gang.clone(), gang.clone(), gang, JobClass { adjusted_runtime: secs(10), ..small }],
     );
     s.classes.iter_mut().for_each(|c| c.preempt_after = secs(100));
     let p = plan(&s);
-    assert_eq!((p.preempt.len(), by_room(&p.starts)), (0, vec![(3, 0, 2)]));
+    assert_eq!((p.preempt.len(), by_machine(&p.starts)), (0, vec![(3, 0, 2)]));
 }
 
-/// An urgent array whose image takes longer to fetch than its aim allows filled whatever room was free, and
+/// An urgent array whose image takes longer to fetch than its objective allows filled whatever was free, and
 /// began late everywhere; a moment later machines that have the image come free.
 #[test]
 fn an_array_that_waits_for_its_image_takes_only_machines_that_have_it() {
-    let room = |images: Vec<u32>, held: Vec<PlacedTask>| MachineSnapshot {
+    let machine = |images: Vec<u32>, held: Vec<PlacedTask>| MachineSnapshot {
         machine_type: 0,
         zone: 0,
         spot: false,
@@ -650,23 +650,23 @@
         ..job(6, 15, 1)
     };
     let planned = |class: JobClass| {
-        let rooms = vec![room(vec![], vec![]), room(vec![7], vec![low.clone(); 2])];
+        let machines = vec![machine(vec![], vec![]), machine(vec![7], vec![low.clone(); 2])];
         let s = Snapshot {
             zone_count: 1,
-            machines: rooms,
+            machines,
             classes: vec![class],
             reserved_headroom: vec![None],
             ..Snapshot::default()
         };
         let p = plan(&s);
-        (by_room(&p.starts), p.preempt)
+        (by_machine(&p.starts), p.preempt)
     };
     assert_eq!(planned(urgent(false)), (vec![(0, 0, 4), (0, 1, 2)], vec![]));
-    // Nothing goes to the machine without it, and what is stopped is stopped on the other.
+    // Nothing goes to the machine without it, and what is preempted is preempted on the other.
     assert_eq!(planned(urgent(true)), (vec![(0, 1, 2)], vec![(1, 0)]));
     // Between plans as well.
     let waits = JobClass { image: Some(8), ..urgent(true) };
-    assert_eq!(top_up(vec![waits.clone()], Vec::new(), false, false), []);
+    assert_eq!(backfill(vec![waits.clone()], Vec::new(), false, false), []);
     let other = JobClass { waits_for_image: false, ..waits };
-    assert_eq!(top_up(vec![other], Vec::new(), false, false), [(0, 4)]);
+    assert_eq!(backfill(vec![other], Vec::new(), false, false), [(0, 4)]);
 }
--- a/tests/service_placement.rs
+++ b/tests/service_placement.rs
@@ -17,7 +17,7 @@
 const IMAGE: u32 = 1;
 
 /// An open, empty, ordinary machine of the first type and zone, which has the image.
-fn room(cpus: f64) -> MachineSnapshot {
+fn machine(cpus: f64) -> MachineSnapshot {
     MachineSnapshot {
         machine_type: 0,
         zone: 0,
@@ -35,11 +35,11 @@
     }
 }
 
-fn without_image(room: MachineSnapshot) -> MachineSnapshot {
-    MachineSnapshot { images: Vec::new(), ..room }
+fn without_image(machine: MachineSnapshot) -> MachineSnapshot {
+    MachineSnapshot { images: Vec::new(), ..machine }
 }
 
-/// A running task that may be stopped for a higher rank.
+/// A running task that may be preempted for a higher priority.
 fn held(cpus: f64, priority: Priority) -> PlacedTask {
     PlacedTask {
         need: need(cpus),
@@ -58,10 +58,10 @@
     PlacedTask { is_replica: true, remaining: secs(86_400), ..held(cpus, Priority::Critical) }
 }
 
-/// The room with these tasks on it.
-fn with(room: MachineSnapshot, tasks: Vec<PlacedTask>) -> MachineSnapshot {
-    let free = tasks.iter().fold(room.free, |free, task| free.minus(&task.need, 1));
-    MachineSnapshot { free, placed: tasks, ..room }
+/// The machine with these tasks on it.
+fn with(machine: MachineSnapshot, tasks: Vec<PlacedTask>) -> MachineSnapshot {
+    let free = tasks.iter().fold(machine.free, |free, task| free.minus(&task.need, 1));
+    MachineSnapshot { free, placed: tasks, ..machine }
 }
 
 /// A service of one-processor replicas, none of which runs yet.
@@ -77,10 +77,10 @@
     }
 }
 
-fn snapshot(rooms: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
+fn snapshot(machines: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
     Snapshot {
         zone_count: 2,
-        machines: rooms,
+        machines,
         classes,
         teams: vec![TeamUse::default()],
         reserved_headroom: vec![None, None],
@@ -90,18 +90,18 @@
     }
 }
 
-/// The rooms in which a plan starts tasks of a class, one entry a task.
-fn rooms_of(plan: &Plan, class: usize) -> Vec<usize> {
+/// The machines on which a plan starts tasks of a class, one entry a task.
+fn machines_of(plan: &Plan, class: usize) -> Vec<usize> {
     let starts = plan.starts.iter().filter(|start| start.class == class);
-    let mut rooms: Vec<usize> =
+    let mut machines: Vec<usize> =
         starts.flat_map(|start| std::iter::repeat_n(start.machine, start.count as usize)).collect();
-    rooms.sort_unstable();
-    rooms
+    machines.sort_unstable();
+    machines
 }
 
 // Against a plain model.
 
-fn any_rank() -> impl Strategy<Value = Priority> {
+fn any_priority() -> impl Strategy<Value = Priority> {
     prop_oneof![
         Just(Priority::Idle),
         Just(Priority::Normal),
@@ -111,10 +111,10 @@
 }
 
 prop_compose! {
-    fn any_held()(cpus in 1u32..5, priority in any_rank(), guaranteed in prop::bool::weighted(0.2),
-                  team in 0usize..2, lost in 0i64..90, state in 0u8..4, endless in any::<bool>()) -> PlacedTask {
+    fn any_placed_task()(cpus in 1u32..5, priority in any_priority(), within_fair_share in prop::bool::weighted(0.2),
+                  team in 0usize..2, lost in 0i64..90, state in 0u8..4, is_replica in any::<bool>()) -> PlacedTask {
         PlacedTask {
-            within_fair_share: guaranteed, team, lost_work: secs(lost), is_replica: endless,
+            within_fair_share, team, lost_work: secs(lost), is_replica,
             preemptible: state < 2, stopping: state == 2,
             ..held(f64::from(cpus), priority)
         }
@@ -122,10 +122,10 @@
 }
 
 prop_compose! {
-    fn any_room()(ty in 0usize..2, zone in 0usize..2, spot in any::<bool>(), open in prop::bool::weighted(0.85),
-                  opens_in in 0i64..4, has_image in any::<bool>(), until in prop::option::weighted(0.1, 1i64..60),
-                  tasks in prop::collection::vec(any_held(), 0..5)) -> MachineSnapshot {
-        let total = if ty == 0 { 4.0 } else { 16.0 };
+    fn any_machine()(machine_type in 0usize..2, zone in 0usize..2, spot in any::<bool>(), accepts_starts in prop::bool::weighted(0.85),
+                  accepts_starts_in in 0i64..4, has_image in any::<bool>(), reclaimed_in in prop::option::weighted(0.1, 1i64..60),
+                  tasks in prop::collection::vec(any_placed_task(), 0..5)) -> MachineSnapshot {
+        let total = if machine_type == 0 { 4.0 } else { 16.0 };
         let mut used = 0.0;
         let fitting = tasks.into_iter().filter(|task| {
             let fits = used + task.need.cpus <= total;
@@ -133,23 +133,23 @@
             fits
         }).collect();
         let empty = MachineSnapshot {
-            machine_type: ty, zone, spot, accepts_starts: open, accepts_starts_in: secs(opens_in), reclaimed_in: until.map(secs),
+            machine_type, zone, spot, accepts_starts, accepts_starts_in: secs(accepts_starts_in), reclaimed_in: reclaimed_in.map(secs),
             images: if has_image { vec![IMAGE] } else { Vec::new() },
-            ..room(total)
+            ..machine(total)
         };
         with(empty, fitting)
     }
 }
 
 prop_compose! {
-    /// A service, or an array that competes with the services but has none of them stopped.
-    fn any_class()(is_service in prop::bool::weighted(0.7), priority in any_rank(), guaranteed in prop::bool::weighted(0.2),
+    /// A service, or an array that competes with the services but has none of them preempted.
+    fn any_class()(is_service in prop::bool::weighted(0.7), priority in any_priority(), within_fair_share in prop::bool::weighted(0.2),
                    team in 0usize..2, count in 1u32..6, cpus in 1u32..5,
                    types in prop_oneof![Just(vec![0]), Just(vec![1]), Just(vec![0, 1])],
                    zone in prop::option::weighted(0.2, 0usize..2), tie in 0u8..4, spot in any::<bool>(),
                    live in 0u32..2, occupied in prop::collection::vec(0usize..8, 0..3)) -> JobClass {
         JobClass {
-            priority, within_fair_share: guaranteed, team, tasks: count + live, need: need(f64::from(cpus)), types, zone,
+            priority, within_fair_share, team, tasks: count + live, need: need(f64::from(cpus)), types, zone,
             one_zone: tie == 1, spread: tie == 2, spot, tasks_by_zone: vec![live, 0],
             preempt_after: if is_service { Micros::ZERO } else { secs(1000) },
             adjusted_runtime: if is_service { secs(86_400) } else { secs(30) },
@@ -160,17 +160,17 @@
 }
 
 prop_compose! {
-    fn any_snapshot()(rooms in prop::collection::vec(any_room(), 0..8),
+    fn any_snapshot()(machines in prop::collection::vec(any_machine(), 0..8),
                       classes in prop::collection::vec(any_class(), 1..6),
-                      limit in prop::option::of(0u32..12), kept in any::<bool>()) -> Snapshot {
-        let tasks = rooms.iter().flat_map(|room| &room.placed).filter(|task| task.team == 0);
+                      limit in prop::option::of(0u32..12), with_headroom in any::<bool>()) -> Snapshot {
+        let tasks = machines.iter().flat_map(|machine| &machine.placed).filter(|task| task.team == 0);
         let used = tasks.fold(Resources::default(), |sum, task| sum.plus(&task.need, 1));
         let cpus_max = limit.map_or(0.0, |more| used.cpus + f64::from(more));
         let keep = ReservedHeadroom { need: need(15.0), priority: Priority::Urgent, spot: false };
         Snapshot {
             teams: vec![TeamUse { used, cpu_quota: cpus_max, gpu_quota: 0.0 }, TeamUse::default()],
-            reserved_headroom: vec![None, kept.then_some(keep)],
-            ..snapshot(rooms, classes)
+            reserved_headroom: vec![None, with_headroom.then_some(keep)],
+            ..snapshot(machines, classes)
         }
     }
 }
@@ -191,9 +191,9 @@
         self.snapshot.classes[class].replica_machines.is_some()
     }
 
-    /// Whether the class may use the room whatever is on it.
-    fn may_use(&self, class: usize, room: usize) -> bool {
-        let (c, r) = (&self.snapshot.classes[class], &self.snapshot.machines[room]);
+    /// Whether the class may use the machine whatever is on it.
+    fn may_use(&self, class: usize, machine: usize) -> bool {
+        let (c, r) = (&self.snapshot.classes[class], &self.snapshot.machines[machine]);
         let lasting = r.reclaimed_in.is_none() || !self.is_service(class);
         let zone_allowed = c.zone.is_none_or(|zone| zone == r.zone);
         r.accepts_starts
@@ -205,8 +205,8 @@
 
     /// Tasks of a class in a zone, with those that the plan starts.
     fn in_zone(&self, class: usize, zone: usize) -> u32 {
-        let rooms = rooms_of(self.plan, class);
-        let new = rooms.iter().filter(|room| self.snapshot.machines[**room].zone == zone).count();
+        let machines = machines_of(self.plan, class);
+        let new = machines.iter().filter(|machine| self.snapshot.machines[**machine].zone == zone).count();
         self.snapshot.classes[class].tasks_by_zone[zone] + new as u32
     }
 
@@ -217,14 +217,14 @@
         !tied_elsewhere && !zone_is_full
     }
 
-    fn placed_cpus(&self, room: usize, counts: impl Fn(usize) -> bool) -> f64 {
-        let starts = self.plan.starts.iter().filter(|start| start.machine == room && counts(start.class));
+    fn placed_cpus(&self, machine: usize, counts: impl Fn(usize) -> bool) -> f64 {
+        let starts = self.plan.starts.iter().filter(|start| start.machine == machine && counts(start.class));
         starts.map(|start| f64::from(start.count) * self.snapshot.classes[start.class].need.cpus).sum()
     }
 
-    /// What is free in a room with all tasks ended for which `ends` holds.
-    fn cpus_with(&self, room: usize, ends: impl Fn(usize, &PlacedTask) -> bool) -> f64 {
-        let r = &self.snapshot.machines[room];
+    /// What is free on a machine with all tasks ended for which `ends` holds.
+    fn cpus_with(&self, machine: usize, ends: impl Fn(usize, &PlacedTask) -> bool) -> f64 {
+        let r = &self.snapshot.machines[machine];
         let ended = r.placed.iter().enumerate().filter(|(place, task)| ends(*place, task));
         r.free.cpus + ended.map(|(_, task)| task.need.cpus).sum::<f64>()
     }
@@ -247,16 +247,16 @@
         self.snapshot.teams[team].used.cpus + new
     }
 
-    /// Whether one more replica could go to the room, even by stopping all that may be stopped.
-    fn could_take_another(&self, class: usize, room: usize) -> bool {
-        let zone = self.snapshot.machines[room].zone;
-        if !self.may_use(class, room) || !self.zone_takes_more(class, zone) {
+    /// Whether one more replica could go to the machine, even by preempting all that may be.
+    fn could_take_another(&self, class: usize, machine: usize) -> bool {
+        let zone = self.snapshot.machines[machine].zone;
+        if !self.may_use(class, machine) || !self.zone_takes_more(class, zone) {
             return false;
         }
         let queue = order(&self.snapshot.classes);
         let position = |class: usize| queue.iter().position(|&c| c == class);
-        let earlier = self.placed_cpus(room, |other| position(other) <= position(class));
-        let most = self.cpus_with(room, |_, task| task.stopping || self.may_stop(class, task));
+        let earlier = self.placed_cpus(machine, |other| position(other) <= position(class));
+        let most = self.cpus_with(machine, |_, task| task.stopping || self.may_stop(class, task));
         most - earlier + 1e-6 >= self.snapshot.classes[class].need.cpus
     }
 }
@@ -269,15 +269,15 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against replicas where type, zone, kind, a tie or the team's limit forbid them.
+    /// Guards against replicas where type, zone, kind, a tie or the team's quota forbid them.
     #[test]
     fn replicas_are_placed_only_where_they_are_allowed(snapshot in any_snapshot()) {
         let plan = plan(&snapshot);
         let model = Model::new(&snapshot, &plan);
         for (class, c) in snapshot.classes.iter().enumerate().filter(|x| x.1.replica_machines.is_some()) {
-            let rooms = rooms_of(&plan, class);
-            prop_assert!(rooms.len() <= c.count as usize);
-            prop_assert!(rooms.iter().all(|&room| model.may_use(class, room)));
+            let machines = machines_of(&plan, class);
+            prop_assert!(machines.len() <= c.count as usize);
+            prop_assert!(machines.iter().all(|&machine| model.may_use(class, machine)));
             prop_assert!(!c.one_zone || model.in_zone(class, 0) == 0 || model.in_zone(class, 1) == 0);
             let most = c.tasks.div_ceil(2);
             prop_assert!(!c.spread || (0..2).all(|zone| model.in_zone(class, zone) <= most));
@@ -286,121 +286,122 @@
         prop_assert!(team.cpu_quota <= 0.0 || model.used_by_team(0) <= team.cpu_quota + 1e-6);
     }
 
-    /// Guards against promising room that does not come free.
+    /// Guards against promising capacity that does not come free.
     #[test]
     fn what_is_free_or_comes_free_covers_what_is_placed(snapshot in any_snapshot()) {
         let plan = plan(&snapshot);
         let model = Model::new(&snapshot, &plan);
-        for room in 0..snapshot.machines.len() {
-            let comes = model.cpus_with(room, |place, task| task.stopping || model.stopped.contains(&(room, place)));
-            prop_assert!(model.placed_cpus(room, |_| true) <= comes + 1e-6, "room {}", room);
+        for machine in 0..snapshot.machines.len() {
+            let comes = model.cpus_with(machine, |place, task| task.stopping || model.stopped.contains(&(machine, place)));
+            prop_assert!(model.placed_cpus(machine, |_| true) <= comes + 1e-6, "machine {}", machine);
         }
     }
 
-    /// Guards against stopping equal or higher ranks, guaranteed work for other work, and anything in vain.
+    /// Guards against preempting equal or higher priorities, fair-share work for other work, and anything in vain.
     #[test]
     fn only_lower_ranks_are_stopped_and_only_where_a_replica_needs_it(snapshot in any_snapshot()) {
         let plan = plan(&snapshot);
         let model = Model::new(&snapshot, &plan);
-        for &(room, place) in &model.stopped {
-            let task = &snapshot.machines[room].placed[place];
-            let here = |class: &usize| rooms_of(&plan, *class).contains(&room);
+        for &(machine, place) in &model.stopped {
+            let task = &snapshot.machines[machine].placed[place];
+            let here = |class: &usize| machines_of(&plan, *class).contains(&machine);
             let by_limit = |class: &usize| snapshot.classes[*class].team == 0 && task.team == 0;
             let beneficiary = (0..snapshot.classes.len()).filter(|class| model.is_service(*class)).any(|class| {
                 (here(&class) || by_limit(&class)) && model.may_stop(class, task)
             });
-            prop_assert!(beneficiary, "room {}, task {}", room, place);
-            let without = model.cpus_with(room, |_, task| task.stopping);
-            let needed = model.placed_cpus(room, |_| true) > without + 1e-6;
-            prop_assert!(needed || task.team == 0, "room {}, task {} is stopped in vain", room, place);
+            prop_assert!(beneficiary, "machine {}, task {}", machine, place);
+            let without = model.cpus_with(machine, |_, task| task.stopping);
+            let needed = model.placed_cpus(machine, |_| true) > without + 1e-6;
+            prop_assert!(needed || task.team == 0, "machine {}, task {} is preempted in vain", machine, place);
         }
     }
 
-    /// Guards against a replica that waits though there is room, or room that can be had.
+    /// Guards against a replica that waits though there is capacity, or some that can be had.
     #[test]
     fn a_replica_waits_only_if_no_room_could_take_it(snapshot in any_snapshot()) {
         let plan = plan(&snapshot);
         let model = Model::new(&snapshot, &plan);
         for &(class, left) in plan.unmet.iter().filter(|unmet| model.is_service(unmet.0)) {
-            let placed = rooms_of(&plan, class).len() as u32;
+            let placed = machines_of(&plan, class).len() as u32;
             prop_assert_eq!(placed + left, snapshot.classes[class].count);
             if model.limit_allows_another(class) {
-                let room = (0..snapshot.machines.len()).find(|&room| model.could_take_another(class, room));
-                prop_assert_eq!(room, None);
+                let machine = (0..snapshot.machines.len()).find(|&machine| model.could_take_another(class, machine));
+                prop_assert_eq!(machine, None);
             }
         }
     }
 }
 
-// Choices among rooms that would do.
+// Choices among machines that would do.
 
 /// Guards against losing several replicas with one machine.
 #[test]
 fn replicas_share_a_machine_only_if_there_is_no_other() {
-    let p = plan(&snapshot(vec![room(8.0), room(8.0), room(8.0)], vec![service(3)]));
-    assert_eq!(rooms_of(&p, 0), [0, 1, 2]);
+    let p = plan(&snapshot(vec![machine(8.0), machine(8.0), machine(8.0)], vec![service(3)]));
+    assert_eq!(machines_of(&p, 0), [0, 1, 2]);
     // Rooms with a replica, or that one has left of late, are avoided.
     let second = JobClass { replica_machines: Some(vec![0, 2]), ..service(1) };
-    let p = plan(&snapshot(vec![room(8.0), room(8.0), room(8.0)], vec![second]));
-    assert_eq!(rooms_of(&p, 0), [1]);
-    let p = plan(&snapshot(vec![room(8.0)], vec![service(3)]));
-    assert_eq!(rooms_of(&p, 0), [0, 0, 0]);
+    let p = plan(&snapshot(vec![machine(8.0), machine(8.0), machine(8.0)], vec![second]));
+    assert_eq!(machines_of(&p, 0), [1]);
+    let p = plan(&snapshot(vec![machine(8.0)], vec![service(3)]));
+    assert_eq!(machines_of(&p, 0), [0, 0, 0]);
 }
 
 /// Guards against losing most replicas with one zone.
 #[test]
 fn replicas_spread_over_zones_where_delays_are_alike() {
-    let south = || MachineSnapshot { zone: 1, ..room(8.0) };
-    let rooms = vec![room(8.0), room(8.0), room(8.0), room(8.0), south(), south()];
-    let p = plan(&snapshot(rooms, vec![service(4)]));
-    let in_south = rooms_of(&p, 0).iter().filter(|&&room| room >= 4).count();
+    let south = || MachineSnapshot { zone: 1, ..machine(8.0) };
+    let machines = vec![machine(8.0), machine(8.0), machine(8.0), machine(8.0), south(), south()];
+    let p = plan(&snapshot(machines, vec![service(4)]));
+    let in_south = machines_of(&p, 0).iter().filter(|&&machine| machine >= 4).count();
     assert_eq!(in_south, 2);
     // Zones are not worth more than a little time.
     let late = || MachineSnapshot { accepts_starts_in: secs(8), ..south() };
-    let rooms = vec![room(8.0), room(8.0), room(8.0), room(8.0), late(), late()];
-    assert_eq!(rooms_of(&plan(&snapshot(rooms, vec![service(4)])), 0), [0, 1, 2, 3]);
+    let machines = vec![machine(8.0), machine(8.0), machine(8.0), machine(8.0), late(), late()];
+    assert_eq!(machines_of(&plan(&snapshot(machines, vec![service(4)])), 0), [0, 1, 2, 3]);
 }
 
-/// Guards against fetching an image, or stopping work, where neither saves time.
+/// Guards against fetching an image, or preempting work, where neither saves time.
 #[test]
-fn the_room_where_a_replica_runs_soonest_is_taken() {
-    let p = plan(&snapshot(vec![without_image(room(8.0)), room(8.0)], vec![service(1)]));
-    assert_eq!(rooms_of(&p, 0), [1]);
-    let full = || with(room(1.0), vec![held(1.0, Priority::Idle)]);
-    let p = plan(&snapshot(vec![full(), room(8.0)], vec![service(1)]));
-    assert_eq!((rooms_of(&p, 0), p.preempt), (vec![1], Vec::new()));
-    let opens_soon = MachineSnapshot { accepts_starts_in: Micros::from_millis(1500), ..room(8.0) };
+fn the_machine_where_a_replica_runs_soonest_is_taken() {
+    let p = plan(&snapshot(vec![without_image(machine(8.0)), machine(8.0)], vec![service(1)]));
+    assert_eq!(machines_of(&p, 0), [1]);
+    let full = || with(machine(1.0), vec![held(1.0, Priority::Idle)]);
+    let p = plan(&snapshot(vec![full(), machine(8.0)], vec![service(1)]));
+    assert_eq!((machines_of(&p, 0), p.preempt), (vec![1], Vec::new()));
+    let opens_soon = MachineSnapshot { accepts_starts_in: Micros::from_millis(1500), ..machine(8.0) };
     let p = plan(&snapshot(vec![full(), opens_soon], vec![service(1)]));
-    assert_eq!((rooms_of(&p, 0), p.preempt), (vec![1], Vec::new()));
-    // Stopping another is worth it where the free room has to fetch for long.
-    let slow = MachineSnapshot { fetch_rate: 0.1, ..without_image(room(8.0)) };
+    assert_eq!((machines_of(&p, 0), p.preempt), (vec![1], Vec::new()));
+    // Preempting another is worth it where the free machine has to fetch for long.
+    let slow = MachineSnapshot { fetch_rate: 0.1, ..without_image(machine(8.0)) };
     let p = plan(&snapshot(vec![full(), slow], vec![service(1)]));
-    assert_eq!((rooms_of(&p, 0), p.preempt), (vec![0], vec![(0, 0)]));
+    assert_eq!((machines_of(&p, 0), p.preempt), (vec![0], vec![(0, 0)]));
 }
 
-/// A machine of 32 processors of a type that is kept for tasks of 30.
-fn kept(rooms: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
+/// A machine of 32 processors of a type with headroom reserved for tasks of 30.
+fn with_headroom(machines: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
     let keep = ReservedHeadroom { need: need(30.0), priority: Priority::Urgent, spot: false };
     let both_types = classes.into_iter().map(|c| JobClass { types: vec![0, 1], ..c }).collect();
-    Snapshot { reserved_headroom: vec![Some(keep), None], ..snapshot(rooms, both_types) }
+    Snapshot { reserved_headroom: vec![Some(keep), None], ..snapshot(machines, both_types) }
 }
 
 /// Another type's machine, on which a replica would run ten seconds later.
 fn later_elsewhere() -> MachineSnapshot {
-    MachineSnapshot { machine_type: 1, fetch_rate: 0.2, ..without_image(room(8.0)) }
+    MachineSnapshot { machine_type: 1, fetch_rate: 0.2, ..without_image(machine(8.0)) }
 }
 
 /// Guards against replicas, which never end, that take the last whole machines of large tasks.
 #[test]
 fn replicas_go_beside_a_larger_task_only_while_it_fits() {
-    let beside = |replicas: usize| with(room(32.0), vec![replica(1.0); replicas]);
-    let choice = |rooms: Vec<MachineSnapshot>| rooms_of(&plan(&kept(rooms, vec![service(1)])), 0);
+    let beside = |replicas: usize| with(machine(32.0), vec![replica(1.0); replicas]);
+    let choice =
+        |machines: Vec<MachineSnapshot>| machines_of(&plan(&with_headroom(machines, vec![service(1)])), 0);
     assert_eq!(choice(vec![beside(0), later_elsewhere()]), [0]);
     assert_eq!(choice(vec![beside(1), later_elsewhere()]), [0]);
     assert_eq!(choice(vec![beside(2), later_elsewhere()]), [1]);
     assert_eq!(choice(vec![beside(2)]), [0], "nowhere else to go");
-    // Another type's room goes first where a replica runs as soon, be it the emptier one.
-    let as_soon = MachineSnapshot { machine_type: 1, ..room(64.0) };
+    // Another type's machine goes first where a replica runs as soon, be it the emptier one.
+    let as_soon = MachineSnapshot { machine_type: 1, ..machine(64.0) };
     assert_eq!(choice(vec![beside(0), as_soon]), [1]);
 }
 
@@ -408,18 +409,18 @@
 #[test]
 fn replicas_of_one_plan_count_where_a_larger_task_has_to_fit() {
     let services = vec![service(1), service(1), service(1)];
-    let p = plan(&kept(vec![room(32.0), later_elsewhere()], services));
+    let p = plan(&with_headroom(vec![machine(32.0), later_elsewhere()], services));
     let beside = p.starts.iter().filter(|start| start.machine == 0).count();
     assert_eq!(beside, 2);
 }
 
-/// Guards against a service that waits for its patience, or stops its equals.
+/// Guards against a service that waits before it preempts, or preempts its equals.
 #[test]
-fn lower_ranks_are_stopped_at_once_and_equal_ranks_never() {
-    let full = |priority: Priority| with(room(2.0), vec![held(1.0, priority), held(1.0, priority)]);
+fn lower_priorities_are_preempted_at_once_and_equal_ones_never() {
+    let full = |priority: Priority| with(machine(2.0), vec![held(1.0, priority), held(1.0, priority)]);
     for priority in [Priority::Idle, Priority::Normal, Priority::Urgent] {
         let p = plan(&snapshot(vec![full(priority)], vec![service(1)]));
-        assert_eq!((rooms_of(&p, 0), p.preempt.len()), (vec![0], 1), "{priority:?}");
+        assert_eq!((machines_of(&p, 0), p.preempt.len()), (vec![0], 1), "{priority:?}");
     }
     let p = plan(&snapshot(vec![full(Priority::Critical)], vec![service(1)]));
     assert_eq!((p.starts, p.preempt, p.unmet), (Vec::new(), Vec::new(), vec![(0, 1)]));
@@ -430,26 +431,27 @@
     }
 }
 
-/// Guards against stopping more tasks while those that were stopped are still ending.
+/// Guards against preempting more tasks while those that were preempted are still ending.
 #[test]
 fn room_that_is_being_freed_is_waited_for() {
     let ending = PlacedTask { preemptible: false, stopping: true, ..held(1.0, Priority::Idle) };
-    let p = plan(&snapshot(vec![with(room(2.0), vec![ending, held(1.0, Priority::Idle)])], vec![service(1)]));
-    assert_eq!((rooms_of(&p, 0), p.preempt), (vec![0], Vec::new()));
+    let p =
+        plan(&snapshot(vec![with(machine(2.0), vec![ending, held(1.0, Priority::Idle)])], vec![service(1)]));
+    assert_eq!((machines_of(&p, 0), p.preempt), (vec![0], Vec::new()));
 }
 
-/// Guards against a second replica that waits for the next plan though one stop makes room for both.
+/// Guards against a second replica that waits for the next plan though one preemption makes capacity for both.
 #[test]
 fn one_large_task_makes_room_for_several_replicas() {
-    let p = plan(&snapshot(vec![with(room(4.0), vec![held(4.0, Priority::Idle)])], vec![service(3)]));
-    assert_eq!((rooms_of(&p, 0), p.preempt), (vec![0, 0, 0], vec![(0, 0)]));
+    let p = plan(&snapshot(vec![with(machine(4.0), vec![held(4.0, Priority::Idle)])], vec![service(3)]));
+    assert_eq!((machines_of(&p, 0), p.preempt), (vec![0, 0, 0], vec![(0, 0)]));
 }
 
 // Renting.
 
 /// What is rented, by kind, with so many machines booting for so long.
 fn rents(classes: Vec<JobClass>, booting: usize, age: Micros) -> Vec<(bool, u32)> {
-    let closed = MachineSnapshot { accepts_starts: false, accepts_starts_in: secs(20), ..room(8.0) };
+    let closed = MachineSnapshot { accepts_starts: false, accepts_starts_in: secs(20), ..machine(8.0) };
     let snapshot = Snapshot { reserved_headroom: vec![None], ..snapshot(vec![closed; booting], classes) };
     let plan = plan(&snapshot);
     let view = CapacityView {
