--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -63,7 +63,9 @@
             let pressed = (class.waited.secs() / (self.policy.drain.secs() / 2.0)).max(1.0);
             let work = cpus * class.adjusted_runtime.secs() * pressed;
             let alike = |other: &JobClass| {
-                other.types == class.types && other.spot == class.spot && other.zone == class.zone
+                other.machine_types == class.machine_types
+                    && other.spot == class.spot
+                    && other.zone == class.zone
             };
             match demands.iter_mut().find(|demand| alike(demand.class)) {
                 Some(demand) => {
--- a/src/capacity/offers.rs
+++ b/src/capacity/offers.rs
@@ -17,7 +17,7 @@
     /// Offers for a class, cheapest per task first.
     pub(super) fn offers(&self, class: &JobClass) -> Vec<FittingOffer> {
         let mut offers: Vec<FittingOffer> = Vec::new();
-        for &ty in &class.types {
+        for &ty in &class.machine_types {
             let machine = &self.types[ty];
             let total = Resources { cpus: machine.cpus, gpus: machine.gpus, memory: machine.memory_gb };
             let fits = total.fits(&class.need);
--- a/src/sched/arrays.rs
+++ b/src/sched/arrays.rs
@@ -7,7 +7,7 @@
     /// Starts as many tasks of an array as possible; returns how many found no capacity.
     pub(super) fn start_array(&mut self, class_index: usize, starts: &mut Vec<Start>) -> u32 {
         let class = &self.snapshot.classes[class_index];
-        let mut waiting = self.startable_count(class_index);
+        let mut waiting = self.tasks_within_quota(class_index);
         for machine_index in self.candidates(class) {
             if waiting == 0 {
                 break;
--- a/src/sched/availability.rs
+++ b/src/sched/availability.rs
@@ -138,6 +138,6 @@
             return placeable.any(|count| count > 0);
         }
         let most = if class.one_zone { placeable.max().unwrap_or(0) } else { placeable.sum() };
-        most >= u64::from(class.count)
+        most >= u64::from(class.startable_tasks)
     }
 }
--- a/src/sched/blocked.rs
+++ b/src/sched/blocked.rs
@@ -9,7 +9,7 @@
     pub(super) fn reserve_or_preempt(&mut self, class_index: usize, plan: &mut Plan) {
         let class = &self.snapshot.classes[class_index];
         if plan.reservation.is_some() || !self.snapshot.reserve {
-            // Not the first blocked class, but out of patience as well: each finds machines of its own.
+            // Not the first blocked class, but it cannot wait either: each finds machines of its own.
             if class.preempt_after.0 <= 0 {
                 plan.preempt.extend(self.preempt(class_index));
             }
--- a/src/sched/eligibility.rs
+++ b/src/sched/eligibility.rs
@@ -8,7 +8,7 @@
 
 /// Whether the class's constraints on machine type, zone and spot instances admit the machine.
 pub(crate) fn may_use(class: &JobClass, machine: &MachineSnapshot) -> bool {
-    class.types.contains(&machine.machine_type)
+    class.machine_types.contains(&machine.machine_type)
         && class.zone.is_none_or(|zone| zone == machine.zone)
         && (class.spot || !machine.spot)
 }
@@ -22,7 +22,7 @@
 pub(super) fn fetch_seconds(class: &JobClass, machine: &MachineSnapshot) -> f64 {
     match class.image {
         Some(image) if !machine.images.contains(&image) => {
-            class.image_gb / machine.fetch_rate.max(LEAST_FETCH_RATE)
+            class.image_gb / machine.fetch_gb_per_s.max(LEAST_FETCH_RATE)
         }
         _ => 0.0,
     }
@@ -31,7 +31,7 @@
 /// Time until a task of the class that is started on the machine would run: the machine's next
 /// heartbeat, the fetch of the image and the machine's penalty.
 pub fn start_delay(class: &JobClass, machine: &MachineSnapshot) -> Micros {
-    machine.accepts_starts_in + Micros::from_secs(fetch_seconds(class, machine)) + machine.penalty
+    machine.accepts_starts_in + Micros::from_secs(fetch_seconds(class, machine)) + machine.failure_penalty
 }
 
 /// Time until a task of the class that is started on the machine ends, by its adjusted run time.
--- a/src/sched/gang_placement.rs
+++ b/src/sched/gang_placement.rs
@@ -45,7 +45,7 @@
         fits: &dyn Fn(usize) -> u32,
     ) -> Option<Vec<TasksOnMachine>> {
         let class = &self.snapshot.classes[class_index];
-        let mut missing = class.count;
+        let mut missing = class.startable_tasks;
         let mut tasks_by_zone = self.tasks_by_zone[class_index].clone();
         let mut places = Vec::new();
         for &machine_index in machines {
--- a/src/sched/gangs.rs
+++ b/src/sched/gangs.rs
@@ -18,7 +18,7 @@
     /// Starts a gang, or reserves for it what comes free of its team's quota.
     pub(super) fn plan_gang(&mut self, class_index: usize, plan: &mut Plan) -> GangOutcome {
         let class = &self.snapshot.classes[class_index];
-        if self.startable_count(class_index) >= class.count {
+        if self.tasks_within_quota(class_index) >= class.startable_tasks {
             return self.start_gang(class_index, &mut plan.starts);
         }
         if self.gang_awaits_quota[class.team] {
@@ -58,7 +58,7 @@
         let at = if preempted.is_empty() { self.quota_allows_at(class_index) } else { Micros::ZERO };
         plan.preempt.extend(preempted);
         self.quota_reservations[class.team] =
-            Some(QuotaReservation { need: class.need, count: class.count, at });
+            Some(QuotaReservation { need: class.need, count: class.startable_tasks, at });
         if plan.reservation.is_none() && self.snapshot.reserve {
             plan.reservation = Some(self.reserve_machines(class_index, at, places));
         }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -67,7 +67,7 @@
     let mut plan = Plan::default();
     let mut state = PlanState::new(snapshot);
     for class_index in order(&snapshot.classes) {
-        if snapshot.classes[class_index].count > 0 {
+        if snapshot.classes[class_index].startable_tasks > 0 {
             state.plan_class(class_index, &mut plan);
         }
     }
@@ -84,7 +84,7 @@
         let unmet = if class.gang {
             match self.plan_gang(class_index, plan) {
                 GangOutcome::Started => 0,
-                GangOutcome::NoCapacity => class.count,
+                GangOutcome::NoCapacity => class.startable_tasks,
                 GangOutcome::AwaitsQuota => return,
             }
         } else if class.replica_machines.is_some() {
@@ -105,7 +105,7 @@
 
     /// Marks the machine types on which tasks of this class wait for the headroom reserved for them.
     fn mark_contended_types(&mut self, class: &JobClass) {
-        for &machine_type in &class.types {
+        for &machine_type in &class.machine_types {
             let headroom = self.snapshot.headroom_for(machine_type, false);
             if headroom.is_some_and(|headroom| class.priority >= headroom.priority) {
                 self.contended_types[machine_type] = true;
--- a/src/sched/queue.rs
+++ b/src/sched/queue.rs
@@ -40,7 +40,7 @@
     let wait = class.waited.secs().max(LEAST_SCORED_SECONDS);
     let runtime = class.adjusted_runtime.secs().max(LEAST_SCORED_SECONDS);
     let task_size = class.need.cpus.max(class.need.gpus).max(LEAST_SCORED_SIZE);
-    let size = task_size * f64::from(class.count.max(1));
+    let size = task_size * f64::from(class.startable_tasks.max(1));
     (wait / runtime).powi(3) * size
 }
 
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -24,15 +24,17 @@
 impl PlanState<'_> {
     /// How many tasks of the class its team's quota lets start. What a gang of the team has reserved of
     /// the quota is left to it, unless the class ends before the gang starts.
-    pub(super) fn startable_count(&self, class_index: usize) -> u32 {
+    pub(super) fn tasks_within_quota(&self, class_index: usize) -> u32 {
         let class = &self.snapshot.classes[class_index];
-        let Some(mut team_use) = self.team_uses.get(class.team).copied() else { return class.count };
+        let Some(mut team_use) = self.team_uses.get(class.team).copied() else {
+            return class.startable_tasks;
+        };
         let runs_for = class.adjusted_runtime + self.snapshot.low_priority_delay_step;
         let reservation = self.quota_reservations[class.team];
         if let Some(reservation) = reservation.filter(|reservation| runs_for > reservation.at) {
             team_use.used = team_use.used.plus(&reservation.need, reservation.count);
         }
-        class.count.min(team_use.allows(&class.need))
+        class.startable_tasks.min(team_use.allows(&class.need))
     }
 
     /// Time until the team's quota lets the class start whole, as the team's tasks end.
@@ -108,5 +110,5 @@
 
 /// Whether the quota lets all the class's tasks that could start do so at once.
 fn allows_whole(team_use: &TeamUse, class: &JobClass) -> bool {
-    team_use.allows(&class.need) >= class.count
+    team_use.allows(&class.need) >= class.startable_tasks
 }
--- a/src/sched/replica_starts.rs
+++ b/src/sched/replica_starts.rs
@@ -22,7 +22,7 @@
     /// here, and a place in another zone is waited for if this one has many replicas.
     pub fn runs_sooner(&self, class: &JobClass, planned: Option<Micros>) -> bool {
         let machine = self.machine;
-        let runs_in = Micros::from_secs(fetch_seconds(class, machine)) + machine.penalty;
+        let runs_in = Micros::from_secs(fetch_seconds(class, machine)) + machine.failure_penalty;
         let is_sooner = planned.is_none_or(|planned| !self.crowded_zone && runs_in < planned);
         may_use(class, machine)
             && machine.reclaimed_in.is_none()
--- a/src/sched/service_placement.rs
+++ b/src/sched/service_placement.rs
@@ -59,13 +59,13 @@
     /// Starts as many of a service's waiting replicas as possible; returns how many found no place.
     pub(super) fn start_service(&mut self, class_index: usize, plan: &mut Plan) -> u32 {
         let class = &self.snapshot.classes[class_index];
-        let startable = self.startable_count(class_index);
-        if startable < class.count {
+        let within_quota = self.tasks_within_quota(class_index);
+        if within_quota < class.startable_tasks {
             // Its team's own lower work gives quota back.
             plan.preempt.extend(self.preempt_within_quota(class_index));
         }
         let mut occupied: Vec<usize> = class.replica_machines.clone().unwrap_or_default();
-        let mut waiting = startable;
+        let mut waiting = within_quota;
         let mut candidates = self.replica_candidates(class_index, &occupied);
         while waiting > 0 && !candidates.is_empty() {
             let best = self.best_candidate(class_index, &candidates);
@@ -79,7 +79,7 @@
             // The machine may take another replica, if there is nowhere else to go.
             candidates.extend(self.replica_candidate(class_index, chosen.machine, &occupied));
         }
-        class.count - (startable - waiting)
+        class.startable_tasks - (within_quota - waiting)
     }
 
     /// Starts a replica on the chosen machine and preempts what it takes.
@@ -134,7 +134,7 @@
         }
         let ReplicaPreemption { victims, lost_work, ready_in } =
             self.preemption_for_replica(class, machine_index)?;
-        let mut cost = ready_in + Micros::from_secs(fetch_seconds(class, machine)) + machine.penalty;
+        let mut cost = ready_in + Micros::from_secs(fetch_seconds(class, machine)) + machine.failure_penalty;
         if !victims.is_empty() {
             cost = cost + PREEMPTION_COST;
         }
--- a/src/sched/snapshot.rs
+++ b/src/sched/snapshot.rs
@@ -68,12 +68,12 @@
     pub accepts_starts_in: Micros,
     /// Ids of the images it has or is fetching (its image cache).
     pub images: Vec<u32>,
-    /// Image fetch rate in GB per second.
-    pub fetch_rate: f64,
+    /// Image fetch rate.
+    pub fetch_gb_per_s: f64,
     /// Price per processor and hour, in thousandths of the currency unit.
     pub cpu_price: i64,
     /// Time added to the delay of a start here: machines with recent failures go last.
-    pub penalty: Micros,
+    pub failure_penalty: Micros,
     /// Time until the cloud reclaims it, if it is a spot instance with a notice. Only tasks that end
     /// before may start.
     pub reclaimed_in: Option<Micros>,
@@ -95,7 +95,7 @@
     /// Whether the job is within its team's fair share (the team's guarantee).
     pub within_fair_share: bool,
     /// Number of tasks that could start now.
-    pub count: u32,
+    pub startable_tasks: u32,
     /// Number of all tasks of the job.
     pub tasks: u32,
     /// Whether it is a gang: all its tasks start together or none does.
@@ -103,7 +103,7 @@
     /// Resources that each task takes.
     pub need: Resources,
     /// Indices of the machine types it may use; empty: none at all.
-    pub types: Vec<usize>,
+    pub machine_types: Vec<usize>,
     /// The only zone it may use, if it is tied to one.
     pub zone: Option<usize>,
     /// Whether all its tasks must be in one zone.
@@ -189,7 +189,7 @@
     pub zone_count: usize,
     /// The machines that can be planned on.
     pub machines: Vec<MachineSnapshot>,
-    /// The jobs, each as one class. Classes with `count` 0 are not planned.
+    /// The jobs, each as one class. Classes without startable tasks are not planned.
     pub classes: Vec<JobClass>,
     /// The teams' use and quotas.
     pub teams: Vec<TeamUse>,
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -30,7 +30,7 @@
         }).scan(0.0, |sum, h| { *sum += h.need.cpus; Some((*sum, h)) }).filter(|x| x.0 <= total.cpus).map(|x| x.1).collect();
         let free = held.iter().fold(total, |f, h| f.minus(&h.need, 1));
         MachineSnapshot { machine_type, zone, spot, total, free, cpu_price, accepts_starts, accepts_starts_in: secs(if accepts_starts { opens_s % 4 } else { opens_s }),
-               images: if has { vec![1] } else { vec![] }, fetch_rate: 0.5, penalty: Micros::ZERO,
+               images: if has { vec![1] } else { vec![] }, fetch_gb_per_s: 0.5, failure_penalty: Micros::ZERO,
                reclaimed_in: reclaimed_in.map(secs), placed: held }
     }
 }
@@ -40,7 +40,7 @@
                types in prop_oneof![Just(vec![0]), Just(vec![1]), Just(vec![0, 1])],
                zone in prop::option::weighted(0.2, 0usize..2), tie in 0u8..3, spot in any::<bool>(),
                adjusted in 1i64..100, waited in 0i64..200, live in 0u32..2) -> JobClass {
-        JobClass { priority, aged_priority: (missed_aims == 2 && gang).then_some(Priority::Urgent), team, within_fair_share: false, count, tasks: count + live, gang, need: need(f64::from(cpus)), types, zone,
+        JobClass { priority, aged_priority: (missed_aims == 2 && gang).then_some(Priority::Urgent), team, within_fair_share: false, startable_tasks: count, tasks: count + live, gang, need: need(f64::from(cpus)), machine_types: types, zone,
                 one_zone: tie == 1, spread: tie == 2, spot, image: Some(1), image_gb: 2.0, waits_for_image: false, adjusted_runtime: secs(adjusted),
                 waited: secs(waited), tasks_by_zone: vec![live, 0], preempt_after: secs(1000), deadline_slack: None, missed_objectives: missed_aims, replica_machines: None }
     }
@@ -75,8 +75,8 @@
 
 impl Model<'_> {
     fn delay(&self, c: &JobClass, r: &MachineSnapshot) -> Micros {
-        let fetch = if r.images.contains(&1) { 0.0 } else { c.image_gb / r.fetch_rate };
-        r.accepts_starts_in + Micros::from_secs(fetch) + r.penalty
+        let fetch = if r.images.contains(&1) { 0.0 } else { c.image_gb / r.fetch_gb_per_s };
+        r.accepts_starts_in + Micros::from_secs(fetch) + r.failure_penalty
     }
 
     fn low(&self, class: usize, m: usize) -> bool {
@@ -141,7 +141,7 @@
         let placed = || self.placed.iter().filter(|p| p.0 == class);
         let ends = self.delay(c, r) + c.adjusted_runtime;
         let place = r.accepts_starts
-            && c.types.contains(&r.machine_type)
+            && c.machine_types.contains(&r.machine_type)
             && c.zone.is_none_or(|z| z == r.zone)
             && (c.spot || !r.spot);
         let fits = self.free(m) + 1e-6 >= c.need.cpus;
@@ -200,7 +200,7 @@
             gang_awaits_quota: Vec::new(),
             contended: self.contended,
         };
-        m.place(class, self.s.classes[class].count) == 0
+        m.place(class, self.s.classes[class].startable_tasks) == 0
     }
 
     /// The first stated end after which the quota lets the whole gang start.
@@ -217,7 +217,8 @@
         let total: f64 = ends.iter().map(|e| e.1).sum::<f64>() + self.outside(c.team);
         let max = self.s.teams[c.team].cpu_quota;
         let freed = |at: Micros| ends.iter().filter(|e| e.0 <= at).map(|e| e.1).sum::<f64>();
-        let enough = |at: Micros| max - total + freed(at) + 1e-6 >= f64::from(c.count) * c.need.cpus;
+        let enough =
+            |at: Micros| max - total + freed(at) + 1e-6 >= f64::from(c.startable_tasks) * c.need.cpus;
         ends.iter().map(|e| e.0).filter(|at| enough(*at)).min().unwrap_or(secs(86_400))
     }
 
@@ -291,7 +292,7 @@
     fn run(&mut self) {
         for class in milletlock::sched::order(&self.s.classes) {
             let c = &self.s.classes[class];
-            let limited = self.quota_left(class) < c.count;
+            let limited = self.quota_left(class) < c.startable_tasks;
             if c.gang && limited && self.gang_awaits_quota.contains(&c.team) {
                 continue;
             }
@@ -302,20 +303,20 @@
             // before the quota comes free.
             if c.gang && limited && self.finds_capacity(class) {
                 let at = self.quota_allows_at(class);
-                self.quota_reservations.push((c.team, f64::from(c.count) * c.need.cpus, at));
+                self.quota_reservations.push((c.team, f64::from(c.startable_tasks) * c.need.cpus, at));
                 if self.reserved.is_none() && self.s.reserve {
                     self.reserved = plan_reservation(self.s, class, &self.placed);
                 }
                 continue;
             }
-            let want = c.count.min(self.quota_left(class));
-            let mut left = if c.gang { c.count } else { want };
+            let want = c.startable_tasks.min(self.quota_left(class));
+            let mut left = if c.gang { c.startable_tasks } else { want };
             if want == left {
                 left = self.place(class, want);
             }
             if left > 0
                 && self.s.reserved_headroom[1].is_some_and(|k| c.priority >= k.priority)
-                && c.types.contains(&1)
+                && c.machine_types.contains(&1)
             {
                 self.contended[1] = true;
             }
@@ -416,7 +417,7 @@
             let pos = |c: usize| order.iter().position(|&o| o == c);
             let late: f64 = p.starts.iter().filter(|x| x.machine == m && pos(x.class) > pos(r.class)).filter(|x| {
                 let c = &s.classes[x.class];
-                let fetch = if machine.images.contains(&1) { 0.0 } else { c.image_gb / machine.fetch_rate };
+                let fetch = if machine.images.contains(&1) { 0.0 } else { c.image_gb / machine.fetch_gb_per_s };
                 machine.accepts_starts_in + Micros::from_secs(fetch) + c.adjusted_runtime > r.at
             }).map(|x| f64::from(x.count) * s.classes[x.class].need.cpus).sum();
             prop_assert!(free_at(&s, &p, m, r.at, r.class) - late + 1e-6 >= need, "backfill delays the reservation");
@@ -425,7 +426,7 @@
             // No machine has capacity for a task at any earlier end.
             for m in (0..s.machines.len()).filter(|&m| {
                 let x = &s.machines[m];
-                c.types.contains(&x.machine_type) && c.zone.is_none_or(|z| z == x.zone) && (c.spot || !x.spot) && x.reclaimed_in.is_none()
+                c.machine_types.contains(&x.machine_type) && c.zone.is_none_or(|z| z == x.zone) && (c.spot || !x.spot) && x.reclaimed_in.is_none()
             }) {
                 let ends = s.machines[m].placed.iter().map(|h| h.remaining).chain((!s.machines[m].accepts_starts).then_some(s.machines[m].accepts_starts_in));
                 for at in ends.filter(|e| *e < r.at) {
@@ -440,8 +441,8 @@
 fn the_queue_goes_by_rank_then_by_the_cubed_ratio_times_size() {
     let base = common::planner::class(2, 10, 20);
     // (20/10)^3 x 2 = 16; (30/10)^3 x 1 = 27; (20/10)^3 x 4 = 32; urgent whatever its score.
-    let b = JobClass { waited: secs(30), count: 1, ..base.clone() };
-    let c = JobClass { count: 4, ..base.clone() };
+    let b = JobClass { waited: secs(30), startable_tasks: 1, ..base.clone() };
+    let c = JobClass { startable_tasks: 4, ..base.clone() };
     let d = JobClass { priority: Priority::Urgent, waited: secs(1), ..base.clone() };
     let e = JobClass { within_fair_share: true, priority: Priority::Idle, waited: secs(1), ..base.clone() };
     // Whoever missed more objectives yields, however long it waited.
@@ -475,15 +476,15 @@
         accepts_starts: true,
         accepts_starts_in: Micros::ZERO,
         images: vec![7],
-        fetch_rate: 1.0,
+        fetch_gb_per_s: 1.0,
         cpu_price: 1,
-        penalty: Micros::ZERO,
+        failure_penalty: Micros::ZERO,
         reclaimed_in: None,
         placed: vec![],
     };
     let s = Snapshot { zone_count: 1, classes, ..Snapshot::default() };
     let mut unmet: Vec<(usize, u32)> =
-        milletlock::sched::order(&s.classes).into_iter().map(|c| (c, s.classes[c].count)).collect();
+        milletlock::sched::order(&s.classes).into_iter().map(|c| (c, s.classes[c].startable_tasks)).collect();
     IncrementalBackfill {
         snapshot: &s,
         contended_types: &[false],
@@ -556,9 +557,9 @@
         accepts_starts: true,
         accepts_starts_in: Micros::ZERO,
         images: vec![1],
-        fetch_rate: 1.0,
+        fetch_gb_per_s: 1.0,
         cpu_price: 1,
-        penalty: Micros::ZERO,
+        failure_penalty: Micros::ZERO,
         reclaimed_in: None,
         placed: held,
     };
@@ -566,7 +567,7 @@
         priority: Priority::Urgent,
         gang: true,
         need: need(2.0),
-        types: vec![1],
+        machine_types: vec![1],
         preempt_after: secs(-1),
         ..common::planner::class(2, 30, 40)
     };
@@ -624,9 +625,9 @@
         accepts_starts: true,
         accepts_starts_in: Micros::ZERO,
         images,
-        fetch_rate: 0.2,
+        fetch_gb_per_s: 0.2,
         cpu_price: 1,
-        penalty: Micros::ZERO,
+        failure_penalty: Micros::ZERO,
         reclaimed_in: None,
         placed: held,
     };
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -32,9 +32,9 @@
         accepts_starts: true,
         accepts_starts_in: Micros::ZERO,
         images: vec![],
-        fetch_rate: 1.0,
+        fetch_gb_per_s: 1.0,
         cpu_price: 100,
-        penalty: Micros::ZERO,
+        failure_penalty: Micros::ZERO,
         reclaimed_in: None,
         placed: vec![one; held],
     }
--- a/tests/service_placement.rs
+++ b/tests/service_placement.rs
@@ -27,9 +27,9 @@
         accepts_starts: true,
         accepts_starts_in: Micros::ZERO,
         images: vec![IMAGE],
-        fetch_rate: 1.0,
+        fetch_gb_per_s: 1.0,
         cpu_price: 100,
-        penalty: Micros::ZERO,
+        failure_penalty: Micros::ZERO,
         reclaimed_in: None,
         placed: Vec::new(),
     }
@@ -149,7 +149,7 @@
                    zone in prop::option::weighted(0.2, 0usize..2), tie in 0u8..4, spot in any::<bool>(),
                    live in 0u32..2, occupied in prop::collection::vec(0usize..8, 0..3)) -> JobClass {
         JobClass {
-            priority, within_fair_share, team, tasks: count + live, need: need(f64::from(cpus)), types, zone,
+            priority, within_fair_share, team, tasks: count + live, need: need(f64::from(cpus)), machine_types: types, zone,
             one_zone: tie == 1, spread: tie == 2, spot, tasks_by_zone: vec![live, 0],
             preempt_after: if is_service { Micros::ZERO } else { secs(1000) },
             adjusted_runtime: if is_service { secs(86_400) } else { secs(30) },
@@ -199,7 +199,7 @@
         r.accepts_starts
             && lasting
             && zone_allowed
-            && c.types.contains(&r.machine_type)
+            && c.machine_types.contains(&r.machine_type)
             && (c.spot || !r.spot)
     }
 
@@ -276,7 +276,7 @@
         let model = Model::new(&snapshot, &plan);
         for (class, c) in snapshot.classes.iter().enumerate().filter(|x| x.1.replica_machines.is_some()) {
             let machines = machines_of(&plan, class);
-            prop_assert!(machines.len() <= c.count as usize);
+            prop_assert!(machines.len() <= c.startable_tasks as usize);
             prop_assert!(machines.iter().all(|&machine| model.may_use(class, machine)));
             prop_assert!(!c.one_zone || model.in_zone(class, 0) == 0 || model.in_zone(class, 1) == 0);
             let most = c.tasks.div_ceil(2);
@@ -323,7 +323,7 @@
         let model = Model::new(&snapshot, &plan);
         for &(class, left) in plan.unmet.iter().filter(|unmet| model.is_service(unmet.0)) {
             let placed = machines_of(&plan, class).len() as u32;
-            prop_assert_eq!(placed + left, snapshot.classes[class].count);
+            prop_assert_eq!(placed + left, snapshot.classes[class].startable_tasks);
             if model.limit_allows_another(class) {
                 let machine = (0..snapshot.machines.len()).find(|&machine| model.could_take_another(class, machine));
                 prop_assert_eq!(machine, None);
@@ -373,7 +373,7 @@
     let p = plan(&snapshot(vec![full(), opens_soon], vec![service(1)]));
     assert_eq!((machines_of(&p, 0), p.preempt), (vec![1], Vec::new()));
     // Preempting another is worth it where the free machine has to fetch for long.
-    let slow = MachineSnapshot { fetch_rate: 0.1, ..without_image(machine(8.0)) };
+    let slow = MachineSnapshot { fetch_gb_per_s: 0.1, ..without_image(machine(8.0)) };
     let p = plan(&snapshot(vec![full(), slow], vec![service(1)]));
     assert_eq!((machines_of(&p, 0), p.preempt), (vec![0], vec![(0, 0)]));
 }
@@ -381,13 +381,13 @@
 /// A machine of 32 processors of a type with headroom reserved for tasks of 30.
 fn with_headroom(machines: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
     let keep = ReservedHeadroom { need: need(30.0), priority: Priority::Urgent, spot: false };
-    let both_types = classes.into_iter().map(|c| JobClass { types: vec![0, 1], ..c }).collect();
+    let both_types = classes.into_iter().map(|c| JobClass { machine_types: vec![0, 1], ..c }).collect();
     Snapshot { reserved_headroom: vec![Some(keep), None], ..snapshot(machines, both_types) }
 }
 
 /// Another type's machine, on which a replica would run ten seconds later.
 fn later_elsewhere() -> MachineSnapshot {
-    MachineSnapshot { machine_type: 1, fetch_rate: 0.2, ..without_image(machine(8.0)) }
+    MachineSnapshot { machine_type: 1, fetch_gb_per_s: 0.2, ..without_image(machine(8.0)) }
 }
 
 /// Guards against replicas, which never end, that take the last whole machines of large tasks.
