--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -2,7 +2,7 @@
 
 use super::offers::{add_scale_out, FittingOffer};
 use super::{Autoscaler, ScaleOutItem};
-use crate::sched::{allowed, JobClass};
+use crate::sched::{may_use, JobClass};
 
 /// Waiting arrays that can use the same machines.
 struct ArrayDemand<'a> {
@@ -47,14 +47,14 @@
         let mut demands: Vec<ArrayDemand> = Vec::new();
         for &(class_index, unmet) in &self.plan.unmet {
             let class = &self.snapshot.classes[class_index];
-            if class.gang || class.replicas.is_some() {
+            if class.gang || class.replica_machines.is_some() {
                 continue;
             }
             let cpus = class.need.cpus.max(0.1) * f64::from(unmet);
             // Estimates may be mostly too low for a whole day; then capacity seems enough while jobs
             // wait. What has waited long counts for more.
             let wait_weight = (class.waited.secs() / (drain_s / 2.0)).max(1.0);
-            let work = cpus * class.adjusted.secs() * wait_weight;
+            let work = cpus * class.adjusted_runtime.secs() * wait_weight;
             match demands.iter_mut().find(|demand| uses_same_machines(demand.class, class)) {
                 Some(demand) => {
                     demand.work += work;
@@ -69,7 +69,7 @@
     /// Processors of booting machines that a class may use. Without counting them, a few tasks that had
     /// waited for long scaled out again and again until the first machine was up.
     fn booting_cpus(&self, class: &JobClass) -> f64 {
-        let machines = self.snapshot.rooms.iter().enumerate();
+        let machines = self.snapshot.machines.iter().enumerate();
         let booting = machines
             .filter(|(index, _)| self.machine_status[*index].booting && self.serves_array(class, *index));
         booting.map(|(_, machine)| machine.free.cpus).sum()
@@ -78,14 +78,14 @@
     /// Processor seconds that the present machines have for a class within `horizon_s` seconds.
     fn array_supply(&self, class: &JobClass, horizon_s: f64) -> f64 {
         let mut supply = 0.0;
-        for (index, machine) in self.snapshot.rooms.iter().enumerate() {
+        for (index, machine) in self.snapshot.machines.iter().enumerate() {
             if !self.serves_array(class, index) {
                 continue;
             }
             let is_booting = self.machine_status[index].booting;
-            let boot_left_s = if is_booting { machine.opens_in.secs() } else { 0.0 };
+            let boot_left_s = if is_booting { machine.accepts_starts_in.secs() } else { 0.0 };
             let busy: f64 =
-                machine.held.iter().map(|task| task.need.cpus * task.left.secs().min(horizon_s)).sum();
+                machine.placed.iter().map(|task| task.need.cpus * task.remaining.secs().min(horizon_s)).sum();
             supply += (machine.total.cpus * (horizon_s - boot_left_s).max(0.0) - busy).max(0.0);
         }
         supply
@@ -93,14 +93,14 @@
 
     /// Whether an array's tasks can count on a machine.
     fn serves_array(&self, class: &JobClass, index: usize) -> bool {
-        let machine = &self.snapshot.rooms[index];
+        let machine = &self.snapshot.machines[index];
         let is_reserved = self.snapshot.is_below_reserved_priority(class, machine);
-        let stays = machine.until.is_none() && self.is_reliable(index);
-        allowed(class, machine) && stays && !is_reserved && machine.total.fits(&class.need) > 0
+        let stays = machine.reclaimed_in.is_none() && self.is_reliable(index);
+        may_use(class, machine) && stays && !is_reserved && machine.total.fits(&class.need) > 0
     }
 }
 
 /// Whether two classes may use the same machines.
 fn uses_same_machines(one: &JobClass, other: &JobClass) -> bool {
-    one.types == other.types && one.spot == other.spot && one.zone == other.zone
+    one.machine_types == other.machine_types && one.spot == other.spot && one.zone == other.zone
 }
--- a/src/capacity/gangs.rs
+++ b/src/capacity/gangs.rs
@@ -2,7 +2,7 @@
 
 use super::offers::scale_out_for_tasks;
 use super::{Autoscaler, ScaleOutItem};
-use crate::sched::{allowed, JobClass, MachineSnapshot};
+use crate::sched::{may_use, JobClass, MachineSnapshot};
 use crate::time::Micros;
 
 /// When a machine has capacity for one more task of a gang. Slots compare by their fields in this order.
@@ -16,7 +16,7 @@
     /// Scales out for the tasks of gangs that find no machine soon, by the stated ends of the running
     /// tasks.
     pub(super) fn scale_out_for_gangs(&self, scale_out: &mut Vec<ScaleOutItem>) {
-        let mut used_slots = vec![0u32; self.snapshot.rooms.len()];
+        let mut used_slots = vec![0u32; self.snapshot.machines.len()];
         for &(class_index, unmet) in &self.plan.unmet {
             let class = &self.snapshot.classes[class_index];
             if !class.gang {
@@ -29,7 +29,7 @@
             for GangSlot { at, machine } in self.gang_slots(class, &used_slots, unmet) {
                 // That a slot frees soon, by stated ends, counts only while the gang can still wait:
                 // stated times may be too short.
-                let is_free_soon = at <= boot && class.patience.0 > 0;
+                let is_free_soon = at <= boot && class.preempt_after.0 > 0;
                 if found < unmet && (is_free_soon || self.machine_status[machine].booting) {
                     used_slots[machine] += 1;
                     found += 1;
@@ -44,8 +44,8 @@
     /// those in `used_slots`, at most `max_slots` to a machine.
     fn gang_slots(&self, class: &JobClass, used_slots: &[u32], max_slots: u32) -> Vec<GangSlot> {
         let mut slots = Vec::new();
-        for (index, machine) in self.snapshot.rooms.iter().enumerate() {
-            if !allowed(class, machine) || machine.until.is_some() || !self.is_reliable(index) {
+        for (index, machine) in self.snapshot.machines.iter().enumerate() {
+            if !may_use(class, machine) || machine.reclaimed_in.is_some() || !self.is_reliable(index) {
                 continue;
             }
             let used = used_slots[index];
@@ -64,11 +64,11 @@
     if used >= last {
         return Vec::new();
     }
-    let mut by_end: Vec<_> = machine.held.iter().map(|task| (task.left, task.need)).collect();
+    let mut by_end: Vec<_> = machine.placed.iter().map(|task| (task.remaining, task.need)).collect();
     by_end.sort_by_key(|(left, _)| *left);
     let mut ends = by_end.into_iter();
     let mut free = machine.free;
-    let mut at = machine.opens_in;
+    let mut at = machine.accepts_starts_in;
     let mut times = Vec::new();
     for slot in used..last {
         while free.fits(&class.need) <= slot {
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -17,7 +17,7 @@
 use crate::wire::MachineType;
 
 /// What scaling needs to know of a machine beyond the planner's snapshot. Indexed like
-/// `Snapshot::rooms`.
+/// `Snapshot::machines`.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineStatus {
     /// Time since the machine was requested from the cloud, as far as known.
@@ -74,7 +74,7 @@
 }
 
 /// Everything scale out and scale in decide from. Slices by machine are indexed like
-/// `Snapshot::rooms`, slices by type like `types`.
+/// `Snapshot::machines`, slices by type like `types`.
 pub struct Autoscaler<'a> {
     /// The planner's snapshot.
     pub snapshot: &'a Snapshot,
@@ -101,7 +101,7 @@
 pub struct ScalingDecision {
     /// Machines to add, at most one entry per offer.
     pub scale_out: Vec<ScaleOutItem>,
-    /// Indices into `Snapshot::rooms` of the machines to remove, most expensive first.
+    /// Indices into `Snapshot::machines` of the machines to remove, most expensive first.
     pub scale_in: Vec<usize>,
 }
 
@@ -118,7 +118,7 @@
 
     /// Whether a machine can be counted on: it is up, or it boots no longer than the policy allows.
     fn is_reliable(&self, machine: usize) -> bool {
-        let nominal_boot_s = self.types[self.snapshot.rooms[machine].ty].boot_s;
+        let nominal_boot_s = self.types[self.snapshot.machines[machine].machine_type].boot_s;
         let status = &self.machine_status[machine];
         !status.booting || status.age.secs() <= nominal_boot_s * self.policy.max_boot_factor
     }
--- a/src/capacity/offers.rs
+++ b/src/capacity/offers.rs
@@ -17,7 +17,7 @@
     /// Offers for a class, cheapest per task first.
     pub(super) fn fitting_offers(&self, class: &JobClass) -> Vec<FittingOffer> {
         let mut offers: Vec<FittingOffer> = Vec::new();
-        for &ty in &class.types {
+        for &ty in &class.machine_types {
             self.add_fitting_offers(class, ty, &mut offers);
         }
         offers.sort_by(|a, b| a.task_price.total_cmp(&b.task_price).then(a.offer.cmp(&b.offer)));
--- a/src/capacity/scale_in.rs
+++ b/src/capacity/scale_in.rs
@@ -13,14 +13,15 @@
         let mut remaining = self.warm_candidates_by_type();
         let mut removed = Vec::new();
         for index in self.most_expensive_first() {
-            let machine = &self.snapshot.rooms[index];
+            let machine = &self.snapshot.machines[index];
             let status = &self.machine_status[index];
             let warm = self.warm_count(machine);
             let timed_out = status.idle.is_some_and(|idle| idle > self.idle_timeout(machine));
             let charged = status.age > MIN_CHARGED_TIME;
-            let beyond_pool = warm == 0 || remaining[machine.ty] > warm;
+            let beyond_pool = warm == 0 || remaining[machine.machine_type] > warm;
             if timed_out && charged && beyond_pool && !self.is_planned(index) {
-                remaining[machine.ty] = remaining[machine.ty].saturating_sub(usize::from(warm > 0));
+                remaining[machine.machine_type] =
+                    remaining[machine.machine_type].saturating_sub(usize::from(warm > 0));
                 removed.push(index);
             }
         }
@@ -30,18 +31,18 @@
     /// By type: how many machines count towards its warm pool now.
     fn warm_candidates_by_type(&self) -> Vec<usize> {
         let mut candidates = vec![0; self.types.len()];
-        for (machine, status) in self.snapshot.rooms.iter().zip(self.machine_status) {
-            let counts = !status.booting && machine.until.is_none() && self.warm_count(machine) > 0;
-            candidates[machine.ty] += usize::from(counts);
+        for (machine, status) in self.snapshot.machines.iter().zip(self.machine_status) {
+            let counts = !status.booting && machine.reclaimed_in.is_none() && self.warm_count(machine) > 0;
+            candidates[machine.machine_type] += usize::from(counts);
         }
         candidates
     }
 
     /// Indices of all machines, by falling price.
     fn most_expensive_first(&self) -> Vec<usize> {
-        let count = self.snapshot.rooms.len().min(self.machine_status.len());
+        let count = self.snapshot.machines.len().min(self.machine_status.len());
         let mut machines: Vec<usize> = (0..count).collect();
-        machines.sort_by_key(|&index| std::cmp::Reverse(self.snapshot.rooms[index].rate));
+        machines.sort_by_key(|&index| std::cmp::Reverse(self.snapshot.machines[index].cpu_price));
         machines
     }
 
@@ -49,14 +50,14 @@
     fn is_planned(&self, machine: usize) -> bool {
         let reservation = self.plan.reservation.as_ref();
         let reserved = reservation
-            .is_some_and(|reservation| reservation.rooms.iter().any(|&(reserved, _)| reserved == machine));
-        reserved || self.plan.starts.iter().any(|start| start.room == machine)
+            .is_some_and(|reservation| reservation.machines.iter().any(|&(reserved, _)| reserved == machine));
+        reserved || self.plan.starts.iter().any(|start| start.machine == machine)
     }
 
     /// The size of the warm pool that a machine counts towards. A spot machine counts towards none
     /// whose jobs may not use spot machines.
     fn warm_count(&self, machine: &MachineSnapshot) -> usize {
-        let pool = self.warm_pools.get(machine.ty).copied().unwrap_or_default();
+        let pool = self.warm_pools.get(machine.machine_type).copied().unwrap_or_default();
         if machine.spot && !pool.spot {
             0
         } else {
@@ -66,7 +67,7 @@
 
     /// How long a machine has to be idle to be removed.
     fn idle_timeout(&self, machine: &MachineSnapshot) -> Micros {
-        match self.deadline_jobs_expected.get(machine.ty) {
+        match self.deadline_jobs_expected.get(machine.machine_type) {
             Some(true) => self.policy.deadline_idle_timeout,
             _ if self.warm_count(machine) > 0 => self.policy.warm_idle_timeout,
             _ => self.policy.idle_timeout,
--- a/src/capacity/services.rs
+++ b/src/capacity/services.rs
@@ -2,7 +2,7 @@
 
 use super::offers::scale_out_for_tasks;
 use super::{Autoscaler, ScaleOutItem};
-use crate::sched::{allowed, Resources};
+use crate::sched::{may_use, Resources};
 
 impl Autoscaler<'_> {
     /// Scales out for replicas that found no place: whole machines, on-demand ones if they are offered,
@@ -11,17 +11,17 @@
         let mut booting_capacity = self.booting_capacity();
         for &(class_index, unmet) in &self.plan.unmet {
             let class = &self.snapshot.classes[class_index];
-            if class.replicas.is_none() {
+            if class.replica_machines.is_none() {
                 continue;
             }
             let mut missing = unmet;
-            for (index, machine) in self.snapshot.rooms.iter().enumerate() {
-                if !allowed(class, machine) {
+            for (index, machine) in self.snapshot.machines.iter().enumerate() {
+                if !may_use(class, machine) {
                     continue;
                 }
                 let free = &mut booting_capacity[index];
                 let taken = free.fits(&class.need).min(missing);
-                *free = free.less(&class.need, taken);
+                *free = free.minus(&class.need, taken);
                 missing -= taken;
             }
             let offers = self.fitting_offers(class);
@@ -33,7 +33,7 @@
     /// By machine: its free capacity if it is booting and can be counted on, else nothing. What is up
     /// the planner has filled already.
     fn booting_capacity(&self) -> Vec<Resources> {
-        let machines = self.snapshot.rooms.iter().enumerate();
+        let machines = self.snapshot.machines.iter().enumerate();
         machines
             .map(|(index, machine)| {
                 if self.machine_status[index].booting && self.is_reliable(index) {
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -21,7 +21,7 @@
     if allowed_types(types, spec).is_empty() {
         return Some("a task fits no allowed machine type".into());
     }
-    let quota = TeamUse { cpus_max: team.cpus_max, gpus_max: team.gpus_max, ..TeamUse::default() };
+    let quota = TeamUse { cpu_quota: team.cpus_max, gpu_quota: team.gpus_max, ..TeamUse::default() };
     // Gangs and services need all their tasks at once; a job array makes progress with one at a time.
     let tasks_at_once = if spec.is_array() { 1 } else { spec.tasks };
     if quota.allows(&task_resources(spec)) < tasks_at_once {
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -231,7 +231,7 @@
     /// What is left of `total` beside the tasks that are running, or may be.
     pub(super) fn free(&self, total: Resources) -> Resources {
         let live = self.tasks.values().filter(|task| task.live());
-        live.filter_map(|task| task.need).fold(total, |free, need| free.less(&need, 1))
+        live.filter_map(|task| task.need).fold(total, |free, need| free.minus(&need, 1))
     }
 
     /// The last moment at which its lease may have been renewed, if this leader can know that.
--- a/src/fleet/machine_snapshots.rs
+++ b/src/fleet/machine_snapshots.rs
@@ -108,19 +108,19 @@
         let max_silence = self.heartbeat_interval().scale(MAX_SILENT_INTERVALS);
         let live_tasks = machine.tasks.iter().filter(|(_, task)| task.live());
         Some(MachineSnapshot {
-            ty,
+            machine_type: ty,
             zone: machine.zone,
             spot: machine.spot,
             total,
-            free: if reserved.tasks > 0 { free.less(&reserved.need, 1) } else { free },
-            open: machine.usable(now) && now - machine.heartbeat_at < max_silence,
-            opens_in: self.opens_in(machine, machine_type, now),
+            free: if reserved.tasks > 0 { free.minus(&reserved.need, 1) } else { free },
+            accepts_starts: machine.usable(now) && now - machine.heartbeat_at < max_silence,
+            accepts_starts_in: self.opens_in(machine, machine_type, now),
             images: machine.images.iter().map(|image| image.image).collect(),
-            fetch_rate: machine_type.fetch_gb_per_s,
-            rate: (price / machine_type.cpus.max(MIN_CPUS) * PRICE_PARTS) as i64,
-            penalty: Micros::from_secs(PENALTY_PER_FAILED_JOB_S * machine.failed_jobs.len() as f64),
-            until: machine.interruption_at.map(|notice| notice - now),
-            held: live_tasks.map(|(key, task)| self.placed_task(key, task, now)).collect(),
+            fetch_gb_per_s: machine_type.fetch_gb_per_s,
+            cpu_price: (price / machine_type.cpus.max(MIN_CPUS) * PRICE_PARTS) as i64,
+            failure_penalty: Micros::from_secs(PENALTY_PER_FAILED_JOB_S * machine.failed_jobs.len() as f64),
+            reclaimed_in: machine.interruption_at.map(|notice| notice - now),
+            placed: live_tasks.map(|(key, task)| self.placed_task(key, task, now)).collect(),
         })
     }
 
@@ -149,13 +149,13 @@
         PlacedTask {
             need: task.need.unwrap_or_default(),
             priority: spec.map_or(Priority::Idle, |spec| spec.priority),
-            guaranteed: self.within_fair_share.contains(&key.job),
+            within_fair_share: self.within_fair_share.contains(&key.job),
             team: spec.and_then(|spec| self.team_settings(&spec.team)).map_or(usize::MAX, |(index, _)| index),
-            left: self.stated_left(task, spec, now),
+            remaining: self.stated_left(task, spec, now),
             lost_work: lost_work(task, spec, now),
-            stoppable: task.stop_grace_s.is_none() && is_preemptible,
+            preemptible: task.stop_grace_s.is_none() && is_preemptible,
             stopping: task.stop_grace_s.is_some(),
-            endless: is_service,
+            is_replica: is_service,
         }
     }
 
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -75,13 +75,13 @@
         let (rooms, machines) = self.machine_snapshots(now);
         let (classes, jobs) = self.job_classes(&machines, now, wall);
         let snapshot = Snapshot {
-            zones: self.catalog.zones.len(),
+            zone_count: self.catalog.zones.len(),
             reserve: self.config.operator.reserve,
-            clear_rooms: self.clear_machines(),
+            headroom_machines: self.clear_machines(),
             low_priority_delay_step: Micros::from_secs(LOW_PRIORITY_DELAY_STEP_INTERVALS * heartbeat_s),
             delay_step: DELAY_STEP,
-            keep: self.reserved_headroom(),
-            rooms,
+            reserved_headroom: self.reserved_headroom(),
+            machines: rooms,
             classes,
             teams: self.team_uses(),
         };
@@ -150,14 +150,14 @@
         let widest = inputs.widest.of_shape(spec.shape);
         JobClass {
             priority: spec.priority,
-            raised: raised_priority(spec, waited, inputs.widest.gang),
+            aged_priority: raised_priority(spec, waited, inputs.widest.gang),
             team: self.team_settings(&spec.team).map_or(usize::MAX, |(index, _)| index),
-            guaranteed: self.within_fair_share.contains(&job.id),
-            count: self.startable_tasks(job, inputs.now),
+            within_fair_share: self.within_fair_share.contains(&job.id),
+            startable_tasks: self.startable_tasks(job, inputs.now),
             tasks: spec.tasks,
             gang: spec.is_gang(),
             need: task_resources(spec),
-            types: self.allowed_types(spec),
+            machine_types: self.allowed_types(spec),
             zone: spec.zone.as_ref().map(|name| self.requested_zone(name)),
             one_zone: spec.one_zone,
             spread: spec.spread,
@@ -165,13 +165,13 @@
             image: None,
             image_gb: spec.image_gb,
             waits_for_image: self.should_wait_for_image(spec, waited),
-            adjusted,
+            adjusted_runtime: adjusted,
             waited,
-            zones: self.tasks_by_zone(job),
-            slack: spec.deadline_s.map(|due_s| Micros::from_secs(due_s) - waited - adjusted),
-            missed_aims: self.missed_objectives(job, waited, adjusted, widest),
-            patience: self.patience(spec) - waited,
-            replicas: spec.is_service().then(|| self.machines_to_avoid(job, &inputs.machine_index)),
+            tasks_by_zone: self.tasks_by_zone(job),
+            deadline_slack: spec.deadline_s.map(|due_s| Micros::from_secs(due_s) - waited - adjusted),
+            missed_objectives: self.missed_objectives(job, waited, adjusted, widest),
+            preempt_after: self.patience(spec) - waited,
+            replica_machines: spec.is_service().then(|| self.machines_to_avoid(job, &inputs.machine_index)),
         }
     }
 
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -51,13 +51,13 @@
         let PlannerInput { snapshot, machines, jobs } = input;
         self.evict_tasks(&plan, &machines, now);
         self.note_waiting_services(&snapshot, &plan);
-        let reserved = plan.reservation.iter().flat_map(|reservation| &reservation.rooms);
+        let reserved = plan.reservation.iter().flat_map(|reservation| &reservation.machines);
         let reserved = reserved.map(|(machine, _)| machine);
         let closed = reserved.chain(plan.preempt.iter().map(|(machine, _)| machine));
         self.closed_machines = closed.map(|machine| machines[*machine].clone()).collect();
         self.plan = plan;
         self.planned_jobs = jobs;
-        self.planned_snapshot = Snapshot { rooms: Vec::new(), ..snapshot.clone() };
+        self.planned_snapshot = Snapshot { machines: Vec::new(), ..snapshot.clone() };
         (snapshot, machines)
     }
 
@@ -67,7 +67,7 @@
         let mut tasks_by_class: BTreeMap<usize, u32> = BTreeMap::new();
         let mut gang_machines: BTreeMap<usize, Vec<MachineId>> = BTreeMap::new();
         for start in &plan.starts {
-            let machine = &input.machines[start.room];
+            let machine = &input.machines[start.machine];
             if input.snapshot.classes[start.class].gang {
                 let machines = gang_machines.entry(start.class).or_default();
                 machines.extend((0..start.count).map(|_| machine.clone()));
--- a/src/fleet/replica_moves.rs
+++ b/src/fleet/replica_moves.rs
@@ -82,7 +82,7 @@
     /// What remains of a machine's free capacity.
     fn free(&self, machine: &Machine, free: Resources) -> Resources {
         let reserved = self.0.get(&machine.id).into_iter().flatten();
-        reserved.fold(free, |free, (_, need)| free.less(need, 1))
+        reserved.fold(free, |free, (_, need)| free.minus(need, 1))
     }
 
     /// Whether a replica of the service is to go to the machine.
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -71,12 +71,13 @@
         let mut waiting: BTreeMap<usize, Option<Micros>> = BTreeMap::new();
         for start in &plan.starts {
             let class = &snapshot.classes[start.class];
-            if class.replicas.is_some() {
+            if class.replica_machines.is_some() {
                 let planned = waiting.entry(start.class).or_default();
-                *planned = (*planned).max(Some(sched::runs_in(class, &snapshot.rooms[start.room])));
+                *planned = (*planned).max(Some(sched::start_delay(class, &snapshot.machines[start.machine])));
             }
         }
-        let unmet = plan.unmet.iter().filter(|(class, _)| snapshot.classes[*class].replicas.is_some());
+        let unmet =
+            plan.unmet.iter().filter(|(class, _)| snapshot.classes[*class].replica_machines.is_some());
         waiting.extend(unmet.map(|(class, _)| (*class, None)));
         let services = waiting.into_iter();
         self.waiting_services = services.map(|(class, planned)| WaitingService { class, planned }).collect();
@@ -93,8 +94,8 @@
         for service in &self.waiting_services {
             if let Some(job) = self.service_that_runs_sooner(service, id, &machine, now) {
                 let class = &self.planned_snapshot.classes[service.class];
-                machine.free = machine.free.less(&class.need, 1);
-                machine.held.push(PlacedTask::replica(class));
+                machine.free = machine.free.minus(&class.need, 1);
+                machine.placed.push(PlacedTask::replica(class));
                 chosen.push(job.clone());
             }
         }
@@ -135,8 +136,11 @@
         }
         let in_zone = self.placements_by_zone(job).get(machine.zone).copied().unwrap_or(0);
         let reporting = ReportingMachine {
-            room: machine,
-            kept: self.planned_snapshot.kept(machine.ty, machine.spot).map(|headroom| headroom.need),
+            machine,
+            headroom: self
+                .planned_snapshot
+                .headroom_for(machine.machine_type, machine.spot)
+                .map(|headroom| headroom.need),
             crowded_zone: in_zone >= job.spec.tasks.div_ceil(2),
         };
         let since_plan = now - self.planned_at;
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -108,14 +108,14 @@
         let classes = &self.planned_snapshot.classes;
         let gang_waits = self.plan.unmet.iter().any(|unmet| {
             let class = &classes[unmet.0];
-            unmet.1 > 0 && class.gang && sched::allowed(class, &machine)
+            unmet.1 > 0 && class.gang && sched::may_use(class, &machine)
         });
         let backfill = IncrementalBackfill {
             snapshot: &self.planned_snapshot,
             contended_types: &self.plan.contended_types,
-            claimed_limits: &self.plan.claimed_limits,
+            gang_awaits_quota: &self.plan.gang_awaits_quota,
             team_uses,
-            room: &machine,
+            machine: &machine,
             gang_waits,
         };
         for (class, count) in backfill.starts(&mut self.plan.unmet) {
--- a/src/fleet/team_use.rs
+++ b/src/fleet/team_use.rs
@@ -63,12 +63,12 @@
         let team = &self.config.platform.settings.teams[index];
         let (cpus_max, gpus_max) = (team.cpus_max, team.gpus_max);
         if !has_quota(team) {
-            return TeamUse { used: Resources::default(), cpus_max, gpus_max };
+            return TeamUse { used: Resources::default(), cpu_quota: cpus_max, gpu_quota: gpus_max };
         }
         if self.team_totals.is_empty() {
             self.team_totals = self.count_uses();
         }
-        TeamUse { used: self.team_totals[index], cpus_max, gpus_max }
+        TeamUse { used: self.team_totals[index], cpu_quota: cpus_max, gpu_quota: gpus_max }
     }
 
     /// What all teams use, in one pass over all tasks: with a pass for each team, counting took a third
