--- a/src/api.rs
+++ b/src/api.rs
@@ -18,7 +18,7 @@
 use crate::keys::{borrowed_key, final_key, job_key};
 use crate::live_jobs::LiveJobs;
 use crate::records::{FinalRecord, JobRecord};
-use crate::state::{RequestPriority, StateClient, StateError, TxnOutcome};
+use crate::state::{RequestPriority, StateStoreClient, StateStoreError, TxnOutcome};
 use crate::time::wall;
 use crate::wire::{is_job_id, Change, Guard, JobSpec, JobStage, JobStatus, MachineType, Stage, Txn};
 
@@ -32,7 +32,7 @@
     /// The settings.
     fn config(&self) -> &Config;
     /// The client of the state store.
-    fn state(&self) -> &StateClient;
+    fn state(&self) -> &StateStoreClient;
     /// The live jobs' ids, for polls.
     fn live_jobs(&self) -> &LiveJobs;
     /// A final stage that is known to be written, and the revision at which it was.
@@ -61,24 +61,25 @@
     Unknown,
 }
 
-fn look_up(backend: &dyn JobsBackend, id: &str) -> Result<JobLookup, StateError> {
+fn look_up(backend: &dyn JobsBackend, id: &str) -> Result<JobLookup, StateStoreError> {
     if let Some((record, revision)) = backend.final_of(id) {
         return Ok(JobLookup::Final(record, revision));
     }
     // The live record first: a job goes from one to the other in one transaction, so one of the
     // two reads finds it.
     if let Some(row) = backend.state().get(&job_key(id), RequestPriority::User)? {
-        let record = serde_json::from_value(row.value).map_err(|e| StateError::Malformed(e.to_string()))?;
+        let record =
+            serde_json::from_value(row.value).map_err(|e| StateStoreError::Malformed(e.to_string()))?;
         return Ok(JobLookup::Live(Box::new(record), row.mod_revision));
     }
     let found = read_final(backend, id)?;
     Ok(found.map_or(JobLookup::Unknown, |(record, revision)| JobLookup::Final(record, revision)))
 }
 
-fn read_final(backend: &dyn JobsBackend, id: &str) -> Result<Option<(FinalRecord, u64)>, StateError> {
+fn read_final(backend: &dyn JobsBackend, id: &str) -> Result<Option<(FinalRecord, u64)>, StateStoreError> {
     let Some(row) = backend.state().get(&final_key(id), RequestPriority::User)? else { return Ok(None) };
     let record: FinalRecord =
-        serde_json::from_value(row.value).map_err(|e| StateError::Malformed(e.to_string()))?;
+        serde_json::from_value(row.value).map_err(|e| StateStoreError::Malformed(e.to_string()))?;
     // Written once, in the transaction that removed the live record.
     backend.learn_final(id, record, row.mod_revision);
     Ok(Some((record, row.mod_revision)))
@@ -107,7 +108,7 @@
     Response::json(200, &JobStage { id: id.to_string(), stage })
 }
 
-fn unavailable(e: &StateError) -> Response {
+fn unavailable(e: &StateStoreError) -> Response {
     Response::error(503, &format!("the state service cannot be asked: {e}")).with_retry_after(RETRY_AFTER_S)
 }
 
@@ -147,14 +148,14 @@
     }
 }
 
-fn show(backend: &dyn JobsBackend, id: &str) -> Result<Response, StateError> {
+fn show(backend: &dyn JobsBackend, id: &str) -> Result<Response, StateStoreError> {
     if !is_job_id(id) {
         return Ok(Response::error(404, "no such job"));
     }
     if let Some((record, _)) = backend.final_of(id) {
         return Ok(Response::json(200, &final_status(id, record)));
     }
-    if backend.live_jobs().has(id, backend.state())? {
+    if backend.live_jobs().is_live(id, backend.state())? {
         return Ok(Response::json(200, &live_status(backend, id)));
     }
     // It left the live jobs, if it ever was one, in the transaction that wrote its end.
@@ -166,7 +167,11 @@
 
 /// The known job, if there is one, for a submission that would otherwise be refused: a repeat of
 /// an accepted job (an idempotent request) is never answered with a refusal, whatever its body.
-fn known_or(backend: &dyn JobsBackend, id: Option<&str>, refusal: Response) -> Result<Response, StateError> {
+fn known_or(
+    backend: &dyn JobsBackend,
+    id: Option<&str>,
+    refusal: Response,
+) -> Result<Response, StateStoreError> {
     if let Some(id) = id.filter(|i| is_job_id(i)) {
         let lookup = look_up(backend, id)?;
         if let Some(status) = status(backend, id, &lookup) {
@@ -176,7 +181,7 @@
     Ok(refusal)
 }
 
-fn submit(backend: &dyn JobsBackend, body: &[u8]) -> Result<Response, StateError> {
+fn submit(backend: &dyn JobsBackend, body: &[u8]) -> Result<Response, StateStoreError> {
     let cfg = backend.config();
     let spec = match JobSpec::parse(body) {
         Ok(spec) => spec,
@@ -196,7 +201,7 @@
         return known_or(backend, Some(&spec.id), Response::error(422, &why));
     }
     let id = spec.id.clone();
-    let record = JobRecord { spec, submitted_us: wall().0, high: 0, lending: Lending::default() };
+    let record = JobRecord { spec, submitted_us: wall().0, high_water_mark: 0, lending: Lending::default() };
     let value = json!(record);
     if value.to_string().len() > cfg.value_bytes() {
         return known_or(backend, Some(&id), Response::error(400, "the description is too long"));
@@ -209,7 +214,7 @@
     }
     let txn = Txn { guards, then: vec![Change::put(job_key(&id), value)] };
     let mut result = backend.state().txn(&txn, RequestPriority::User);
-    if matches!(result, Err(StateError::Unknown(_))) {
+    if matches!(result, Err(StateStoreError::Unknown(_))) {
         // The guards make a repeat harmless, and tell whether the first try was carried out.
         result = backend.state().txn(&txn, RequestPriority::User);
     }
@@ -235,7 +240,7 @@
     backend: &dyn JobsBackend,
     mut record: JobRecord,
     mod_revision: u64,
-) -> Result<bool, StateError> {
+) -> Result<bool, StateStoreError> {
     let id = record.spec.id.clone();
     record.lending.cancelling = true;
     let txn = Txn {
@@ -250,12 +255,12 @@
             backend.job_written(&id, record, revision);
             Ok(true)
         }
-        Ok(TxnOutcome::Conflict(_)) | Err(StateError::Unknown(_)) => Ok(false),
+        Ok(TxnOutcome::Conflict(_)) | Err(StateStoreError::Unknown(_)) => Ok(false),
         Err(e) => Err(e),
     }
 }
 
-fn withdraw(backend: &dyn JobsBackend, id: &str) -> Result<Response, StateError> {
+fn withdraw(backend: &dyn JobsBackend, id: &str) -> Result<Response, StateStoreError> {
     if !is_job_id(id) {
         return Ok(Response::error(404, "no such job"));
     }
@@ -292,7 +297,7 @@
     id: &str,
     record: &JobRecord,
     mod_revision: u64,
-) -> Result<Option<Response>, StateError> {
+) -> Result<Option<Response>, StateStoreError> {
     let over = FinalRecord { stage: Stage::Cancelled, tasks: record.spec.tasks };
     let txn = Txn {
         guards: vec![Guard { key: job_key(id), mod_revision }, Guard { key: final_key(id), mod_revision: 0 }],
@@ -304,7 +309,7 @@
             Ok(Some(stage_answer(id, Stage::Cancelled)))
         }
         // The leader wrote in between, or it is not known what happened: look again.
-        Ok(TxnOutcome::Conflict(_)) | Err(StateError::Unknown(_)) => Ok(None),
+        Ok(TxnOutcome::Conflict(_)) | Err(StateStoreError::Unknown(_)) => Ok(None),
         Err(e) => Err(e),
     }
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -197,7 +197,7 @@
 fn status(internal: SocketAddr, team: Option<String>) -> ExitCode {
     let path = team.map_or(STATUS.to_string(), |t| format!("{STATUS}/{t}"));
     let call = Call { method: "GET".into(), path, body: Vec::new() };
-    match peer::ask(internal, call, Micros::from_secs(5.0)) {
+    match peer::call_once(internal, call, Micros::from_secs(5.0)) {
         Ok(a) => {
             let v: serde_json::Value = serde_json::from_slice(&a.body).unwrap_or_default();
             println!("{v:#}");
@@ -231,7 +231,7 @@
         return fail(2, why);
     }
     let call = Call { method: "POST".into(), path: format!("{WRITE_OFF_PATH}{cell}"), body: Vec::new() };
-    match peer::ask(internal, call, Micros::from_secs(30.0)) {
+    match peer::call_once(internal, call, Micros::from_secs(30.0)) {
         Ok(answer) => {
             println!("{}", String::from_utf8_lossy(&answer.body));
             if answer.status == 200 {
--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -5,7 +5,7 @@
 use crate::cancellation_notices::Cancellation;
 use crate::fleet::JobProgress;
 use crate::jobs::JobId;
-use crate::peer::{self, JobCounts, Message, Outcome, Summary};
+use crate::peer::{self, JobCounts, PeerMessage, PeerReply, Summary};
 use crate::time::{Micros, Steady};
 
 /// How often the others are told who leads.
@@ -58,12 +58,12 @@
         let Some(s) = summary else { return };
         let sent: Vec<_> = (0..self.peers.count())
             .filter_map(|to| {
-                let waiting = self.peers.begin(to, Message::Announce(s.clone()), MESSAGE_TIMEOUT).ok()?;
+                let waiting = self.peers.begin(to, PeerMessage::Announce(s.clone()), MESSAGE_TIMEOUT).ok()?;
                 Some((to, waiting))
             })
             .collect();
         for (to, waiting) in sent {
-            if let Ok(Outcome::Ack(a)) = waiting.wait() {
+            if let Ok(PeerReply::Ack(a)) = waiting.wait() {
                 self.peer_answered(a.token);
                 self.note_version(to, a.version);
             }
@@ -108,14 +108,14 @@
                     revision: c.revision,
                 };
                 let message =
-                    Message::Cancelled(peer::Cancellations { jobs: batch.iter().map(one).collect() });
+                    PeerMessage::Cancelled(peer::Cancellations { jobs: batch.iter().map(one).collect() });
                 (to, self.peers.begin(to, message, MESSAGE_TIMEOUT), batch)
             })
             .collect();
         let mut all = true;
         for (to, waiting, batch) in sent {
             match waiting.and_then(|w| w.wait()) {
-                Ok(Outcome::Ack(a)) => {
+                Ok(PeerReply::Ack(a)) => {
                     self.notices.lock().unwrap_or_else(|e| e.into_inner()).answered(to, &batch);
                     self.peer_answered(a.token);
                 }
--- a/src/controller/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -6,7 +6,7 @@
 use super::{Controller, Leadership, SharedState};
 use crate::config::CellsSettings;
 use crate::loan_messages::{report_to_proto, request_from_proto, summary_to_proto, LoanMessageError};
-use crate::peer::{LoanReply, LoanRequest, Outcome};
+use crate::peer::{LoanReply, LoanRequest, PeerReply};
 use crate::time::{wall, Micros};
 
 /// Most changes that one message leads to; the rest follow with the next.
@@ -19,13 +19,13 @@
 
 impl Controller {
     /// Answers another cell's message about its loans.
-    pub(super) fn on_loans(&self, message: &LoanRequest) -> Outcome {
-        let Some(cells) = &self.cfg.operator.cells else { return Outcome::Loans(LoanReply::default()) };
+    pub(super) fn on_loans(&self, message: &LoanRequest) -> PeerReply {
+        let Some(cells) = &self.cfg.operator.cells else { return PeerReply::Loans(LoanReply::default()) };
         let request = match checked(cells, message) {
             Ok(request) => request,
             Err(why) => {
                 self.log_refused_message(&message.from, why.to_string());
-                return Outcome::Loans(LoanReply { from: cells.name.clone(), ..LoanReply::default() });
+                return PeerReply::Loans(LoanReply { from: cells.name.clone(), ..LoanReply::default() });
             }
         };
         let fencing_token = self.lock().leadership.as_ref().map(|leadership| leadership.claim.fencing_token);
@@ -35,7 +35,7 @@
             self.carry_out(fencing_token, &request);
         }
         let shared = self.lock();
-        Outcome::Loans(match &shared.leadership {
+        PeerReply::Loans(match &shared.leadership {
             Some(leadership) => loan_reply(cells, leadership, &request),
             None => self.not_leading(cells, &shared),
         })
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -176,7 +176,7 @@
                 left -= count;
                 let request = ScaleOutRequest {
                     request: String::new(),
-                    ty: ty.clone(),
+                    machine_type: ty.clone(),
                     zone: zone.clone(),
                     spot: offer.spot,
                     count,
@@ -222,7 +222,7 @@
     let r = request;
     match outcome {
         Ok(ids) => {
-            tracing::info!(ty = %r.ty, zone = %r.zone, spot = r.spot, asked = r.count, got = ids.len(), "scaled out");
+            tracing::info!(ty = %r.machine_type, zone = %r.zone, spot = r.spot, asked = r.count, got = ids.len(), "scaled out");
             let short = (ids.len() as u32) < r.count;
             if short {
                 fleet.offer_refused(offer, now + NO_CAPACITY_BACKOFF);
@@ -235,7 +235,7 @@
             }
         }
         Err(CloudError::NoCapacity) => {
-            tracing::debug!(ty = %r.ty, zone = %r.zone, spot = r.spot, "scale out: no capacity");
+            tracing::debug!(ty = %r.machine_type, zone = %r.zone, spot = r.spot, "scale out: no capacity");
             fleet.offer_refused(offer, now + NO_CAPACITY_BACKOFF);
             ScaleOutOutcome::Partial
         }
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::http::{Client, ClientResponse};
 use crate::time::{Micros, Steady};
-use crate::wire::{Commands, Heartbeat, COMMANDS_PATH};
+use crate::wire::{DirectCommandRequest, Heartbeat, COMMANDS_PATH};
 
 /// How often halts that cannot wait for a report are sent.
 const HALT_INTERVAL: Micros = Micros::from_millis(100);
@@ -71,7 +71,7 @@
 
     /// Sends a command, unless it is no longer needed, and hands the worker's report to the fleet.
     fn send_command(&self, fencing_token: u64, command: &DirectCommand) {
-        let DirectCommand { machine, address, agent_epoch, orders } = command;
+        let DirectCommand { machine, address, agent_epoch, commands: orders } = command;
         // It may have reported by itself since the list was made.
         let due = |o: &Leadership| {
             o.claim.fencing_token == fencing_token
@@ -84,9 +84,11 @@
         let client = Client::new(address, 1);
         let mut agent_epoch = *agent_epoch;
         for _ in 0..COMMAND_ATTEMPTS {
-            let Ok(body) =
-                serde_json::to_vec(&Commands { fencing_token, agent_epoch, orders: orders.clone() })
-            else {
+            let Ok(body) = serde_json::to_vec(&DirectCommandRequest {
+                fencing_token,
+                agent_epoch,
+                commands: orders.clone(),
+            }) else {
                 return;
             };
             let Ok(ClientResponse { status, body }) =
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -113,7 +113,7 @@
             HeartbeatOutcome::Reply(r) => {
                 // Other workers report when something changes, and must not be kept from it.
                 let id: MachineId = report.machine.as_str().into();
-                if r.orders.is_empty() && leadership.fleet.may_wait(&id, now) {
+                if r.commands.is_empty() && leadership.fleet.may_wait(&id, now) {
                     if let Some(reply) = reply {
                         let deadline = now + MAX_REPLY_DELAY;
                         let deferred = DeferredHeartbeatReply { report, fencing_token, deadline, reply };
@@ -191,7 +191,10 @@
                 if let Some(w) = deferred_replies.remove(id) {
                     answers.push((
                         w.reply,
-                        Response::json(200, &HeartbeatReply { fencing_token: w.fencing_token, orders }),
+                        Response::json(
+                            200,
+                            &HeartbeatReply { fencing_token: w.fencing_token, commands: orders },
+                        ),
                     ));
                 }
             }
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -7,7 +7,7 @@
 use crate::config::Config;
 use crate::fleet::Fleet;
 use crate::leadership::{self, LeaderClaim, LeaderRecord, LEADER_KEY};
-use crate::state::StateError;
+use crate::state::StateStoreError;
 use crate::store_contact::StoreContact;
 use crate::time::{Micros, Steady};
 
@@ -78,7 +78,7 @@
         }
         match r {
             Ok(()) => {}
-            Err(StateError::NoLease) => self.step_down(&mut shared, 0, "leader lease expired"),
+            Err(StateStoreError::NoLease) => self.step_down(&mut shared, 0, "leader lease expired"),
             Err(e) => tracing::info!(error = %e, "leader lease renewal failed"),
         }
         if renewed && self.is_isolated(&shared) {
@@ -105,7 +105,7 @@
 
     /// Reads the leader's record. While another leads, waits for the end of its lease; then, or if
     /// nobody leads, fails over.
-    fn follow_leader(&self, ttl: Micros) -> Result<(), StateError> {
+    fn follow_leader(&self, ttl: Micros) -> Result<(), StateStoreError> {
         let (rows, revision) = self.state.list(LEADER_KEY)?;
         let row = rows.into_iter().find(|r| r.key == LEADER_KEY);
         let owner: Option<LeaderRecord> =
@@ -131,7 +131,7 @@
     }
 
     /// Waits a while for the end of another leader's lease; whether it ended.
-    fn await_lease_expiry(&self, leader: &LeaderRecord, revision: u64) -> Result<bool, StateError> {
+    fn await_lease_expiry(&self, leader: &LeaderRecord, revision: u64) -> Result<bool, StateStoreError> {
         {
             let mut shared = self.lock();
             shared.highest_fencing_token = shared.highest_fencing_token.max(leader.fencing_token);
@@ -158,7 +158,7 @@
 
     /// Claims the leadership; `seen` is the version of the leader's record that the claim replaces, 0
     /// for none.
-    fn fail_over(&self, ttl: Micros, seen: u64) -> Result<(), StateError> {
+    fn fail_over(&self, ttl: Micros, seen: u64) -> Result<(), StateStoreError> {
         if self.now() < self.lock().no_claim_until {
             return Ok(());
         }
@@ -167,7 +167,7 @@
         let claim = match leadership::try_become_leader(&self.state, label, self.incarnation, ttl, seen) {
             Ok(Some(claim)) => claim,
             Ok(None) => return Ok(()),
-            Err(e @ StateError::NewerRecords { .. }) => {
+            Err(e @ StateStoreError::NewerRecords { .. }) => {
                 tracing::error!(error = %e, "failover refused");
                 self.lock().no_claim_until = self.now() + NEWER_RECORDS_PAUSE;
                 return Ok(());
@@ -185,7 +185,7 @@
 
     /// Rebuilds the fleet from the records after a claim, and leads with it unless another controller has
     /// meanwhile.
-    fn rebuild(&self, claim: LeaderClaim, begun: Steady) -> Result<(), StateError> {
+    fn rebuild(&self, claim: LeaderClaim, begun: Steady) -> Result<(), StateStoreError> {
         let types = self.machine_types().unwrap_or_default();
         let r = leadership::rebuild(&self.state, self.cfg.clone(), types, claim.fencing_token, self.now());
         let mut shared = self.lock();
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -10,7 +10,7 @@
 use crate::config::{CellsSettings, OtherCell};
 use crate::fleet::{Fleet, LoanWrite};
 use crate::loan_messages::{report_from_proto, request_to_proto, summary_from_proto, MAX_LOANS};
-use crate::peer::{LoanReply, Message, Outcome, PeerError, Waiting};
+use crate::peer::{LoanReply, PeerError, PeerMessage, PeerReply, PendingReply};
 use crate::time::{wall, Micros};
 
 /// How often a cell is told of its loans while it holds some, or some are to be made.
@@ -95,8 +95,8 @@
         let wants_to_lend = choice.gate.update(backlog_s, self.cfg.operator.drain_s);
         self.retry_loan_writes(fencing_token);
         for (cell, waiting) in self.ask_cells(cells, fencing_token, backlog_s) {
-            match waiting.and_then(Waiting::wait) {
-                Ok(Outcome::Loans(reply)) => self.on_loan_reply(fencing_token, cell, &reply, choice),
+            match waiting.and_then(PendingReply::wait) {
+                Ok(PeerReply::Loans(reply)) => self.on_loan_reply(fencing_token, cell, &reply, choice),
                 Ok(_) => self.cell_unreachable(cell, "a wrong answer"),
                 Err(e) => self.cell_unreachable(cell, &e.to_string()),
             }
@@ -114,7 +114,7 @@
         cells: &'a CellsSettings,
         fencing_token: u64,
         backlog_s: f64,
-    ) -> Vec<(&'a OtherCell, Result<Waiting, PeerError>)> {
+    ) -> Vec<(&'a OtherCell, Result<PendingReply, PeerError>)> {
         let mut first_address = self.peers.count();
         let mut asked = Vec::new();
         for cell in &cells.others {
@@ -128,7 +128,7 @@
             let offer = |job: &str, number| fleet.loans.offer(job, number);
             let request = fleet.loans.home.request(&cells.name, &cell.name, fencing_token, wish, offer);
             drop(shared);
-            let message = Message::Lend(request_to_proto(&request));
+            let message = PeerMessage::Lend(request_to_proto(&request));
             let waiting = self.peers.begin(first_address + controller, message, CELL_TIMEOUT);
             asked.push((cell, waiting));
             first_address += cell.controllers.len();
--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -4,7 +4,7 @@
 use crate::fleet::LoanWrite;
 use crate::keys::{final_key, job_key};
 use crate::leadership::{self, SHARD_KEY};
-use crate::state::{RequestPriority, StateError, TxnOutcome};
+use crate::state::{RequestPriority, StateStoreError, TxnOutcome};
 use crate::time::wall;
 
 /// What became of a write of loans.
@@ -41,7 +41,7 @@
             Ok(TxnOutcome::Committed(revision)) => self.loan_written(fencing_token, &write, revision),
             Ok(TxnOutcome::Conflict(keys)) => self.loan_conflict(fencing_token, write, &keys),
             // Refused without having been executed.
-            Err(StateError::Refused(_) | StateError::Budget | StateError::Rejected(_)) => {
+            Err(StateStoreError::Refused(_) | StateStoreError::Budget | StateStoreError::Rejected(_)) => {
                 if let Some(leadership) = self.lock().leadership_with(fencing_token) {
                     leadership.fleet.loan_not_written(&write);
                 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -51,9 +51,9 @@
 use crate::jobs::MachineId;
 use crate::leadership::{LeaderClaim, LeaderRecord};
 use crate::live_jobs::LiveJobs;
-use crate::peer::{Inbound, PeerHub};
+use crate::peer::{InboundMessage, PeerHub};
 use crate::records::FinalRecord;
-use crate::state::StateClient;
+use crate::state::StateStoreClient;
 use crate::store_contact::StoreContact;
 use crate::time::{Clock, Micros, Steady};
 use crate::wire::{MachineType, HEALTH_PATH, HEARTBEAT_PATH, WRITE_OFF_PATH};
@@ -136,7 +136,7 @@
     /// Settings.
     pub cfg: Arc<Config>,
     /// The state store.
-    pub state: StateClient,
+    pub state: StateStoreClient,
     /// The live jobs, for polls.
     pub live: LiveJobs,
     cloud: CloudClient,
@@ -179,7 +179,7 @@
         let keep = Micros::from_secs(p.settings.workers.cancel_s);
         let now = clock.now();
         Ok(Arc::new(Controller {
-            state: StateClient::new(
+            state: StateStoreClient::new(
                 p.services.state,
                 budget.requests_per_s,
                 budget.writes_per_s,
@@ -240,7 +240,7 @@
     /// Starts a thread for each duty.
     fn start_duties(
         self: &Arc<Controller>,
-        inbound: Receiver<Inbound>,
+        inbound: Receiver<InboundMessage>,
     ) -> std::io::Result<Vec<JoinHandle<()>>> {
         let duties: [(&str, Duty); 9] = [
             ("keeper", Controller::keep_leadership),
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -48,7 +48,7 @@
             200,
             &ControllerStatus {
                 leader: shared.leader.as_ref().map(|l| l.label.clone()),
-                node: label.clone(),
+                controller: label.clone(),
                 view: leadership.map(|o| o.fleet.status(team, self.now(), wall())),
                 parts: leadership.map(|o| vec![part(o)]),
                 versions: Some(self.versions(&shared)),
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -9,9 +9,9 @@
 use crate::fleet::JobProgress;
 use crate::http::{Request, Response};
 use crate::live_jobs::LiveJobs;
-use crate::peer::{JobNews, Message};
+use crate::peer::{JobNews, PeerMessage};
 use crate::records::{FinalRecord, JobRecord};
-use crate::state::StateClient;
+use crate::state::StateStoreClient;
 use crate::time::Micros;
 use crate::wire::MachineType;
 
@@ -29,7 +29,7 @@
         &self.cfg
     }
 
-    fn state(&self) -> &StateClient {
+    fn state(&self) -> &StateStoreClient {
         &self.state
     }
 
@@ -100,7 +100,7 @@
         // Not waited for: the leader's watch sees it in any case, a little later.
         let _ = self.peers.begin(
             to,
-            Message::Notify(JobNews { id: id.to_string(), record, revision }),
+            PeerMessage::Notify(JobNews { id: id.to_string(), record, revision }),
             JOB_NEWS_TIMEOUT,
         );
     }
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -3,7 +3,7 @@
 use super::{Controller, Leadership};
 use crate::fleet::Fleet;
 use crate::records::JobRecord;
-use crate::state::{RequestPriority, StateError};
+use crate::state::{RequestPriority, StateStoreError};
 use crate::time::{Micros, Steady};
 use crate::wire::{Event, Events};
 
@@ -54,7 +54,7 @@
                 self.apply_changes(leadership, changes, read.then_some(sent));
                 WATCH_PAUSE
             }
-            Err(StateError::TooOld) => {
+            Err(StateStoreError::TooOld) => {
                 let mut shared = self.lock();
                 if shared.leadership_with(fencing_token).is_some() {
                     self.step_down(&mut shared, 0, "watch revision compacted");
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -6,7 +6,7 @@
 use crate::jobs::JobId;
 use crate::leadership::{self, Batch, LeaderClaim, SHARD_KEY};
 use crate::records::FinalRecord;
-use crate::state::{RequestPriority, StateError, TxnOutcome};
+use crate::state::{RequestPriority, StateStoreError, TxnOutcome};
 use crate::task_ranges::chunk_tasks;
 use crate::time::{wall, Micros};
 use crate::wire::Stage;
@@ -75,13 +75,13 @@
                 }
                 self.read_back(claim, &keys)
             }
-            Err(StateError::Unknown(e)) => {
+            Err(StateStoreError::Unknown(e)) => {
                 tracing::info!(error = %e, "write outcome unknown, reading back");
                 let keys: Vec<String> =
                     b.txn.guards.iter().map(|g| g.key.clone()).filter(|k| k != SHARD_KEY).collect();
                 self.read_back(claim, &keys)
             }
-            Err(StateError::Rejected(e)) => {
+            Err(StateStoreError::Rejected(e)) => {
                 tracing::error!(error = %e, "write rejected by state store");
                 let mut shared = self.lock();
                 if let Some(o) =
--- a/src/direct_command.rs
+++ b/src/direct_command.rs
@@ -1,7 +1,7 @@
 //! Commands that the owner sends straight to a worker, instead of in the answer to its report.
 
 use crate::jobs::MachineId;
-use crate::wire::Order;
+use crate::wire::WorkerCommand;
 
 /// A command to send straight to a worker.
 #[derive(Clone, Debug, PartialEq)]
@@ -13,5 +13,5 @@
     /// The worker's session that is meant.
     pub agent_epoch: u64,
     /// The orders; without any, the command only brings the owner's token.
-    pub orders: Vec<Order>,
+    pub commands: Vec<WorkerCommand>,
 }
--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -78,7 +78,7 @@
             Err(error) => return tracing::error!(job = id, %home, %error, "a borrowed job cannot be read"),
         };
         let spec = JobSpec { priority: Priority::Idle, class: None, deadline_s: None, ..spec };
-        let own = JobRecord { spec, submitted_us: wall.0, high: 0, lending: Lending::default() };
+        let own = JobRecord { spec, submitted_us: wall.0, high_water_mark: 0, lending: Lending::default() };
         let mut job = Job::new(own, mod_revision, now);
         job.borrowed_from = Some(home);
         let need = need_of(&job.spec);
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -45,10 +45,10 @@
                 tracing::info!(machine = %id, "late heartbeat of a gone machine refused");
                 return HeartbeatOutcome::Refuse;
             }
-            tracing::info!(machine = %id, ty = %r.ty, zone = %r.zone, "first heartbeat");
+            tracing::info!(machine = %id, ty = %r.machine_type, zone = %r.zone, "first heartbeat");
             self.machines.insert(id.clone(), Machine::new(&id, now));
         }
-        self.describe(&id, &r.addr, &r.ty, &r.zone, r.spot);
+        self.describe(&id, &r.address, &r.machine_type, &r.zone, r.spot);
         if !self.reconcile_heartbeat(&id, r, now) {
             // A copy, or one that was overtaken: it renews nothing and revives nothing, and the
             // worker does not wait for its answer.
@@ -61,7 +61,7 @@
             m.missing = false;
         }
         let orders = self.reply_orders(&id, now, wall);
-        HeartbeatOutcome::Reply(HeartbeatReply { fencing_token: self.fencing_token, orders })
+        HeartbeatOutcome::Reply(HeartbeatReply { fencing_token: self.fencing_token, commands: orders })
     }
 
     /// Takes the heartbeat that a direct command returned: it only tells that this leader's fencing
@@ -107,7 +107,7 @@
                 let Some(grace_s) = e.stop else { continue };
                 if e.stop_at_once || (is_overdue && grace_s == 0.0 && is_over(&self.jobs, k)) {
                     e.stop_at_once = false;
-                    orders.push(Order::Halt { task: task_name(&k.0, k.1), attempt: k.2, grace_s });
+                    orders.push(WorkerCommand::Halt { task: task_name(&k.0, k.1), attempt: k.2, grace_s });
                 }
             }
             if !orders.is_empty() {
@@ -115,7 +115,7 @@
                 out.push(m.direct_command(orders));
             }
         }
-        self.count_orders(out.iter().flat_map(|command| &command.orders), now);
+        self.count_orders(out.iter().flat_map(|command| &command.commands), now);
         out
     }
 
@@ -134,7 +134,7 @@
 
     /// The orders with which a machine's heartbeat is answered: forgets of ended tasks whose end is
     /// written, halts, and the starts of the plan (at most `MAX_ORDERS`).
-    pub(super) fn reply_orders(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<Order> {
+    pub(super) fn reply_orders(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<WorkerCommand> {
         let mut out = Vec::new();
         if let Some(m) = self.machines.get(id) {
             for (k, e) in &m.tasks {
@@ -153,10 +153,10 @@
                             _ => true,
                         };
                         if written {
-                            out.push(Order::Forget { task, attempt: k.2 });
+                            out.push(WorkerCommand::Forget { task, attempt: k.2 });
                         }
                     }
-                    (None, Some(grace_s)) => out.push(Order::Halt { task, attempt: k.2, grace_s }),
+                    (None, Some(grace_s)) => out.push(WorkerCommand::Halt { task, attempt: k.2, grace_s }),
                     (None, None) => {}
                 }
             }
@@ -197,7 +197,7 @@
     }
 
     /// The orders with which a deferred heartbeat is answered; empty if a newer heartbeat has come.
-    pub fn later(&mut self, r: &Heartbeat, now: Steady, wall: Wall) -> Vec<Order> {
+    pub fn later(&mut self, r: &Heartbeat, now: Steady, wall: Wall) -> Vec<WorkerCommand> {
         let id: MachineId = r.machine.as_str().into();
         if self.machines.get(&id).is_none_or(|m| m.seen != (r.agent_epoch, r.sequence)) {
             return Vec::new();
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -149,7 +149,7 @@
                 let submitted_us = job.submitted.0;
                 // Early versions keep the mark here: what it covers stays covered.
                 (
-                    JobRecord { spec, submitted_us, high: job.high, lending: Lending::default() },
+                    JobRecord { spec, submitted_us, high_water_mark: job.high, lending: Lending::default() },
                     job.mod_revision,
                 )
             }
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -175,12 +175,12 @@
     }
 
     /// A command to be sent straight to its worker.
-    pub(super) fn direct_command(&self, orders: Vec<Order>) -> DirectCommand {
+    pub(super) fn direct_command(&self, orders: Vec<WorkerCommand>) -> DirectCommand {
         DirectCommand {
             machine: self.id.clone(),
             address: self.addr.clone(),
             agent_epoch: self.seen.0.max(1),
-            orders,
+            commands: orders,
         }
     }
 
@@ -231,7 +231,7 @@
                 m.age = Micros::from_secs(l.age_s);
                 self.machines.insert(id.clone(), m);
             }
-            self.describe(&id, l.addr.as_deref().unwrap_or(""), &l.ty, &l.zone, l.spot);
+            self.describe(&id, l.address.as_deref().unwrap_or(""), &l.machine_type, &l.zone, l.spot);
             if let Some(m) = self.machines.get_mut(&id) {
                 m.listed = true;
                 m.missing = l.stage == "failed";
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -54,8 +54,8 @@
 use crate::task_ranges::{chunk_number, chunk_span, TaskRanges};
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::{
-    ExitReason, Heartbeat, HeartbeatReply, JobSpec, ListedMachine, MachineType, Order, Priority, Shape,
-    TaskStage, TaskStatus,
+    ExitReason, Heartbeat, HeartbeatReply, JobSpec, ListedMachine, MachineType, Priority, Shape, TaskStage,
+    TaskStatus, WorkerCommand,
 };
 
 use demand::*;
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -213,7 +213,8 @@
             e.running = Some(now);
             tracing::debug!(machine = %id, job = %key.0, task = key.1, "task running");
         }
-        let ended = (t.stage == TaskStage::Exited).then(|| e.end(t.why.unwrap_or(ExitReason::Other), now));
+        let ended =
+            (t.stage == TaskStage::Exited).then(|| e.end(t.exit_reason.unwrap_or(ExitReason::Other), now));
         if changed {
             self.note_cached_image(id, &key.0);
         }
@@ -297,7 +298,7 @@
                     j.ran = (j.ran.0 + r, j.ran.1 + 1);
                 }
             }
-            ExitReason::Error | ExitReason::Unknown => j.back_off(id, now),
+            ExitReason::Error | ExitReason::UnknownTask => j.back_off(id, now),
             _ => {}
         }
     }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -86,7 +86,7 @@
             self.packs.put(&id, r.clone());
         }
         self.uses.clear();
-        self.describe(&id, &r.addr, &r.ty, &r.zone, r.spot);
+        self.describe(&id, &r.address, &r.machine_type, &r.zone, r.spot);
     }
 
     /// Takes over a value of machines' records.
@@ -134,8 +134,8 @@
             changes = self.txn_limit,
             "state store value and transaction limits reduced"
         );
-        self.packs.limit_to(self.value_limit);
-        self.marks.limit_to(self.value_limit);
+        self.packs.reduce_limit(self.value_limit);
+        self.marks.reduce_limit(self.value_limit);
     }
 
     /// Learns done ranges from their record. Those of a job that is over are to be removed.
@@ -186,8 +186,8 @@
                 let record = MachineRecord {
                     part: 0,
                     fencing_token: self.fencing_token,
-                    addr: m.addr.clone(),
-                    ty: m.ty_name.clone(),
+                    address: m.addr.clone(),
+                    machine_type: m.ty_name.clone(),
                     zone: self.zones.get(m.zone).cloned().unwrap_or_default(),
                     spot: m.spot,
                     ..MachineRecord::default()
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -82,15 +82,19 @@
     }
 
     /// Counts orders that leave, as long as the recovery is of interest.
-    pub(super) fn count_orders<'a>(&mut self, orders: impl IntoIterator<Item = &'a Order>, now: Steady) {
+    pub(super) fn count_orders<'a>(
+        &mut self,
+        orders: impl IntoIterator<Item = &'a WorkerCommand>,
+        now: Steady,
+    ) {
         if now - self.failover_at > RECOVERY_LOGGED_FOR {
             return;
         }
         for order in orders {
             self.recovery.count_order(match order {
-                Order::Start { .. } => OrderKind::Start,
-                Order::Halt { .. } => OrderKind::Halt,
-                Order::Forget { .. } => OrderKind::Forget,
+                WorkerCommand::Start { .. } => OrderKind::Start,
+                WorkerCommand::Halt { .. } => OrderKind::Halt,
+                WorkerCommand::Forget { .. } => OrderKind::Forget,
             });
         }
     }
@@ -132,7 +136,7 @@
 /// A task of a report, as the comparison sees it; none if it has no task's name.
 fn reported(task: &TaskStatus) -> Option<ReportedTask<'_>> {
     let (job, number) = split_task(&task.task)?;
-    let state = match (task.stage, task.why) {
+    let state = match (task.stage, task.exit_reason) {
         (TaskStage::Exited, Some(ExitReason::Done)) => ReportedTaskState::Done,
         (TaskStage::Exited, _) => ReportedTaskState::Failed,
         _ => ReportedTaskState::Present,
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -33,7 +33,8 @@
         now: Steady,
     ) {
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if !matches!(why, ExitReason::Done | ExitReason::Error | ExitReason::Unknown | ExitReason::Other) {
+        if !matches!(why, ExitReason::Done | ExitReason::Error | ExitReason::UnknownTask | ExitReason::Other)
+        {
             return;
         }
         j.vacated.insert(machine.clone(), now);
@@ -76,7 +77,7 @@
 
     /// Starts waiting replicas on a machine that has just reported, if they run sooner here than
     /// where the plan has them.
-    pub(super) fn start_replicas(&mut self, id: &MachineId, now: Steady, out: &mut Vec<Order>) {
+    pub(super) fn start_replicas(&mut self, id: &MachineId, now: Steady, out: &mut Vec<WorkerCommand>) {
         if self.waiting_services.is_empty() || self.closed.contains(id) || self.promised.contains_key(id) {
             return;
         }
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -28,7 +28,7 @@
 
     /// Starts what is assigned to the machine that is being answered, and what else of the waiting
     /// array tasks finds room there before the next plan.
-    pub(super) fn start_on(&mut self, id: &MachineId, now: Steady, out: &mut Vec<Order>) {
+    pub(super) fn start_on(&mut self, id: &MachineId, now: Steady, out: &mut Vec<WorkerCommand>) {
         for (job, n) in self.promised.remove(id).unwrap_or_default() {
             let unsent =
                 self.jobs.get(&job).and_then(|j| j.gang.as_ref()).is_some_and(|g| {
@@ -94,7 +94,7 @@
         count: u32,
         id: &MachineId,
         now: Steady,
-        out: &mut Vec<Order>,
+        out: &mut Vec<WorkerCommand>,
     ) -> u32 {
         let Some(j) = self.jobs.get(job).filter(|j| !j.cancelled) else { return 0 };
         let from = if self.may_be_on_unheard(&j.spec) { j.inherited } else { 0 };
@@ -121,7 +121,7 @@
         n: u32,
         id: &MachineId,
         now: Steady,
-        out: &mut Vec<Order>,
+        out: &mut Vec<WorkerCommand>,
     ) -> bool {
         if out.len() >= MAX_ORDERS || !self.may_start(job, n, id, now) {
             return false;
@@ -156,7 +156,7 @@
         }
         self.refresh(job, n, id);
         tracing::debug!(machine = %id, job = %job, task = n, "task start sent");
-        out.push(Order::Start { task: task_name(job, n), attempt });
+        out.push(WorkerCommand::Start { task: task_name(job, n), attempt });
         true
     }
 
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -38,7 +38,7 @@
             }
             if mod_revision > j.mod_revision {
                 j.mod_revision = mod_revision;
-                j.high = j.high.max(record.high);
+                j.high = j.high.max(record.high_water_mark);
                 j.high_wanted = j.high_wanted.max(j.high);
                 self.apply_lending(&record, mod_revision);
             }
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -14,11 +14,11 @@
 }
 
 /// Prefix of the packed machine records.
-pub const MACHINES: &str = "machines";
+pub const MACHINES_PREFIX: &str = "machines";
 /// Prefix of the packed marks: by job, tasks below which may have been started.
-pub const MARKS: &str = "marks";
+pub const HIGH_WATER_MARKS_PREFIX: &str = "marks";
 /// Prefix of the history, packed by key's hash; earlier versions wrote `hist/<team>/<stated>`.
-pub const HISTORY: &str = "hist";
+pub const HISTORY_PREFIX: &str = "hist";
 
 /// Key of a packed value.
 pub fn slot_key(prefix: &str, slot: u32) -> String {
@@ -31,11 +31,11 @@
 }
 
 /// Prefix of all that a cell keeps of tasks that it has borrowed.
-pub const BORROWED: &str = "borrowed";
+pub const BORROWED_PREFIX: &str = "borrowed";
 
 /// Key of a borrowed job.
 pub fn borrowed_key(id: &str) -> String {
-    format!("{BORROWED}/job/{id}")
+    format!("{BORROWED_PREFIX}/job/{id}")
 }
 
 /// Key of a chunk of a borrowed job's done ranges.
@@ -45,10 +45,10 @@
 
 /// Prefix of the chunks of a borrowed job's done ranges.
 pub fn borrowed_done_prefix(id: &str) -> String {
-    format!("{BORROWED}/done/{id}/")
+    format!("{BORROWED_PREFIX}/done/{id}/")
 }
 
 /// Key of what is kept of a cell from which tasks are borrowed.
 pub fn lender_key(cell: &str) -> String {
-    format!("{BORROWED}/lender/{cell}")
+    format!("{BORROWED_PREFIX}/lender/{cell}")
 }
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -5,9 +5,9 @@
 
 use super::SHARD_KEY;
 use crate::fleet::{Fleet, LoanWrite};
-use crate::keys::{borrowed_key, final_key, job_key, lender_key, BORROWED};
+use crate::keys::{borrowed_key, final_key, job_key, lender_key, BORROWED_PREFIX};
 use crate::records::{FinalRecord, JobRecord, LenderRecord};
-use crate::state::{RequestPriority, StateClient, StateError};
+use crate::state::{RequestPriority, StateStoreClient, StateStoreError};
 use crate::time::{Steady, Wall};
 use crate::wire::{Change, Guard, Row, Stage, Txn};
 
@@ -61,8 +61,8 @@
 }
 
 /// Reads all that is kept of borrowed tasks.
-pub(super) fn borrowed_rows(state: &StateClient) -> Result<Vec<Row>, StateError> {
-    let (mut rows, _) = state.list(&format!("{BORROWED}/"))?;
+pub(super) fn borrowed_rows(state: &StateStoreClient) -> Result<Vec<Row>, StateStoreError> {
+    let (mut rows, _) = state.list(&format!("{BORROWED_PREFIX}/"))?;
     // Jobs first: done ranges belong to them.
     rows.sort_by_key(|row| !row.key.starts_with(&borrowed_key("")));
     Ok(rows)
@@ -109,9 +109,9 @@
 
 /// Reads back the records that a write of loans guards, after a conflict.
 pub fn read_loan_records(
-    state: &StateClient,
+    state: &StateStoreClient,
     write: &LoanWrite,
-) -> Result<Vec<(String, Option<Row>)>, StateError> {
+) -> Result<Vec<(String, Option<Row>)>, StateStoreError> {
     let keys = match write {
         LoanWrite::Home { job, .. } => vec![job_key(job)],
         LoanWrite::Guest { change, .. } => vec![borrowed_key(&change.job), lender_key(&change.lender)],
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -14,9 +14,9 @@
 use crate::config::Config;
 use crate::fleet::Fleet;
 use crate::history::HistoryRecord;
-use crate::keys::{BORROWED, HISTORY, MACHINES, MARKS, RECENT_KEY};
+use crate::keys::{BORROWED_PREFIX, HIGH_WATER_MARKS_PREFIX, HISTORY_PREFIX, MACHINES_PREFIX, RECENT_KEY};
 use crate::records::{JobRecord, MachineRecord};
-use crate::state::{RequestPriority, StateClient, StateError, TxnOutcome};
+use crate::state::{RequestPriority, StateStoreClient, StateStoreError, TxnOutcome};
 use crate::time::{wall, Micros, Steady, Wall};
 use crate::wire::{Change, Guard, MachineType, Row, Txn};
 
@@ -86,15 +86,15 @@
 /// replaced (0: there is none). `Ok(None)`: another controller was faster.
 ///
 /// # Errors
-/// [`StateError::NewerRecords`] if the records are of a later format; otherwise as any call to
+/// [`StateStoreError::NewerRecords`] if the records are of a later format; otherwise as any call to
 /// the state store, after the fresh lease is ended.
 pub fn try_become_leader(
-    state: &StateClient,
+    state: &StateStoreClient,
     label: &str,
     incarnation: u64,
     ttl: Micros,
     seen: u64,
-) -> Result<Option<LeaderClaim>, StateError> {
+) -> Result<Option<LeaderClaim>, StateStoreError> {
     check_format(state)?;
     let lease = state.lease(ttl)?;
     let term = state.get(TERM_KEY, RequestPriority::Leadership)?;
@@ -113,7 +113,7 @@
             Ok(None)
         }
         // It may have been executed: the shard tells.
-        Err(StateError::Unknown(_)) => match state.get(SHARD_KEY, RequestPriority::Leadership)? {
+        Err(StateStoreError::Unknown(_)) => match state.get(SHARD_KEY, RequestPriority::Leadership)? {
             Some(r) if serde_json::from_value::<LeaderRecord>(r.value.clone()).is_ok_and(|o| o == leader) => {
                 elected(r.mod_revision)
             }
@@ -131,10 +131,10 @@
 }
 
 /// The number of the latest term (0: there is none).
-fn last_term(term: Option<&Row>) -> Result<u64, StateError> {
+fn last_term(term: Option<&Row>) -> Result<u64, StateStoreError> {
     let Some(row) = term else { return Ok(0) };
     let term: TermRecord =
-        serde_json::from_value(row.value.clone()).map_err(|e| StateError::Malformed(e.to_string()))?;
+        serde_json::from_value(row.value.clone()).map_err(|e| StateStoreError::Malformed(e.to_string()))?;
     Ok(term.number)
 }
 
@@ -160,18 +160,18 @@
 
 /// Refuses records of a later form: an old process that is back after all others have moved on must
 /// neither misread nor overwrite them.
-fn check_format(state: &StateClient) -> Result<(), StateError> {
+fn check_format(state: &StateStoreClient) -> Result<(), StateStoreError> {
     let Some(row) = state.get(FORMAT_KEY, RequestPriority::Leadership)? else { return Ok(()) };
     let needed = serde_json::from_value::<FormatRecord>(row.value.clone()).map(|f| f.reader);
     match needed {
         Ok(reader) if reader <= FORMAT_VERSION => Ok(()),
-        _ => Err(StateError::NewerRecords { found: row.value.to_string(), known: FORMAT_VERSION }),
+        _ => Err(StateStoreError::NewerRecords { found: row.value.to_string(), known: FORMAT_VERSION }),
     }
 }
 
 /// Machine types as last written (under [`CATALOG_KEY`]); `None` if there are none or they cannot
 /// be read.
-pub fn read_catalog(state: &StateClient) -> Result<Option<Vec<MachineType>>, StateError> {
+pub fn read_catalog(state: &StateStoreClient) -> Result<Option<Vec<MachineType>>, StateStoreError> {
     let row = state.get(CATALOG_KEY, RequestPriority::Leadership)?;
     Ok(row.and_then(|r| serde_json::from_value(r.value).ok()))
 }
@@ -179,17 +179,17 @@
 /// Reads all records back after a won election into a new fleet under the fencing `fencing_token`; it
 /// is `now`, after the election was answered.
 pub fn rebuild(
-    state: &StateClient,
+    state: &StateStoreClient,
     cfg: Arc<Config>,
     types: Vec<MachineType>,
     fencing_token: u64,
     now: Steady,
-) -> Result<Fleet, StateError> {
+) -> Result<Fleet, StateStoreError> {
     let mut fleet = Fleet::new(cfg, types, fencing_token, now);
     let (jobs, revision) = state.list("job/")?;
     // Both forms of the machines' records: `machine/<id>` and `machines/<slot>`.
     let (machines, _) = state.list("machine")?;
-    let (marks, _) = state.list(&format!("{MARKS}/"))?;
+    let (marks, _) = state.list(&format!("{HIGH_WATER_MARKS_PREFIX}/"))?;
     let (done, _) = state.list("done/")?;
     let (history, _) = state.list("hist/")?;
     let (recent, _) = state.list(RECENT_KEY)?;
@@ -230,21 +230,21 @@
         (Some("machine"), Some(id), None) => {
             load_machine(fleet, id, &row.key, row.value, row.mod_revision, now)
         }
-        (Some(MACHINES), Some(slot), None) => match packed(slot, row.value) {
+        (Some(MACHINES_PREFIX), Some(slot), None) => match packed(slot, row.value) {
             Ok((slot, machines)) => fleet.inherit_machines(slot, machines, row.mod_revision, now),
             Err(e) => {
                 unreadable(&row.key, &e);
                 slot.parse().into_iter().for_each(|s| fleet.packs.keep_unreadable(s));
             }
         },
-        (Some(MARKS), Some(slot), None) => match packed(slot, row.value) {
+        (Some(HIGH_WATER_MARKS_PREFIX), Some(slot), None) => match packed(slot, row.value) {
             Ok((slot, marks)) => fleet.inherit_marks(slot, marks, row.mod_revision),
             Err(e) => {
                 unreadable(&row.key, &e);
                 slot.parse().into_iter().for_each(|s| fleet.marks.keep_unreadable(s));
             }
         },
-        (Some(BORROWED), ..) => loan_records::load_borrowed(fleet, row, now, wall),
+        (Some(BORROWED_PREFIX), ..) => loan_records::load_borrowed(fleet, row, now, wall),
         (Some("done"), Some(id), Some(chunk)) => {
             if let (Ok(chunk), Some(text)) = (chunk.parse(), row.value.as_str()) {
                 fleet.inherit_done(id, chunk, text, row.mod_revision);
@@ -254,14 +254,16 @@
             Ok(list) => fleet.inherit_recent(list, now, wall),
             Err(e) => unreadable(&row.key, &e),
         },
-        (Some(HISTORY), Some(bucket), None) => {
+        (Some(HISTORY_PREFIX), Some(bucket), None) => {
             load_history_bucket(fleet, bucket, &row.key, row.value, row.mod_revision)
         }
         // As earlier versions wrote it.
-        (Some(HISTORY), Some(_), Some(_)) => match serde_json::from_value::<HistoryRecord>(row.value) {
-            Ok(record) => fleet.history.load_old(record),
-            Err(e) => unreadable(&row.key, &e),
-        },
+        (Some(HISTORY_PREFIX), Some(_), Some(_)) => {
+            match serde_json::from_value::<HistoryRecord>(row.value) {
+                Ok(record) => fleet.history.load_old(record),
+                Err(e) => unreadable(&row.key, &e),
+            }
+        }
         _ => {}
     }
 }
@@ -302,13 +304,13 @@
                 }
             }
         }
-        (Some(BORROWED), ..) => loan_records::learn_borrowed(fleet, key, row, now, wall()),
+        (Some(BORROWED_PREFIX), ..) => loan_records::learn_borrowed(fleet, key, row, now, wall()),
         (Some("machine"), Some(id), _) => fleet.learn_machine(id, mod_revision),
-        (Some(prefix @ (MACHINES | MARKS | HISTORY)), Some(slot), None) => {
+        (Some(prefix @ (MACHINES_PREFIX | HIGH_WATER_MARKS_PREFIX | HISTORY_PREFIX)), Some(slot), None) => {
             let Ok(slot) = slot.parse() else { return };
             match prefix {
-                MACHINES => fleet.packs.learn(slot, mod_revision),
-                MARKS => fleet.marks.learn(slot, mod_revision),
+                MACHINES_PREFIX => fleet.packs.set_mod_revision(slot, mod_revision),
+                HIGH_WATER_MARKS_PREFIX => fleet.marks.set_mod_revision(slot, mod_revision),
                 _ => fleet.history.learn(slot, mod_revision),
             }
         }
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -6,7 +6,10 @@
 use crate::fleet::{Fleet, PackKind, PendingWrite, WriteContents};
 use crate::history::EstimateKey;
 use crate::jobs::JobId;
-use crate::keys::{done_key, final_key, job_key, slot_key, HISTORY, MACHINES, MARKS, RECENT_KEY};
+use crate::keys::{
+    done_key, final_key, job_key, slot_key, HIGH_WATER_MARKS_PREFIX, HISTORY_PREFIX, MACHINES_PREFIX,
+    RECENT_KEY,
+};
 use crate::records::FinalRecord;
 use crate::task_ranges::chunk_span;
 use crate::time::{Micros, Steady, Wall};
@@ -125,9 +128,11 @@
         }
         PendingWrite::History(bucket) => {
             let value = fleet.history.value(*bucket, fleet.value_bytes().saturating_sub(VALUE_SLACK));
-            let guard =
-                Guard { key: slot_key(HISTORY, *bucket), mod_revision: fleet.history.mod_revision(*bucket) };
-            let change = Change::put(slot_key(HISTORY, *bucket), json!(value));
+            let guard = Guard {
+                key: slot_key(HISTORY_PREFIX, *bucket),
+                mod_revision: fleet.history.mod_revision(*bucket),
+            };
+            let change = Change::put(slot_key(HISTORY_PREFIX, *bucket), json!(value));
             Some(Write::new(item, vec![guard], vec![change]))
         }
         PendingWrite::Done(id, chunk) => compose_done(fleet, item, id, *chunk),
@@ -185,7 +190,7 @@
 
 fn compose_machines(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
     let (mod_revision, version, items) = fleet.packs.slot(slot)?;
-    let key = slot_key(MACHINES, slot);
+    let key = slot_key(MACHINES_PREFIX, slot);
     let contents = WriteContents::Machines(items.keys().cloned().collect(), version);
     let change = Change::put(key.clone(), json!(items));
     Some(Write::new(item, vec![Guard { key, mod_revision }], vec![change]).with_contents(contents))
@@ -193,7 +198,7 @@
 
 fn compose_marks(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
     let (mod_revision, version, items) = fleet.marks.slot(slot)?;
-    let key = slot_key(MARKS, slot);
+    let key = slot_key(HIGH_WATER_MARKS_PREFIX, slot);
     let marks = items.iter().map(|(id, high)| (id.clone(), *high)).collect();
     let change = Change::put(key.clone(), json!(items));
     let write = Write::new(item, vec![Guard { key, mod_revision }], vec![change]);
--- a/src/live_jobs.rs
+++ b/src/live_jobs.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::sync::{Condvar, Mutex, MutexGuard};
 
-use crate::state::{RequestPriority, StateClient, StateError};
+use crate::state::{RequestPriority, StateStoreClient, StateStoreError};
 use crate::time::{steady, Micros, Steady};
 use crate::wire::Events;
 
@@ -42,7 +42,7 @@
     /// Reads begun, the last that succeeded, and the last that failed, by number.
     begun: u64,
     good: u64,
-    bad: Option<(u64, StateError)>,
+    bad: Option<(u64, StateStoreError)>,
     busy: bool,
     last: Steady,
 }
@@ -72,7 +72,7 @@
     }
 
     /// Whether a job is live, by a read begun after this call.
-    pub fn has(&self, id: &str, state: &StateClient) -> Result<bool, StateError> {
+    pub fn is_live(&self, id: &str, state: &StateStoreClient) -> Result<bool, StateStoreError> {
         let deadline = steady() + WITHIN;
         let mut s = self.lock();
         // One that has begun already may have been executed before this call.
@@ -86,7 +86,7 @@
             }
             let left = deadline - steady();
             if left.0 <= 0 {
-                return Err(StateError::Budget);
+                return Err(StateStoreError::Budget);
             }
             if s.busy {
                 s = self.wait(s, left);
@@ -129,10 +129,10 @@
 }
 
 /// Reads what changed since a revision, or everything.
-fn read(state: &StateClient, from: Option<u64>) -> Result<Read, StateError> {
+fn read(state: &StateStoreClient, from: Option<u64>) -> Result<Read, StateStoreError> {
     match from.map(|from| state.changes(PREFIX, from, RequestPriority::User)) {
         // Too much has changed since: all is read anew.
-        None | Some(Err(StateError::TooOld)) => {}
+        None | Some(Err(StateStoreError::TooOld)) => {}
         Some(r) => return r.map(Read::Changes),
     }
     let (rows, revision) = state.list(PREFIX)?;
--- a/src/packed_records.rs
+++ b/src/packed_records.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// What a slot holds.
-pub type Items<T> = BTreeMap<Arc<str>, T>;
+pub type SlotRecords<T> = BTreeMap<Arc<str>, T>;
 
 /// Least bytes that a slot may be limited to.
 const LEAST_LIMIT: usize = 256;
@@ -70,7 +70,7 @@
     }
 
     /// Keeps to a smaller limit from now on; slots above it are emptied into others.
-    pub fn limit_to(&mut self, limit: usize) {
+    pub fn reduce_limit(&mut self, limit: usize) {
         self.limit = self.limit.min(PackedRecords::<T>::usable(limit));
         self.empty_oversized();
     }
@@ -141,7 +141,7 @@
     /// Takes a slot over from its value. An earlier owner may have ended between the two writes that
     /// move a record: `newer` then chooses between the two copies. [`PackedRecords::empty_oversized`] follows
     /// when all slots are loaded.
-    pub fn load(&mut self, slot: u32, mod_revision: u64, items: Items<T>, newer: fn(T, T) -> T) {
+    pub fn load(&mut self, slot: u32, mod_revision: u64, items: SlotRecords<T>, newer: fn(T, T) -> T) {
         let Some(s) = self.slot_mut(slot) else { return };
         s.mod_revision = mod_revision;
         let slot = slot as usize;
@@ -211,7 +211,7 @@
     }
 
     /// A slot's version in the state service, the count of its changes and what it holds.
-    pub fn slot(&self, slot: u32) -> Option<(u64, u64, &Items<T>)> {
+    pub fn slot(&self, slot: u32) -> Option<(u64, u64, &SlotRecords<T>)> {
         self.slots.get(slot as usize).map(|s| (s.mod_revision, s.version, &s.items))
     }
 
@@ -226,7 +226,7 @@
 
     /// A slot as read back. Only this owner's own earlier writes can have changed it, so what is
     /// here is newer; with the right version it can be written.
-    pub fn learn(&mut self, slot: u32, mod_revision: u64) {
+    pub fn set_mod_revision(&mut self, slot: u32, mod_revision: u64) {
         if let Some(s) = self.slots.get_mut(slot as usize) {
             s.mod_revision = mod_revision;
         }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -25,7 +25,7 @@
 
 /// A message to another controller.
 #[derive(Clone, Debug)]
-pub enum Message {
+pub enum PeerMessage {
     /// Who leads, and numbers for polls.
     Announce(Summary),
     /// A job was written or ended.
@@ -40,7 +40,7 @@
 
 /// The answer to a message.
 #[derive(Clone, Debug)]
-pub enum Outcome {
+pub enum PeerReply {
     /// To an announcement or to news.
     Ack(Ack),
     /// To a relayed request.
@@ -67,44 +67,44 @@
 }
 
 /// A message from another controller, with the way back.
-pub struct Inbound {
+pub struct InboundMessage {
     /// What it says.
-    pub message: Message,
-    reply: tokio::sync::oneshot::Sender<Outcome>,
+    pub message: PeerMessage,
+    reply: tokio::sync::oneshot::Sender<PeerReply>,
 }
 
-impl Inbound {
+impl InboundMessage {
     /// Answers it.
-    pub fn answer(self, o: Outcome) {
+    pub fn answer(self, o: PeerReply) {
         // The other side may have given up by now.
         let _ = self.reply.send(o);
     }
 }
 
 /// A message on its way out.
-pub struct Outbound {
+pub struct OutboundMessage {
     /// To which of the others, by number.
     pub to: usize,
     /// What it says.
-    pub message: Message,
+    pub message: PeerMessage,
     timeout: Duration,
-    reply: SyncSender<Result<Outcome, PeerError>>,
+    reply: SyncSender<Result<PeerReply, PeerError>>,
 }
 
-impl Outbound {
+impl OutboundMessage {
     /// Hands the answer, or why there is none, to whoever waits for it.
-    pub fn answer(self, r: Result<Outcome, PeerError>) {
+    pub fn answer(self, r: Result<PeerReply, PeerError>) {
         let _ = self.reply.try_send(r);
     }
 }
 
 /// What takes messages to the other controllers; an error if it takes no more for now.
-pub type Carrier = dyn Fn(Outbound) -> Result<(), PeerError> + Send + Sync;
+pub type Transport = dyn Fn(OutboundMessage) -> Result<(), PeerError> + Send + Sync;
 
 /// Sends messages to the other controllers.
 #[derive(Clone)]
 pub struct PeerHub {
-    out: Arc<Carrier>,
+    out: Arc<Transport>,
     count: usize,
 }
 
@@ -115,7 +115,7 @@
         listener: TcpListener,
         mut members: Vec<SocketAddr>,
         other_cells: &[SocketAddr],
-    ) -> std::io::Result<(PeerHub, Receiver<Inbound>)> {
+    ) -> std::io::Result<(PeerHub, Receiver<InboundMessage>)> {
         let (out, orders) = tokio::sync::mpsc::channel(64);
         let (inbound, messages) = sync_channel(64);
         let count = members.len();
@@ -126,13 +126,13 @@
                 tracing::error!(error = %e, "the runtime between controllers ended");
             }
         })?;
-        Ok((PeerHub::over(count, move |o| out.try_send(o).map_err(not_sent)), messages))
+        Ok((PeerHub::with_transport(count, move |o| out.try_send(o).map_err(not_sent)), messages))
     }
 
     /// A hub for so many others over any carrier.
-    pub fn over(
+    pub fn with_transport(
         count: usize,
-        carry: impl Fn(Outbound) -> Result<(), PeerError> + Send + Sync + 'static,
+        carry: impl Fn(OutboundMessage) -> Result<(), PeerError> + Send + Sync + 'static,
     ) -> PeerHub {
         PeerHub { out: Arc::new(carry), count }
     }
@@ -143,20 +143,20 @@
     }
 
     /// Sends and waits for the answer.
-    pub fn call(&self, to: usize, message: Message, timeout: Micros) -> Result<Outcome, PeerError> {
+    pub fn call(&self, to: usize, message: PeerMessage, timeout: Micros) -> Result<PeerReply, PeerError> {
         self.begin(to, message, timeout)?.wait()
     }
 
     /// Sends without waiting yet.
-    pub fn begin(&self, to: usize, message: Message, timeout: Micros) -> Result<Waiting, PeerError> {
+    pub fn begin(&self, to: usize, message: PeerMessage, timeout: Micros) -> Result<PendingReply, PeerError> {
         let (reply, answer) = sync_channel(1);
         let timeout = timeout.std();
-        (self.out)(Outbound { to, message, timeout, reply })?;
-        Ok(Waiting { answer, timeout })
+        (self.out)(OutboundMessage { to, message, timeout, reply })?;
+        Ok(PendingReply { answer, timeout })
     }
 }
 
-fn not_sent(error: tokio::sync::mpsc::error::TrySendError<Outbound>) -> PeerError {
+fn not_sent(error: tokio::sync::mpsc::error::TrySendError<OutboundMessage>) -> PeerError {
     match error {
         tokio::sync::mpsc::error::TrySendError::Full(_) => PeerError::Busy,
         tokio::sync::mpsc::error::TrySendError::Closed(_) => PeerError::Stopped,
@@ -164,14 +164,14 @@
 }
 
 /// An answer to come.
-pub struct Waiting {
-    answer: Receiver<Result<Outcome, PeerError>>,
+pub struct PendingReply {
+    answer: Receiver<Result<PeerReply, PeerError>>,
     timeout: Duration,
 }
 
-impl Waiting {
+impl PendingReply {
     /// Waits for it, no longer than the message's time-out and a little.
-    pub fn wait(self) -> Result<Outcome, PeerError> {
+    pub fn wait(self) -> Result<PeerReply, PeerError> {
         match self.answer.recv_timeout(self.timeout + Duration::from_millis(200)) {
             Ok(r) => r,
             Err(RecvTimeoutError::Timeout) => Err(PeerError::TimedOut),
@@ -181,22 +181,22 @@
 }
 
 struct Service {
-    inbound: SyncSender<Inbound>,
+    inbound: SyncSender<InboundMessage>,
 }
 
 impl Service {
-    async fn ask(&self, message: Message) -> Result<Outcome, Status> {
+    async fn ask(&self, message: PeerMessage) -> Result<PeerReply, Status> {
         let (reply, answer) = tokio::sync::oneshot::channel();
-        match self.inbound.try_send(Inbound { message, reply }) {
+        match self.inbound.try_send(InboundMessage { message, reply }) {
             Ok(()) => answer.await.map_err(|_| Status::unavailable("not answered")),
             Err(TrySendError::Full(_)) => Err(Status::resource_exhausted("busy")),
             Err(TrySendError::Disconnected(_)) => Err(Status::unavailable("stopping")),
         }
     }
 
-    async fn ack(&self, message: Message) -> Result<Response<Ack>, Status> {
+    async fn ack(&self, message: PeerMessage) -> Result<Response<Ack>, Status> {
         match self.ask(message).await? {
-            Outcome::Ack(a) => Ok(Response::new(a)),
+            PeerReply::Ack(a) => Ok(Response::new(a)),
             _ => Err(Status::internal("wrong answer")),
         }
     }
@@ -205,27 +205,27 @@
 #[tonic::async_trait]
 impl Peer for Service {
     async fn announce(&self, r: Request<Summary>) -> Result<Response<Ack>, Status> {
-        self.ack(Message::Announce(r.into_inner())).await
+        self.ack(PeerMessage::Announce(r.into_inner())).await
     }
 
     async fn notify(&self, r: Request<JobNews>) -> Result<Response<Ack>, Status> {
-        self.ack(Message::Notify(r.into_inner())).await
+        self.ack(PeerMessage::Notify(r.into_inner())).await
     }
 
     async fn cancelled(&self, r: Request<Cancellations>) -> Result<Response<Ack>, Status> {
-        self.ack(Message::Cancelled(r.into_inner())).await
+        self.ack(PeerMessage::Cancelled(r.into_inner())).await
     }
 
     async fn relay(&self, r: Request<Call>) -> Result<Response<Answer>, Status> {
-        match self.ask(Message::Relay(r.into_inner())).await? {
-            Outcome::Answer(a) => Ok(Response::new(a)),
+        match self.ask(PeerMessage::Relay(r.into_inner())).await? {
+            PeerReply::Answer(a) => Ok(Response::new(a)),
             _ => Err(Status::internal("wrong answer")),
         }
     }
 
     async fn lend(&self, r: Request<LoanRequest>) -> Result<Response<LoanReply>, Status> {
-        match self.ask(Message::Lend(r.into_inner())).await? {
-            Outcome::Loans(reply) => Ok(Response::new(reply)),
+        match self.ask(PeerMessage::Lend(r.into_inner())).await? {
+            PeerReply::Loans(reply) => Ok(Response::new(reply)),
             _ => Err(Status::internal("wrong answer")),
         }
     }
@@ -234,8 +234,8 @@
 fn run(
     listener: TcpListener,
     members: Vec<SocketAddr>,
-    orders: tokio::sync::mpsc::Receiver<Outbound>,
-    inbound: SyncSender<Inbound>,
+    orders: tokio::sync::mpsc::Receiver<OutboundMessage>,
+    inbound: SyncSender<InboundMessage>,
 ) -> anyhow::Result<()> {
     let rt = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
     rt.block_on(async move {
@@ -255,7 +255,7 @@
     })
 }
 
-async fn send_all(members: Vec<SocketAddr>, mut orders: tokio::sync::mpsc::Receiver<Outbound>) {
+async fn send_all(members: Vec<SocketAddr>, mut orders: tokio::sync::mpsc::Receiver<OutboundMessage>) {
     let fresh = |a: &SocketAddr| -> Option<Channel> {
         let e = Endpoint::from_shared(format!("http://{a}")).ok()?;
         Some(e.connect_timeout(Duration::from_millis(800)).tcp_nodelay(true).connect_lazy())
@@ -289,19 +289,19 @@
         .await;
 }
 
-async fn send(channel: Channel, message: Message) -> Result<Outcome, Status> {
+async fn send(channel: Channel, message: PeerMessage) -> Result<PeerReply, Status> {
     let mut c = PeerClient::new(channel);
     Ok(match message {
-        Message::Announce(m) => Outcome::Ack(c.announce(m).await?.into_inner()),
-        Message::Notify(m) => Outcome::Ack(c.notify(m).await?.into_inner()),
-        Message::Cancelled(m) => Outcome::Ack(c.cancelled(m).await?.into_inner()),
-        Message::Relay(m) => Outcome::Answer(c.relay(m).await?.into_inner()),
-        Message::Lend(m) => Outcome::Loans(c.lend(m).await?.into_inner()),
+        PeerMessage::Announce(m) => PeerReply::Ack(c.announce(m).await?.into_inner()),
+        PeerMessage::Notify(m) => PeerReply::Ack(c.notify(m).await?.into_inner()),
+        PeerMessage::Cancelled(m) => PeerReply::Ack(c.cancelled(m).await?.into_inner()),
+        PeerMessage::Relay(m) => PeerReply::Answer(c.relay(m).await?.into_inner()),
+        PeerMessage::Lend(m) => PeerReply::Loans(c.lend(m).await?.into_inner()),
     })
 }
 
 /// Asks one controller once, for the command line: no runtime is left running.
-pub fn ask(addr: SocketAddr, call: Call, timeout: Micros) -> anyhow::Result<Answer> {
+pub fn call_once(addr: SocketAddr, call: Call, timeout: Micros) -> anyhow::Result<Answer> {
     let rt = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
     rt.block_on(async {
         let e = Endpoint::from_shared(format!("http://{addr}"))?;
--- a/src/records.rs
+++ b/src/records.rs
@@ -17,8 +17,8 @@
     /// When it was accepted, in microseconds of the time of day.
     pub submitted_us: i64,
     /// Tasks below this may have been started, as earlier versions wrote it; now in the marks.
-    #[serde(default)]
-    pub high: u32,
+    #[serde(rename = "high", default)]
+    pub high_water_mark: u32,
     /// Loans to other cells, and whether the job is being cancelled while some are open.
     #[serde(default)]
     pub lending: Lending,
@@ -32,8 +32,8 @@
         let spec_name = if self.lending.is_empty() { "spec" } else { "spec_of_lent" };
         record.serialize_entry(spec_name, &self.spec)?;
         record.serialize_entry("submitted_us", &self.submitted_us)?;
-        if self.high > 0 {
-            record.serialize_entry("high", &self.high)?;
+        if self.high_water_mark > 0 {
+            record.serialize_entry("high", &self.high_water_mark)?;
         }
         if !self.lending.is_empty() {
             record.serialize_entry("lending", &self.lending)?;
@@ -63,10 +63,10 @@
     pub fencing_token: u64,
     /// The worker's address.
     #[serde(rename = "a", alias = "addr", default)]
-    pub addr: String,
+    pub address: String,
     /// Type.
     #[serde(rename = "t", alias = "ty", default)]
-    pub ty: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "z", alias = "zone", default)]
     pub zone: String,
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -3,7 +3,7 @@
 
 /// Why a call to the state store has no result.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone)]
-pub enum StateError {
+pub enum StateStoreError {
     /// The store, or its rate limits, refused with this HTTP status (0: the request was not
     /// sent): nothing was executed.
     #[error("the state store refused the request with status {0}")]
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -16,11 +16,11 @@
 
 use budget::RateBudget;
 pub use budget::{NextRates, RequestPriority, TokenBucket};
-pub use error::{StateError, TxnOutcome};
+pub use error::{StateStoreError, TxnOutcome};
 
 /// Client of the state store. Calls wait for this node's rate budget (by their
-/// [`RequestPriority`]) and fail with a [`StateError`] when they have no result.
-pub struct StateClient {
+/// [`RequestPriority`]) and fail with a [`StateStoreError`] when they have no result.
+pub struct StateStoreClient {
     http: Client,
     watch: Client,
     budget: Mutex<RateBudget>,
@@ -65,11 +65,11 @@
 /// Tries of a transaction that a user waits for, when the store refuses it for the rate.
 const USER_TXN_TRIES: u32 = 3;
 
-impl StateClient {
+impl StateStoreClient {
     /// A client that keeps to `rps` requests and `write_rps` changes a second, and to the shares
     /// `next` (requests, changes) of them once the store's limits fall.
-    pub fn new(addr: SocketAddr, rps: f64, write_rps: f64, next: (f64, f64)) -> StateClient {
-        StateClient {
+    pub fn new(addr: SocketAddr, rps: f64, write_rps: f64, next: (f64, f64)) -> StateStoreClient {
+        StateStoreClient {
             http: Client::new(addr, CALL_CONNECTIONS),
             watch: Client::new(addr, WATCH_CONNECTIONS),
             budget: Mutex::new(RateBudget::new((rps, write_rps), NextRates::new(next), steady())),
@@ -92,18 +92,23 @@
     }
 
     /// Waits for room in the budget for one request with `writes` changes, at most `patience`.
-    fn admit(&self, writes: usize, priority: RequestPriority, patience: Micros) -> Result<(), StateError> {
+    fn admit(
+        &self,
+        writes: usize,
+        priority: RequestPriority,
+        patience: Micros,
+    ) -> Result<(), StateStoreError> {
         let deadline = steady() + patience;
-        let Ok(mut budget) = self.budget.lock() else { return Err(StateError::Budget) };
+        let Ok(mut budget) = self.budget.lock() else { return Err(StateStoreError::Budget) };
         loop {
             let now = steady();
             let Err(wait) = budget.try_take(now, writes, priority) else { return Ok(()) };
             if now + wait > deadline {
-                return Err(StateError::Budget);
+                return Err(StateStoreError::Budget);
             }
             match self.waiting.wait_timeout(budget, wait.std()) {
                 Ok((guard, _)) => budget = guard,
-                Err(_) => return Err(StateError::Budget),
+                Err(_) => return Err(StateStoreError::Budget),
             }
         }
     }
@@ -116,7 +121,7 @@
         path: &str,
         body: Option<&Value>,
         timeout: Micros,
-    ) -> Result<(u16, Vec<u8>), StateError> {
+    ) -> Result<(u16, Vec<u8>), StateStoreError> {
         let body = body.map(|b| b.to_string());
         let answer = client.call(method, path, body.as_deref().map(str::as_bytes), timeout);
         if let Ok(mut failing) = self.failing.lock() {
@@ -132,28 +137,28 @@
                 if let Ok(mut budget) = self.budget.lock() {
                     budget.rate_refused();
                 }
-                Err(StateError::Refused(429))
+                Err(StateStoreError::Refused(429))
             }
-            Ok(ClientResponse { status: 503, .. }) => Err(StateError::Refused(503)),
+            Ok(ClientResponse { status: 503, .. }) => Err(StateStoreError::Refused(503)),
             Ok(ClientResponse { status, body }) => Ok((status, body)),
-            Err(CallError::NotSent(_)) => Err(StateError::Refused(0)),
-            Err(CallError::NoAnswer(e)) => Err(StateError::Unknown(e)),
+            Err(CallError::NotSent(_)) => Err(StateStoreError::Refused(0)),
+            Err(CallError::NoAnswer(e)) => Err(StateStoreError::Unknown(e)),
         }
     }
 
     /// Reads a key; `None` if it is not there.
-    pub fn get(&self, key: &str, priority: RequestPriority) -> Result<Option<Row>, StateError> {
+    pub fn get(&self, key: &str, priority: RequestPriority) -> Result<Option<Row>, StateStoreError> {
         self.admit(0, priority, BUDGET_PATIENCE)?;
         match self.call(&self.http, "GET", &format!("/keys/{key}"), None, CALL_TIMEOUT)? {
             (200, b) => parse(&b).map(Some),
             (404, _) => Ok(None),
-            (s, _) => Err(StateError::Refused(s)),
+            (s, _) => Err(StateStoreError::Refused(s)),
         }
     }
 
     /// Reads all keys with a prefix, page by page, with the revision of the first page, so that
     /// a watch from it misses nothing.
-    pub fn list(&self, prefix: &str) -> Result<(Vec<Row>, u64), StateError> {
+    pub fn list(&self, prefix: &str) -> Result<(Vec<Row>, u64), StateStoreError> {
         let mut rows: Vec<Row> = Vec::new();
         let mut revision = None;
         loop {
@@ -162,7 +167,7 @@
             let path = format!("/keys?starts={prefix}{from}&most={LIST_PAGE_ROWS}");
             let page: Rows = match self.call(&self.http, "GET", &path, None, CALL_TIMEOUT)? {
                 (200, b) => parse(&b)?,
-                (s, _) => return Err(StateError::Refused(s)),
+                (s, _) => return Err(StateStoreError::Refused(s)),
             };
             let at = *revision.get_or_insert(page.revision);
             let empty = page.rows.is_empty();
@@ -176,17 +181,17 @@
     /// Executes a compare-and-swap transaction.
     ///
     /// # Errors
-    /// [`StateError::NoLease`] if a put names a lease that is gone; [`StateError::Rejected`] if
+    /// [`StateStoreError::NoLease`] if a put names a lease that is gone; [`StateStoreError::Rejected`] if
     /// the store takes no such transaction (too large); otherwise as any call.
-    pub fn txn(&self, txn: &Txn, priority: RequestPriority) -> Result<TxnOutcome, StateError> {
-        let body = serde_json::to_value(txn).map_err(|e| StateError::Malformed(e.to_string()))?;
+    pub fn txn(&self, txn: &Txn, priority: RequestPriority) -> Result<TxnOutcome, StateStoreError> {
+        let body = serde_json::to_value(txn).map_err(|e| StateStoreError::Malformed(e.to_string()))?;
         let mut tries = if priority == RequestPriority::User { USER_TXN_TRIES } else { 1 };
         let answer = loop {
             self.admit(txn.then.len(), priority, BUDGET_PATIENCE)?;
             tries -= 1;
             match self.call(&self.http, "POST", "/txn", Some(&body), CALL_TIMEOUT) {
                 // Too many changes at this moment, and a user waits: nothing was executed.
-                Err(StateError::Refused(429)) if tries > 0 => {}
+                Err(StateStoreError::Refused(429)) if tries > 0 => {}
                 other => break other?,
             }
         };
@@ -196,43 +201,43 @@
             (400, b) => {
                 let text = String::from_utf8_lossy(&b).into_owned();
                 if text.contains("no such lease") {
-                    return Err(StateError::NoLease);
+                    return Err(StateStoreError::NoLease);
                 }
                 if let Ok(mut budget) = self.budget.lock() {
                     budget.write_rejected();
                 }
-                Err(StateError::Rejected(text))
+                Err(StateStoreError::Rejected(text))
             }
-            (s, _) => Err(StateError::Refused(s)),
+            (s, _) => Err(StateStoreError::Refused(s)),
         }
     }
 
     /// Takes a new lease of `ttl` (whole milliseconds on the wire); returns its id.
-    pub fn lease(&self, ttl: Micros) -> Result<u64, StateError> {
+    pub fn lease(&self, ttl: Micros) -> Result<u64, StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let body = json!({ "ttlMs": ttl.0 / 1000 });
         match self.call(&self.http, "POST", "/leases", Some(&body), CALL_TIMEOUT)? {
             (200 | 201, b) => parse::<LeaseGranted>(&b).map(|g| g.lease),
-            (s, _) => Err(StateError::Refused(s)),
+            (s, _) => Err(StateStoreError::Refused(s)),
         }
     }
 
     /// Renews a lease.
     ///
     /// # Errors
-    /// [`StateError::NoLease`] if it is gone (lease expiry); otherwise as any call.
-    pub fn renew(&self, lease: u64) -> Result<(), StateError> {
+    /// [`StateStoreError::NoLease`] if it is gone (lease expiry); otherwise as any call.
+    pub fn renew(&self, lease: u64) -> Result<(), StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let path = format!("/leases/{lease}/renew");
         match self.call(&self.http, "POST", &path, Some(&json!({})), LEASE_CALL_TIMEOUT)? {
             (200, _) => Ok(()),
-            (404, _) => Err(StateError::NoLease),
-            (s, _) => Err(StateError::Refused(s)),
+            (404, _) => Err(StateStoreError::NoLease),
+            (s, _) => Err(StateStoreError::Refused(s)),
         }
     }
 
     /// Ends a lease; the keys that hang on it go.
-    pub fn end_lease(&self, lease: u64) -> Result<(), StateError> {
+    pub fn end_lease(&self, lease: u64) -> Result<(), StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         self.call(&self.http, "DELETE", &format!("/leases/{lease}"), None, LEASE_CALL_TIMEOUT).map(|_| ())
     }
@@ -240,33 +245,38 @@
     /// What has changed under a prefix since a revision, by a read that does not block.
     ///
     /// # Errors
-    /// [`StateError::TooOld`] if the revision is compacted away; otherwise as any call.
-    pub fn changes(&self, prefix: &str, from: u64, priority: RequestPriority) -> Result<Events, StateError> {
+    /// [`StateStoreError::TooOld`] if the revision is compacted away; otherwise as any call.
+    pub fn changes(
+        &self,
+        prefix: &str,
+        from: u64,
+        priority: RequestPriority,
+    ) -> Result<Events, StateStoreError> {
         self.admit(0, priority, BUDGET_PATIENCE)?;
         let path = format!("/watch?starts={prefix}&from={from}&blockMs=0");
         match self.call(&self.http, "GET", &path, None, CALL_TIMEOUT)? {
             (200, b) => parse(&b),
-            (410, _) => Err(StateError::TooOld),
-            (s, _) => Err(StateError::Refused(s)),
+            (410, _) => Err(StateStoreError::TooOld),
+            (s, _) => Err(StateStoreError::Refused(s)),
         }
     }
 
     /// Waits up to `block` for changes under a prefix since a revision.
     ///
     /// # Errors
-    /// [`StateError::TooOld`] if the revision is compacted away; otherwise as any call.
-    pub fn watch(&self, prefix: &str, from: u64, block: Micros) -> Result<Events, StateError> {
+    /// [`StateStoreError::TooOld`] if the revision is compacted away; otherwise as any call.
+    pub fn watch(&self, prefix: &str, from: u64, block: Micros) -> Result<Events, StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let path = format!("/watch?starts={prefix}&from={from}&blockMs={}", block.0 / 1000);
         match self.call(&self.watch, "GET", &path, None, block + CALL_TIMEOUT)? {
             (200, b) => parse(&b),
-            (410, _) => Err(StateError::TooOld),
-            (s, _) => Err(StateError::Refused(s)),
+            (410, _) => Err(StateStoreError::TooOld),
+            (s, _) => Err(StateStoreError::Refused(s)),
         }
     }
 }
 
 /// Decodes an answer's JSON body.
-fn parse<T: for<'a> Deserialize<'a>>(body: &[u8]) -> Result<T, StateError> {
-    serde_json::from_slice(body).map_err(|e| StateError::Malformed(e.to_string()))
+fn parse<T: for<'a> Deserialize<'a>>(body: &[u8]) -> Result<T, StateStoreError> {
+    serde_json::from_slice(body).map_err(|e| StateStoreError::Malformed(e.to_string()))
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -53,7 +53,7 @@
     pub request: String,
     /// Machine type.
     #[serde(rename = "breed")]
-    pub ty: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "field")]
     pub zone: String,
@@ -79,11 +79,11 @@
     #[serde(rename = "nameId")]
     pub id: String,
     /// The worker's address.
-    #[serde(default)]
-    pub addr: Option<String>,
+    #[serde(rename = "addr", default)]
+    pub address: Option<String>,
     /// Type.
     #[serde(rename = "breed", default)]
-    pub ty: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "field", default)]
     pub zone: String,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -16,8 +16,8 @@
 pub use replies::{ControllerStatus, Health, Redirect, ShardStatus, HEALTH_PATH};
 pub use state::{Change, Event, Events, Guard, Row, Rows, Txn};
 pub use workers::{
-    Commands, ExitReason, Heartbeat, HeartbeatReply, Order, TaskStage, TaskStatus, COMMANDS_PATH,
-    HEARTBEAT_PATH,
+    DirectCommandRequest, ExitReason, Heartbeat, HeartbeatReply, TaskStage, TaskStatus, WorkerCommand,
+    COMMANDS_PATH, HEARTBEAT_PATH,
 };
 
 use serde::Deserialize;
--- a/src/wire/replies.rs
+++ b/src/wire/replies.rs
@@ -31,7 +31,8 @@
     /// Label of the leader, where known.
     pub leader: Option<String>,
     /// Label of the controller that answers.
-    pub node: String,
+    #[serde(rename = "node")]
+    pub controller: String,
     /// What the owner sees; none on any other controller.
     #[serde(rename = "owner")]
     pub view: Option<FleetView>,
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -42,10 +42,10 @@
     Stopped,
     /// Another task of the gang is gone.
     #[serde(rename = "mates_gone")]
-    Peers,
+    GangPeersLost,
     /// The gang was not complete in time.
     #[serde(rename = "alone")]
-    Alone,
+    GangIncomplete,
     /// Failed.
     #[serde(rename = "error")]
     Error,
@@ -54,10 +54,10 @@
     NoRoom,
     /// Start refused: here with another attempt.
     #[serde(rename = "in_use")]
-    Busy,
+    AttemptInUse,
     /// Start refused: no such job or task.
     #[serde(rename = "unknown")]
-    Unknown,
+    UnknownTask,
     /// Something newer than this program.
     #[serde(other)]
     Other,
@@ -77,7 +77,7 @@
     pub stage: TaskStage,
     /// Why it ended, if it did.
     #[serde(rename = "blight", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     /// Whether progress was saved.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -90,11 +90,11 @@
     #[serde(rename = "husk")]
     pub machine: String,
     /// Where the worker takes commands.
-    #[serde(default)]
-    pub addr: String,
+    #[serde(rename = "addr", default)]
+    pub address: String,
     /// Machine type.
     #[serde(rename = "breed", default)]
-    pub ty: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "field", default)]
     pub zone: String,
@@ -121,7 +121,7 @@
 /// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
-pub enum Order {
+pub enum WorkerCommand {
     /// Start a task.
     #[serde(rename = "start")]
     Start {
@@ -164,12 +164,13 @@
     #[serde(rename = "sickle")]
     pub fencing_token: u64,
     /// The commands, executed in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// A direct command.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Commands {
+pub struct DirectCommandRequest {
     /// The token.
     #[serde(rename = "sickle")]
     pub fencing_token: u64,
@@ -177,5 +178,6 @@
     #[serde(rename = "season")]
     pub agent_epoch: u64,
     /// The commands.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
--- a/tests/cancellation_in_outage.rs
+++ b/tests/cancellation_in_outage.rs
@@ -18,9 +18,9 @@
 use milletlock::config::{Config, OperatorConfig, PlatformConfig};
 use milletlock::controller::Controller;
 use milletlock::http::{self, Client, Reply, Request, RequestClass, Response, ServerLimits};
-use milletlock::peer::{Outbound, PeerError, PeerHub};
+use milletlock::peer::{OutboundMessage, PeerError, PeerHub};
 use milletlock::time::{Clock, Micros, Steady};
-use milletlock::wire::{Change, Commands, HeartbeatReply, Order, TaskStage, Txn};
+use milletlock::wire::{Change, DirectCommandRequest, HeartbeatReply, TaskStage, Txn, WorkerCommand};
 use serde_json::{json, Value};
 
 const STEP: i64 = 250_000;
@@ -166,17 +166,17 @@
         Worker { state, due: now, node: 0, hung_until: 0, mute: false, shut: false }
     }
 
-    fn execute_orders(&mut self, orders: &[Order], now: i64) {
+    fn execute_orders(&mut self, orders: &[WorkerCommand], now: i64) {
         for o in orders {
             match o {
-                Order::Start { task, attempt } => {
+                WorkerCommand::Start { task, attempt } => {
                     let running = Task::new(TaskStage::Running, Micros::ZERO, Steady(now));
                     self.state.tasks.insert((task.clone(), *attempt), running);
                 }
-                Order::Halt { task, attempt, .. } => {
+                WorkerCommand::Halt { task, attempt, .. } => {
                     self.state.halt(task, *attempt);
                 }
-                Order::Forget { task, attempt } => self.state.forget(task, *attempt),
+                WorkerCommand::Forget { task, attempt } => self.state.forget(task, *attempt),
             }
         }
     }
@@ -185,11 +185,11 @@
         if now < self.hung_until || self.shut {
             return None;
         }
-        let c: Commands = serde_json::from_slice(&r.body).expect("a command");
+        let c: DirectCommandRequest = serde_json::from_slice(&r.body).expect("a command");
         if !self.state.accept_command(c.fencing_token, c.agent_epoch) {
             return Some(Response::json(409, &self.state.report()));
         }
-        self.execute_orders(&c.orders, now);
+        self.execute_orders(&c.commands, now);
         Some(Response::json(200, &self.state.report()))
     }
 
@@ -265,7 +265,7 @@
         let platform = PlatformConfig::parse(&p.to_string(), "test").expect("settings");
         let cfg = Config { platform, operator: OperatorConfig::default() };
         let (controllers, partitioned) = (self.controllers.clone(), self.partitioned.clone());
-        let carry = move |o: Outbound| {
+        let carry = move |o: OutboundMessage| {
             let to = locked(&controllers)
                 .get(others[o.to])
                 .cloned()
@@ -274,8 +274,12 @@
             o.answer(answer);
             Ok(())
         };
-        let n =
-            Controller::new(cfg, PeerHub::over(2, carry), Clock::Manual(self.clock.clone()), Arc::default());
+        let n = Controller::new(
+            cfg,
+            PeerHub::with_transport(2, carry),
+            Clock::Manual(self.clock.clone()),
+            Arc::default(),
+        );
         let n = n.expect("a controller");
         assert!(n.learn_types_once());
         n
@@ -381,7 +385,7 @@
         }
         let reply: HeartbeatReply = serde_json::from_value(v).expect("a reply");
         if w.state.accept_answer(reply.fencing_token, Steady(now)) {
-            w.execute_orders(&reply.orders, now);
+            w.execute_orders(&reply.commands, now);
         }
     }
 
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -9,7 +9,7 @@
 use common::store::Store;
 use milletlock::http::Response;
 use milletlock::leadership;
-use milletlock::state::{StateClient, StateError};
+use milletlock::state::{StateStoreClient, StateStoreError};
 use milletlock::time::Micros;
 use milletlock::wire::Txn;
 use serde_json::json;
@@ -54,7 +54,7 @@
             _ => Response::error(404, "no such path"),
         })
     });
-    let client = StateClient::new(addr, 1e6, 1e6, (1.0, 1.0));
+    let client = StateStoreClient::new(addr, 1e6, 1e6, (1.0, 1.0));
     let claim =
         || leadership::try_become_leader(&client, "c-0", 7, Micros::from_secs(3.0), 0).expect("an outcome");
     assert!(claim().is_none(), "not there when it was looked for");
@@ -82,7 +82,7 @@
             _ => Response::error(404, "no such path"),
         })
     });
-    let client = StateClient::new(addr, 1e6, 1e6, (1.0, 1.0));
+    let client = StateStoreClient::new(addr, 1e6, 1e6, (1.0, 1.0));
     let claim = || leadership::try_become_leader(&client, "c-0", 7, Micros::from_secs(3.0), 0);
     let put = |value: serde_json::Value| {
         let mut store = store.lock().expect("the store");
@@ -92,7 +92,7 @@
     };
     for later in [json!({ "reader": known + 1 }), json!({ "reader": "two" }), json!([])] {
         put(later);
-        assert!(matches!(claim(), Err(StateError::NewerRecords { known: k, .. }) if k == known));
+        assert!(matches!(claim(), Err(StateStoreError::NewerRecords { known: k, .. }) if k == known));
         let keys: Vec<String> = store.lock().expect("the store").keys.keys().cloned().collect();
         assert_eq!(keys, [leadership::FORMAT_KEY], "nothing is written");
     }
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -10,7 +10,7 @@
 
 use common::cells::{until, CellPlan, Cells, LEASE_S};
 use common::spec;
-use milletlock::wire::Order;
+use milletlock::wire::WorkerCommand;
 use serde_json::{json, Value};
 
 /// Processors of a worker, and so tasks that it runs at once.
@@ -141,9 +141,9 @@
         let history = self.cells.history.lock().expect("the history");
         for (_, order) in history.orders.iter().filter(|(at, _)| *at > self.since) {
             match order {
-                Order::Start { .. } => orders.starts += 1,
-                Order::Halt { .. } => orders.halts += 1,
-                Order::Forget { .. } => orders.forgets += 1,
+                WorkerCommand::Start { .. } => orders.starts += 1,
+                WorkerCommand::Halt { .. } => orders.halts += 1,
+                WorkerCommand::Forget { .. } => orders.forgets += 1,
             }
         }
         orders
--- a/tests/common/cells.rs
+++ b/tests/common/cells.rs
@@ -12,7 +12,7 @@
 use milletlock::http::{Client, ClientResponse, Request, Response};
 use milletlock::peer::{self, Call};
 use milletlock::time::{Micros, Steady};
-use milletlock::wire::{CellsStatus, Change, ExitReason, HeartbeatReply, Order, TaskStage};
+use milletlock::wire::{CellsStatus, Change, ExitReason, HeartbeatReply, TaskStage, WorkerCommand};
 use serde_json::{json, Value};
 
 use super::servers::{serve, serve_some};
@@ -61,7 +61,7 @@
     /// Machines that were asked for in vain.
     pub rentals: u64,
     /// The orders that workers executed, and when.
-    pub orders: Vec<(Instant, Order)>,
+    pub orders: Vec<(Instant, WorkerCommand)>,
     /// Tasks that were killed by the end of a worker's lease.
     pub killed_by_lease: usize,
 }
@@ -312,20 +312,20 @@
             return false;
         }
         let received = Instant::now();
-        lock(&self.history).orders.extend(reply.orders.iter().map(|order| (received, order.clone())));
-        for order in &reply.orders {
+        lock(&self.history).orders.extend(reply.commands.iter().map(|order| (received, order.clone())));
+        for order in &reply.commands {
             match order {
-                Order::Start { task, attempt } => self.start((task.clone(), *attempt), now),
-                Order::Halt { task, attempt, .. } => {
+                WorkerCommand::Start { task, attempt } => self.start((task.clone(), *attempt), now),
+                WorkerCommand::Halt { task, attempt, .. } => {
                     let key = (task.clone(), *attempt);
                     self.state.halt(task, *attempt);
                     self.ends.remove(&key);
                     lock(&self.history).present.remove(&(self.cell, key));
                 }
-                Order::Forget { task, attempt } => self.state.forget(task, *attempt),
+                WorkerCommand::Forget { task, attempt } => self.state.forget(task, *attempt),
             }
         }
-        !reply.orders.is_empty()
+        !reply.commands.is_empty()
     }
 
     fn start(&mut self, attempt: Attempt, now: Steady) {
@@ -595,7 +595,8 @@
     pub fn status(&self, cell: usize, controller: usize) -> Option<Value> {
         self.cells[cell].controllers[controller].as_ref()?;
         let call = Call { method: "GET".into(), path: "/status".into(), body: Vec::new() };
-        let answer = peer::ask(self.cells[cell].internal[controller], call, Micros::from_secs(2.0)).ok()?;
+        let answer =
+            peer::call_once(self.cells[cell].internal[controller], call, Micros::from_secs(2.0)).ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 
--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -9,7 +9,7 @@
 use milletlock::jobs::MachineId;
 use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
-use milletlock::wire::{Heartbeat, JobSpec, Order, TaskStage};
+use milletlock::wire::{Heartbeat, JobSpec, TaskStage, WorkerCommand};
 
 /// Reports come this far apart in these settings.
 const REPORT: Micros = Micros(3_000_000);
@@ -84,9 +84,9 @@
         tasks.keys().map(|(job, n, attempt)| (format!("{job}/{n}"), *attempt)).collect()
     }
 
-    pub fn report(&mut self, report: &Heartbeat) -> Vec<Order> {
+    pub fn report(&mut self, report: &Heartbeat) -> Vec<WorkerCommand> {
         match self.fleet.check_in(report, self.now, Wall(self.now.0)) {
-            HeartbeatOutcome::Reply(reply) => reply.orders,
+            HeartbeatOutcome::Reply(reply) => reply.commands,
             other => panic!("{other:?}"),
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -103,7 +103,7 @@
 
 /// A job's record.
 pub fn record(spec: JobSpec) -> JobRecord {
-    JobRecord { spec, submitted_us: 0, high: 0, lending: Lending::default() }
+    JobRecord { spec, submitted_us: 0, high_water_mark: 0, lending: Lending::default() }
 }
 
 /// A report of a small machine in the north.
@@ -115,8 +115,8 @@
 ) -> Heartbeat {
     Heartbeat {
         machine: machine.into(),
-        addr: "127.0.0.1:9".into(),
-        ty: "small".into(),
+        address: "127.0.0.1:9".into(),
+        machine_type: "small".into(),
         zone: "north".into(),
         spot: false,
         agent_epoch: 1,
@@ -125,7 +125,7 @@
         notice_s: None,
         tasks: tasks
             .iter()
-            .map(|t| TaskStatus { task: t.0.into(), attempt: t.1, stage: t.2, why: t.3, saved: None })
+            .map(|t| TaskStatus { task: t.0.into(), attempt: t.1, stage: t.2, exit_reason: t.3, saved: None })
             .collect(),
     }
 }
--- a/tests/common/worker.rs
+++ b/tests/common/worker.rs
@@ -73,8 +73,8 @@
         self.report_number += 1;
         Heartbeat {
             machine: self.id.clone(),
-            addr: self.addr.clone(),
-            ty: self.ty.clone(),
+            address: self.addr.clone(),
+            machine_type: self.ty.clone(),
             zone: self.zone.into(),
             spot: self.spot,
             agent_epoch: self.agent_epoch,
@@ -150,7 +150,13 @@
 }
 
 fn task_report(attempt: &Attempt, task: &Task) -> TaskStatus {
-    TaskStatus { task: attempt.0.clone(), attempt: attempt.1, stage: task.stage, why: task.why, saved: None }
+    TaskStatus {
+        task: attempt.0.clone(),
+        attempt: attempt.1,
+        stage: task.stage,
+        exit_reason: task.why,
+        saved: None,
+    }
 }
 
 /// The job that a task is of.
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -18,7 +18,7 @@
 use milletlock::http::{Client, ClientResponse, Response};
 use milletlock::peer::{self, Call};
 use milletlock::time::Micros;
-use milletlock::wire::{ExitReason, HeartbeatReply, Order, TaskStage};
+use milletlock::wire::{ExitReason, HeartbeatReply, TaskStage, WorkerCommand};
 use serde_json::{json, Value};
 
 /// The state service, as far as the controller uses it.
@@ -251,8 +251,8 @@
         sequence += 1;
         let r = s.report(sequence, fencing_token, &[]);
         fencing_token = r.fencing_token;
-        started = r.orders.iter().find_map(|o| match o {
-            Order::Start { task, attempt } => Some((task.clone(), *attempt)),
+        started = r.commands.iter().find_map(|o| match o {
+            WorkerCommand::Start { task, attempt } => Some((task.clone(), *attempt)),
             _ => None,
         });
         started.is_some()
@@ -264,7 +264,7 @@
 
     // People on call see it between controllers, users never.
     let call = Call { method: "GET".into(), path: "/status".into(), body: Vec::new() };
-    let status = peer::ask(s.internal, call, Micros::from_secs(5.0)).expect("a status");
+    let status = peer::call_once(s.internal, call, Micros::from_secs(5.0)).expect("a status");
     let v: Value = serde_json::from_slice(&status.body).expect("JSON");
     assert_eq!(v["owner"]["jobs"][0]["id"], "wk-000001");
     assert_eq!(s.get("/status").0, 404);
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -21,8 +21,8 @@
 use milletlock::task_ranges::chunk_tasks;
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::{
-    Change, ExitReason, Guard, Heartbeat, HeartbeatReply, JobSpec, Order, Priority, Shape, Stage, TaskStage,
-    Txn,
+    Change, ExitReason, Guard, Heartbeat, HeartbeatReply, JobSpec, Priority, Shape, Stage, TaskStage, Txn,
+    WorkerCommand,
 };
 use serde_json::json;
 
@@ -309,10 +309,10 @@
             return;
         }
         worker.changed |= reply.fencing_token > before;
-        for o in &reply.orders {
+        for o in &reply.commands {
             let worker = &mut self.workers[w];
             match o {
-                Order::Start { task, attempt } => {
+                WorkerCommand::Start { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if worker.state.tasks.contains_key(&key) {
                         continue;
@@ -325,8 +325,10 @@
                     *self.starts.entry(task.clone()).or_insert(0) += 1;
                     self.begun.entry(job_of(task).into()).or_insert(s);
                 }
-                Order::Halt { task, attempt, .. } => worker.changed |= worker.state.halt(task, *attempt),
-                Order::Forget { task, attempt } => {
+                WorkerCommand::Halt { task, attempt, .. } => {
+                    worker.changed |= worker.state.halt(task, *attempt)
+                }
+                WorkerCommand::Forget { task, attempt } => {
                     worker.state.forget(task, *attempt);
                     worker.changed = true;
                 }
@@ -364,13 +366,13 @@
                         (TaskStage::Running, None)
                     }
                     TaskStage::Waiting if (now - t.since).secs() > 40.0 => {
-                        (TaskStage::Exited, Some(ExitReason::Alone))
+                        (TaskStage::Exited, Some(ExitReason::GangIncomplete))
                     }
                     TaskStage::Running if gang && self.finished.contains(&k.0) => {
                         (TaskStage::Exited, Some(ExitReason::Done))
                     }
                     TaskStage::Running if gang && (mates.len() as u32) < job.tasks => {
-                        (TaskStage::Exited, Some(ExitReason::Peers))
+                        (TaskStage::Exited, Some(ExitReason::GangPeersLost))
                     }
                     TaskStage::Running => {
                         let job = job.clone();
@@ -759,9 +761,9 @@
         s.write();
         reply
     };
-    assert!(hear(&mut s).orders.is_empty());
+    assert!(hear(&mut s).commands.is_empty());
     let reply = hear(&mut s);
-    assert!(matches!(reply.orders[..], [Order::Start { .. }]), "{reply:?}");
+    assert!(matches!(reply.commands[..], [WorkerCommand::Start { .. }]), "{reply:?}");
     // The held copy of the command comes between the report and its answer.
     let back = s.command("i-1", fencing_token, 1);
     s.execute_orders(0, &reply);
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -19,7 +19,7 @@
 use milletlock::http::Response;
 use milletlock::jobs::{JobId, MachineId};
 use milletlock::time::{Micros, Steady};
-use milletlock::wire::{ExitReason, JobSpec, Order, TaskStage};
+use milletlock::wire::{ExitReason, JobSpec, TaskStage, WorkerCommand};
 use serde_json::json;
 
 /// More than the service has to carry.
@@ -126,22 +126,22 @@
         else {
             panic!("the report of {name} is refused");
         };
-        for order in reply.orders {
+        for order in reply.commands {
             self.execute(name, order);
         }
     }
 
-    fn execute(&mut self, name: &str, order: Order) {
+    fn execute(&mut self, name: &str, order: WorkerCommand) {
         let tasks = self.workers.get_mut(name).expect("a worker");
         match order {
-            Order::Start { task, attempt } => {
+            WorkerCommand::Start { task, attempt } => {
                 assert!(self.started.insert(task.clone()), "{task} starts twice");
                 tasks.insert((task, attempt), TaskStage::Running);
                 let running = tasks.values().filter(|stage| **stage == TaskStage::Running).count();
                 assert!(running <= TASKS_PER_MACHINE, "{name} has no room for that");
             }
-            Order::Halt { task, .. } => panic!("{task} is stopped"),
-            Order::Forget { task, attempt } => {
+            WorkerCommand::Halt { task, .. } => panic!("{task} is stopped"),
+            WorkerCommand::Forget { task, attempt } => {
                 tasks.remove(&(task, attempt));
             }
         }
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -14,9 +14,9 @@
 use milletlock::controller::{Controller, LendingChoice};
 use milletlock::http::{Request, Response};
 use milletlock::leadership::SHARD_KEY;
-use milletlock::peer::{proto, LoanReply, Outbound, Outcome, PeerError, PeerHub};
+use milletlock::peer::{proto, LoanReply, OutboundMessage, PeerError, PeerHub, PeerReply};
 use milletlock::time::{wall, Clock, Micros};
-use milletlock::wire::{HeartbeatReply, Order, TaskStage};
+use milletlock::wire::{HeartbeatReply, TaskStage, WorkerCommand};
 use serde_json::json;
 
 const CELLS: &str =
@@ -27,11 +27,11 @@
 const STEP: Micros = Micros(200_000);
 
 /// Answers as the leader of another cell that has room.
-fn other_cell(out: Outbound) -> Result<(), PeerError> {
+fn other_cell(out: OutboundMessage) -> Result<(), PeerError> {
     answer_as("there", 1, out)
 }
 
-fn answer_as(name: &str, term: u64, out: Outbound) -> Result<(), PeerError> {
+fn answer_as(name: &str, term: u64, out: OutboundMessage) -> Result<(), PeerError> {
     let summary = proto::CellSummary {
         form: 1,
         composed_us: wall().0,
@@ -40,7 +40,7 @@
     };
     let reply =
         LoanReply { from: name.into(), term, leads: true, summary: Some(summary), ..LoanReply::default() };
-    out.answer(Ok(Outcome::Loans(reply)));
+    out.answer(Ok(PeerReply::Loans(reply)));
     Ok(())
 }
 
@@ -82,8 +82,8 @@
         let answer = post(node, "/checkin", serde_json::to_vec(&report).expect("a report"));
         let reply: HeartbeatReply = serde_json::from_slice(&answer.body).expect("an answer");
         fencing_token = reply.fencing_token;
-        there.extend(reply.orders.into_iter().filter_map(|order| match order {
-            Order::Start { task, attempt } => Some((task, attempt)),
+        there.extend(reply.commands.into_iter().filter_map(|order| match order {
+            WorkerCommand::Start { task, attempt } => Some((task, attempt)),
             _ => None,
         }));
         clock.fetch_add(STEP.0, Ordering::SeqCst);
@@ -97,7 +97,7 @@
 fn controller(
     state: std::net::SocketAddr,
     clock: &Arc<AtomicI64>,
-    carry: impl Fn(Outbound) -> Result<(), PeerError> + Send + Sync + 'static,
+    carry: impl Fn(OutboundMessage) -> Result<(), PeerError> + Send + Sync + 'static,
 ) -> (Arc<Controller>, LendingChoice) {
     let mut p = platform_json();
     p["services"] = json!({ "cloud": cloud(), "state": state });
@@ -105,7 +105,8 @@
     let operator = OperatorConfig::parse(CELLS, "test").expect("settings");
     let choice = LendingChoice::new(operator.cells.as_ref().expect("cells"));
     let cfg = Config { platform, operator };
-    let node = Controller::new(cfg, PeerHub::over(0, carry), Clock::Manual(clock.clone()), Arc::default());
+    let node =
+        Controller::new(cfg, PeerHub::with_transport(0, carry), Clock::Manual(clock.clone()), Arc::default());
     let node = node.expect("a controller");
     assert!(node.learn_types_once());
     node.keep_once(Micros::from_secs(3.0));
@@ -142,7 +143,7 @@
     let state = state_service(store.clone(), Arc::default());
     let (term, name) = (Arc::new(AtomicI64::new(5)), Arc::new(Mutex::new("elsewhere")));
     let (term_now, name_now) = (term.clone(), name.clone());
-    let carry = move |out: Outbound| {
+    let carry = move |out: OutboundMessage| {
         let name: &str = *name_now.lock().expect("a name");
         answer_as(name, term_now.load(Ordering::SeqCst) as u64, out)
     };
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -12,7 +12,7 @@
 use milletlock::fleet::{Fleet, LoanWrite};
 use milletlock::leadership::{self, SHARD_KEY};
 use milletlock::time::{Steady, Wall};
-use milletlock::wire::{ExitReason, Order, TaskStage};
+use milletlock::wire::{ExitReason, TaskStage, WorkerCommand};
 use milletlock_cells::{
     BorrowRefusal, BorrowerChange, CellSummary, Lending, Loan, LoanAction, LoanItem, LoanNumber, LoanOffer,
     LoanSyncRequest, LocalTasks, TaskSet, SUMMARY_FORMAT,
@@ -232,7 +232,10 @@
     handle(&mut s.fleet, &cancel, &mut store, s.now);
     let report = s.running(&machine);
     let orders = s.report(&report);
-    assert!(!orders.is_empty() && orders.iter().all(|o| matches!(o, Order::Halt { .. })), "{orders:?}");
+    assert!(
+        !orders.is_empty() && orders.iter().all(|o| matches!(o, WorkerCommand::Halt { .. })),
+        "{orders:?}"
+    );
 }
 
 #[test]
--- a/tests/packed_records.rs
+++ b/tests/packed_records.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use milletlock::packed_records::{Items, PackedRecords};
+use milletlock::packed_records::{PackedRecords, SlotRecords};
 
 fn slots(p: &PackedRecords<u32>) -> u32 {
     (0..).find(|&s| p.slot(s).is_none()).expect("an end")
@@ -46,7 +46,7 @@
 }
 
 /// Marks of so many jobs, more than a small value holds.
-fn many(count: u32) -> Items<u32> {
+fn many(count: u32) -> SlotRecords<u32> {
     (0..count).map(|n| (Arc::from(format!("wk-{n:06}")), n)).collect()
 }
 
@@ -91,8 +91,8 @@
 fn a_merged_copy_is_dropped_only_after_the_other_is_written() {
     let mut p: PackedRecords<u32> = PackedRecords::new(1024);
     let job: Arc<str> = "wk-000001".into();
-    p.load(0, 5, Items::from([(job.clone(), 90)]), u32::max);
-    p.load(1, 6, Items::from([(job.clone(), 40)]), u32::max);
+    p.load(0, 5, SlotRecords::from([(job.clone(), 90)]), u32::max);
+    p.load(1, 6, SlotRecords::from([(job.clone(), 40)]), u32::max);
     assert_eq!(p.get(&job), Some(&90));
     assert_eq!(p.pending(false).collect::<Vec<_>>(), [1], "the lower copy is raised first");
     let (_, version, items) = p.slot(1).expect("a value");
@@ -114,7 +114,7 @@
         let written = write_all(&mut p, 10 + u64::from(round));
         assert!(!written.is_empty() && !written.contains(&0) && !written.contains(&3), "{written:?}");
     }
-    p.limit_to(512);
+    p.reduce_limit(512);
     (0..20).for_each(|_| assert!(write_all(&mut p, 50).iter().all(|s| ![0, 3].contains(s))));
     assert!(p.slot(0).expect("a value").2.is_empty() && p.slot(3).expect("a value").2.is_empty());
     // Nor one that has something to be written.
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use milletlock::peer::{
-    Ack, Answer, Call, Cancellation, Cancellations, Inbound, JobCounts, JobNews, Message, Outcome, PeerHub,
-    Summary,
+    Ack, Answer, Call, Cancellation, Cancellations, InboundMessage, JobCounts, JobNews, PeerHub, PeerMessage,
+    PeerReply, Summary,
 };
 use prost::Message as _;
 use tonic::{Code, Status};
@@ -101,9 +101,9 @@
     (listener, addr)
 }
 
-fn answer_announcement(inbound: Inbound, fencing_token: u64) {
-    assert!(matches!(&inbound.message, Message::Announce(s) if s.token == 41), "{:?}", inbound.message);
-    inbound.answer(Outcome::Ack(Ack { token: fencing_token, version: String::new() }));
+fn answer_announcement(inbound: InboundMessage, fencing_token: u64) {
+    assert!(matches!(&inbound.message, PeerMessage::Announce(s) if s.token == 41), "{:?}", inbound.message);
+    inbound.answer(PeerReply::Ack(Ack { token: fencing_token, version: String::new() }));
 }
 
 /// Guards against a method of another version that ends the service or passes for one that is known.
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -6,7 +6,7 @@
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
 use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
-use milletlock::wire::{Order, Row, TaskStage};
+use milletlock::wire::{Row, TaskStage, WorkerCommand};
 use serde_json::json;
 
 const TAKEN_OVER: Steady = Steady(1_000_000_000);
@@ -31,11 +31,17 @@
     fleet
 }
 
-fn check_in(fleet: &mut Fleet, machine: &str, sequence: u64, tasks: &[&str], now: Steady) -> Vec<Order> {
+fn check_in(
+    fleet: &mut Fleet,
+    machine: &str,
+    sequence: u64,
+    tasks: &[&str],
+    now: Steady,
+) -> Vec<WorkerCommand> {
     let running: Vec<_> = tasks.iter().map(|task| (*task, 5, TaskStage::Running, None)).collect();
     let report = milletlock::wire::Heartbeat { spot: false, ..report(machine, sequence, 7, &running) };
     match fleet.check_in(&report, now, wall(now)) {
-        HeartbeatOutcome::Reply(reply) => reply.orders,
+        HeartbeatOutcome::Reply(reply) => reply.commands,
         other => panic!("{other:?}"),
     }
 }
@@ -60,7 +66,7 @@
         now = now + Micros::from_millis(700);
         fleet.tick(now, wall(now));
         let orders = check_in(&mut fleet, "i-1", sequence, &RUNNING, now);
-        assert!(!orders.iter().any(|o| matches!(o, Order::Halt { .. })), "{orders:?}");
+        assert!(!orders.iter().any(|o| matches!(o, WorkerCommand::Halt { .. })), "{orders:?}");
         assert!(fleet.to_halt(now).is_empty());
     }
 }
@@ -75,5 +81,5 @@
     now = TAKEN_OVER + Micros::from_millis(3_800);
     fleet.tick(now, wall(now));
     let orders = check_in(&mut fleet, "i-1", 2, &RUNNING, now);
-    assert!(orders.iter().any(|o| matches!(o, Order::Halt { .. })), "{orders:?}");
+    assert!(orders.iter().any(|o| matches!(o, WorkerCommand::Halt { .. })), "{orders:?}");
 }
--- a/tests/replies.rs
+++ b/tests/replies.rs
@@ -18,7 +18,7 @@
 fn the_owners_status_has_its_parts_and_its_view() {
     let status = ControllerStatus {
         leader: Some("a".into()),
-        node: "a".into(),
+        controller: "a".into(),
         view: Some(json!({ "token": 7 })),
         versions: None,
         parts: Some(vec![ShardStatus { leader: "a".into(), shard: 0, fencing_token: 7 }]),
@@ -36,7 +36,7 @@
 fn any_other_controllers_status_says_who_leads() {
     let status: ControllerStatus<Value> = ControllerStatus {
         leader: None,
-        node: "b".into(),
+        controller: "b".into(),
         view: None,
         versions: None,
         parts: None,
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -10,22 +10,22 @@
 use milletlock::records::{JobRecord, MachineRecord};
 use milletlock::store_contact::StoreContact;
 use milletlock::time::Micros;
-use milletlock::wire::{ExitReason, JobSpec, ListedMachine, Order, TaskStage};
+use milletlock::wire::{ExitReason, JobSpec, ListedMachine, TaskStage, WorkerCommand};
 
 fn fleet(fencing_token: u64) -> Fleet {
     Fleet::new(config(), types(), fencing_token, START)
 }
 
 fn started(spec: JobSpec, high: u32) -> JobRecord {
-    JobRecord { high, ..record(spec) }
+    JobRecord { high_water_mark: high, ..record(spec) }
 }
 
 fn machine(ty: &str) -> MachineRecord {
     MachineRecord {
         part: 0,
         fencing_token: 1,
-        addr: "127.0.0.1:9".into(),
-        ty: ty.into(),
+        address: "127.0.0.1:9".into(),
+        machine_type: ty.into(),
         zone: "north".into(),
         spot: false,
         ..MachineRecord::default()
@@ -43,18 +43,18 @@
     }
 }
 
-fn orders(f: &mut Fleet, s: f64, r: &milletlock::wire::Heartbeat) -> Vec<Order> {
+fn orders(f: &mut Fleet, s: f64, r: &milletlock::wire::Heartbeat) -> Vec<WorkerCommand> {
     match f.check_in(r, at(s), wall(s)) {
-        HeartbeatOutcome::Reply(r) => r.orders,
+        HeartbeatOutcome::Reply(r) => r.commands,
         other => panic!("not answered: {other:?}"),
     }
 }
 
-fn starts(orders: &[Order]) -> Vec<(String, u64)> {
+fn starts(orders: &[WorkerCommand]) -> Vec<(String, u64)> {
     orders
         .iter()
         .filter_map(|o| match o {
-            Order::Start { task, attempt } => Some((task.clone(), *attempt)),
+            WorkerCommand::Start { task, attempt } => Some((task.clone(), *attempt)),
             _ => None,
         })
         .collect()
@@ -260,10 +260,10 @@
         (s[2].0.as_str(), s[2].1, TaskStage::Running, None),
     ];
     let o = orders(&mut f, 2.0, &report("i-1", 3, 7, &done));
-    assert!(!o.iter().any(|o| matches!(o, Order::Forget { .. })), "forgotten before it is written");
+    assert!(!o.iter().any(|o| matches!(o, WorkerCommand::Forget { .. })), "forgotten before it is written");
     write_all(&mut f, 3.0);
     let o = orders(&mut f, 4.0, &report("i-1", 4, 7, &done));
-    let forget = |s: &(String, u64)| Order::Forget { task: s.0.clone(), attempt: s.1 };
+    let forget = |s: &(String, u64)| WorkerCommand::Forget { task: s.0.clone(), attempt: s.1 };
     assert_eq!(o, [forget(&s[0]), forget(&s[1])]);
 }
 
@@ -401,10 +401,10 @@
     f.tick(at(0.1), wall(0.1));
     write_all(&mut f, 0.1);
     let o = orders(&mut f, 1.0, &report("i-1", 2, 7, &there));
-    assert_eq!(o, [Order::Halt { task: "wk-000001/0".into(), attempt: 3, grace_s: 0.0 }]);
+    assert_eq!(o, [WorkerCommand::Halt { task: "wk-000001/0".into(), attempt: 3, grace_s: 0.0 }]);
     let ended = [("wk-000001/0", 3, TaskStage::Exited, Some(ExitReason::Stopped))];
     let o = orders(&mut f, 2.0, &report("i-1", 3, 7, &ended));
-    assert_eq!(o[0], Order::Forget { task: "wk-000001/0".into(), attempt: 3 });
+    assert_eq!(o[0], WorkerCommand::Forget { task: "wk-000001/0".into(), attempt: 3 });
     f.tick(at(2.1), wall(2.1));
     write_all(&mut f, 2.1);
     assert_eq!(starts(&orders(&mut f, 3.0, &report("i-1", 4, 7, &[]))).len(), 4);
@@ -421,7 +421,7 @@
         (s[1].0.as_str(), s[1].1, TaskStage::Exited, Some(ExitReason::Error)),
     ];
     let o = orders(&mut f, 2.0, &report("i-1", 3, 7, &half));
-    assert!(o.iter().any(|o| matches!(o, Order::Halt { task, .. } if *task == s[0].0)));
+    assert!(o.iter().any(|o| matches!(o, WorkerCommand::Halt { task, .. } if *task == s[0].0)));
     assert!(starts(&o).is_empty());
     let gone = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Stopped))];
     orders(&mut f, 5.0, &report("i-1", 4, 7, &gone));
@@ -505,8 +505,8 @@
     assert_eq!(idle(&mut f, 20.0), 0, "as far as is known it has just been rented");
     let listed = ListedMachine {
         id: "i-1".into(),
-        addr: None,
-        ty: "small".into(),
+        address: None,
+        machine_type: "small".into(),
         zone: "north".into(),
         spot: false,
         stage: "running".into(),
@@ -760,7 +760,10 @@
     let due = f.to_halt(at(7.0));
     assert_eq!(due.len(), 1);
     assert_eq!((&*due[0].machine, due[0].agent_epoch), ("i-1", 1));
-    assert_eq!(due[0].orders, [Order::Halt { task: task.0.clone(), attempt: task.1, grace_s: 0.0 }]);
+    assert_eq!(
+        due[0].commands,
+        [WorkerCommand::Halt { task: task.0.clone(), attempt: task.1, grace_s: 0.0 }]
+    );
     assert!(f.to_halt(at(8.0)).is_empty(), "said a moment ago");
     assert_eq!(f.to_halt(at(12.0)).len(), 1);
     // A task that may run is not stopped for silence.
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -11,7 +11,7 @@
 use milletlock::leadership;
 use milletlock::records::{JobRecord, MachineRecord};
 use milletlock::time::{Micros, Steady, Wall};
-use milletlock::wire::{ExitReason, JobSpec, Order, Priority, TaskStage};
+use milletlock::wire::{ExitReason, JobSpec, Priority, TaskStage, WorkerCommand};
 use serde_json::{json, Value};
 
 const T0: Steady = Steady(1_000_000_000);
@@ -193,38 +193,38 @@
     }
 
     /// The owner's direct commands reach their workers at once, but for those that are cut off.
-    fn deliver_direct_commands(&mut self) -> Vec<Order> {
+    fn deliver_direct_commands(&mut self) -> Vec<WorkerCommand> {
         let mut delivered = Vec::new();
         for command in self.fleet.to_halt(self.now) {
             let reachable = self.workers.get(&*command.machine).is_some_and(|w| w.silent_until <= self.now);
             if reachable {
-                self.apply(&command.machine, &command.orders);
-                delivered.extend(command.orders);
+                self.apply(&command.machine, &command.commands);
+                delivered.extend(command.commands);
             }
         }
         delivered
     }
 
-    fn apply(&mut self, machine: &str, orders: &[Order]) {
+    fn apply(&mut self, machine: &str, orders: &[WorkerCommand]) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(machine) else { return };
         for order in orders {
             worker.next_report = now;
             match order {
-                Order::Start { task, attempt } => {
+                WorkerCommand::Start { task, attempt } => {
                     let here = |f: &&Failure| f.machine.is_none_or(|m| m == machine);
                     let failure = self.failures.iter().filter(here).find(|f| f.job == job_of(task));
                     let started = Task { since: now, ended: failure.map(|f| f.why) };
                     worker.tasks.insert((task.clone(), *attempt), started);
                     self.started.push(Started { at: now, machine: machine.into(), task: task.clone() });
                 }
-                Order::Halt { task, attempt, .. } => {
+                WorkerCommand::Halt { task, attempt, .. } => {
                     let task = worker.tasks.get_mut(&(task.clone(), *attempt));
                     if let Some(task) = task.filter(|task| task.ended.is_none()) {
                         task.ended = Some(ExitReason::Stopped);
                     }
                 }
-                Order::Forget { task, attempt } => {
+                WorkerCommand::Forget { task, attempt } => {
                     worker.tasks.remove(&(task.clone(), *attempt));
                 }
             }
@@ -232,7 +232,7 @@
     }
 
     /// The owner's answer to a report of a machine as it is now.
-    fn answer(&mut self, machine: &str) -> Option<Vec<Order>> {
+    fn answer(&mut self, machine: &str) -> Option<Vec<WorkerCommand>> {
         let now = self.now;
         let worker = self.workers.get_mut(machine).expect("a machine");
         worker.report += 1;
@@ -249,14 +249,14 @@
         message.zone = worker.zone.into();
         message.notice_s = worker.taken_at.map(|at| (at - now).secs());
         match self.fleet.check_in(&message, now, Wall(now.0)) {
-            HeartbeatOutcome::Reply(reply) => Some(reply.orders),
+            HeartbeatOutcome::Reply(reply) => Some(reply.commands),
             HeartbeatOutcome::Refuse => None,
             HeartbeatOutcome::Superseded(fencing_token) => panic!("replaced by {fencing_token}"),
         }
     }
 
     /// A machine reports and carries out what it is answered.
-    fn report(&mut self, machine: &str) -> Vec<Order> {
+    fn report(&mut self, machine: &str) -> Vec<WorkerCommand> {
         let Some(orders) = self.answer(machine) else { return Vec::new() };
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(machine) {
@@ -345,21 +345,21 @@
     }
 }
 
-fn starts(orders: &[Order]) -> Vec<&str> {
+fn starts(orders: &[WorkerCommand]) -> Vec<&str> {
     orders
         .iter()
         .filter_map(|order| match order {
-            Order::Start { task, .. } => Some(task.as_str()),
+            WorkerCommand::Start { task, .. } => Some(task.as_str()),
             _ => None,
         })
         .collect()
 }
 
-fn halts(orders: &[Order]) -> Vec<&str> {
+fn halts(orders: &[WorkerCommand]) -> Vec<&str> {
     orders
         .iter()
         .filter_map(|order| match order {
-            Order::Halt { task, .. } => Some(task.as_str()),
+            WorkerCommand::Halt { task, .. } => Some(task.as_str()),
             _ => None,
         })
         .collect()
@@ -382,11 +382,11 @@
 /// Guards against a replica that is taken for done, or is left ended, for some reason of its end.
 #[test]
 fn a_replica_that_exits_runs_again_elsewhere_whatever_the_reason() {
-    for why in [ExitReason::Done, ExitReason::Error, ExitReason::Unknown, ExitReason::Other] {
+    for why in [ExitReason::Done, ExitReason::Error, ExitReason::UnknownTask, ExitReason::Other] {
         let mut world = with_a_replica_on_a();
         world.end("a", SERVICE, why);
         let orders = world.report("a");
-        assert!(matches!(orders.first(), Some(Order::Forget { .. })), "{why:?}: {orders:?}");
+        assert!(matches!(orders.first(), Some(WorkerCommand::Forget { .. })), "{why:?}: {orders:?}");
         assert!(starts(&orders).is_empty(), "{why:?}: started where it ended");
         world.run_until(SERVICE, 1, secs(6.0));
         assert_eq!(world.machines_of(SERVICE), ["b"], "{why:?}");
@@ -428,7 +428,7 @@
 /// Guards against a refused or lost start that is taken for a running replica.
 #[test]
 fn a_start_that_is_refused_or_lost_is_made_again() {
-    for why in [ExitReason::NoRoom, ExitReason::Busy, ExitReason::Unknown, ExitReason::Stopped] {
+    for why in [ExitReason::NoRoom, ExitReason::AttemptInUse, ExitReason::UnknownTask, ExitReason::Stopped] {
         let mut world = World::new(&["a", "b"]);
         world.failures = vec![Failure { machine: Some("a"), job: SERVICE, why }];
         world.submit(service(1, 1));
@@ -508,7 +508,7 @@
             let why = *random.one_of(&[
                 ExitReason::Done,
                 ExitReason::Error,
-                ExitReason::Unknown,
+                ExitReason::UnknownTask,
                 ExitReason::Other,
                 ExitReason::Stopped,
             ]);
@@ -787,18 +787,18 @@
     let mut fleet = Fleet::new(config(), types(), TOKEN, T0);
     let machine = MachineRecord {
         fencing_token: 1,
-        ty: "small".into(),
+        machine_type: "small".into(),
         zone: "north".into(),
         ..MachineRecord::default()
     };
     fleet.inherit_machine("a", &machine, 0, T0);
     fleet.inherit_machine("b", &machine, 0, T0);
-    fleet.job_put(JobRecord { high: 2, ..record(service(1, 2)) }, 1, T0);
+    fleet.job_put(JobRecord { high_water_mark: 2, ..record(service(1, 2)) }, 1, T0);
     let mut orders_to_b = |sequence: u64, after: Micros| {
         let now = T0 + after;
         fleet.tick(now, Wall(now.0));
         match fleet.check_in(&report("b", sequence, TOKEN, &[]), now, Wall(now.0)) {
-            HeartbeatOutcome::Reply(reply) => reply.orders,
+            HeartbeatOutcome::Reply(reply) => reply.commands,
             other => panic!("not answered: {other:?}"),
         }
     };
@@ -812,7 +812,7 @@
     let HeartbeatOutcome::Reply(reply) = fleet.check_in(&report("b", 3, TOKEN, &[]), now, Wall(now.0)) else {
         panic!("not answered");
     };
-    assert_eq!(starts(&reply.orders), ["wk-000001/1"]);
+    assert_eq!(starts(&reply.commands), ["wk-000001/1"]);
 }
 
 /// Guards against a service whose missing replicas nobody sees.
--- a/tests/spot_machines.rs
+++ b/tests/spot_machines.rs
@@ -9,10 +9,10 @@
 use common::spec;
 use milletlock::jobs::MachineId;
 use milletlock::time::Micros;
-use milletlock::wire::{Heartbeat, JobSpec, Order};
+use milletlock::wire::{Heartbeat, JobSpec, WorkerCommand};
 
-fn stopped(orders: &[Order]) -> usize {
-    orders.iter().filter(|o| matches!(o, Order::Halt { .. })).count()
+fn stopped(orders: &[WorkerCommand]) -> usize {
+    orders.iter().filter(|o| matches!(o, WorkerCommand::Halt { .. })).count()
 }
 
 /// Tasks of 15 s that ran on with a notice of 15 s were lost with the machine, and began again up to a
@@ -27,7 +27,9 @@
     let notice = Heartbeat { notice_s: Some(15.0), ..s.running("i-000") };
     let orders = s.report(&notice);
     assert_eq!(stopped(&orders), 2, "{orders:?}");
-    assert!(orders.iter().all(|o| !matches!(o, Order::Halt { task, .. } if !task.starts_with("wk-000001"))));
+    assert!(orders
+        .iter()
+        .all(|o| !matches!(o, WorkerCommand::Halt { task, .. } if !task.starts_with("wk-000001"))));
     // Near its end what overruns its estimate is left to end.
     s.now = s.now + Micros::from_secs(12.0);
     let notice = Heartbeat { notice_s: Some(0.5), ..s.running("i-000") };
--- a/tests/starving.rs
+++ b/tests/starving.rs
@@ -9,7 +9,7 @@
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
 use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
-use milletlock::wire::{ExitReason, JobSpec, Order, Priority, TaskStage};
+use milletlock::wire::{ExitReason, JobSpec, Priority, TaskStage, WorkerCommand};
 
 const STEP: Micros = Micros(500_000);
 
@@ -102,17 +102,17 @@
                 })
                 .collect();
         let mut rep = report(&format!("i-{i:03}"), w.0, if w.0 > 1 { 7 } else { 0 }, &tasks);
-        rep.ty = "large".into();
+        rep.machine_type = "large".into();
         let HeartbeatOutcome::Reply(reply) = self.fleet.check_in(&rep, now, wall) else {
             panic!("not answered")
         };
-        for o in reply.orders {
+        for o in reply.commands {
             match o {
-                Order::Start { task, attempt } => {
+                WorkerCommand::Start { task, attempt } => {
                     let job = number(&task);
                     w.2.push(Run { task, attempt, job, since: now, ends: None });
                 }
-                Order::Halt { task, attempt, .. } | Order::Forget { task, attempt } => {
+                WorkerCommand::Halt { task, attempt, .. } | WorkerCommand::Forget { task, attempt } => {
                     w.2.retain(|r| r.task != task || r.attempt != attempt);
                 }
             }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -22,8 +22,8 @@
 use milletlock::task_ranges::chunk_tasks;
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::{
-    ExitReason, Heartbeat, HeartbeatReply, JobSpec, ListedMachine, MachineType, Order, Priority, Shape,
-    Stage, TaskStage, Txn,
+    ExitReason, Heartbeat, HeartbeatReply, JobSpec, ListedMachine, MachineType, Priority, Shape, Stage,
+    TaskStage, Txn, WorkerCommand,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -558,7 +558,7 @@
             let Some(reply) = self.deliver(i, &r) else { continue };
             if self.chance(0.05) {
                 let again = self.deliver(i, &r);
-                assert!(again.is_none_or(|r| r.orders.is_empty()), "a copy was given orders");
+                assert!(again.is_none_or(|r| r.commands.is_empty()), "a copy was given orders");
             }
             if self.chance(0.05) || self.now < self.workers[w].deaf_until {
                 continue;
@@ -658,9 +658,9 @@
         if !worker.accept_answer(reply.fencing_token, sent) {
             return;
         }
-        for o in &reply.orders {
+        for o in &reply.commands {
             match o {
-                Order::Start { task, attempt } => {
+                WorkerCommand::Start { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if worker.tasks.contains_key(&key) {
                         continue;
@@ -673,10 +673,10 @@
                     worker.tasks.insert(key, Task::new(TaskStage::Fetching, left, now));
                     self.starts += 1;
                 }
-                Order::Halt { task, attempt, .. } => {
+                WorkerCommand::Halt { task, attempt, .. } => {
                     worker.halt(task, *attempt);
                 }
-                Order::Forget { task, attempt } => worker.forget(task, *attempt),
+                WorkerCommand::Forget { task, attempt } => worker.forget(task, *attempt),
             }
         }
     }
@@ -708,7 +708,7 @@
                         if self.mates(&id, k.1) == self.specs[&id].tasks {
                             self.enter(w, &k, TaskStage::Running, None);
                         } else if (now - t.since).secs() > 40.0 {
-                            self.enter(w, &k, TaskStage::Exited, Some(ExitReason::Alone));
+                            self.enter(w, &k, TaskStage::Exited, Some(ExitReason::GangIncomplete));
                         }
                     }
                     TaskStage::Running => {
@@ -716,7 +716,7 @@
                         if gang && !self.finished.contains(&k.0) {
                             if self.mates(&id, k.1) < self.specs[&id].tasks {
                                 if (now - t.since).secs() > 8.0 {
-                                    self.enter(w, &k, TaskStage::Exited, Some(ExitReason::Peers));
+                                    self.enter(w, &k, TaskStage::Exited, Some(ExitReason::GangPeersLost));
                                 }
                                 continue;
                             }
@@ -990,8 +990,8 @@
         if self.rng.random_bool(0.25) {
             let list = self.workers.iter().map(|w| ListedMachine {
                 id: w.state.id.clone(),
-                addr: Some("127.0.0.1:9".into()),
-                ty: w.state.ty.clone(),
+                address: Some("127.0.0.1:9".into()),
+                machine_type: w.state.ty.clone(),
                 zone: w.state.zone.into(),
                 spot: w.state.spot,
                 stage: "running".into(),
