--- a/src/cancellation_notices.rs
+++ b/src/cancellation_notices.rs
@@ -1,74 +1,90 @@
-//! Cancellations that the other controllers are yet to be told of. Whoever confirms one to a user
-//! tells each of the others until it has answered, so that whoever owns the machines stops the tasks
-//! at once, in touch with the state service or not. Such a word only ever stops work. It comes on top
-//! of the bound on acting blind (`view`), which holds without it.
+//! Notices of confirmed cancellations that are still to be sent to the other controllers.
+//!
+//! The controller that confirms a cancellation to a user repeats a notice to each of the others until
+//! it is acknowledged, so that the leader stops the tasks at once, in contact with the state store or
+//! not. A notice only ever stops work. It comes on top of the staleness bound of
+//! [`crate::store_contact`], which holds without it.
 
 use std::collections::VecDeque;
 
 use crate::time::{Micros, Steady};
 
-/// A cancellation that was confirmed.
+/// A confirmed cancellation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cancellation {
-    /// The job.
+    /// The job's id.
     pub id: String,
     /// Its number of tasks.
     pub tasks: u32,
-    /// The revision at which its record went.
+    /// The revision at which its live record was removed.
     pub revision: u64,
-    /// When it was confirmed here.
+    /// When it was confirmed by this controller.
     pub since: Steady,
 }
 
-/// Most that wait for one controller; the oldest go first.
-const MOST: usize = 4_000;
-/// Most in one message.
-const BATCH: usize = 200;
+/// Most notices that wait for one controller; beyond it the oldest are dropped.
+const MAX_WAITING: usize = 4_000;
+/// Most notices in one message.
+const MAX_BATCH: usize = 200;
 
-/// What each of the others is yet to be told.
+/// The notices to send to one controller.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NoticeBatch {
+    /// Number of the controller among the others.
+    pub to: usize,
+    /// The cancellations, oldest first.
+    pub cancellations: Vec<Cancellation>,
+}
+
+/// The notices that each of the other controllers has not acknowledged yet.
 #[derive(Debug)]
 pub struct CancellationNotices {
+    /// By number of the controller, oldest first.
     waiting: Vec<VecDeque<Cancellation>>,
-    keep: Micros,
+    max_age: Micros,
 }
 
 impl CancellationNotices {
-    /// For so many others. After `keep` the bound on acting blind has ended all that the word could.
-    pub fn new(others: usize, keep: Micros) -> CancellationNotices {
-        CancellationNotices { waiting: vec![VecDeque::new(); others], keep }
+    /// No notices yet, for so many other controllers. A notice is dropped after `max_age`, when the
+    /// staleness bound has ended all that it could stop.
+    pub fn new(other_controllers: usize, max_age: Micros) -> CancellationNotices {
+        CancellationNotices { waiting: vec![VecDeque::new(); other_controllers], max_age }
     }
 
-    /// Has all others told.
-    pub fn add(&mut self, c: &Cancellation) {
-        for w in &mut self.waiting {
-            if w.iter().any(|x| x.id == c.id) {
+    /// Adds a notice for all other controllers.
+    pub fn add(&mut self, cancellation: &Cancellation) {
+        for queue in &mut self.waiting {
+            if queue.iter().any(|waiting| waiting.id == cancellation.id) {
                 continue;
             }
-            if w.len() >= MOST {
-                w.pop_front();
+            if queue.len() >= MAX_WAITING {
+                queue.pop_front();
             }
-            w.push_back(c.clone());
+            queue.push_back(cancellation.clone());
         }
     }
 
-    /// What to tell now, by number of the other.
-    pub fn due(&mut self, now: Steady) -> Vec<(usize, Vec<Cancellation>)> {
-        let keep = self.keep;
-        let batch = |(to, w): (usize, &mut VecDeque<Cancellation>)| {
-            w.retain(|c| now - c.since <= keep);
-            (to, w.iter().take(BATCH).cloned().collect::<Vec<_>>())
-        };
-        self.waiting.iter_mut().enumerate().map(batch).filter(|b| !b.1.is_empty()).collect()
+    /// The notices to send now, a batch for each controller that has some waiting.
+    pub fn due(&mut self, now: Steady) -> Vec<NoticeBatch> {
+        let mut batches = Vec::new();
+        for (to, queue) in self.waiting.iter_mut().enumerate() {
+            queue.retain(|cancellation| now - cancellation.since <= self.max_age);
+            if !queue.is_empty() {
+                batches
+                    .push(NoticeBatch { to, cancellations: queue.iter().take(MAX_BATCH).cloned().collect() });
+            }
+        }
+        batches
     }
 
-    /// One of the others has answered that it knows these.
-    pub fn answered(&mut self, by: usize, told: &[Cancellation]) {
-        if let Some(w) = self.waiting.get_mut(by) {
-            w.retain(|c| !told.iter().any(|t| t.id == c.id));
+    /// Removes notices that a controller has acknowledged.
+    pub fn acknowledged(&mut self, by: usize, acknowledged: &[Cancellation]) {
+        if let Some(queue) = self.waiting.get_mut(by) {
+            queue.retain(|waiting| !acknowledged.iter().any(|known| known.id == waiting.id));
         }
     }
 
-    /// Whether all others know all.
+    /// Whether all controllers have acknowledged all notices.
     pub fn is_empty(&self) -> bool {
         self.waiting.iter().all(VecDeque::is_empty)
     }
--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -2,7 +2,7 @@
 //! confirmed to users.
 
 use super::{Controller, Leadership, UNTOLD_VERSION, VERSION};
-use crate::cancellation_notices::Cancellation;
+use crate::cancellation_notices::{Cancellation, NoticeBatch};
 use crate::fleet::JobProgress;
 use crate::jobs::JobId;
 use crate::peer::{self, JobCounts, PeerMessage, PeerReply, Summary};
@@ -101,7 +101,7 @@
         let due = self.notices.lock().unwrap_or_else(|e| e.into_inner()).due(self.now());
         let sent: Vec<_> = due
             .into_iter()
-            .map(|(to, batch)| {
+            .map(|NoticeBatch { to, cancellations: batch }| {
                 let one = |c: &Cancellation| peer::Cancellation {
                     id: c.id.clone(),
                     tasks: c.tasks,
@@ -116,7 +116,7 @@
         for (to, waiting, batch) in sent {
             match waiting.and_then(|w| w.wait()) {
                 Ok(PeerReply::Ack(a)) => {
-                    self.notices.lock().unwrap_or_else(|e| e.into_inner()).answered(to, &batch);
+                    self.notices.lock().unwrap_or_else(|e| e.into_inner()).acknowledged(to, &batch);
                     self.peer_answered(a.token);
                 }
                 Ok(_) => all = false,
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -7,7 +7,7 @@
 use crate::config::Config;
 use crate::fleet::Fleet;
 use crate::leadership::{self, LeaderClaim, LeaderRecord, LEADER_KEY};
-use crate::state::StateStoreError;
+use crate::state::{KeyList, StateStoreError};
 use crate::store_contact::StoreContact;
 use crate::time::{Micros, Steady};
 
@@ -67,7 +67,7 @@
     /// Renews the leader's lease; steps down if it has ended, or if this leader is isolated.
     fn renew_lease(&self, lease: u64, fencing_token: u64) {
         let begun = self.now();
-        let r = self.state.renew(lease);
+        let r = self.state.renew_lease(lease);
         let renewed = r.is_ok();
         let mut shared = self.lock();
         let Some(leadership) = shared.leadership_with(fencing_token) else { return };
@@ -106,7 +106,7 @@
     /// Reads the leader's record. While another leads, waits for the end of its lease; then, or if
     /// nobody leads, fails over.
     fn follow_leader(&self, ttl: Micros) -> Result<(), StateStoreError> {
-        let (rows, revision) = self.state.list(LEADER_KEY)?;
+        let KeyList { rows, revision } = self.state.list(LEADER_KEY)?;
         let row = rows.into_iter().find(|r| r.key == LEADER_KEY);
         let owner: Option<LeaderRecord> =
             row.as_ref().and_then(|r| serde_json::from_value(r.value.clone()).ok());
@@ -218,7 +218,7 @@
         }
         let now = self.now();
         let budget = StateBudget::new(&self.cfg, true);
-        self.state.allow(budget.requests_per_s, budget.writes_per_s);
+        self.state.set_rates(budget.requests_per_s, budget.writes_per_s);
         tracing::info!(
             fencing_token = claim.fencing_token,
             jobs = fleet.jobs.len(),
@@ -249,7 +249,7 @@
         shared.highest_fencing_token = shared.highest_fencing_token.max(fencing_token);
         if let Some(leadership) = shared.leadership.take() {
             let budget = StateBudget::new(&self.cfg, false);
-            self.state.allow(budget.requests_per_s, budget.writes_per_s);
+            self.state.set_rates(budget.requests_per_s, budget.writes_per_s);
             tracing::info!(
                 fencing_token = leadership.claim.fencing_token,
                 higher = fencing_token,
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -26,7 +26,7 @@
             return Response::error(503, "starting");
         }
         let unheard = self.now() - shared.last_peer_contact;
-        let lost = self.state.out_of_reach() > STATE_TIMEOUT;
+        let lost = self.state.unreachable_for() > STATE_TIMEOUT;
         if lost && self.peers.count() > 0 && unheard > PEER_TIMEOUT {
             return Response::error(503, "cut off from the state service and the other controllers");
         }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -184,7 +184,7 @@
         for m in self.machines.values() {
             if m.up && !m.enrolled && !m.leaving && m.ty.is_some() && self.packs.get(&m.id).is_none() {
                 let record = MachineRecord {
-                    part: 0,
+                    shard: 0,
                     fencing_token: self.fencing_token,
                     address: m.addr.clone(),
                     machine_type: m.ty_name.clone(),
@@ -234,8 +234,8 @@
             if now - j.wrote_done >= batch && j.done.len() > j.done_written.len() {
                 for index in 0..j.spec.tasks.div_ceil(chunk) {
                     let number = chunk_number(chunk, index);
-                    let (a, b) = chunk_span(number);
-                    if j.done.within(a, b) != j.done_written.within(a, b) {
+                    let span = chunk_span(number);
+                    if j.done.within(span.start, span.end) != j.done_written.within(span.start, span.end) {
                         v.push(PendingWrite::Done(j.id.clone(), number));
                     }
                 }
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of the state service.
+//! Keys of the state store.
 
 /// Key of the list of recent jobs.
 pub const RECENT_KEY: &str = "recent";
@@ -8,16 +8,18 @@
     format!("job/{id}")
 }
 
-/// Key of a job that is over.
+/// Key of a job that has ended.
 pub fn final_key(id: &str) -> String {
     format!("final/{id}")
 }
 
 /// Prefix of the packed machine records.
 pub const MACHINES_PREFIX: &str = "machines";
-/// Prefix of the packed marks: by job, tasks below which may have been started.
+/// Prefix of the packed high-water marks: by job, the task number below which tasks may have been
+/// started.
 pub const HIGH_WATER_MARKS_PREFIX: &str = "marks";
-/// Prefix of the history, packed by key's hash; earlier versions wrote `hist/<team>/<stated>`.
+/// Prefix of the history of run times, packed by the key's hash; earlier versions wrote
+/// `hist/<team>/<estimate>`.
 pub const HISTORY_PREFIX: &str = "hist";
 
 /// Key of a packed value.
@@ -30,7 +32,7 @@
     format!("done/{id}/{chunk}")
 }
 
-/// Prefix of all that a cell keeps of tasks that it has borrowed.
+/// Prefix of all that a cell stores about tasks that it has borrowed.
 pub const BORROWED_PREFIX: &str = "borrowed";
 
 /// Key of a borrowed job.
@@ -48,7 +50,7 @@
     format!("{BORROWED_PREFIX}/done/{id}/")
 }
 
-/// Key of what is kept of a cell from which tasks are borrowed.
+/// Key of the record of a cell from which tasks are borrowed.
 pub fn lender_key(cell: &str) -> String {
     format!("{BORROWED_PREFIX}/lender/{cell}")
 }
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -62,7 +62,7 @@
 
 /// Reads all that is kept of borrowed tasks.
 pub(super) fn borrowed_rows(state: &StateStoreClient) -> Result<Vec<Row>, StateStoreError> {
-    let (mut rows, _) = state.list(&format!("{BORROWED_PREFIX}/"))?;
+    let mut rows = state.list(&format!("{BORROWED_PREFIX}/"))?.rows;
     // Jobs first: done ranges belong to them.
     rows.sort_by_key(|row| !row.key.starts_with(&borrowed_key("")));
     Ok(rows)
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -16,7 +16,7 @@
 use crate::history::HistoryRecord;
 use crate::keys::{BORROWED_PREFIX, HIGH_WATER_MARKS_PREFIX, HISTORY_PREFIX, MACHINES_PREFIX, RECENT_KEY};
 use crate::records::{JobRecord, MachineRecord};
-use crate::state::{RequestPriority, StateStoreClient, StateStoreError, TxnOutcome};
+use crate::state::{KeyList, RequestPriority, StateStoreClient, StateStoreError, TxnOutcome};
 use crate::time::{wall, Micros, Steady, Wall};
 use crate::wire::{Change, Guard, MachineType, Row, Txn};
 
@@ -96,7 +96,7 @@
     seen: u64,
 ) -> Result<Option<LeaderClaim>, StateStoreError> {
     check_format(state)?;
-    let lease = state.lease(ttl)?;
+    let lease = state.grant_lease(ttl)?;
     let term = state.get(TERM_KEY, RequestPriority::Leadership)?;
     let shard = state.get(SHARD_KEY, RequestPriority::Leadership)?;
     let fencing_token = last_term(term.as_ref())? + 1;
@@ -186,13 +186,13 @@
     now: Steady,
 ) -> Result<Fleet, StateStoreError> {
     let mut fleet = Fleet::new(cfg, types, fencing_token, now);
-    let (jobs, revision) = state.list("job/")?;
+    let KeyList { rows: jobs, revision } = state.list("job/")?;
     // Both forms of the machines' records: `machine/<id>` and `machines/<slot>`.
-    let (machines, _) = state.list("machine")?;
-    let (marks, _) = state.list(&format!("{HIGH_WATER_MARKS_PREFIX}/"))?;
-    let (done, _) = state.list("done/")?;
-    let (history, _) = state.list("hist/")?;
-    let (recent, _) = state.list(RECENT_KEY)?;
+    let machines = state.list("machine")?.rows;
+    let marks = state.list(&format!("{HIGH_WATER_MARKS_PREFIX}/"))?.rows;
+    let done = state.list("done/")?.rows;
+    let history = state.list("hist/")?.rows;
+    let recent = state.list(RECENT_KEY)?.rows;
     let borrowed = if fleet.uses_cells() { loan_records::borrowed_rows(state)? } else { Vec::new() };
     load(&mut fleet, [recent, jobs, borrowed, machines, marks, done, history].concat(), now, wall());
     fleet.has_read_to(revision);
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -207,8 +207,8 @@
 
 fn compose_done(fleet: &Fleet, item: &PendingWrite, id: &JobId, chunk: u32) -> Option<Write> {
     let job = fleet.jobs.get(id)?;
-    let (from, to) = chunk_span(chunk);
-    let tasks = job.done.within(from, to);
+    let span = chunk_span(chunk);
+    let tasks = job.done.within(span.start, span.end);
     let key = job.done_chunk_key(chunk);
     let mod_revision = job.chunks.get(&chunk).copied().unwrap_or(0);
     let guards = vec![
--- a/src/live_jobs.rs
+++ b/src/live_jobs.rs
@@ -1,145 +1,185 @@
-//! The live jobs as this node knows them, for polls. A poll has to rest on a read begun after it
-//! came. One read of what changed under `job/` since the last one serves all polls that wait at that
-//! moment: users poll each unfinished job every few seconds, and with a read for each the polls of a
-//! busy minute alone would take this node's share of the state service.
+//! The live jobs as this controller knows them, for status requests.
+//!
+//! The answer to a status request has to rest on a read of the state store that began after the
+//! request came. One read of what changed under `job/` since the last one serves all requests that
+//! wait at that moment: users poll each unfinished job every few seconds, and with a read for each
+//! poll a busy minute alone would use up this controller's share of the store's rate limits.
 
 use std::collections::BTreeSet;
 use std::sync::{Condvar, Mutex, MutexGuard};
 
-use crate::state::{RequestPriority, StateStoreClient, StateStoreError};
+use crate::state::{KeyList, RequestPriority, StateStoreClient, StateStoreError};
 use crate::time::{steady, Micros, Steady};
 use crate::wire::Events;
 
-/// How long a poll waits for a read; its user gives up after two seconds.
-const WITHIN: Micros = Micros(1_900_000);
-const PREFIX: &str = "job/";
+/// How long a status request waits for a read; its user gives up after two seconds.
+const REQUEST_PATIENCE: Micros = Micros::from_millis(1900);
+/// Prefix of the live jobs' keys.
+const JOB_PREFIX: &str = "job/";
 
 /// Ids of the live jobs at a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LiveIds {
     /// The ids.
     pub ids: BTreeSet<String>,
-    /// The revision; none: all is to be read anew.
+    /// The revision; `None` until all live jobs have been read.
     pub revision: Option<u64>,
 }
 
 impl LiveIds {
-    /// Takes in changes since the revision.
-    pub fn apply(&mut self, c: &Events) {
-        let id = |key: Option<&String>| key.and_then(|k| k.strip_prefix(PREFIX)).map(str::to_string);
-        self.ids.extend(c.events.iter().filter_map(|e| id(e.put.as_ref())));
-        // Last, whatever order they come in: a job that has ended never lives again.
-        for gone in c.events.iter().filter_map(|e| id(e.drop.as_ref())) {
-            self.ids.remove(&gone);
+    /// Applies changes since the revision.
+    pub fn apply(&mut self, changes: &Events) {
+        let job_id =
+            |key: Option<&String>| key.and_then(|key| key.strip_prefix(JOB_PREFIX)).map(str::to_string);
+        self.ids.extend(changes.events.iter().filter_map(|event| job_id(event.put.as_ref())));
+        // Removals last, whatever order the events come in: a job that has ended never lives again.
+        for ended in changes.events.iter().filter_map(|event| job_id(event.drop.as_ref())) {
+            self.ids.remove(&ended);
         }
-        self.revision = self.revision.max(Some(c.revision));
+        self.revision = self.revision.max(Some(changes.revision));
     }
 }
 
+/// A read that failed.
+struct FailedRead {
+    number: u64,
+    error: StateStoreError,
+}
+
+/// The live jobs as last read, and which reads have begun and ended. Reads are numbered from 1.
 #[derive(Default)]
-struct Seen {
+struct ReadState {
     live: LiveIds,
-    /// Reads begun, the last that succeeded, and the last that failed, by number.
-    begun: u64,
-    good: u64,
-    bad: Option<(u64, StateStoreError)>,
-    busy: bool,
-    last: Steady,
+    /// Number of the last read that has begun.
+    last_begun: u64,
+    /// Number of the last read that succeeded; 0: none.
+    last_succeeded: u64,
+    last_failed: Option<FailedRead>,
+    /// A read is under way, or its turn is awaited.
+    read_in_progress: bool,
+    /// When the last read began.
+    last_begun_at: Steady,
+}
+
+impl ReadState {
+    /// The answer for a job by a read of at least this number; `None` if none has ended yet.
+    fn result_since(&self, number: u64, id: &str) -> Option<Result<bool, StateStoreError>> {
+        if self.last_succeeded >= number {
+            return Some(Ok(self.live.ids.contains(id)));
+        }
+        let failed = self.last_failed.as_ref().filter(|failed| failed.number >= number)?;
+        Some(Err(failed.error.clone()))
+    }
+
+    /// Records the result of a read.
+    fn finish(&mut self, number: u64, result: Result<ReadResult, StateStoreError>) {
+        self.read_in_progress = false;
+        match result {
+            Ok(ReadResult::All(live)) => self.live = live,
+            Ok(ReadResult::Changes(changes)) => self.live.apply(&changes),
+            Err(error) => {
+                self.last_failed = Some(FailedRead { number, error });
+                return;
+            }
+        }
+        self.last_succeeded = number;
+    }
 }
 
 /// The live jobs.
 pub struct LiveJobs {
-    seen: Mutex<Seen>,
-    bell: Condvar,
-    gap: Micros,
+    state: Mutex<ReadState>,
+    read_ended: Condvar,
+    min_read_interval: Micros,
 }
 
 impl LiveJobs {
-    /// Nothing is known yet. Reads begin at least `gap` apart.
-    pub fn new(gap: Micros) -> LiveJobs {
-        LiveJobs { seen: Mutex::default(), bell: Condvar::new(), gap }
+    /// Knows no job yet. Reads begin at least `min_read_interval` apart.
+    pub fn new(min_read_interval: Micros) -> LiveJobs {
+        LiveJobs { state: Mutex::default(), read_ended: Condvar::new(), min_read_interval }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(|e| e.into_inner())
+    fn lock(&self) -> MutexGuard<'_, ReadState> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn wait<'a>(&self, s: MutexGuard<'a, Seen>, t: Micros) -> MutexGuard<'a, Seen> {
-        match self.bell.wait_timeout(s, t.std()) {
-            Ok((g, _)) => g,
-            Err(e) => e.into_inner().0,
+    fn wait<'a>(&self, state: MutexGuard<'a, ReadState>, timeout: Micros) -> MutexGuard<'a, ReadState> {
+        match self.read_ended.wait_timeout(state, timeout.std()) {
+            Ok((state, _)) => state,
+            Err(poisoned) => poisoned.into_inner().0,
         }
     }
 
-    /// Whether a job is live, by a read begun after this call.
-    pub fn is_live(&self, id: &str, state: &StateStoreClient) -> Result<bool, StateStoreError> {
-        let deadline = steady() + WITHIN;
-        let mut s = self.lock();
-        // One that has begun already may have been executed before this call.
-        let mine = s.begun + 1;
+    /// Whether a job is live, by a read that begins after this call.
+    ///
+    /// # Errors
+    /// That of the read; [`StateStoreError::Budget`] if none ended in time.
+    pub fn is_live(&self, id: &str, store: &StateStoreClient) -> Result<bool, StateStoreError> {
+        let deadline = steady() + REQUEST_PATIENCE;
+        let mut state = self.lock();
+        // The store may have executed a read that has begun already before this call.
+        let needed = state.last_begun + 1;
         loop {
-            if s.good >= mine {
-                return Ok(s.live.ids.contains(id));
-            }
-            if let Some((_, e)) = s.bad.as_ref().filter(|b| b.0 >= mine) {
-                return Err(e.clone());
+            if let Some(result) = state.result_since(needed, id) {
+                return result;
             }
             let left = deadline - steady();
             if left.0 <= 0 {
                 return Err(StateStoreError::Budget);
             }
-            if s.busy {
-                s = self.wait(s, left);
-                continue;
-            }
-            s.busy = true;
-            // Whoever comes in the gap is served by the same read.
-            loop {
-                let gap = s.last + self.gap - steady();
-                if gap.0 <= 0 {
-                    break;
-                }
-                s = self.wait(s, gap);
-            }
-            s.begun += 1;
-            s.last = steady();
-            let (number, from) = (s.begun, s.live.revision);
-            drop(s);
-            let read = read(state, from);
-            s = self.lock();
-            s.busy = false;
-            match read {
-                Ok(r) => {
-                    match r {
-                        Read::All(live) => s.live = live,
-                        Read::Changes(c) => s.live.apply(&c),
-                    }
-                    s.good = number;
-                }
-                Err(e) => s.bad = Some((number, e)),
+            state =
+                if state.read_in_progress { self.wait(state, left) } else { self.read_once(state, store) };
+        }
+    }
+
+    /// Makes a read, as soon as the minimum interval since the last one has passed, and wakes all
+    /// requests that wait for it.
+    fn read_once<'a>(
+        &'a self,
+        mut state: MutexGuard<'a, ReadState>,
+        store: &StateStoreClient,
+    ) -> MutexGuard<'a, ReadState> {
+        state.read_in_progress = true;
+        // Requests that come within the interval are served by the same read.
+        loop {
+            let left = state.last_begun_at + self.min_read_interval - steady();
+            if left.0 <= 0 {
+                break;
             }
-            self.bell.notify_all();
+            state = self.wait(state, left);
         }
+        state.last_begun += 1;
+        state.last_begun_at = steady();
+        let (number, from) = (state.last_begun, state.live.revision);
+        drop(state);
+        let result = read(store, from);
+        let mut state = self.lock();
+        state.finish(number, result);
+        self.read_ended.notify_all();
+        state
     }
 }
 
-enum Read {
+/// What a read of the live jobs gives.
+enum ReadResult {
+    /// All of them.
     All(LiveIds),
+    /// What has changed since the last read.
     Changes(Events),
 }
 
 /// Reads what changed since a revision, or everything.
-fn read(state: &StateStoreClient, from: Option<u64>) -> Result<Read, StateStoreError> {
-    match from.map(|from| state.changes(PREFIX, from, RequestPriority::User)) {
-        // Too much has changed since: all is read anew.
+fn read(store: &StateStoreClient, from: Option<u64>) -> Result<ReadResult, StateStoreError> {
+    match from.map(|from| store.changes(JOB_PREFIX, from, RequestPriority::User)) {
+        // Too much has changed since: everything is read again.
         None | Some(Err(StateStoreError::TooOld)) => {}
-        Some(r) => return r.map(Read::Changes),
+        Some(result) => return result.map(ReadResult::Changes),
     }
-    let (rows, revision) = state.list(PREFIX)?;
-    let ids = rows.iter().filter_map(|r| r.key.strip_prefix(PREFIX)).map(str::to_string).collect();
-    // A list of several pages is not of one moment: what changed meanwhile is read as well.
-    let changes = state.changes(PREFIX, revision, RequestPriority::User)?;
+    let KeyList { rows, revision } = store.list(JOB_PREFIX)?;
+    let ids = rows.iter().filter_map(|row| row.key.strip_prefix(JOB_PREFIX)).map(str::to_string).collect();
+    // The pages of a list are not read at one moment: what changed meanwhile is read as well.
+    let changes = store.changes(JOB_PREFIX, revision, RequestPriority::User)?;
     let mut live = LiveIds { ids, revision: Some(revision) };
     live.apply(&changes);
-    Ok(Read::All(live))
+    Ok(ReadResult::All(live))
 }
--- a/src/packed_records.rs
+++ b/src/packed_records.rs
@@ -1,5 +1,7 @@
-//! Many small records packed into few values, since the state service counts changes and not
-//! bytes. Each value (a *slot*) is rewritten whole and guarded by its own version, so that a late
+//! Many small records packed into few values, since the state store's rate limit counts changes and
+//! not bytes.
+//!
+//! Each value (a *slot*) is rewritten whole and guarded by its own `mod_revision`, so that a late
 //! copy of an earlier write fails; see docs/safety.md.
 //!
 //! A slot that was written under a larger limit is emptied: its records are first written to other
@@ -9,38 +11,53 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a slot holds.
+/// The records of a slot, by id.
 pub type SlotRecords<T> = BTreeMap<Arc<str>, T>;
 
-/// Least bytes that a slot may be limited to.
-const LEAST_LIMIT: usize = 256;
+/// Least bytes that a slot may be limited to, however small the limit of a value is.
+const MIN_SLOT_BYTES: usize = 256;
 /// Bytes of a value that are left free.
-const SLACK: usize = 64;
-/// Highest slot number that is taken over.
-const MOST_SLOTS: u32 = 100_000;
+const RESERVED_BYTES: usize = 64;
+/// Bytes of a slot without records: `{}`.
+const EMPTY_SLOT_BYTES: usize = 2;
+/// Bytes added to a record's size: its quotes and separators, and digits by which its numbers may
+/// grow without a move to another slot.
+const RECORD_OVERHEAD_BYTES: usize = 16;
+/// Highest slot number that is loaded; no leader writes a higher one.
+const MAX_SLOT: u32 = 100_000;
 
-/// Records by name in numbered slots, each within the limit of a value.
+/// Records by id in numbered slots, each within the limit of a value.
 #[derive(Debug)]
 pub struct PackedRecords<T> {
-    limit: usize,
+    /// Most bytes in a slot.
+    max_slot_bytes: usize,
     slots: Vec<Slot<T>>,
-    of: BTreeMap<Arc<str>, usize>,
+    /// The slot of each record, by the record's id.
+    slot_by_id: BTreeMap<Arc<str>, usize>,
+}
+
+/// A write that has to precede another one: of this slot, at this version or later.
+#[derive(Clone, Copy, Debug)]
+struct Prerequisite {
+    slot: usize,
+    version: u64,
 }
 
 #[derive(Debug)]
 struct Slot<T> {
+    /// Revision of the stored value; 0: not stored.
     mod_revision: u64,
+    /// Estimated size of the value, at least its real size.
     bytes: usize,
-    items: BTreeMap<Arc<str>, T>,
-    /// Counts changes; what is written carries the count it was taken at.
+    records: SlotRecords<T>,
+    /// Counts changes; a write carries the version of the contents that it writes.
     version: u64,
-    written: u64,
-    /// The last change that something waits for.
-    urgent: u64,
-    /// Slots, with their versions, that have to be written before this one: they hold records that
-    /// the stored value of this one still has.
-    after: Vec<(usize, u64)>,
-    /// Its stored value cannot be read by this version: it is never written.
+    written_version: u64,
+    /// Version of the last change that something waits for.
+    urgent_version: u64,
+    /// Writes of slots that hold records which the stored value of this one still has.
+    prerequisites: Vec<Prerequisite>,
+    /// Its stored value cannot be read by this program version: it is never written.
     unreadable: bool,
 }
 
@@ -48,187 +65,217 @@
     fn default() -> Self {
         Slot {
             mod_revision: 0,
-            bytes: 2,
-            items: BTreeMap::new(),
+            bytes: EMPTY_SLOT_BYTES,
+            records: BTreeMap::new(),
             version: 0,
-            written: 0,
-            urgent: 0,
-            after: Vec::new(),
+            written_version: 0,
+            urgent_version: 0,
+            prerequisites: Vec::new(),
             unreadable: false,
         }
     }
 }
 
+impl<T> Slot<T> {
+    /// Whether something waits for it to be written.
+    fn is_urgent(&self) -> bool {
+        self.urgent_version > self.written_version
+    }
+
+    /// Whether a new record of a size may be placed in it.
+    fn has_room(&self, record_bytes: usize, max_slot_bytes: usize) -> bool {
+        self.bytes + record_bytes <= max_slot_bytes && self.prerequisites.is_empty() && !self.unreadable
+    }
+
+    /// Counts the removal of a record of a size.
+    fn subtract_bytes(&mut self, record_bytes: usize) {
+        self.bytes = self.bytes.saturating_sub(record_bytes).max(EMPTY_SLOT_BYTES);
+    }
+}
+
 impl<T: Clone + PartialEq + serde::Serialize> PackedRecords<T> {
-    /// Empty packs of values of at most `limit` bytes.
-    pub fn new(limit: usize) -> PackedRecords<T> {
-        PackedRecords { limit: PackedRecords::<T>::usable(limit), slots: Vec::new(), of: BTreeMap::new() }
+    /// No records yet, in values of at most `max_value_bytes` bytes.
+    pub fn new(max_value_bytes: usize) -> PackedRecords<T> {
+        PackedRecords {
+            max_slot_bytes: PackedRecords::<T>::max_slot_bytes(max_value_bytes),
+            slots: Vec::new(),
+            slot_by_id: BTreeMap::new(),
+        }
     }
 
-    fn usable(limit: usize) -> usize {
-        limit.saturating_sub(SLACK).max(LEAST_LIMIT)
+    fn max_slot_bytes(max_value_bytes: usize) -> usize {
+        max_value_bytes.saturating_sub(RESERVED_BYTES).max(MIN_SLOT_BYTES)
     }
 
-    /// Keeps to a smaller limit from now on; slots above it are emptied into others.
-    pub fn reduce_limit(&mut self, limit: usize) {
-        self.limit = self.limit.min(PackedRecords::<T>::usable(limit));
+    /// Keeps values to a smaller limit from now on; slots above it are emptied into others.
+    pub fn reduce_limit(&mut self, max_value_bytes: usize) {
+        let max_slot_bytes = PackedRecords::<T>::max_slot_bytes(max_value_bytes);
+        self.max_slot_bytes = self.max_slot_bytes.min(max_slot_bytes);
         self.empty_oversized();
     }
 
-    fn size(id: &str, item: &T) -> usize {
-        // Counted at its longest: numbers may grow by some digits without moving.
-        serde_json::to_string(item).map_or(0, |s| s.len()) + id.len() + 16
+    fn record_bytes(id: &str, record: &T) -> usize {
+        serde_json::to_string(record).map_or(0, |json| json.len()) + id.len() + RECORD_OVERHEAD_BYTES
     }
 
-    /// Sets a record. Its slot is to be written.
-    pub fn put(&mut self, id: &Arc<str>, item: T) {
-        let size = PackedRecords::size(id, &item);
-        let at = match self.of.get(id) {
-            Some(&at) => at,
-            None => self.place(id, size),
+    /// Sets a record. Its slot is to be written urgently.
+    pub fn put(&mut self, id: &Arc<str>, record: T) {
+        let record_bytes = PackedRecords::record_bytes(id, &record);
+        let index = match self.slot_by_id.get(id) {
+            Some(&index) => index,
+            None => self.place(id, record_bytes),
         };
-        let s = &mut self.slots[at];
-        if let Some(replaced) = s.items.insert(id.clone(), item) {
-            // Counted anew: a slot whose records grow would otherwise seem to have ever more room, and
+        let slot = &mut self.slots[index];
+        if let Some(replaced) = slot.records.insert(id.clone(), record) {
+            // Counted again: a slot whose records grow would otherwise seem to have ever more room, and
             // outgrow the limit of a value.
-            s.bytes = s.bytes.saturating_sub(PackedRecords::size(id, &replaced)) + size;
+            let replaced_bytes = PackedRecords::record_bytes(id, &replaced);
+            slot.bytes = slot.bytes.saturating_sub(replaced_bytes) + record_bytes;
         }
-        s.version += 1;
-        s.urgent = s.version;
+        slot.version += 1;
+        slot.urgent_version = slot.version;
     }
 
-    /// Finds a slot for a new record of a size.
-    fn place(&mut self, id: &Arc<str>, size: usize) -> usize {
-        let limit = self.limit;
-        let room = |s: &Slot<T>| s.bytes + size <= limit && s.after.is_empty() && !s.unreadable;
-        // A slot that is to be written anyway takes it at no further cost.
-        let open = self.slots.iter().position(|s| s.urgent > s.written && room(s));
-        let at = open.or_else(|| self.slots.iter().position(room)).unwrap_or_else(|| {
+    /// Finds a slot for a new record of a size and reserves the bytes; returns the slot's index.
+    fn place(&mut self, id: &Arc<str>, record_bytes: usize) -> usize {
+        let max_slot_bytes = self.max_slot_bytes;
+        let has_room = |slot: &Slot<T>| slot.has_room(record_bytes, max_slot_bytes);
+        // A slot that is to be written anyway takes it without a further change.
+        let urgent = self.slots.iter().position(|slot| slot.is_urgent() && has_room(slot));
+        let index = urgent.or_else(|| self.slots.iter().position(has_room)).unwrap_or_else(|| {
             self.slots.push(Slot::default());
             self.slots.len() - 1
         });
-        self.of.insert(id.clone(), at);
-        self.slots[at].bytes += size;
-        at
+        self.slot_by_id.insert(id.clone(), index);
+        self.slots[index].bytes += record_bytes;
+        index
     }
 
-    /// Takes a record out; its slot is rewritten when there is time.
+    /// Removes a record; its slot is rewritten, but nothing waits for that.
     pub fn remove(&mut self, id: &str) {
-        let Some(at) = self.of.remove(id) else { return };
-        let s = &mut self.slots[at];
-        if let Some(item) = s.items.remove(id) {
-            s.bytes = s.bytes.saturating_sub(PackedRecords::size(id, &item)).max(2);
-            s.version += 1;
+        let Some(index) = self.slot_by_id.remove(id) else { return };
+        let slot = &mut self.slots[index];
+        if let Some(record) = slot.records.remove(id) {
+            slot.subtract_bytes(PackedRecords::record_bytes(id, &record));
+            slot.version += 1;
         }
     }
 
-    /// A record as it will be written.
+    /// A record as it is or will be written.
     pub fn get(&self, id: &str) -> Option<&T> {
-        self.of.get(id).and_then(|&at| self.slots[at].items.get(id))
+        self.slot_by_id.get(id).and_then(|&index| self.slots[index].records.get(id))
     }
 
     fn slot_mut(&mut self, slot: u32) -> Option<&mut Slot<T>> {
-        if slot > MOST_SLOTS {
+        if slot > MAX_SLOT {
             return None;
         }
-        let slot = slot as usize;
-        while self.slots.len() <= slot {
+        let index = slot as usize;
+        while self.slots.len() <= index {
             self.slots.push(Slot::default());
         }
-        self.slots.get_mut(slot)
-    }
-
-    /// Takes a slot over from its value. An earlier owner may have ended between the two writes that
-    /// move a record: `newer` then chooses between the two copies. [`PackedRecords::empty_oversized`] follows
-    /// when all slots are loaded.
-    pub fn load(&mut self, slot: u32, mod_revision: u64, items: SlotRecords<T>, newer: fn(T, T) -> T) {
-        let Some(s) = self.slot_mut(slot) else { return };
-        s.mod_revision = mod_revision;
-        let slot = slot as usize;
-        for (id, stored) in items {
-            let earlier = self.of.insert(id.clone(), slot).filter(|&other| other != slot);
-            let copy = earlier.and_then(|other| self.slots[other].items.remove(&id));
-            let item = match copy.clone() {
-                Some(copy) => newer(copy, stored.clone()),
-                None => stored.clone(),
-            };
-            let s = &mut self.slots[slot];
-            s.bytes += PackedRecords::size(&id, &item);
-            s.version += u64::from(item != stored);
-            s.items.insert(id.clone(), item);
-            let version = s.version;
-            if let (Some(other), Some(copy)) = (earlier, copy) {
-                let o = &mut self.slots[other];
-                o.bytes = o.bytes.saturating_sub(PackedRecords::size(&id, &copy)).max(2);
-                o.version += 1;
-                o.after.push((slot, version));
-            }
+        self.slots.get_mut(index)
+    }
+
+    /// Loads a slot from its stored value. An earlier leader may have ended between the two writes
+    /// that move a record: `newer` then chooses between the two copies. Call
+    /// [`PackedRecords::empty_oversized`] when all slots are loaded.
+    pub fn load(&mut self, slot: u32, mod_revision: u64, records: SlotRecords<T>, newer: fn(T, T) -> T) {
+        let Some(loaded) = self.slot_mut(slot) else { return };
+        loaded.mod_revision = mod_revision;
+        for (id, stored) in records {
+            self.load_record(slot as usize, id, stored, newer);
         }
     }
 
-    /// Marks a slot whose value cannot be read: it is never written.
+    fn load_record(&mut self, index: usize, id: Arc<str>, stored: T, newer: fn(T, T) -> T) {
+        let earlier = self.slot_by_id.insert(id.clone(), index).filter(|&other| other != index);
+        let copy = earlier.and_then(|other| self.slots[other].records.remove(&id));
+        let record = match copy.clone() {
+            Some(copy) => newer(copy, stored.clone()),
+            None => stored.clone(),
+        };
+        let slot = &mut self.slots[index];
+        slot.bytes += PackedRecords::record_bytes(&id, &record);
+        slot.version += u64::from(record != stored);
+        slot.records.insert(id.clone(), record);
+        let merged = Prerequisite { slot: index, version: slot.version };
+        if let (Some(other), Some(copy)) = (earlier, copy) {
+            let other = &mut self.slots[other];
+            other.subtract_bytes(PackedRecords::record_bytes(&id, &copy));
+            other.version += 1;
+            other.prerequisites.push(merged);
+        }
+    }
+
+    /// Notes that a slot's stored value cannot be read: it is never written.
     pub fn keep_unreadable(&mut self, slot: u32) {
-        if let Some(s) = self.slot_mut(slot) {
-            s.unreadable = true;
+        if let Some(slot) = self.slot_mut(slot) {
+            slot.unreadable = true;
         }
     }
 
     /// Moves the records of slots above the limit to others.
     pub fn empty_oversized(&mut self) {
-        let limit = self.limit;
-        for from in 0..self.slots.len() {
-            if self.slots[from].bytes <= limit {
-                continue;
-            }
-            let s = &mut self.slots[from];
-            let items = std::mem::take(&mut s.items);
-            s.bytes = 2;
-            s.version += 1;
-            // No record is placed back here before the slot is rewritten.
-            s.after.push((from, 0));
-            for (id, item) in items {
-                let to = self.place(&id, PackedRecords::size(&id, &item));
-                let target = &mut self.slots[to];
-                target.items.insert(id, item);
-                target.version += 1;
-                let moved = (to, target.version);
-                self.slots[from].after.push(moved);
+        for index in 0..self.slots.len() {
+            if self.slots[index].bytes > self.max_slot_bytes {
+                self.empty_slot(index);
             }
         }
     }
 
-    /// Whether what has to be written before a slot is.
-    fn ready(&self, s: &Slot<T>) -> bool {
-        !s.unreadable && s.after.iter().all(|&(slot, version)| self.slots[slot].written >= version)
+    fn empty_slot(&mut self, index: usize) {
+        let slot = &mut self.slots[index];
+        let records = std::mem::take(&mut slot.records);
+        slot.bytes = EMPTY_SLOT_BYTES;
+        slot.version += 1;
+        // Always fulfilled, but no record is placed here again before the slot is rewritten.
+        slot.prerequisites.push(Prerequisite { slot: index, version: 0 });
+        for (id, record) in records {
+            let target_index = self.place(&id, PackedRecords::record_bytes(&id, &record));
+            let target = &mut self.slots[target_index];
+            target.records.insert(id, record);
+            target.version += 1;
+            let moved = Prerequisite { slot: target_index, version: target.version };
+            self.slots[index].prerequisites.push(moved);
+        }
+    }
+
+    /// Whether a slot may be written now: all that has to be written before it is.
+    fn may_write(&self, slot: &Slot<T>) -> bool {
+        let is_written = |before: &Prerequisite| self.slots[before.slot].written_version >= before.version;
+        !slot.unreadable && slot.prerequisites.iter().all(is_written)
     }
 
-    /// Slots to be written: those that something waits for, or the others.
+    /// Numbers of the slots to be written: those that something waits for (`urgent`), or the others.
     pub fn pending(&self, urgent: bool) -> impl Iterator<Item = u32> + '_ {
-        self.slots.iter().enumerate().filter_map(move |(i, s)| {
-            let waits = s.urgent > s.written;
-            (s.version > s.written && waits == urgent && self.ready(s)).then_some(i as u32)
+        self.slots.iter().enumerate().filter_map(move |(index, slot)| {
+            let changed = slot.version > slot.written_version;
+            (changed && slot.is_urgent() == urgent && self.may_write(slot)).then_some(index as u32)
         })
     }
 
-    /// A slot's version in the state service, the count of its changes and what it holds.
+    /// A slot's contents as they are to be written: the stored value's `mod_revision` for the guard,
+    /// the version to pass to [`PackedRecords::written`], and the records.
     pub fn slot(&self, slot: u32) -> Option<(u64, u64, &SlotRecords<T>)> {
-        self.slots.get(slot as usize).map(|s| (s.mod_revision, s.version, &s.items))
+        self.slots.get(slot as usize).map(|slot| (slot.mod_revision, slot.version, &slot.records))
     }
 
-    /// A slot has been written at a revision, as it stood at `version`.
+    /// Notes that a slot's contents of `version` were written at a revision.
     pub fn written(&mut self, slot: u32, version: u64, revision: u64) {
-        if let Some(s) = self.slots.get_mut(slot as usize) {
-            s.mod_revision = s.mod_revision.max(revision);
-            s.written = s.written.max(version);
-            s.after.clear();
+        if let Some(slot) = self.slots.get_mut(slot as usize) {
+            slot.mod_revision = slot.mod_revision.max(revision);
+            slot.written_version = slot.written_version.max(version);
+            slot.prerequisites.clear();
         }
     }
 
-    /// A slot as read back. Only this owner's own earlier writes can have changed it, so what is
-    /// here is newer; with the right version it can be written.
+    /// Sets the `mod_revision` of a slot that was read back. Only this leader's own earlier writes
+    /// can have changed it, so the records held here are newer; with the right `mod_revision` they
+    /// can be written.
     pub fn set_mod_revision(&mut self, slot: u32, mod_revision: u64) {
-        if let Some(s) = self.slots.get_mut(slot as usize) {
-            s.mod_revision = mod_revision;
+        if let Some(slot) = self.slots.get_mut(slot as usize) {
+            slot.mod_revision = mod_revision;
         }
     }
 }
--- a/src/records.rs
+++ b/src/records.rs
@@ -1,4 +1,5 @@
-//! What is kept in the state service, one struct for each kind of record.
+//! The records that controllers keep in the state store, one struct for each kind. Where a field has
+//! another name in the code than in the stored JSON, a serde rename keeps the stored one.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +9,16 @@
 
 use crate::wire::{JobSpec, Priority, Stage};
 
-/// What is written for a live job, under `job/<id>`.
+/// The record of a live job, under `job/<id>`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct JobRecord {
     /// The job as its user described it.
     #[serde(alias = "spec_of_lent")]
     pub spec: JobSpec,
-    /// When it was accepted, in microseconds of the time of day.
+    /// When it was accepted, in microseconds since 1970 (UTC).
     pub submitted_us: i64,
-    /// Tasks below this may have been started, as earlier versions wrote it; now in the marks.
+    /// Tasks with lower numbers may have been started. Only earlier versions wrote it here; it is now
+    /// under [`crate::keys::HIGH_WATER_MARKS_PREFIX`].
     #[serde(rename = "high", default)]
     pub high_water_mark: u32,
     /// Loans to other cells, and whether the job is being cancelled while some are open.
@@ -24,8 +26,8 @@
     pub lending: Lending,
 }
 
-/// While there is something to say of loans, the description has another name: versions that know nothing
-/// of loans cannot read the record then, so that none of them starts what is lent.
+/// While the job has loans, the description is stored under another name: versions without loans cannot
+/// read the record then, so that none of them starts tasks that are lent.
 impl Serialize for JobRecord {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut record = serializer.serialize_map(None)?;
@@ -42,7 +44,7 @@
     }
 }
 
-/// What is kept for ever of a job that is over, under `final/<id>`.
+/// The record of a job that has ended, under `final/<id>`. It is never removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
     /// `done` or `cancelled`.
@@ -51,67 +53,69 @@
     pub tasks: u32,
 }
 
-/// What is written for a machine before the first start on it, many to a value, under
-/// `machines/<slot>`. Earlier versions wrote one under `machine/<id>`, with longer names.
+/// The record of a machine, written before the first start on it. Many are packed into a value under
+/// `machines/<slot>`; earlier versions wrote one value a machine under `machine/<id>`, with longer
+/// field names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// The part it belongs to.
+    /// The shard it belongs to.
     #[serde(rename = "p", alias = "part", default)]
-    pub part: u32,
-    /// The token it was enrolled with.
+    pub shard: u32,
+    /// The leader's fencing token when the record was written.
     #[serde(rename = "n", alias = "token", default)]
     pub fencing_token: u64,
-    /// The worker's address.
+    /// Address at which the worker takes commands, `ip:port`.
     #[serde(rename = "a", alias = "addr", default)]
     pub address: String,
-    /// Type.
+    /// Name of its machine type.
     #[serde(rename = "t", alias = "ty", default)]
     pub machine_type: String,
-    /// Zone.
+    /// Name of its zone.
     #[serde(rename = "z", alias = "zone", default)]
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot instance.
     #[serde(rename = "s", alias = "spot", default)]
     pub spot: bool,
-    /// Fields of a later version, written back as they were read.
+    /// Fields that a later version added; they are written back as they were read.
     #[serde(flatten)]
     pub other: BTreeMap<String, serde_json::Value>,
 }
 
-/// A recent job, as far as what is kept for its like goes. The list of them is written now and
-/// then under `recent`, so that a new owner does not return what the next such job needs.
+/// What a recent job asked for. A list of them is written from time to time under `recent`, so that a
+/// new leader does not scale in machines that the next job like it needs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DemandRecord {
-    /// When it came, in microseconds of the time of day.
+    /// When it was submitted, in microseconds since 1970 (UTC).
     pub at_us: i64,
-    /// Processors, cards and memory of a task.
+    /// What a task needs: processors, accelerator cards, memory in GB.
     pub need: (f64, f64, f64),
-    /// Its rank.
+    /// Its priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Names of the types it may use.
+    /// Names of the machine types it may use.
     pub types: Vec<String>,
-    /// Task-seconds, by the stated time.
+    /// Task-seconds, by the user's estimate of a task's run time.
     pub work: f64,
-    /// Its class should start sooner than a machine boots and fetches.
+    /// The service-level objective of its class is shorter than a machine needs to boot and fetch an
+    /// image.
     #[serde(rename = "hasty")]
     pub starts_before_boot: bool,
-    /// Machines that it takes at once, beyond the first.
+    /// Machines that it takes at the same time, beyond the first.
     #[serde(rename = "beside", default)]
     pub extra_machines: u32,
     /// It has a deadline.
     #[serde(default)]
     pub due: bool,
-    /// It may use spot machines.
+    /// It may use spot instances.
     #[serde(default)]
     pub spot: bool,
 }
 
-/// What is kept of a cell from which tasks are borrowed, under `borrowed/lender/<cell>`.
+/// The record of a cell from which tasks are borrowed, under `borrowed/lender/<cell>`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LenderRecord {
-    /// No loan up to this number is accepted any more.
+    /// Loans up to this number are not accepted any more.
     pub high_water: LoanNumber,
-    /// Tasks that were done here in loans that are closed.
+    /// Tasks that were done here in closed loans.
     pub finished: u64,
 }
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -1,5 +1,5 @@
-//! This node's rate budget for the state store: token buckets for requests and for changes, a
-//! priority per call, and the rate limits that are announced to fall.
+//! This controller's rate budget for the state store: token buckets for requests and for changes, a
+//! priority per call, and the lower rate limits that are announced to come into force later.
 
 use std::collections::VecDeque;
 
@@ -8,11 +8,11 @@
 /// How much a call matters when the budget is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPriority {
-    /// Leadership (claim, lease renewal, reads after a take over): never waits for the budget.
+    /// Leadership (claim, lease renewal, reads after a failover): never waits for the budget.
     Leadership,
-    /// Acceptance and cancellation: users wait for it.
+    /// Acceptance, cancellation and status of jobs: a user waits for the answer.
     User,
-    /// What starts and ends of jobs wait for.
+    /// Writes of the leader that the start or the end of a job waits for.
     Leader,
     /// Everything else.
     Background,
@@ -31,82 +31,108 @@
     }
 }
 
+/// Tokens that a bucket holds at least when it is full, however low its rate.
+const MIN_CAPACITY: f64 = 1.0;
+/// Shortest and longest wait, in seconds, that a short bucket asks for.
+const MIN_WAIT_S: f64 = 0.002;
+const MAX_WAIT_S: f64 = 1.0;
+
 /// A token bucket that holds a second's worth of its rate (at least one token).
 pub struct TokenBucket {
+    /// Tokens a second.
     rate: f64,
+    /// Tokens in the bucket at `refilled_at`; below zero after forced calls.
     level: f64,
-    at: Steady,
+    refilled_at: Steady,
 }
 
 impl TokenBucket {
     /// A full bucket of `rate` tokens a second.
     pub fn new(rate: f64, now: Steady) -> TokenBucket {
-        TokenBucket { rate, level: rate, at: now }
+        TokenBucket { rate, level: rate, refilled_at: now }
+    }
+
+    fn capacity(&self) -> f64 {
+        self.rate.max(MIN_CAPACITY)
     }
 
     fn refill(&mut self, now: Steady) {
-        self.level = (self.level + (now - self.at).secs() * self.rate).min(self.rate.max(1.0));
-        self.at = now;
+        let added = (now - self.refilled_at).secs() * self.rate;
+        self.level = (self.level + added).min(self.capacity());
+        self.refilled_at = now;
     }
 
-    /// Takes `n` tokens, keeping `reserve` tokens back for calls of higher priority.
+    /// Takes `tokens` tokens, keeping `reserve` tokens back for calls of higher priority.
     ///
     /// # Errors
     /// How long to wait before there are enough (between 2 ms and 1 s); nothing is taken.
-    pub fn take(&mut self, now: Steady, n: f64, reserve: f64) -> Result<(), Micros> {
+    pub fn take(&mut self, now: Steady, tokens: f64, reserve: f64) -> Result<(), Micros> {
         self.refill(now);
         // A request larger than the whole bucket passes when the bucket is full.
-        let need = (n + reserve).min(self.rate.max(1.0));
-        if self.level >= need {
-            self.level -= n;
+        let needed = (tokens + reserve).min(self.capacity());
+        if self.level >= needed {
+            self.level -= tokens;
             return Ok(());
         }
-        Err(Micros::from_secs(((need - self.level) / self.rate).clamp(0.002, 1.0)))
+        let wait_s = (needed - self.level) / self.rate;
+        Err(Micros::from_secs(wait_s.clamp(MIN_WAIT_S, MAX_WAIT_S)))
     }
 
-    /// Takes `n` tokens whatever the level, which may go below zero.
-    fn force(&mut self, now: Steady, n: f64) {
+    /// Takes `tokens` tokens whatever the level, which may go below zero.
+    fn force(&mut self, now: Steady, tokens: f64) {
         self.refill(now);
-        self.level -= n;
+        self.level -= tokens;
     }
 }
 
+/// Stands for no reserve at all: with it [`TokenBucket::take`] passes whatever the level.
+const IGNORE_LEVEL: f64 = -1e9;
+
 /// How long all calls pause after a refusal for the rate (429).
 const PAUSE_AFTER_RATE_REFUSAL: Micros = Micros::from_millis(60);
 
-/// The rate budget of one client: requests and changes, by this node's share of the limits.
+/// Rates that one controller may use: its share of the state store's limits.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct AllowedRates {
+    /// Requests a second.
+    pub(super) requests: f64,
+    /// Changes (puts and deletes) a second.
+    pub(super) writes: f64,
+}
+
+/// The rate budget of one client: requests and changes, by this controller's share of the limits.
 pub(super) struct RateBudget {
     requests: TokenBucket,
     writes: TokenBucket,
     pause_until: Steady,
-    /// This node's share of the present limits: requests and changes a second.
-    share: (f64, f64),
+    /// This controller's share of the present limits.
+    allowed: AllowedRates,
     next: NextRates,
 }
 
 impl RateBudget {
-    /// A full budget of `share` (requests, changes) a second, with the limits to come `next`.
-    pub(super) fn new(share: (f64, f64), next: NextRates, now: Steady) -> RateBudget {
+    /// A full budget; `next` are the limits to come.
+    pub(super) fn new(allowed: AllowedRates, next: NextRates, now: Steady) -> RateBudget {
         RateBudget {
-            requests: TokenBucket::new(share.0, now),
-            writes: TokenBucket::new(share.1, now),
+            requests: TokenBucket::new(allowed.requests, now),
+            writes: TokenBucket::new(allowed.writes, now),
             pause_until: Steady(0),
-            share,
+            allowed,
             next,
         }
     }
 
-    /// Changes this node's share of the limits.
-    pub(super) fn set_share(&mut self, share: (f64, f64)) {
-        self.share = share;
+    /// Changes this controller's share of the limits.
+    pub(super) fn set_allowed(&mut self, allowed: AllowedRates) {
+        self.allowed = allowed;
         self.set_rates();
     }
 
-    /// Sets the rates by the share and, once they show, by the coming limits.
+    /// Sets the rates by this controller's share and, once they are in force, by the next limits.
     fn set_rates(&mut self) {
         let (requests, writes) = self.next.in_force();
-        self.requests.rate = self.share.0 * requests;
-        self.writes.rate = self.share.1 * writes;
+        self.requests.rate = self.allowed.requests * requests;
+        self.writes.rate = self.allowed.writes * writes;
     }
 
     /// Takes one request and `writes` changes at `priority`.
@@ -127,10 +153,10 @@
         if now < self.pause_until {
             return Err(self.pause_until - now);
         }
-        let reserved_writes = self.writes.rate * reserve;
-        let reserved_requests = self.requests.rate * reserve;
         // A call without changes never waits for the write bucket.
-        self.writes.take(now, writes as f64, if writes > 0 { reserved_writes } else { -1e9 })?;
+        let reserved_writes = if writes > 0 { self.writes.rate * reserve } else { IGNORE_LEVEL };
+        let reserved_requests = self.requests.rate * reserve;
+        self.writes.take(now, writes as f64, reserved_writes)?;
         let taken = self.requests.take(now, 1.0, reserved_requests);
         if taken.is_err() {
             // Nothing is taken when the request bucket is short.
@@ -140,8 +166,8 @@
     }
 
     /// A refusal for the rate (429): pauses all calls briefly and empties the request bucket;
-    /// once such refusals show that the coming limits hold, the rates follow them. The log
-    /// line's message is the one that the operations guide names.
+    /// once such refusals show that the next limits are in force, the rates follow them. The
+    /// log line's message is the one that docs/operations.md quotes.
     pub(super) fn rate_refused(&mut self) {
         self.pause_until = steady() + PAUSE_AFTER_RATE_REFUSAL;
         self.requests.level = self.requests.level.min(0.0);
@@ -155,7 +181,7 @@
         }
     }
 
-    /// A write was rejected as too large: the coming limits hold.
+    /// A write was rejected as too large: the next limits are in force.
     pub(super) fn write_rejected(&mut self) {
         self.next.rejected();
         self.set_rates();
@@ -163,52 +189,57 @@
 }
 
 /// Rate refusals within this time are counted together.
-const REFUSALS_WITHIN: Micros = Micros::from_millis(10_000);
-/// So many of them show that the coming limits hold: bursts of several nodes at once have one now
-/// and then under any limits.
-const REFUSALS_SHOW: usize = 5;
-
-/// Rate limits that will hold from some moment on, without notice. The present ones are kept to
-/// until refusals for the rate (429) or of a write that is too large (400) show the change; an
-/// outage or a store that refuses this node alone answers 503 and shows nothing.
+const REFUSAL_WINDOW: Micros = Micros::from_millis(10_000);
+/// So many of them show that the next limits are in force. Fewer do not: simultaneous bursts of
+/// several controllers are refused now and then under any limits.
+const DECISIVE_REFUSALS: usize = 5;
+
+/// Fractions of the present limits while these stay: (requests, changes).
+const UNCHANGED_SHARES: (f64, f64) = (1.0, 1.0);
+
+/// Rate limits that come into force at some moment, without notice. The present ones are kept to
+/// until refusals for the rate (429) or of a write that is too large (400) show the change. An
+/// outage, or a store that refuses this controller alone, answers 503 and shows nothing.
 #[derive(Clone, Debug)]
 pub struct NextRates {
+    /// The next limits as fractions of the present ones: (requests, changes).
     shares: (f64, f64),
-    /// The latest refusals for the rate, no more than show the change.
+    /// The latest refusals for the rate, at most [`DECISIVE_REFUSALS`].
     refusals: VecDeque<Steady>,
-    shown: bool,
+    in_force: bool,
 }
 
 impl NextRates {
-    /// The coming limits as shares of the present ones: (requests, changes).
+    /// The next limits as fractions of the present ones, each at most 1: (requests, changes).
     pub fn new(shares: (f64, f64)) -> NextRates {
-        NextRates { shares, refusals: VecDeque::new(), shown: false }
+        NextRates { shares, refusals: VecDeque::new(), in_force: false }
     }
 
-    /// Counts a refusal for the rate; whether it shows the change (true once at most).
+    /// Counts a refusal for the rate. Returns whether this one shows that the next limits are in
+    /// force, which is true at most once, and never if they do not differ from the present ones.
     pub fn refused(&mut self, now: Steady) -> bool {
         self.refusals.push_back(now);
-        while self.refusals.len() > REFUSALS_SHOW {
+        while self.refusals.len() > DECISIVE_REFUSALS {
             self.refusals.pop_front();
         }
         let oldest = self.refusals.front().copied().unwrap_or(now);
-        let many = self.refusals.len() == REFUSALS_SHOW && now - oldest <= REFUSALS_WITHIN;
-        let shows = many && !self.shown && self.shares != (1.0, 1.0);
-        self.shown |= shows;
-        shows
+        let decisive = self.refusals.len() == DECISIVE_REFUSALS && now - oldest <= REFUSAL_WINDOW;
+        let comes_into_force = decisive && !self.in_force && self.shares != UNCHANGED_SHARES;
+        self.in_force |= comes_into_force;
+        comes_into_force
     }
 
-    /// A write was rejected as too large: the coming limits hold.
+    /// A write was rejected as too large: the next limits are in force.
     pub fn rejected(&mut self) {
-        self.shown = true;
+        self.in_force = true;
     }
 
-    /// The shares of the present limits that are kept to: (requests, changes).
+    /// The fractions of the present limits to keep to now: (requests, changes).
     pub fn in_force(&self) -> (f64, f64) {
-        if self.shown {
+        if self.in_force {
             self.shares
         } else {
-            (1.0, 1.0)
+            UNCHANGED_SHARES
         }
     }
 }
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -1,5 +1,4 @@
-//! What a call to the state store answers when it has no result, and what a compare-and-swap
-//! transaction answers when it has one.
+//! Errors of calls to the state store, and the outcomes of a compare-and-swap transaction.
 
 /// Why a call to the state store has no result.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone)]
@@ -8,7 +7,7 @@
     /// sent): nothing was executed.
     #[error("the state store refused the request with status {0}")]
     Refused(u16),
-    /// Over this node's own share of the rate limits: nothing was sent.
+    /// Over this controller's own share of the rate limits: nothing was sent.
     #[error("over this node's share of the state store's rate limits")]
     Budget,
     /// No answer: the request may have been executed, or may yet be.
--- a/src/store_contact.rs
+++ b/src/store_contact.rs
@@ -1,49 +1,51 @@
-//! How long an owner may act without having looked. Cancellations are confirmed by any controller
-//! through the state service, and so is its own replacement; an owner that cannot read it must have
-//! stopped renewing leases so early that they end within `cancel_s` of anything it may have missed.
-//! Every path that answers a report or sends a start asks here, at the moment of the answer.
+//! How long a leader may act without contact with the state store (its staleness bound).
+//!
+//! Any controller may confirm a cancellation through the state store, and so may another controller
+//! become leader. A leader that cannot read the store must therefore stop renewing the workers' leases
+//! so early that they expire within `cancel_s` of anything it may have missed. Every path that answers
+//! a heartbeat or sends a start checks [`StoreContact::may_act`] at the moment it does so.
 
 use crate::time::{Micros, Steady};
 
-/// An owner's view of the state service.
+/// When a leader was last in contact with the state store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreContact {
     /// Start of the last complete read of the jobs' changes.
-    read: Steady,
-    /// Start of the last renewal that showed that nobody had taken over.
-    owned: Steady,
-    bound: Micros,
+    last_read: Steady,
+    /// Start of the last lease renewal that was granted: no other controller led then.
+    last_renewal: Steady,
+    max_staleness: Micros,
 }
 
 impl StoreContact {
-    /// The view of an owner whose claim, and the reads after it, began at a moment.
-    pub fn new(begun: Steady, bound: Micros) -> StoreContact {
-        StoreContact { read: begun, owned: begun, bound }
+    /// The contact of a leader whose claim, and the reads after it, began at `claimed`.
+    pub fn new(claimed: Steady, max_staleness: Micros) -> StoreContact {
+        StoreContact { last_read: claimed, last_renewal: claimed, max_staleness }
     }
 
-    /// All changes were read by a request that was sent at this moment. A watch that waits is none:
-    /// one that stays silent may be waiting for a service that no longer answers this node.
+    /// Notes that all changes were read by a request sent at this moment. A watch that blocks does
+    /// not count: one that stays silent may wait for a store that no longer answers this controller.
     pub fn note_read(&mut self, sent: Steady) {
-        self.read = self.read.max(sent);
+        self.last_read = self.last_read.max(sent);
     }
 
-    /// Nobody had taken over when a renewal sent at this moment was granted.
+    /// Notes that a renewal of the leader's lease, sent at this moment, was granted.
     pub fn note_renewal(&mut self, sent: Steady) {
-        self.owned = self.owned.max(sent);
+        self.last_renewal = self.last_renewal.max(sent);
     }
 
-    /// The age of what it rests on.
+    /// The age of what the leader knows: of its last read or renewal, whichever is older.
     pub fn age(&self, now: Steady) -> Micros {
-        now - self.read.min(self.owned)
+        now - self.last_read.min(self.last_renewal)
     }
 
     /// The age of the last complete read.
     pub fn read_age(&self, now: Steady) -> Micros {
-        now - self.read
+        now - self.last_read
     }
 
-    /// Whether leases may be renewed and tasks started.
+    /// Whether the leader may renew workers' leases and start tasks.
     pub fn may_act(&self, now: Steady) -> bool {
-        self.age(now) <= self.bound
+        self.age(now) <= self.max_staleness
     }
 }
--- a/src/task_ranges.rs
+++ b/src/task_ranges.rs
@@ -1,10 +1,34 @@
-//! Sets of task numbers as ranges, and the chunks in which done ranges are written.
+//! Sets of task numbers as ranges, and the chunks in which the done ranges of a job are stored.
+
+use std::ops::Range;
 
 use milletlock_cells::TaskSet;
 
+/// Task numbers from `start` up to but not including `end`; never empty.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct TaskRange {
+    start: u32,
+    end: u32,
+}
+
+impl TaskRange {
+    fn len(self) -> u32 {
+        self.end - self.start
+    }
+
+    /// The compact text: `7`, or `0-4`, inclusive.
+    fn to_text(self) -> String {
+        if self.len() == 1 {
+            self.start.to_string()
+        } else {
+            format!("{}-{}", self.start, self.end - 1)
+        }
+    }
+}
+
 /// A set of task numbers as sorted, disjoint, non-adjacent half-open ranges.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TaskRanges(Vec<(u32, u32)>);
+pub struct TaskRanges(Vec<TaskRange>);
 
 impl TaskRanges {
     /// The empty set.
@@ -12,56 +36,58 @@
         TaskRanges(Vec::new())
     }
 
-    /// All numbers from `a` up to but not including `b`.
-    pub fn span(a: u32, b: u32) -> TaskRanges {
-        TaskRanges(if a < b { vec![(a, b)] } else { Vec::new() })
+    /// All numbers from `start` up to but not including `end`.
+    pub fn span(start: u32, end: u32) -> TaskRanges {
+        TaskRanges(if start < end { vec![TaskRange { start, end }] } else { Vec::new() })
     }
 
-    /// Whether the set holds `x`.
-    pub fn contains(&self, x: u32) -> bool {
-        let i = self.0.partition_point(|r| r.1 <= x);
-        self.0.get(i).is_some_and(|r| r.0 <= x)
+    /// Whether the set holds `task`.
+    pub fn contains(&self, task: u32) -> bool {
+        let index = self.0.partition_point(|range| range.end <= task);
+        self.0.get(index).is_some_and(|range| range.start <= task)
     }
 
-    /// Adds `x`; false if it was there.
-    pub fn insert(&mut self, x: u32) -> bool {
-        let i = self.0.partition_point(|r| r.1 < x);
-        match self.0.get(i).copied() {
-            Some((a, b)) if a <= x && x < b => false,
-            Some((a, b)) if b == x => {
-                match self.0.get(i + 1).copied() {
-                    Some((c, d)) if c == x + 1 => {
-                        self.0[i] = (a, d);
-                        self.0.remove(i + 1);
-                    }
-                    _ => self.0[i] = (a, x + 1),
-                }
-                true
-            }
-            Some((a, b)) if a == x + 1 => {
-                self.0[i] = (x, b);
-                true
-            }
-            _ => {
-                self.0.insert(i, (x, x + 1));
-                true
+    /// Adds `task`; false if it was there.
+    pub fn insert(&mut self, task: u32) -> bool {
+        // The first range that holds, adjoins or follows the task.
+        let index = self.0.partition_point(|range| range.end < task);
+        match self.0.get(index).copied() {
+            Some(range) if range.start <= task && task < range.end => return false,
+            Some(range) if range.end == task => self.extend_up(index),
+            Some(range) if range.start == task + 1 => self.0[index].start = task,
+            _ => self.0.insert(index, TaskRange { start: task, end: task + 1 }),
+        }
+        true
+    }
+
+    /// Adds the number after a range to it, and joins it with the next range if they meet then.
+    fn extend_up(&mut self, index: usize) {
+        let end = self.0[index].end + 1;
+        match self.0.get(index + 1).copied() {
+            Some(next) if next.start == end => {
+                self.0[index].end = next.end;
+                self.0.remove(index + 1);
             }
+            _ => self.0[index].end = end,
         }
     }
 
-    /// Takes `x` out; false if it was not there.
-    pub fn remove(&mut self, x: u32) -> bool {
-        let i = self.0.partition_point(|r| r.1 <= x);
-        let Some((a, b)) = self.0.get(i).copied().filter(|r| r.0 <= x) else { return false };
-        match (a == x, b == x + 1) {
+    /// Removes `task`; false if it was not there.
+    pub fn remove(&mut self, task: u32) -> bool {
+        let index = self.0.partition_point(|range| range.end <= task);
+        let Some(range) = self.0.get(index).copied().filter(|range| range.start <= task) else {
+            return false;
+        };
+        let (is_first, is_last) = (range.start == task, range.end == task + 1);
+        match (is_first, is_last) {
             (true, true) => {
-                self.0.remove(i);
+                self.0.remove(index);
             }
-            (true, false) => self.0[i].0 = x + 1,
-            (false, true) => self.0[i].1 = x,
+            (true, false) => self.0[index].start = task + 1,
+            (false, true) => self.0[index].end = task,
             (false, false) => {
-                self.0[i] = (a, x);
-                self.0.insert(i + 1, (x + 1, b));
+                self.0[index].end = task;
+                self.0.insert(index + 1, TaskRange { start: task + 1, end: range.end });
             }
         }
         true
@@ -69,7 +95,7 @@
 
     /// How many numbers the set holds.
     pub fn len(&self) -> u32 {
-        self.0.iter().map(|r| r.1 - r.0).sum()
+        self.0.iter().map(|range| range.len()).sum()
     }
 
     /// Whether it is empty.
@@ -77,19 +103,20 @@
         self.0.is_empty()
     }
 
-    /// The numbers, in order.
+    /// The numbers, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
-        self.0.iter().flat_map(|r| r.0..r.1)
+        self.0.iter().flat_map(|range| range.start..range.end)
     }
 
-    /// How many numbers are at least `x`.
-    pub fn count_from(&self, x: u32) -> u32 {
-        self.0.iter().map(|r| r.1.saturating_sub(r.0.max(x))).sum()
+    /// How many numbers are at least `first`.
+    pub fn count_from(&self, first: u32) -> u32 {
+        self.0.iter().map(|range| range.end.saturating_sub(range.start.max(first))).sum()
     }
 
-    /// The part from `a` up to but not including `b`.
-    pub fn within(&self, a: u32, b: u32) -> TaskRanges {
-        TaskRanges(self.0.iter().map(|r| (r.0.max(a), r.1.min(b))).filter(|r| r.0 < r.1).collect())
+    /// The numbers of the set from `start` up to but not including `end`.
+    pub fn within(&self, start: u32, end: u32) -> TaskRanges {
+        let clip = |range: &TaskRange| TaskRange { start: range.start.max(start), end: range.end.min(end) };
+        TaskRanges(self.0.iter().map(clip).filter(|range| range.start < range.end).collect())
     }
 
     /// The same numbers as a compressed bitmap.
@@ -97,19 +124,19 @@
         self.iter().collect()
     }
 
-    /// The compact text: `0-4,7`, inclusive.
+    /// The compact text in which done ranges are stored: `0-4,7`, inclusive.
     pub fn text(&self) -> String {
-        let one = |&(a, b): &(u32, u32)| if b == a + 1 { a.to_string() } else { format!("{a}-{}", b - 1) };
-        self.0.iter().map(one).collect::<Vec<_>>().join(",")
+        self.0.iter().map(|range| range.to_text()).collect::<Vec<_>>().join(",")
     }
 
-    /// Adds the numbers of a compact text; numbers from `limit` on are left out.
+    /// Adds the numbers of a compact text. Numbers from `limit` on and parts that are no range are
+    /// left out.
     pub fn add_text(&mut self, text: &str, limit: u32) {
-        for part in text.split(',').filter(|p| !p.is_empty()) {
-            let (a, b) = part.split_once('-').unwrap_or((part, part));
-            if let (Ok(a), Ok(b)) = (a.parse::<u32>(), b.parse::<u32>()) {
-                for x in a..=b.min(limit.saturating_sub(1)) {
-                    self.insert(x);
+        for part in text.split(',').filter(|part| !part.is_empty()) {
+            let (first, last) = part.split_once('-').unwrap_or((part, part));
+            if let (Ok(first), Ok(last)) = (first.parse::<u32>(), last.parse::<u32>()) {
+                for task in first..=last.min(limit.saturating_sub(1)) {
+                    self.insert(task);
                 }
             }
         }
@@ -126,26 +153,30 @@
     }
 }
 
-/// Tasks in a chunk of done ranges, so that the longest text fits a value: ranges of one task
-/// each, apart by one, take up to seven bytes for two tasks.
+/// Fewest and most tasks in a chunk of done ranges.
+const MIN_CHUNK_TASKS: usize = 64;
+const MAX_CHUNK_TASKS: usize = 65_535;
+
+/// Tasks in a chunk of done ranges, such that the longest text fits a value of `value_bytes` bytes:
+/// ranges of one task each, apart by one, take up to seven bytes for two tasks.
 pub fn chunk_tasks(value_bytes: usize) -> u32 {
-    ((value_bytes / 4).saturating_sub(8)).clamp(64, 65_535) as u32
+    ((value_bytes / 4).saturating_sub(8)).clamp(MIN_CHUNK_TASKS, MAX_CHUNK_TASKS) as u32
 }
 
 /// Bits of a chunk's number that hold its index among the job's chunks.
 const CHUNK_INDEX_BITS: u32 = 12;
 
 /// Number of a chunk of done ranges. It carries the tasks in a chunk beside the index: with the index
-/// alone, as earlier versions number chunks, two owners whose values are limited differently would
+/// alone, as earlier versions number chunks, two leaders whose values are limited differently would
 /// write different tasks under one key, and each would drop some that the other had written. Chunks
 /// of earlier versions are read like any other and never rewritten: these numbers are all larger.
 pub fn chunk_number(tasks_per_chunk: u32, index: u32) -> u32 {
     (tasks_per_chunk << CHUNK_INDEX_BITS) | index
 }
 
-/// The tasks of a numbered chunk: from the first up to but not including the second.
-pub fn chunk_span(number: u32) -> (u32, u32) {
-    let tasks = number >> CHUNK_INDEX_BITS;
+/// The task numbers of a numbered chunk.
+pub fn chunk_span(number: u32) -> Range<u32> {
+    let tasks_per_chunk = number >> CHUNK_INDEX_BITS;
     let index = number & ((1 << CHUNK_INDEX_BITS) - 1);
-    (index * tasks, (index + 1) * tasks)
+    index * tasks_per_chunk..(index + 1) * tasks_per_chunk
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -6,6 +6,11 @@
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Longest span that is made from seconds, in seconds.
+const MAX_SECONDS: f64 = 1e12;
+
 /// A span of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub i64);
@@ -23,22 +28,27 @@
     pub const ZERO: Micros = Micros(0);
 
     /// A span from seconds; values that are not finite count as zero.
-    pub fn from_secs(s: f64) -> Micros {
-        if s.is_finite() {
-            Micros((s.clamp(-1e12, 1e12) * 1e6) as i64)
+    pub fn from_secs(seconds: f64) -> Micros {
+        if seconds.is_finite() {
+            Micros((seconds.clamp(-MAX_SECONDS, MAX_SECONDS) * MICROS_PER_SECOND) as i64)
         } else {
             Micros::ZERO
         }
     }
 
     /// A span from whole milliseconds.
-    pub const fn from_millis(ms: i64) -> Micros {
-        Micros(ms * 1000)
+    pub const fn from_millis(milliseconds: i64) -> Micros {
+        Micros(milliseconds * 1000)
+    }
+
+    /// The span in whole milliseconds, rounded towards zero.
+    pub const fn millis(self) -> i64 {
+        self.0 / 1000
     }
 
     /// The span in seconds.
     pub fn secs(self) -> f64 {
-        self.0 as f64 / 1e6
+        self.0 as f64 / MICROS_PER_SECOND
     }
 
     /// The span for the standard library; negative spans are empty.
@@ -47,65 +57,69 @@
     }
 
     /// The span times a factor.
-    pub fn scale(self, by: f64) -> Micros {
-        Micros((self.0 as f64 * by) as i64)
+    pub fn scale(self, factor: f64) -> Micros {
+        Micros((self.0 as f64 * factor) as i64)
     }
 }
 
 impl Add for Micros {
     type Output = Micros;
-    fn add(self, o: Micros) -> Micros {
-        Micros(self.0.saturating_add(o.0))
+    fn add(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_add(other.0))
     }
 }
 
 impl Sub for Micros {
     type Output = Micros;
-    fn sub(self, o: Micros) -> Micros {
-        Micros(self.0.saturating_sub(o.0))
+    fn sub(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_sub(other.0))
     }
 }
 
-macro_rules! moment {
-    ($t:ty) => {
-        impl Add<Micros> for $t {
-            type Output = $t;
-            fn add(self, o: Micros) -> $t {
-                Self(self.0.saturating_add(o.0))
+/// Implements `moment + span`, `moment - span` and `moment - moment` for a clock's moments.
+macro_rules! moment_arithmetic {
+    ($moment:ty) => {
+        impl Add<Micros> for $moment {
+            type Output = $moment;
+            fn add(self, span: Micros) -> $moment {
+                Self(self.0.saturating_add(span.0))
             }
         }
-        impl Sub<Micros> for $t {
-            type Output = $t;
-            fn sub(self, o: Micros) -> $t {
-                Self(self.0.saturating_sub(o.0))
+        impl Sub<Micros> for $moment {
+            type Output = $moment;
+            fn sub(self, span: Micros) -> $moment {
+                Self(self.0.saturating_sub(span.0))
             }
         }
-        impl Sub for $t {
+        impl Sub for $moment {
             type Output = Micros;
-            fn sub(self, o: $t) -> Micros {
-                Micros(self.0.saturating_sub(o.0))
+            fn sub(self, earlier: $moment) -> Micros {
+                Micros(self.0.saturating_sub(earlier.0))
             }
         }
     };
 }
-moment!(Steady);
-moment!(Wall);
+moment_arithmetic!(Steady);
+moment_arithmetic!(Wall);
+
+/// The steady clock's reading when a process first reads it. It is not zero, so that zero can stand
+/// for "long ago" in comparisons.
+const PROCESS_START: Steady = Steady(1_000_000_000);
 
 /// Reads the steady clock.
 pub fn steady() -> Steady {
     static ORIGIN: OnceLock<Instant> = OnceLock::new();
     let origin = *ORIGIN.get_or_init(Instant::now);
-    // A process never sees moment zero, so that zero can stand for "long ago" in comparisons.
-    Steady(origin.elapsed().as_micros() as i64 + 1_000_000_000)
+    Steady(origin.elapsed().as_micros() as i64 + PROCESS_START.0)
 }
 
 /// Reads the time of day.
 pub fn wall() -> Wall {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    Wall(since.map(|d| d.as_micros() as i64).unwrap_or(0))
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    Wall(since_epoch.map(|span| span.as_micros() as i64).unwrap_or(0))
 }
 
-/// Where a node reads the steady clock: the machine's, or one that a test sets.
+/// Where a controller reads the steady clock: the machine's, or one that a test sets.
 #[derive(Clone, Debug, Default)]
 pub enum Clock {
     /// The machine's.
@@ -120,7 +134,7 @@
     pub fn now(&self) -> Steady {
         match self {
             Clock::Machine => steady(),
-            Clock::Manual(at) => Steady(at.load(Ordering::SeqCst)),
+            Clock::Manual(micros) => Steady(micros.load(Ordering::SeqCst)),
         }
     }
 }
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -22,7 +22,7 @@
 
 fn machine(ty: &str) -> MachineRecord {
     MachineRecord {
-        part: 0,
+        shard: 0,
         fencing_token: 1,
         address: "127.0.0.1:9".into(),
         machine_type: ty.into(),
