--- a/build.rs
+++ b/build.rs
@@ -1,8 +1,9 @@
-//! Compiles the protocol between controllers, with no compiler but cargo's own.
+//! Generates the code of the gRPC protocol between controllers from `proto/peer.proto`. The parser is
+//! a Rust library: no `protoc` has to be installed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/peer.proto");
-    let files = protox::compile(["proto/peer.proto"], ["proto"])?;
-    tonic_prost_build::configure().compile_fds(files)?;
+    let file_descriptors = protox::compile(["proto/peer.proto"], ["proto"])?;
+    tonic_prost_build::configure().compile_fds(file_descriptors)?;
     Ok(())
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: runs a controller, or one of the commands for operators and users.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -9,9 +9,9 @@
 
 use clap::{Parser, Subcommand};
 
-use crate::config::Config;
+use crate::config::{Config, ConfigError};
 use crate::controller::{Controller, STATUS};
-use crate::http::{CallError, Client, ClientResponse};
+use crate::http::{Client, ClientResponse};
 use crate::peer::{self, Call};
 use crate::report::RecoveryLog;
 use crate::time::Micros;
@@ -76,7 +76,7 @@
         #[arg(long, value_name = "IP:PORT", default_value = "127.0.0.1:8080")]
         server: SocketAddr,
         #[command(subcommand)]
-        what: JobCommand,
+        action: JobCommand,
     },
 }
 
@@ -100,8 +100,40 @@
     },
 }
 
-fn operator_file(given: Option<PathBuf>) -> Option<PathBuf> {
-    given.or_else(|| std::env::var_os("MILLETLOCK_OPERATOR").map(PathBuf::from))
+/// Exit code for mistakes in arguments or settings.
+const EXIT_USAGE: u8 = 2;
+/// Exit code for failures while running.
+const EXIT_FAILURE: u8 = 1;
+
+/// How long a controller or the service has to answer a command.
+const CALL_TIMEOUT: Micros = Micros::from_millis(5_000);
+/// How long the leader has to write off what a lost cell holds.
+const WRITE_OFF_TIMEOUT: Micros = Micros::from_millis(30_000);
+
+/// Runs the program.
+pub fn main() -> ExitCode {
+    let args = Args::parse();
+    match (args.command, args.config) {
+        (None, Some(config)) => run(&config, args.operator),
+        (None, None) => fail(EXIT_USAGE, "--config FILE is needed to run a controller; see --help"),
+        (Some(Command::Check { config, operator }), _) => check(&config, operator),
+        (Some(Command::Status { internal, team }), _) => status(internal, team),
+        (Some(Command::Report { file, output }), _) => report(&file, &output),
+        (Some(Command::WriteOff { cell, internal, lost_for_good }), _) => {
+            write_off(internal, &cell, lost_for_good)
+        }
+        (Some(Command::Job { server, action }), _) => job(server, action),
+    }
+}
+
+fn fail(code: u8, reason: impl std::fmt::Display) -> ExitCode {
+    eprintln!("milletlock: {reason}");
+    ExitCode::from(code)
+}
+
+fn load_config(config: &Path, operator: Option<PathBuf>) -> Result<Config, ConfigError> {
+    let operator = operator.or_else(|| std::env::var_os("MILLETLOCK_OPERATOR").map(PathBuf::from));
+    Config::load(config, operator.as_deref())
 }
 
 fn start_log() {
@@ -110,7 +142,7 @@
         Ok("info") => tracing::Level::INFO,
         _ => tracing::Level::WARN,
     };
-    // The time is the platform's to add; a line is written whole.
+    // Whoever collects the log adds the time to each line.
     let log = tracing_subscriber::fmt()
         .with_max_level(level)
         .with_writer(std::io::stderr)
@@ -123,102 +155,85 @@
     };
 }
 
-fn fail(code: u8, why: impl std::fmt::Display) -> ExitCode {
-    eprintln!("milletlock: {why}");
-    ExitCode::from(code)
-}
-
-/// Runs the program.
-pub fn main() -> ExitCode {
-    let args = Args::parse();
-    match (args.command, args.config) {
-        (None, Some(config)) => run(config, args.operator),
-        (None, None) => fail(2, "--config FILE is needed to run a controller; see --help"),
-        (Some(Command::Check { config, operator }), _) => check(config, operator),
-        (Some(Command::Status { internal, team }), _) => status(internal, team),
-        (Some(Command::Report { file, output }), _) => make_report(&file, &output),
-        (Some(Command::WriteOff { cell, internal, lost_for_good }), _) => {
-            write_off(internal, &cell, lost_for_good)
-        }
-        (Some(Command::Job { server, what }), _) => job(server, what),
-    }
-}
-
-fn run(config: PathBuf, operator: Option<PathBuf>) -> ExitCode {
-    let cfg = match Config::load(&config, operator_file(operator).as_deref()) {
-        Ok(c) => c,
-        Err(e) => return fail(2, e),
+fn run(config: &Path, operator: Option<PathBuf>) -> ExitCode {
+    let config = match load_config(config, operator) {
+        Ok(config) => config,
+        Err(e) => return fail(EXIT_USAGE, e),
     };
     start_log();
-    if let Some(warning) = cfg.size_warning() {
+    if let Some(warning) = config.size_warning() {
         tracing::warn!("{warning}");
     }
-    match Controller::run(cfg, Arc::new(AtomicBool::new(false))) {
+    match Controller::run(config, Arc::new(AtomicBool::new(false))) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => fail(1, e),
+        Err(e) => fail(EXIT_FAILURE, e),
     }
 }
 
-fn check(config: PathBuf, operator: Option<PathBuf>) -> ExitCode {
-    match Config::load(&config, operator_file(operator).as_deref()) {
-        Ok(c) => {
-            let s = &c.platform.settings;
-            println!(
-                "ok: {} of {} controllers, {} teams, {} zones; renews workers for {:.1} s without the state service; \
-                 room for {} connections, {} of them workers', on {} threads",
-                c.platform.label,
-                c.controller_count(),
-                s.teams.len(),
-                s.zones.len(),
-                c.max_staleness().secs(),
-                c.server_limits().connections,
-                c.server_limits().background_connections,
-                c.operator.max_threads
-            );
-            if let Some(cells) = &c.operator.cells {
-                println!(
-                    "cell {}: {} other cells, lends {:?}, borrows {:?} up to {} processors",
-                    cells.name,
-                    cells.others.len(),
-                    cells.lend,
-                    cells.borrow,
-                    cells.borrow_cpus
-                );
-            }
-            if let Some(warning) = c.size_warning() {
-                println!("warning: {warning}");
-            }
+fn check(config: &Path, operator: Option<PathBuf>) -> ExitCode {
+    match load_config(config, operator) {
+        Ok(config) => {
+            print_summary(&config);
             ExitCode::SUCCESS
         }
-        Err(e) => fail(2, e),
+        Err(e) => fail(EXIT_USAGE, e),
+    }
+}
+
+fn print_summary(config: &Config) {
+    let settings = &config.platform.settings;
+    println!(
+        "ok: {} of {} controllers, {} teams, {} zones; renews workers for {:.1} s without the state service; \
+         room for {} connections, {} of them workers', on {} threads",
+        config.platform.label,
+        config.controller_count(),
+        settings.teams.len(),
+        settings.zones.len(),
+        config.max_staleness().secs(),
+        config.server_limits().connections,
+        config.server_limits().background_connections,
+        config.operator.max_threads
+    );
+    if let Some(cells) = &config.operator.cells {
+        println!(
+            "cell {}: {} other cells, lends {:?}, borrows {:?} up to {} processors",
+            cells.name,
+            cells.others.len(),
+            cells.lend,
+            cells.borrow,
+            cells.borrow_cpus
+        );
+    }
+    if let Some(warning) = config.size_warning() {
+        println!("warning: {warning}");
     }
 }
 
 fn status(internal: SocketAddr, team: Option<String>) -> ExitCode {
-    let path = team.map_or(STATUS.to_string(), |t| format!("{STATUS}/{t}"));
+    let path = team.map_or(STATUS.to_string(), |team| format!("{STATUS}/{team}"));
     let call = Call { method: "GET".into(), path, body: Vec::new() };
-    match peer::call_once(internal, call, Micros::from_secs(5.0)) {
-        Ok(a) => {
-            let v: serde_json::Value = serde_json::from_slice(&a.body).unwrap_or_default();
-            println!("{v:#}");
+    match peer::call_once(internal, call, CALL_TIMEOUT) {
+        Ok(answer) => {
+            let status: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+            println!("{status:#}");
             ExitCode::SUCCESS
         }
-        Err(e) => fail(1, format!("{internal}: {e}")),
+        Err(e) => fail(EXIT_FAILURE, format!("{internal}: {e}")),
     }
 }
 
-fn make_report(file: &Path, output: &Path) -> ExitCode {
+fn report(file: &Path, output: &Path) -> ExitCode {
     let log = match std::fs::read(file) {
         Ok(log) => log,
-        Err(e) => return fail(2, format!("{}: {e}", file.display())),
+        Err(e) => return fail(EXIT_USAGE, format!("{}: {e}", file.display())),
     };
     let page = RecoveryLog::read(&log).and_then(|log| Ok((log.page()?, log)));
     let (page, log) = match page {
         Ok(page) => page,
-        Err(e) => return fail(1, format!("{}: {e}", file.display())),
+        Err(e) => return fail(EXIT_FAILURE, format!("{}: {e}", file.display())),
     };
     if let Err(e) = std::fs::write(output, page) {
-        return fail(2, format!("{}: {e}", output.display()));
+        return fail(EXIT_USAGE, format!("{}: {e}", output.display()));
     }
     println!("{}: {} recoveries{}", output.display(), log.recoveries.len(), log.omissions());
     ExitCode::SUCCESS
@@ -226,42 +241,32 @@
 
 fn write_off(internal: SocketAddr, cell: &str, lost_for_good: bool) -> ExitCode {
     if !lost_for_good {
-        let why = "tasks that the cell still runs would run twice, and their results count twice; \
-                   say --lost-for-good if none of its machines runs any more";
-        return fail(2, why);
+        let reason = "tasks that the cell still runs would run twice, and their results count twice; \
+                      say --lost-for-good if none of its machines runs any more";
+        return fail(EXIT_USAGE, reason);
     }
     let call = Call { method: "POST".into(), path: format!("{WRITE_OFF_PATH}{cell}"), body: Vec::new() };
-    match peer::call_once(internal, call, Micros::from_secs(30.0)) {
+    match peer::call_once(internal, call, WRITE_OFF_TIMEOUT) {
         Ok(answer) => {
             println!("{}", String::from_utf8_lossy(&answer.body));
             if answer.status == 200 {
                 ExitCode::SUCCESS
             } else {
-                fail(1, format!("the controller answered {}", answer.status))
+                fail(EXIT_FAILURE, format!("the controller answered {}", answer.status))
             }
         }
-        Err(e) => fail(1, format!("{internal}: {e}")),
+        Err(e) => fail(EXIT_FAILURE, format!("{internal}: {e}")),
     }
 }
 
-fn job(server: SocketAddr, what: JobCommand) -> ExitCode {
+fn job(server: SocketAddr, action: JobCommand) -> ExitCode {
     let client = Client::new(server, 1);
-    let call = |method: &str, path: &str, body: Option<&[u8]>| {
-        client.call(method, path, body, Micros::from_secs(5.0))
-    };
-    let result: Result<ClientResponse, CallError> = match what {
-        JobCommand::Submit { file } => {
-            let mut body = Vec::new();
-            let read = if file.as_os_str() == "-" {
-                std::io::stdin().read_to_end(&mut body).map(|_| ())
-            } else {
-                std::fs::read(&file).map(|b| body = b)
-            };
-            if let Err(e) = read {
-                return fail(2, format!("{}: {e}", file.display()));
-            }
-            call("POST", "/api/jobs", Some(&body))
-        }
+    let call = |method: &str, path: &str, body: Option<&[u8]>| client.call(method, path, body, CALL_TIMEOUT);
+    let result = match action {
+        JobCommand::Submit { file } => match read_submission(&file) {
+            Ok(body) => call("POST", "/api/jobs", Some(&body)),
+            Err(e) => return fail(EXIT_USAGE, format!("{}: {e}", file.display())),
+        },
         JobCommand::Show { id } => call("GET", &format!("/api/jobs/{id}"), None),
         JobCommand::Cancel { id } => call("POST", &format!("/api/jobs/{id}/withdraw"), Some(b"{}")),
     };
@@ -271,9 +276,19 @@
             if status < 300 {
                 ExitCode::SUCCESS
             } else {
-                fail(1, format!("the service answered {status}"))
+                fail(EXIT_FAILURE, format!("the service answered {status}"))
             }
         }
-        Err(e) => fail(1, format!("{server}: {e}")),
+        Err(e) => fail(EXIT_FAILURE, format!("{server}: {e}")),
+    }
+}
+
+/// Reads a job's description from a file, or from standard input for `-`.
+fn read_submission(file: &Path) -> std::io::Result<Vec<u8>> {
+    if file.as_os_str() != "-" {
+        return std::fs::read(file);
     }
+    let mut body = Vec::new();
+    std::io::stdin().read_to_end(&mut body)?;
+    Ok(body)
 }
--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -58,7 +58,7 @@
         let Some(s) = summary else { return };
         let sent: Vec<_> = (0..self.peers.count())
             .filter_map(|to| {
-                let waiting = self.peers.begin(to, PeerMessage::Announce(s.clone()), MESSAGE_TIMEOUT).ok()?;
+                let waiting = self.peers.send(to, PeerMessage::Announce(s.clone()), MESSAGE_TIMEOUT).ok()?;
                 Some((to, waiting))
             })
             .collect();
@@ -109,7 +109,7 @@
                 };
                 let message =
                     PeerMessage::Cancelled(peer::Cancellations { jobs: batch.iter().map(one).collect() });
-                (to, self.peers.begin(to, message, MESSAGE_TIMEOUT), batch)
+                (to, self.peers.send(to, message, MESSAGE_TIMEOUT), batch)
             })
             .collect();
         let mut all = true;
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -129,7 +129,7 @@
             let request = fleet.loans.home.request(&cells.name, &cell.name, fencing_token, wish, offer);
             drop(shared);
             let message = PeerMessage::Lend(request_to_proto(&request));
-            let waiting = self.peers.begin(first_address + controller, message, CELL_TIMEOUT);
+            let waiting = self.peers.send(first_address + controller, message, CELL_TIMEOUT);
             asked.push((cell, waiting));
             first_address += cell.controllers.len();
         }
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -3,7 +3,7 @@
 //! leader what was written or cancelled.
 
 use super::Controller;
-use crate::api::JobsBackend;
+use crate::api::{JobsBackend, StoredFinal};
 use crate::cancellation_notices::Cancellation;
 use crate::config::Config;
 use crate::fleet::JobProgress;
@@ -52,8 +52,8 @@
         None
     }
 
-    fn final_of(&self, id: &str) -> Option<(FinalRecord, u64)> {
-        self.lock().finals.get(id).copied()
+    fn known_final(&self, id: &str) -> Option<StoredFinal> {
+        self.lock().finals.get(id).map(|&(record, revision)| StoredFinal { record, revision })
     }
 
     fn learn_final(&self, id: &str, record: FinalRecord, revision: u64) {
@@ -98,7 +98,7 @@
         let Some(to) = to else { return };
         let record = serde_json::to_vec(&record).unwrap_or_default();
         // Not waited for: the leader's watch sees it in any case, a little later.
-        let _ = self.peers.begin(
+        let _ = self.peers.send(
             to,
             PeerMessage::Notify(JobNews { id: id.to_string(), record, revision }),
             JOB_NEWS_TIMEOUT,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,11 +1,17 @@
-//! gRPC between the controllers. `tonic` is asynchronous: it has one runtime on one thread, and
-//! channels lead to and from the blocking routines. Nothing else in the program is asynchronous.
+//! gRPC between the controllers.
+//!
+//! `tonic` is asynchronous: it has one runtime on one thread, and channels lead to and from the
+//! blocking threads. Nothing else in the program is asynchronous.
 
+use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
 use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender, TrySendError};
 use std::sync::Arc;
 use std::time::Duration;
 
+use tokio::sync::mpsc::error::TrySendError as QueueError;
+use tokio::sync::{mpsc, oneshot};
 use tonic::transport::{Channel, Endpoint, Server};
 use tonic::{Request, Response, Status};
 
@@ -23,25 +29,38 @@
     Ack, Answer, Call, Cancellation, Cancellations, JobCounts, JobNews, LoanReply, LoanRequest, Summary,
 };
 
+/// Most messages that wait to be sent, and most that wait to be handled.
+const QUEUE_LENGTH: usize = 64;
+/// Most messages that one controller may have under way to this one at a time.
+const MAX_CONCURRENT_STREAMS: u32 = 64;
+/// How long a message from another controller may wait for its reply.
+const INBOUND_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a connection to another controller may take to open.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// How much longer than a message's timeout its sender waits for the reply.
+const REPLY_GRACE: Duration = Duration::from_millis(200);
+/// Stack of the thread that runs the runtime, in bytes.
+const STACK_BYTES: usize = 1024 * 1024;
+
 /// A message to another controller.
 #[derive(Clone, Debug)]
 pub enum PeerMessage {
-    /// Who leads, and numbers for polls.
+    /// Who leads, and task counts of jobs for status requests.
     Announce(Summary),
-    /// A job was written or ended.
+    /// A job record was written, or the job has ended.
     Notify(JobNews),
     /// Jobs whose cancellation was confirmed.
     Cancelled(Cancellations),
-    /// A request to be answered by the other.
+    /// A request for the other controller to answer.
     Relay(Call),
     /// Another cell's open loans.
     Lend(LoanRequest),
 }
 
-/// The answer to a message.
+/// The reply to a message.
 #[derive(Clone, Debug)]
 pub enum PeerReply {
-    /// To an announcement or to news.
+    /// To an announcement, news of a job or cancellations.
     Ack(Ack),
     /// To a relayed request.
     Answer(Answer),
@@ -49,41 +68,55 @@
     Loans(LoanReply),
 }
 
-/// Why a message to another controller has no answer.
+/// Why a message to another controller has no reply.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// Too many messages are on their way out.
+    /// Too many messages wait to be sent.
     #[error("too many messages wait to be sent")]
     Busy,
-    /// No answer came in time.
+    /// No reply came in time.
     #[error("time-out")]
     TimedOut,
     /// The runtime that sends messages has ended.
     #[error("the runtime is gone")]
     Stopped,
-    /// The other cannot be reached, or refused.
+    /// The other controller cannot be reached, or refused.
     #[error("{0}")]
     Failed(String),
 }
 
-/// A message from another controller, with the way back.
+/// Why the gRPC runtime, or a single call with [`call_once`], failed.
+#[derive(Debug, thiserror::Error)]
+pub enum GrpcError {
+    /// The runtime or its listener could not be set up.
+    #[error(transparent)]
+    Runtime(#[from] std::io::Error),
+    /// The connection or the server failed.
+    #[error(transparent)]
+    Transport(#[from] tonic::transport::Error),
+    /// The controller refused the call.
+    #[error(transparent)]
+    Refused(Box<Status>),
+}
+
+/// A message from another controller, to be answered.
 pub struct InboundMessage {
     /// What it says.
     pub message: PeerMessage,
-    reply: tokio::sync::oneshot::Sender<PeerReply>,
+    reply: oneshot::Sender<PeerReply>,
 }
 
 impl InboundMessage {
-    /// Answers it.
-    pub fn answer(self, o: PeerReply) {
+    /// Sends the reply.
+    pub fn answer(self, reply: PeerReply) {
         // The other side may have given up by now.
-        let _ = self.reply.send(o);
+        let _ = self.reply.send(reply);
     }
 }
 
-/// A message on its way out.
+/// A message on its way to another controller.
 pub struct OutboundMessage {
-    /// To which of the others, by number.
+    /// Number of the controller among the others.
     pub to: usize,
     /// What it says.
     pub message: PeerMessage,
@@ -92,49 +125,53 @@
 }
 
 impl OutboundMessage {
-    /// Hands the answer, or why there is none, to whoever waits for it.
-    pub fn answer(self, r: Result<PeerReply, PeerError>) {
-        let _ = self.reply.try_send(r);
+    /// Hands the reply, or why there is none, to whoever waits for it.
+    pub fn answer(self, reply: Result<PeerReply, PeerError>) {
+        let _ = self.reply.try_send(reply);
     }
 }
 
-/// What takes messages to the other controllers; an error if it takes no more for now.
+/// Accepts messages to the other controllers for sending; an error if it accepts none for now.
 pub type Transport = dyn Fn(OutboundMessage) -> Result<(), PeerError> + Send + Sync;
 
 /// Sends messages to the other controllers.
 #[derive(Clone)]
 pub struct PeerHub {
-    out: Arc<Transport>,
+    transport: Arc<Transport>,
     count: usize,
 }
 
 impl PeerHub {
     /// Starts the runtime's thread; messages from others come out of the receiver. Addresses of other
     /// cells' controllers are numbered after those of the own cell's `members`.
+    ///
+    /// # Errors
+    /// If the listener cannot be made non-blocking or the thread cannot be started.
     pub fn start(
         listener: TcpListener,
         mut members: Vec<SocketAddr>,
         other_cells: &[SocketAddr],
     ) -> std::io::Result<(PeerHub, Receiver<InboundMessage>)> {
-        let (out, orders) = tokio::sync::mpsc::channel(64);
-        let (inbound, messages) = sync_channel(64);
+        let (outbound, to_send) = mpsc::channel(QUEUE_LENGTH);
+        let (inbound, received) = sync_channel(QUEUE_LENGTH);
         let count = members.len();
         members.extend(other_cells);
         listener.set_nonblocking(true)?;
-        std::thread::Builder::new().name("peer".into()).stack_size(1024 * 1024).spawn(move || {
-            if let Err(e) = run(listener, members, orders, inbound) {
-                tracing::error!(error = %e, "the runtime between controllers ended");
+        std::thread::Builder::new().name("peer".into()).stack_size(STACK_BYTES).spawn(move || {
+            if let Err(e) = run(listener, members, to_send, inbound) {
+                tracing::error!(error = %e, "gRPC runtime ended");
             }
         })?;
-        Ok((PeerHub::with_transport(count, move |o| out.try_send(o).map_err(not_sent)), messages))
+        let transport = move |message| outbound.try_send(message).map_err(queue_error);
+        Ok((PeerHub::with_transport(count, transport), received))
     }
 
-    /// A hub for so many others over any carrier.
+    /// A hub for `count` other controllers over any transport.
     pub fn with_transport(
         count: usize,
-        carry: impl Fn(OutboundMessage) -> Result<(), PeerError> + Send + Sync + 'static,
+        transport: impl Fn(OutboundMessage) -> Result<(), PeerError> + Send + Sync + 'static,
     ) -> PeerHub {
-        PeerHub { out: Arc::new(carry), count }
+        PeerHub { transport: Arc::new(transport), count }
     }
 
     /// How many other controllers the cell has.
@@ -142,170 +179,195 @@
         self.count
     }
 
-    /// Sends and waits for the answer.
+    /// Sends a message and waits for the reply.
     pub fn call(&self, to: usize, message: PeerMessage, timeout: Micros) -> Result<PeerReply, PeerError> {
-        self.begin(to, message, timeout)?.wait()
+        self.send(to, message, timeout)?.wait()
     }
 
-    /// Sends without waiting yet.
-    pub fn begin(&self, to: usize, message: PeerMessage, timeout: Micros) -> Result<PendingReply, PeerError> {
-        let (reply, answer) = sync_channel(1);
+    /// Sends a message without waiting for the reply yet.
+    pub fn send(&self, to: usize, message: PeerMessage, timeout: Micros) -> Result<PendingReply, PeerError> {
+        let (reply, pending) = sync_channel(1);
         let timeout = timeout.std();
-        (self.out)(OutboundMessage { to, message, timeout, reply })?;
-        Ok(PendingReply { answer, timeout })
+        (self.transport)(OutboundMessage { to, message, timeout, reply })?;
+        Ok(PendingReply { reply: pending, timeout })
     }
 }
 
-fn not_sent(error: tokio::sync::mpsc::error::TrySendError<OutboundMessage>) -> PeerError {
+fn queue_error(error: QueueError<OutboundMessage>) -> PeerError {
     match error {
-        tokio::sync::mpsc::error::TrySendError::Full(_) => PeerError::Busy,
-        tokio::sync::mpsc::error::TrySendError::Closed(_) => PeerError::Stopped,
+        QueueError::Full(_) => PeerError::Busy,
+        QueueError::Closed(_) => PeerError::Stopped,
     }
 }
 
-/// An answer to come.
+/// A reply that is still to come.
 pub struct PendingReply {
-    answer: Receiver<Result<PeerReply, PeerError>>,
+    reply: Receiver<Result<PeerReply, PeerError>>,
     timeout: Duration,
 }
 
 impl PendingReply {
-    /// Waits for it, no longer than the message's time-out and a little.
+    /// Waits for it, no longer than the message's timeout and a little.
     pub fn wait(self) -> Result<PeerReply, PeerError> {
-        match self.answer.recv_timeout(self.timeout + Duration::from_millis(200)) {
-            Ok(r) => r,
+        match self.reply.recv_timeout(self.timeout + REPLY_GRACE) {
+            Ok(result) => result,
             Err(RecvTimeoutError::Timeout) => Err(PeerError::TimedOut),
             Err(RecvTimeoutError::Disconnected) => Err(PeerError::Stopped),
         }
     }
 }
 
-struct Service {
+/// The gRPC service: passes messages on to the blocking threads and returns their replies.
+struct PeerService {
     inbound: SyncSender<InboundMessage>,
 }
 
-impl Service {
-    async fn ask(&self, message: PeerMessage) -> Result<PeerReply, Status> {
-        let (reply, answer) = tokio::sync::oneshot::channel();
+impl PeerService {
+    async fn reply(&self, message: PeerMessage) -> Result<PeerReply, Status> {
+        let (reply, pending) = oneshot::channel();
         match self.inbound.try_send(InboundMessage { message, reply }) {
-            Ok(()) => answer.await.map_err(|_| Status::unavailable("not answered")),
+            Ok(()) => pending.await.map_err(|_| Status::unavailable("not answered")),
             Err(TrySendError::Full(_)) => Err(Status::resource_exhausted("busy")),
             Err(TrySendError::Disconnected(_)) => Err(Status::unavailable("stopping")),
         }
     }
 
     async fn ack(&self, message: PeerMessage) -> Result<Response<Ack>, Status> {
-        match self.ask(message).await? {
-            PeerReply::Ack(a) => Ok(Response::new(a)),
-            _ => Err(Status::internal("wrong answer")),
+        match self.reply(message).await? {
+            PeerReply::Ack(ack) => Ok(Response::new(ack)),
+            _ => Err(wrong_reply()),
         }
     }
 }
 
+fn wrong_reply() -> Status {
+    Status::internal("wrong answer")
+}
+
 #[tonic::async_trait]
-impl Peer for Service {
-    async fn announce(&self, r: Request<Summary>) -> Result<Response<Ack>, Status> {
-        self.ack(PeerMessage::Announce(r.into_inner())).await
+impl Peer for PeerService {
+    async fn announce(&self, request: Request<Summary>) -> Result<Response<Ack>, Status> {
+        self.ack(PeerMessage::Announce(request.into_inner())).await
     }
 
-    async fn notify(&self, r: Request<JobNews>) -> Result<Response<Ack>, Status> {
-        self.ack(PeerMessage::Notify(r.into_inner())).await
+    async fn notify(&self, request: Request<JobNews>) -> Result<Response<Ack>, Status> {
+        self.ack(PeerMessage::Notify(request.into_inner())).await
     }
 
-    async fn cancelled(&self, r: Request<Cancellations>) -> Result<Response<Ack>, Status> {
-        self.ack(PeerMessage::Cancelled(r.into_inner())).await
+    async fn cancelled(&self, request: Request<Cancellations>) -> Result<Response<Ack>, Status> {
+        self.ack(PeerMessage::Cancelled(request.into_inner())).await
     }
 
-    async fn relay(&self, r: Request<Call>) -> Result<Response<Answer>, Status> {
-        match self.ask(PeerMessage::Relay(r.into_inner())).await? {
-            PeerReply::Answer(a) => Ok(Response::new(a)),
-            _ => Err(Status::internal("wrong answer")),
+    async fn relay(&self, request: Request<Call>) -> Result<Response<Answer>, Status> {
+        match self.reply(PeerMessage::Relay(request.into_inner())).await? {
+            PeerReply::Answer(answer) => Ok(Response::new(answer)),
+            _ => Err(wrong_reply()),
         }
     }
 
-    async fn lend(&self, r: Request<LoanRequest>) -> Result<Response<LoanReply>, Status> {
-        match self.ask(PeerMessage::Lend(r.into_inner())).await? {
+    async fn lend(&self, request: Request<LoanRequest>) -> Result<Response<LoanReply>, Status> {
+        match self.reply(PeerMessage::Lend(request.into_inner())).await? {
             PeerReply::Loans(reply) => Ok(Response::new(reply)),
-            _ => Err(Status::internal("wrong answer")),
+            _ => Err(wrong_reply()),
         }
     }
 }
 
+fn single_threaded_runtime() -> std::io::Result<tokio::runtime::Runtime> {
+    tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()
+}
+
+/// Serves and sends messages until either ends.
 fn run(
     listener: TcpListener,
     members: Vec<SocketAddr>,
-    orders: tokio::sync::mpsc::Receiver<OutboundMessage>,
+    to_send: mpsc::Receiver<OutboundMessage>,
     inbound: SyncSender<InboundMessage>,
-) -> anyhow::Result<()> {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
-    rt.block_on(async move {
+) -> Result<(), GrpcError> {
+    single_threaded_runtime()?.block_on(async move {
         let listener = tokio::net::TcpListener::from_std(listener)?;
         let incoming = tokio_stream::wrappers::TcpListenerStream::new(listener);
         let server = Server::builder()
-            .max_concurrent_streams(64)
-            .timeout(Duration::from_secs(5))
-            .add_service(PeerServer::new(Service { inbound }))
+            .max_concurrent_streams(MAX_CONCURRENT_STREAMS)
+            .timeout(INBOUND_TIMEOUT)
+            .add_service(PeerServer::new(PeerService { inbound }))
             .serve_with_incoming(incoming);
-        let sending = send_all(members, orders);
         tokio::select! {
-            r = server => r?,
-            () = sending => {}
+            result = server => result?,
+            () = send_all(members, to_send) => {}
         }
         Ok(())
     })
 }
 
-async fn send_all(members: Vec<SocketAddr>, mut orders: tokio::sync::mpsc::Receiver<OutboundMessage>) {
-    let fresh = |a: &SocketAddr| -> Option<Channel> {
-        let e = Endpoint::from_shared(format!("http://{a}")).ok()?;
-        Some(e.connect_timeout(Duration::from_millis(800)).tcp_nodelay(true).connect_lazy())
+/// The connection to one controller, opened when the first message is sent and again after a failure.
+struct Connection {
+    address: SocketAddr,
+    channel: RefCell<Option<Channel>>,
+}
+
+impl Connection {
+    fn new(address: SocketAddr) -> Rc<Connection> {
+        Rc::new(Connection { address, channel: RefCell::new(None) })
+    }
+
+    /// The open channel, or a new one; none if the address cannot be used.
+    fn channel(&self) -> Option<Channel> {
+        let mut channel = self.channel.borrow_mut();
+        if channel.is_none() {
+            let endpoint = Endpoint::from_shared(format!("http://{}", self.address)).ok()?;
+            *channel = Some(endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true).connect_lazy());
+        }
+        channel.clone()
+    }
+
+    /// Sends a message over a channel and hands over the reply.
+    async fn deliver(&self, channel: Channel, outbound: OutboundMessage) {
+        let OutboundMessage { message, timeout, reply, .. } = outbound;
+        let result = match tokio::time::timeout(timeout, send(channel, message)).await {
+            Ok(result) => result.map_err(|status| PeerError::Failed(status.message().to_string())),
+            Err(_) => Err(PeerError::TimedOut),
+        };
+        if result.is_err() {
+            // A network partition keeps a connection open in silence: the next message gets a new one.
+            *self.channel.borrow_mut() = None;
+        }
+        let _ = reply.try_send(result);
+    }
+}
+
+async fn send_all(members: Vec<SocketAddr>, mut to_send: mpsc::Receiver<OutboundMessage>) {
+    let connections: Vec<Rc<Connection>> = members.into_iter().map(Connection::new).collect();
+    let send_each = async move {
+        while let Some(outbound) = to_send.recv().await {
+            let Some(connection) = connections.get(outbound.to).cloned() else { continue };
+            let Some(channel) = connection.channel() else { continue };
+            tokio::task::spawn_local(async move { connection.deliver(channel, outbound).await });
+        }
     };
-    let channels: Vec<std::rc::Rc<std::cell::RefCell<Option<Channel>>>> =
-        members.iter().map(|_| std::rc::Rc::default()).collect();
-    let local = tokio::task::LocalSet::new();
-    local
-        .run_until(async move {
-            while let Some(o) = orders.recv().await {
-                let (Some(slot), Some(addr)) = (channels.get(o.to).cloned(), members.get(o.to)) else {
-                    continue;
-                };
-                if slot.borrow().is_none() {
-                    *slot.borrow_mut() = fresh(addr);
-                }
-                let Some(channel) = slot.borrow().clone() else { continue };
-                tokio::task::spawn_local(async move {
-                    let r = match tokio::time::timeout(o.timeout, send(channel, o.message)).await {
-                        Ok(r) => r.map_err(|status| PeerError::Failed(status.message().to_string())),
-                        // A cut holds a connection without a word: the next message gets a new one.
-                        Err(_) => Err(PeerError::TimedOut),
-                    };
-                    if r.is_err() {
-                        *slot.borrow_mut() = None;
-                    }
-                    let _ = o.reply.try_send(r);
-                });
-            }
-        })
-        .await;
+    tokio::task::LocalSet::new().run_until(send_each).await;
 }
 
 async fn send(channel: Channel, message: PeerMessage) -> Result<PeerReply, Status> {
-    let mut c = PeerClient::new(channel);
+    let mut client = PeerClient::new(channel);
     Ok(match message {
-        PeerMessage::Announce(m) => PeerReply::Ack(c.announce(m).await?.into_inner()),
-        PeerMessage::Notify(m) => PeerReply::Ack(c.notify(m).await?.into_inner()),
-        PeerMessage::Cancelled(m) => PeerReply::Ack(c.cancelled(m).await?.into_inner()),
-        PeerMessage::Relay(m) => PeerReply::Answer(c.relay(m).await?.into_inner()),
-        PeerMessage::Lend(m) => PeerReply::Loans(c.lend(m).await?.into_inner()),
+        PeerMessage::Announce(summary) => PeerReply::Ack(client.announce(summary).await?.into_inner()),
+        PeerMessage::Notify(news) => PeerReply::Ack(client.notify(news).await?.into_inner()),
+        PeerMessage::Cancelled(jobs) => PeerReply::Ack(client.cancelled(jobs).await?.into_inner()),
+        PeerMessage::Relay(call) => PeerReply::Answer(client.relay(call).await?.into_inner()),
+        PeerMessage::Lend(loans) => PeerReply::Loans(client.lend(loans).await?.into_inner()),
     })
 }
 
-/// Asks one controller once, for the command line: no runtime is left running.
-pub fn call_once(addr: SocketAddr, call: Call, timeout: Micros) -> anyhow::Result<Answer> {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
-    rt.block_on(async {
-        let e = Endpoint::from_shared(format!("http://{addr}"))?;
-        let channel = e.connect_timeout(timeout.std()).timeout(timeout.std()).connect().await?;
-        Ok(PeerClient::new(channel).relay(call).await?.into_inner())
+/// Calls one controller once, for the command line: no runtime is left running.
+///
+/// # Errors
+/// If the controller cannot be reached in time or refuses the call.
+pub fn call_once(address: SocketAddr, call: Call, timeout: Micros) -> Result<Answer, GrpcError> {
+    single_threaded_runtime()?.block_on(async {
+        let endpoint = Endpoint::from_shared(format!("http://{address}"))?;
+        let channel = endpoint.connect_timeout(timeout.std()).timeout(timeout.std()).connect().await?;
+        let response = PeerClient::new(channel).relay(call).await;
+        response.map(Response::into_inner).map_err(|status| GrpcError::Refused(Box::new(status)))
     })
 }
--- a/src/wire/cells.rs
+++ b/src/wire/cells.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Path by which an operator writes off what another cell holds; the cell's name follows.
+/// Path at which an operator writes off the tasks that a lost cell holds; the cell's name follows.
 pub const WRITE_OFF_PATH: &str = "/cells/write-off/";
 
 /// Another cell, as part of the status.
@@ -14,7 +14,7 @@
     pub name: String,
     /// Whether its leader answered the last message.
     pub answers: bool,
-    /// Processors' worth of tasks that it would take on.
+    /// Processors for which it would accept tasks.
     pub spare_cpus: Option<f64>,
     /// Seconds of its own backlog.
     pub backlog_s: Option<f64>,
@@ -26,15 +26,15 @@
 /// A loan that this cell has made.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LentStatus {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// The cell that holds it.
+    /// Name of the cell that holds it.
     pub cell: String,
-    /// Its number.
+    /// Number of the loan.
     pub number: u64,
     /// Tasks in it.
     pub tasks: u32,
-    /// Those that are done.
+    /// Tasks of it that are done.
     pub done: u32,
     /// The job is being cancelled.
     pub cancelling: bool,
@@ -43,13 +43,13 @@
 /// A job of which this cell has borrowed tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BorrowedStatus {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// The cell that accepted it.
+    /// Name of the cell that lends them.
     pub home: String,
     /// Tasks held here.
     pub tasks: u32,
-    /// Those that are done.
+    /// Tasks of it that are done.
     pub done: u32,
 }
 
@@ -68,13 +68,13 @@
     pub finished_for: BTreeMap<String, u64>,
 }
 
-/// Answer to an operator who writes off what a cell holds.
+/// Reply to an operator who writes off the tasks that a lost cell holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WrittenOff {
-    /// The cell.
+    /// Name of the cell.
     pub cell: String,
     /// Tasks that run here again, by job.
     pub tasks: BTreeMap<String, u32>,
-    /// Jobs whose record could not be written: to be tried again.
+    /// Ids of jobs whose record could not be written: to be tried again.
     pub left: Vec<String>,
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud: its catalogue, rentals and the list of machines.
+//! Messages between controllers and the cloud: its catalogue, scale-out requests and the list of
+//! machines.
 
 use super::null_is_default;
 use serde::{Deserialize, Serialize};
@@ -17,22 +18,22 @@
     /// Memory in GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
-    /// Room for images in GB.
+    /// Space for cached images in GB.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
-    /// Image fetch rate in GB a second.
+    /// Rate at which images are fetched, in GB a second.
     #[serde(rename = "pullGbPerS", default)]
     pub fetch_gb_per_s: f64,
     /// Price an hour.
     #[serde(rename = "rate", default)]
     pub price: f64,
-    /// Spot price an hour, now.
+    /// Present spot price an hour.
     #[serde(rename = "marketPrice", default)]
     pub spot_price: Option<f64>,
-    /// Usual boot time.
+    /// Usual boot time in seconds.
     #[serde(rename = "readyS", default)]
     pub boot_s: f64,
-    /// Zones that have it.
+    /// Zones that offer it.
     #[serde(rename = "fields", default)]
     pub zones: Vec<String>,
 }
@@ -45,10 +46,10 @@
     pub types: Vec<MachineType>,
 }
 
-/// A rental request.
+/// A request for machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ScaleOutRequest {
-    /// Name of the request, never used twice.
+    /// Id of the request, never used for another one: a repeat is idempotent.
     #[serde(rename = "plea")]
     pub request: String,
     /// Machine type.
@@ -57,14 +58,14 @@
     /// Zone.
     #[serde(rename = "field")]
     pub zone: String,
-    /// Spot.
+    /// Whether they are spot instances.
     #[serde(rename = "gleanings")]
     pub spot: bool,
-    /// How many.
+    /// How many machines.
     pub count: u32,
 }
 
-/// Names of machines: rented, or to return.
+/// Names of machines that were scaled out, or are to be scaled in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineNames {
     /// The names.
@@ -78,22 +79,22 @@
     /// Its name.
     #[serde(rename = "nameId")]
     pub id: String,
-    /// The worker's address.
+    /// Address of its worker, `ip:port`.
     #[serde(rename = "addr", default)]
     pub address: Option<String>,
-    /// Type.
+    /// Machine type.
     #[serde(rename = "breed", default)]
     pub machine_type: String,
     /// Zone.
     #[serde(rename = "field", default)]
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot instance.
     #[serde(rename = "gleanings", default, deserialize_with = "null_is_default")]
     pub spot: bool,
     /// `booting`, `running` or `failed`.
     #[serde(default)]
     pub stage: String,
-    /// Age since the rental request.
+    /// Seconds since the request for it.
     #[serde(rename = "ageS", default)]
     pub age_s: f64,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,20 +1,71 @@
-//! The messages of each interface, one module each. The names that travel are odd and stay in this
-//! folder, as serde renames; the code has the field's own names.
+//! The JSON messages of each interface, one module for each.
+//!
+//! The protocols have names of their own for many things. They are mapped to the field's terms in this
+//! folder and nowhere else, by serde renames; the rest of the program uses only the terms on the right:
+//!
+//! | on the wire | in the code |
+//! | --- | --- |
+//! | `addr` | address |
+//! | `alone` | gang incomplete (exit reason) |
+//! | `batch` | array, of independent tasks |
+//! | `blight` | exit reason |
+//! | `breed`, `breeds`, `sku` | machine type |
+//! | `cards` | accelerator cards (GPUs) |
+//! | `daemon` | service |
+//! | `dueS` | deadline |
+//! | `expectS` | estimate of the run time |
+//! | `field`, `fields` | zone |
+//! | `flushing` | saving a checkpoint (task stage) |
+//! | `gathering` | waiting for the gang's other tasks (task stage) |
+//! | `gleanings` | spot instance |
+//! | `grain` | class of a job |
+//! | `harvest` | revision of the state store |
+//! | `husk`, `husks` | machine |
+//! | `in_use` | present with another attempt (exit reason) |
+//! | `kept` | progress saved |
+//! | `kernel`, `kernels` | task |
+//! | `localGb` | space for cached images |
+//! | `marketPrice` | spot price |
+//! | `mates_gone` | gang peers lost (exit reason) |
+//! | `nameId` | id of a job or a machine |
+//! | `node` | controller |
+//! | `orders` | commands to a worker |
+//! | `owner` of a job | team |
+//! | `owner` in a status | leader |
+//! | `part` | shard |
+//! | `path` of a row or guard | key of the state store |
+//! | `plea` | id of a scale-out request (idempotent) |
+//! | `pullGb`, `pullGbPerS` | size of an image, rate at which it is fetched |
+//! | `ramGb` | memory in GB |
+//! | `rank` | priority |
+//! | `rate` | price an hour |
+//! | `readyS` | boot time |
+//! | `reclaimS` | notice before the cloud takes a spot instance |
+//! | `season` | agent epoch |
+//! | `seed` | image |
+//! | `sickle`, `token` | fencing token |
+//! | `sowing` | attempt |
+//! | `stamp` | revision of a key's latest change (`mod_revision`) |
+//! | `stashEveryS`, `stashS` | checkpoint interval, time to save a checkpoint |
+//! | `steward` | leader |
+//! | `tally` | sequence number of a heartbeat |
+//! | `tenure` | lease |
+//! | `up` | healthy |
 
 mod cells;
 mod cloud;
 mod jobs;
 mod replies;
 mod state;
+mod submissions;
 mod workers;
 
 pub use cells::{BorrowedStatus, CellsStatus, LentStatus, OtherCellStatus, WrittenOff, WRITE_OFF_PATH};
 pub use cloud::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest};
-pub use jobs::{
-    is_job_id, JobSpec, JobStage, JobStatus, Priority, Shape, Stage, SubmissionError, MAX_TASKS, REQUIRED,
-};
+pub use jobs::{JobSpec, JobStage, JobStatus, Priority, Shape, Stage};
 pub use replies::{ControllerStatus, Health, Redirect, ShardStatus, HEALTH_PATH};
 pub use state::{Change, Event, Events, Guard, Row, Rows, Txn};
+pub use submissions::{is_job_id, SubmissionError, MAX_TASKS, REQUIRED_FIELDS};
 pub use workers::{
     DirectCommandRequest, ExitReason, Heartbeat, HeartbeatReply, TaskStage, TaskStatus, WorkerCommand,
     COMMANDS_PATH, HEARTBEAT_PATH,
@@ -22,7 +73,7 @@
 
 use serde::Deserialize;
 
-/// Reads null as the default, as if the field were left out.
+/// Reads null as the type's default, as if the field were left out.
 fn null_is_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: serde::Deserializer<'de>,
--- a/src/wire/replies.rs
+++ b/src/wire/replies.rs
@@ -1,4 +1,4 @@
-//! Answers of the controllers themselves: redirects, health and status.
+//! Replies about the controllers themselves: redirects, health and status.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 /// Path of the load balancer's health check.
 pub const HEALTH_PATH: &str = "/up";
 
-/// Answer to a report that was sent to a controller that does not lead.
+/// Reply to a heartbeat that was sent to a controller which is not the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
     /// Label of the leader.
@@ -17,49 +17,50 @@
     pub leader: String,
 }
 
-/// Answer to the load balancer's health check.
+/// Reply to the load balancer's health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
-    /// Whether users are served here.
+    /// Whether this controller serves users.
     #[serde(rename = "up")]
     pub healthy: bool,
 }
 
-/// Answer to a request for a controller's status.
+/// Reply to a request for a controller's status. `FleetView` is the leader's model of machines and
+/// jobs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ControllerStatus<FleetView> {
-    /// Label of the leader, where known.
+    /// Label of the leader, if known.
     pub leader: Option<String>,
     /// Label of the controller that answers.
     #[serde(rename = "node")]
     pub controller: String,
-    /// What the owner sees; none on any other controller.
+    /// The leader's model; none on any other controller.
     #[serde(rename = "owner")]
     pub view: Option<FleetView>,
-    /// Versions of the controllers, by label; none for one that has not been heard.
+    /// Program versions of the controllers, by label; none for one that has not been heard from.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub versions: Option<BTreeMap<String, Option<String>>>,
-    /// The parts that it owns.
+    /// The shards that it leads.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parts: Option<Vec<ShardStatus>>,
-    /// Age in seconds of the owner's view of the state service.
+    /// Age in seconds of the leader's last contact with the state store.
     #[serde(rename = "state_seen_s_ago", default, skip_serializing_if = "Option::is_none")]
     pub view_age_s: Option<f64>,
-    /// What the cell lends and borrows, where cells are in use.
+    /// What the cell lends and borrows, if cells are configured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cells: Option<CellsStatus>,
 }
 
-/// A part and its owner, as part of a controller's status.
+/// A shard and its leader, as part of a controller's status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardStatus {
-    /// Label of the owner.
+    /// Label of its leader.
     #[serde(rename = "owner")]
     pub leader: String,
-    /// Number of the part.
+    /// Number of the shard.
     #[serde(rename = "part")]
     pub shard: u32,
-    /// The owner's token.
+    /// The leader's fencing token.
     #[serde(rename = "token")]
     pub fencing_token: u64,
 }
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -1,9 +1,10 @@
-//! The state service: rows, transactions and the events of a watch.
+//! Messages between controllers and the state store: keys with their values, compare-and-swap
+//! transactions and the events of a watch.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key of the state service with its value.
+/// A key of the state store with its value.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Row {
     /// The key.
@@ -11,50 +12,50 @@
     pub key: String,
     /// The value.
     pub value: Value,
-    /// Revision of the latest change.
+    /// Revision of its latest change.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
 }
 
-/// A page of keys.
+/// A page of a list of keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Rows {
-    /// The keys.
+    /// The keys with their values, in order.
     pub rows: Vec<Row>,
     /// Whether there is more.
     #[serde(default)]
     pub more: bool,
-    /// The service's revision.
+    /// The store's revision.
     #[serde(rename = "harvest")]
     pub revision: u64,
 }
 
-/// A condition on a key.
+/// A condition on a key of a compare-and-swap transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Guard {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// The version it must have; 0: none.
+    /// The `mod_revision` that the key must have; 0: it must not exist.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
 }
 
-/// A change of a key.
+/// A change of a key in a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// Write.
+    /// Writes a key.
     Put {
         /// The key.
         put: String,
         /// The value.
         value: Value,
-        /// The lease it hangs on.
+        /// The lease to which the key is attached; it is removed on lease expiry.
         #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Remove.
+    /// Removes a key.
     Drop {
         /// The key.
         drop: String,
@@ -62,12 +63,12 @@
 }
 
 impl Change {
-    /// A put without a lease.
+    /// Writes a key without a lease.
     pub fn put(key: impl Into<String>, value: Value) -> Change {
         Change::Put { put: key.into(), value, lease: None }
     }
 
-    /// A removal.
+    /// Removes a key.
     pub fn drop(key: impl Into<String>) -> Change {
         Change::Drop { drop: key.into() }
     }
@@ -81,12 +82,12 @@
     }
 }
 
-/// A transaction.
+/// A compare-and-swap transaction: executes all changes if all guards hold, and nothing otherwise.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Txn {
-    /// Conditions.
+    /// The conditions.
     pub guards: Vec<Guard>,
-    /// Changes.
+    /// The changes.
     pub then: Vec<Change>,
 }
 
@@ -102,19 +103,18 @@
     /// The value written.
     #[serde(default)]
     pub value: Value,
-    /// The revision.
-    #[serde(default)]
-    #[serde(rename = "stamp")]
+    /// The revision of the change.
+    #[serde(rename = "stamp", default)]
     pub mod_revision: u64,
 }
 
-/// What a watch returns.
+/// The changes that a watch returns.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Events {
-    /// The service's revision.
+    /// The store's revision.
     #[serde(rename = "harvest")]
     pub revision: u64,
-    /// The changes.
+    /// The changes, in any order.
     #[serde(default)]
     pub events: Vec<Event>,
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,32 +1,32 @@
-//! Workers: their reports, the answers to them, and direct commands.
+//! Messages between workers and controllers: heartbeats, the replies to them, and direct commands.
 
 use super::null_is_default;
 use serde::{Deserialize, Serialize};
 
-/// Path of the workers' reports.
+/// Path of the workers' heartbeats.
 pub const HEARTBEAT_PATH: &str = "/checkin";
 /// Path at which a worker takes direct commands.
 pub const COMMANDS_PATH: &str = "/commands";
 
-/// Where a task stands on its machine.
+/// The stage of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskStage {
-    /// Waits for its image.
+    /// Its image is being fetched.
     #[serde(rename = "fetching")]
     Fetching,
-    /// Gang task, waits for the others.
+    /// Waits for the gang's other tasks.
     #[serde(rename = "gathering")]
     Waiting,
-    /// Runs.
+    /// Running.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves.
+    /// Is being stopped and saves a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
-    /// Ended.
+    /// Has exited.
     #[serde(rename = "exited")]
     Exited,
-    /// Something newer than this program; counted as being there.
+    /// A stage of a later version; the task counts as being on the machine.
     #[serde(other)]
     Unknown,
 }
@@ -40,7 +40,7 @@
     /// Stopped by command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Another task of the gang is gone.
+    /// Another task of the gang was lost.
     #[serde(rename = "mates_gone")]
     GangPeersLost,
     /// The gang was not complete in time.
@@ -49,33 +49,33 @@
     /// Failed.
     #[serde(rename = "error")]
     Error,
-    /// Start refused: no room.
+    /// Start refused: not enough free resources.
     #[serde(rename = "no_room")]
     NoRoom,
-    /// Start refused: here with another attempt.
+    /// Start refused: the task is on the machine with another attempt.
     #[serde(rename = "in_use")]
     AttemptInUse,
     /// Start refused: no such job or task.
     #[serde(rename = "unknown")]
     UnknownTask,
-    /// Something newer than this program.
+    /// A reason of a later version.
     #[serde(other)]
     Other,
 }
 
-/// A task in a worker's report.
+/// The status of a task in a heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// Job and number, `wk-000412/3`.
+    /// Name of the task: job id and number, `wk-000412/3`.
     #[serde(rename = "kernel")]
     pub task: String,
-    /// Attempt.
+    /// Number of the attempt.
     #[serde(rename = "sowing")]
     pub attempt: u64,
-    /// Where it stands.
+    /// Its stage.
     #[serde(rename = "stage")]
     pub stage: TaskStage,
-    /// Why it ended, if it did.
+    /// Why it exited, if it did.
     #[serde(rename = "blight", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
     /// Whether progress was saved.
@@ -83,37 +83,37 @@
     pub saved: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat, with the status of all its tasks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine.
+    /// Name of the machine.
     #[serde(rename = "husk")]
     pub machine: String,
-    /// Where the worker takes commands.
+    /// Address at which the worker takes direct commands, `ip:port`.
     #[serde(rename = "addr", default)]
     pub address: String,
-    /// Machine type.
+    /// Name of its machine type.
     #[serde(rename = "breed", default)]
     pub machine_type: String,
-    /// Zone.
+    /// Name of its zone.
     #[serde(rename = "field", default)]
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "gleanings", default, deserialize_with = "null_is_default")]
     pub spot: bool,
-    /// Session.
+    /// The worker's agent epoch: it increases each time its lease expires.
     #[serde(rename = "season")]
     pub agent_epoch: u64,
-    /// Number of the message within the session.
+    /// Sequence number of the message within the agent epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// Highest token seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "sickle", default)]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes the machine.
+    /// Seconds until the cloud takes the spot instance, after a notice.
     #[serde(rename = "reclaimS", default)]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks on the machine, exited ones included until they are forgotten.
     #[serde(rename = "kernels", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -125,59 +125,59 @@
     /// Start a task.
     #[serde(rename = "start")]
     Start {
-        /// The task.
+        /// Name of the task.
         #[serde(rename = "kernel")]
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "sowing")]
         attempt: u64,
     },
     /// Stop a task.
     #[serde(rename = "halt")]
     Halt {
-        /// The task.
+        /// Name of the task.
         #[serde(rename = "kernel")]
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "sowing")]
         attempt: u64,
-        /// Time to save.
+        /// Seconds that the task has to save a checkpoint.
         #[serde(rename = "graceS")]
         grace_s: f64,
     },
-    /// Remove an exited task from the reports.
+    /// Remove an exited task from the heartbeats.
     #[serde(rename = "forget")]
     Forget {
-        /// The task.
+        /// Name of the task.
         #[serde(rename = "kernel")]
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "sowing")]
         attempt: u64,
     },
 }
 
-/// Answer to a report.
+/// Reply to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The token of the one entitled to command.
+    /// The leader's fencing token; workers drop a reply with a lower one than they have seen.
     #[serde(rename = "sickle")]
     pub fencing_token: u64,
-    /// The commands, executed in order.
+    /// The commands, to be executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// A direct command.
+/// Commands sent straight to a worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DirectCommandRequest {
-    /// The token.
+    /// The leader's fencing token.
     #[serde(rename = "sickle")]
     pub fencing_token: u64,
-    /// The session meant.
+    /// The agent epoch that is meant.
     #[serde(rename = "season")]
     pub agent_epoch: u64,
-    /// The commands.
+    /// The commands, to be executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
