--- a/src/api.rs
+++ b/src/api.rs
@@ -135,17 +135,28 @@
     Response::error(503, reason).with_retry_after(RETRY_AFTER_S)
 }
 
+/// Where a request came from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestOrigin {
+    /// A user, through the load balancer.
+    User,
+    /// Another controller that could not answer it: it is not relayed again.
+    Peer,
+}
+
 /// Answers a user's request here, or relays it to another controller that can reach the state
-/// store. `relayed` is true for a request that another controller relayed here: it is not relayed
-/// again.
-pub fn handle(backend: &dyn JobsBackend, request: &Request, relayed: bool) -> Response {
+/// store.
+pub fn handle(backend: &dyn JobsBackend, request: &Request, origin: RequestOrigin) -> Response {
     let error = match route(backend, request) {
         Ok(response) => return response,
         Err(error) => error,
     };
     let path = request.path.split('?').next().unwrap_or("");
     tracing::debug!(path, %error, "state store unavailable for a user request");
-    let relayed_response = if relayed { None } else { backend.relay_to_any(request) };
+    let relayed_response = match origin {
+        RequestOrigin::User => backend.relay_to_any(request),
+        RequestOrigin::Peer => None,
+    };
     relayed_response.unwrap_or_else(|| retry_later(&format!("the state service cannot be asked: {error}")))
 }
 
--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -19,7 +19,7 @@
             let summary = state.and_then(|state| state.summary());
             OtherCellStatus {
                 name: cell.name.clone(),
-                answers: summary.is_some(),
+                reachable: summary.is_some(),
                 spare_cpus: summary.map(|summary| summary.spare_cpus),
                 backlog_s: summary.map(|summary| summary.backlog_s),
                 messages: state.map_or(0, |state| state.messages()),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -42,7 +42,7 @@
 use self::lending::OtherCellState;
 pub use self::status::STATUS;
 pub use self::writer::done_write_interval;
-use crate::api;
+use crate::api::{self, RequestOrigin};
 use crate::cancellation_notices::CancellationNotices;
 use crate::cloud::CloudClient;
 use crate::config::Config;
@@ -334,7 +334,10 @@
             // reach it.
             p if relayed && p.starts_with(STATUS) => self.status(req),
             p if relayed && p.starts_with(WRITE_OFF_PATH) => self.write_off(req),
-            _ => api::handle(self, req, relayed),
+            _ => {
+                let origin = if relayed { RequestOrigin::Peer } else { RequestOrigin::User };
+                api::handle(self, req, origin)
+            }
         }
     }
 }
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -49,10 +49,10 @@
             &ControllerStatus {
                 leader: shared.leader.as_ref().map(|l| l.label.clone()),
                 controller: label.clone(),
-                view: leadership.map(|o| o.fleet.status(team, self.now(), wall())),
-                parts: leadership.map(|o| vec![part(o)]),
+                fleet: leadership.map(|o| o.fleet.status(team, self.now(), wall())),
+                shards: leadership.map(|o| vec![part(o)]),
                 versions: Some(self.versions(&shared)),
-                view_age_s: leadership.map(|o| o.view.age(self.now()).secs()),
+                state_age_s: leadership.map(|o| o.view.age(self.now()).secs()),
                 cells: leadership.filter(|_| team.is_none()).and_then(|o| self.cells_status(&shared, o)),
             },
         )
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -5,7 +5,7 @@
 use crate::records::JobRecord;
 use crate::state::{RequestPriority, StateStoreError};
 use crate::time::{Micros, Steady};
-use crate::wire::{Event, Events};
+use crate::wire::{WatchEvent, WatchEvents};
 
 /// Prefix of the live jobs' keys.
 const JOBS_PREFIX: &str = "job/";
@@ -70,7 +70,7 @@
 
     /// Applies changes; `read_at` is when they were asked for if they are a complete read, none if a
     /// watch brought them.
-    fn apply_changes(&self, leadership: &mut Leadership, changes: Events, read_at: Option<Steady>) {
+    fn apply_changes(&self, leadership: &mut Leadership, changes: WatchEvents, read_at: Option<Steady>) {
         let latest = changes.events.iter().map(|e| e.mod_revision).max().unwrap_or(0);
         for event in changes.events {
             apply_change(&mut leadership.fleet, event, self.now());
@@ -83,7 +83,7 @@
 }
 
 /// Applies a change under the jobs' prefix.
-fn apply_change(fleet: &mut Fleet, e: Event, now: Steady) {
+fn apply_change(fleet: &mut Fleet, e: WatchEvent, now: Steady) {
     if let Some(id) = e.drop.as_deref().and_then(|k| k.strip_prefix(JOBS_PREFIX)) {
         fleet.job_over(id, e.mod_revision);
     } else if e.put.is_some() {
--- a/src/fleet/demand.rs
+++ b/src/fleet/demand.rs
@@ -79,14 +79,14 @@
         let mut left = bytes;
         let kept = self.demands.iter().rev().filter(|d| d.starts_before_boot || d.priority > Priority::Idle);
         kept.map(|d| DemandRecord {
-            at_us: (wall - (now - d.at)).0,
+            submitted_us: (wall - (now - d.at)).0,
             need: (d.need.cpus, d.need.gpus, d.need.memory),
             priority: d.priority,
             types: d.types.iter().filter_map(name).collect(),
-            work: d.work,
+            task_seconds: d.work,
             starts_before_boot: d.starts_before_boot,
             extra_machines: d.extra_machines,
-            due: d.due,
+            has_deadline: d.due,
             spot: d.spot,
         })
         .take_while(|r| {
@@ -101,17 +101,17 @@
     /// were loaded before; so it is loaded first.
     pub fn inherit_recent(&mut self, list: Vec<DemandRecord>, now: Steady, wall: Wall) {
         for r in list {
-            let age = (wall - Wall(r.at_us)).max(Micros::ZERO);
+            let age = (wall - Wall(r.submitted_us)).max(Micros::ZERO);
             let index = |n: &String| self.types.iter().position(|t| t.name == *n);
             self.demands.push(Demand {
                 at: now - age,
                 need: Resources { cpus: r.need.0, gpus: r.need.1, memory: r.need.2 },
                 priority: r.priority,
                 types: r.types.iter().filter_map(index).collect(),
-                work: r.work,
+                work: r.task_seconds,
                 starts_before_boot: r.starts_before_boot,
                 extra_machines: r.extra_machines,
-                due: r.due,
+                due: r.has_deadline,
                 spot: r.spot,
             });
         }
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -81,9 +81,9 @@
             self.uses.clear();
             self.dirty = true;
         }
-        let notice = r.notice_s.filter(|s| s.is_finite()).map(|s| now + Micros::from_secs(s));
+        let notice = r.interruption_notice_s.filter(|s| s.is_finite()).map(|s| now + Micros::from_secs(s));
         if notice.is_some() != m.notice.is_some() {
-            tracing::info!(machine = %id, seconds = r.notice_s, "spot notice");
+            tracing::info!(machine = %id, seconds = r.interruption_notice_s, "spot notice");
             self.dirty = true;
         }
         m.notice = notice;
--- a/src/live_jobs.rs
+++ b/src/live_jobs.rs
@@ -10,7 +10,7 @@
 
 use crate::state::{KeyList, RequestPriority, StateStoreClient, StateStoreError};
 use crate::time::{steady, Micros, Steady};
-use crate::wire::Events;
+use crate::wire::WatchEvents;
 
 /// How long a status request waits for a read; its user gives up after two seconds.
 const REQUEST_PATIENCE: Micros = Micros::from_millis(1900);
@@ -28,7 +28,7 @@
 
 impl LiveIds {
     /// Applies changes since the revision.
-    pub fn apply(&mut self, changes: &Events) {
+    pub fn apply(&mut self, changes: &WatchEvents) {
         let job_id =
             |key: Option<&String>| key.and_then(|key| key.strip_prefix(JOB_PREFIX)).map(str::to_string);
         self.ids.extend(changes.events.iter().filter_map(|event| job_id(event.put.as_ref())));
@@ -165,7 +165,7 @@
     /// All of them.
     All(LiveIds),
     /// What has changed since the last read.
-    Changes(Events),
+    Changes(WatchEvents),
 }
 
 /// Reads what changed since a revision, or everything.
--- a/src/records.rs
+++ b/src/records.rs
@@ -86,7 +86,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DemandRecord {
     /// When it was submitted, in microseconds since 1970 (UTC).
-    pub at_us: i64,
+    #[serde(rename = "at_us")]
+    pub submitted_us: i64,
     /// What a task needs: processors, accelerator cards, memory in GB.
     pub need: (f64, f64, f64),
     /// Its priority.
@@ -95,7 +96,8 @@
     /// Names of the machine types it may use.
     pub types: Vec<String>,
     /// Task-seconds, by the user's estimate of a task's run time.
-    pub work: f64,
+    #[serde(rename = "work")]
+    pub task_seconds: f64,
     /// The service-level objective of its class is shorter than a machine needs to boot and fetch an
     /// image.
     #[serde(rename = "hasty")]
@@ -104,8 +106,8 @@
     #[serde(rename = "beside", default)]
     pub extra_machines: u32,
     /// It has a deadline.
-    #[serde(default)]
-    pub due: bool,
+    #[serde(rename = "due", default)]
+    pub has_deadline: bool,
     /// It may use spot instances.
     #[serde(default)]
     pub spot: bool,
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -3,8 +3,10 @@
 /// Why a call to the state store has no result.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone)]
 pub enum StateStoreError {
-    /// The store, or its rate limits, refused with this HTTP status (0: the request was not
-    /// sent): nothing was executed.
+    /// No connection, so that the request was not sent: nothing was executed.
+    #[error("the state store refused the request with status 0")]
+    NotSent,
+    /// The store, or its rate limits, refused with this HTTP status: nothing was executed.
     #[error("the state store refused the request with status {0}")]
     Refused(u16),
     /// Over this controller's own share of the rate limits: nothing was sent.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::http::{CallError, Client, ClientResponse};
 use crate::time::{steady, Micros, Steady};
-use crate::wire::{Events, Row, Rows, Txn};
+use crate::wire::{Row, RowPage, Txn, WatchEvents};
 
 use budget::{AllowedRates, RateBudget};
 pub use budget::{NextRates, RequestPriority, TokenBucket};
@@ -151,7 +151,7 @@
             }
             Ok(ClientResponse { status: 503, .. }) => Err(StateStoreError::Refused(503)),
             Ok(response) => Ok(response),
-            Err(CallError::NotSent(_)) => Err(StateStoreError::Refused(0)),
+            Err(CallError::NotSent(_)) => Err(StateStoreError::NotSent),
             Err(CallError::NoAnswer(cause)) => Err(StateStoreError::Unknown(cause)),
         }
     }
@@ -193,7 +193,7 @@
     }
 
     /// Reads the page of a list that begins after the row `last`.
-    fn list_page(&self, prefix: &str, last: Option<&Row>) -> Result<Rows, StateStoreError> {
+    fn list_page(&self, prefix: &str, last: Option<&Row>) -> Result<RowPage, StateStoreError> {
         let from = last.map(|row| format!("&from={}", row.key)).unwrap_or_default();
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let path = format!("/keys?starts={prefix}{from}&most={LIST_PAGE_ROWS}");
@@ -287,7 +287,7 @@
         prefix: &str,
         from: u64,
         priority: RequestPriority,
-    ) -> Result<Events, StateStoreError> {
+    ) -> Result<WatchEvents, StateStoreError> {
         self.admit(0, priority, BUDGET_PATIENCE)?;
         self.read_events(&self.calls, prefix, from, Micros::ZERO)
     }
@@ -296,7 +296,7 @@
     ///
     /// # Errors
     /// [`StateStoreError::TooOld`] if the revision is compacted away; otherwise as any call.
-    pub fn watch(&self, prefix: &str, from: u64, block: Micros) -> Result<Events, StateStoreError> {
+    pub fn watch(&self, prefix: &str, from: u64, block: Micros) -> Result<WatchEvents, StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         self.read_events(&self.watches, prefix, from, block)
     }
@@ -307,7 +307,7 @@
         prefix: &str,
         from: u64,
         block: Micros,
-    ) -> Result<Events, StateStoreError> {
+    ) -> Result<WatchEvents, StateStoreError> {
         let path = format!("/watch?starts={prefix}&from={from}&blockMs={}", block.millis());
         let response = self.call(client, "GET", &path, None, block + CALL_TIMEOUT)?;
         match response.status {
--- a/src/wire/cells.rs
+++ b/src/wire/cells.rs
@@ -12,8 +12,9 @@
 pub struct OtherCellStatus {
     /// Its name.
     pub name: String,
-    /// Whether its leader answered the last message.
-    pub answers: bool,
+    /// Whether its leader replied to the last message.
+    #[serde(rename = "answers")]
+    pub reachable: bool,
     /// Processors for which it would accept tasks.
     pub spare_cpus: Option<f64>,
     /// Seconds of its own backlog.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -7,6 +7,7 @@
 //! | --- | --- |
 //! | `addr` | address |
 //! | `alone` | gang incomplete (exit reason) |
+//! | `answers` | reachable (another cell) |
 //! | `batch` | array, of independent tasks |
 //! | `blight` | exit reason |
 //! | `breed`, `breeds`, `sku` | machine type |
@@ -32,7 +33,7 @@
 //! | `orders` | commands to a worker |
 //! | `owner` of a job | team |
 //! | `owner` in a status | leader |
-//! | `part` | shard |
+//! | `part`, `parts` | shard |
 //! | `path` of a row or guard | key of the state store |
 //! | `plea` | id of a scale-out request (idempotent) |
 //! | `pullGb`, `pullGbPerS` | size of an image, rate at which it is fetched |
@@ -40,13 +41,14 @@
 //! | `rank` | priority |
 //! | `rate` | price an hour |
 //! | `readyS` | boot time |
-//! | `reclaimS` | notice before the cloud takes a spot instance |
+//! | `reclaimS` | interruption notice of a spot instance |
 //! | `season` | agent epoch |
 //! | `seed` | image |
 //! | `sickle`, `token` | fencing token |
 //! | `sowing` | attempt |
 //! | `stamp` | revision of a key's latest change (`mod_revision`) |
 //! | `stashEveryS`, `stashS` | checkpoint interval, time to save a checkpoint |
+//! | `state_seen_s_ago` | age of the last contact with the state store |
 //! | `steward` | leader |
 //! | `tally` | sequence number of a heartbeat |
 //! | `tenure` | lease |
@@ -64,7 +66,7 @@
 pub use cloud::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest};
 pub use jobs::{JobSpec, JobStage, JobStatus, Priority, Shape, Stage};
 pub use replies::{ControllerStatus, Health, Redirect, ShardStatus, HEALTH_PATH};
-pub use state::{Change, Event, Events, Guard, Row, Rows, Txn};
+pub use state::{Change, Guard, Row, RowPage, Txn, WatchEvent, WatchEvents};
 pub use submissions::{is_job_id, SubmissionError, MAX_TASKS, REQUIRED_FIELDS};
 pub use workers::{
     DirectCommandRequest, ExitReason, Heartbeat, HeartbeatReply, TaskStage, TaskStatus, WorkerCommand,
--- a/src/wire/replies.rs
+++ b/src/wire/replies.rs
@@ -36,16 +36,16 @@
     pub controller: String,
     /// The leader's model; none on any other controller.
     #[serde(rename = "owner")]
-    pub view: Option<FleetView>,
+    pub fleet: Option<FleetView>,
     /// Program versions of the controllers, by label; none for one that has not been heard from.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub versions: Option<BTreeMap<String, Option<String>>>,
     /// The shards that it leads.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub parts: Option<Vec<ShardStatus>>,
+    #[serde(rename = "parts", default, skip_serializing_if = "Option::is_none")]
+    pub shards: Option<Vec<ShardStatus>>,
     /// Age in seconds of the leader's last contact with the state store.
     #[serde(rename = "state_seen_s_ago", default, skip_serializing_if = "Option::is_none")]
-    pub view_age_s: Option<f64>,
+    pub state_age_s: Option<f64>,
     /// What the cell lends and borrows, if cells are configured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cells: Option<CellsStatus>,
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -19,7 +19,7 @@
 
 /// A page of a list of keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Rows {
+pub struct RowPage {
     /// The keys with their values, in order.
     pub rows: Vec<Row>,
     /// Whether there is more.
@@ -93,7 +93,7 @@
 
 /// A change seen by a watch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Event {
+pub struct WatchEvent {
     /// The key written, if it was.
     #[serde(default)]
     pub put: Option<String>,
@@ -110,11 +110,11 @@
 
 /// The changes that a watch returns.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Events {
+pub struct WatchEvents {
     /// The store's revision.
     #[serde(rename = "harvest")]
     pub revision: u64,
     /// The changes, in any order.
     #[serde(default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -112,7 +112,7 @@
     pub fencing_token: u64,
     /// Seconds until the cloud takes the spot instance, after a notice.
     #[serde(rename = "reclaimS", default)]
-    pub notice_s: Option<f64>,
+    pub interruption_notice_s: Option<f64>,
     /// All tasks on the machine, exited ones included until they are forgotten.
     #[serde(rename = "kernels", default)]
     pub tasks: Vec<TaskStatus>,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -122,7 +122,7 @@
         agent_epoch: 1,
         sequence,
         fencing_token,
-        notice_s: None,
+        interruption_notice_s: None,
         tasks: tasks
             .iter()
             .map(|t| TaskStatus { task: t.0.into(), attempt: t.1, stage: t.2, exit_reason: t.3, saved: None })
--- a/tests/common/worker.rs
+++ b/tests/common/worker.rs
@@ -80,7 +80,7 @@
             agent_epoch: self.agent_epoch,
             sequence: self.report_number,
             fencing_token: self.fencing_token,
-            notice_s: None,
+            interruption_notice_s: None,
             tasks: self.tasks.iter().map(|(attempt, task)| task_report(attempt, task)).collect(),
         }
     }
--- a/tests/reads.rs
+++ b/tests/reads.rs
@@ -3,7 +3,7 @@
 use milletlock::live_jobs::LiveIds;
 use milletlock::state::TokenBucket;
 use milletlock::time::{Micros, Steady};
-use milletlock::wire::Events;
+use milletlock::wire::WatchEvents;
 use serde_json::{json, Value};
 
 #[test]
@@ -19,7 +19,7 @@
 
 #[test]
 fn what_ends_stays_ended_whatever_the_order_of_changes() {
-    let changes = |v: Value| -> Events { serde_json::from_value(v).expect("changes") };
+    let changes = |v: Value| -> WatchEvents { serde_json::from_value(v).expect("changes") };
     let mut s = LiveIds { ids: ["wk-1".to_string()].into(), revision: Some(10) };
     s.apply(&changes(json!({ "harvest": 14, "events": [
         { "drop": "job/wk-2", "stamp": 14 }, { "put": "job/wk-2", "value": {}, "stamp": 11 },
--- a/tests/replies.rs
+++ b/tests/replies.rs
@@ -19,10 +19,10 @@
     let status = ControllerStatus {
         leader: Some("a".into()),
         controller: "a".into(),
-        view: Some(json!({ "token": 7 })),
+        fleet: Some(json!({ "token": 7 })),
         versions: None,
-        parts: Some(vec![ShardStatus { leader: "a".into(), shard: 0, fencing_token: 7 }]),
-        view_age_s: Some(0.5),
+        shards: Some(vec![ShardStatus { leader: "a".into(), shard: 0, fencing_token: 7 }]),
+        state_age_s: Some(0.5),
         cells: None,
     };
     let expected = json!({
@@ -37,10 +37,10 @@
     let status: ControllerStatus<Value> = ControllerStatus {
         leader: None,
         controller: "b".into(),
-        view: None,
+        fleet: None,
         versions: None,
-        parts: None,
-        view_age_s: None,
+        shards: None,
+        state_age_s: None,
         cells: None,
     };
     assert_eq!(json!(status), json!({ "leader": null, "node": "b", "owner": null }));
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -485,7 +485,7 @@
     next.inherit_recent(list, at(30.0), wall(30.0));
     let again = next.recent(at(30.0), wall(30.0), 4000);
     assert_eq!(
-        (again[0].at_us, again[0].starts_before_boot, &again[0].types[..]),
+        (again[0].submitted_us, again[0].starts_before_boot, &again[0].types[..]),
         (wall(0.0).0, true, &["large".to_string()][..])
     );
     assert!(f.recent(at(20.0), wall(20.0), 50).is_empty(), "a list that does not fit a value");
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -247,7 +247,7 @@
         let mut message = report(machine, worker.report, worker.fencing_token, &tasks);
         message.agent_epoch = worker.agent_epoch;
         message.zone = worker.zone.into();
-        message.notice_s = worker.taken_at.map(|at| (at - now).secs());
+        message.interruption_notice_s = worker.taken_at.map(|at| (at - now).secs());
         match self.fleet.check_in(&message, now, Wall(now.0)) {
             HeartbeatOutcome::Reply(reply) => Some(reply.commands),
             HeartbeatOutcome::Refuse => None,
--- a/tests/spot_machines.rs
+++ b/tests/spot_machines.rs
@@ -24,7 +24,7 @@
     s.submit(JobSpec { estimate_s: 10.0, ..spec(2, 2, "batch") });
     (0..3).for_each(|_| s.step(&[]));
     assert_eq!(s.tasks("i-000").len(), 4);
-    let notice = Heartbeat { notice_s: Some(15.0), ..s.running("i-000") };
+    let notice = Heartbeat { interruption_notice_s: Some(15.0), ..s.running("i-000") };
     let orders = s.report(&notice);
     assert_eq!(stopped(&orders), 2, "{orders:?}");
     assert!(orders
@@ -32,7 +32,7 @@
         .all(|o| !matches!(o, WorkerCommand::Halt { task, .. } if !task.starts_with("wk-000001"))));
     // Near its end what overruns its estimate is left to end.
     s.now = s.now + Micros::from_secs(12.0);
-    let notice = Heartbeat { notice_s: Some(0.5), ..s.running("i-000") };
+    let notice = Heartbeat { interruption_notice_s: Some(0.5), ..s.running("i-000") };
     assert_eq!(stopped(&s.report(&notice)), 2, "the same two, again");
 }
 
@@ -44,7 +44,7 @@
     s.submit(JobSpec { estimate_s: 200.0, ..spec(2, 2, "gang") });
     (0..3).for_each(|_| s.step(&[]));
     assert_eq!(s.tasks("i-000").len(), 4);
-    let notice = Heartbeat { notice_s: Some(100.0), ..s.running("i-000") };
+    let notice = Heartbeat { interruption_notice_s: Some(100.0), ..s.running("i-000") };
     assert_eq!(stopped(&s.report(&notice)), 0);
 }
 
@@ -73,7 +73,7 @@
     let silent = ["i-003"];
     let mut s = Scenario::new(20, true);
     s.step(&[]);
-    let notice = Heartbeat { notice_s: Some(15.0), ..s.running("i-003") };
+    let notice = Heartbeat { interruption_notice_s: Some(15.0), ..s.running("i-003") };
     s.report(&notice);
     let steps = s.steps_until_returned(&silent, 20).expect("returned");
     assert_eq!(steps, 3);
