--- a/src/api.rs
+++ b/src/api.rs
@@ -22,7 +22,8 @@
 use crate::state::{RequestPriority, StateStoreClient, StateStoreError, TxnOutcome};
 use crate::time::wall;
 use crate::wire::{
-    is_job_id, Change, Guard, JobSpec, JobStage, JobStatus, MachineType, Stage, SubmissionError, Txn,
+    is_job_id, submitted_id, Change, Guard, JobSpec, JobStage, JobStatus, MachineType, Stage,
+    SubmissionError, Txn,
 };
 
 /// Path of the users' interface.
@@ -240,9 +241,8 @@
 ) -> Result<Response, StateStoreError> {
     let reason = error.to_string();
     tracing::debug!(reason, "malformed submission");
-    let submission: Value = serde_json::from_slice(body).unwrap_or_default();
-    let id = submission.get("nameId").and_then(Value::as_str);
-    known_or(backend, id, Response::error(400, &reason))
+    let id = submitted_id(body);
+    known_or(backend, id.as_deref(), Response::error(400, &reason))
 }
 
 /// Writes the record of a new job (`value` is its JSON), unless a job of that id is known.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::http::{CallError, Client, ClientResponse};
 use crate::time::{steady, Micros, Steady};
-use crate::wire::{Row, RowPage, Txn, WatchEvents};
+use crate::wire::{LeaseGranted, LeaseRequest, Row, RowPage, Txn, TxnCommitted, TxnConflict, WatchEvents};
 
 use budget::{AllowedRates, RateBudget};
 pub use budget::{NextRates, RequestPriority, TokenBucket};
@@ -30,28 +30,6 @@
     unreachable_since: Mutex<Option<Steady>>,
 }
 
-/// The store's reply to a lease grant; the wire calls the lease id `tenure`.
-#[derive(Deserialize)]
-struct LeaseGranted {
-    #[serde(rename = "tenure")]
-    lease: u64,
-}
-
-/// The store's reply to an executed transaction; the wire calls the revision `harvest`.
-#[derive(Deserialize)]
-struct TxnCommitted {
-    #[serde(rename = "harvest")]
-    revision: u64,
-}
-
-/// The store's reply to a transaction whose guards did not hold.
-#[derive(Deserialize)]
-struct TxnConflict {
-    /// The keys whose guards failed.
-    #[serde(default)]
-    failed: Vec<String>,
-}
-
 /// All keys with a prefix.
 #[derive(Clone, Debug)]
 pub struct KeyList {
@@ -249,7 +227,7 @@
     /// Takes a new lease of `ttl` (whole milliseconds on the wire); returns its id.
     pub fn grant_lease(&self, ttl: Micros) -> Result<u64, StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
-        let body = json!({ "ttlMs": ttl.millis() });
+        let body = json!(LeaseRequest { ttl_ms: ttl.millis() });
         let response = self.call(&self.calls, "POST", "/leases", Some(&body), CALL_TIMEOUT)?;
         match response.status {
             200 | 201 => parse::<LeaseGranted>(&response.body).map(|reply| reply.lease),
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -52,6 +52,7 @@
 //! | `steward` | leader |
 //! | `tally` | sequence number of a heartbeat |
 //! | `tenure` | lease |
+//! | `ttlMs` | time to live of a lease, in milliseconds |
 //! | `up` | healthy |
 
 mod cells;
@@ -66,8 +67,11 @@
 pub use cloud::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest};
 pub use jobs::{JobSpec, JobStage, JobStatus, Priority, Shape, Stage};
 pub use replies::{ControllerStatus, Health, Redirect, ShardStatus, HEALTH_PATH};
-pub use state::{Change, Guard, Row, RowPage, Txn, WatchEvent, WatchEvents};
-pub use submissions::{is_job_id, SubmissionError, MAX_TASKS, REQUIRED_FIELDS};
+pub use state::{
+    Change, Guard, LeaseGranted, LeaseRequest, Row, RowPage, Txn, TxnCommitted, TxnConflict, WatchEvent,
+    WatchEvents,
+};
+pub use submissions::{is_job_id, submitted_id, SubmissionError, MAX_TASKS, REQUIRED_FIELDS};
 pub use workers::{
     DirectCommandRequest, ExitReason, Heartbeat, HeartbeatReply, TaskStage, TaskStatus, WorkerCommand,
     COMMANDS_PATH, HEARTBEAT_PATH,
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -118,3 +118,35 @@
     #[serde(default)]
     pub events: Vec<WatchEvent>,
 }
+
+/// A request for a lease.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+pub struct LeaseRequest {
+    /// Milliseconds after which the lease expires unless it is renewed.
+    #[serde(rename = "ttlMs")]
+    pub ttl_ms: i64,
+}
+
+/// Reply to a request for a lease.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+pub struct LeaseGranted {
+    /// Id of the lease.
+    #[serde(rename = "tenure")]
+    pub lease: u64,
+}
+
+/// Reply to a transaction that was executed.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+pub struct TxnCommitted {
+    /// The revision of its changes.
+    #[serde(rename = "harvest")]
+    pub revision: u64,
+}
+
+/// Reply to a transaction whose guards did not hold.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct TxnConflict {
+    /// The keys whose guards failed.
+    #[serde(default)]
+    pub failed: Vec<String>,
+}
--- a/src/wire/submissions.rs
+++ b/src/wire/submissions.rs
@@ -48,6 +48,12 @@
     })
 }
 
+/// The job id that a submission names, if that much of a malformed one can be read.
+pub fn submitted_id(body: &[u8]) -> Option<String> {
+    let submission: Value = serde_json::from_slice(body).ok()?;
+    submission.get("nameId").and_then(Value::as_str).map(str::to_string)
+}
+
 /// Why a submission is malformed, in one line for the user.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
