--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -2,10 +2,10 @@
 //! confirmed to users.
 
 use super::{lock_ignoring_poison, Controller, Leadership, UNREPORTED_VERSION, VERSION};
-use crate::cancellation_notices::Cancellation;
+use crate::cancellation_notices::{Cancellation, NoticeBatch};
 use crate::fleet::JobProgress;
 use crate::jobs::JobId;
-use crate::peer::{self, JobCounts, Message, Outcome, Summary};
+use crate::peer::{self, JobCounts, PeerMessage, PeerReply, Summary};
 use crate::time::{Micros, Steady};
 
 /// How often the leader announces itself.
@@ -51,12 +51,12 @@
         let Some(summary) = self.due_summary() else { return };
         let sent: Vec<_> = (0..self.peers.count())
             .filter_map(|peer| {
-                let message = Message::Announce(summary.clone());
-                Some((peer, self.peers.begin(peer, message, MESSAGE_TIMEOUT).ok()?))
+                let message = PeerMessage::Announce(summary.clone());
+                Some((peer, self.peers.send(peer, message, MESSAGE_TIMEOUT).ok()?))
             })
             .collect();
         for (peer, waiting) in sent {
-            if let Ok(Outcome::Ack(ack)) = waiting.wait() {
+            if let Ok(PeerReply::Ack(ack)) = waiting.wait() {
                 self.on_peer_answer(ack.token);
                 self.note_peer_version(peer, ack.version);
             }
@@ -107,16 +107,16 @@
         let due = lock_ignoring_poison(&self.notices).due(self.now());
         let sent: Vec<_> = due
             .into_iter()
-            .map(|(peer, batch)| {
-                let waiting = self.peers.begin(peer, cancellations_message(&batch), MESSAGE_TIMEOUT);
+            .map(|NoticeBatch { to: peer, cancellations: batch }| {
+                let waiting = self.peers.send(peer, cancellations_message(&batch), MESSAGE_TIMEOUT);
                 (peer, waiting, batch)
             })
             .collect();
         let mut all_acknowledged = true;
         for (peer, waiting, batch) in sent {
             match waiting.and_then(|waiting| waiting.wait()) {
-                Ok(Outcome::Ack(ack)) => {
-                    lock_ignoring_poison(&self.notices).answered(peer, &batch);
+                Ok(PeerReply::Ack(ack)) => {
+                    lock_ignoring_poison(&self.notices).acknowledged(peer, &batch);
                     self.on_peer_answer(ack.token);
                 }
                 Ok(_) => all_acknowledged = false,
@@ -131,11 +131,11 @@
 }
 
 /// The message that carries cancellations.
-fn cancellations_message(batch: &[Cancellation]) -> Message {
+fn cancellations_message(batch: &[Cancellation]) -> PeerMessage {
     let job = |cancellation: &Cancellation| peer::Cancellation {
         id: cancellation.id.clone(),
         tasks: cancellation.tasks,
         revision: cancellation.revision,
     };
-    Message::Cancelled(peer::Cancellations { jobs: batch.iter().map(job).collect() })
+    PeerMessage::Cancelled(peer::Cancellations { jobs: batch.iter().map(job).collect() })
 }
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -11,7 +11,7 @@
 use crate::fleet::Fleet;
 use crate::http::{Client, ClientResponse};
 use crate::time::{Micros, Steady};
-use crate::wire::{Commands, Heartbeat, COMMANDS_PATH};
+use crate::wire::{DirectCommandRequest, Heartbeat, COMMANDS_PATH};
 
 /// How often halts that cannot wait for a heartbeat are sent.
 const HALT_INTERVAL: Micros = Micros::from_millis(100);
@@ -81,12 +81,12 @@
         if !self.is_still_due(fencing_token, command) {
             return;
         }
-        let DirectCommand { machine, address, agent_epoch, orders } = command;
+        let DirectCommand { machine, address, agent_epoch, commands: orders } = command;
         let Ok(address) = address.parse() else { return };
         let client = Client::new(address, 1);
         let mut agent_epoch = *agent_epoch;
         for _ in 0..COMMAND_ATTEMPTS {
-            let commands = Commands { fencing_token, agent_epoch, orders: orders.clone() };
+            let commands = DirectCommandRequest { fencing_token, agent_epoch, commands: orders.clone() };
             let Ok(body) = serde_json::to_vec(&commands) else { return };
             let Ok(ClientResponse { status, body }) =
                 client.call("POST", COMMANDS_PATH, Some(&body), COMMAND_TIMEOUT)
@@ -115,8 +115,9 @@
     fn is_still_due(&self, fencing_token: u64, command: &DirectCommand) -> bool {
         let is_due = |leadership: &mut Leadership| {
             let machine = leadership.fleet.machines.get(&command.machine);
-            machine
-                .is_some_and(|machine| !command.orders.is_empty() || machine.needs_fencing_token(self.now()))
+            machine.is_some_and(|machine| {
+                !command.commands.is_empty() || machine.needs_fencing_token(self.now())
+            })
         };
         self.lock().leadership_with(fencing_token).is_some_and(is_due)
     }
--- a/src/controller/deferred_replies.rs
+++ b/src/controller/deferred_replies.rs
@@ -77,7 +77,7 @@
         return None;
     }
     let deferred = deferred_replies.remove(machine)?;
-    let response = Response::json(OK, &HeartbeatReply { fencing_token, orders });
+    let response = Response::json(OK, &HeartbeatReply { fencing_token, commands: orders });
     Some(DueReply { reply: deferred.reply, response })
 }
 
--- a/src/controller/duties.rs
+++ b/src/controller/duties.rs
@@ -9,7 +9,7 @@
 use super::{Controller, ControllerError};
 use crate::config::Config;
 use crate::http;
-use crate::peer::{Inbound, PeerHub};
+use crate::peer::{InboundMessage, PeerHub};
 use crate::time::Clock;
 
 /// Number of threads that answer the other controllers.
@@ -95,7 +95,7 @@
     /// Starts a thread for each duty.
     fn start_duties(
         self: &Arc<Controller>,
-        inbound: Receiver<Inbound>,
+        inbound: Receiver<InboundMessage>,
     ) -> std::io::Result<Vec<JoinHandle<()>>> {
         let mut threads = Vec::new();
         for duty in DUTIES {
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -7,7 +7,7 @@
 use crate::api::JobsBackend;
 use crate::fleet::Fleet;
 use crate::leadership::{self, LeaderRecord, LeadershipTerm};
-use crate::state::StateError;
+use crate::state::StateStoreError;
 use crate::store_contact::StoreContact;
 use crate::time::{Micros, Steady};
 
@@ -37,7 +37,7 @@
 
     /// Stands in an election and, if it is won, rebuilds the fleet. `replaced_revision` is that of the
     /// leader's record that is replaced, 0 for none.
-    pub(super) fn fail_over(&self, ttl: Micros, replaced_revision: u64) -> Result<(), StateError> {
+    pub(super) fn fail_over(&self, ttl: Micros, replaced_revision: u64) -> Result<(), StateStoreError> {
         if self.now() < self.lock().no_election_until {
             return Ok(());
         }
@@ -48,7 +48,7 @@
         let term = match election {
             Ok(Some(term)) => term,
             Ok(None) => return Ok(()),
-            Err(error @ StateError::NewerRecords { .. }) => {
+            Err(error @ StateStoreError::NewerRecords { .. }) => {
                 tracing::error!(%error, "failover refused");
                 self.lock().no_election_until = self.now() + NEWER_RECORDS_PAUSE;
                 return Ok(());
@@ -66,7 +66,7 @@
 
     /// Rebuilds the fleet from the records after a won election, and leads with it unless a higher fencing
     /// token has been seen meanwhile. `begun` is when the election began.
-    fn rebuild(&self, term: LeadershipTerm, begun: Steady) -> Result<(), StateError> {
+    fn rebuild(&self, term: LeadershipTerm, begun: Steady) -> Result<(), StateStoreError> {
         let types = self.machine_types().unwrap_or_default();
         let rebuilt =
             leadership::rebuild(&self.state, self.config.clone(), types, term.fencing_token, self.now());
@@ -100,7 +100,7 @@
         }
         let now = self.now();
         let budget = StateBudget::new(&self.config, ControllerRole::Leader);
-        self.state.allow(budget.requests_per_s, budget.writes_per_s);
+        self.state.set_rates(budget.requests_per_s, budget.writes_per_s);
         tracing::info!(
             fencing_token = term.fencing_token,
             jobs = fleet.jobs.len(),
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -151,7 +151,7 @@
     };
     // Other workers send a heartbeat when something changes, and must not be kept from it.
     let machine: MachineId = heartbeat.machine.as_str().into();
-    if heartbeat_reply.orders.is_empty() && leadership.fleet.may_defer_reply(&machine, now) {
+    if heartbeat_reply.commands.is_empty() && leadership.fleet.may_defer_reply(&machine, now) {
         if let Some(reply) = reply {
             let fencing_token = leadership.term.fencing_token;
             let deadline = now + MAX_REPLY_DELAY;
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -2,7 +2,7 @@
 
 use super::{Controller, SharedState};
 use crate::leadership::{LeaderRecord, LEADER_KEY};
-use crate::state::StateError;
+use crate::state::{KeyList, StateStoreError};
 use crate::time::Micros;
 
 use super::step_down::StepDownReason;
@@ -66,7 +66,7 @@
     /// Renews the leader's lease; steps down if it has expired, or if this leader is isolated.
     fn renew_lease(&self, lease: u64, fencing_token: u64) {
         let begun = self.now();
-        let renewal = self.state.renew(lease);
+        let renewal = self.state.renew_lease(lease);
         let renewed = renewal.is_ok();
         let mut shared = self.lock();
         let Some(leadership) = shared.leadership_with(fencing_token) else { return };
@@ -77,7 +77,7 @@
         }
         match renewal {
             Ok(()) => {}
-            Err(StateError::NoLease) => self.step_down(&mut shared, StepDownReason::LeaseExpired),
+            Err(StateStoreError::NoLease) => self.step_down(&mut shared, StepDownReason::LeaseExpired),
             Err(error) => tracing::info!(%error, "leader lease renewal failed"),
         }
         if renewed && self.is_isolated(&shared) {
@@ -105,8 +105,8 @@
 
     /// Reads the leader's record. While another controller leads, waits for the end of its lease; then, or
     /// if no controller leads, fails over.
-    fn follow_leader(&self, ttl: Micros) -> Result<(), StateError> {
-        let (rows, revision) = self.state.list(LEADER_KEY)?;
+    fn follow_leader(&self, ttl: Micros) -> Result<(), StateStoreError> {
+        let KeyList { rows, revision } = self.state.list(LEADER_KEY)?;
         let row = rows.into_iter().find(|row| row.key == LEADER_KEY);
         let leader: Option<LeaderRecord> =
             row.as_ref().and_then(|row| serde_json::from_value(row.value.clone()).ok());
@@ -126,7 +126,7 @@
     }
 
     /// Waits a while for the end of another leader's lease; whether it ended.
-    fn await_lease_expiry(&self, leader: &LeaderRecord, revision: u64) -> Result<bool, StateError> {
+    fn await_lease_expiry(&self, leader: &LeaderRecord, revision: u64) -> Result<bool, StateStoreError> {
         {
             let mut shared = self.lock();
             shared.highest_fencing_token = shared.highest_fencing_token.max(leader.fencing_token);
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -9,7 +9,7 @@
 use crate::config::{CellsSettings, OtherCell};
 use crate::fleet::{Fleet, LoanWrite};
 use crate::loan_messages::{report_from_proto, request_to_proto, MAX_LOANS};
-use crate::peer::{LoanReply, Message, Outcome, PeerError, Waiting};
+use crate::peer::{LoanReply, PeerError, PeerMessage, PeerReply, PendingReply};
 use crate::time::{wall, Micros};
 
 /// How often messages are sent to a cell while it holds loans, or some are to be made.
@@ -37,7 +37,7 @@
 struct CellExchange<'a> {
     cell: &'a OtherCell,
     /// The answer to come, or why there is none.
-    waiting: Result<Waiting, PeerError>,
+    waiting: Result<PendingReply, PeerError>,
 }
 
 /// Decides whether to lend, and how much.
@@ -76,8 +76,8 @@
         self.retry_loan_writes(fencing_token);
         for exchange in self.send_loan_requests(cells, fencing_token, backlog_s) {
             let cell = exchange.cell;
-            match exchange.waiting.and_then(Waiting::wait) {
-                Ok(Outcome::Loans(reply)) => self.on_loan_reply(fencing_token, cell, &reply, policy),
+            match exchange.waiting.and_then(PendingReply::wait) {
+                Ok(PeerReply::Loans(reply)) => self.on_loan_reply(fencing_token, cell, &reply, policy),
                 Ok(_) => self.cell_unreachable(cell, &CellExchangeError::WrongAnswer),
                 Err(error) => self.cell_unreachable(cell, &error.into()),
             }
@@ -108,8 +108,8 @@
             let request =
                 fleet.loans.lender_ledger.request(&cells.name, &cell.name, fencing_token, action, offer);
             drop(shared);
-            let message = Message::Lend(request_to_proto(&request));
-            let waiting = self.peers.begin(first_address + controller, message, CELL_TIMEOUT);
+            let message = PeerMessage::Lend(request_to_proto(&request));
+            let waiting = self.peers.send(first_address + controller, message, CELL_TIMEOUT);
             exchanges.push(CellExchange { cell, waiting });
             first_address += cell.controllers.len();
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -52,7 +52,7 @@
 use crate::config::Config;
 use crate::live_jobs::LiveJobs;
 use crate::peer::PeerHub;
-use crate::state::StateClient;
+use crate::state::StateStoreClient;
 use crate::time::{Clock, Micros, Steady};
 
 /// Reads of the live jobs begin no closer together than this.
@@ -77,7 +77,7 @@
 pub struct Controller {
     config: Arc<Config>,
     /// The client of the state store.
-    state: StateClient,
+    state: StateStoreClient,
     /// The live jobs, for polls.
     live: LiveJobs,
     cloud: CloudClient,
@@ -116,7 +116,7 @@
         let notice_retention = Micros::from_secs(platform.settings.workers.cancel_s);
         let now = clock.now();
         Ok(Arc::new(Controller {
-            state: StateClient::new(
+            state: StateStoreClient::new(
                 platform.services.state,
                 budget.requests_per_s,
                 budget.writes_per_s,
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -11,7 +11,9 @@
 use crate::fleet::JobProgress;
 use crate::http::{self, Request, Response};
 use crate::leadership::LeaderRecord;
-use crate::peer::{self, Ack, Answer, Call, Inbound, JobCounts, JobNews, Message, Outcome, Summary};
+use crate::peer::{
+    self, Ack, Answer, Call, InboundMessage, JobCounts, JobNews, PeerMessage, PeerReply, Summary,
+};
 use crate::records::{FinalRecord, JobRecord};
 use crate::time::Micros;
 use crate::wire::{is_job_id, Stage};
@@ -24,7 +26,7 @@
     pub(super) fn relay(&self, peer: usize, request: &Request, timeout: Micros) -> Option<Response> {
         let call =
             Call { method: request.method.clone(), path: request.path.clone(), body: request.body.clone() };
-        let Ok(Outcome::Answer(answer)) = self.peers.call(peer, Message::Relay(call), timeout) else {
+        let Ok(PeerReply::Answer(answer)) = self.peers.call(peer, PeerMessage::Relay(call), timeout) else {
             return None;
         };
         Some(Response {
@@ -44,7 +46,7 @@
     }
 
     /// Answers the messages of other controllers until the controller ends.
-    pub(super) fn answer_peers(&self, inbound: &Mutex<Receiver<Inbound>>) {
+    pub(super) fn answer_peers(&self, inbound: &Mutex<Receiver<InboundMessage>>) {
         while !self.stopping() {
             let received = lock_ignoring_poison(inbound).recv_timeout(RECEIVE_TIMEOUT);
             let inbound_message = match received {
@@ -58,22 +60,22 @@
     }
 
     /// Answers a message of another controller.
-    pub fn handle_peer_message(&self, message: &Message) -> Outcome {
+    pub fn handle_peer_message(&self, message: &PeerMessage) -> PeerReply {
         // A message of another cell does not show that this cell's own controllers can be reached.
-        if !matches!(message, Message::Lend(_)) {
+        if !matches!(message, PeerMessage::Lend(_)) {
             self.lock().last_peer_contact = self.now();
         }
         match message {
-            Message::Lend(request) => self.on_loans(request),
-            Message::Announce(summary) => self.on_announcement(summary),
-            Message::Notify(news) => self.on_job_news(news),
-            Message::Cancelled(cancellations) => self.on_cancellations(cancellations),
-            Message::Relay(call) => self.on_relay(call),
+            PeerMessage::Lend(request) => self.on_loans(request),
+            PeerMessage::Announce(summary) => self.on_announcement(summary),
+            PeerMessage::Notify(news) => self.on_job_news(news),
+            PeerMessage::Cancelled(cancellations) => self.on_cancellations(cancellations),
+            PeerMessage::Relay(call) => self.on_relay(call),
         }
     }
 
     /// Answers a request that another controller relayed.
-    fn on_relay(&self, call: &Call) -> Outcome {
+    fn on_relay(&self, call: &Call) -> PeerReply {
         let request =
             Request { method: call.method.clone(), path: call.path.clone(), body: call.body.clone() };
         let response = if request.body.len() > http::MAX_BODY {
@@ -81,7 +83,7 @@
         } else {
             self.answer(&request, true)
         };
-        Outcome::Answer(Answer {
+        PeerReply::Answer(Answer {
             status: u32::from(response.status),
             body: response.body,
             retry_after: response.retry_after.unwrap_or(0),
@@ -90,7 +92,7 @@
 
     /// Another controller has confirmed cancellations: what is left of the jobs is stopped, whether
     /// this leader can read their records or not.
-    fn on_cancellations(&self, cancellations: &peer::Cancellations) -> Outcome {
+    fn on_cancellations(&self, cancellations: &peer::Cancellations) -> PeerReply {
         for cancellation in &cancellations.jobs {
             let id = &cancellation.id;
             if !is_job_id(id) {
@@ -104,7 +106,7 @@
     }
 
     /// Another controller leads: its task counts of live jobs are kept for polls.
-    fn on_announcement(&self, summary: &Summary) -> Outcome {
+    fn on_announcement(&self, summary: &Summary) -> PeerReply {
         let mut shared = self.lock();
         if summary.token > shared.highest_fencing_token {
             self.step_down(&mut shared, StepDownReason::HigherTokenLeads(summary.token));
@@ -123,7 +125,7 @@
     }
 
     /// Another controller has written or ended a job.
-    fn on_job_news(&self, news: &JobNews) -> Outcome {
+    fn on_job_news(&self, news: &JobNews) -> PeerReply {
         let mut shared = self.lock();
         if let Some(leadership) = shared.leadership.as_mut() {
             if news.record.is_empty() {
@@ -138,8 +140,8 @@
 }
 
 /// The acknowledgement of a message, with the highest fencing token that this controller has seen.
-fn acknowledgement(highest_fencing_token: u64) -> Outcome {
-    Outcome::Ack(Ack { token: highest_fencing_token, version: VERSION.into() })
+fn acknowledgement(highest_fencing_token: u64) -> PeerReply {
+    PeerReply::Ack(Ack { token: highest_fencing_token, version: VERSION.into() })
 }
 
 /// The task counts in a leader's announcement, by job.
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -4,7 +4,7 @@
 
 use super::responses::{unavailable, METHOD_NOT_ALLOWED};
 use super::{Controller, STATUS_PATH};
-use crate::api;
+use crate::api::{self, RequestOrigin};
 use crate::http::{self, Reply, Request, RequestClass, Response};
 use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH, WRITE_OFF_PATH};
 
@@ -45,7 +45,10 @@
             // For operators, over the controllers' own interface: users' connections never reach it.
             path if relayed && path.starts_with(STATUS_PATH) => self.status(request),
             path if relayed && path.starts_with(WRITE_OFF_PATH) => self.write_off(request),
-            _ => api::handle(self, request, relayed),
+            _ => {
+                let origin = if relayed { RequestOrigin::Peer } else { RequestOrigin::User };
+                api::handle(self, request, origin)
+            }
         }
     }
 }
--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -125,7 +125,7 @@
                 remaining -= count;
                 let request = ScaleOutRequest {
                     request: String::new(),
-                    ty: ty.clone(),
+                    machine_type: ty.clone(),
                     zone: zone.clone(),
                     spot: offer.spot,
                     count,
@@ -171,7 +171,7 @@
     match outcome {
         Ok(ids) => {
             tracing::info!(
-                machine_type = %request.ty,
+                machine_type = %request.machine_type,
                 zone = %request.zone,
                 spot = request.spot,
                 requested = request.count,
@@ -191,7 +191,7 @@
         }
         Err(CloudError::NoCapacity) => {
             tracing::debug!(
-                machine_type = %request.ty,
+                machine_type = %request.machine_type,
                 zone = %request.zone,
                 spot = request.spot,
                 "scale out: no capacity"
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -28,7 +28,7 @@
             return unavailable("starting");
         }
         let peer_silence = self.now() - shared.last_peer_contact;
-        let store_unreachable = self.state.out_of_reach() > STATE_TIMEOUT;
+        let store_unreachable = self.state.unreachable_for() > STATE_TIMEOUT;
         if store_unreachable && self.peers.count() > 0 && peer_silence > PEER_TIMEOUT {
             return unavailable("cut off from the state service and the other controllers");
         }
@@ -43,11 +43,11 @@
         let cells_status = |leadership| self.cells_status(&shared, leadership);
         let status = ControllerStatus {
             leader: shared.leader.as_ref().map(|leader| leader.label.clone()),
-            node: self.config.platform.label.clone(),
-            view: leadership.map(|leadership| leadership.fleet.status(team, self.now(), wall())),
-            parts: leadership.map(|leadership| vec![self.shard_status(leadership)]),
+            controller: self.config.platform.label.clone(),
+            fleet: leadership.map(|leadership| leadership.fleet.status(team, self.now(), wall())),
+            shards: leadership.map(|leadership| vec![self.shard_status(leadership)]),
             versions: Some(self.versions(&shared)),
-            view_age_s: leadership.map(|leadership| leadership.store_contact.age(self.now()).secs()),
+            state_age_s: leadership.map(|leadership| leadership.store_contact.age(self.now()).secs()),
             cells: leadership.filter(|_| team.is_none()).and_then(cells_status),
         };
         Response::json(OK, &status)
--- a/src/controller/step_down.rs
+++ b/src/controller/step_down.rs
@@ -64,7 +64,7 @@
         shared.highest_fencing_token = shared.highest_fencing_token.max(higher);
         if let Some(leadership) = shared.leadership.take() {
             let budget = StateBudget::new(&self.config, ControllerRole::Follower);
-            self.state.allow(budget.requests_per_s, budget.writes_per_s);
+            self.state.set_rates(budget.requests_per_s, budget.writes_per_s);
             tracing::info!(
                 fencing_token = leadership.term.fencing_token,
                 higher,
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -4,15 +4,15 @@
 
 use super::responses::UNAVAILABLE;
 use super::{lock_ignoring_poison, Controller};
-use crate::api::JobsBackend;
+use crate::api::{JobsBackend, StoredFinal};
 use crate::cancellation_notices::Cancellation;
 use crate::config::Config;
 use crate::fleet::JobProgress;
 use crate::http::{Request, Response};
 use crate::live_jobs::LiveJobs;
-use crate::peer::{JobNews, Message};
+use crate::peer::{JobNews, PeerMessage};
 use crate::records::{FinalRecord, JobRecord};
-use crate::state::StateClient;
+use crate::state::StateStoreClient;
 use crate::time::Micros;
 use crate::wire::MachineType;
 
@@ -30,7 +30,7 @@
         &self.config
     }
 
-    fn state(&self) -> &StateClient {
+    fn state(&self) -> &StateStoreClient {
         &self.state
     }
 
@@ -54,8 +54,8 @@
         None
     }
 
-    fn final_of(&self, id: &str) -> Option<(FinalRecord, u64)> {
-        self.lock().final_records.get(id).copied()
+    fn known_final(&self, id: &str) -> Option<StoredFinal> {
+        self.lock().final_records.get(id).map(|&(record, revision)| StoredFinal { record, revision })
     }
 
     fn learn_final(&self, id: &str, record: FinalRecord, revision: u64) {
@@ -98,9 +98,9 @@
         };
         let Some(leader) = leader else { return };
         let record = serde_json::to_vec(&record).unwrap_or_default();
-        let news = Message::Notify(JobNews { id: id.to_string(), record, revision });
+        let news = PeerMessage::Notify(JobNews { id: id.to_string(), record, revision });
         // Not waited for: the leader's watch sees the job in any case, a little later.
-        let _ = self.peers.begin(leader, news, JOB_NEWS_TIMEOUT);
+        let _ = self.peers.send(leader, news, JOB_NEWS_TIMEOUT);
     }
 
     /// This controller confirms to a user that a job is cancelled: its tasks are stopped here, and
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -5,10 +5,10 @@
 use crate::fleet::Fleet;
 use crate::leadership::JOBS_PREFIX;
 use crate::records::JobRecord;
-use crate::state::{RequestPriority, StateError};
+use crate::state::{RequestPriority, StateStoreError};
 use crate::store_contact::StoreContact;
 use crate::time::{Micros, Steady};
-use crate::wire::{Event, Events};
+use crate::wire::{WatchEvent, WatchEvents};
 
 /// Pause between two reads.
 const WATCH_PAUSE: Micros = Micros::from_millis(100);
@@ -72,7 +72,7 @@
                 self.apply_changes(leadership, changes, is_complete_read.then_some(sent));
                 WATCH_PAUSE
             }
-            Err(StateError::TooOld) => {
+            Err(StateStoreError::TooOld) => {
                 self.step_down_from(position.fencing_token, StepDownReason::WatchCompacted);
                 Micros::ZERO
             }
@@ -92,7 +92,7 @@
 
     /// Applies changes; `read_at` is when they were requested if they are a complete read, none if a watch
     /// brought them.
-    fn apply_changes(&self, leadership: &mut Leadership, changes: Events, read_at: Option<Steady>) {
+    fn apply_changes(&self, leadership: &mut Leadership, changes: WatchEvents, read_at: Option<Steady>) {
         let latest = changes.events.iter().map(|event| event.mod_revision).max().unwrap_or(0);
         for event in changes.events {
             apply_change(&mut leadership.fleet, event, self.now());
@@ -105,7 +105,7 @@
 }
 
 /// Applies a change under the jobs' prefix.
-fn apply_change(fleet: &mut Fleet, event: Event, now: Steady) {
+fn apply_change(fleet: &mut Fleet, event: WatchEvent, now: Steady) {
     if let Some(id) = event.drop.as_deref().and_then(|key| key.strip_prefix(JOBS_PREFIX)) {
         fleet.job_ended(id, event.mod_revision);
     } else if event.put.is_some() {
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -8,7 +8,7 @@
 use crate::jobs::JobId;
 use crate::leadership::{self, Batch, LeadershipTerm, SHARD_KEY};
 use crate::records::FinalRecord;
-use crate::state::{RequestPriority, StateError, TxnOutcome};
+use crate::state::{RequestPriority, StateStoreError, TxnOutcome};
 use crate::task_ranges::chunk_tasks;
 use crate::time::{wall, Micros};
 use crate::wire::Stage;
@@ -84,11 +84,11 @@
                 }
                 self.read_back(term, &keys)
             }
-            Err(StateError::Unknown(error)) => {
+            Err(StateStoreError::Unknown(error)) => {
                 tracing::info!(%error, "write outcome unknown, reading back");
                 self.read_back(term, &guarded_keys(&batch))
             }
-            Err(StateError::Rejected(error)) => {
+            Err(StateStoreError::Rejected(error)) => {
                 tracing::error!(%error, "write rejected by state store");
                 if let Some(leadership) = self.lock().leadership_with(term.fencing_token) {
                     leadership.fleet.write_rejected();
--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -56,7 +56,7 @@
         wall: Wall,
     ) {
         let spec = JobSpec { priority: Priority::Idle, class: None, deadline_s: None, ..spec };
-        let record = JobRecord { spec, submitted_us: wall.0, high: 0, lending: Lending::default() };
+        let record = JobRecord { spec, submitted_us: wall.0, start_mark: 0, lending: Lending::default() };
         let mut job = Job::new(record, mod_revision, now);
         job.borrowed_from = Some(lender);
         let need = task_resources(&job.spec);
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -12,7 +12,7 @@
 use crate::direct_command::DirectCommand;
 use crate::jobs::MachineId;
 use crate::time::{Micros, Steady, Wall};
-use crate::wire::{ExitReason, Heartbeat, HeartbeatReply, Order, TaskStage};
+use crate::wire::{ExitReason, Heartbeat, HeartbeatReply, TaskStage, WorkerCommand};
 
 /// Up to this many pairs of job and machine a new plan is made for each heartbeat's reply; with more,
 /// plans are made apart from the replies.
@@ -66,7 +66,13 @@
         if !self.machines.contains_key(&id) && !self.add_machine_of(heartbeat, &id, now) {
             return HeartbeatOutcome::Refuse;
         }
-        self.describe_machine(&id, &heartbeat.addr, &heartbeat.ty, &heartbeat.zone, heartbeat.spot);
+        self.describe_machine(
+            &id,
+            &heartbeat.address,
+            &heartbeat.machine_type,
+            &heartbeat.zone,
+            heartbeat.spot,
+        );
         if !self.reconcile_heartbeat(&id, heartbeat, now) {
             // A copy, or one that was overtaken: it renews no lease and adds no task, and the worker does
             // not wait for its reply.
@@ -79,7 +85,7 @@
             machine.missing = false;
         }
         let orders = self.reply_orders(&id, now, wall);
-        HeartbeatOutcome::Reply(HeartbeatReply { fencing_token: self.fencing_token, orders })
+        HeartbeatOutcome::Reply(HeartbeatReply { fencing_token: self.fencing_token, commands: orders })
     }
 
     /// Adds the machine of a first heartbeat; returns false if the heartbeat is to be refused.
@@ -93,7 +99,7 @@
             tracing::info!(machine = %id, "late heartbeat of a removed machine refused");
             return false;
         }
-        tracing::info!(machine = %id, machine_type = %heartbeat.ty, zone = %heartbeat.zone, "first heartbeat");
+        tracing::info!(machine = %id, machine_type = %heartbeat.machine_type, zone = %heartbeat.zone, "first heartbeat");
         self.machines.insert(id.clone(), Machine::new(id, now));
         true
     }
@@ -151,7 +157,7 @@
                 commands.push(machine.direct_command(orders));
             }
         }
-        self.count_orders(commands.iter().flat_map(|command| &command.orders), now);
+        self.count_orders(commands.iter().flat_map(|command| &command.commands), now);
         commands
     }
 
@@ -175,7 +181,7 @@
 
     /// The orders with which a machine's heartbeat is answered: forgets of exited tasks whose end is
     /// written, halts, and the starts of the plan (at most `MAX_ORDERS`).
-    pub(super) fn reply_orders(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<Order> {
+    pub(super) fn reply_orders(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<WorkerCommand> {
         let mut orders = Vec::new();
         if let Some(machine) = self.machines.get(id) {
             let of_tasks = machine.tasks.iter().filter_map(|(key, task)| self.order_for(key, task));
@@ -191,10 +197,10 @@
     }
 
     /// The order for a task that a machine has, if there is one: a forget or a halt.
-    fn order_for(&self, key: &TaskKey, task: &TaskEntry) -> Option<Order> {
+    fn order_for(&self, key: &TaskKey, task: &TaskEntry) -> Option<WorkerCommand> {
         match (task.exit_reason, task.stop_grace_s) {
             (Some(reason), _) if self.is_end_written(key, reason) => {
-                Some(Order::Forget { task: task_name(&key.job, key.number), attempt: key.attempt })
+                Some(WorkerCommand::Forget { task: task_name(&key.job, key.number), attempt: key.attempt })
             }
             (None, Some(grace_s)) => Some(halt(key, grace_s)),
             _ => None,
@@ -243,7 +249,7 @@
     }
 
     /// The orders with which a deferred heartbeat is answered; empty if a newer heartbeat has come.
-    pub fn deferred_orders(&mut self, heartbeat: &Heartbeat, now: Steady, wall: Wall) -> Vec<Order> {
+    pub fn deferred_orders(&mut self, heartbeat: &Heartbeat, now: Steady, wall: Wall) -> Vec<WorkerCommand> {
         let id: MachineId = heartbeat.machine.as_str().into();
         let position = HeartbeatPosition::of(heartbeat);
         if self.machines.get(&id).is_none_or(|machine| machine.latest_heartbeat != position) {
@@ -259,6 +265,6 @@
 }
 
 /// The order that stops a task.
-fn halt(key: &TaskKey, grace_s: f64) -> Order {
-    Order::Halt { task: task_name(&key.job, key.number), attempt: key.attempt, grace_s }
+fn halt(key: &TaskKey, grace_s: f64) -> WorkerCommand {
+    WorkerCommand::Halt { task: task_name(&key.job, key.number), attempt: key.attempt, grace_s }
 }
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -194,7 +194,7 @@
         spec: job.spec.clone(),
         submitted_us: job.submitted.0,
         // Early versions keep the mark here: what it covers stays covered.
-        high: job.start_mark,
+        start_mark: job.start_mark,
         lending: Lending::default(),
     }
 }
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -7,7 +7,7 @@
 use crate::jobs::{JobId, MachineId};
 use crate::sched::Resources;
 use crate::time::{Micros, Steady};
-use crate::wire::{ExitReason, Heartbeat, Order, TaskStage};
+use crate::wire::{ExitReason, Heartbeat, TaskStage, WorkerCommand};
 
 /// One attempt of a task. Keys sort by job, then task number, then attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -247,12 +247,12 @@
     }
 
     /// A command to be sent straight to its worker.
-    pub(super) fn direct_command(&self, orders: Vec<Order>) -> DirectCommand {
+    pub(super) fn direct_command(&self, orders: Vec<WorkerCommand>) -> DirectCommand {
         DirectCommand {
             machine: self.id.clone(),
             address: self.address.clone(),
             agent_epoch: self.latest_heartbeat.agent_epoch.max(1),
-            orders,
+            commands: orders,
         }
     }
 
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -66,8 +66,8 @@
             machine.age_when_known = age;
             self.machines.insert(id.clone(), machine);
         }
-        let address = listed.addr.as_deref().unwrap_or("");
-        self.describe_machine(&id, address, &listed.ty, &listed.zone, listed.spot);
+        let address = listed.address.as_deref().unwrap_or("");
+        self.describe_machine(&id, address, &listed.machine_type, &listed.zone, listed.spot);
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.listed = true;
             machine.missing = has_failed;
--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -103,14 +103,14 @@
     fn recent_job_record(&self, job: &RecentJob, now: Steady, wall: Wall) -> DemandRecord {
         let type_name = |ty: &usize| self.catalog.types.get(*ty).map(|ty| ty.name.clone());
         DemandRecord {
-            at_us: (wall - (now - job.at)).0,
+            submitted_us: (wall - (now - job.at)).0,
             need: (job.need.cpus, job.need.gpus, job.need.memory),
             priority: job.priority,
             types: job.types.iter().filter_map(type_name).collect(),
-            work: job.work,
+            task_seconds: job.work,
             starts_before_boot: job.starts_before_boot,
             extra_machines: job.extra_machines,
-            due: job.has_deadline,
+            has_deadline: job.has_deadline,
             spot: job.spot,
         }
     }
@@ -119,7 +119,7 @@
     /// are still live would be in it twice otherwise.
     pub fn inherit_recent_jobs(&mut self, records: Vec<DemandRecord>, now: Steady, wall: Wall) {
         for record in records {
-            let age = (wall - Wall(record.at_us)).max(Micros::ZERO);
+            let age = (wall - Wall(record.submitted_us)).max(Micros::ZERO);
             let type_index = |name: &String| self.catalog.types.iter().position(|ty| ty.name == *name);
             let (cpus, gpus, memory) = record.need;
             self.demands.push(RecentJob {
@@ -127,10 +127,10 @@
                 need: Resources { cpus, gpus, memory },
                 priority: record.priority,
                 types: record.types.iter().filter_map(type_index).collect(),
-                work: record.work,
+                work: record.task_seconds,
                 starts_before_boot: record.starts_before_boot,
                 extra_machines: record.extra_machines,
-                has_deadline: record.due,
+                has_deadline: record.has_deadline,
                 spot: record.spot,
             });
         }
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -101,10 +101,10 @@
             self.team_totals.clear();
             self.dirty = true;
         }
-        let notice_s = heartbeat.notice_s.filter(|seconds| seconds.is_finite());
+        let notice_s = heartbeat.interruption_notice_s.filter(|seconds| seconds.is_finite());
         let interruption_at = notice_s.map(|seconds| now + Micros::from_secs(seconds));
         if interruption_at.is_some() != machine.interruption_at.is_some() {
-            tracing::info!(machine = %id, seconds = heartbeat.notice_s, "spot notice");
+            tracing::info!(machine = %id, seconds = heartbeat.interruption_notice_s, "spot notice");
             self.dirty = true;
         }
         machine.interruption_at = interruption_at;
@@ -241,7 +241,7 @@
             tracing::debug!(machine = %id, job = %key.job, task = key.number, "task running");
         }
         let has_exited = status.stage == TaskStage::Exited;
-        let exit = has_exited.then(|| task.exit(status.why.unwrap_or(ExitReason::Other), now));
+        let exit = has_exited.then(|| task.exit(status.exit_reason.unwrap_or(ExitReason::Other), now));
         if changed {
             self.note_cached_image(id, &key.job);
         }
@@ -325,7 +325,7 @@
                     job.run_times.add(run_time);
                 }
             }
-            ExitReason::Error | ExitReason::Unknown => job.back_off(id, now),
+            ExitReason::Error | ExitReason::UnknownTask => job.back_off(id, now),
             _ => {}
         }
     }
--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -30,7 +30,7 @@
             self.machine_records.put(&id, record.clone());
         }
         self.team_totals.clear();
-        self.describe_machine(&id, &record.addr, &record.ty, &record.zone, record.spot);
+        self.describe_machine(&id, &record.address, &record.machine_type, &record.zone, record.spot);
     }
 
     /// Loads a value of machine records.
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -127,8 +127,8 @@
             changes = limits.txn_changes,
             "state store value and transaction limits reduced"
         );
-        self.machine_records.limit_to(limits.value_bytes);
-        self.start_marks.limit_to(limits.value_bytes);
+        self.machine_records.reduce_limit(limits.value_bytes);
+        self.start_marks.reduce_limit(limits.value_bytes);
     }
 
     /// Puts what has to be written before starts into packed values.
@@ -142,10 +142,10 @@
             let is_due = machine.up && !machine.registered && !machine.scaling_in;
             if is_due && machine.type_index.is_some() && self.machine_records.get(&machine.id).is_none() {
                 let record = MachineRecord {
-                    part: 0,
+                    shard: 0,
                     fencing_token: self.fencing_token,
-                    addr: machine.address.clone(),
-                    ty: machine.type_name.clone(),
+                    address: machine.address.clone(),
+                    machine_type: machine.type_name.clone(),
                     zone: self.catalog.zones.get(machine.zone).cloned().unwrap_or_default(),
                     spot: machine.spot,
                     ..MachineRecord::default()
@@ -309,8 +309,8 @@
 fn add_due_chunks(job: &Job, chunk: u32, writes: &mut Vec<PendingWrite>) {
     for index in 0..job.spec.tasks.div_ceil(chunk) {
         let number = chunk_number(chunk, index);
-        let (first, end) = chunk_span(number);
-        if job.done.within(first, end) != job.done_written.within(first, end) {
+        let span = chunk_span(number);
+        if job.done.within(span.start, span.end) != job.done_written.within(span.start, span.end) {
             writes.push(PendingWrite::Done(job.id.clone(), number));
         }
     }
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -11,7 +11,7 @@
 use super::Fleet;
 use crate::jobs::{split_task, Job, JobId, MachineId};
 use crate::time::{Micros, Steady};
-use crate::wire::{ExitReason, Heartbeat, Order, TaskStage, TaskStatus};
+use crate::wire::{ExitReason, Heartbeat, TaskStage, TaskStatus, WorkerCommand};
 
 /// Heartbeat intervals after a failover until every worker that reaches the new leader has sent a
 /// heartbeat: at most one and a quarter lie between two.
@@ -87,15 +87,19 @@
     }
 
     /// Counts orders that are sent while the recovery's progress is logged.
-    pub(super) fn count_orders<'a>(&mut self, orders: impl IntoIterator<Item = &'a Order>, now: Steady) {
+    pub(super) fn count_orders<'a>(
+        &mut self,
+        orders: impl IntoIterator<Item = &'a WorkerCommand>,
+        now: Steady,
+    ) {
         if now - self.failover_at > RECOVERY_LOGGED_FOR {
             return;
         }
         for order in orders {
             self.recovery.count_order(match order {
-                Order::Start { .. } => OrderKind::Start,
-                Order::Halt { .. } => OrderKind::Halt,
-                Order::Forget { .. } => OrderKind::Forget,
+                WorkerCommand::Start { .. } => OrderKind::Start,
+                WorkerCommand::Halt { .. } => OrderKind::Halt,
+                WorkerCommand::Forget { .. } => OrderKind::Forget,
             });
         }
     }
@@ -138,7 +142,7 @@
 /// A task of a heartbeat as the recovery tracker takes it; `None` if its name is malformed.
 fn reported_task(task: &TaskStatus) -> Option<ReportedTask<'_>> {
     let (job, number) = split_task(&task.task)?;
-    let state = match (task.stage, task.why) {
+    let state = match (task.stage, task.exit_reason) {
         (TaskStage::Exited, Some(ExitReason::Done)) => ReportedTaskState::Done,
         (TaskStage::Exited, _) => ReportedTaskState::Failed,
         _ => ReportedTaskState::Present,
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -6,7 +6,7 @@
 use crate::jobs::{Job, JobId, MachineId};
 use crate::sched::{self, MachineSnapshot, PlacedTask, Plan, ReportingMachine, Snapshot};
 use crate::time::{Micros, Steady};
-use crate::wire::{ExitReason, Order};
+use crate::wire::{ExitReason, WorkerCommand};
 
 /// A replica that lived for less than this counts as a failure of its service.
 const MIN_HEALTHY_LIFE: Micros = Micros::from_millis(30_000);
@@ -36,7 +36,8 @@
         now: Steady,
     ) {
         let Some(job) = self.jobs.get_mut(job) else { return };
-        if !matches!(why, ExitReason::Done | ExitReason::Error | ExitReason::Unknown | ExitReason::Other) {
+        if !matches!(why, ExitReason::Done | ExitReason::Error | ExitReason::UnknownTask | ExitReason::Other)
+        {
             return;
         }
         job.vacated.insert(machine.clone(), now);
@@ -85,7 +86,7 @@
 
     /// Starts waiting replicas on a machine that has just sent a heartbeat, if they run sooner here than
     /// where the plan has them.
-    pub(super) fn start_replicas(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<Order>) {
+    pub(super) fn start_replicas(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<WorkerCommand>) {
         if self.waiting_services.is_empty() {
             return;
         }
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -6,7 +6,7 @@
 use crate::jobs::{JobId, MachineId};
 use crate::sched::{self, IncrementalBackfill, MachineSnapshot};
 use crate::time::Steady;
-use crate::wire::Order;
+use crate::wire::WorkerCommand;
 
 /// Waiting tasks of a job that the latest plan starts on a machine.
 pub(super) struct AssignedStarts {
@@ -50,7 +50,7 @@
 
     /// Adds the starts for the machine whose heartbeat is being answered: what the latest plan assigns
     /// to it, and waiting tasks of job arrays that fit there before the next plan.
-    pub(super) fn add_start_orders(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<Order>) {
+    pub(super) fn add_start_orders(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<WorkerCommand>) {
         self.start_gang_tasks(id, now, orders);
         let is_service = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.spec.is_service());
         let assigned = self.assigned.remove(id).unwrap_or_default();
@@ -67,7 +67,7 @@
     }
 
     /// Starts gang tasks whose places are reserved on the machine.
-    fn start_gang_tasks(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<Order>) {
+    fn start_gang_tasks(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<WorkerCommand>) {
         for place in self.reserved_gang_places.remove(id).unwrap_or_default() {
             let gang = self.jobs.get(&place.job).and_then(|job| job.gang.as_ref());
             let is_due = gang.is_some_and(|gang| {
@@ -89,7 +89,7 @@
         assigned: AssignedStarts,
         id: &MachineId,
         now: Steady,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<WorkerCommand>,
     ) {
         let AssignedStarts { job, count } = assigned;
         let started = self.start_tasks(&job, count, id, now, orders);
@@ -102,7 +102,7 @@
     }
 
     /// Starts tasks that the latest plan left unmet and that fit the machine now.
-    fn backfill(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<Order>) {
+    fn backfill(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<WorkerCommand>) {
         let Some(machine) = self.backfill_candidate(id, now) else { return };
         let team_uses = self.current_team_uses();
         let classes = &self.planned_snapshot.classes;
@@ -149,7 +149,7 @@
         count: u32,
         machine: &MachineId,
         now: Steady,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<WorkerCommand>,
     ) -> u32 {
         let Some(job) = self.jobs.get(id).filter(|job| !job.ended) else { return 0 };
         let from = if self.may_run_on_unacknowledged(&job.spec) { job.inherited_start_mark } else { 0 };
@@ -176,7 +176,7 @@
         number: u32,
         machine: &MachineId,
         now: Steady,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<WorkerCommand>,
     ) -> bool {
         if orders.len() >= MAX_ORDERS || !self.may_start(id, number, machine, now) {
             return false;
@@ -199,7 +199,7 @@
         }
         self.update_placement(id, number, machine);
         tracing::debug!(machine = %machine, job = %id, task = number, "task start sent");
-        orders.push(Order::Start { task: task_name(id, number), attempt });
+        orders.push(WorkerCommand::Start { task: task_name(id, number), attempt });
         true
     }
 
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -89,7 +89,7 @@
         }
         if mod_revision > job.mod_revision {
             job.mod_revision = mod_revision;
-            job.start_mark = job.start_mark.max(record.high);
+            job.start_mark = job.start_mark.max(record.start_mark);
             job.wanted_start_mark = job.wanted_start_mark.max(job.start_mark);
             self.apply_lending(record, mod_revision);
         }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use super::keys::{FORMAT_KEY, FORMAT_VERSION, LEADER_KEY, SHARD_KEY, TERM_KEY};
-use crate::state::{RequestPriority, StateClient, StateError, TxnOutcome};
+use crate::state::{RequestPriority, StateStoreClient, StateStoreError, TxnOutcome};
 use crate::time::Micros;
 use crate::wire::{Change, Guard, Row, Txn};
 
@@ -80,17 +80,17 @@
 /// (0: there is none), with a lease that lasts for `ttl`. `Ok(None)`: another controller was faster.
 ///
 /// # Errors
-/// [`StateError::NewerRecords`] if the records are of a later format; otherwise as any call to the
+/// [`StateStoreError::NewerRecords`] if the records are of a later format; otherwise as any call to the
 /// state store. The lease is ended if the transaction failed for certain; in other cases it expires.
 pub fn try_become_leader(
-    state: &StateClient,
+    state: &StateStoreClient,
     label: &str,
     incarnation: u64,
     ttl: Micros,
     replaced_revision: u64,
-) -> Result<Option<LeadershipTerm>, StateError> {
+) -> Result<Option<LeadershipTerm>, StateStoreError> {
     check_format(state)?;
-    let lease = state.lease(ttl)?;
+    let lease = state.grant_lease(ttl)?;
     let term = state.get(TERM_KEY, RequestPriority::Leadership)?;
     let shard = state.get(SHARD_KEY, RequestPriority::Leadership)?;
     let fencing_token = latest_term(term.as_ref())? + 1;
@@ -106,7 +106,7 @@
             let _ = state.end_lease(lease);
             Ok(None)
         }
-        Err(StateError::Unknown(_)) => resolve_unknown_election(state, &leader),
+        Err(StateStoreError::Unknown(_)) => resolve_unknown_election(state, &leader),
         Err(error) => {
             let _ = state.end_lease(lease);
             Err(error)
@@ -116,9 +116,9 @@
 
 /// Finds out whether an election without an answer was committed: the shard then holds its record.
 fn resolve_unknown_election(
-    state: &StateClient,
+    state: &StateStoreClient,
     leader: &LeaderRecord,
-) -> Result<Option<LeadershipTerm>, StateError> {
+) -> Result<Option<LeadershipTerm>, StateStoreError> {
     if let Some(shard) = state.get(SHARD_KEY, RequestPriority::Leadership)? {
         if serde_json::from_value::<LeaderRecord>(shard.value).is_ok_and(|found| found == *leader) {
             return Ok(Some(LeadershipTerm::new(leader, shard.mod_revision)));
@@ -130,10 +130,10 @@
 }
 
 /// The number of the latest term (0: there is none).
-fn latest_term(row: Option<&Row>) -> Result<u64, StateError> {
+fn latest_term(row: Option<&Row>) -> Result<u64, StateStoreError> {
     let Some(row) = row else { return Ok(0) };
     let term: TermRecord = serde_json::from_value(row.value.clone())
-        .map_err(|error| StateError::Malformed(error.to_string()))?;
+        .map_err(|error| StateStoreError::Malformed(error.to_string()))?;
     Ok(term.number)
 }
 
@@ -159,10 +159,10 @@
 
 /// Refuses records of a later format: an old process that is back after all others have moved on must
 /// neither misread nor overwrite them.
-fn check_format(state: &StateClient) -> Result<(), StateError> {
+fn check_format(state: &StateStoreClient) -> Result<(), StateStoreError> {
     let Some(row) = state.get(FORMAT_KEY, RequestPriority::Leadership)? else { return Ok(()) };
     match serde_json::from_value::<FormatRecord>(row.value.clone()) {
         Ok(format) if format.reader <= FORMAT_VERSION => Ok(()),
-        _ => Err(StateError::NewerRecords { found: row.value.to_string(), known: FORMAT_VERSION }),
+        _ => Err(StateStoreError::NewerRecords { found: row.value.to_string(), known: FORMAT_VERSION }),
     }
 }
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -7,9 +7,9 @@
 use super::rebuild::decode;
 use super::record_keys::BorrowedKey;
 use crate::fleet::{Fleet, LoanWrite};
-use crate::keys::{borrowed_key, final_key, job_key, lender_key, BORROWED};
+use crate::keys::{borrowed_key, final_key, job_key, lender_key, BORROWED_PREFIX};
 use crate::records::{FinalRecord, JobRecord, LenderRecord};
-use crate::state::{RequestPriority, StateClient, StateError};
+use crate::state::{RequestPriority, StateStoreClient, StateStoreError};
 use crate::time::{Steady, Wall};
 use crate::wire::{Change, Guard, Row, Stage, Txn};
 
@@ -75,8 +75,8 @@
 }
 
 /// Reads all records of borrowed tasks, jobs before the done ranges that belong to them.
-pub(super) fn borrowed_rows(state: &StateClient) -> Result<Vec<Row>, StateError> {
-    let (mut rows, _) = state.list(&format!("{BORROWED}/"))?;
+pub(super) fn borrowed_rows(state: &StateStoreClient) -> Result<Vec<Row>, StateStoreError> {
+    let mut rows = state.list(&format!("{BORROWED_PREFIX}/"))?.rows;
     rows.sort_by_key(|row| !row.key.starts_with(&borrowed_key("")));
     Ok(rows)
 }
@@ -149,7 +149,10 @@
 ///
 /// # Errors
 /// As any read from the state store; the first error ends the read.
-pub fn read_loan_records(state: &StateClient, write: &LoanWrite) -> Result<Vec<KeyState>, StateError> {
+pub fn read_loan_records(
+    state: &StateStoreClient,
+    write: &LoanWrite,
+) -> Result<Vec<KeyState>, StateStoreError> {
     let keys = match write {
         LoanWrite::Lender { job, .. } => vec![job_key(job)],
         LoanWrite::Borrower { change, .. } => vec![borrowed_key(&change.job), lender_key(&change.lender)],
--- a/src/leadership/read_back.rs
+++ b/src/leadership/read_back.rs
@@ -19,12 +19,12 @@
         RecordKey::Machine(id) => fleet.machine_record_read_back(id, mod_revision),
         RecordKey::PackedMachines(slot) => {
             if let Ok(slot) = slot.parse() {
-                fleet.machine_records.learn(slot, mod_revision);
+                fleet.machine_records.set_mod_revision(slot, mod_revision);
             }
         }
-        RecordKey::PackedHighWaterMarks(slot) => {
+        RecordKey::PackedStartMarks(slot) => {
             if let Ok(slot) = slot.parse() {
-                fleet.start_marks.learn(slot, mod_revision);
+                fleet.start_marks.set_mod_revision(slot, mod_revision);
             }
         }
         RecordKey::HistoryBucket(bucket) => {
--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -8,14 +8,14 @@
 use super::keys::MACHINE_TYPES_KEY;
 use super::loan_records;
 use super::record_keys::{
-    RecordKey, ALL_MACHINES_PREFIX, DONE_PREFIX, HISTORY_PREFIX, JOBS_PREFIX, PACKED_MACHINES_PREFIX,
+    RecordKey, ALL_HISTORY_PREFIX, ALL_MACHINES_PREFIX, DONE_PREFIX, JOBS_PREFIX, PACKED_MACHINES_PREFIX,
 };
 use crate::config::Config;
 use crate::fleet::Fleet;
 use crate::history::HistoryRecord;
-use crate::keys::{MARKS, RECENT_KEY};
+use crate::keys::{RECENT_KEY, START_MARKS_PREFIX};
 use crate::records::{JobRecord, MachineRecord};
-use crate::state::{RequestPriority, StateClient, StateError};
+use crate::state::{KeyList, RequestPriority, StateStoreClient, StateStoreError};
 use crate::time::{wall, Steady, Wall};
 use crate::wire::{MachineType, Row};
 
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// As any read from the state store.
-pub fn read_machine_types(state: &StateClient) -> Result<Option<Vec<MachineType>>, StateError> {
+pub fn read_machine_types(state: &StateStoreClient) -> Result<Option<Vec<MachineType>>, StateStoreError> {
     let row = state.get(MACHINE_TYPES_KEY, RequestPriority::Leadership)?;
     Ok(row.and_then(|row| serde_json::from_value(row.value).ok()))
 }
@@ -35,22 +35,22 @@
 /// # Errors
 /// As any read from the state store. Records that cannot be decoded are logged and left out.
 pub fn rebuild(
-    state: &StateClient,
+    state: &StateStoreClient,
     config: Arc<Config>,
     types: Vec<MachineType>,
     fencing_token: u64,
     now: Steady,
-) -> Result<Fleet, StateError> {
+) -> Result<Fleet, StateStoreError> {
     let mut fleet = Fleet::new(config, types, fencing_token, now);
-    let (jobs, revision) = state.list(JOBS_PREFIX)?;
-    let (machines, _) = state.list(ALL_MACHINES_PREFIX)?;
-    let (high_water_marks, _) = state.list(&format!("{MARKS}/"))?;
-    let (done, _) = state.list(DONE_PREFIX)?;
-    let (history, _) = state.list(HISTORY_PREFIX)?;
-    let (recent, _) = state.list(RECENT_KEY)?;
+    let KeyList { rows: jobs, revision } = state.list(JOBS_PREFIX)?;
+    let machines = state.list(ALL_MACHINES_PREFIX)?.rows;
+    let start_marks = state.list(&format!("{START_MARKS_PREFIX}/"))?.rows;
+    let done = state.list(DONE_PREFIX)?.rows;
+    let history = state.list(ALL_HISTORY_PREFIX)?.rows;
+    let recent = state.list(RECENT_KEY)?.rows;
     let borrowed = if fleet.uses_cells() { loan_records::borrowed_rows(state)? } else { Vec::new() };
     // Jobs come before the records that belong to them.
-    let rows = [recent, jobs, borrowed, machines, high_water_marks, done, history].concat();
+    let rows = [recent, jobs, borrowed, machines, start_marks, done, history].concat();
     load_records(&mut fleet, rows, now, wall());
     fleet.advance_jobs_revision(revision);
     Ok(fleet)
@@ -87,10 +87,10 @@
                 fleet.inherit_machines(slot, machines, mod_revision, now);
             }
         }
-        RecordKey::PackedHighWaterMarks(slot) => {
+        RecordKey::PackedStartMarks(slot) => {
             let keep_unreadable = |slot| fleet.start_marks.keep_unreadable(slot);
-            if let Some((slot, high_water_marks)) = decode_packed(&key, slot, value, keep_unreadable) {
-                fleet.inherit_start_marks(slot, high_water_marks, mod_revision);
+            if let Some((slot, start_marks)) = decode_packed(&key, slot, value, keep_unreadable) {
+                fleet.inherit_start_marks(slot, start_marks, mod_revision);
             }
         }
         RecordKey::Borrowed(borrowed) => {
--- a/src/leadership/record_keys.rs
+++ b/src/leadership/record_keys.rs
@@ -1,6 +1,6 @@
 //! The keys of the leader's records, parsed.
 
-use crate::keys::{BORROWED, HISTORY, MACHINES, MARKS, RECENT_KEY};
+use crate::keys::{BORROWED_PREFIX, HISTORY_PREFIX, MACHINES_PREFIX, RECENT_KEY, START_MARKS_PREFIX};
 
 /// Prefix of the live jobs' keys.
 pub(crate) const JOBS_PREFIX: &str = "job/";
@@ -10,8 +10,8 @@
 pub(super) const PACKED_MACHINES_PREFIX: &str = "machines/";
 /// Prefix of the chunks of done ranges.
 pub(super) const DONE_PREFIX: &str = "done/";
-/// Prefix of the history.
-pub(super) const HISTORY_PREFIX: &str = "hist/";
+/// Prefix of the history's keys.
+pub(super) const ALL_HISTORY_PREFIX: &str = "hist/";
 
 /// What a key of the leader's records stands for. Numbers are kept as text: whether they can be read
 /// is for the record's reader to handle.
@@ -24,7 +24,7 @@
     /// A value of packed machine records, by slot.
     PackedMachines(&'a str),
     /// A value of packed started high-water marks, by slot.
-    PackedHighWaterMarks(&'a str),
+    PackedStartMarks(&'a str),
     /// A chunk of a job's done ranges.
     DoneChunk {
         /// The job's id.
@@ -72,15 +72,17 @@
     pub(super) fn parse(key: &'a str) -> RecordKey<'a> {
         let mut parts = key.split('/');
         match (parts.next(), parts.next(), parts.next()) {
-            (Some(BORROWED), kind, id) => RecordKey::Borrowed(BorrowedKey::new(kind, id, parts.next())),
+            (Some(BORROWED_PREFIX), kind, id) => {
+                RecordKey::Borrowed(BorrowedKey::new(kind, id, parts.next()))
+            }
             (Some("job"), Some(id), None) => RecordKey::Job(id),
             (Some("machine"), Some(id), None) => RecordKey::Machine(id),
-            (Some(MACHINES), Some(slot), None) => RecordKey::PackedMachines(slot),
-            (Some(MARKS), Some(slot), None) => RecordKey::PackedHighWaterMarks(slot),
+            (Some(MACHINES_PREFIX), Some(slot), None) => RecordKey::PackedMachines(slot),
+            (Some(START_MARKS_PREFIX), Some(slot), None) => RecordKey::PackedStartMarks(slot),
             (Some("done"), Some(job), Some(chunk)) => RecordKey::DoneChunk { job, chunk },
             (Some(RECENT_KEY), None, None) => RecordKey::Recent,
-            (Some(HISTORY), Some(bucket), None) => RecordKey::HistoryBucket(bucket),
-            (Some(HISTORY), Some(_), Some(_)) => RecordKey::SingleHistory,
+            (Some(HISTORY_PREFIX), Some(bucket), None) => RecordKey::HistoryBucket(bucket),
+            (Some(HISTORY_PREFIX), Some(_), Some(_)) => RecordKey::SingleHistory,
             _ => RecordKey::Other,
         }
     }
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -7,7 +7,9 @@
 use crate::fleet::{Fleet, PackKind, PendingWrite, WriteContents};
 use crate::history::EstimateKey;
 use crate::jobs::{JobId, RunTimes};
-use crate::keys::{done_key, final_key, job_key, slot_key, HISTORY, MACHINES, MARKS, RECENT_KEY};
+use crate::keys::{
+    done_key, final_key, job_key, slot_key, HISTORY_PREFIX, MACHINES_PREFIX, RECENT_KEY, START_MARKS_PREFIX,
+};
 use crate::records::FinalRecord;
 use crate::task_ranges::chunk_span;
 use crate::time::{Micros, Steady, Wall};
@@ -153,7 +155,7 @@
 /// A bucket of the history.
 fn compose_history(fleet: &mut Fleet, item: &PendingWrite, bucket: u32) -> Write {
     let value = fleet.history.value(bucket, max_value_bytes(fleet));
-    let key = slot_key(HISTORY, bucket);
+    let key = slot_key(HISTORY_PREFIX, bucket);
     let guard = Guard { key: key.clone(), mod_revision: fleet.history.mod_revision(bucket) };
     Write::new(item, vec![guard], vec![Change::put(key, json!(value))])
 }
@@ -209,7 +211,7 @@
 /// A value of packed machine records.
 fn compose_machines(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
     let (mod_revision, version, items) = fleet.machine_records.slot(slot)?;
-    let key = slot_key(MACHINES, slot);
+    let key = slot_key(MACHINES_PREFIX, slot);
     let contents = WriteContents::Machines(items.keys().cloned().collect(), version);
     let change = Change::put(key.clone(), json!(items));
     Some(Write::new(item, vec![Guard { key, mod_revision }], vec![change]).with_contents(contents))
@@ -218,18 +220,18 @@
 /// A value of packed started high-water marks.
 fn compose_high_water_marks(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
     let (mod_revision, version, items) = fleet.start_marks.slot(slot)?;
-    let key = slot_key(MARKS, slot);
-    let high_water_marks = items.iter().map(|(id, high)| (id.clone(), *high)).collect();
+    let key = slot_key(START_MARKS_PREFIX, slot);
+    let start_marks = items.iter().map(|(id, high)| (id.clone(), *high)).collect();
     let change = Change::put(key.clone(), json!(items));
     let write = Write::new(item, vec![Guard { key, mod_revision }], vec![change]);
-    Some(write.with_contents(WriteContents::StartMarks(high_water_marks, version)))
+    Some(write.with_contents(WriteContents::StartMarks(start_marks, version)))
 }
 
 /// A chunk of a job's done ranges.
 fn compose_done(fleet: &Fleet, item: &PendingWrite, id: &JobId, chunk: u32) -> Option<Write> {
     let job = fleet.jobs.get(id)?;
-    let (from, to) = chunk_span(chunk);
-    let tasks = job.done.within(from, to);
+    let span = chunk_span(chunk);
+    let tasks = job.done.within(span.start, span.end);
     let key = job.done_chunk_key(chunk);
     let mod_revision = job.done_chunks.get(&chunk).copied().unwrap_or(0);
     let guards = vec![
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -1,14 +1,15 @@
-//! What a call to the state store answers when it has no result, and what a compare-and-swap
-//! transaction answers when it has one.
+//! Errors of calls to the state store, and the outcomes of a compare-and-swap transaction.
 
 /// Why a call to the state store has no result.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone)]
-pub enum StateError {
-    /// The store, or its rate limits, refused with this HTTP status (0: the request was not
-    /// sent): nothing was executed.
+pub enum StateStoreError {
+    /// No connection, so that the request was not sent: nothing was executed.
+    #[error("the state store refused the request with status 0")]
+    NotSent,
+    /// The store, or its rate limits, refused with this HTTP status: nothing was executed.
     #[error("the state store refused the request with status {0}")]
     Refused(u16),
-    /// Over this node's own share of the rate limits: nothing was sent.
+    /// Over this controller's own share of the rate limits: nothing was sent.
     #[error("over this node's share of the state store's rate limits")]
     Budget,
     /// No answer: the request may have been executed, or may yet be.
--- a/tests/common/worker.rs
+++ b/tests/common/worker.rs
@@ -73,14 +73,14 @@
         self.report_number += 1;
         Heartbeat {
             machine: self.id.clone(),
-            addr: self.addr.clone(),
-            ty: self.ty.clone(),
+            address: self.addr.clone(),
+            machine_type: self.ty.clone(),
             zone: self.zone.into(),
             spot: self.spot,
             agent_epoch: self.agent_epoch,
             sequence: self.report_number,
             fencing_token: self.fencing_token,
-            notice_s: None,
+            interruption_notice_s: None,
             tasks: self.tasks.iter().map(|(attempt, task)| task_report(attempt, task)).collect(),
         }
     }
@@ -150,7 +150,13 @@
 }
 
 fn task_report(attempt: &Attempt, task: &Task) -> TaskStatus {
-    TaskStatus { task: attempt.0.clone(), attempt: attempt.1, stage: task.stage, why: task.why, saved: None }
+    TaskStatus {
+        task: attempt.0.clone(),
+        attempt: attempt.1,
+        stage: task.stage,
+        exit_reason: task.why,
+        saved: None,
+    }
 }
 
 /// The job that a task is of.
--- a/tests/replies.rs
+++ b/tests/replies.rs
@@ -18,11 +18,11 @@
 fn the_owners_status_has_its_parts_and_its_view() {
     let status = ControllerStatus {
         leader: Some("a".into()),
-        node: "a".into(),
-        view: Some(json!({ "token": 7 })),
+        controller: "a".into(),
+        fleet: Some(json!({ "token": 7 })),
         versions: None,
-        parts: Some(vec![ShardStatus { leader: "a".into(), shard: 0, fencing_token: 7 }]),
-        view_age_s: Some(0.5),
+        shards: Some(vec![ShardStatus { leader: "a".into(), shard: 0, fencing_token: 7 }]),
+        state_age_s: Some(0.5),
         cells: None,
     };
     let expected = json!({
@@ -36,11 +36,11 @@
 fn any_other_controllers_status_says_who_leads() {
     let status: ControllerStatus<Value> = ControllerStatus {
         leader: None,
-        node: "b".into(),
-        view: None,
+        controller: "b".into(),
+        fleet: None,
         versions: None,
-        parts: None,
-        view_age_s: None,
+        shards: None,
+        state_age_s: None,
         cells: None,
     };
     assert_eq!(json!(status), json!({ "leader": null, "node": "b", "owner": null }));
