--- /dev/null
+++ b/tests/failover/simulation/heartbeats.rs
@@ -0,0 +1,202 @@
+//! Heartbeats, direct commands and their replies: lost, late or doubled.
+
+use milletlock::fleet::HeartbeatOutcome;
+use milletlock::time::Micros;
+use milletlock::wire::{Heartbeat, HeartbeatReply};
+use rand::Rng;
+
+use super::{Command, Simulation};
+use crate::common::clock::wall_at;
+use crate::common::store::take_due;
+
+/// A worker waits so long for a reply.
+const REPLY_TIMEOUT: Micros = Micros(4_000_000);
+
+impl Simulation {
+    /// Brings a heartbeat to a leader: what it replies. One that learns of a higher fencing token is gone.
+    pub(super) fn deliver(&mut self, i: usize, r: &Heartbeat) -> Option<HeartbeatReply> {
+        let now = self.now;
+        if !self.may_reply(i) {
+            return None;
+        }
+        match self.leaders[i].controller.fleet.check_in(r, now, wall_at(now)) {
+            HeartbeatOutcome::Reply(reply) => Some(reply),
+            HeartbeatOutcome::Superseded(_) => {
+                self.leaders.remove(i);
+                None
+            }
+            HeartbeatOutcome::Refuse => None,
+        }
+    }
+
+    /// Heartbeats and their replies, of all workers; then what was late.
+    pub(super) fn exchange_heartbeats(&mut self) {
+        for w in 0..self.workers.len() {
+            self.exchange_heartbeat(w);
+        }
+        self.deliver_late_heartbeats();
+        self.apply_late_transactions();
+    }
+
+    /// Copies of heartbeats and heartbeats held back arrive at some leader.
+    fn deliver_late_heartbeats(&mut self) {
+        let now = self.now;
+        let ready = take_due(&mut self.late_heartbeats, now);
+        let newest = self.leaders.last().map(|o| (o.controller.fleet.fencing_token, o.last_read));
+        let (free, held): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held_heartbeats)
+            .into_iter()
+            .partition(|h| newest.is_some_and(|n| n.0 > h.0) && self.rng.random_bool(0.05));
+        self.held_heartbeats = held;
+        self.faults_occurred += free.len() as u32;
+        for r in ready.into_iter().chain(free.into_iter().map(|h| h.1)) {
+            // To whoever is there. The worker has long given up on the reply.
+            let Some(last) = self.leaders.len().checked_sub(1) else { continue };
+            let i = if self.chance(0.2) { self.rng.random_range(0..=last) } else { last };
+            let _ = self.deliver(i, &r);
+        }
+    }
+
+    /// The state store carries out transactions whose writers have no reply.
+    fn apply_late_transactions(&mut self) {
+        if self.state_store_unavailable() {
+            return;
+        }
+        for t in take_due(&mut self.late_transactions, self.now) {
+            let _ = self.store.txn(&t);
+        }
+    }
+
+    /// A worker takes the reply that has arrived and sends its next heartbeat if that is due.
+    fn exchange_heartbeat(&mut self, w: usize) {
+        if self.now < self.workers[w].frozen_until || self.now < self.workers[w].partitioned_until {
+            return;
+        }
+        if let Some((at, sent, agent_epoch, reply)) = self.workers[w].reply.take() {
+            if self.now < at {
+                self.workers[w].reply = Some((at, sent, agent_epoch, reply));
+                return;
+            }
+            // Replies to an earlier session are dropped, and those that took too long.
+            let replies_lost = self.now < self.workers[w].replies_lost_until;
+            if agent_epoch == self.workers[w].state.agent_epoch
+                && self.now - sent <= REPLY_TIMEOUT
+                && !replies_lost
+            {
+                self.execute_orders(w, &reply, sent);
+            }
+        }
+        if self.now < self.workers[w].due {
+            return;
+        }
+        let r = self.workers[w].state.report();
+        self.workers[w].due = self.later(0.5, 3.5);
+        if self.leaders.is_empty() || self.now < self.workers[w].heartbeats_lost_until || self.chance(0.05) {
+            return;
+        }
+        if self.chance(0.04) {
+            let at = self.later(1.0, 60.0);
+            self.late_heartbeats.push((at, r));
+            return;
+        }
+        if self.chance(self.faults.held_heartbeats) {
+            let newest = self.leaders.last().map_or(0, |o| o.controller.fleet.fencing_token);
+            self.held_heartbeats.push((newest, r));
+            return;
+        }
+        if self.chance(self.faults.duplicate_heartbeats) {
+            // Some soon, some well after the lease.
+            let at = if self.chance(0.5) { self.later(0.5, 10.0) } else { self.later(10.0, 66.0) };
+            self.late_heartbeats.push((at, r.clone()));
+            self.faults_occurred += 1;
+        }
+        let Some(i) = self.reached_leader(w) else { return };
+        let Some(reply) = self.deliver(i, &r) else { return };
+        if self.chance(0.05) {
+            let again = self.deliver(i, &r);
+            assert!(again.is_none_or(|r| r.orders.is_empty()), "a copy was given orders");
+        }
+        if self.chance(0.05) || self.now < self.workers[w].replies_lost_until {
+            return;
+        }
+        if self.chance(self.faults.slow_replies) {
+            let at = self.later(0.5, 4.5);
+            let agent_epoch = self.workers[w].state.agent_epoch;
+            self.workers[w].reply = Some((at, self.now, agent_epoch, reply));
+            return;
+        }
+        let now = self.now;
+        self.execute_orders(w, &reply, now);
+    }
+
+    /// Direct commands that bring the newest leader's fencing token to machines that it has not heard. They
+    /// may be executed late, and replied to late or never.
+    pub(super) fn send_token_commands(&mut self) {
+        self.issue_commands();
+        self.execute_commands();
+        self.receive_command_replies();
+    }
+
+    /// The newest leader issues commands to machines that it has not heard.
+    fn issue_commands(&mut self) {
+        if let Some(o) = self.leaders.last() {
+            let fencing_token = o.controller.fleet.fencing_token;
+            let unheard: Vec<(String, u64)> = o
+                .controller
+                .fleet
+                .machines
+                .values()
+                .filter(|m| !m.heard)
+                .map(|m| (m.id.to_string(), m.seen.0.max(1)))
+                .collect();
+            for (machine, agent_epoch) in unheard {
+                let unreachable = self.partition.is_some()
+                    && self.workers.iter().any(|w| w.state.id == machine && w.state.zone == "south");
+                if unreachable || !self.rng.random_bool(self.faults.token_commands) {
+                    continue;
+                }
+                let slow = self.chance(self.faults.slow_commands);
+                let at = if slow { self.later(0.5, 15.0) } else { self.now };
+                self.commands.push(Command { at, machine, fencing_token, agent_epoch });
+            }
+        }
+    }
+
+    /// Workers execute the commands that have arrived.
+    fn execute_commands(&mut self) {
+        for c in std::mem::take(&mut self.commands) {
+            let Some(w) = self.workers.iter().position(|w| w.state.id == c.machine) else { continue };
+            let worker = &mut self.workers[w];
+            if self.now < c.at || self.now < worker.frozen_until || self.now < worker.partitioned_until {
+                // Packets wait for the machine, and are delivered when it goes on.
+                self.commands.push(c);
+                continue;
+            }
+            if self.now < worker.replies_lost_until {
+                continue;
+            }
+            worker.state.accept_command(c.fencing_token, c.agent_epoch);
+            let r = worker.state.report();
+            self.faults_occurred += u32::from(c.at < self.now);
+            if self.chance(0.2) {
+                continue;
+            }
+            let slow = self.chance(self.faults.slow_commands);
+            let at = if slow { self.later(0.5, 10.0) } else { self.now };
+            self.command_replies.push((at, (c.fencing_token, r)));
+        }
+    }
+
+    /// Leaders receive what workers returned to their commands.
+    fn receive_command_replies(&mut self) {
+        let now = self.now;
+        for (fencing_token, r) in take_due(&mut self.command_replies, now) {
+            let Some(i) = self.leaders.iter().position(|o| o.controller.fleet.fencing_token == fencing_token)
+            else {
+                continue;
+            };
+            if self.leaders[i].controller.fleet.raised(&r, now).is_some() {
+                self.leaders.remove(i);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/tests/failover/simulation/jobs.rs
@@ -0,0 +1,92 @@
+//! Users: they submit jobs, cancel them, and ask again until they have a reply.
+
+use std::collections::BTreeSet;
+
+use milletlock::time::{Micros, Steady};
+use milletlock::wire::{Priority, Stage};
+use rand::Rng;
+
+use super::Simulation;
+use crate::common::store::submission;
+use crate::common::worker::job_of;
+use crate::common::{record, spec};
+
+impl Simulation {
+    /// A user submits a job of random shape, size and constraints.
+    pub(super) fn submit(&mut self, n: u32) {
+        let shape = if self.rng.random_bool(0.3) { "gang" } else { "batch" };
+        let tasks = if shape == "gang" { self.rng.random_range(1..4) } else { self.rng.random_range(1..12) };
+        let mut s = spec(n, tasks, shape);
+        if self.rng.random_bool(0.3) {
+            s.team = "tight".into();
+        }
+        s.one_zone = self.rng.random_bool(0.3);
+        s.spread = !s.one_zone && self.rng.random_bool(0.3);
+        s.spot = self.rng.random_bool(0.6);
+        if self.rng.random_bool(0.2) && !s.spread {
+            s.zone = Some("south".into());
+        }
+        if self.faults.mixed_load {
+            s.priority = [Priority::Idle, Priority::Normal, Priority::Urgent, Priority::Critical]
+                [self.rng.random_range(0..4)];
+        }
+        let mut r = record(s.clone());
+        r.submitted_us = self.now.0;
+        let txn = submission(&r);
+        assert!(self.store.txn(&txn).is_ok());
+        if self.faults.mixed_load && self.chance(0.2) {
+            // An earlier attempt to submit it, which had no reply.
+            let at = self.later(2.0, 60.0);
+            self.late_transactions.push((at, txn));
+        }
+        self.specs.insert(s.id.clone(), s);
+    }
+
+    /// A user wants a job cancelled, and asks until it is told how the job ended.
+    pub(super) fn request_cancellation(&mut self, id: &str, at: Steady) {
+        if self.specs.contains_key(id) && self.cancel_requested.insert(id.to_string()) {
+            self.cancel_retries.insert(id.to_string(), at);
+        }
+    }
+
+    /// Some jobs with tasks on a machine, or on any, are cancelled within a few seconds.
+    pub(super) fn cancel_on_faulty_machine(&mut self, machine: Option<usize>) {
+        let ids: BTreeSet<String> = (0..self.workers.len())
+            .filter(|w| machine.is_none_or(|m| m == *w))
+            .flat_map(|w| self.workers[w].state.executing())
+            .map(|k| job_of(&k.0).to_string())
+            .collect();
+        for id in ids {
+            if self.chance(self.faults.cancel_on_faulty_machine) {
+                let at = self.later(0.0, 12.0);
+                self.request_cancellation(&id, at);
+            }
+        }
+    }
+
+    /// Users send the cancellations that are due, and learn how the job ended.
+    pub(super) fn send_cancellations(&mut self) {
+        if self.state_store_unavailable() || self.leaders.is_empty() {
+            return;
+        }
+        let due: Vec<String> =
+            self.cancel_retries.iter().filter(|a| *a.1 <= self.now).map(|a| a.0.clone()).collect();
+        for id in due {
+            if let Some(txn) = self.store.cancellation(&self.specs[&id]) {
+                if self.chance(0.05 + self.faults.late_writes) {
+                    // The user is told nothing and asks again.
+                    let at = self.later(2.0, 12.0);
+                    self.late_transactions.push((at, txn));
+                    self.cancel_retries.insert(id, self.now + Micros::from_secs(1.0));
+                    continue;
+                }
+                assert!(self.store.txn(&txn).is_ok());
+            }
+            let stage = self.store.final_stage(&id).expect("forgotten: no record of a job");
+            if stage == Stage::Cancelled {
+                self.cancelled.insert(id.clone(), self.now);
+            }
+            self.cancel_retries.remove(&id);
+        }
+    }
+}
--- /dev/null
+++ b/tests/failover/simulation/machines.rs
@@ -0,0 +1,143 @@
+//! Machines and the cloud: periods of faults begin, machines die, are listed and are returned.
+
+use milletlock::wire::ListedMachine;
+use rand::Rng;
+
+use super::Simulation;
+use crate::common::LEASE;
+
+impl Simulation {
+    /// Periods of faults begin: shorter and longer than a lease.
+    fn begin_faults(&mut self) {
+        let t = &self.faults;
+        // Not before there is work that can be harmed.
+        let (store_lost, no_leader) = if self.starts > 20 { (t.store_lost, t.no_leader) } else { (0.0, 0.0) };
+        for (rate, kind) in [(t.partitioned, 0), (t.replies_lost, 1), (t.heartbeats_lost, 2), (t.frozen, 3)] {
+            if !self.chance(rate) {
+                continue;
+            }
+            // One machine, or about half of them.
+            let many = kind > 0 && self.rng.random_bool(0.2);
+            let one = self.rng.random_range(0..self.workers.len());
+            for w in 0..self.workers.len() {
+                if w != one && !(many && self.rng.random_bool(0.5)) {
+                    continue;
+                }
+                let until = self.later(3.0, 60.0);
+                let worker = &mut self.workers[w];
+                match kind {
+                    0 => worker.partitioned_until = until,
+                    1 => worker.replies_lost_until = until,
+                    2 => worker.heartbeats_lost_until = until,
+                    _ => worker.frozen_until = until,
+                }
+                self.faults_occurred += u32::from(kind > 0);
+                self.cancel_on_faulty_machine(Some(w));
+            }
+        }
+        if self.chance(store_lost)
+            && self.partition.is_none()
+            && self.next_leader.is_none()
+            && !self.state_store_unavailable()
+        {
+            self.lose_state_store();
+        }
+        if self.chance(no_leader) {
+            self.cancel_on_faulty_machine(None);
+            self.leaders.clear();
+            self.no_leader_until = self.later(LEASE.secs() + 1.0, 2.5 * LEASE.secs());
+            self.faults_occurred += 1;
+        }
+    }
+
+    /// The leader loses the state store and the other controllers, not its workers; users cancel
+    /// through others. Another becomes leader, unless the state store is soon out for everybody.
+    fn lose_state_store(&mut self) {
+        let until = self.later(10.0, 80.0);
+        let Some(o) = self.leaders.last_mut() else { return };
+        o.store_lost_until = until;
+        let share = self.rng.random_range(0.5..1.0);
+        for w in 0..self.workers.len() {
+            self.workers[w].keeps_old_leader = self.rng.random_bool(share);
+        }
+        self.cancel_on_faulty_machine(None);
+        self.faults_occurred += 1;
+        if self.chance(self.faults.store_outage) {
+            // Jobs are cancelled in the second between.
+            let now = self.now;
+            let cancel_retries: Vec<String> = self.cancel_retries.keys().cloned().collect();
+            cancel_retries.into_iter().for_each(|id| {
+                self.cancel_retries.insert(id, now);
+            });
+            self.send_cancellations();
+            self.store_unavailable_until = self.later(self.cancel.secs() + 1.0, 1.5 * self.cancel.secs());
+        } else {
+            self.next_leader = Some(self.later(0.5, 8.0));
+        }
+    }
+
+    /// What the cloud lists now; leaders see it a little later, or an older list once more.
+    fn list_machines(&mut self) {
+        if self.rng.random_bool(0.25) {
+            let list = self.workers.iter().map(|w| ListedMachine {
+                id: w.state.id.clone(),
+                addr: Some("127.0.0.1:9".into()),
+                ty: w.state.ty.clone(),
+                zone: w.state.zone.into(),
+                spot: w.state.spot,
+                stage: "running".into(),
+                age_s: 60.0,
+            });
+            self.lists.rotate_left(1);
+            self.lists[1] = list.collect();
+        }
+        for i in 0..self.leaders.len() {
+            if !self.is_partitioned(i) && self.rng.random_bool(0.1) {
+                let at = usize::from(self.rng.random_bool(0.8));
+                let now = self.now;
+                self.leaders[i].controller.fleet.listed(&self.lists[at], now);
+            }
+        }
+    }
+
+    /// Faults begin, machines die without a notice, and leaders return machines.
+    pub(super) fn change_machines(&mut self) {
+        self.begin_faults();
+        if self.faults.mixed_load {
+            self.list_machines();
+        }
+        if self.chance(self.faults.machine_lost) {
+            let i = self.rng.random_range(0..self.workers.len());
+            let w = self.workers.remove(i);
+            self.add_machine(w.ty, w.state.zone, w.state.spot);
+        }
+        if self.faults.cloud_out && self.leaders.iter().any(|o| self.now < o.store_lost_until) {
+            return;
+        }
+        self.return_machines();
+    }
+
+    /// Leaders return machines; each is replaced by a new one, and some results are lost.
+    fn return_machines(&mut self) {
+        for i in 0..self.leaders.len() {
+            let ids = self.leaders[i].controller.fleet.leaving();
+            if self.is_partitioned(i) || ids.is_empty() || self.rng.random_bool(0.8) {
+                continue;
+            }
+            let gone: Vec<_> = self
+                .workers
+                .iter()
+                .filter(|w| ids.contains(&w.state.id))
+                .map(|w| (w.ty, w.state.zone, w.state.spot))
+                .collect();
+            self.workers.retain(|w| !ids.contains(&w.state.id));
+            for (ty, zone, spot) in gone {
+                self.add_machine(ty, zone, spot);
+            }
+            if !self.chance(0.2) {
+                let now = self.now;
+                self.leaders[i].controller.fleet.returned(&ids, now);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/tests/failover/simulation/tasks.rs
@@ -0,0 +1,156 @@
+//! Tasks on the workers: they start as ordered, run for a random time and end.
+
+use milletlock::time::{Micros, Steady};
+use milletlock::wire::{ExitReason, HeartbeatReply, Order, Shape, TaskStage};
+use rand::Rng;
+
+use super::{Simulation, STEP};
+use crate::common::worker::{job_of, Attempt, Task};
+
+/// A task fetches its image for so long.
+const FETCH_S: f64 = 1.0;
+/// A task of a gang waits so long for the others to arrive.
+const GANG_WAIT_S: f64 = 40.0;
+/// A task of a gang that has lost another one goes on for so long.
+const GANG_PEER_S: f64 = 8.0;
+
+impl Simulation {
+    /// A worker executes a reply to a heartbeat that it sent at a moment.
+    pub(super) fn execute_orders(&mut self, w: usize, reply: &HeartbeatReply, sent: Steady) {
+        let now = self.now;
+        let worker = &mut self.workers[w].state;
+        if !worker.accept_answer(reply.fencing_token, sent) {
+            return;
+        }
+        for o in &reply.orders {
+            match o {
+                Order::Start { task, attempt } => {
+                    let key = (task.clone(), *attempt);
+                    if worker.tasks.contains_key(&key) {
+                        continue;
+                    }
+                    let busy = worker.tasks.iter().any(|(k, t)| k.0 == *task && t.stage != TaskStage::Exited);
+                    assert!(!busy, "{task} is started beside itself on {}", worker.id);
+                    // Some run for longer than a lease.
+                    let most = if self.rng.random_bool(0.3) { self.faults.longest_task_s } else { 20.0 };
+                    let left = Micros::from_secs(self.rng.random_range(2.0..most));
+                    worker.tasks.insert(key, Task::new(TaskStage::Fetching, left, now));
+                    self.starts += 1;
+                }
+                Order::Halt { task, attempt, .. } => {
+                    worker.halt(task, *attempt);
+                }
+                Order::Forget { task, attempt } => worker.forget(task, *attempt),
+            }
+        }
+    }
+
+    /// Sessions end and tasks go on, at random. `tests/fault_combinations` models tasks otherwise on purpose:
+    /// see there.
+    pub(super) fn run_tasks(&mut self) {
+        let now = self.now;
+        for w in 0..self.workers.len() {
+            // A machine that hangs looks at its lease before all else when it goes on, so that nothing
+            // of it is there any more once the lease is over.
+            let lease = self.workers[w].lease;
+            self.workers[w].state.end_session_after(lease, now);
+            if now < self.workers[w].frozen_until {
+                continue;
+            }
+            let keys: Vec<Attempt> = self.workers[w].state.tasks.keys().cloned().collect();
+            for k in keys {
+                self.run_task(w, k);
+            }
+        }
+    }
+
+    /// One step of a task.
+    fn run_task(&mut self, w: usize, k: Attempt) {
+        let now = self.now;
+        let id = job_of(&k.0).to_string();
+        let gang = self.specs[&id].shape == Shape::Gang;
+        let t = self.workers[w].state.tasks[&k].clone();
+        match t.stage {
+            TaskStage::Fetching if (now - t.since).secs() >= FETCH_S => {
+                self.check_start(w, &k.0, &id);
+                let stage = if gang { TaskStage::Waiting } else { TaskStage::Running };
+                self.enter(w, &k, stage, None);
+            }
+            TaskStage::Waiting => {
+                if self.gang_members_ready(&id, k.1) == self.specs[&id].tasks {
+                    self.enter(w, &k, TaskStage::Running, None);
+                } else if (now - t.since).secs() > GANG_WAIT_S {
+                    self.enter(w, &k, TaskStage::Exited, Some(ExitReason::Alone));
+                }
+            }
+            TaskStage::Running => self.run_running_task(w, k, &id),
+            _ => {}
+        }
+    }
+
+    /// One step of a running task. A gang goes on while it is whole, and completes together.
+    fn run_running_task(&mut self, w: usize, k: Attempt, id: &str) {
+        let gang = self.specs[id].shape == Shape::Gang;
+        let t = self.workers[w].state.tasks[&k].clone();
+        if gang && !self.finished.contains(&k.0) {
+            if self.gang_members_ready(id, k.1) < self.specs[id].tasks {
+                if (self.now - t.since).secs() > GANG_PEER_S {
+                    self.enter(w, &k, TaskStage::Exited, Some(ExitReason::Peers));
+                }
+                return;
+            }
+            self.enter(w, &k, TaskStage::Running, None);
+        }
+        let left = t.left - STEP;
+        if let Some(t) = self.workers[w].state.tasks.get_mut(&k) {
+            t.left = left;
+        }
+        if left.0 > 0 && !(gang && self.finished.contains(&k.0)) {
+            return;
+        }
+        self.end_task(w, &k, id);
+    }
+
+    /// A task has run for its time: a gang completes, any other task may end with an error.
+    fn end_task(&mut self, w: usize, k: &Attempt, id: &str) {
+        let gang = self.specs[id].shape == Shape::Gang;
+        let error = !gang && self.chance(0.05);
+        if !error {
+            let n = if gang { self.specs[id].tasks } else { 1 };
+            if gang {
+                (0..n).for_each(|i| {
+                    self.finished.insert(format!("{id}/{i}"));
+                });
+            }
+            self.finished.insert(k.0.clone());
+            if self.all_finished(id) && self.chance(self.faults.cancel_at_end) {
+                let at = self.later(0.0, 2.5);
+                self.request_cancellation(id, at);
+                self.faults_occurred += 1;
+            }
+        }
+        self.enter(w, k, TaskStage::Exited, Some(if error { ExitReason::Error } else { ExitReason::Done }));
+    }
+
+    /// How many tasks of a gang's attempt are there, or wait to begin.
+    fn gang_members_ready(&self, id: &str, attempt: u64) -> u32 {
+        let awake = self.workers.iter().filter(|w| self.now >= w.frozen_until);
+        let of = awake.flat_map(|w| &w.state.tasks).filter(|(k, t)| {
+            k.1 == attempt && job_of(&k.0) == id && matches!(t.stage, TaskStage::Waiting | TaskStage::Running)
+        });
+        of.count() as u32
+    }
+
+    /// A task enters another stage.
+    fn enter(&mut self, w: usize, k: &Attempt, stage: TaskStage, why: Option<ExitReason>) {
+        let now = self.now;
+        if let Some(t) = self.workers[w].state.tasks.get_mut(k) {
+            t.enter(stage, why, now);
+        }
+    }
+
+    /// Whether all tasks of a job are done.
+    pub(super) fn all_finished(&self, id: &str) -> bool {
+        (0..self.specs[id].tasks).all(|n| self.finished.contains(&format!("{id}/{n}")))
+    }
+}
