--- a/tests/failover/simulation/run.rs
+++ b/tests/failover/simulation/run.rs
@@ -15,59 +15,67 @@
 
 /// Runs a simulation; returns how often its faults occurred.
 fn simulate(seed: u64, faults: &Faults) -> u32 {
-    let mut w = Simulation::new(seed, faults);
+    let mut simulation = Simulation::new(seed, faults);
     let mut n = 0;
     for i in 0..faults.steps {
         // As many jobs in a short simulation as in a long one, so that there is more work than capacity.
-        if i % (faults.steps / 40).min(40) == 0 && n < faults.jobs && !w.state_store_unavailable() {
+        if i % (faults.steps / 40).min(40) == 0 && n < faults.jobs && !simulation.state_store_unavailable() {
             n += 1;
-            w.submit(n);
+            simulation.submit(n);
         }
-        if w.rng.random_bool(faults.cancel) && n > 0 {
-            let id = format!("wk-{:06}", w.rng.random_range(1..=n));
-            let now = w.now;
-            w.request_cancellation(&id, now);
+        if simulation.rng.random_bool(faults.cancel) && n > 0 {
+            let id = format!("wk-{:06}", simulation.rng.random_range(1..=n));
+            let now = simulation.now;
+            simulation.request_cancellation(&id, now);
         }
-        w.change_leader(i);
-        w.step();
+        simulation.change_leader(i);
+        simulation.step();
     }
-    end_faults(&mut w);
-    finish(&mut w, seed);
+    end_faults(&mut simulation);
+    finish(&mut simulation, seed);
     // More than 50 of 24 jobs, and as many for each job of a simulation with fewer.
-    assert!(w.starts * 24 > 50 * faults.jobs as usize, "seed {seed}: the simulation stood still");
-    assert_eq!(w.open_jobs(), 0, "seed {seed}: accepted work was left undone: {:?}", w.store.rows("job/"));
+    assert!(simulation.starts * 24 > 50 * faults.jobs as usize, "seed {seed}: the simulation stood still");
+    assert_eq!(
+        simulation.open_jobs(),
+        0,
+        "seed {seed}: accepted work was left undone: {:?}",
+        simulation.store.rows("job/")
+    );
     // Chunks are removed after the ends of their jobs are written, with as many writes as that takes.
     for _ in 0..CLEANUP_STEPS {
-        w.step();
+        simulation.step();
     }
-    assert!(w.store.rows("done/").is_empty(), "seed {seed}: chunks of jobs that are over are left behind");
-    w.faults_occurred
+    assert!(
+        simulation.store.rows("done/").is_empty(),
+        "seed {seed}: chunks of jobs that are over are left behind"
+    );
+    simulation.faults_occurred
 }
 
 /// The faults are over: everything that was accepted gets done.
-fn end_faults(w: &mut Simulation) {
-    w.faulty = false;
-    w.store_unavailable_until = Steady(0);
-    for m in &mut w.workers {
+fn end_faults(simulation: &mut Simulation) {
+    simulation.faulty = false;
+    simulation.store_unavailable_until = Steady(0);
+    for m in &mut simulation.workers {
         m.partitioned_until = Steady(0);
         m.replies_lost_until = Steady(0);
         m.heartbeats_lost_until = Steady(0);
         m.frozen_until = Steady(0);
         m.keeps_old_leader = false;
     }
-    w.fail_over();
-    let newest = w.leaders.len() - 1;
-    w.leaders.drain(..newest);
+    simulation.fail_over();
+    let newest = simulation.leaders.len() - 1;
+    simulation.leaders.drain(..newest);
 }
 
 /// Goes on until no job is open, or for long enough.
-fn finish(w: &mut Simulation, seed: u64) {
+fn finish(simulation: &mut Simulation, seed: u64) {
     for i in 0..STEPS_TO_FINISH {
-        w.step();
+        simulation.step();
         if i % 4 == 0 {
-            w.check_no_starvation(seed);
+            simulation.check_no_starvation(seed);
         }
-        if w.open_jobs() == 0 {
+        if simulation.open_jobs() == 0 {
             break;
         }
     }
--- /dev/null
+++ b/tests/fault_combinations/scenario/invariants.rs
@@ -0,0 +1,51 @@
+//! The rules that must hold at every step, checked from outside.
+
+use milletlock::keys::job_key;
+use milletlock::wire::Stage;
+
+use super::Scenario;
+use crate::common::worker::{assert_placement, job_of};
+use crate::common::TIGHT_LIMIT;
+
+impl Scenario {
+    /// The rules, at the moment a task is ordered to start; `tests/failover` checks them once it has fetched.
+    pub(super) fn check_start(&self, w: usize, task: &str) {
+        let id = job_of(task);
+        let worker = &self.workers[w].state;
+        let twice = self.workers.iter().flat_map(|o| o.state.placed()).any(|k| k.0 == task);
+        assert!(!twice, "ran_twice: {task} at {} s", self.seconds);
+        let in_zone = |here: bool| {
+            let there = self.workers.iter().filter(|o| (o.state.zone == worker.zone) == here);
+            there.map(|o| o.state.placed_of(id)).sum::<usize>() as u32
+        };
+        assert_placement(&self.specs[id], worker, task, in_zone(true), in_zone(false));
+    }
+
+    /// The rules that hold at each moment.
+    pub(super) fn check_invariants(&mut self) {
+        let s = self.seconds;
+        let tight = self.workers.iter().flat_map(|w| w.state.placed());
+        let tight = tight.filter(|k| self.specs[job_of(&k.0)].team == "tight").count();
+        assert!(tight <= TIGHT_LIMIT, "quota: {tight} at {s} s");
+        let cancel = self.cfg.platform.settings.workers.cancel_s;
+        for (id, since) in &self.cancelled {
+            assert!(s - since <= cancel || self.placed(id) == 0, "ran_cancelled: {id} at {s} s");
+        }
+        for id in self.specs.keys() {
+            let (live, stage) = (self.store.row(&job_key(id)).is_some(), self.stage(id));
+            assert!(live != stage.is_some(), "forgotten, or live and over: {id} at {s} s");
+            let Some(stage) = stage else { continue };
+            let first = *self.finals.entry(id.clone()).or_insert(stage);
+            assert_eq!(first, stage, "went_back: {id} at {s} s");
+            let mut tasks = (0..self.specs[id].tasks).map(|n| format!("{id}/{n}"));
+            assert!(
+                stage != Stage::Done || tasks.all(|t| self.finished.contains(&t)),
+                "not_done: {id} at {s} s"
+            );
+            assert!(
+                stage != Stage::Cancelled || self.cancelled.contains_key(id),
+                "went_back: {id} is called cancelled"
+            );
+        }
+    }
+}
