--- a/tests/fault_combinations/late_messages.rs
+++ b/tests/fault_combinations/late_messages.rs
@@ -165,7 +165,7 @@
         let (r, now, wall) =
             (scenario.worker("i-1").state.report(), at(scenario.seconds), wall(scenario.seconds));
         let HeartbeatOutcome::Reply(reply) = scenario.fleet().check_in(&r, now, wall) else {
-            panic!("not replied to")
+            panic!("no reply")
         };
         scenario.write_records();
         reply
--- /dev/null
+++ b/tests/services/backoff.rs
@@ -0,0 +1,84 @@
+//! Replicas that fail are backed off, their service and others are not given up.
+
+use milletlock::time::{Micros, Steady};
+use milletlock::wire::ExitReason;
+
+use crate::cluster::{array, secs, service, InjectedFailure, SimulatedCluster, ARRAY, SERVICE};
+use crate::common::worker::job_of;
+
+/// Guards against a mistaken service that takes room from others over and over, or is given up.
+#[test]
+fn a_service_that_fails_everywhere_is_backed_off_up_to_a_minute() {
+    let mut cluster = SimulatedCluster::new(&["a", "b", "c", "d"]);
+    cluster.failures = vec![InjectedFailure { machine: None, job: SERVICE, why: ExitReason::Error }];
+    cluster.submit(array(2, 16));
+    cluster.run_until(ARRAY, 16, secs(30.0));
+    cluster.submit(service(1, 1));
+    cluster.run(secs(200.0));
+    let mut full = 0;
+    let before = cluster.started.len();
+    for _ in 0..600 {
+        cluster.step();
+        full += usize::from(cluster.running_tasks(ARRAY).len() == 16);
+    }
+    let starts: Vec<Steady> =
+        cluster.started[before..].iter().filter(|s| job_of(&s.task) == SERVICE).map(|s| s.at).collect();
+    assert!((4..=5).contains(&starts.len()), "{} starts within 300 s", starts.len());
+    let gaps: Vec<Micros> = starts.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(gaps.iter().all(|gap| *gap >= secs(60.0) && *gap <= secs(70.0)), "{gaps:?}");
+    assert!(full >= 480, "the array had its room in {full} of 600 steps");
+    assert!(cluster.fleet.leaving().is_empty(), "one mistaken service does not condemn a machine");
+}
+
+/// Guards against backing off a service whose replicas run well and end now and then.
+#[test]
+fn replicas_that_lived_long_are_not_backed_off() {
+    let mut cluster = SimulatedCluster::new(&["a", "b"]);
+    cluster.submit(service(1, 1));
+    for _ in 0..8 {
+        cluster.run_until(SERVICE, 1, secs(6.0));
+        cluster.run(secs(40.0));
+        let machine = cluster.machines_of(SERVICE)[0].clone();
+        cluster.end_task(&machine, SERVICE, ExitReason::Done);
+        cluster.exchange_heartbeat(&machine);
+    }
+}
+
+/// Guards against a machine at fault that keeps the whole service from running.
+#[test]
+fn one_failing_machine_does_not_hold_up_replicas_elsewhere() {
+    let mut cluster = SimulatedCluster::new(&["a", "b", "c", "d"]);
+    cluster.failures = vec![InjectedFailure { machine: Some("a"), job: SERVICE, why: ExitReason::Error }];
+    cluster.submit(service(1, 3));
+    cluster.run_until(SERVICE, 3, secs(8.0));
+    assert_eq!(cluster.machines_of(SERVICE), ["b", "c", "d"]);
+    cluster.run(secs(40.0));
+    cluster.remove_machine("b");
+    cluster.run_until(SERVICE, 3, secs(12.0));
+    let on_a = cluster.started.iter().filter(|start| start.machine == "a").count();
+    assert!(on_a <= 2, "{on_a} starts on the machine at fault");
+}
+
+/// Guards against a service that, after some days, waits a minute for every replica that it lost,
+/// since each start that failed in all that time still counts.
+#[test]
+fn failures_that_are_far_apart_do_not_add_up() {
+    let mut cluster = SimulatedCluster::new(&["a", "b", "c"]);
+    cluster.submit(service(1, 2));
+    cluster.run_until(SERVICE, 2, secs(10.0));
+    let mut waits = Vec::new();
+    for _ in 0..8 {
+        cluster.run(secs(600.0));
+        // A replica is stopped, fails when it starts again, and runs well from then on.
+        let machine = cluster.machines_of(SERVICE)[0].clone();
+        cluster.failures = vec![InjectedFailure { machine: None, job: SERVICE, why: ExitReason::Error }];
+        let before = cluster.started.len();
+        cluster.end_task(&machine, SERVICE, ExitReason::Stopped);
+        while cluster.started.len() == before {
+            cluster.step();
+        }
+        cluster.failures.clear();
+        waits.push(cluster.run_until(SERVICE, 2, secs(90.0)));
+    }
+    assert!(waits.iter().all(|wait| *wait < secs(10.0)), "{waits:?}");
+}
--- /dev/null
+++ b/tests/services/cluster.rs
@@ -0,0 +1,396 @@
+//! A simulated leader and its workers, in steps of simulated time.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
+use milletlock::leadership;
+use milletlock::records::JobRecord;
+use milletlock::time::{Micros, Steady, Wall};
+use milletlock::wire::{ExitReason, JobSpec, Order, Priority, Shape, TaskStage};
+
+use crate::common::worker::job_of;
+use crate::common::{config, record, report, spec, types};
+
+/// When a simulation begins.
+pub const START: Steady = Steady(1_000_000_000);
+
+/// The fencing token of the only leader.
+pub const FENCING_TOKEN: u64 = 7;
+
+/// Simulated time goes on by this much.
+pub const STEP: Micros = Micros::from_millis(500);
+
+/// Workers send heartbeats this often.
+pub const HEARTBEAT_INTERVAL: Micros = Micros::from_millis(3_000);
+
+/// Workers end all tasks so long after the last heartbeat that had a reply.
+pub const LEASE: Micros = Micros::from_millis(22_000);
+
+/// The service's id in most tests.
+pub const SERVICE: &str = "wk-000001";
+
+/// The id of an array beside it.
+pub const ARRAY: &str = "wk-000002";
+
+/// So many seconds.
+pub fn secs(s: f64) -> Micros {
+    Micros::from_secs(s)
+}
+
+/// A service of one-processor replicas, above all other priorities here.
+pub fn service(number: u32, replicas: u32) -> JobSpec {
+    JobSpec { priority: Priority::Critical, ..spec(number, replicas, "daemon") }
+}
+
+/// An array of one-processor tasks.
+pub fn array(number: u32, tasks: u32) -> JobSpec {
+    spec(number, tasks, "batch")
+}
+
+/// The tasks that orders start.
+pub fn starts(orders: &[Order]) -> Vec<&str> {
+    orders
+        .iter()
+        .filter_map(|order| match order {
+            Order::Start { task, .. } => Some(task.as_str()),
+            _ => None,
+        })
+        .collect()
+}
+
+/// The tasks that orders halt.
+pub fn halts(orders: &[Order]) -> Vec<&str> {
+    orders
+        .iter()
+        .filter_map(|order| match order {
+            Order::Halt { task, .. } => Some(task.as_str()),
+            _ => None,
+        })
+        .collect()
+}
+
+/// A task on a worker.
+#[derive(Clone, Debug)]
+pub struct Task {
+    pub since: Steady,
+    pub ended: Option<ExitReason>,
+}
+
+/// A machine as it really is, whatever the leader knows of it.
+#[derive(Debug)]
+pub struct Worker {
+    pub zone: &'static str,
+    pub agent_epoch: u64,
+    pub sequence: u64,
+    pub fencing_token: u64,
+    pub last_reply: Steady,
+    pub next_heartbeat: Steady,
+    /// Partitioned from the leader until then.
+    pub partitioned_until: Steady,
+    /// When the cloud takes it.
+    pub preempted_at: Option<Steady>,
+    pub tasks: BTreeMap<(String, u64), Task>,
+}
+
+/// Tasks of a job end so as soon as they have started, on one machine or on all.
+pub struct InjectedFailure {
+    pub machine: Option<&'static str>,
+    pub job: &'static str,
+    pub why: ExitReason,
+}
+
+/// A start that has reached a worker.
+pub struct Started {
+    pub at: Steady,
+    pub machine: String,
+    pub task: String,
+}
+
+/// The leader and its workers, in steps of simulated time.
+pub struct SimulatedCluster {
+    pub fleet: Fleet,
+    pub now: Steady,
+    pub revision: u64,
+    pub workers: BTreeMap<String, Worker>,
+    pub services: BTreeSet<String>,
+    pub failures: Vec<InjectedFailure>,
+    /// Arrays whose tasks are done after this time; those of others run on.
+    pub runs_for: BTreeMap<String, Micros>,
+    pub started: Vec<Started>,
+}
+
+impl SimulatedCluster {
+    /// Machines of four processors in the north, enrolled.
+    pub fn new(machines: &[&str]) -> SimulatedCluster {
+        let mut cluster = SimulatedCluster {
+            fleet: Fleet::new(config(), types(), FENCING_TOKEN, START),
+            now: START,
+            revision: 1000,
+            workers: BTreeMap::new(),
+            services: BTreeSet::new(),
+            failures: Vec::new(),
+            runs_for: BTreeMap::new(),
+            started: Vec::new(),
+        };
+        for machine in machines {
+            cluster.add_machine(machine, "north");
+        }
+        cluster
+    }
+
+    /// The time of day.
+    pub fn wall(&self) -> Wall {
+        Wall(self.now.0)
+    }
+
+    /// A machine is up, sends its first heartbeat and is enrolled.
+    pub fn add_machine(&mut self, machine: &str, zone: &'static str) {
+        let worker = Worker {
+            zone,
+            agent_epoch: 1,
+            sequence: 0,
+            fencing_token: 0,
+            last_reply: self.now,
+            next_heartbeat: self.now,
+            partitioned_until: START,
+            preempted_at: None,
+            tasks: BTreeMap::new(),
+        };
+        self.workers.insert(machine.into(), worker);
+        self.exchange_heartbeat(machine);
+        self.write_records();
+    }
+
+    /// A user submits a job.
+    pub fn submit(&mut self, spec: JobSpec) {
+        if spec.shape == Shape::Service {
+            self.services.insert(spec.id.clone());
+        }
+        self.revision += 1;
+        let submitted_us = self.now.0;
+        self.fleet.job_put(JobRecord { submitted_us, ..record(spec) }, self.revision, self.now);
+        self.write_records();
+    }
+
+    /// A user cancels a job.
+    pub fn cancel(&mut self, job: &str) {
+        self.revision += 1;
+        self.fleet.job_over(job, self.revision);
+    }
+
+    /// Writes all that waits to be written. Nothing ever says that a service is done.
+    pub fn write_records(&mut self) {
+        let pending = self.fleet.pending(self.now, Micros::ZERO, 1000);
+        for p in &pending {
+            if let PendingWrite::Final(job) | PendingWrite::Done(job, _) = p {
+                assert!(!self.services.contains(&**job), "a service is said to be done: {p:?}");
+            }
+        }
+        let (now, wall) = (self.now, self.wall());
+        for batch in leadership::batches(&mut self.fleet, 1, pending, 1000, now, wall) {
+            self.revision += 1;
+            for (p, said) in &batch.items {
+                self.fleet.written(p, self.revision, said, now);
+            }
+        }
+    }
+
+    /// Time passes for the leader, which knows that it is one; no worker sends a heartbeat.
+    pub fn advance(&mut self, time: Micros) {
+        self.now = self.now + time;
+        self.fleet.confirm(self.now);
+        self.fleet.tick(self.now, self.wall());
+        self.write_records();
+    }
+
+    /// The workers' lists of tasks as they change by themselves.
+    pub fn run_workers(&mut self) {
+        for worker in self.workers.values_mut() {
+            if self.now - worker.last_reply > LEASE {
+                worker.tasks.clear();
+                worker.agent_epoch += 1;
+                worker.sequence = 0;
+                worker.last_reply = self.now;
+            }
+            for ((name, _), task) in worker.tasks.iter_mut().filter(|x| x.1.ended.is_none()) {
+                let time = self.runs_for.get(job_of(name));
+                if time.is_some_and(|time| self.now - task.since >= *time) {
+                    task.ended = Some(ExitReason::Done);
+                    worker.next_heartbeat = self.now;
+                }
+            }
+        }
+    }
+
+    /// The leader's direct commands reach their workers at once, but for those that are partitioned.
+    pub fn deliver_commands(&mut self) -> Vec<Order> {
+        let mut delivered = Vec::new();
+        for command in self.fleet.to_halt(self.now) {
+            let reachable =
+                self.workers.get(&*command.machine).is_some_and(|w| w.partitioned_until <= self.now);
+            if reachable {
+                self.execute_orders(&command.machine, &command.orders);
+                delivered.extend(command.orders);
+            }
+        }
+        delivered
+    }
+
+    /// A worker executes orders.
+    pub fn execute_orders(&mut self, machine: &str, orders: &[Order]) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(machine) else { return };
+        for order in orders {
+            worker.next_heartbeat = now;
+            match order {
+                Order::Start { task, attempt } => {
+                    let here = |f: &&InjectedFailure| f.machine.is_none_or(|m| m == machine);
+                    let failure = self.failures.iter().filter(here).find(|f| f.job == job_of(task));
+                    let started = Task { since: now, ended: failure.map(|f| f.why) };
+                    worker.tasks.insert((task.clone(), *attempt), started);
+                    self.started.push(Started { at: now, machine: machine.into(), task: task.clone() });
+                }
+                Order::Halt { task, attempt, .. } => {
+                    let task = worker.tasks.get_mut(&(task.clone(), *attempt));
+                    if let Some(task) = task.filter(|task| task.ended.is_none()) {
+                        task.ended = Some(ExitReason::Stopped);
+                    }
+                }
+                Order::Forget { task, attempt } => {
+                    worker.tasks.remove(&(task.clone(), *attempt));
+                }
+            }
+        }
+    }
+
+    /// The leader's reply to a heartbeat of a machine as it is now.
+    pub fn send_heartbeat(&mut self, machine: &str) -> Option<Vec<Order>> {
+        let now = self.now;
+        let worker = self.workers.get_mut(machine).expect("a machine");
+        worker.sequence += 1;
+        worker.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        let stage =
+            |ended: Option<ExitReason>| if ended.is_some() { TaskStage::Exited } else { TaskStage::Running };
+        let tasks: Vec<_> = worker
+            .tasks
+            .iter()
+            .map(|((name, attempt), task)| (name.as_str(), *attempt, stage(task.ended), task.ended))
+            .collect();
+        let mut message = report(machine, worker.sequence, worker.fencing_token, &tasks);
+        message.agent_epoch = worker.agent_epoch;
+        message.zone = worker.zone.into();
+        message.notice_s = worker.preempted_at.map(|at| (at - now).secs());
+        match self.fleet.check_in(&message, now, Wall(now.0)) {
+            HeartbeatOutcome::Reply(reply) => Some(reply.orders),
+            HeartbeatOutcome::Refuse => None,
+            HeartbeatOutcome::Superseded(fencing_token) => panic!("replaced by {fencing_token}"),
+        }
+    }
+
+    /// A machine sends a heartbeat and carries out the orders of the reply.
+    pub fn exchange_heartbeat(&mut self, machine: &str) -> Vec<Order> {
+        let Some(orders) = self.send_heartbeat(machine) else { return Vec::new() };
+        let now = self.now;
+        if let Some(worker) = self.workers.get_mut(machine) {
+            worker.fencing_token = FENCING_TOKEN;
+            worker.last_reply = now;
+        }
+        self.execute_orders(machine, &orders);
+        orders
+    }
+
+    /// Time goes on by a step for all.
+    pub fn step(&mut self) {
+        self.advance(STEP);
+        self.run_workers();
+        self.deliver_commands();
+        let due = |w: &Worker| w.next_heartbeat <= self.now && w.partitioned_until <= self.now;
+        let senders: Vec<String> = self.workers.iter().filter(|x| due(x.1)).map(|x| x.0.clone()).collect();
+        for machine in senders {
+            self.exchange_heartbeat(&machine);
+        }
+        self.assert_nothing_runs_twice();
+    }
+
+    /// Time goes on for so long.
+    pub fn run(&mut self, time: Micros) {
+        let until = self.now + time;
+        while self.now < until {
+            self.step();
+        }
+    }
+
+    /// Steps until so many tasks of a job run; returns how long that took.
+    pub fn run_until(&mut self, job: &str, count: usize, most: Micros) -> Micros {
+        let from = self.now;
+        while self.running_tasks(job).len() != count {
+            assert!(self.now - from < most, "{job} runs on {:?} after {most:?}", self.running_tasks(job));
+            self.step();
+        }
+        self.now - from
+    }
+
+    /// Tasks of a job that really run, with their machines.
+    pub fn running_tasks(&self, job: &str) -> Vec<(String, String)> {
+        let all = self.workers.iter().flat_map(|(machine, w)| w.tasks.iter().map(move |t| (machine, t)));
+        let running = all.filter(|(_, (key, task))| task.ended.is_none() && job_of(&key.0) == job);
+        running.map(|(machine, (key, _))| (key.0.clone(), machine.clone())).collect()
+    }
+
+    /// The machines on which tasks of a job run, once for each task.
+    pub fn machines_of(&self, job: &str) -> Vec<String> {
+        let mut machines: Vec<String> = self.running_tasks(job).into_iter().map(|x| x.1).collect();
+        machines.sort();
+        machines
+    }
+
+    /// No task runs on two machines.
+    pub fn assert_nothing_runs_twice(&self) {
+        let mut seen: BTreeMap<&str, &str> = BTreeMap::new();
+        for (machine, worker) in &self.workers {
+            for ((name, _), _) in worker.tasks.iter().filter(|x| x.1.ended.is_none()) {
+                let other = seen.insert(name, machine);
+                assert_eq!(other, None, "{name} runs on {machine} as well");
+            }
+        }
+    }
+
+    /// Ends a running task of a job on a machine.
+    pub fn end_task(&mut self, machine: &str, job: &str, why: ExitReason) {
+        let worker = self.workers.get_mut(machine).expect("a machine");
+        let mut running = worker.tasks.iter_mut().filter(|t| t.1.ended.is_none() && job_of(&t.0 .0) == job);
+        running.next().expect("a running task").1.ended = Some(why);
+        worker.next_heartbeat = self.now;
+    }
+
+    /// The machine is gone and the cloud has said so.
+    pub fn remove_machine(&mut self, machine: &str) {
+        self.workers.remove(machine);
+        self.fleet.returned(&[machine.into()], self.now);
+    }
+
+    /// Cuts a machine off from the leader for a time.
+    pub fn partition(&mut self, machine: &str, time: Micros) {
+        let until = self.now + time;
+        self.workers.get_mut(machine).expect("a machine").partitioned_until = until;
+    }
+
+    /// The cloud gives notice that it takes a machine after a time.
+    pub fn send_spot_notice(&mut self, machine: &str, time: Micros) {
+        let at = self.now + time;
+        let worker = self.workers.get_mut(machine).expect("a machine");
+        (worker.preempted_at, worker.next_heartbeat) = (Some(at), self.now);
+    }
+}
+
+/// A service of one replica, which runs on `a`, and a second machine that has capacity.
+pub fn cluster_with_a_replica_on_a() -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new(&["a"]);
+    cluster.submit(service(1, 1));
+    cluster.run_until(SERVICE, 1, secs(10.0));
+    cluster.add_machine("b", "north");
+    // It has lived long enough not to count as a failure.
+    cluster.run(secs(40.0));
+    assert_eq!(cluster.machines_of(SERVICE), ["a"]);
+    cluster
+}
--- /dev/null
+++ b/tests/services/placement.rs
@@ -0,0 +1,100 @@
+//! Where waiting replicas start, and when.
+
+use milletlock::time::Micros;
+use milletlock::wire::ExitReason;
+
+use crate::cluster::{array, secs, service, starts, SimulatedCluster, ARRAY, SERVICE, STEP};
+
+/// Two machines of which `a` sends the next heartbeat, and a service that waits for it.
+fn planned_on_a(replicas: u32) -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new(&["a", "b"]);
+    cluster.advance(secs(1.0));
+    cluster.exchange_heartbeat("b");
+    cluster.advance(Micros::from_millis(100));
+    cluster.submit(service(1, replicas));
+    cluster.advance(Micros::from_millis(100));
+    cluster
+}
+
+/// Guards against a replica that waits for the planned machine while another sends one sooner.
+#[test]
+fn a_waiting_replica_starts_on_a_machine_whose_heartbeat_comes_before_the_planned_ones() {
+    let mut cluster = planned_on_a(1);
+    cluster.advance(Micros::from_millis(300));
+    assert_eq!(starts(&cluster.exchange_heartbeat("b")), ["wk-000001/0"]);
+    cluster.advance(Micros::from_millis(100));
+    assert!(cluster.exchange_heartbeat("a").is_empty(), "started twice");
+}
+
+/// Guards against two replicas on a machine while another machine has capacity.
+#[test]
+fn no_replica_starts_early_beside_another_of_its_service() {
+    let mut cluster = planned_on_a(2);
+    cluster.advance(Micros::from_millis(300));
+    assert_eq!(starts(&cluster.exchange_heartbeat("b")).len(), 1);
+    cluster.advance(Micros::from_millis(300));
+    assert!(starts(&cluster.exchange_heartbeat("b")).is_empty());
+    cluster.advance(Micros::from_millis(300));
+    assert_eq!(starts(&cluster.exchange_heartbeat("a")).len(), 1);
+}
+
+/// Guards against a second replica on a machine that sends a heartbeat again before the next plan, as workers
+/// do as soon as a start has reached them.
+#[test]
+fn a_machine_whose_heartbeat_comes_again_before_the_next_plan_gets_no_second_replica() {
+    let mut cluster = SimulatedCluster::new(&["a", "b"]);
+    cluster.submit(service(1, 2));
+    cluster.advance(STEP);
+    assert_eq!(starts(&cluster.exchange_heartbeat("a")).len(), 1);
+    cluster.now = cluster.now + Micros::from_millis(5);
+    assert!(starts(&cluster.exchange_heartbeat("a")).is_empty(), "both replicas on one machine");
+    cluster.advance(STEP);
+    assert_eq!(starts(&cluster.exchange_heartbeat("b")).len(), 1);
+}
+
+/// Guards against a service of which most replicas are in one zone, since those that run are not
+/// counted when places for the others are chosen.
+#[test]
+fn running_replicas_count_where_zones_are_chosen() {
+    let north = ["n1", "n2", "n3", "n4"];
+    let south = ["s1", "s2", "s3", "s4"];
+    let mut cluster = SimulatedCluster::new(&north);
+    for machine in south {
+        cluster.add_machine(machine, "south");
+    }
+    cluster.submit(service(1, 4));
+    cluster.advance(STEP);
+    for machine in north.iter().chain(&south) {
+        cluster.exchange_heartbeat(machine);
+        cluster.advance(Micros::from_millis(30));
+    }
+    let in_south = cluster.machines_of(SERVICE).iter().filter(|m| m.starts_with('s')).count();
+    assert_eq!(
+        (cluster.running_tasks(SERVICE).len(), in_south),
+        (4, 2),
+        "{:?}",
+        cluster.machines_of(SERVICE)
+    );
+}
+
+/// Guards against a start that waits for a heartbeat, and against holding back news of other tasks.
+#[test]
+fn only_heartbeats_of_nothing_but_running_replicas_may_be_replied_to_late() {
+    let mut cluster = SimulatedCluster::new(&["a"]);
+    cluster.submit(service(1, 1));
+    cluster.run_until(SERVICE, 1, secs(10.0));
+    assert!(!cluster.fleet.may_wait("a", cluster.now), "its start has just left");
+    cluster.advance(STEP);
+    cluster.exchange_heartbeat("a");
+    assert!(cluster.fleet.may_wait("a", cluster.now));
+    cluster.submit(array(2, 1));
+    cluster.run_until(ARRAY, 1, secs(10.0));
+    cluster.run(secs(4.0));
+    assert!(!cluster.fleet.may_wait("a", cluster.now), "another's task is there");
+    cluster.end_task("a", ARRAY, ExitReason::Done);
+    cluster.run(secs(4.0));
+    assert!(cluster.fleet.may_wait("a", cluster.now));
+    cluster.send_spot_notice("a", secs(60.0));
+    cluster.exchange_heartbeat("a");
+    assert!(!cluster.fleet.may_wait("a", cluster.now), "its machine is about to go");
+}
--- /dev/null
+++ b/tests/services/preemption.rs
@@ -0,0 +1,55 @@
+//! Services stop tasks of lower priority.
+
+use milletlock::time::Micros;
+use milletlock::wire::JobSpec;
+
+use crate::cluster::{
+    array, halts, secs, service, starts, SimulatedCluster, ARRAY, HEARTBEAT_INTERVAL, SERVICE, STEP,
+};
+use crate::common::worker::job_of;
+
+/// Guards against a replica that waits for two heartbeats: one to carry the halt, one the start.
+#[test]
+fn a_task_of_lower_priority_is_halted_at_once_and_its_end_is_replied_to_with_the_start() {
+    let mut cluster = SimulatedCluster::new(&["a"]);
+    cluster.submit(array(2, 4));
+    cluster.run_until(ARRAY, 4, secs(10.0));
+    cluster.run(secs(3.0));
+    cluster.submit(service(1, 1));
+    cluster.advance(Micros::from_millis(50));
+    let direct = cluster.deliver_commands();
+    assert_eq!(halts(&direct).len(), 1);
+    assert_eq!(job_of(halts(&direct)[0]), ARRAY);
+    assert!(cluster.deliver_commands().is_empty(), "once");
+    cluster.advance(Micros::from_millis(50));
+    let orders = cluster.exchange_heartbeat("a");
+    assert_eq!(starts(&orders), ["wk-000001/0"]);
+    cluster.assert_nothing_runs_twice();
+    assert_eq!(cluster.running_tasks(ARRAY).len(), 3);
+}
+
+/// A team at its limit of 6 with lower tasks, and a service of it that has just come.
+fn service_of_a_team_at_its_limit() -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new(&["a", "b"]);
+    cluster.submit(JobSpec { team: "tight".into(), ..array(2, 6) });
+    cluster.run_until(ARRAY, 6, secs(10.0));
+    cluster.run(secs(4.0));
+    cluster.submit(JobSpec { team: "tight".into(), ..service(1, 2) });
+    cluster.advance(Micros::from_millis(50));
+    cluster
+}
+
+/// Guards against a service that waits behind lower tasks of its own team.
+#[test]
+fn within_its_teams_limit_a_service_preempts_tasks_of_lower_priority() {
+    let mut cluster = service_of_a_team_at_its_limit();
+    cluster.run_until(SERVICE, 2, HEARTBEAT_INTERVAL.scale(2.0) + STEP);
+    assert_eq!(cluster.running_tasks(ARRAY).len(), 4);
+}
+
+/// Guards against a replica that waits for a heartbeat of each of its team's lower tasks.
+#[test]
+fn preemptions_within_a_teams_limit_are_direct_commands_too() {
+    let mut cluster = service_of_a_team_at_its_limit();
+    assert_eq!(halts(&cluster.deliver_commands()).len(), 2);
+}
--- /dev/null
+++ b/tests/services/records.rs
@@ -0,0 +1,124 @@
+//! Records, status and submissions of services.
+
+use milletlock::fleet::{never_runs, Fleet, HeartbeatOutcome, PendingWrite};
+use milletlock::records::{JobRecord, MachineRecord};
+use milletlock::time::{Micros, Wall};
+use milletlock::wire::{ExitReason, JobSpec, TaskStage};
+use serde_json::{json, Value};
+
+use crate::cluster::{secs, service, starts, SimulatedCluster, FENCING_TOKEN, SERVICE, START};
+use crate::common::{config, record, report, types};
+
+/// Guards against replicas that an earlier version took for done and that would never run again.
+#[test]
+fn done_ranges_of_a_service_are_not_believed_and_are_removed() {
+    let mut fleet = Fleet::new(config(), types(), FENCING_TOKEN, START);
+    fleet.job_put(record(service(1, 3)), 1, START);
+    fleet.inherit_done(SERVICE, 0, "0-2", 5);
+    assert_eq!(fleet.counts(SERVICE).map(|c| c.done), Some(0));
+    assert_eq!(fleet.jobs[SERVICE].waiting.len(), 3);
+    let pending = fleet.pending(START, Micros::ZERO, 1000);
+    assert!(
+        !pending.iter().any(|p| matches!(p, PendingWrite::Final(_) | PendingWrite::Done(..))),
+        "{pending:?}"
+    );
+    assert!(pending.contains(&PendingWrite::Orphan("done/wk-000001/0".into(), 5)), "{pending:?}");
+}
+
+/// Guards against a new leader that starts replicas which may run on a machine it has not heard.
+#[test]
+fn after_a_failover_started_replicas_wait_for_the_machines_that_may_run_them() {
+    let mut fleet = Fleet::new(config(), types(), FENCING_TOKEN, START);
+    let machine = MachineRecord {
+        fencing_token: 1,
+        ty: "small".into(),
+        zone: "north".into(),
+        ..MachineRecord::default()
+    };
+    fleet.inherit_machine("a", &machine, 0, START);
+    fleet.inherit_machine("b", &machine, 0, START);
+    fleet.job_put(JobRecord { high: 2, ..record(service(1, 2)) }, 1, START);
+    let mut orders_to_b = |sequence: u64, after: Micros| {
+        let now = START + after;
+        fleet.tick(now, Wall(now.0));
+        match fleet.check_in(&report("b", sequence, FENCING_TOKEN, &[]), now, Wall(now.0)) {
+            HeartbeatOutcome::Reply(reply) => reply.orders,
+            other => panic!("no reply: {other:?}"),
+        }
+    };
+    assert!(orders_to_b(1, secs(0.5)).is_empty());
+    assert!(orders_to_b(2, secs(2.0)).is_empty());
+    let now = START + secs(2.5);
+    let there = [("wk-000001/0", 3, TaskStage::Running, None)];
+    fleet.check_in(&report("a", 1, FENCING_TOKEN, &there), now, Wall(now.0));
+    let now = START + secs(3.0);
+    fleet.tick(now, Wall(now.0));
+    let HeartbeatOutcome::Reply(reply) =
+        fleet.check_in(&report("b", 3, FENCING_TOKEN, &[]), now, Wall(now.0))
+    else {
+        panic!("no reply");
+    };
+    assert_eq!(starts(&reply.orders), ["wk-000001/1"]);
+}
+
+/// Guards against a service whose missing replicas nobody sees.
+#[test]
+fn the_status_counts_wanted_and_running_replicas() {
+    let mut cluster = SimulatedCluster::new(&["a"]);
+    cluster.submit(service(1, 6));
+    cluster.run(secs(12.0));
+    let status = cluster.fleet.status(None, cluster.now, cluster.wall());
+    let job = &status.jobs[0];
+    assert_eq!((job.wanted, job.running, job.placed, job.waiting, job.done), (6, 4, 4, 2, 0));
+    cluster.end_task("a", SERVICE, ExitReason::Done);
+    cluster.exchange_heartbeat("a");
+    assert_eq!(cluster.fleet.counts(SERVICE).map(|c| (c.done, c.running)), Some((0, 3)));
+}
+
+/// A submission of a team with a limit, as a user sends it.
+fn submission(shape: &str) -> Value {
+    json!({
+        "nameId": "wk-000001", "grain": "feed", "owner": "tight", "shape": shape, "rank": "critical",
+        "kernels": 6, "cpus": 1.0, "cards": 0.0, "ramGb": 1.6, "seed": "img", "pullGb": 1.0,
+        "breeds": null, "field": null, "oneZone": false, "spread": false, "gleanings": false,
+        "expectS": 0.0, "stashEveryS": 0.0, "stashS": 0.0, "dueS": null
+    })
+}
+
+fn parse_submission(submission: &Value) -> Result<JobSpec, String> {
+    JobSpec::parse(submission.to_string().as_bytes()).map_err(|e| e.to_string())
+}
+
+/// Guards against refusing services for their run time, and against accepting any other field's fault.
+#[test]
+fn a_service_is_accepted_with_any_run_time_and_checked_like_any_job() {
+    for seconds in [0.0, 20.0] {
+        let mut service = submission("daemon");
+        service["expectS"] = json!(seconds);
+        assert!(parse_submission(&service).is_ok(), "expectS {seconds}");
+    }
+    assert!(parse_submission(&submission("batch")).is_err(), "an array without a run time");
+    for field in ["expectS", "kernels", "cpus", "shape", "rank", "owner", "stashS", "spread"] {
+        let mut service = submission("daemon");
+        service.as_object_mut().expect("an object").remove(field);
+        assert!(parse_submission(&service).is_err_and(|reason| reason.contains(field)), "without {field}");
+    }
+    for field in ["expectS", "cpus", "ramGb", "pullGb", "stashEveryS", "stashS"] {
+        let mut service = submission("daemon");
+        service[field] = json!(-1.0);
+        assert!(parse_submission(&service).is_err_and(|reason| reason.contains(field)), "{field} below 0");
+    }
+}
+
+/// Guards against a service that would never run whole.
+#[test]
+fn a_service_whose_replicas_together_exceed_the_teams_limit_never_runs() {
+    let with = |shape: &str, replicas: u32| {
+        let mut submission = submission(shape);
+        (submission["kernels"], submission["expectS"]) = (json!(replicas), json!(20.0));
+        never_runs(&parse_submission(&submission).expect("a good description"), &config(), &types())
+    };
+    assert_eq!(with("daemon", 6), None);
+    assert!(with("daemon", 7).is_some_and(|reason| reason.contains("limit")));
+    assert_eq!(with("batch", 7), None, "an array gets on with one task at a time");
+}
--- /dev/null
+++ b/tests/services/relocation.rs
@@ -0,0 +1,74 @@
+//! Replicas on spot machines with a notice move to other machines.
+
+use milletlock::wire::{ExitReason, JobSpec, Priority};
+
+use crate::cluster::{
+    array, halts, secs, service, starts, SimulatedCluster, ARRAY, HEARTBEAT_INTERVAL, SERVICE, STEP,
+};
+
+/// Fills a machine with tasks of the services' own priority, which have the same image.
+fn fill_with_services_priority(cluster: &mut SimulatedCluster, machine: &str) {
+    cluster.add_machine(machine, "north");
+    cluster.submit(JobSpec { priority: Priority::Critical, ..array(2, 4) });
+    cluster.run_until(ARRAY, 4, secs(20.0));
+}
+
+/// Guards against a replica that is stopped before it can run elsewhere.
+#[test]
+fn after_a_spot_notice_a_replica_stays_until_another_machine_has_capacity_and_image() {
+    let mut cluster = SimulatedCluster::new(&["a"]);
+    cluster.submit(service(1, 4));
+    cluster.run_until(SERVICE, 4, secs(10.0));
+    fill_with_services_priority(&mut cluster, "b");
+    cluster.send_spot_notice("a", secs(60.0));
+    cluster.run(secs(20.0));
+    assert_eq!(cluster.machines_of(SERVICE).len(), 4, "stopped though nothing has capacity");
+    cluster.add_machine("c", "north");
+    cluster.run(secs(6.0));
+    assert_eq!(cluster.machines_of(SERVICE), ["a", "a", "a", "a"], "stopped though c lacks the image");
+    cluster.end_task("b", ARRAY, ExitReason::Done);
+    cluster.exchange_heartbeat("b");
+    cluster.advance(STEP);
+    let direct = cluster.deliver_commands();
+    assert!(!halts(&direct).is_empty(), "not halted by direct command");
+    let orders = cluster.exchange_heartbeat("a");
+    assert!(starts(&orders).is_empty(), "started on the machine that goes");
+    let again = cluster.run_until(SERVICE, 4, secs(20.0));
+    assert!(again <= HEARTBEAT_INTERVAL.scale(2.0), "{again:?}");
+    assert!(cluster.machines_of(SERVICE).contains(&"b".to_string()));
+}
+
+/// Guards against a replica that is lost with its machine without having been told to stop.
+#[test]
+fn at_the_last_moment_of_a_notice_replicas_are_halted_anyway() {
+    let mut cluster = SimulatedCluster::new(&["a"]);
+    cluster.submit(service(1, 1));
+    cluster.run_until(SERVICE, 1, secs(10.0));
+    let noticed = cluster.now;
+    cluster.send_spot_notice("a", secs(30.0));
+    while cluster.machines_of(SERVICE) == ["a"] {
+        cluster.step();
+        assert!(cluster.now - noticed < secs(30.0), "never halted");
+    }
+    let left = secs(30.0) - (cluster.now - noticed);
+    assert!(left > secs(3.0) && left < secs(6.0), "halted with {left:?} left");
+    cluster.remove_machine("a");
+    cluster.add_machine("b", "north");
+    cluster.run_until(SERVICE, 1, secs(10.0));
+}
+
+/// Guards against stopping all replicas of a machine that is to go where there is capacity for one.
+#[test]
+fn no_more_replicas_move_than_other_machines_have_capacity_for() {
+    let mut cluster = SimulatedCluster::new(&["a"]);
+    cluster.submit(service(1, 4));
+    cluster.run_until(SERVICE, 4, secs(10.0));
+    fill_with_services_priority(&mut cluster, "b");
+    cluster.send_spot_notice("a", secs(60.0));
+    cluster.run(secs(4.0));
+    cluster.end_task("b", ARRAY, ExitReason::Done);
+    cluster.exchange_heartbeat("b");
+    cluster.advance(STEP);
+    let direct = cluster.deliver_commands();
+    assert_eq!(halts(&direct).len(), 1);
+}
--- /dev/null
+++ b/tests/services/restarts.rs
@@ -0,0 +1,108 @@
+//! Replicas that end are started again elsewhere, and never run on two machines.
+
+use milletlock::wire::{ExitReason, Order};
+
+use crate::cluster::{
+    cluster_with_a_replica_on_a, secs, service, starts, InjectedFailure, SimulatedCluster,
+    HEARTBEAT_INTERVAL, LEASE, SERVICE, STEP,
+};
+
+/// Guards against a replica that is taken for done, or is left ended, for some reason of its end.
+#[test]
+fn a_replica_that_exits_runs_again_elsewhere_whatever_the_reason() {
+    for why in [ExitReason::Done, ExitReason::Error, ExitReason::Unknown, ExitReason::Other] {
+        let mut cluster = cluster_with_a_replica_on_a();
+        cluster.end_task("a", SERVICE, why);
+        let orders = cluster.exchange_heartbeat("a");
+        assert!(matches!(orders.first(), Some(Order::Forget { .. })), "{why:?}: {orders:?}");
+        assert!(starts(&orders).is_empty(), "{why:?}: started where it ended");
+        cluster.run_until(SERVICE, 1, secs(6.0));
+        assert_eq!(cluster.machines_of(SERVICE), ["b"], "{why:?}");
+        cluster.run(secs(30.0));
+        assert_eq!(cluster.fleet.counts(SERVICE).map(|c| (c.done, c.running)), Some((0, 1)), "{why:?}");
+        assert!(!cluster.fleet.jobs[SERVICE].complete(), "{why:?}");
+        assert_eq!(cluster.fleet.history.dirty().count(), 0, "{why:?}: in the history");
+    }
+}
+
+/// Guards against a replica that is lost with its only machine being given up.
+#[test]
+fn a_replica_without_another_machine_runs_again_on_the_same() {
+    let mut cluster = SimulatedCluster::new(&["a"]);
+    cluster.submit(service(1, 1));
+    cluster.run_until(SERVICE, 1, secs(10.0));
+    cluster.end_task("a", SERVICE, ExitReason::Done);
+    cluster.exchange_heartbeat("a");
+    cluster.run_until(SERVICE, 1, secs(10.0));
+    assert_eq!(cluster.machines_of(SERVICE), ["a"]);
+}
+
+/// Guards against a replica that is forgotten when its machine goes or its lease runs out.
+#[test]
+fn a_replica_runs_again_when_its_machine_is_lost() {
+    let mut returned = cluster_with_a_replica_on_a();
+    returned.remove_machine("a");
+    assert!(returned.run_until(SERVICE, 1, secs(10.0)) <= HEARTBEAT_INTERVAL + STEP);
+    assert_eq!(returned.machines_of(SERVICE), ["b"]);
+
+    let mut restarted = cluster_with_a_replica_on_a();
+    restarted.partition("a", secs(60.0));
+    restarted.run(secs(30.0));
+    assert_eq!(restarted.machines_of(SERVICE), ["b"]);
+    restarted.run(secs(60.0));
+    assert_eq!(restarted.machines_of(SERVICE), ["b"]);
+}
+
+/// Guards against a refused or lost start that is taken for a running replica.
+#[test]
+fn a_start_that_is_refused_or_lost_is_made_again() {
+    for why in [ExitReason::NoRoom, ExitReason::Busy, ExitReason::Unknown, ExitReason::Stopped] {
+        let mut cluster = SimulatedCluster::new(&["a", "b"]);
+        cluster.failures = vec![InjectedFailure { machine: Some("a"), job: SERVICE, why }];
+        cluster.submit(service(1, 1));
+        cluster.run(secs(2.0));
+        cluster.failures.clear();
+        cluster.run_until(SERVICE, 1, secs(15.0));
+    }
+    let mut cluster = SimulatedCluster::new(&["a"]);
+    cluster.submit(service(1, 1));
+    cluster.advance(STEP);
+    let lost = cluster.send_heartbeat("a").expect("a reply");
+    assert_eq!(starts(&lost), ["wk-000001/0"]);
+    cluster.run_until(SERVICE, 1, secs(10.0));
+}
+
+/// Guards against a second replica beside one on a machine that is only partitioned.
+#[test]
+fn a_replica_on_a_partitioned_machine_starts_elsewhere_only_after_its_lease() {
+    let mut cluster = cluster_with_a_replica_on_a();
+    cluster.exchange_heartbeat("a");
+    let last_reply = cluster.now;
+    cluster.partition("a", secs(1000.0));
+    let before = cluster.started.len();
+    while cluster.started.len() == before {
+        cluster.step();
+        assert!(cluster.now - last_reply < secs(30.0), "not started again");
+    }
+    let start = &cluster.started[before];
+    assert_eq!(start.machine, "b");
+    assert!(start.at - last_reply > LEASE.scale(1.001), "started after {:?}", start.at - last_reply);
+
+    // A leader that may have been replaced meanwhile counts no lease.
+    let mut unsure = cluster_with_a_replica_on_a();
+    unsure.exchange_heartbeat("a");
+    for second in 1..60u32 {
+        unsure.now = unsure.now + secs(1.0);
+        unsure.fleet.tick(unsure.now, unsure.wall());
+        assert!(unsure.exchange_heartbeat("b").is_empty(), "after {second} s");
+    }
+
+    // The reply to its return ends the doubt sooner.
+    let mut returned = cluster_with_a_replica_on_a();
+    returned.exchange_heartbeat("a");
+    returned.advance(secs(3.0));
+    assert!(returned.exchange_heartbeat("b").is_empty());
+    returned.remove_machine("a");
+    returned.advance(STEP);
+    assert_eq!(starts(&returned.exchange_heartbeat("b")), ["wk-000001/0"]);
+}
