--- a/tests/fault_combinations/failovers.rs
+++ b/tests/fault_combinations/failovers.rs
@@ -159,8 +159,8 @@
     }
 }
 
-/// Combination 15: a leader ends while machines with long tasks are partitioned or without replies, for less than the
-/// lease and for longer. Against a second start while the first may run, and a wait without end.
+/// Combination 15: a leader ends while machines with long tasks are partitioned or without replies, for less
+/// than the lease and for longer. Against a second start while the first may run, and a wait without end.
 #[test]
 fn tasks_on_unreachable_machines_start_again_only_after_the_lease_when_the_leader_ends() {
     for link in [Link::Down, Link::HeartbeatsOnly] {
--- a/tests/fault_combinations/overload.rs
+++ b/tests/fault_combinations/overload.rs
@@ -5,8 +5,8 @@
 use crate::common::spec;
 use crate::scenario::Scenario;
 
-/// A stream of more work than capacity, a quarter of it of each priority, with the widest gang and array of all
-/// before it; those and every fourth job of the stream should begin soon.
+/// A stream of more work than capacity, a quarter of it of each priority, with the widest gang and array of
+/// all before it; those and every fourth job of the stream should begin soon.
 fn more_work_than_capacity(ranks: [Priority; 4], widest_rank: Priority, quick_every_fourth_from: u32) {
     let mut scenario = Scenario::new();
     scenario.begin_with(&["north", "south", "north", "south"]);
--- a/tests/fault_combinations/scenario/messages.rs
+++ b/tests/fault_combinations/scenario/messages.rs
@@ -57,7 +57,8 @@
         }
     }
 
-    /// A worker sends its heartbeat, if that is due, to the leader that it knows or to another that it reaches.
+    /// A worker sends its heartbeat, if that is due, to the leader that it knows or to another that it
+    /// reaches.
     fn send_heartbeat(&mut self, w: usize) {
         let (due, changed) = (self.workers[w].due, self.workers[w].changed);
         if self.seconds < due && !changed {
--- /dev/null
+++ b/tests/safety/machines.rs
@@ -0,0 +1,119 @@
+//! Machines that are unknown, fail or cannot be reached.
+
+use milletlock::fleet::{HeartbeatOutcome, PendingWrite};
+use milletlock::time::Micros;
+use milletlock::wire::{ExitReason, TaskStage};
+
+use crate::common::clock::{at, wall, START};
+use crate::common::{record, report, spec};
+use crate::fixtures::{fleet_with, machine_record, new_fleet, orders, starts, write_all};
+
+#[test]
+fn unknown_machines_are_enrolled_and_returned_ones_stay_gone() {
+    let mut fleet = new_fleet(7);
+    orders(&mut fleet, 0.0, &report("i-5", 1, 0, &[]));
+    assert_eq!(fleet.pending(START, Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
+    assert!(fleet.packs.get("i-5").is_some());
+    fleet.returned(&["i-5".into()], at(1.0));
+    assert_eq!(fleet.check_in(&report("i-5", 2, 7, &[]), at(2.0), wall(2.0)), HeartbeatOutcome::Refuse);
+}
+
+#[test]
+fn a_failing_job_is_backed_off_and_a_failing_machine_returned() {
+    let mut fleet = fleet_with(spec(1, 1, "batch"));
+    let mut sequence = 2;
+    let mut tries = 0;
+    for t in 1..60 {
+        let s = starts(&orders(&mut fleet, t as f64, &report("i-1", sequence, 7, &[])));
+        sequence += 1;
+        if let Some((task, attempt)) = s.first() {
+            tries += 1;
+            let ended = [(task.as_str(), *attempt, TaskStage::Exited, Some(ExitReason::Error))];
+            orders(&mut fleet, t as f64 + 0.5, &report("i-1", sequence, 7, &ended));
+            sequence += 1;
+        }
+    }
+    assert!((3..=6).contains(&tries), "{tries} tries within a minute");
+    assert!(fleet.leaving().is_empty(), "one mistaken job does not condemn a machine");
+    fleet.job_put(record(spec(2, 1, "batch")), 50, at(60.0));
+    fleet.tick(at(61.0), wall(61.0));
+    write_all(&mut fleet, 61.0);
+    let s = starts(&orders(&mut fleet, 62.0, &report("i-1", sequence, 7, &[])));
+    let ended = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Error))];
+    orders(&mut fleet, 63.0, &report("i-1", sequence + 1, 7, &ended));
+    assert_eq!(fleet.leaving(), ["i-1"]);
+}
+
+#[test]
+fn a_machine_that_replies_do_not_reach_gets_nothing_more_and_is_returned() {
+    let mut fleet = fleet_with(spec(1, 400, "batch"));
+    let (mut sequence, mut offered, mut t) = (2, Vec::new(), 1.0);
+    while fleet.leaving().is_empty() && t < 120.0 {
+        // What it was told to start never shows in its heartbeats.
+        offered.push(starts(&orders(&mut fleet, t, &report("i-1", sequence, 7, &[]))).len());
+        write_all(&mut fleet, t + 0.1);
+        fleet.tick(at(t + 0.2), wall(t + 0.2));
+        (sequence, t) = (sequence + 1, t + 3.0);
+    }
+    assert_eq!(fleet.leaving(), ["i-1"]);
+    assert!(t < 90.0, "returned after {t} s only");
+    let busy = offered.iter().filter(|n| **n > 0).count();
+    assert!(busy <= 5 && offered.len() > busy, "work kept going to it: {offered:?}");
+    // Nothing counted as delivered: all is there to be started elsewhere.
+    fleet.returned(&["i-1".into()], at(t));
+    assert_eq!(fleet.jobs["wk-000001"].waiting.len(), 400);
+}
+
+#[test]
+fn a_machine_whose_lease_ends_although_it_is_replied_to_is_returned_too() {
+    let mut fleet = fleet_with(spec(1, 1, "batch"));
+    for agent_epoch in 1..=3u64 {
+        for k in 0..8u64 {
+            let t = agent_epoch as f64 * 24.0 + k as f64 * 3.0;
+            let mut r = report("i-1", 10 + k, 7, &[]);
+            r.agent_epoch = agent_epoch;
+            fleet.check_in(&r, at(t), wall(t));
+        }
+    }
+    assert_eq!(fleet.leaving(), ["i-1"]);
+}
+
+#[test]
+fn few_silent_machines_are_fenced_soon_and_many_are_waited_for() {
+    let after = |silent: usize, t: f64| {
+        let mut fleet = new_fleet(9);
+        for n in 0..20 {
+            fleet.inherit_machine(&format!("i-{n}"), &machine_record("small"), 0, START);
+        }
+        for n in silent..20 {
+            orders(&mut fleet, 1.0, &report(&format!("i-{n}"), 9, 9, &[]));
+        }
+        fleet.tick(at(t), wall(t));
+        fleet.leaving().len()
+    };
+    assert_eq!((after(2, 7.0), after(2, 9.0)), (0, 2));
+    assert_eq!((after(8, 9.0), after(8, 24.0), after(8, 26.0)), (0, 0, 8));
+}
+
+/// In a long outage the leader may reply to nobody. The machines go on sending heartbeats, and do not count
+/// as silent, or as unreachable, when it is over.
+#[test]
+fn machines_without_replies_count_neither_as_silent_nor_as_unreachable() {
+    let mut fleet = fleet_with(spec(1, 1, "batch"));
+    let s = starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[]))).remove(0);
+    orders(&mut fleet, 2.0, &report("i-1", 3, 7, &[(s.0.as_str(), s.1, TaskStage::Running, None)]));
+    for t in 3..90 {
+        fleet.not_answered("i-1", at(f64::from(t)));
+        fleet.tick(at(f64::from(t)), wall(f64::from(t)));
+    }
+    fleet.confirm(at(90.0));
+    fleet.tick(at(90.0), wall(90.0));
+    assert!(fleet.leaving().is_empty(), "it reports, and only was not answered");
+    let mut later = report("i-1", 1, 7, &[]);
+    later.agent_epoch = 2;
+    orders(&mut fleet, 90.5, &later);
+    fleet.tick(at(90.6), wall(90.6));
+    assert_eq!(fleet.machines["i-1"].undelivered, 0);
+    later.sequence = 2;
+    assert_eq!(starts(&orders(&mut fleet, 91.0, &later)).len(), 1, "and has work again");
+}
