--- /dev/null
+++ b/tests/cancellation_in_outage/state_store.rs
@@ -0,0 +1,128 @@
+//! A state store server with leases by simulated time, which refuses some controllers or is unavailable.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use milletlock::http::{Request, Response};
+use milletlock::wire::{Change, Txn};
+use serde_json::{json, Value};
+
+use crate::common::state_service::{answer_read, answer_transaction, parameter, transaction};
+use crate::common::store::Store;
+
+/// A lease and the keys that hang on it.
+pub struct Lease {
+    ttl: i64,
+    until: i64,
+    keys: BTreeSet<String>,
+}
+
+/// The state store, with leases by the test's time; only here do leases matter, so it stands here.
+#[derive(Default)]
+pub struct StateStoreServer {
+    pub store: Store,
+    pub leases: BTreeMap<u64, Lease>,
+    pub next: u64,
+    pub unavailable: bool,
+    pub refused: BTreeSet<usize>,
+    /// Reads of the first controller are refused beside that.
+    pub reads_refused: bool,
+    /// So many cancellations are carried out without a reply.
+    pub lost_replies: usize,
+}
+
+impl StateStoreServer {
+    /// Ends the leases that have run out; none does in an outage.
+    pub fn expire(&mut self, now: i64) {
+        if self.unavailable {
+            return;
+        }
+        let over: Vec<u64> = self.leases.iter().filter(|l| l.1.until < now).map(|l| *l.0).collect();
+        over.into_iter().for_each(|l| self.end(l));
+    }
+
+    /// Ends a lease and removes its keys.
+    fn end(&mut self, lease: u64) {
+        let Some(l) = self.leases.remove(&lease) else { return };
+        let then: Vec<Change> = l.keys.into_iter().map(Change::drop).collect();
+        if !then.is_empty() {
+            let _ = self.store.txn(&Txn { guards: vec![], then });
+        }
+    }
+
+    /// After an outage every lease has its full time again.
+    pub fn end_outage(&mut self, now: i64) {
+        self.unavailable = false;
+        self.leases.values_mut().for_each(|l| l.until = now + l.ttl);
+    }
+
+    /// The reply to a request of a controller; none: the connection is closed without one.
+    pub fn reply(&mut self, controller: usize, r: &Request, now: i64) -> Option<Response> {
+        self.expire(now);
+        let path = r.path.split('?').next().unwrap_or("");
+        let unreadable = controller == 0 && self.reads_refused && r.method == "GET";
+        if self.unavailable || self.refused.contains(&controller) || unreadable {
+            return Some(self.refuse(path, r));
+        }
+        let lease_of = |p: &str| p.split('/').nth(2).and_then(|l| l.parse::<u64>().ok()).unwrap_or(0);
+        Some(match (r.method.as_str(), path) {
+            ("POST", "/leases") => {
+                let v: Value = serde_json::from_slice(&r.body).expect("a lease");
+                let ttl = v["ttlMs"].as_i64().expect("a time") * 1000;
+                self.next += 1;
+                self.leases.insert(self.next, Lease { ttl, until: now + ttl, keys: BTreeSet::new() });
+                Response::json(200, &json!({ "tenure": self.next }))
+            }
+            ("POST", p) if p.ends_with("/renew") => match self.leases.get_mut(&lease_of(p)) {
+                Some(l) => {
+                    l.until = now + l.ttl;
+                    Response::json(200, &json!({}))
+                }
+                None => Response::error(404, "no such lease"),
+            },
+            ("DELETE", p) => {
+                self.end(lease_of(p));
+                Response::json(200, &json!({}))
+            }
+            ("POST", "/txn") => return self.txn(r),
+            ("GET", _) => answer_read(&self.store, r),
+            _ => Response::error(404, "no such path"),
+        })
+    }
+
+    /// A watch that had been open stays silent, and its time runs out; all else is refused.
+    fn refuse(&self, path: &str, r: &Request) -> Response {
+        if path == "/watch" && parameter(r, "blockMs") != "0" {
+            return Response::json(200, &json!({ "harvest": self.store.revision, "events": [] }));
+        }
+        Response::error(503, "unavailable")
+    }
+
+    /// Executes a transaction, unless one of its leases is over.
+    fn txn(&mut self, r: &Request) -> Option<Response> {
+        let t = transaction(r);
+        let leases: Vec<u64> = t
+            .then
+            .iter()
+            .filter_map(|c| if let Change::Put { lease, .. } = c { *lease } else { None })
+            .collect();
+        if leases.iter().any(|l| !self.leases.contains_key(l)) {
+            return Some(Response::error(400, "no such lease"));
+        }
+        let done = self.store.txn(&t);
+        if done.is_ok() {
+            for c in &t.then {
+                self.leases.values_mut().for_each(|l| {
+                    l.keys.remove(c.key());
+                });
+                if let Change::Put { put, lease: Some(l), .. } = c {
+                    self.leases.get_mut(l)?.keys.insert(put.clone());
+                }
+            }
+        }
+        if self.lost_replies > 0 && t.then.iter().any(|c| c.key().starts_with("final/")) {
+            self.lost_replies -= 1;
+            return None;
+        }
+        Some(answer_transaction(&self.store, done))
+    }
+}
