--- a/tests/cancellation_in_outage/main.rs
+++ b/tests/cancellation_in_outage/main.rs
@@ -255,7 +255,7 @@
     std::thread::spawn(move || http::serve(l, limits, Arc::default(), service));
     // A second machine, idle, is enrolled and shows the fencing token.
     let idle = |sequence: u64| {
-        let r = common::report("i-000002", sequence, u64::from(sequence > 1), &[]);
+        let r = common::heartbeat("i-000002", sequence, u64::from(sequence > 1), &[]);
         serde_json::to_string(&r).expect("a heartbeat")
     };
     assert_eq!(simulation.call(0, "POST", "/checkin", &idle(1)).0, 200);
--- a/tests/cancellation_in_outage/simulation.rs
+++ b/tests/cancellation_in_outage/simulation.rs
@@ -216,7 +216,7 @@
                 return;
             }
             w.due = now + HEARTBEAT_INTERVAL;
-            (w.controller, w.state.report())
+            (w.controller, w.state.heartbeat())
         };
         let body = serde_json::to_string(&heartbeat).expect("a heartbeat");
         let (status, v) = self.call(controller, "POST", "/checkin", &body);
@@ -227,7 +227,7 @@
             return;
         }
         let reply: HeartbeatReply = serde_json::from_value(v).expect("a reply");
-        if w.state.accept_answer(reply.fencing_token, Steady(now)) {
+        if w.state.accept_reply(reply.fencing_token, Steady(now)) {
             w.execute_orders(&reply.orders, now);
         }
     }
--- a/tests/cancellation_in_outage/state_store.rs
+++ b/tests/cancellation_in_outage/state_store.rs
@@ -6,7 +6,7 @@
 use milletlock::wire::{Change, Txn};
 use serde_json::{json, Value};
 
-use crate::common::state_service::{answer_read, answer_transaction, parameter, transaction};
+use crate::common::state_store_server::{parameter, read_response, transaction, transaction_response};
 use crate::common::store::Store;
 
 /// A lease and the keys that hang on it.
@@ -84,7 +84,7 @@
                 Response::json(200, &json!({}))
             }
             ("POST", "/txn") => return self.txn(r),
-            ("GET", _) => answer_read(&self.store, r),
+            ("GET", _) => read_response(&self.store, r),
             _ => Response::error(404, "no such path"),
         })
     }
@@ -123,6 +123,6 @@
             self.lost_replies -= 1;
             return None;
         }
-        Some(answer_transaction(&self.store, done))
+        Some(transaction_response(&self.store, done))
     }
 }
--- a/tests/cancellation_in_outage/worker.rs
+++ b/tests/cancellation_in_outage/worker.rs
@@ -58,10 +58,10 @@
         }
         let c: Commands = serde_json::from_slice(&r.body).expect("a command");
         if !self.state.accept_command(c.fencing_token, c.agent_epoch) {
-            return Some(Response::json(409, &self.state.report()));
+            return Some(Response::json(409, &self.state.heartbeat()));
         }
         self.execute_orders(&c.orders, now);
-        Some(Response::json(200, &self.state.report()))
+        Some(Response::json(200, &self.state.heartbeat()))
     }
 
     /// How many tasks of a job are there.
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -19,7 +19,7 @@
 const LONG: Duration = Duration::from_secs(90);
 /// Less than a lease.
 const SHORT_OUTAGE: Duration = Duration::from_millis(1_500);
-/// More than a lease and a report.
+/// More than a lease and a heartbeat.
 const LONG_OUTAGE: Duration = Duration::from_millis(6_000);
 
 /// Orders that workers got after a moment, by kind.
@@ -171,7 +171,11 @@
     let mut blackout = Blackout::prepare(31, 40);
     blackout.run(SHORT_OUTAGE, |_| ());
     assert_eq!(blackout.orders(), Orders::default());
-    assert_eq!(blackout.cells.history.lock().expect("the history").rentals, 0, "nothing is rented");
+    assert_eq!(
+        blackout.cells.history.lock().expect("the history").scale_out_requests,
+        0,
+        "nothing is scaled out"
+    );
 }
 
 #[test]
@@ -183,9 +187,9 @@
     }
 }
 
-/// The state service is down when the controllers come back, and they end once more.
+/// The state store is down when the controllers come back, and they end once more.
 #[test]
-fn a_second_crash_while_the_state_service_is_down_repeats_nothing() {
+fn a_second_crash_while_the_state_store_is_down_repeats_nothing() {
     let mut blackout = Blackout::prepare(38, 20);
     blackout.kill_all();
     blackout.cells.state_is_out.store(true, Ordering::Relaxed);
@@ -215,8 +219,8 @@
     let mut blackout = Blackout::prepare(33, 40);
     let cancelled = spec(1, 1, "batch").id;
     let path = format!("/api/jobs/{cancelled}/withdraw");
-    let answer = blackout.cells.call(0, "POST", &path, Some(&json!({})));
-    assert_eq!(answer, (200, json!({ "nameId": cancelled, "stage": "cancelled" })));
+    let response = blackout.cells.call(0, "POST", &path, Some(&json!({})));
+    assert_eq!(response, (200, json!({ "nameId": cancelled, "stage": "cancelled" })));
     let (mut ended, mut lost) = (0, 0);
     blackout.run(SHORT_OUTAGE, |cells| {
         let mut machines = tasks_of(cells);
@@ -235,7 +239,7 @@
     until("what was lost with machines runs again", || blackout.present() == left);
     let orders = blackout.orders();
     let differences = ended + lost + TASKS_PER_WORKER;
-    // An order is repeated until a report shows its effect: at most once more for each.
+    // An order is repeated until a heartbeat shows its effect: at most once more for each.
     assert_eq!(orders.starts, lost, "{orders:?}");
     assert!(orders.halts <= 2 * TASKS_PER_WORKER, "{orders:?}, one job was cancelled");
     assert!(orders.forgets <= 2 * (ended + TASKS_PER_WORKER), "{orders:?}, {ended} tasks ended");
--- a/tests/common/cells.rs
+++ b/tests/common/cells.rs
@@ -16,7 +16,9 @@
 use serde_json::{json, Value};
 
 use super::servers::{serve, serve_some};
-use super::state_service::{answer_read, answer_transaction, events, parameter, transaction, watched};
+use super::state_store_server::{
+    events, parameter, read_response, transaction, transaction_response, watched,
+};
 use super::store::Store;
 use super::worker::{Attempt, Task, WorkerState};
 use super::{platform_json, types};
@@ -25,9 +27,9 @@
 const CONTROLLERS: usize = 2;
 /// The workers' lease in these settings, in seconds.
 pub const LEASE_S: f64 = 4.0;
-/// How often a worker reports if nothing changes.
-const REPORT_TIME: Duration = Duration::from_millis(300);
-/// How often a worker looks whether it has something to report.
+/// How often a worker sends a heartbeat if nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+/// How often a worker looks whether it has a reason to send a heartbeat.
 const WORKER_STEP: Duration = Duration::from_millis(40);
 /// Port on which controllers hear each other.
 const INTERNAL_PORT: u16 = 8081;
@@ -59,7 +61,7 @@
     /// Tasks that end before their time.
     pub ended_early: BTreeSet<String>,
     /// Machines that were asked for in vain.
-    pub rentals: u64,
+    pub scale_out_requests: u64,
     /// The orders that workers executed, and when.
     pub orders: Vec<(Instant, Order)>,
     /// Tasks that were killed by the end of a worker's lease.
@@ -97,15 +99,15 @@
     }
 }
 
-/// The state service of a cell, with leases that end.
+/// The state store of a cell, with leases that end.
 #[derive(Default)]
-struct StateService {
+struct StateStore {
     store: Store,
     /// Lease to its time to live, its end and its keys.
     leases: BTreeMap<u64, (Duration, Instant, Vec<String>)>,
 }
 
-impl StateService {
+impl StateStore {
     fn expire(&mut self) {
         let now = Instant::now();
         let ended: Vec<u64> = self.leases.iter().filter(|l| l.1 .1 < now).map(|l| *l.0).collect();
@@ -118,7 +120,7 @@
         }
     }
 
-    fn answer(&mut self, r: &Request) -> Response {
+    fn reply(&mut self, r: &Request) -> Response {
         let path = r.path.split('?').next().unwrap_or("");
         let lease = path.trim_start_matches("/leases/").trim_end_matches("/renew").parse().unwrap_or(0);
         match (r.method.as_str(), path) {
@@ -148,28 +150,28 @@
                         self.leases.get_mut(lease).into_iter().for_each(|l| l.2.push(put.clone()));
                     }
                 }
-                answer_transaction(&self.store, result)
+                transaction_response(&self.store, result)
             }
-            ("GET", _) => answer_read(&self.store, r),
+            ("GET", _) => read_response(&self.store, r),
             _ => Response::error(404, "no such path"),
         }
     }
 }
 
-/// What the controllers of a cell asked of their state service.
+/// What the controllers of a cell asked of their state store.
 #[derive(Default)]
 pub struct StateLoad {
     pub requests: AtomicUsize,
     pub changes: AtomicUsize,
 }
 
-/// While `drops_answers`, every fourth transaction has no answer: some are carried out, some are not.
-fn state_service(
-    drops_answers: Arc<AtomicBool>,
+/// While `drops_replies`, every fourth transaction has no reply: some are carried out, some are not.
+fn state_store_server(
+    drops_replies: Arc<AtomicBool>,
     is_out: Arc<AtomicBool>,
     load: Arc<StateLoad>,
 ) -> SocketAddr {
-    let (state, changed) = (Mutex::new(StateService::default()), Condvar::new());
+    let (state, changed) = (Mutex::new(StateStore::default()), Condvar::new());
     let transactions = AtomicUsize::new(0);
     serve_some(move |r| {
         load.requests.fetch_add(1, Ordering::Relaxed);
@@ -188,7 +190,7 @@
             }
         }
         state.expire();
-        let drops = r.path == "/txn" && drops_answers.load(Ordering::Relaxed);
+        let drops = r.path == "/txn" && drops_replies.load(Ordering::Relaxed);
         let number = if drops { transactions.fetch_add(1, Ordering::Relaxed) } else { 1 };
         if number % 8 == 0 {
             return None;
@@ -196,13 +198,13 @@
         if is_out.load(Ordering::Relaxed) {
             return Some(Response::error(503, "trouble"));
         }
-        let answer = state.answer(&r);
+        let response = state.reply(&r);
         changed.notify_all();
-        (number % 8 != 4).then_some(answer)
+        (number % 8 != 4).then_some(response)
     })
 }
 
-/// A cloud that has just the cell's machines, and no more to rent.
+/// A cloud that has just the cell's machines, and no more capacity.
 fn cloud(machines: Vec<String>, history: Arc<Mutex<History>>) -> SocketAddr {
     serve(move |r| match (r.method.as_str(), r.path.split('?').next().unwrap_or("")) {
         ("POST", "/rentals/return") => {
@@ -213,7 +215,7 @@
         }
         ("POST", "/rentals") => {
             let body: Value = serde_json::from_slice(&r.body).expect("a request");
-            lock(&history).rentals += body["count"].as_u64().unwrap_or(0);
+            lock(&history).scale_out_requests += body["count"].as_u64().unwrap_or(0);
             Response::error(503, "no capacity")
         }
         ("GET", "/catalog") => Response::json(200, &json!({ "breeds": types() })),
@@ -232,7 +234,7 @@
     })
 }
 
-/// A worker that reports to its cell's controllers in turn until the test ends.
+/// A worker that sends heartbeats to its cell's controllers in turn until the test ends.
 struct Worker {
     cell: usize,
     state: WorkerState,
@@ -246,19 +248,19 @@
         let started = Instant::now();
         let lease = Micros::from_secs(LEASE_S);
         let now = || Steady(started.elapsed().as_micros() as i64);
-        let (mut at, mut reported, mut changed) = (0, Instant::now(), true);
+        let (mut at, mut sent_at, mut changed) = (0, Instant::now(), true);
         while !stop.load(Ordering::Relaxed) && !lock(&self.history).gone.contains(&self.state.id) {
             changed |= self.finish_tasks(now());
             changed |= self.end_session(lease, now());
-            if changed || reported.elapsed() > REPORT_TIME {
-                let body = serde_json::to_vec(&self.state.report()).expect("a report");
-                reported = Instant::now();
+            if changed || sent_at.elapsed() > HEARTBEAT_INTERVAL {
+                let body = serde_json::to_vec(&self.state.heartbeat()).expect("a heartbeat");
+                sent_at = Instant::now();
                 let client = Client::new(controllers[at], 0);
                 let sent = now();
-                let answer = client.call("POST", "/checkin", Some(&body), Micros::from_secs(4.0));
-                changed = match answer {
+                let response = client.call("POST", "/checkin", Some(&body), Micros::from_secs(4.0));
+                changed = match response {
                     Ok(ClientResponse { status: 200, body }) => {
-                        let reply = serde_json::from_slice(&body).expect("an answer");
+                        let reply = serde_json::from_slice(&body).expect("a reply");
                         self.execute(&reply, sent, now())
                     }
                     _ => {
@@ -306,9 +308,9 @@
         !ended.is_empty()
     }
 
-    /// Executes the orders of an answer; whether anything changed.
+    /// Executes the orders of a reply; whether anything changed.
     fn execute(&mut self, reply: &HeartbeatReply, sent: Steady, now: Steady) -> bool {
-        if !self.state.accept_answer(reply.fencing_token, sent) {
+        if !self.state.accept_reply(reply.fencing_token, sent) {
             return false;
         }
         let received = Instant::now();
@@ -426,9 +428,9 @@
     links: BTreeMap<(usize, usize), Vec<Link>>,
     /// What the workers did.
     pub history: Arc<Mutex<History>>,
-    /// Whether the state services drop answers.
-    pub drops_answers: Arc<AtomicBool>,
-    /// Whether the state services refuse everybody.
+    /// Whether the state stores drop replies.
+    pub drops_replies: Arc<AtomicBool>,
+    /// Whether the state stores refuse everybody.
     pub state_is_out: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
     folder: std::path::PathBuf,
@@ -448,7 +450,7 @@
             cells: Vec::new(),
             links: BTreeMap::new(),
             history: Arc::default(),
-            drops_answers: Arc::default(),
+            drops_replies: Arc::default(),
             state_is_out: Arc::default(),
             stop: Arc::default(),
             folder,
@@ -479,7 +481,7 @@
             let machines: Vec<String> = (0..plan.workers).map(|w| format!("i-{i}{w:05}")).collect();
             let load = Arc::<StateLoad>::default();
             let (state, cloud) = (
-                state_service(cells.drops_answers.clone(), cells.state_is_out.clone(), load.clone()),
+                state_store_server(cells.drops_replies.clone(), cells.state_is_out.clone(), load.clone()),
                 cloud(machines.clone(), cells.history.clone()),
             );
             for c in 0..plan.controllers {
@@ -570,7 +572,7 @@
         }
     }
 
-    /// What a cell's controllers have asked of their state service.
+    /// What a cell's controllers have asked of their state store.
     pub fn state_load(&self, cell: usize) -> (usize, usize) {
         let load = &self.cells[cell].load;
         (load.requests.load(Ordering::Relaxed), load.changes.load(Ordering::Relaxed))
@@ -611,7 +613,7 @@
         serde_json::from_value(status["cells"].clone()).ok()
     }
 
-    /// Calls a cell's users' interface, at whichever controller answers.
+    /// Calls a cell's users' interface, at whichever controller replies.
     pub fn call(&self, cell: usize, method: &str, path: &str, body: Option<&Value>) -> (u16, Value) {
         let body = body.map(|body| body.to_string().into_bytes());
         for addr in &self.cells[cell].users {
--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -1,8 +1,8 @@
-//! An owner with a few machines that report in step, and run whatever is started on them.
+//! A leader with a few machines that send heartbeats in step, and run whatever is started on them.
 
 use std::sync::Arc;
 
-use super::{config, record, report, types};
+use super::{config, heartbeat, record, types};
 use milletlock::capacity::Offer;
 use milletlock::config::Config;
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
@@ -12,9 +12,9 @@
 use milletlock::wire::{Heartbeat, JobSpec, Order, TaskStage};
 
 /// Reports come this far apart in these settings.
-const REPORT: Micros = Micros(3_000_000);
+const HEARTBEAT_INTERVAL: Micros = Micros(3_000_000);
 
-/// An owner with small spot machines, all of which report every three seconds.
+/// A leader with small spot machines, all of which send a heartbeat every three seconds.
 pub struct Scenario {
     pub fleet: Fleet,
     pub now: Steady,
@@ -51,9 +51,9 @@
         self.fleet.job_put(record, self.fleet.jobs.len() as u64 + 1, self.now);
     }
 
-    /// Lets a report's interval pass; all machines but the silent ones report what they run.
+    /// Lets a heartbeat's interval pass; all machines but the silent ones send what they run.
     pub fn step(&mut self, silent: &[&str]) {
-        self.now = self.now + REPORT;
+        self.now = self.now + HEARTBEAT_INTERVAL;
         self.fleet.tick(self.now, Wall(self.now.0));
         let pending = self.fleet.pending(self.now, Micros::ZERO, 1000);
         for b in leadership::batches(&mut self.fleet, 1, pending, 64, self.now, Wall(self.now.0)) {
@@ -63,19 +63,19 @@
         }
         for id in self.machines.clone() {
             if !silent.contains(&id.as_str()) {
-                let report = self.running(&id);
-                self.report(&report);
+                let message = self.running_heartbeat(&id);
+                self.send_heartbeat(&message);
             }
         }
     }
 
-    /// The next report of a machine on which all that was started runs.
-    pub fn running(&mut self, id: &str) -> Heartbeat {
+    /// The next heartbeat of a machine on which all that was started runs.
+    pub fn running_heartbeat(&mut self, id: &str) -> Heartbeat {
         self.sequence += 1;
         let there: Vec<(String, u64)> = self.tasks(id);
         let tasks: Vec<_> =
             there.iter().map(|(task, attempt)| (task.as_str(), *attempt, TaskStage::Running, None)).collect();
-        Heartbeat { spot: true, ..report(id, self.sequence, 7, &tasks) }
+        Heartbeat { spot: true, ..heartbeat(id, self.sequence, 7, &tasks) }
     }
 
     pub fn tasks(&self, id: &str) -> Vec<(String, u64)> {
@@ -84,8 +84,8 @@
         tasks.keys().map(|(job, n, attempt)| (format!("{job}/{n}"), *attempt)).collect()
     }
 
-    pub fn report(&mut self, report: &Heartbeat) -> Vec<Order> {
-        match self.fleet.check_in(report, self.now, Wall(self.now.0)) {
+    pub fn send_heartbeat(&mut self, message: &Heartbeat) -> Vec<Order> {
+        match self.fleet.check_in(message, self.now, Wall(self.now.0)) {
             HeartbeatOutcome::Reply(reply) => reply.orders,
             other => panic!("{other:?}"),
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,12 +3,12 @@
 
 pub mod cells;
 pub mod clock;
-pub mod controllers;
 pub mod fleet_scenario;
 pub mod planner;
 pub mod production;
 pub mod servers;
-pub mod state_service;
+pub mod simulated_controller;
+pub mod state_store_server;
 pub mod store;
 pub mod worker;
 
@@ -106,8 +106,8 @@
     JobRecord { spec, submitted_us: 0, high: 0, lending: Lending::default() }
 }
 
-/// A report of a small machine in the north.
-pub fn report(
+/// A heartbeat of a small machine in the north.
+pub fn heartbeat(
     machine: &str,
     sequence: u64,
     fencing_token: u64,
--- a/tests/common/servers.rs
+++ b/tests/common/servers.rs
@@ -9,7 +9,7 @@
 
 use super::types;
 
-/// Serves requests on a port of its own until the test ends; one that is not answered has its
+/// Serves requests on a port of its own until the test ends; one without a reply has its
 /// connection closed.
 pub fn serve_some(f: impl Fn(Request) -> Option<Response> + Send + Sync + 'static) -> SocketAddr {
     let l = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -21,7 +21,7 @@
         background_threads: 1,
     };
     let handler = Arc::new(move |r: Request, reply: Reply| match f(r) {
-        Some(answer) => reply.send(&answer),
+        Some(response) => reply.send(&response),
         None => drop(reply),
     });
     let service = http::Service { classify: |_| RequestClass::Interactive, handler };
@@ -29,12 +29,12 @@
     addr
 }
 
-/// The same, answering all.
+/// The same, with a reply to all.
 pub fn serve(f: impl Fn(Request) -> Response + Send + Sync + 'static) -> SocketAddr {
     serve_some(move |r| Some(f(r)))
 }
 
-/// A cloud with the usual types, no machines and none to rent.
+/// A cloud with the usual types, no machines and no capacity.
 pub fn cloud() -> SocketAddr {
     serve(|r| match (r.method.as_str(), r.path.split('?').next().unwrap_or("")) {
         ("GET", "/catalog") => Response::json(200, &json!({ "breeds": types() })),
--- a/tests/common/controllers.rs
+++ b/tests/common/simulated_controller.rs
@@ -16,36 +16,36 @@
 use super::store::Store;
 use super::types;
 
-/// What a new owner reads before it does anything.
+/// What a new leader reads before it does anything.
 const RECORDS: [&str; 6] = ["recent", "job/", "machine", "marks/", "done/", "hist/"];
 
 /// A controller that has claimed everything.
-pub struct Controller {
+pub struct SimulatedController {
     pub fleet: Fleet,
     /// The version of the part's record as it claimed it.
-    pub part: u64,
+    pub shard_revision: u64,
     /// The revision up to which it has read the jobs' changes.
     pub watched: u64,
 }
 
-impl Controller {
-    /// Claims everything with the next token and reads all records. Earlier owners do not notice.
-    pub fn claim(store: &mut Store, cfg: &Arc<Config>, now: Steady) -> Controller {
+impl SimulatedController {
+    /// Claims everything with the next fencing token and reads all records. Earlier leaders do not notice.
+    pub fn claim(store: &mut Store, cfg: &Arc<Config>, now: Steady) -> SimulatedController {
         let fencing_token = store.row("term").and_then(|r| r.value.as_u64()).unwrap_or(0) + 1;
         let then = vec![
             Change::put("term", json!(fencing_token)),
             Change::put(leadership::SHARD_KEY, json!(fencing_token)),
         ];
-        let part = store.txn(&Txn { guards: vec![], then }).expect("no guards");
+        let shard_revision = store.txn(&Txn { guards: vec![], then }).expect("no guards");
         let mut fleet = Fleet::new(cfg.clone(), types(), fencing_token, now);
         let rows = RECORDS.iter().flat_map(|prefix| store.rows(prefix)).collect();
         leadership::load(&mut fleet, rows, now, wall_at(now));
-        Controller { fleet, part, watched: store.revision }
+        SimulatedController { fleet, shard_revision, watched: store.revision }
     }
 
-    /// Whether it still holds the part, as far as the state service knows.
-    pub fn holds_part(&self, store: &Store) -> bool {
-        self.part == store.mod_revision(leadership::SHARD_KEY)
+    /// Whether it still holds the shard, as far as the state store knows.
+    pub fn holds_shard(&self, store: &Store) -> bool {
+        self.shard_revision == store.mod_revision(leadership::SHARD_KEY)
     }
 
     /// Reads the jobs' changes since the last time.
@@ -66,10 +66,10 @@
     /// The transactions that it would write now; done ranges may wait for a while.
     pub fn batches(&mut self, done_delay: Micros, chunk: u32, now: Steady) -> Vec<Batch> {
         let pending = self.fleet.pending(now, done_delay, chunk);
-        leadership::batches(&mut self.fleet, self.part, pending, 8, now, wall_at(now))
+        leadership::batches(&mut self.fleet, self.shard_revision, pending, 8, now, wall_at(now))
     }
 
-    /// Learns the result of a transaction (none: no answer). The error names the keys to read back.
+    /// Learns the result of a transaction (none: no reply). The error names the keys to read back.
     pub fn acknowledge(
         &mut self,
         batch: &Batch,
--- a/tests/common/state_service.rs
+++ b/tests/common/state_store_server.rs
@@ -1,4 +1,4 @@
-//! How the state service answers requests, from the keys as they stand. Leases, refusals, lost answers and
+//! How the state store replies to requests, from the keys as they stand. Leases, refusals, lost replies and
 //! watches that wait each test models for itself.
 
 use milletlock::http::{Request, Response};
@@ -19,16 +19,16 @@
     serde_json::from_slice(&request.body).expect("a transaction")
 }
 
-/// Answers a transaction by its result.
-pub fn answer_transaction(store: &Store, result: Result<u64, Vec<String>>) -> Response {
+/// Replies to a transaction by its result.
+pub fn transaction_response(store: &Store, result: Result<u64, Vec<String>>) -> Response {
     match result {
         Ok(revision) => Response::json(200, &json!({ "harvest": revision })),
         Err(keys) => Response::json(409, &json!({ "failed": keys, "harvest": store.revision })),
     }
 }
 
-/// Answers a list of keys, a watch (at once) or the read of a key.
-pub fn answer_read(store: &Store, request: &Request) -> Response {
+/// Replies to a list of keys, a watch (at once) or the read of a key.
+pub fn read_response(store: &Store, request: &Request) -> Response {
     let path = request.path.split('?').next().unwrap_or("");
     match path {
         "/keys" => {
--- a/tests/common/store.rs
+++ b/tests/common/store.rs
@@ -1,4 +1,4 @@
-//! A model of the state service's keys, and the transactions that users' requests lead to.
+//! A model of the state store's keys, and the transactions that users' requests lead to.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use milletlock::wire::{Change, Guard, JobSpec, Row, Stage, Txn};
 use serde_json::{json, Value};
 
-/// A plain model of the state service's keys.
+/// A plain model of the state store's keys.
 #[derive(Default)]
 pub struct Store {
     /// Key to value and version.
--- a/tests/common/worker.rs
+++ b/tests/common/worker.rs
@@ -1,5 +1,5 @@
-//! A simulated worker's side of the protocol: its session, token, lease and tasks. Which messages reach
-//! it, and how its tasks go on, each simulation models for itself.
+//! A simulated worker's side of the protocol: its session, fencing token, lease and tasks. Which messages
+//! reach it, and how its tasks go on, each simulation models for itself.
 
 use std::collections::BTreeMap;
 
@@ -42,17 +42,17 @@
     pub spot: bool,
     /// The number of its session, which ends with its lease.
     pub agent_epoch: u64,
-    /// The number of its last report.
-    pub report_number: u64,
-    /// The greatest token that it has seen.
+    /// The number of its last heartbeat.
+    pub sequence: u64,
+    /// The greatest fencing token that it has seen.
     pub fencing_token: u64,
-    /// When the last report that was answered was sent: its lease counts from then.
-    pub answered: Steady,
+    /// When the last heartbeat with a reply was sent: the lease counts from then.
+    pub lease_start: Steady,
     pub tasks: BTreeMap<Attempt, Task>,
 }
 
 impl WorkerState {
-    /// A small worker in its first session, which has seen no token.
+    /// A small worker in its first session, which has seen no fencing token.
     pub fn new(id: String, zone: &'static str, now: Steady) -> WorkerState {
         WorkerState {
             id,
@@ -61,16 +61,16 @@
             zone,
             spot: false,
             agent_epoch: 1,
-            report_number: 0,
+            sequence: 0,
             fencing_token: 0,
-            answered: now,
+            lease_start: now,
             tasks: BTreeMap::new(),
         }
     }
 
-    /// Its next report.
-    pub fn report(&mut self) -> Heartbeat {
-        self.report_number += 1;
+    /// Its next heartbeat.
+    pub fn heartbeat(&mut self) -> Heartbeat {
+        self.sequence += 1;
         Heartbeat {
             machine: self.id.clone(),
             addr: self.addr.clone(),
@@ -78,25 +78,25 @@
             zone: self.zone.into(),
             spot: self.spot,
             agent_epoch: self.agent_epoch,
-            sequence: self.report_number,
+            sequence: self.sequence,
             fencing_token: self.fencing_token,
             notice_s: None,
-            tasks: self.tasks.iter().map(|(attempt, task)| task_report(attempt, task)).collect(),
+            tasks: self.tasks.iter().map(|(attempt, task)| task_status(attempt, task)).collect(),
         }
     }
 
-    /// Takes the token of an answer to a report that was sent at a moment; false: it is too old.
-    pub fn accept_answer(&mut self, fencing_token: u64, sent: Steady) -> bool {
+    /// Takes the fencing token of a reply to a heartbeat that was sent at a moment; false: it is too old.
+    pub fn accept_reply(&mut self, fencing_token: u64, sent: Steady) -> bool {
         if fencing_token < self.fencing_token {
             return false;
         }
         self.fencing_token = fencing_token;
-        self.answered = self.answered.max(sent);
+        self.lease_start = self.lease_start.max(sent);
         true
     }
 
-    /// Takes the token of a direct command, which renews no lease; false: it is too old, or for another
-    /// session.
+    /// Takes the fencing token of a direct command, which renews no lease; false: it is too old, or for
+    /// another session.
     pub fn accept_command(&mut self, fencing_token: u64, agent_epoch: u64) -> bool {
         if fencing_token < self.fencing_token || agent_epoch != self.agent_epoch {
             return false;
@@ -107,12 +107,12 @@
 
     /// Ends the session and all tasks if the lease has run out.
     pub fn end_session_after(&mut self, lease: Micros, now: Steady) -> bool {
-        if now - self.answered <= lease {
+        if now - self.lease_start <= lease {
             return false;
         }
         self.tasks.clear();
         self.agent_epoch += 1;
-        self.answered = now;
+        self.lease_start = now;
         true
     }
 
@@ -149,7 +149,7 @@
     }
 }
 
-fn task_report(attempt: &Attempt, task: &Task) -> TaskStatus {
+fn task_status(attempt: &Attempt, task: &Task) -> TaskStatus {
     TaskStatus { task: attempt.0.clone(), attempt: attempt.1, stage: task.stage, why: task.why, saved: None }
 }
 
--- a/tests/replies.rs
+++ b/tests/controller_replies.rs
@@ -1,4 +1,4 @@
-//! The forms of a controller's own answers, which workers, the load balancer and people on call
+//! The forms of a controller's own replies, which workers, the load balancer and people on call
 //! read.
 
 use milletlock::wire::{ControllerStatus, Health, Redirect, ShardStatus};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_owners_status_has_its_parts_and_its_view() {
+fn the_leaders_status_has_its_shards_and_its_view() {
     let status = ControllerStatus {
         leader: Some("a".into()),
         node: "a".into(),
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! A whole controller on loopback, between stand-ins for the state service, the cloud and a
+//! A whole controller on loopback, between stand-ins for the state store, the cloud and a
 //! worker: bad input of each kind, and a job from its submission to its end.
 
 mod common;
@@ -10,7 +10,9 @@
 use std::time::{Duration, Instant};
 
 use common::servers::{cloud, serve};
-use common::state_service::{answer_read, answer_transaction, events, parameter, transaction, watched};
+use common::state_store_server::{
+    events, parameter, read_response, transaction, transaction_response, watched,
+};
 use common::store::Store;
 use common::{platform_json, spec};
 use milletlock::config::{Config, OperatorConfig, PlatformConfig};
@@ -21,13 +23,13 @@
 use milletlock::wire::{ExitReason, HeartbeatReply, Order, TaskStage};
 use serde_json::{json, Value};
 
-/// The state service, as far as the controller uses it.
-fn state_service(out: Arc<AtomicBool>) -> SocketAddr {
-    counted_state_service(out, Arc::default())
+/// The state store, as far as the controller uses it.
+fn state_store(out: Arc<AtomicBool>) -> SocketAddr {
+    counted_state_store(out, Arc::default())
 }
 
-/// The same, counting the reads that answer at once.
-fn counted_state_service(out: Arc<AtomicBool>, reads: Arc<AtomicUsize>) -> SocketAddr {
+/// The same, counting the reads that reply at once.
+fn counted_state_store(out: Arc<AtomicBool>, reads: Arc<AtomicUsize>) -> SocketAddr {
     let (store, changed) = (Mutex::new(Store::default()), Condvar::new());
     serve(move |r| {
         if r.method == "GET" && (r.path.starts_with("/keys/") || r.path.ends_with("blockMs=0")) {
@@ -44,41 +46,41 @@
             ("POST", "/txn") => {
                 let done = s.txn(&transaction(&r));
                 changed.notify_all();
-                answer_transaction(&s, done)
+                transaction_response(&s, done)
             }
             ("GET", "/watch") => {
                 let (prefix, from) = watched(&r);
                 let block = Duration::from_millis(parameter(&r, "blockMs").parse().unwrap_or(0));
                 let quiet = |s: &mut Store| events(s, prefix, from).is_empty();
-                answer_read(&changed.wait_timeout_while(s, block, quiet).expect("the store").0, &r)
+                read_response(&changed.wait_timeout_while(s, block, quiet).expect("the store").0, &r)
             }
-            ("GET", _) => answer_read(&s, &r),
+            ("GET", _) => read_response(&s, &r),
             _ => Response::error(404, "no such path"),
         }
     })
 }
 
-struct Service {
+struct RunningController {
     addr: SocketAddr,
     internal: SocketAddr,
     out: Arc<AtomicBool>,
 }
 
-fn start() -> Service {
+fn start() -> RunningController {
     let out = Arc::new(AtomicBool::new(false));
-    let state = state_service(out.clone());
+    let state = state_store(out.clone());
     start_with(state, out, |_| {})
 }
 
-/// A controller on a given state service, with settings changed.
-fn start_with(state: SocketAddr, out: Arc<AtomicBool>, change: impl Fn(&mut Value)) -> Service {
+/// A controller on a given state store, with settings changed.
+fn start_with(state: SocketAddr, out: Arc<AtomicBool>, change: impl Fn(&mut Value)) -> RunningController {
     let s = start_unready(state, out, change);
     until("the controller is up", || s.get("/up").0 == 200);
     s
 }
 
 /// The same without waiting until it is up.
-fn start_unready(state: SocketAddr, out: Arc<AtomicBool>, change: impl Fn(&mut Value)) -> Service {
+fn start_unready(state: SocketAddr, out: Arc<AtomicBool>, change: impl Fn(&mut Value)) -> RunningController {
     // Bound here and handed over, so that no other test can take the port in between.
     let bind = || TcpListener::bind("127.0.0.1:0").expect("a port");
     let (users, others) = (bind(), bind());
@@ -90,7 +92,7 @@
     let platform = PlatformConfig::parse(&p.to_string(), "test").expect("settings");
     let cfg = Config { platform, operator: OperatorConfig::default() };
     std::thread::spawn(move || Controller::run_on(cfg, users, others, Arc::new(AtomicBool::new(false))));
-    Service { addr, internal, out }
+    RunningController { addr, internal, out }
 }
 
 /// Waits for a condition that is bound to come; the deadline only ends a broken run.
@@ -102,10 +104,10 @@
     }
 }
 
-impl Service {
+impl RunningController {
     fn call(&self, method: &str, path: &str, body: Option<&[u8]>) -> (u16, Value) {
         match Client::new(self.addr, 0).call(method, path, body, Micros::from_secs(10.0)) {
-            Ok(answer) => (answer.status, serde_json::from_slice(&answer.body).unwrap_or(Value::Null)),
+            Ok(response) => (response.status, serde_json::from_slice(&response.body).unwrap_or(Value::Null)),
             Err(_) => (0, Value::Null),
         }
     }
@@ -118,16 +120,16 @@
         self.call("POST", "/api/jobs", Some(v.to_string().as_bytes()))
     }
 
-    fn report(
+    fn send_heartbeat(
         &self,
         sequence: u64,
         fencing_token: u64,
         tasks: &[(&str, u64, TaskStage, Option<ExitReason>)],
     ) -> HeartbeatReply {
-        let r = common::report("i-000001", sequence, fencing_token, tasks);
-        let body = serde_json::to_vec(&r).expect("a report");
+        let r = common::heartbeat("i-000001", sequence, fencing_token, tasks);
+        let body = serde_json::to_vec(&r).expect("a heartbeat");
         let mut reply = None;
-        until("a report is answered", || {
+        until("a heartbeat has a reply", || {
             let (status, v) = self.call("POST", "/checkin", Some(&body));
             reply = (status == 200).then(|| serde_json::from_value(v).expect("a reply"));
             reply.is_some()
@@ -249,7 +251,7 @@
     let mut started = None;
     until("the task is started", || {
         sequence += 1;
-        let r = s.report(sequence, fencing_token, &[]);
+        let r = s.send_heartbeat(sequence, fencing_token, &[]);
         fencing_token = r.fencing_token;
         started = r.orders.iter().find_map(|o| match o {
             Order::Start { task, attempt } => Some((task.clone(), *attempt)),
@@ -258,7 +260,7 @@
         started.is_some()
     });
     let (task, attempt) = started.expect("a start");
-    s.report(sequence + 1, fencing_token, &[(&task, attempt, TaskStage::Running, None)]);
+    s.send_heartbeat(sequence + 1, fencing_token, &[(&task, attempt, TaskStage::Running, None)]);
     let v = s.get("/api/jobs/wk-000001").1;
     assert_eq!((v["stage"].as_str(), v["running"].as_u64()), (Some("running"), Some(1)));
 
@@ -272,11 +274,15 @@
     s.out.store(true, Ordering::SeqCst);
     assert_eq!(s.get("/api/jobs/wk-000001").0, 503);
     assert_eq!(s.submit(&json!(spec(2, 1, "batch"))).0, 503);
-    // Workers are answered all the same.
-    s.report(sequence + 2, fencing_token, &[(&task, attempt, TaskStage::Running, None)]);
+    // Workers are replied to all the same.
+    s.send_heartbeat(sequence + 2, fencing_token, &[(&task, attempt, TaskStage::Running, None)]);
     s.out.store(false, Ordering::SeqCst);
 
-    s.report(sequence + 3, fencing_token, &[(&task, attempt, TaskStage::Exited, Some(ExitReason::Done))]);
+    s.send_heartbeat(
+        sequence + 3,
+        fencing_token,
+        &[(&task, attempt, TaskStage::Exited, Some(ExitReason::Done))],
+    );
     until("the job is done", || s.get("/api/jobs/wk-000001").1["stage"] == "done");
     assert_eq!(s.call("POST", "/api/jobs/wk-000001/withdraw", Some(b"{}")).1["stage"], "done");
     assert_eq!(s.submit(&job).1["stage"], "done");
@@ -293,9 +299,9 @@
 }
 
 #[test]
-fn every_accepted_job_is_answered_by_each_controller_once_troubles_are_over() {
+fn every_controller_replies_for_each_accepted_job_once_faults_are_over() {
     let out = Arc::new(AtomicBool::new(false));
-    let state = state_service(out.clone());
+    let state = state_store(out.clone());
     let first = start_with(state, out.clone(), |_| {});
     let ids: Vec<String> = (1..=20).map(|n| spec(n, 3, "batch").id).collect();
     for n in 1..=20 {
@@ -309,50 +315,53 @@
     let second = start_with(state, out, |_| {});
     for s in [&first, &second] {
         for id in &ids {
-            until("the job is answered", || s.get(&format!("/api/jobs/{id}")).0 == 200);
+            until("there is a reply for the job", || s.get(&format!("/api/jobs/{id}")).0 == 200);
         }
     }
-    assert_eq!(first.report(1, 0, &[]).fencing_token + 1, second.report(2, 0, &[]).fencing_token);
-    // The earlier one learns from a worker that has seen the later token, and gives up for good.
-    let late = common::report("i-000001", 3, 2, &[]);
-    let late = serde_json::to_vec(&late).expect("a report");
+    assert_eq!(
+        first.send_heartbeat(1, 0, &[]).fencing_token + 1,
+        second.send_heartbeat(2, 0, &[]).fencing_token
+    );
+    // The earlier one learns from a worker that has seen the later fencing token, and gives up for good.
+    let late = common::heartbeat("i-000001", 3, 2, &[]);
+    let late = serde_json::to_vec(&late).expect("a heartbeat");
     assert_eq!(first.call("POST", "/checkin", Some(&late)).0, 503);
 }
 
 #[test]
-fn an_owner_that_sees_no_cancellations_stops_renewing_leases_in_time() {
+fn a_leader_that_sees_no_cancellations_stops_renewing_leases_in_time() {
     let out = Arc::new(AtomicBool::new(false));
-    let state = state_service(out.clone());
+    let state = state_store(out.clone());
     let s = start_with(state, out.clone(), |p| {
         p["settings"]["workers"]["report_s"] = json!(0.5);
         p["settings"]["workers"]["lease_s"] = json!(2.0);
         p["settings"]["workers"]["cancel_s"] = json!(4.5);
     });
     let status = |sequence: u64| {
-        let r = common::report("i-000001", sequence, 1, &[]);
-        s.call("POST", "/checkin", Some(&serde_json::to_vec(&r).expect("a report"))).0
+        let r = common::heartbeat("i-000001", sequence, 1, &[]);
+        s.call("POST", "/checkin", Some(&serde_json::to_vec(&r).expect("a heartbeat"))).0
     };
-    s.report(1, 0, &[]);
+    s.send_heartbeat(1, 0, &[]);
     out.store(true, Ordering::SeqCst);
     let since = Instant::now();
     let mut sequence = 2;
-    until("the worker is no longer answered", || {
+    until("the worker is no longer replied to", || {
         sequence += 1;
         status(sequence) == 503
     });
     // Half a second without a view, and the lease of two: well before the 4.5 s are over.
     assert!(since.elapsed().as_secs_f64() + 2.0 < 4.5, "after {:?}", since.elapsed());
     out.store(false, Ordering::SeqCst);
-    until("it is answered again", || {
+    until("it is replied to again", || {
         sequence += 1;
         status(sequence) == 200
     });
 }
 
 #[test]
-fn a_controller_cut_off_from_all_else_is_unhealthy_and_one_in_an_outage_is_not() {
+fn a_partitioned_controller_is_unhealthy_and_one_in_an_outage_is_not() {
     let out = Arc::new(AtomicBool::new(false));
-    let state = state_service(out.clone());
+    let state = state_store(out.clone());
     // Nobody listens there: bound once and let go.
     let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address");
     let with = |other: SocketAddr| {
@@ -366,17 +375,17 @@
     let heard = with(other.internal);
     out.store(true, Ordering::SeqCst);
     until("the one that is cut off is unhealthy", || cut.get("/up").0 == 503);
-    // The state service is out for this one as well, but another controller can be heard.
+    // The state store is out for this one as well, but another controller can be heard.
     assert_eq!(heard.get("/up").0, 200);
     out.store(false, Ordering::SeqCst);
     until("it is healthy again", || cut.get("/up").0 == 200);
 }
 
-/// Polls of a busy minute would take the whole share of the state service with a read for each.
+/// Polls of a busy minute would take the whole share of the state store with a read for each.
 #[test]
 fn polls_share_reads_and_never_lag_behind_what_a_user_was_told() {
     let (out, reads) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-    let state = counted_state_service(out.clone(), reads.clone());
+    let state = counted_state_store(out.clone(), reads.clone());
     let first = start_with(state, out.clone(), |_| {});
     let second = start_with(state, out, |p| p["label"] = json!("c-1"));
     for n in 1..=20 {
@@ -413,11 +422,11 @@
 #[test]
 fn without_machine_types_only_what_is_malformed_or_known_is_decided() {
     let out = Arc::new(AtomicBool::new(false));
-    let state = state_service(out.clone());
+    let state = state_store(out.clone());
     let first = start_with(state, out.clone(), |_| {});
     let known = json!(spec(1, 1, "batch"));
     assert_eq!(first.submit(&known).0, 201);
-    // Neither the cloud, where nobody listens, nor the state service tells the second one the types.
+    // Neither the cloud, where nobody listens, nor the state store tells the second one the types.
     let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address");
     let all_else = Client::new(state, 4);
     let without_types = serve(move |r| {
@@ -434,7 +443,7 @@
         p["label"] = json!("c-1");
         p["services"]["cloud"] = json!(nobody);
     });
-    until("it answers", || second.get("/up").0 == 503);
+    until("it replies", || second.get("/up").0 == 503);
     let new = json!(spec(2, 1, "batch"));
     for undecided in [new.clone(), with(&new, "owner", json!("nobody")), with(&new, "cpus", json!(64.0))] {
         assert_eq!(second.submit(&undecided).0, 503, "{undecided}");
--- a/tests/failover/simulation/heartbeats.rs
+++ b/tests/failover/simulation/heartbeats.rs
@@ -88,7 +88,7 @@
         if self.now < self.workers[w].due {
             return;
         }
-        let r = self.workers[w].state.report();
+        let r = self.workers[w].state.heartbeat();
         self.workers[w].due = self.later(0.5, 3.5);
         if self.leaders.is_empty() || self.now < self.workers[w].heartbeats_lost_until || self.chance(0.05) {
             return;
@@ -175,7 +175,7 @@
                 continue;
             }
             worker.state.accept_command(c.fencing_token, c.agent_epoch);
-            let r = worker.state.report();
+            let r = worker.state.heartbeat();
             self.faults_occurred += u32::from(c.at < self.now);
             if self.chance(0.2) {
                 continue;
--- a/tests/failover/simulation/leaders.rs
+++ b/tests/failover/simulation/leaders.rs
@@ -8,12 +8,12 @@
 
 use super::{SimulatedLeader, Simulation};
 use crate::common::clock::wall_at;
-use crate::common::controllers::Controller;
+use crate::common::simulated_controller::SimulatedController;
 
 impl Simulation {
     /// Another controller becomes leader. The earlier ones do not know yet; more than three are too many.
     pub(super) fn fail_over(&mut self) {
-        let mut controller = Controller::claim(&mut self.store, &self.cfg, self.now);
+        let mut controller = SimulatedController::claim(&mut self.store, &self.cfg, self.now);
         controller.fleet.has_read_to(controller.watched);
         let store_contact = StoreContact::new(self.now, self.bound);
         self.leaders.push(SimulatedLeader {
@@ -124,7 +124,7 @@
             (self.now, self.state_store_unavailable(), self.is_partitioned(0));
         for (i, o) in std::mem::take(&mut self.leaders).into_iter().enumerate() {
             // Now and then an old leader does not try to write and so lives on.
-            if o.controller.holds_part(&self.store)
+            if o.controller.holds_shard(&self.store)
                 || self.rng.random_bool(0.97)
                 || (oldest_partitioned && i == 0)
                 || store_unavailable
--- a/tests/failover/simulation/mod.rs
+++ b/tests/failover/simulation/mod.rs
@@ -25,7 +25,7 @@
 
 use super::faults::Faults;
 use crate::common::clock::START;
-use crate::common::controllers::Controller;
+use crate::common::simulated_controller::SimulatedController;
 use crate::common::store::Store;
 use crate::common::worker::WorkerState;
 use crate::common::{config_with, types, LEASE};
@@ -61,7 +61,7 @@
 
 /// A controller that is or was leader.
 struct SimulatedLeader {
-    controller: Controller,
+    controller: SimulatedController,
     /// When it last saw the jobs' changes.
     last_read: Steady,
     /// How long it may still reply.
--- a/tests/failover/simulation/tasks.rs
+++ b/tests/failover/simulation/tasks.rs
@@ -19,7 +19,7 @@
     pub(super) fn execute_orders(&mut self, w: usize, reply: &HeartbeatReply, sent: Steady) {
         let now = self.now;
         let worker = &mut self.workers[w].state;
-        if !worker.accept_answer(reply.fencing_token, sent) {
+        if !worker.accept_reply(reply.fencing_token, sent) {
             return;
         }
         for o in &reply.orders {
--- a/tests/fault_combinations/failovers.rs
+++ b/tests/fault_combinations/failovers.rs
@@ -142,7 +142,7 @@
     // Earlier lives learn from any worker that they are over.
     let (fencing_token, now, t) =
         (scenario.fleet().fencing_token, at(scenario.seconds), wall(scenario.seconds));
-    let newer = scenario.worker("i-1").state.report();
+    let newer = scenario.worker("i-1").state.heartbeat();
     for o in &mut scenario.leaders[..4] {
         assert_eq!(o.controller.fleet.check_in(&newer, now, t), HeartbeatOutcome::Superseded(fencing_token));
     }
@@ -251,7 +251,7 @@
     scenario.end_leader(0);
     let mut held = Vec::new();
     for n in 1..=3 {
-        held.push(scenario.worker(&format!("i-{n}")).state.report());
+        held.push(scenario.worker(&format!("i-{n}")).state.heartbeat());
     }
     scenario.run(40.0);
     assert!(scenario.workers.iter().all(|w| w.state.agent_epoch == 2 && w.state.tasks.is_empty()));
--- a/tests/fault_combinations/late_messages.rs
+++ b/tests/fault_combinations/late_messages.rs
@@ -16,7 +16,7 @@
     let a = scenario.submit(spec(1, 1, "batch"), 60.0);
     scenario.run(4.0);
     let first = scenario.machines_of(&a).remove(0);
-    let agent_epoch = scenario.worker(&first).state.report();
+    let agent_epoch = scenario.worker(&first).state.heartbeat();
     // Its lease runs out in a cut, and the task begins on the other machine.
     scenario.link(&[&first], Link::Down);
     scenario.run(30.0);
@@ -27,7 +27,7 @@
     let b = scenario.submit(spec(2, 1, "batch"), 60.0);
     scenario.run(6.0);
     let place = scenario.machines_of(&b).remove(0);
-    let attempt = scenario.worker(&place).state.report();
+    let attempt = scenario.worker(&place).state.heartbeat();
     // This attempt fails and the next runs.
     let w = scenario.worker(&place);
     let key = w.state.placed().find(|k| k.0.starts_with(&b)).cloned().expect("its task");
@@ -163,7 +163,7 @@
     let hear = |scenario: &mut Scenario| {
         scenario.seconds += STEP;
         let (r, now, wall) =
-            (scenario.worker("i-1").state.report(), at(scenario.seconds), wall(scenario.seconds));
+            (scenario.worker("i-1").state.heartbeat(), at(scenario.seconds), wall(scenario.seconds));
         let HeartbeatOutcome::Reply(reply) = scenario.fleet().check_in(&r, now, wall) else {
             panic!("no reply")
         };
@@ -196,7 +196,7 @@
         let mut scenario = Scenario::new();
         scenario.begin_with(&["north", "north"]);
         // Nothing is on it yet, says the heartbeat that is held back.
-        let held = [scenario.worker("i-1").state.report(), scenario.worker("i-2").state.report()];
+        let held = [scenario.worker("i-1").state.heartbeat(), scenario.worker("i-2").state.heartbeat()];
         let a = scenario.submit(spec(1, 1, "batch"), 50.0);
         scenario.run(5.0);
         let place = scenario.machines_of(&a).remove(0);
@@ -229,12 +229,12 @@
 fn a_delayed_heartbeat_of_a_machine_returned_meanwhile_brings_nothing_back() {
     let mut scenario = Scenario::new();
     scenario.begin_with(&["north", "north"]);
-    let empty = [scenario.worker("i-1").state.report(), scenario.worker("i-2").state.report()];
+    let empty = [scenario.worker("i-1").state.heartbeat(), scenario.worker("i-2").state.heartbeat()];
     let a = scenario.submit(spec(1, 1, "batch"), 50.0);
     scenario.run(5.0);
     let place = scenario.machines_of(&a).remove(0);
     let empty = empty.into_iter().find(|r| r.machine == place).expect("its report");
-    let held = scenario.worker(&place).state.report();
+    let held = scenario.worker(&place).state.heartbeat();
     scenario.link(&[&place], Link::Down);
     scenario.replace_leader(1.0);
     scenario.run(40.0);
--- a/tests/fault_combinations/scenario/leaders.rs
+++ b/tests/fault_combinations/scenario/leaders.rs
@@ -7,7 +7,7 @@
 
 use super::{Scenario, SimulatedLeader};
 use crate::common::clock::{at, wall};
-use crate::common::controllers::Controller;
+use crate::common::simulated_controller::SimulatedController;
 use crate::common::store::take_due;
 
 impl Scenario {
@@ -19,7 +19,7 @@
     /// Another controller claims everything and reads the records. The earlier one does not know.
     pub fn fail_over(&mut self, zone: Option<&'static str>) -> usize {
         assert!(self.store_up, "nobody can claim anything");
-        let controller = Controller::claim(&mut self.store, &self.cfg, at(self.seconds));
+        let controller = SimulatedController::claim(&mut self.store, &self.cfg, at(self.seconds));
         self.leaders.push(SimulatedLeader {
             controller,
             alive: true,
@@ -80,7 +80,7 @@
             return;
         }
         let (now, wall) = (at(self.seconds), wall(self.seconds));
-        let holds_shard = self.leaders[i].controller.holds_part(&self.store);
+        let holds_shard = self.leaders[i].controller.holds_shard(&self.store);
         if self.reaches_store(i) && holds_shard {
             self.leaders[i].controller.fleet.confirm(now);
         }
@@ -122,7 +122,7 @@
     ) -> bool {
         let (now, o) = (at(self.seconds), &mut self.leaders[leader]);
         let Err(keys) = o.controller.acknowledge(b, applied, now) else { return true };
-        if keys.iter().any(|k| k == leadership::SHARD_KEY) && !o.controller.holds_part(&self.store) {
+        if keys.iter().any(|k| k == leadership::SHARD_KEY) && !o.controller.holds_shard(&self.store) {
             o.alive = false;
             return false;
         }
--- a/tests/fault_combinations/scenario/messages.rs
+++ b/tests/fault_combinations/scenario/messages.rs
@@ -25,7 +25,7 @@
         let w = self.worker(worker);
         let before = w.state.fencing_token;
         w.changed |= w.state.accept_command(fencing_token, agent_epoch) && fencing_token > before;
-        w.state.report()
+        w.state.heartbeat()
     }
 
     /// Direct commands that bring the leaders' fencing tokens to machines that they have not heard.
@@ -64,7 +64,7 @@
         if self.seconds < due && !changed {
             return;
         }
-        let r = self.workers[w].state.report();
+        let r = self.workers[w].state.heartbeat();
         (self.workers[w].changed, self.workers[w].due) = (false, self.seconds + HEARTBEAT_S);
         if !matches!(self.workers[w].link, Link::Up | Link::HeartbeatsOnly) {
             return;
@@ -96,7 +96,7 @@
     pub fn execute_orders(&mut self, w: usize, reply: &HeartbeatReply) {
         let (s, worker) = (self.seconds, &mut self.workers[w]);
         let before = worker.state.fencing_token;
-        if !worker.state.accept_answer(reply.fencing_token, at(s)) {
+        if !worker.state.accept_reply(reply.fencing_token, at(s)) {
             return;
         }
         worker.changed |= reply.fencing_token > before;
--- a/tests/fault_combinations/scenario/mod.rs
+++ b/tests/fault_combinations/scenario/mod.rs
@@ -16,7 +16,7 @@
 use milletlock::wire::{JobSpec, Stage, Txn};
 
 use crate::common::clock::{at, wall};
-use crate::common::controllers::Controller;
+use crate::common::simulated_controller::SimulatedController;
 use crate::common::store::{submission, Store};
 use crate::common::worker::{job_of, WorkerState};
 use crate::common::{config_with, record};
@@ -53,7 +53,7 @@
 
 /// A controller that has claimed everything.
 pub struct SimulatedLeader {
-    pub controller: Controller,
+    pub controller: SimulatedController,
     pub alive: bool,
     /// Inside a zone that may be partitioned.
     pub zone: Option<&'static str>,
--- a/tests/faulty_machines.rs
+++ b/tests/faulty_machines.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 
 use common::fleet_scenario::Scenario;
-use common::{report, spec};
+use common::{heartbeat, spec};
 use milletlock::jobs::{JobId, MachineId};
 use milletlock::time::Micros;
 use milletlock::wire::{ExitReason, Heartbeat, JobSpec, TaskStage};
 
-/// The next report of a machine, on which tasks of one job, all or some, have ended so.
+/// The next heartbeat of a machine, on which tasks of one job, all or some, have ended so.
 fn ended(s: &mut Scenario, machine: &str, job: &str, count: usize, why: ExitReason) -> Heartbeat {
     s.sequence += 1;
     let mut left = count;
@@ -26,7 +26,7 @@
             }
         })
         .collect();
-    report(machine, s.sequence, 7, &tasks)
+    heartbeat(machine, s.sequence, 7, &tasks)
 }
 
 fn errors(s: &Scenario, job: &str) -> u32 {
@@ -52,11 +52,11 @@
     (0..3).for_each(|_| s.step(&[]));
     assert_eq!((s.tasks("i-000").len(), s.tasks("i-001").len()), (4, 4));
     let failed = ended(&mut s, "i-000", "wk-000001", 4, ExitReason::Error);
-    s.report(&failed);
+    s.send_heartbeat(&failed);
     assert_eq!(errors(&s, "wk-000001"), 1);
     // On another machine as well: it may be the job.
     let failed = ended(&mut s, "i-001", "wk-000001", 4, ExitReason::Error);
-    s.report(&failed);
+    s.send_heartbeat(&failed);
     assert_eq!(errors(&s, "wk-000001"), 2);
 }
 
@@ -71,15 +71,15 @@
     (0..3).for_each(|_| s.step(&[]));
     assert_eq!(s.tasks("i-000").len(), 4);
     let failed = ended(&mut s, "i-000", "wk-000002", 1, ExitReason::Error);
-    s.report(&failed);
+    s.send_heartbeat(&failed);
     forget_on(&mut s, "i-000", "wk-000002");
     s.now = s.now + Micros::from_secs(1.0);
     let succeeded = ended(&mut s, "i-000", "wk-000001", 1, ExitReason::Done);
-    s.report(&succeeded);
+    s.send_heartbeat(&succeeded);
     assert!(!leaving(&s, "i-000"), "one job may be mistaken");
     forget_on(&mut s, "i-000", "wk-000001");
     let failed = ended(&mut s, "i-000", "wk-000003", 1, ExitReason::Error);
-    s.report(&failed);
+    s.send_heartbeat(&failed);
     assert!(leaving(&s, "i-000"));
 }
 
@@ -90,10 +90,10 @@
     s.submit(JobSpec { estimate_s: 60.0, ..spec(1, 8, "batch") });
     (0..3).for_each(|_| s.step(&[]));
     let succeeded = ended(&mut s, "i-001", "wk-000001", 1, ExitReason::Done);
-    s.report(&succeeded);
+    s.send_heartbeat(&succeeded);
     assert!(!leaving(&s, "i-000") && !leaving(&s, "i-001"));
     let failed = ended(&mut s, "i-000", "wk-000001", 1, ExitReason::Error);
-    s.report(&failed);
+    s.send_heartbeat(&failed);
     assert!(leaving(&s, "i-000") && !leaving(&s, "i-001"));
 }
 
@@ -106,7 +106,7 @@
         s.step(&[]);
         if !s.tasks("i-000").is_empty() {
             let failed = ended(&mut s, "i-000", "wk-000001", 4, ExitReason::Error);
-            s.report(&failed);
+            s.send_heartbeat(&failed);
             forget_on(&mut s, "i-000", "wk-000001");
         }
     }
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -1,5 +1,5 @@
-//! More than four thousand machines: rented, enrolled, filled with work, taken over, and returned, against
-//! a model of the cloud, the workers and the state service, without a clock.
+//! More than four thousand machines: scaled out, enrolled, filled with work, failed over, and returned,
+//! against a model of the cloud, the workers and the state store, without a clock.
 
 mod common;
 
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 
 use common::clock::{wall_at, START};
-use common::controllers::Controller;
 use common::servers::serve;
-use common::state_service::parameter;
+use common::simulated_controller::SimulatedController;
+use common::state_store_server::parameter;
 use common::store::{submission, Store};
-use common::{config, record, report, spec};
+use common::{config, heartbeat, record, spec};
 use milletlock::cloud::CloudClient;
 use milletlock::config::Config;
 use milletlock::controller::done_write_interval;
@@ -25,24 +25,24 @@
 /// More than the service has to carry.
 const MACHINES: usize = 4_200;
 /// Most machines in one request for some, by the cloud's rules.
-const MACHINES_PER_RENTAL: usize = 50;
+const MACHINES_PER_REQUEST: usize = 50;
 /// Tasks of one processor that fit on a small machine.
 const TASKS_PER_MACHINE: usize = 4;
-/// Workers report this far apart in these settings.
-const REPORT: Micros = Micros(3_000_000);
-/// Resident memory for each machine with its tasks, the models of worker and state service included; 35 KiB
+/// Workers send heartbeats this far apart in these settings.
+const HEARTBEAT_INTERVAL: Micros = Micros(3_000_000);
+/// Resident memory for each machine with its tasks, the models of worker and state store included; 35 KiB
 /// when this was written.
 const MAX_KB_PER_MACHINE: usize = 48;
 
 /// A task's name and attempt with what its worker says of it.
 type Tasks = BTreeMap<(String, u64), TaskStage>;
 
-/// The cluster around the owner.
+/// The cluster around the leader.
 struct Cluster {
     cfg: Arc<Config>,
     store: Store,
     now: Steady,
-    owner: Controller,
+    leader: SimulatedController,
     workers: BTreeMap<String, Tasks>,
     sequence: u64,
     /// Tasks that were ever started; none may be twice.
@@ -53,12 +53,12 @@
     fn new() -> Cluster {
         let cfg = config();
         let mut store = Store::default();
-        let owner = Controller::claim(&mut store, &cfg, START);
+        let leader = SimulatedController::claim(&mut store, &cfg, START);
         Cluster {
             cfg,
             store,
             now: START,
-            owner,
+            leader,
             workers: BTreeMap::new(),
             sequence: 0,
             started: BTreeSet::new(),
@@ -69,31 +69,31 @@
         let mut record = record(job);
         record.submitted_us = self.now.0;
         self.store.txn(&submission(&record)).expect("a new job");
-        self.owner.read_changes(&self.store, self.now);
+        self.leader.read_changes(&self.store, self.now);
     }
 
-    /// Rents as the owner asks, fifty at a time, up to what the cloud has.
-    fn rent(&mut self) {
-        for (offer, count) in self.owner.fleet.capacity(self.now, wall_at(self.now)) {
+    /// Scales out as the leader asks, fifty at a time, up to what the cloud has.
+    fn scale_out(&mut self) {
+        for (offer, count) in self.leader.fleet.capacity(self.now, wall_at(self.now)) {
             let mut left = (count as usize).min(MACHINES - self.workers.len());
             while left > 0 {
-                let names: Vec<String> = (0..left.min(MACHINES_PER_RENTAL))
+                let names: Vec<String> = (0..left.min(MACHINES_PER_REQUEST))
                     .map(|n| format!("i-{:06}", self.workers.len() + n))
                     .collect();
                 left -= names.len();
                 self.workers.extend(names.iter().map(|name| (name.clone(), Tasks::new())));
-                self.owner.fleet.rented(&names, offer, self.now);
+                self.leader.fleet.rented(&names, offer, self.now);
             }
         }
     }
 
-    /// Lets a report's interval pass: plans, writes, and answers the report of every worker.
+    /// Lets a heartbeat's interval pass: plans, writes, and replies to the heartbeat of every worker.
     fn step(&mut self) {
-        self.now = self.now + REPORT;
-        self.owner.fleet.tick(self.now, wall_at(self.now));
+        self.now = self.now + HEARTBEAT_INTERVAL;
+        self.leader.fleet.tick(self.now, wall_at(self.now));
         self.write();
         let names: Vec<String> = self.workers.keys().cloned().collect();
-        names.iter().for_each(|name| self.report(name));
+        names.iter().for_each(|name| self.exchange_heartbeat(name));
         self.write();
     }
 
@@ -102,18 +102,18 @@
         loop {
             // Nobody reads the changes up to here again.
             self.store.log.clear();
-            let batches = self.owner.batches(Micros::ZERO, 1_000, self.now);
+            let batches = self.leader.batches(Micros::ZERO, 1_000, self.now);
             if batches.is_empty() {
                 return;
             }
             for batch in batches {
                 let result = self.store.txn(&batch.txn);
-                self.owner.acknowledge(&batch, Some(result), self.now).expect("written");
+                self.leader.acknowledge(&batch, Some(result), self.now).expect("written");
             }
         }
     }
 
-    fn report(&mut self, name: &str) {
+    fn exchange_heartbeat(&mut self, name: &str) {
         self.sequence += 1;
         let tasks = &self.workers[name];
         let why = |stage: &TaskStage| (*stage == TaskStage::Exited).then_some(ExitReason::Done);
@@ -121,10 +121,11 @@
             .iter()
             .map(|((task, attempt), stage)| (task.as_str(), *attempt, *stage, why(stage)))
             .collect();
-        let report = report(name, self.sequence, self.owner.fleet.fencing_token, &listed);
-        let HeartbeatOutcome::Reply(reply) = self.owner.fleet.check_in(&report, self.now, wall_at(self.now))
+        let message = heartbeat(name, self.sequence, self.leader.fleet.fencing_token, &listed);
+        let HeartbeatOutcome::Reply(reply) =
+            self.leader.fleet.check_in(&message, self.now, wall_at(self.now))
         else {
-            panic!("the report of {name} is refused");
+            panic!("the heartbeat of {name} is refused");
         };
         for order in reply.orders {
             self.execute(name, order);
@@ -138,7 +139,7 @@
                 assert!(self.started.insert(task.clone()), "{task} starts twice");
                 tasks.insert((task, attempt), TaskStage::Running);
                 let running = tasks.values().filter(|stage| **stage == TaskStage::Running).count();
-                assert!(running <= TASKS_PER_MACHINE, "{name} has no room for that");
+                assert!(running <= TASKS_PER_MACHINE, "{name} has no capacity for that");
             }
             Order::Halt { task, .. } => panic!("{task} is stopped"),
             Order::Forget { task, attempt } => {
@@ -156,17 +157,17 @@
         self.workers.values_mut().flat_map(|tasks| tasks.values_mut()).for_each(|s| *s = TaskStage::Exited);
     }
 
-    /// A new owner takes over, under the next token.
-    fn change_owner(&mut self) {
-        self.owner = Controller::claim(&mut self.store, &self.cfg, self.now);
+    /// A new leader is elected, under the next fencing token.
+    fn fail_over(&mut self) {
+        self.leader = SimulatedController::claim(&mut self.store, &self.cfg, self.now);
     }
 
-    /// Returns what the owner gives back, a hundred at a time; how many.
+    /// Returns what the leader gives back, a hundred at a time; how many.
     fn return_machines(&mut self) -> usize {
-        self.owner.fleet.capacity(self.now, wall_at(self.now));
-        let leaving = self.owner.fleet.leaving();
+        self.leader.fleet.capacity(self.now, wall_at(self.now));
+        let leaving = self.leader.fleet.leaving();
         for part in leaving.chunks(100) {
-            self.owner.fleet.returned(part, self.now);
+            self.leader.fleet.returned(part, self.now);
             for name in part {
                 assert!(self.workers.remove(name).is_some_and(|tasks| tasks.is_empty()), "{name} was in use");
             }
@@ -183,13 +184,13 @@
 }
 
 #[test]
-fn four_thousand_machines_are_rented_filled_taken_over_and_returned() {
+fn four_thousand_machines_are_scaled_out_filled_failed_over_and_scaled_in() {
     let mut c = Cluster::new();
     let before = resident_kb();
     let wide = |n: u32| JobSpec { estimate_s: 200.0, ..spec(n, 10_000, "batch") };
     c.submit(wide(1));
     c.submit(wide(2));
-    c.rent();
+    c.scale_out();
     assert_eq!(c.workers.len(), MACHINES, "all that the cloud has, in one round");
     (0..4).for_each(|_| c.step());
     assert_eq!(c.running(), MACHINES * TASKS_PER_MACHINE);
@@ -199,10 +200,10 @@
     assert!(kb <= MAX_KB_PER_MACHINE, "{kb} KiB for a machine");
 
     // Another takes over: it hears all, and starts nothing that runs.
-    c.change_owner();
-    assert_eq!(c.owner.fleet.unheard(), MACHINES);
+    c.fail_over();
+    assert_eq!(c.leader.fleet.unheard(), MACHINES);
     c.step();
-    assert_eq!(c.owner.fleet.unheard(), 0);
+    assert_eq!(c.leader.fleet.unheard(), 0);
     c.step();
     assert_eq!(c.running(), MACHINES * TASKS_PER_MACHINE);
 
@@ -222,8 +223,8 @@
     }
     assert_eq!((returned, c.workers.len()), (MACHINES, 0));
     c.write();
-    let left: BTreeSet<JobId> = c.owner.fleet.jobs.keys().cloned().collect();
-    assert!(left.is_empty() && c.owner.fleet.machines.is_empty());
+    let left: BTreeSet<JobId> = c.leader.fleet.jobs.keys().cloned().collect();
+    assert!(left.is_empty() && c.leader.fleet.machines.is_empty());
 }
 
 #[test]
@@ -244,24 +245,24 @@
     assert_eq!((list.len(), names.len()), (MACHINES, MACHINES));
 }
 
-/// Attempt numbers have 24 bits below the token; after that many they would have come again.
+/// Attempt numbers have 24 bits below the fencing token; after that many they would have come again.
 #[test]
-fn an_owner_that_has_used_up_its_attempt_numbers_starts_nothing_more() {
+fn a_leader_that_has_used_up_its_attempt_numbers_starts_nothing_more() {
     let mut c = Cluster::new();
     c.submit(spec(1, 4, "batch"));
-    c.rent();
+    c.scale_out();
     (0..3).for_each(|_| c.step());
     assert_eq!(c.running(), 4);
-    c.owner.fleet.use_attempts(1 << 24);
-    assert!(c.owner.fleet.attempts_exhausted());
+    c.leader.fleet.use_attempts(1 << 24);
+    assert!(c.leader.fleet.attempts_exhausted());
     c.submit(spec(2, 200, "batch"));
-    c.rent();
+    c.scale_out();
     (0..3).for_each(|_| c.step());
     assert!(c.workers.len() > 1);
     assert_eq!(c.running(), 4);
     // Its successor has as many again.
-    c.change_owner();
-    assert!(!c.owner.fleet.attempts_exhausted());
+    c.fail_over();
+    assert!(!c.leader.fleet.attempts_exhausted());
     (0..3).for_each(|_| c.step());
     assert!(c.running() > 4);
 }
--- a/tests/halts.rs
+++ b/tests/halt_commands.rs
@@ -1,4 +1,4 @@
-//! Halts by direct command to machines that do not report.
+//! Halts by direct command to machines that send no heartbeat.
 
 mod common;
 
@@ -11,14 +11,14 @@
 /// Behind a cut each machine is waited for in vain: with halts to hundreds of them sent in one go, those for
 /// tasks in whose place others wait came minutes late.
 #[test]
-fn machines_whose_report_is_overdue_are_halted_few_at_a_time_and_all_in_turn() {
+fn machines_whose_heartbeat_is_overdue_are_halted_few_at_a_time_and_all_in_turn() {
     let mut s = Scenario::new(20, false);
     s.submit(spec(1, 80, "batch"));
     (0..4).for_each(|_| s.step(&[]));
     let running: usize = s.machines.iter().map(|id| s.tasks(id).len()).sum();
     assert_eq!(running, 80);
     s.fleet.job_over("wk-000001", 1000);
-    // Nobody reports any more.
+    // Nobody sends heartbeats any more.
     s.now = s.now + Micros::from_secs(6.0);
     let mut halted = BTreeSet::new();
     for _ in 0..4 {
@@ -28,6 +28,6 @@
         halted.extend(commands.iter().map(|c| c.machine.clone()));
     }
     assert_eq!(halted.len(), 20);
-    // All have had one: none is due again before the time of one and a half reports.
+    // All have had one: none is due again before the time of one and a half heartbeats.
     assert!(s.fleet.to_halt(s.now).is_empty());
 }
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -1,4 +1,4 @@
-//! A against a plain model.
+//! The factor by which run time estimates are corrected, against a plain model.
 
 use milletlock::history::{EstimateKey, History};
 use milletlock::time::{Micros, Wall};
@@ -33,7 +33,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(3), failure_persistence: None, ..Default::default() })]
     #[test]
-    fn a_is_the_plain_models(past in prop::collection::vec((0i64..60, 0u32..200), 0..60), most in 10usize..40) {
+    fn the_factor_matches_the_plain_model(past in prop::collection::vec((0i64..60, 0u32..200), 0..60), most in 10usize..40) {
         let mut past: Vec<(i64, f64)> = past.into_iter().map(|(d, r)| (d, f64::from(r) / 100.0)).collect();
         past.sort_by_key(|p| p.0);
         let (mut h, k) = (History::new(most), key("a", 60));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn keys_are_kept_apart_and_fit_the_state_service() {
+fn keys_are_kept_apart_and_fit_the_state_store() {
     let mut h = History::new(64);
     for _ in 0..10 {
         h.add(&key("a", 60), Wall(0), 0.6);
--- a/tests/client.rs
+++ b/tests/http_client.rs
@@ -21,7 +21,7 @@
     true
 }
 
-/// Takes one connection and answers each request on it with the next of the responses, written part
+/// Takes one connection and replies to each request on it with the next of the responses, written part
 /// by part; then it closes the connection and takes no other.
 fn server(responses: Vec<Vec<Vec<u8>>>) -> SocketAddr {
     let l = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -60,12 +60,12 @@
     let client = Client::new(server(responses), 1);
     // All on one connection, the only one that is taken: none of them asks to close it.
     for _ in 0..n {
-        assert_eq!(get(&client).expect("an answer"), ClientResponse { status: 200, body: b"{}".to_vec() });
+        assert_eq!(get(&client).expect("a reply"), ClientResponse { status: 200, body: b"{}".to_vec() });
     }
 }
 
 #[test]
-fn a_response_that_is_cut_short_is_no_answer() {
+fn a_truncated_response_is_not_accepted() {
     for whole in [PLAIN, CHUNKS] {
         for end in 0..whole.len() {
             let client = Client::new(server(vec![vec![whole[..end].to_vec()]]), 1);
--- a/tests/serving.rs
+++ b/tests/http_server.rs
@@ -9,7 +9,7 @@
 
 use milletlock::http::{self, Reply, Request, RequestClass, Response, ServerLimits, Service};
 
-/// A server whose `/held` requests wait until the test answers them.
+/// A server whose `/held` requests wait until the test replies to them.
 struct Server {
     addr: SocketAddr,
     held: Receiver<Reply>,
@@ -58,8 +58,8 @@
     s.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).expect("sent");
 }
 
-/// The answer's head and body; empty if the connection was closed.
-fn answer(s: &mut TcpStream) -> String {
+/// The response's head and body; empty if the connection was closed.
+fn read_response(s: &mut TcpStream) -> String {
     let (mut out, mut chunk) = (Vec::new(), [0u8; 512]);
     loop {
         let n = s.read(&mut chunk).unwrap_or(0);
@@ -77,7 +77,7 @@
 
 fn ok(s: &mut TcpStream, path: &str) -> bool {
     ask(s, path);
-    answer(s).starts_with("HTTP/1.1 200")
+    read_response(s).starts_with("HTTP/1.1 200")
 }
 
 #[test]
@@ -92,10 +92,10 @@
     let mut all: Vec<TcpStream> = (0..250).map(|_| connect(s.addr)).collect();
     for path in ["/bulk", "/bulk", "/up"] {
         all.iter_mut().for_each(|c| ask(c, path));
-        assert!(all.iter_mut().all(|c| answer(c).starts_with("HTTP/1.1 200")), "{path}");
+        assert!(all.iter_mut().all(|c| read_response(c).starts_with("HTTP/1.1 200")), "{path}");
     }
     assert!(all.iter_mut().all(|c| ok(c, "/any")));
-    // A request that comes in pieces, and one that waits for its answer, hold no thread.
+    // A request that comes in pieces, and one that waits for its reply, hold no thread.
     let (slow, rest) = all.split_at_mut(100);
     slow.iter_mut().for_each(|c| c.write_all(b"GET /any HT").expect("sent"));
     let mut held = Vec::new();
@@ -106,10 +106,10 @@
     assert!(rest[50..].iter_mut().all(|c| ok(c, "/any") && ok(c, "/bulk")));
     for c in slow {
         c.write_all(b"TP/1.1\r\n\r\n").expect("sent");
-        assert!(answer(c).starts_with("HTTP/1.1 200"));
+        assert!(read_response(c).starts_with("HTTP/1.1 200"));
     }
     held.into_iter().for_each(|r| r.send(&Response::json(200, &"now")));
-    assert!(rest[..50].iter_mut().all(|c| answer(c).ends_with("\"now\"")));
+    assert!(rest[..50].iter_mut().all(|c| read_response(c).ends_with("\"now\"")));
     // It ends when it is told to.
     s.stop.store(true, Ordering::SeqCst);
     s.thread.join().expect("no panic").expect("no error");
@@ -133,23 +133,23 @@
     stuck[2..].iter_mut().for_each(|c| ask(c, "/any"));
     let refused = |c: &mut TcpStream| {
         ask(c, "/any");
-        answer(c)
+        read_response(c)
     };
     let mut more: Vec<TcpStream> = (0..3).map(|_| connect(s.addr)).collect();
     let said: Vec<String> = more.iter_mut().map(refused).collect();
     assert!(said.iter().all(|a| a.starts_with("HTTP/1.1 503") && a.contains("Retry-After: 1")), "{said:?}");
-    // Probes and workers are answered all the same.
+    // Probes and workers are replied to all the same.
     assert!(ok(&mut prompt, "/up"));
     let mut workers: Vec<TcpStream> = (0..10).map(|_| connect(s.addr)).collect();
     assert!(workers.iter_mut().all(|c| ok(c, "/bulk")));
     // Workers beyond their room are refused, users still find some.
     let mut worker = connect(s.addr);
     ask(&mut worker, "/bulk");
-    assert!(answer(&mut worker).starts_with("HTTP/1.1 503"));
+    assert!(read_response(&mut worker).starts_with("HTTP/1.1 503"));
     (0..2).for_each(|_| s.release.send(()).expect("the server"));
-    assert!(stuck.iter_mut().all(|c| answer(c).starts_with("HTTP/1.1 200")));
+    assert!(stuck.iter_mut().all(|c| read_response(c).starts_with("HTTP/1.1 200")));
     assert!(ok(&mut connect(s.addr), "/any"));
-    // A worker that leaves makes room for the next.
+    // A worker that leaves frees its connection for the next.
     drop(workers.pop());
     let mut served = false;
     for _ in 0..1000 {
@@ -159,11 +159,11 @@
             break;
         }
     }
-    assert!(served, "the room of a worker that left is used again");
+    assert!(served, "the connection of a worker that left is used again");
 }
 
 #[test]
-fn an_answer_that_is_never_given_closes_the_connection() {
+fn a_request_without_a_reply_closes_the_connection() {
     let limits = ServerLimits {
         connections: 8,
         background_connections: 4,
@@ -174,5 +174,5 @@
     let mut c = connect(s.addr);
     ask(&mut c, "/held");
     drop(s.held.recv_timeout(Duration::from_secs(20)).expect("held"));
-    assert_eq!(answer(&mut c), "");
+    assert_eq!(read_response(&mut c), "");
 }
--- a/tests/claims.rs
+++ b/tests/leader_election.rs
@@ -1,11 +1,11 @@
-//! Claims whose transactions have no answer.
+//! Claims whose transactions have no reply.
 
 mod common;
 
 use std::sync::{Arc, Mutex};
 
 use common::servers::serve_some;
-use common::state_service::{answer_read, answer_transaction, transaction};
+use common::state_store_server::{read_response, transaction, transaction_response};
 use common::store::Store;
 use milletlock::http::Response;
 use milletlock::leadership;
@@ -14,11 +14,11 @@
 use milletlock::wire::Txn;
 use serde_json::json;
 
-/// A claim has no answer and is carried out only when the same process claims again, with the same
-/// token, incarnation and label, and has no answer once more. Taken for the second it would leave the
-/// owner renewing a lease that the leader's record does not hang on.
+/// A claim has no reply and is carried out only when the same process claims again, with the same
+/// fencing token, incarnation and label, and has no reply once more. Taken for the second it would leave the
+/// leader renewing a lease that the leader's record does not hang on.
 #[test]
-fn a_claim_carried_out_late_is_not_taken_for_the_next() {
+fn a_late_claim_is_not_mistaken_for_the_next() {
     #[derive(Default)]
     struct Service {
         store: Store,
@@ -50,7 +50,7 @@
                 }
                 return None;
             }
-            ("GET", _) => answer_read(&s.store, &r),
+            ("GET", _) => read_response(&s.store, &r),
             _ => Response::error(404, "no such path"),
         })
     });
@@ -63,10 +63,10 @@
     assert!(claim().is_none(), "what is written hangs on the first lease");
 }
 
-/// Records of a later form are neither taken over nor changed: an old process may be back after all
+/// Records of a later form are neither loaded nor changed: an old process may be back after all
 /// others have moved on.
 #[test]
-fn records_of_a_later_form_are_not_taken_over() {
+fn records_of_a_newer_format_are_not_loaded() {
     let store: Arc<Mutex<Store>> = Arc::default();
     let known = leadership::FORMAT_VERSION;
     let s = store.clone();
@@ -76,9 +76,9 @@
             ("POST", "/leases") => Response::json(200, &json!({ "tenure": 1 })),
             ("POST", "/txn") => {
                 let result = store.txn(&transaction(&r));
-                answer_transaction(&store, result)
+                transaction_response(&store, result)
             }
-            ("GET", _) => answer_read(&store, &r),
+            ("GET", _) => read_response(&store, &r),
             _ => Response::error(404, "no such path"),
         })
     });
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -1,4 +1,4 @@
-//! A controller whose write of a loan has no answer: it may have been carried out, so none of the tasks
+//! A controller whose write of a loan has no reply: it may have been carried out, so none of the tasks
 //! starts here until that is known.
 
 mod common;
@@ -7,31 +7,31 @@
 use std::sync::{Arc, Mutex};
 
 use common::servers::{cloud, serve_some};
-use common::state_service::{answer_read, answer_transaction, transaction};
+use common::state_store_server::{read_response, transaction, transaction_response};
 use common::store::Store;
-use common::{platform_json, report, spec};
+use common::{heartbeat, platform_json, spec};
 use milletlock::config::{Config, OperatorConfig, PlatformConfig};
 use milletlock::controller::{Controller, LendingChoice};
 use milletlock::http::{Request, Response};
 use milletlock::leadership::SHARD_KEY;
 use milletlock::peer::{proto, LoanReply, Outbound, Outcome, PeerError, PeerHub};
 use milletlock::time::{wall, Clock, Micros};
-use milletlock::wire::{HeartbeatReply, Order, TaskStage};
+use milletlock::wire::{Heartbeat, HeartbeatReply, Order, TaskStage};
 use serde_json::json;
 
 const CELLS: &str =
     "cells {\n name = \"here\"\n others = [{ name = \"there\", controllers = [\"127.0.0.1:1\"] }]\n \
                      lend = [\"any\"]\n lend_after_s = 0\n}\n";
 
-/// Time that passes between two reports.
+/// Time that passes between two heartbeats.
 const STEP: Micros = Micros(200_000);
 
-/// Answers as the leader of another cell that has room.
+/// Replies as the leader of another cell that has capacity.
 fn other_cell(out: Outbound) -> Result<(), PeerError> {
-    answer_as("there", 1, out)
+    reply_as("there", 1, out)
 }
 
-fn answer_as(name: &str, term: u64, out: Outbound) -> Result<(), PeerError> {
+fn reply_as(name: &str, term: u64, out: Outbound) -> Result<(), PeerError> {
     let summary = proto::CellSummary {
         form: 1,
         composed_us: wall().0,
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-/// A state service that carries out writes of loans, and answers none of them while told so.
+/// A state store that carries out writes of loans, and replies to none of them while told so.
 fn state_service(store: Arc<Mutex<Store>>, drops: Arc<AtomicBool>) -> std::net::SocketAddr {
     serve_some(move |r| {
         let mut store = store.lock().expect("the store");
@@ -52,14 +52,14 @@
             ("POST", "/leases") => Some(Response::json(200, &json!({ "tenure": 1 }))),
             ("POST", "/txn") => {
                 let txn = transaction(&r);
-                let of_owner = txn.guards.iter().any(|guard| guard.key == SHARD_KEY);
+                let of_leader = txn.guards.iter().any(|guard| guard.key == SHARD_KEY);
                 let is_loan =
-                    of_owner && txn.then.iter().any(|change| format!("{change:?}").contains("spec_of_lent"));
+                    of_leader && txn.then.iter().any(|change| format!("{change:?}").contains("spec_of_lent"));
                 let result = store.txn(&txn);
                 let is_dropped = is_loan && drops.load(Ordering::SeqCst);
-                (!is_dropped).then(|| answer_transaction(&store, result))
+                (!is_dropped).then(|| transaction_response(&store, result))
             }
-            ("GET", _) => Some(answer_read(&store, &r)),
+            ("GET", _) => Some(read_response(&store, &r)),
             _ => Some(Response::json(200, &json!({}))),
         }
     })
@@ -69,18 +69,15 @@
     node.answer(&Request { method: "POST".into(), path: path.into(), body }, false)
 }
 
-/// Lets a worker report until nothing more starts; the tasks that are on it.
+/// Lets a worker send heartbeats until nothing more starts; the tasks that are on it.
 fn started(node: &Controller, clock: &AtomicI64) -> Vec<String> {
     let (mut there, mut fencing_token) = (Vec::<(String, u64)>::new(), 0);
     for _ in 0..12 {
         let sequence = clock.load(Ordering::SeqCst) as u64;
         let tasks: Vec<_> = there.iter().map(|t| (t.0.as_str(), t.1, TaskStage::Running, None)).collect();
-        let report = milletlock::wire::Heartbeat {
-            spot: false,
-            ..report("i-000001", sequence, fencing_token, &tasks)
-        };
-        let answer = post(node, "/checkin", serde_json::to_vec(&report).expect("a report"));
-        let reply: HeartbeatReply = serde_json::from_slice(&answer.body).expect("an answer");
+        let message = Heartbeat { spot: false, ..heartbeat("i-000001", sequence, fencing_token, &tasks) };
+        let response = post(node, "/checkin", serde_json::to_vec(&message).expect("a heartbeat"));
+        let reply: HeartbeatReply = serde_json::from_slice(&response.body).expect("a reply");
         fencing_token = reply.fencing_token;
         there.extend(reply.orders.into_iter().filter_map(|order| match order {
             Order::Start { task, attempt } => Some((task, attempt)),
@@ -119,7 +116,7 @@
 }
 
 #[test]
-fn tasks_of_a_loan_whose_write_has_no_answer_do_not_start_here() {
+fn tasks_of_a_loan_whose_write_has_no_reply_do_not_start_here() {
     let (store, drops) = (Arc::<Mutex<Store>>::default(), Arc::new(AtomicBool::new(true)));
     let clock = Arc::new(AtomicI64::new(1_000_000_000));
     let state = state_service(store.clone(), drops.clone());
@@ -134,9 +131,9 @@
     assert!(started(&node, &clock).iter().all(|task| task == "wk-000001/0"));
 }
 
-/// Answers under another name, or of an owner that was replaced, change nothing.
+/// Replies under another name, or of a leader that was replaced, change nothing.
 #[test]
-fn an_answer_of_another_cell_or_of_an_older_term_lends_nothing() {
+fn a_reply_of_another_cell_or_of_an_older_term_lends_nothing() {
     let store = Arc::<Mutex<Store>>::default();
     let clock = Arc::new(AtomicI64::new(1_000_000_000));
     let state = state_service(store.clone(), Arc::default());
@@ -144,7 +141,7 @@
     let (term_now, name_now) = (term.clone(), name.clone());
     let carry = move |out: Outbound| {
         let name: &str = *name_now.lock().expect("a name");
-        answer_as(name, term_now.load(Ordering::SeqCst) as u64, out)
+        reply_as(name, term_now.load(Ordering::SeqCst) as u64, out)
     };
     let (node, mut choice) = controller(state, &clock, carry);
     let is_lent = || job_record(&store).get("lending").is_some();
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -1,4 +1,4 @@
-//! What loans mean for an owner's fleet: lent tasks never start at home, a guest starts what it holds and
+//! What loans mean for a leader's fleet: lent tasks never start at home, a guest starts what it holds and
 //! nothing else, and both are rebuilt from the records.
 
 mod common;
@@ -31,7 +31,7 @@
     Scenario::with_config(with_cells(), 2, false)
 }
 
-/// A guest with room for so many processors.
+/// A guest with capacity for so many processors.
 fn guest(spare_cpus: f64) -> CellSummary {
     CellSummary { format: SUMMARY_FORMAT, spare_cpus, ..CellSummary::default() }
 }
@@ -68,7 +68,7 @@
                 .collect();
             for tasks in [done.as_slice(), &[]] {
                 s.sequence += 1;
-                s.report(&common::report(&id, s.sequence, 7, tasks));
+                s.send_heartbeat(&common::heartbeat(&id, s.sequence, 7, tasks));
             }
         }
     }
@@ -80,7 +80,7 @@
     let mut s = scenario();
     s.submit(spec(1, 100, "batch"));
     let write = lend(&mut s, 60);
-    // The write has no answer yet, and never gets one here.
+    // The write has no reply yet, and never gets one here.
     s.fleet.loan_unresolved(write.clone());
     assert_eq!(started(&mut s), tasks("0-39"));
     // It was not applied, and no copy of it can be any more: all may start again.
@@ -212,9 +212,9 @@
     s.sequence += 1;
     // Nothing of the job is started again for now.
     s.fleet.jobs.get_mut("wk-000001").expect("the job").not_before = Steady(i64::MAX);
-    let report =
-        milletlock::wire::Heartbeat { spot: false, ..common::report(&machine, s.sequence, 7, &stopped) };
-    s.fleet.check_in(&report, s.now, wall(&s));
+    let message =
+        milletlock::wire::Heartbeat { spot: false, ..common::heartbeat(&machine, s.sequence, 7, &stopped) };
+    s.fleet.check_in(&message, s.now, wall(&s));
     let numbers: TaskSet = there.iter().filter_map(|t| t.0.rsplit_once('/')?.1.parse().ok()).collect();
     let recall = request(vec![LoanItem { action: LoanAction::Recall, ..offer(5, 1, "0-19") }]);
     let changes = handle(&mut s.fleet, &recall, &mut store, s.now);
@@ -230,8 +230,8 @@
     assert!(!s.tasks(&machine).is_empty());
     let cancel = request(vec![LoanItem { action: LoanAction::Cancel, ..offer(5, 1, "0-19") }]);
     handle(&mut s.fleet, &cancel, &mut store, s.now);
-    let report = s.running(&machine);
-    let orders = s.report(&report);
+    let message = s.running_heartbeat(&machine);
+    let orders = s.send_heartbeat(&message);
     assert!(!orders.is_empty() && orders.iter().all(|o| matches!(o, Order::Halt { .. })), "{orders:?}");
 }
 
@@ -285,14 +285,14 @@
     let (mut s, mut store) = (scenario(), Store::default());
     let put = milletlock::wire::Change::put("job/wk-000001".to_string(), json!(record(spec(1, 5, "batch"))));
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then: vec![put] }).expect("written");
-    // The owner has not heard of it yet: the transaction fails, and the next try refuses.
+    // The leader has not heard of it yet: the transaction fails, and the next try refuses.
     let changes = handle(&mut s.fleet, &request(vec![offer(5, 1, "0-9")]), &mut store, s.now);
     assert_eq!(changes.last().and_then(|c| c.refusal.clone()), Some(BorrowRefusal::JobIdInUse));
     assert!(store.row("borrowed/job/wk-000001").is_none());
 }
 
 #[test]
-fn a_takeover_finds_both_sides_of_loans_in_the_records() {
+fn a_failover_finds_both_sides_of_loans_in_the_records() {
     let (mut s, mut store) = (scenario(), Store::default());
     handle(&mut s.fleet, &request(vec![offer(5, 1, "10-19")]), &mut store, s.now);
     let mut lent = record(spec(2, 50, "batch"));
@@ -329,9 +329,9 @@
     assert!(s.fleet.loans.home.jobs().next().is_none());
 }
 
-/// An earlier owner that does not know yet that it was replaced must not lend, take or give back.
+/// An earlier leader that does not know yet that it was replaced must not lend, take or give back.
 #[test]
-fn a_write_of_an_owner_that_was_replaced_is_refused() {
+fn a_write_of_a_leader_that_was_replaced_is_refused() {
     let (mut s, mut store) = (scenario(), Store::default());
     s.submit(spec(1, 100, "batch"));
     let put = |key: &str, value| milletlock::wire::Change::put(key.to_string(), value);
@@ -363,7 +363,7 @@
     assert!(reads(&own), "and again once the loans are closed");
 }
 
-/// What an owner of the version in production leaves of a job that has loans, and of borrowed tasks, after it
+/// What a leader of the version in production leaves of a job that has loans, and of borrowed tasks, after it
 /// has written all that it has to write.
 fn after_production_led(rows: &[(&str, serde_json::Value)]) -> Store {
     let mut store = Store::default();
@@ -372,12 +372,12 @@
     };
     let then = rows.iter().map(put).collect();
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then }).expect("written");
-    let mut owner = production::Owner::load(store.mod_revision(SHARD_KEY), 8, 4096, &store.rows(""));
+    let mut leader = production::Owner::load(store.mod_revision(SHARD_KEY), 8, 4096, &store.rows(""));
     for _ in 0..100 {
-        let Some(txn) = owner.next_write() else { return store };
+        let Some(txn) = leader.next_write() else { return store };
         match store.txn(&txn) {
-            Ok(revision) => owner.written(revision),
-            Err(failed) => owner.refused(&failed),
+            Ok(revision) => leader.written(revision),
+            Err(failed) => leader.refused(&failed),
         }
     }
     panic!("it writes without end");
@@ -405,8 +405,8 @@
     }
 }
 
-/// An owner that cannot read a job takes its done ranges for nobody's and removes them: what is done would run
-/// again once a version that knows loans leads.
+/// A leader that cannot read a job takes its done ranges for nobody's and removes them: what is done would
+/// run again once a version that knows loans leads.
 #[test]
 fn production_leaves_the_done_ranges_of_a_job_with_loans() {
     let store = after_production_led(&[("job/wk-000002", lent_record()), ("done/wk-000002/0", json!("0-9"))]);
--- a/tests/packed_records.rs
+++ b/tests/packed_records.rs
@@ -36,7 +36,7 @@
     assert!(p.pending(false).count() > 0 && p.pending(true).count() == 0);
     (200..240).for_each(|n| p.put(&id(n), n));
     assert_eq!(slots(&p), before);
-    // Another owner reads the same back.
+    // Another leader reads the same back.
     let mut q: PackedRecords<u32> = PackedRecords::new(512);
     for s in 0..before {
         q.load(s, 9, p.slot(s).expect("a value").2.clone(), u32::max);
@@ -124,7 +124,7 @@
     assert_eq!(q.pending(false).collect::<Vec<_>>(), [0]);
     q.keep_unreadable(0);
     assert_eq!(q.pending(false).count(), 0);
-    // A number that no owner can have written makes no slots.
+    // A number that no leader can have written makes no slots.
     p.keep_unreadable(u32::MAX);
     assert!(slots(&p) < 1000);
 }
--- a/tests/peers.rs
+++ b/tests/peer_messages.rs
@@ -45,7 +45,7 @@
 
     let answer = [vec![0x08, 0x90, 0x03], field(0x12, b"{}"), vec![0x18, 2]].concat();
     let expected = Answer { status: 400, body: b"{}".to_vec(), retry_after: 2 };
-    assert_eq!(Answer::decode(&answer[..]).expect("an answer"), expected);
+    assert_eq!(Answer::decode(&answer[..]).expect("a reply"), expected);
     assert_eq!(expected.encode_to_vec(), answer);
     assert_eq!(
         Ack::decode(&[0x08, 41][..]).expect("an acknowledgement"),
@@ -80,7 +80,7 @@
     assert_eq!(JobNews::decode(&[][..]).expect("news"), JobNews::default());
     assert_eq!(Cancellations::decode(&[][..]).expect("cancellations"), Cancellations::default());
     assert_eq!(Call::decode(&[][..]).expect("a call"), Call::default());
-    assert_eq!(Answer::decode(&[][..]).expect("an answer"), Answer::default());
+    assert_eq!(Answer::decode(&[][..]).expect("a reply"), Answer::default());
 }
 
 /// Calls a method by its name, as a controller of another version would.
@@ -108,7 +108,7 @@
 
 /// Guards against a method of another version that ends the service or passes for one that is known.
 #[test]
-fn an_unknown_method_is_answered_with_an_error_and_reaches_nobody() {
+fn an_unknown_method_returns_an_error_and_reaches_nobody() {
     let (own, addr) = listener();
     let (_hub, messages) = PeerHub::start(own, vec![], &[]).expect("a service");
     let runtime =
@@ -120,7 +120,7 @@
         answer_announcement(messages.recv_timeout(Duration::from_secs(10)).expect("a message"), 42);
     });
     let known = runtime.block_on(call_method(addr, "/milletlock.peer.v1.Peer/Announce"));
-    assert_eq!(known.expect("an answer"), Ack { token: 42, version: String::new() });
+    assert_eq!(known.expect("a reply"), Ack { token: 42, version: String::new() });
     answering.join().expect("the message is an announcement");
 }
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,22 +1,22 @@
-//! What an owner does after a takeover while it has not heard all machines.
+//! What a leader does after a failover while it has not heard all machines.
 
 mod common;
 
-use common::{config, record, report, spec, types};
+use common::{config, heartbeat, record, spec, types};
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
 use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
-use milletlock::wire::{Order, Row, TaskStage};
+use milletlock::wire::{Heartbeat, Order, Row, TaskStage};
 use serde_json::json;
 
-const TAKEN_OVER: Steady = Steady(1_000_000_000);
+const FAILOVER_AT: Steady = Steady(1_000_000_000);
 
 fn wall(now: Steady) -> Wall {
     Wall(now.0)
 }
 
-/// An owner that has taken over two small machines, one of them full of a job's tasks.
-fn taken_over() -> Fleet {
+/// A leader that has loaded the records of two small machines, one of them full of a job's tasks.
+fn fleet_after_failover() -> Fleet {
     let machine = |id: &str| json!({ id: {"p": 0, "n": 6, "a": "127.0.0.1:9", "t": "small", "z": "north", "s": false} });
     let row = |key: &str, mod_revision, value| Row { key: key.into(), value, mod_revision };
     let rows = vec![
@@ -25,16 +25,16 @@
         row("machines/1", 3, machine("i-2")),
         row("marks/0", 4, json!({ "wk-000001": 4 })),
     ];
-    let mut fleet = Fleet::new(config(), types(), 7, TAKEN_OVER);
-    leadership::load(&mut fleet, rows, TAKEN_OVER, wall(TAKEN_OVER));
+    let mut fleet = Fleet::new(config(), types(), 7, FAILOVER_AT);
+    leadership::load(&mut fleet, rows, FAILOVER_AT, wall(FAILOVER_AT));
     fleet.has_read_to(4);
     fleet
 }
 
 fn check_in(fleet: &mut Fleet, machine: &str, sequence: u64, tasks: &[&str], now: Steady) -> Vec<Order> {
     let running: Vec<_> = tasks.iter().map(|task| (*task, 5, TaskStage::Running, None)).collect();
-    let report = milletlock::wire::Heartbeat { spot: false, ..report(machine, sequence, 7, &running) };
-    match fleet.check_in(&report, now, wall(now)) {
+    let message = Heartbeat { spot: false, ..heartbeat(machine, sequence, 7, &running) };
+    match fleet.check_in(&message, now, wall(now)) {
         HeartbeatOutcome::Reply(reply) => reply.orders,
         other => panic!("{other:?}"),
     }
@@ -49,11 +49,11 @@
     serde_json::from_value(job).expect("a job")
 }
 
-/// A plan that looks at the heard machines only would stop tasks for work that has room elsewhere.
+/// A plan that looks at the heard machines only would stop tasks for work that has capacity elsewhere.
 #[test]
-fn nothing_is_stopped_for_others_while_machines_are_about_to_be_heard() {
-    let mut fleet = taken_over();
-    let mut now = TAKEN_OVER + Micros::from_millis(200);
+fn nothing_is_preempted_while_heartbeats_of_machines_are_outstanding() {
+    let mut fleet = fleet_after_failover();
+    let mut now = FAILOVER_AT + Micros::from_millis(200);
     check_in(&mut fleet, "i-1", 1, &RUNNING, now);
     fleet.job_put(milletlock::records::JobRecord { submitted_us: now.0, ..record(urgent()) }, 10, now);
     for sequence in 2..=4 {
@@ -67,12 +67,12 @@
 
 #[test]
 fn a_machine_that_stays_unheard_does_not_keep_urgent_work_waiting() {
-    let mut fleet = taken_over();
-    let mut now = TAKEN_OVER + Micros::from_millis(200);
+    let mut fleet = fleet_after_failover();
+    let mut now = FAILOVER_AT + Micros::from_millis(200);
     check_in(&mut fleet, "i-1", 1, &RUNNING, now);
     fleet.job_put(milletlock::records::JobRecord { submitted_us: now.0, ..record(urgent()) }, 10, now);
-    // A report every 3 s in these settings, a quarter more at the most.
-    now = TAKEN_OVER + Micros::from_millis(3_800);
+    // A heartbeat every 3 s in these settings, a quarter more at the most.
+    now = FAILOVER_AT + Micros::from_millis(3_800);
     fleet.tick(now, wall(now));
     let orders = check_in(&mut fleet, "i-1", 2, &RUNNING, now);
     assert!(orders.iter().any(|o| matches!(o, Order::Halt { .. })), "{orders:?}");
--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -5,7 +5,7 @@
 use milletlock::wire::{ListedMachine, TaskStage};
 
 use crate::common::clock::{at, wall, START};
-use crate::common::{record, report, spec};
+use crate::common::{heartbeat, record, spec};
 use crate::fixtures::{fleet_with, machine_record, new_fleet, orders, started_job, starts, write_all};
 
 #[test]
@@ -15,18 +15,18 @@
     fleet.inherit_machine("i-2", &machine_record("small"), 5, START);
     fleet.job_put(started_job(spec(1, 8, "batch"), 6), 6, START);
     fleet.job_put(started_job(spec(2, 2, "gang"), 2), 7, START);
-    orders(&mut fleet, 0.5, &report("i-2", 9, 9, &[]));
+    orders(&mut fleet, 0.5, &heartbeat("i-2", 9, 9, &[]));
     fleet.tick(at(0.6), wall(0.6));
     write_all(&mut fleet, 0.6);
-    let s = starts(&orders(&mut fleet, 1.0, &report("i-2", 10, 9, &[])));
+    let s = starts(&orders(&mut fleet, 1.0, &heartbeat("i-2", 10, 9, &[])));
     let names: Vec<&str> = s.iter().map(|x| x.0.as_str()).collect();
     assert_eq!(names, ["wk-000001/6", "wk-000001/7"]);
     // The missing machine shows our fencing token and holds one of the tasks: the others may start.
     let there = [("wk-000001/0", 77, TaskStage::Running, None)];
-    orders(&mut fleet, 1.5, &report("i-1", 40, 9, &there));
+    orders(&mut fleet, 1.5, &heartbeat("i-1", 40, 9, &there));
     fleet.tick(at(1.6), wall(1.6));
     write_all(&mut fleet, 1.6);
-    let rest = starts(&orders(&mut fleet, 2.0, &report("i-1", 41, 9, &there)));
+    let rest = starts(&orders(&mut fleet, 2.0, &heartbeat("i-1", 41, 9, &there)));
     assert!(!rest.is_empty() && rest.iter().all(|x| x.0 != "wk-000001/0"));
 }
 
@@ -37,22 +37,22 @@
     let mut s = spec(1, 8, "batch");
     s.team = "tight".into();
     fleet.job_put(record(s), 6, START);
-    orders(&mut fleet, 0.5, &report("i-2", 1, 0, &[]));
+    orders(&mut fleet, 0.5, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 0.5);
     fleet.tick(at(0.6), wall(0.6));
     write_all(&mut fleet, 0.6);
     // The limit is 6 and the unheard machine has 4 processors: two are left.
-    assert_eq!(starts(&orders(&mut fleet, 1.0, &report("i-2", 2, 9, &[]))).len(), 2);
+    assert_eq!(starts(&orders(&mut fleet, 1.0, &heartbeat("i-2", 2, 9, &[]))).len(), 2);
 }
 
 #[test]
 fn a_higher_fencing_token_ends_leadership_and_is_never_replied_to_with_200() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
     assert_eq!(
-        fleet.check_in(&report("i-1", 2, 8, &[]), at(1.0), wall(1.0)),
+        fleet.check_in(&heartbeat("i-1", 2, 8, &[]), at(1.0), wall(1.0)),
         HeartbeatOutcome::Superseded(8)
     );
-    assert_eq!(fleet.raised(&report("i-1", 3, 9, &[]), at(1.0)), Some(9));
+    assert_eq!(fleet.raised(&heartbeat("i-1", 3, 9, &[]), at(1.0)), Some(9));
 }
 
 #[test]
@@ -82,9 +82,9 @@
 fn a_new_leader_knows_the_age_of_machines_that_others_scaled_out() {
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
-    orders(&mut fleet, 0.5, &report("i-1", 9, 9, &[]));
+    orders(&mut fleet, 0.5, &heartbeat("i-1", 9, 9, &[]));
     let idle = |fleet: &mut Fleet, s: f64| {
-        orders(fleet, s, &report("i-1", 10 + s as u64, 9, &[]));
+        orders(fleet, s, &heartbeat("i-1", 10 + s as u64, 9, &[]));
         let _ = fleet.capacity(at(s), wall(s));
         fleet.leaving().len()
     };
@@ -100,7 +100,7 @@
     };
     // One that has only replied to a direct command so far is no boot that never ended.
     fleet.inherit_machine("i-2", &machine_record("small"), 0, at(19.0));
-    fleet.raised(&report("i-2", 9, 9, &[]), at(20.5));
+    fleet.raised(&heartbeat("i-2", 9, 9, &[]), at(20.5));
     fleet.listed(&[listed.clone(), ListedMachine { id: "i-2".into(), ..listed }], at(21.0));
     fleet.tick(at(21.5), wall(21.5));
     assert!(fleet.leaving().is_empty());
@@ -123,7 +123,7 @@
     let report_of = |m: u32, sequence: u64| {
         let [a, b] = runs(m);
         let there = [(&*a, 5, TaskStage::Running, None), (&*b, 6, TaskStage::Running, None)];
-        report(&id(m), sequence, 9, &there)
+        heartbeat(&id(m), sequence, 9, &there)
     };
     let mut given: Vec<String> = Vec::new();
     for round in 0..4u64 {
--- a/tests/safety/fixtures.rs
+++ b/tests/safety/fixtures.rs
@@ -9,7 +9,7 @@
 use milletlock::wire::{Heartbeat, JobSpec, Order, TaskStage};
 
 use crate::common::clock::{at, wall, START};
-use crate::common::{config, record, report, spec, types};
+use crate::common::{config, heartbeat, record, spec, types};
 
 /// What a leader with a fencing token knows before it has heard anything.
 pub fn new_fleet(fencing_token: u64) -> Fleet {
@@ -68,7 +68,7 @@
 pub fn fleet_with(job: JobSpec) -> Fleet {
     let mut fleet = new_fleet(7);
     fleet.job_put(record(job), 1, START);
-    orders(&mut fleet, 0.0, &report("i-1", 1, 0, &[]));
+    orders(&mut fleet, 0.0, &heartbeat("i-1", 1, 0, &[]));
     write_all(&mut fleet, 0.0);
     fleet.tick(at(0.1), wall(0.1));
     write_all(&mut fleet, 0.1);
@@ -78,9 +78,9 @@
 /// A job's only task has been running on the one machine since 2 s; gives its name and attempt.
 pub fn fleet_with_a_running_task() -> (Fleet, (String, u64)) {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
-    let s = starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[]))).remove(0);
+    let s = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).remove(0);
     let running = [(s.0.as_str(), s.1, TaskStage::Running, None)];
-    orders(&mut fleet, 2.0, &report("i-1", 3, 7, &running));
+    orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &running));
     (fleet, s)
 }
 
@@ -92,7 +92,7 @@
         let s = f64::from(s);
         fleet.confirm(at(s));
         fleet.tick(at(s), wall(s));
-        assert!(starts(&orders(fleet, s, &report("i-2", sequence, 9, &[]))).is_empty(), "after {s} s");
+        assert!(starts(&orders(fleet, s, &heartbeat("i-2", sequence, 9, &[]))).is_empty(), "after {s} s");
         sequence += 1;
     }
     sequence
--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -4,7 +4,7 @@
 use milletlock::wire::TaskStage;
 
 use crate::common::clock::{at, wall, START};
-use crate::common::{record, report, spec};
+use crate::common::{heartbeat, record, spec};
 use crate::fixtures::{
     fleet_with, fleet_with_a_running_task, machine_record, new_fleet, orders, starts, write_all,
 };
@@ -15,7 +15,7 @@
     fleet.job_over("wk-000001", 1000);
     fleet.job_put(record(spec(1, 1, "batch")), 999, at(1.0));
     assert!(fleet.jobs.is_empty());
-    assert!(starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[]))).is_empty());
+    assert!(starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).is_empty());
 }
 
 #[test]
@@ -23,10 +23,10 @@
     let (mut fleet, (task, attempt)) = fleet_with_a_running_task();
     let running = [(task.as_str(), attempt, TaskStage::Running, None)];
     // Sent before the machine was partitioned, this one arrives when its lease has run out.
-    let held = report("i-1", 4, 7, &running);
+    let held = heartbeat("i-1", 4, 7, &running);
     // A copy within the lease does not put off its end.
     assert_eq!(
-        fleet.check_in(&report("i-1", 3, 7, &running), at(20.0), wall(20.0)),
+        fleet.check_in(&heartbeat("i-1", 3, 7, &running), at(20.0), wall(20.0)),
         HeartbeatOutcome::Refuse
     );
     fleet.confirm(at(25.9));
@@ -35,16 +35,19 @@
     assert_eq!(fleet.check_in(&held, at(27.0), wall(27.0)), HeartbeatOutcome::Refuse);
     assert!(fleet.jobs["wk-000001"].waiting.contains(0), "a late report brought back what has ended");
     // The machine itself is back in its next session.
-    let mut back = report("i-1", 1, 7, &[]);
+    let mut back = heartbeat("i-1", 1, 7, &[]);
     back.agent_epoch = 2;
     assert!(matches!(fleet.check_in(&back, at(30.0), wall(30.0)), HeartbeatOutcome::Reply(_)));
     // From before this leader came, of a machine that has no record any more.
     let mut g = new_fleet(9);
-    assert_eq!(g.check_in(&report("i-7", 40, 8, &running), at(1.0), wall(1.0)), HeartbeatOutcome::Refuse);
+    assert_eq!(g.check_in(&heartbeat("i-7", 40, 8, &running), at(1.0), wall(1.0)), HeartbeatOutcome::Refuse);
     assert!(g.machines.is_empty());
     // A copy that shows an older fencing token ends nobody's leadership, and does not count as heard.
     g.inherit_machine("i-8", &machine_record("small"), 0, START);
-    assert!(matches!(g.check_in(&report("i-8", 40, 8, &[]), at(1.0), wall(1.0)), HeartbeatOutcome::Reply(_)));
+    assert!(matches!(
+        g.check_in(&heartbeat("i-8", 40, 8, &[]), at(1.0), wall(1.0)),
+        HeartbeatOutcome::Reply(_)
+    ));
     assert_eq!(g.unheard(), 1);
 }
 
@@ -59,7 +62,7 @@
         for m in 0..MACHINES {
             let fencing_token = if sequence > 1 { 7 } else { 0 };
             fleet.check_in(
-                &report(&id(m), sequence, fencing_token, &[]),
+                &heartbeat(&id(m), sequence, fencing_token, &[]),
                 at(sequence as f64),
                 wall(sequence as f64),
             );
@@ -74,7 +77,7 @@
     for late in [5.0, 12.0, 23.0, 60.0, 300.0] {
         for m in 0..MACHINES {
             for (sequence, tasks) in [(1, &stale[..]), (3, &[][..])] {
-                let r = report(&id(m), sequence, if sequence > 1 { 7 } else { 0 }, tasks);
+                let r = heartbeat(&id(m), sequence, if sequence > 1 { 7 } else { 0 }, tasks);
                 assert_eq!(fleet.check_in(&r, at(late), wall(late)), HeartbeatOutcome::Refuse);
             }
         }
@@ -83,7 +86,7 @@
     // What is remembered of those that are gone ends as well: long after, a name is only a name.
     fleet.tick(at(1000.0), wall(1000.0));
     assert!(matches!(
-        fleet.check_in(&report(&id(0), 4, 7, &[]), at(1000.0), wall(1000.0)),
+        fleet.check_in(&heartbeat(&id(0), 4, 7, &[]), at(1000.0), wall(1000.0)),
         HeartbeatOutcome::Reply(_)
     ));
 }
--- a/tests/safety/machines.rs
+++ b/tests/safety/machines.rs
@@ -5,17 +5,17 @@
 use milletlock::wire::{ExitReason, TaskStage};
 
 use crate::common::clock::{at, wall, START};
-use crate::common::{record, report, spec};
+use crate::common::{heartbeat, record, spec};
 use crate::fixtures::{fleet_with, machine_record, new_fleet, orders, starts, write_all};
 
 #[test]
 fn unknown_machines_are_enrolled_and_returned_ones_stay_gone() {
     let mut fleet = new_fleet(7);
-    orders(&mut fleet, 0.0, &report("i-5", 1, 0, &[]));
+    orders(&mut fleet, 0.0, &heartbeat("i-5", 1, 0, &[]));
     assert_eq!(fleet.pending(START, Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
     assert!(fleet.packs.get("i-5").is_some());
     fleet.returned(&["i-5".into()], at(1.0));
-    assert_eq!(fleet.check_in(&report("i-5", 2, 7, &[]), at(2.0), wall(2.0)), HeartbeatOutcome::Refuse);
+    assert_eq!(fleet.check_in(&heartbeat("i-5", 2, 7, &[]), at(2.0), wall(2.0)), HeartbeatOutcome::Refuse);
 }
 
 #[test]
@@ -24,12 +24,12 @@
     let mut sequence = 2;
     let mut tries = 0;
     for t in 1..60 {
-        let s = starts(&orders(&mut fleet, t as f64, &report("i-1", sequence, 7, &[])));
+        let s = starts(&orders(&mut fleet, t as f64, &heartbeat("i-1", sequence, 7, &[])));
         sequence += 1;
         if let Some((task, attempt)) = s.first() {
             tries += 1;
             let ended = [(task.as_str(), *attempt, TaskStage::Exited, Some(ExitReason::Error))];
-            orders(&mut fleet, t as f64 + 0.5, &report("i-1", sequence, 7, &ended));
+            orders(&mut fleet, t as f64 + 0.5, &heartbeat("i-1", sequence, 7, &ended));
             sequence += 1;
         }
     }
@@ -38,9 +38,9 @@
     fleet.job_put(record(spec(2, 1, "batch")), 50, at(60.0));
     fleet.tick(at(61.0), wall(61.0));
     write_all(&mut fleet, 61.0);
-    let s = starts(&orders(&mut fleet, 62.0, &report("i-1", sequence, 7, &[])));
+    let s = starts(&orders(&mut fleet, 62.0, &heartbeat("i-1", sequence, 7, &[])));
     let ended = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Error))];
-    orders(&mut fleet, 63.0, &report("i-1", sequence + 1, 7, &ended));
+    orders(&mut fleet, 63.0, &heartbeat("i-1", sequence + 1, 7, &ended));
     assert_eq!(fleet.leaving(), ["i-1"]);
 }
 
@@ -50,7 +50,7 @@
     let (mut sequence, mut offered, mut t) = (2, Vec::new(), 1.0);
     while fleet.leaving().is_empty() && t < 120.0 {
         // What it was told to start never shows in its heartbeats.
-        offered.push(starts(&orders(&mut fleet, t, &report("i-1", sequence, 7, &[]))).len());
+        offered.push(starts(&orders(&mut fleet, t, &heartbeat("i-1", sequence, 7, &[]))).len());
         write_all(&mut fleet, t + 0.1);
         fleet.tick(at(t + 0.2), wall(t + 0.2));
         (sequence, t) = (sequence + 1, t + 3.0);
@@ -70,7 +70,7 @@
     for agent_epoch in 1..=3u64 {
         for k in 0..8u64 {
             let t = agent_epoch as f64 * 24.0 + k as f64 * 3.0;
-            let mut r = report("i-1", 10 + k, 7, &[]);
+            let mut r = heartbeat("i-1", 10 + k, 7, &[]);
             r.agent_epoch = agent_epoch;
             fleet.check_in(&r, at(t), wall(t));
         }
@@ -86,7 +86,7 @@
             fleet.inherit_machine(&format!("i-{n}"), &machine_record("small"), 0, START);
         }
         for n in silent..20 {
-            orders(&mut fleet, 1.0, &report(&format!("i-{n}"), 9, 9, &[]));
+            orders(&mut fleet, 1.0, &heartbeat(&format!("i-{n}"), 9, 9, &[]));
         }
         fleet.tick(at(t), wall(t));
         fleet.leaving().len()
@@ -100,8 +100,8 @@
 #[test]
 fn machines_without_replies_count_neither_as_silent_nor_as_unreachable() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
-    let s = starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[]))).remove(0);
-    orders(&mut fleet, 2.0, &report("i-1", 3, 7, &[(s.0.as_str(), s.1, TaskStage::Running, None)]));
+    let s = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).remove(0);
+    orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &[(s.0.as_str(), s.1, TaskStage::Running, None)]));
     for t in 3..90 {
         fleet.not_answered("i-1", at(f64::from(t)));
         fleet.tick(at(f64::from(t)), wall(f64::from(t)));
@@ -109,7 +109,7 @@
     fleet.confirm(at(90.0));
     fleet.tick(at(90.0), wall(90.0));
     assert!(fleet.leaving().is_empty(), "it reports, and only was not answered");
-    let mut later = report("i-1", 1, 7, &[]);
+    let mut later = heartbeat("i-1", 1, 7, &[]);
     later.agent_epoch = 2;
     orders(&mut fleet, 90.5, &later);
     fleet.tick(at(90.6), wall(90.6));
--- a/tests/safety/starts.rs
+++ b/tests/safety/starts.rs
@@ -5,17 +5,17 @@
 use milletlock::wire::{ExitReason, Order, Priority, TaskStage};
 
 use crate::common::clock::{at, wall, START};
-use crate::common::{record, report, spec};
+use crate::common::{heartbeat, record, spec};
 use crate::fixtures::{fleet_with, fleet_with_a_running_task, new_fleet, orders, starts, write_all};
 
 #[test]
 fn a_start_that_a_newer_heartbeat_lacks_is_started_again() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
-    let first = starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[])));
+    let first = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
     assert_eq!(first.len(), 1);
     // The same heartbeat once more decides nothing.
-    assert_eq!(fleet.check_in(&report("i-1", 2, 7, &[]), at(1.5), wall(1.5)), HeartbeatOutcome::Refuse);
-    let second = starts(&orders(&mut fleet, 2.0, &report("i-1", 3, 7, &[])));
+    assert_eq!(fleet.check_in(&heartbeat("i-1", 2, 7, &[]), at(1.5), wall(1.5)), HeartbeatOutcome::Refuse);
+    let second = starts(&orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &[])));
     assert_eq!(second.len(), 1);
     assert_ne!(first[0].1, second[0].1, "an attempt number is used twice");
 }
@@ -23,14 +23,14 @@
 #[test]
 fn attempts_of_a_later_fencing_token_are_greater() {
     let mut early = fleet_with(spec(1, 4, "batch"));
-    let a = starts(&orders(&mut early, 1.0, &report("i-1", 2, 7, &[])));
+    let a = starts(&orders(&mut early, 1.0, &heartbeat("i-1", 2, 7, &[])));
     let mut late = new_fleet(8);
     late.job_put(record(spec(2, 4, "batch")), 1, START);
-    orders(&mut late, 0.0, &report("i-9", 1, 0, &[]));
+    orders(&mut late, 0.0, &heartbeat("i-9", 1, 0, &[]));
     write_all(&mut late, 0.0);
     late.tick(at(0.1), wall(0.1));
     write_all(&mut late, 0.1);
-    let b = starts(&orders(&mut late, 1.0, &report("i-9", 2, 8, &[])));
+    let b = starts(&orders(&mut late, 1.0, &heartbeat("i-9", 2, 8, &[])));
     assert_eq!((a.len(), b.len()), (4, 4));
     assert!(a.iter().all(|x| b.iter().all(|y| x.1 < y.1)));
 }
@@ -39,29 +39,32 @@
 fn nothing_starts_before_its_mark_and_its_machine_are_written() {
     let mut fleet = new_fleet(7);
     fleet.job_put(record(spec(1, 1, "batch")), 1, START);
-    assert!(starts(&orders(&mut fleet, 0.0, &report("i-1", 1, 0, &[]))).is_empty(), "not enrolled");
+    assert!(starts(&orders(&mut fleet, 0.0, &heartbeat("i-1", 1, 0, &[]))).is_empty(), "not enrolled");
     assert_eq!(fleet.pending(at(0.0), Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
     write_all(&mut fleet, 0.0);
-    assert!(starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[]))).is_empty(), "not marked as started");
+    assert!(
+        starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).is_empty(),
+        "not marked as started"
+    );
     assert!(fleet.pending(at(1.0), Micros::ZERO, 1000).iter().any(|p| matches!(p, PendingWrite::Marks(_))));
     write_all(&mut fleet, 1.0);
-    assert_eq!(starts(&orders(&mut fleet, 2.0, &report("i-1", 3, 7, &[]))).len(), 1);
+    assert_eq!(starts(&orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &[]))).len(), 1);
 }
 
 #[test]
 fn forget_follows_the_written_done_range() {
     let mut fleet = fleet_with(spec(1, 3, "batch"));
-    let s = starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[])));
+    let s = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
     assert_eq!(s.len(), 3);
     let done = [
         (s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Done)),
         (s[1].0.as_str(), s[1].1, TaskStage::Exited, Some(ExitReason::Done)),
         (s[2].0.as_str(), s[2].1, TaskStage::Running, None),
     ];
-    let o = orders(&mut fleet, 2.0, &report("i-1", 3, 7, &done));
+    let o = orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &done));
     assert!(!o.iter().any(|o| matches!(o, Order::Forget { .. })), "forgotten before it is written");
     write_all(&mut fleet, 3.0);
-    let o = orders(&mut fleet, 4.0, &report("i-1", 4, 7, &done));
+    let o = orders(&mut fleet, 4.0, &heartbeat("i-1", 4, 7, &done));
     let forget = |s: &(String, u64)| Order::Forget { task: s.0.clone(), attempt: s.1 };
     assert_eq!(o, [forget(&s[0]), forget(&s[1])]);
 }
@@ -71,10 +74,10 @@
     let (mut fleet, (task, attempt)) = fleet_with_a_running_task();
     assert!(!fleet.may_wait("i-1", at(2.0)), "what changes on a busy machine must be heard at once");
     let done = [(task.as_str(), attempt, TaskStage::Exited, Some(ExitReason::Done))];
-    orders(&mut fleet, 3.0, &report("i-1", 4, 7, &done));
+    orders(&mut fleet, 3.0, &heartbeat("i-1", 4, 7, &done));
     write_all(&mut fleet, 3.1);
-    orders(&mut fleet, 3.5, &report("i-1", 5, 7, &done));
-    let idle = report("i-1", 6, 7, &[]);
+    orders(&mut fleet, 3.5, &heartbeat("i-1", 5, 7, &done));
+    let idle = heartbeat("i-1", 6, 7, &[]);
     assert!(orders(&mut fleet, 4.0, &idle).is_empty() && fleet.may_wait("i-1", at(4.0)));
     fleet.job_put(record(spec(2, 2, "gang")), 2000, at(4.2));
     fleet.tick(at(4.3), wall(4.3));
@@ -83,7 +86,7 @@
     assert!(fleet.start_waits("i-1"));
     // A newer heartbeat has come in between: its reply carries the starts, this one nothing.
     let mut g = fleet_with(spec(1, 2, "batch"));
-    assert!(g.later(&report("i-1", 0, 7, &[]), at(4.5), wall(4.5)).is_empty());
+    assert!(g.later(&heartbeat("i-1", 0, 7, &[]), at(4.5), wall(4.5)).is_empty());
     assert_eq!(starts(&fleet.later(&idle, at(4.5), wall(4.5))).len(), 2);
     assert!(starts(&fleet.later(&idle, at(4.6), wall(4.6))).is_empty(), "once");
 }
@@ -93,11 +96,11 @@
     let mut one_zone = spec(1, 6, "batch");
     one_zone.one_zone = true;
     let mut fleet = fleet_with(one_zone);
-    let mut south = report("i-2", 1, 0, &[]);
+    let mut south = heartbeat("i-2", 1, 0, &[]);
     south.zone = "south".into();
     orders(&mut fleet, 0.5, &south);
     write_all(&mut fleet, 0.5);
-    assert_eq!(starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[]))).len(), 4);
+    assert_eq!(starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).len(), 4);
     south.sequence = 2;
     south.fencing_token = 7;
     write_all(&mut fleet, 1.1);
@@ -106,13 +109,13 @@
     let mut spread = spec(2, 3, "batch");
     spread.spread = true;
     let mut fleet = fleet_with(spread);
-    assert_eq!(starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[]))).len(), 2);
+    assert_eq!(starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).len(), 2);
 
     let mut no_spot = spec(3, 1, "batch");
     no_spot.spot = false;
     let mut fleet = new_fleet(7);
     fleet.job_put(record(no_spot), 1, START);
-    let mut r = report("i-1", 1, 0, &[]);
+    let mut r = heartbeat("i-1", 1, 0, &[]);
     r.spot = true;
     orders(&mut fleet, 0.0, &r);
     write_all(&mut fleet, 0.0);
@@ -130,13 +133,13 @@
         fleet.job_put(record(s), u64::from(n), START);
     }
     for m in ["i-1", "i-2"] {
-        orders(&mut fleet, 0.0, &report(m, 1, 0, &[]));
+        orders(&mut fleet, 0.0, &heartbeat(m, 1, 0, &[]));
     }
     write_all(&mut fleet, 0.0);
     fleet.tick(at(0.1), wall(0.1));
     write_all(&mut fleet, 0.1);
-    let a = starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[]))).len();
-    let b = starts(&orders(&mut fleet, 1.1, &report("i-2", 2, 7, &[]))).len();
+    let a = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).len();
+    let b = starts(&orders(&mut fleet, 1.1, &heartbeat("i-2", 2, 7, &[]))).len();
     assert_eq!(a + b, 6);
 }
 
@@ -145,47 +148,47 @@
     let mut small = spec(1, 30, "batch");
     small.team = "tight".into();
     let mut fleet = fleet_with(small);
-    orders(&mut fleet, 0.5, &report("i-2", 1, 0, &[]));
+    orders(&mut fleet, 0.5, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 0.5);
     let mut gang = spec(2, 3, "gang");
     gang.team = "tight".into();
     gang.priority = Priority::Urgent;
-    let held = starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[])));
-    let more = starts(&orders(&mut fleet, 1.1, &report("i-2", 2, 7, &[])));
+    let held = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
+    let more = starts(&orders(&mut fleet, 1.1, &heartbeat("i-2", 2, 7, &[])));
     assert_eq!((held.len(), more.len()), (4, 2), "the limit of 6 is used up");
     fleet.job_put(record(gang), 9, at(1.2));
     // Two end; four are in use and the gang needs three of six: the small ones may not refill.
     let mut there: Vec<_> =
         more.iter().map(|s| (s.0.as_str(), s.1, TaskStage::Exited, Some(ExitReason::Done))).collect();
-    let o = orders(&mut fleet, 2.0, &report("i-2", 3, 7, &there));
+    let o = orders(&mut fleet, 2.0, &heartbeat("i-2", 3, 7, &there));
     assert!(starts(&o).is_empty());
     there.clear();
     let left = [(held[0].0.as_str(), held[0].1, TaskStage::Exited, Some(ExitReason::Done))];
     let running: Vec<_> = held[1..].iter().map(|s| (s.0.as_str(), s.1, TaskStage::Running, None)).collect();
-    orders(&mut fleet, 3.0, &report("i-1", 3, 7, &[&left[..], &running[..]].concat()));
+    orders(&mut fleet, 3.0, &heartbeat("i-1", 3, 7, &[&left[..], &running[..]].concat()));
     fleet.tick(at(3.1), wall(3.1));
     write_all(&mut fleet, 3.1);
-    let mut s = starts(&orders(&mut fleet, 4.0, &report("i-2", 4, 7, &[])));
-    s.extend(starts(&orders(&mut fleet, 4.1, &report("i-1", 4, 7, &running))));
+    let mut s = starts(&orders(&mut fleet, 4.0, &heartbeat("i-2", 4, 7, &[])));
+    s.extend(starts(&orders(&mut fleet, 4.1, &heartbeat("i-1", 4, 7, &running))));
     assert_eq!(s.iter().filter(|s| s.0.starts_with("wk-000002/")).count(), 3);
 }
 
 #[test]
 fn a_gang_that_lost_a_task_is_stopped_before_it_starts_again() {
     let mut fleet = fleet_with(spec(1, 2, "gang"));
-    let s = starts(&orders(&mut fleet, 1.0, &report("i-1", 2, 7, &[])));
+    let s = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
     assert_eq!(s.len(), 2);
     assert_eq!(s[0].1, s[1].1, "the tasks of a gang share their attempt");
     let half = [
         (s[0].0.as_str(), s[0].1, TaskStage::Running, None),
         (s[1].0.as_str(), s[1].1, TaskStage::Exited, Some(ExitReason::Error)),
     ];
-    let o = orders(&mut fleet, 2.0, &report("i-1", 3, 7, &half));
+    let o = orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &half));
     assert!(o.iter().any(|o| matches!(o, Order::Halt { task, .. } if *task == s[0].0)));
     assert!(starts(&o).is_empty());
     let gone = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Stopped))];
-    orders(&mut fleet, 5.0, &report("i-1", 4, 7, &gone));
-    let again = starts(&orders(&mut fleet, 6.0, &report("i-1", 5, 7, &[])));
+    orders(&mut fleet, 5.0, &heartbeat("i-1", 4, 7, &gone));
+    let again = starts(&orders(&mut fleet, 6.0, &heartbeat("i-1", 5, 7, &[])));
     assert_eq!(again.len(), 2);
     assert_ne!(again[0].1, s[0].1);
 }
--- a/tests/renting.rs
+++ b/tests/scaling.rs
@@ -1,17 +1,17 @@
-//! Renting and returning: what a wrong estimate, a refused offer and an idle machine lead to.
+//! Scaling out and in: what a wrong estimate, a refused offer and an idle machine lead to.
 
 mod common;
 
 use common::fleet_scenario::Scenario;
 use common::planner::{class, need, one_small_type, secs};
-use common::{report, spec};
+use common::{heartbeat, spec};
 use milletlock::capacity::{CapacityView, MachineStatus, Offer, ScalingPolicy, WarmPool};
 use milletlock::sched::{plan, JobClass, MachineSnapshot, PlacedTask, ReservedHeadroom, Snapshot};
 use milletlock::time::{Micros, Wall};
 use milletlock::wire::{JobSpec, Priority};
 
 /// A machine of eight processors with this many one-processor tasks.
-fn room(held: usize, left: i64) -> MachineSnapshot {
+fn machine(held: usize, left: i64) -> MachineSnapshot {
     let one = PlacedTask {
         need: need(1.0),
         priority: Priority::Normal,
@@ -101,31 +101,31 @@
 }
 
 #[test]
-fn work_that_drains_in_time_rents_nothing_until_it_has_waited_for_long() {
+fn work_that_drains_in_time_does_not_scale_out_until_it_has_waited_for_long() {
     // Eight tasks of 20 s behind a machine that says it is free in a second: no need.
-    assert!(decide(vec![room(8, 1)], vec![class(8, 20, 1)], None, &[], false).0.is_empty());
+    assert!(decide(vec![machine(8, 1)], vec![class(8, 20, 1)], None, &[], false).0.is_empty());
     // They still wait after 100 s: the estimates are wrong, whatever they say.
-    assert!(!decide(vec![room(8, 1)], vec![class(8, 20, 100)], None, &[], false).0.is_empty());
+    assert!(!decide(vec![machine(8, 1)], vec![class(8, 20, 100)], None, &[], false).0.is_empty());
 }
 
 #[test]
-fn idle_machines_go_but_for_the_warm_ones() {
-    assert_eq!(decide(vec![room(0, 0), room(0, 0), room(0, 0)], vec![], Some(31), &[], false).1, 2);
-    assert_eq!(decide(vec![room(0, 0), room(0, 0)], vec![], Some(10), &[], false).1, 0);
+fn idle_machines_are_returned_except_the_warm_pool() {
+    assert_eq!(decide(vec![machine(0, 0), machine(0, 0), machine(0, 0)], vec![], Some(31), &[], false).1, 2);
+    assert_eq!(decide(vec![machine(0, 0), machine(0, 0)], vec![], Some(10), &[], false).1, 0);
     // Where deadlines are to be kept they stay longer.
-    assert_eq!(decide(vec![room(0, 0), room(0, 0)], vec![], Some(31), &[], true).1, 0);
-    assert_eq!(decide(vec![room(0, 0), room(0, 0)], vec![], Some(61), &[], true).1, 1);
+    assert_eq!(decide(vec![machine(0, 0), machine(0, 0)], vec![], Some(31), &[], true).1, 0);
+    assert_eq!(decide(vec![machine(0, 0), machine(0, 0)], vec![], Some(61), &[], true).1, 1);
 }
 
 #[test]
-fn nothing_is_kept_on_machines_that_those_it_would_be_kept_for_may_not_use() {
-    let spot = || MachineSnapshot { spot: true, ..room(0, 0) };
+fn no_headroom_is_reserved_on_machines_that_its_jobs_may_not_use() {
+    let spot = || MachineSnapshot { spot: true, ..machine(0, 0) };
     // The warm one is an ordinary machine; spot machines neither stay for it nor count as it.
-    assert_eq!(decide(vec![spot(), spot(), room(0, 0)], vec![], Some(31), &[], false).1, 2);
+    assert_eq!(decide(vec![spot(), spot(), machine(0, 0)], vec![], Some(31), &[], false).1, 2);
     assert_eq!(decide(vec![spot(), spot()], vec![], Some(31), &[], false).1, 2);
-    // Low ranks count on spot machines of a type of which ordinary ones are kept for others.
+    // Low priorities count on spot machines of a type of which ordinary ones are kept for others.
     let low = JobClass { priority: Priority::Idle, ..class(8, 20, 1) };
-    let rents = |r: MachineSnapshot| {
+    let unmet = |r: MachineSnapshot| {
         let keep = ReservedHeadroom { need: need(8.0), priority: Priority::Urgent, spot: false };
         let s = Snapshot {
             zones: 1,
@@ -136,11 +136,11 @@
         };
         plan(&s).unmet.len()
     };
-    let full = |spot: bool| MachineSnapshot { spot, ..room(8, 1) };
-    assert_eq!((rents(spot()), rents(full(true))), (0, 1));
+    let full = |spot: bool| MachineSnapshot { spot, ..machine(8, 1) };
+    assert_eq!((unmet(spot()), unmet(full(true))), (0, 1));
     let s = Snapshot {
         zones: 1,
-        rooms: vec![spot(), room(0, 0)],
+        rooms: vec![spot(), machine(0, 0)],
         clear_rooms: 1,
         keep: vec![Some(ReservedHeadroom { need: need(8.0), priority: Priority::Urgent, spot: false })],
         classes: vec![JobClass { priority: Priority::Idle, ..class(16, 20, 1) }],
@@ -150,19 +150,19 @@
     assert_eq!(plan(&s).starts.iter().map(|x| (x.room, x.count)).collect::<Vec<_>>(), [(0, 8)]);
 }
 
-/// For a single task that had waited for minutes a machine was rented in each round until the first was up:
-/// thirty of them.
+/// For a single task that had waited for minutes a machine was scaled out in each round until the first was
+/// up: thirty of them.
 #[test]
-fn no_more_machines_are_rented_than_what_waits_can_fill() {
-    let booting = MachineSnapshot { open: false, opens_in: secs(20), ..room(0, 0) };
+fn no_more_machines_are_scaled_out_than_waiting_work_can_fill() {
+    let booting = MachineSnapshot { open: false, opens_in: secs(20), ..machine(0, 0) };
     let upkeep = MachineStatus { age: secs(10), idle: None, booting: true };
-    let rented = |rooms: Vec<MachineSnapshot>, tasks: u32| {
+    let scaled_out = |rooms: Vec<MachineSnapshot>, tasks: u32| {
         decide_with(rooms, vec![class(tasks, 150, 400)], upkeep, &[], false).0
     };
-    assert_eq!(rented(vec![], 1), [(true, 1)]);
-    assert_eq!(rented(vec![booting.clone()], 1), []);
-    assert_eq!(rented(vec![booting.clone()], 24), [(true, 2)]);
-    assert_eq!(rented(vec![booting; 3], 24), []);
+    assert_eq!(scaled_out(vec![], 1), [(true, 1)]);
+    assert_eq!(scaled_out(vec![booting.clone()], 1), []);
+    assert_eq!(scaled_out(vec![booting.clone()], 24), [(true, 2)]);
+    assert_eq!(scaled_out(vec![booting; 3], 24), []);
 }
 
 /// The whole fleet stayed for a minute after the last job, for deadlines that no more jobs had.
@@ -174,8 +174,8 @@
         (0..22).for_each(|_| s.step(&[]));
         s.fleet.job_over("wk-000001", 1000);
         s.sequence += 1;
-        let empty = report("i-000", s.sequence, 7, &[]);
-        s.report(&empty);
+        let empty = heartbeat("i-000", s.sequence, 7, &[]);
+        s.send_heartbeat(&empty);
         // One a second, usually: none for as long as a machine boots is the end of them.
         for n in 2..22 {
             s.submit(JobSpec { deadline_s, class: Some(class.into()), ..spec(n, 1, "batch") });
--- a/tests/services/cluster.rs
+++ b/tests/services/cluster.rs
@@ -9,7 +9,7 @@
 use milletlock::wire::{ExitReason, JobSpec, Order, Priority, Shape, TaskStage};
 
 use crate::common::worker::job_of;
-use crate::common::{config, record, report, spec, types};
+use crate::common::{config, heartbeat, record, spec, types};
 
 /// When a simulation begins.
 pub const START: Steady = Steady(1_000_000_000);
@@ -276,7 +276,7 @@
             .iter()
             .map(|((name, attempt), task)| (name.as_str(), *attempt, stage(task.ended), task.ended))
             .collect();
-        let mut message = report(machine, worker.sequence, worker.fencing_token, &tasks);
+        let mut message = heartbeat(machine, worker.sequence, worker.fencing_token, &tasks);
         message.agent_epoch = worker.agent_epoch;
         message.zone = worker.zone.into();
         message.notice_s = worker.preempted_at.map(|at| (at - now).secs());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// What is unusual and makes sense is served: one zone or none named, a report every quarter of the lease, a
-/// bound on acting without the state service of a second, no team, limits of nought.
+/// What is unusual and makes sense is served: one zone or none named, a heartbeat every quarter of the lease,
+/// a bound on acting without the state store of a second, no team, limits of nought.
 #[test]
 fn unusual_settings_are_taken() {
     let s = "settings";
@@ -149,8 +149,8 @@
 }
 
 #[test]
-fn callers_have_room_within_sockets_memory_and_threads() {
-    let room = |sockets: usize, ram: f64, operator: &str| {
+fn callers_have_capacity_within_sockets_memory_and_threads() {
+    let capacity = |sockets: usize, ram: f64, operator: &str| {
         let mut p = platform_json();
         p["settings"]["limits"] = json!({ "cpu": 0.1, "ram_mb": ram, "max_sockets": sockets });
         let platform = PlatformConfig::parse(&p.to_string(), "f.json").expect("settings");
@@ -159,29 +159,29 @@
     };
     // One controller serves every worker, half as many again as were ever named, users beside them.
     for (sockets, ram, machines) in [(2877, 158.0, 1822), (3592, 188.0, 2268)] {
-        let r = room(sockets, ram, "");
+        let r = capacity(sockets, ram, "");
         assert!(
             r.background_connections > machines && r.connections > r.background_connections + 200,
             "{r:?}"
         );
-        // With a connection to the state service for each answer to a user all sockets suffice.
+        // With a connection to the state store for each reply to a user all sockets suffice.
         assert!(r.connections + r.interactive_threads + 32 <= sockets, "{r:?}");
         assert!(r.interactive_threads + r.background_threads < 224, "{r:?}");
     }
     for (sockets, ram, operator) in
         [(16, 100.0, ""), (500, 2.0, ""), (500, 100.0, "max_threads = 42"), (40, 9.0, "max_connections = 2")]
     {
-        let r = room(sockets, ram, operator);
+        let r = capacity(sockets, ram, operator);
         assert!(r.connections > r.background_connections || r.connections < 8, "{r:?}");
         assert!(
             r.background_connections > 0 && r.interactive_threads > 0 && r.background_threads > 0,
             "{r:?}"
         );
     }
-    assert_eq!(room(500, 100.0, "max_connections = 80").connections, 80);
+    assert_eq!(capacity(500, 100.0, "max_connections = 80").connections, 80);
 }
 
-/// A `next` of the state service's limits with one field.
+/// A `next` of the state store's limits with one field.
 fn with_next(field: &str, v: Value) -> Value {
     with(&["settings", "state", "next"], json!({ field: v }))
 }
--- a/tests/spot_machines.rs
+++ b/tests/spot_machines.rs
@@ -24,14 +24,14 @@
     s.submit(JobSpec { estimate_s: 10.0, ..spec(2, 2, "batch") });
     (0..3).for_each(|_| s.step(&[]));
     assert_eq!(s.tasks("i-000").len(), 4);
-    let notice = Heartbeat { notice_s: Some(15.0), ..s.running("i-000") };
-    let orders = s.report(&notice);
+    let notice = Heartbeat { notice_s: Some(15.0), ..s.running_heartbeat("i-000") };
+    let orders = s.send_heartbeat(&notice);
     assert_eq!(stopped(&orders), 2, "{orders:?}");
     assert!(orders.iter().all(|o| !matches!(o, Order::Halt { task, .. } if !task.starts_with("wk-000001"))));
     // Near its end what overruns its estimate is left to end.
     s.now = s.now + Micros::from_secs(12.0);
-    let notice = Heartbeat { notice_s: Some(0.5), ..s.running("i-000") };
-    assert_eq!(stopped(&s.report(&notice)), 2, "the same two, again");
+    let notice = Heartbeat { notice_s: Some(0.5), ..s.running_heartbeat("i-000") };
+    assert_eq!(stopped(&s.send_heartbeat(&notice)), 2, "the same two, again");
 }
 
 /// Tasks that save are left to save, and a gang's are not stopped one by one.
@@ -42,12 +42,12 @@
     s.submit(JobSpec { estimate_s: 200.0, ..spec(2, 2, "gang") });
     (0..3).for_each(|_| s.step(&[]));
     assert_eq!(s.tasks("i-000").len(), 4);
-    let notice = Heartbeat { notice_s: Some(100.0), ..s.running("i-000") };
-    assert_eq!(stopped(&s.report(&notice)), 0);
+    let notice = Heartbeat { notice_s: Some(100.0), ..s.running_heartbeat("i-000") };
+    assert_eq!(stopped(&s.send_heartbeat(&notice)), 0);
 }
 
-/// A spot machine that falls silent among many that report is returned well before its lease ends: the
-/// cloud's answer is what lets its tasks begin elsewhere.
+/// A spot machine that falls silent among many that send heartbeats is returned well before its lease ends:
+/// the cloud's reply is what lets its tasks begin elsewhere.
 #[test]
 fn a_silent_spot_machine_is_returned_before_its_lease_ends() {
     let silent = ["i-003"];
@@ -55,7 +55,7 @@
     s.step(&[]);
     let steps = s.steps_until_returned(&silent, 20).expect("returned");
     assert!((3..=4).contains(&steps), "after {steps} reports");
-    // An ordinary machine is waited for beyond its lease of seven reports.
+    // An ordinary machine is waited for beyond its lease of seven heartbeats.
     let mut s = Scenario::new(20, false);
     s.machines.iter().for_each(|id| {
         let id: MachineId = Arc::from(id.as_str());
@@ -71,8 +71,8 @@
     let silent = ["i-003"];
     let mut s = Scenario::new(20, true);
     s.step(&[]);
-    let notice = Heartbeat { notice_s: Some(15.0), ..s.running("i-003") };
-    s.report(&notice);
+    let notice = Heartbeat { notice_s: Some(15.0), ..s.running_heartbeat("i-003") };
+    s.send_heartbeat(&notice);
     let steps = s.steps_until_returned(&silent, 20).expect("returned");
     assert_eq!(steps, 3);
 }
@@ -86,9 +86,9 @@
 }
 
 /// The cloud took most spot machines at once, without notice, and their tasks waited for the leases: the
-/// ordinary machines of the zone go on to report, so the network is not cut.
+/// ordinary machines of the zone go on sending heartbeats, so the network is not cut.
 #[test]
-fn many_silent_spot_machines_are_returned_where_ordinary_ones_report() {
+fn many_silent_spot_machines_are_returned_where_ordinary_ones_send_heartbeats() {
     let silent = ["i-001", "i-002", "i-003"];
     let mut s = Scenario::new(4, true);
     s.add_ordinary(24, 0);
--- a/tests/starving.rs
+++ b/tests/starvation.rs
@@ -1,19 +1,23 @@
 //! Nothing starves: the widest gang and the widest array begin within four minutes in a steady
-//! stream of small ones. The owner's `Fleet` against workers that run tasks for a fixed time.
+//! stream of small ones. The leader's `Fleet` against workers that run tasks for a fixed time.
 
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::{config, record, report, spec, types};
+use common::{config, heartbeat, record, spec, types};
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
 use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
-use milletlock::wire::{ExitReason, JobSpec, Order, Priority, TaskStage};
+use milletlock::wire::{ExitReason, JobSpec, Order, Priority, Shape, TaskStage};
 
+/// How far each step moves the time.
 const STEP: Micros = Micros(500_000);
+/// Workers send heartbeats this often.
+const HEARTBEAT_INTERVAL: Micros = Micros(3_000_000);
 
-struct Run {
+/// A task on a worker.
+struct RunningTask {
     task: String,
     attempt: u64,
     job: u32,
@@ -21,15 +25,24 @@
     ends: Option<Steady>,
 }
 
+/// A worker that runs what it is told to start.
+struct Worker {
+    sequence: u64,
+    next_heartbeat: Steady,
+    tasks: Vec<RunningTask>,
+}
+
+/// The leader's fleet and its workers, in steps of simulated time.
 struct Simulation {
     fleet: Fleet,
     now: Steady,
     specs: BTreeMap<u32, (JobSpec, Micros)>,
-    workers: Vec<(u64, Steady, Vec<Run>)>,
+    workers: Vec<Worker>,
     /// By job: when it came and when the first of its tasks, or the whole gang, ran.
     began: BTreeMap<u32, (Steady, Option<Steady>)>,
 }
 
+/// The number in a task's name.
 fn number(task: &str) -> u32 {
     task["wk-".len()..].split('/').next().and_then(|n| n.parse().ok()).expect("a job's number")
 }
@@ -41,11 +54,18 @@
             fleet: Fleet::new(config(), types(), 7, now),
             now,
             specs: BTreeMap::new(),
-            workers: (0..machines).map(|i| (0, now + Micros(i as i64 * 150_000), Vec::new())).collect(),
+            workers: (0..machines)
+                .map(|i| Worker {
+                    sequence: 0,
+                    next_heartbeat: now + Micros(i as i64 * 150_000),
+                    tasks: Vec::new(),
+                })
+                .collect(),
             began: BTreeMap::new(),
         }
     }
 
+    /// A user submits a job whose tasks run for so many seconds.
     fn submit(&mut self, s: JobSpec, run_s: f64) {
         let n = number(&s.id);
         let mut r = record(s.clone());
@@ -55,6 +75,7 @@
         self.began.insert(n, (self.now, None));
     }
 
+    /// Time goes on by a step for all.
     fn step(&mut self) {
         self.now = self.now + STEP;
         let (now, wall) = (self.now, Wall(self.now.0));
@@ -67,65 +88,70 @@
         }
         // A gang runs once all of its tasks are there.
         let mut there: BTreeMap<(u32, u64), u32> = BTreeMap::new();
-        for r in self.workers.iter().flat_map(|w| &w.2) {
+        for r in self.workers.iter().flat_map(|w| &w.tasks) {
             *there.entry((r.job, r.attempt)).or_default() += 1;
         }
-        for r in self.workers.iter_mut().flat_map(|w| &mut w.2) {
+        for r in self.workers.iter_mut().flat_map(|w| &mut w.tasks) {
             let (s, run) = &self.specs[&r.job];
-            let gang = s.shape == milletlock::wire::Shape::Gang;
+            let gang = s.shape == Shape::Gang;
             if r.ends.is_none() && (!gang || there[&(r.job, r.attempt)] == s.tasks) {
                 r.ends = Some(now + *run);
                 self.began.get_mut(&r.job).expect("a job").1.get_or_insert(now);
             }
         }
         for i in 0..self.workers.len() {
-            let ended = self.workers[i].2.iter().any(|r| r.ends.is_some_and(|e| e <= now));
-            if self.workers[i].1 > now && !ended {
+            let ended = self.workers[i].tasks.iter().any(|r| r.ends.is_some_and(|e| e <= now));
+            if self.workers[i].next_heartbeat > now && !ended {
                 continue;
             }
-            self.check_in(i, now, wall);
+            self.exchange_heartbeat(i, now, wall);
         }
     }
 
-    fn check_in(&mut self, i: usize, now: Steady, wall: Wall) {
+    /// A worker sends its heartbeat and executes the orders of the reply.
+    fn exchange_heartbeat(&mut self, i: usize, now: Steady, wall: Wall) {
         let w = &mut self.workers[i];
-        w.0 += 1;
-        w.1 = now + Micros::from_secs(3.0);
-        let tasks: Vec<_> =
-            w.2.iter()
-                .map(|r| match r.ends {
-                    Some(e) if e <= now => {
-                        (r.task.as_str(), r.attempt, TaskStage::Exited, Some(ExitReason::Done))
-                    }
-                    Some(_) => (r.task.as_str(), r.attempt, TaskStage::Running, None),
-                    None => (r.task.as_str(), r.attempt, TaskStage::Waiting, None),
-                })
-                .collect();
-        let mut rep = report(&format!("i-{i:03}"), w.0, if w.0 > 1 { 7 } else { 0 }, &tasks);
-        rep.ty = "large".into();
-        let HeartbeatOutcome::Reply(reply) = self.fleet.check_in(&rep, now, wall) else {
-            panic!("not answered")
+        w.sequence += 1;
+        w.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        let tasks: Vec<_> = w
+            .tasks
+            .iter()
+            .map(|r| match r.ends {
+                Some(e) if e <= now => {
+                    (r.task.as_str(), r.attempt, TaskStage::Exited, Some(ExitReason::Done))
+                }
+                Some(_) => (r.task.as_str(), r.attempt, TaskStage::Running, None),
+                None => (r.task.as_str(), r.attempt, TaskStage::Waiting, None),
+            })
+            .collect();
+        let mut message =
+            heartbeat(&format!("i-{i:03}"), w.sequence, if w.sequence > 1 { 7 } else { 0 }, &tasks);
+        message.ty = "large".into();
+        let HeartbeatOutcome::Reply(reply) = self.fleet.check_in(&message, now, wall) else {
+            panic!("no reply")
         };
         for o in reply.orders {
             match o {
                 Order::Start { task, attempt } => {
                     let job = number(&task);
-                    w.2.push(Run { task, attempt, job, since: now, ends: None });
+                    w.tasks.push(RunningTask { task, attempt, job, since: now, ends: None });
                 }
                 Order::Halt { task, attempt, .. } | Order::Forget { task, attempt } => {
-                    w.2.retain(|r| r.task != task || r.attempt != attempt);
+                    w.tasks.retain(|r| r.task != task || r.attempt != attempt);
                 }
             }
         }
-        assert!(w.2.iter().all(|r| r.since <= now));
+        assert!(w.tasks.iter().all(|r| r.since <= now));
     }
 
+    /// Seconds that a job waited until it began.
     fn waited(&self, n: u32) -> f64 {
         let (came, began) = self.began[&n];
         began.map_or(f64::INFINITY, |b| (b - came).secs())
     }
 }
 
+/// A gang of large tasks.
 fn gang(n: u32, tasks: u32, class: &str) -> JobSpec {
     let mut s = spec(n, tasks, "gang");
     (s.priority, s.cpus, s.estimate_s) = (Priority::Urgent, 15.0, 60.0);
@@ -134,70 +160,70 @@
 }
 
 #[test]
-fn the_widest_gang_begins_in_a_stream_of_single_ones_and_of_the_lowest_rank() {
-    let mut w = Simulation::new(20);
+fn the_widest_gang_starts_in_a_stream_of_single_tasks_and_lowest_priority_jobs() {
+    let mut simulation = Simulation::new(20);
     for k in 0..720u32 {
         // Single gangs that can still make their start take four fifths of the machines.
         if k % 8 == 0 {
-            w.submit(gang(k + 1, 1, "quick"), 62.0);
+            simulation.submit(gang(k + 1, 1, "quick"), 62.0);
         }
-        // Small tasks of the lowest rank want all the rest, and more.
+        // Small tasks of the lowest priority want all the rest, and more.
         if k % 20 == 1 {
             let mut s = spec(k + 1, 90, "batch");
             (s.priority, s.estimate_s) = (Priority::Idle, 30.0);
-            w.submit(s, 30.0);
+            simulation.submit(s, 30.0);
         }
         if k == 202 {
-            w.submit(gang(900, 16, "quick"), 62.0);
+            simulation.submit(gang(900, 16, "quick"), 62.0);
         }
-        w.step();
+        simulation.step();
     }
-    let waited = w.waited(900);
+    let waited = simulation.waited(900);
     assert!(waited < 240.0, "the widest gang began after {waited} s");
 }
 
 #[test]
-fn the_widest_array_begins_beside_a_higher_rank_that_takes_nearly_all() {
-    let mut w = Simulation::new(10);
+fn the_widest_array_starts_beside_a_higher_priority_that_takes_nearly_all_capacity() {
+    let mut simulation = Simulation::new(10);
     for k in 0..600u32 {
         // 160 processors in all: 24 tasks of 30 s every five seconds take nine tenths.
         if k % 10 == 0 {
             let mut s = spec(k + 1, 24, "batch");
             (s.priority, s.estimate_s) = (Priority::Normal, 30.0);
-            w.submit(s, 30.0);
+            simulation.submit(s, 30.0);
         }
         if k == 105 {
             let mut s = spec(900, 800, "batch");
             (s.priority, s.estimate_s) = (Priority::Idle, 30.0);
-            w.submit(s, 30.0);
+            simulation.submit(s, 30.0);
         }
-        w.step();
+        simulation.step();
     }
-    let waited = w.waited(900);
+    let waited = simulation.waited(900);
     assert!(waited < 240.0, "the widest array began after {waited} s");
-    let served = w.began.values().filter(|b| b.1.is_some()).count();
-    assert!(served * 10 >= w.began.len() * 9, "{served} of {} jobs began", w.began.len());
+    let served = simulation.began.values().filter(|b| b.1.is_some()).count();
+    assert!(served * 10 >= simulation.began.len() * 9, "{served} of {} jobs began", simulation.began.len());
 }
 
 #[test]
-fn beyond_capacity_those_that_can_make_more_of_their_aims_go_first_but_nobody_is_forgotten() {
+fn beyond_capacity_jobs_that_can_meet_more_objectives_go_first_but_none_is_forgotten() {
     // 20 machines take 20 gangs of one a minute; for two minutes there are twice as many.
-    let mut w = Simulation::new(20);
+    let mut simulation = Simulation::new(20);
     let mut came = Vec::new();
     for k in 0..900u32 {
         let every = if (120..360).contains(&k) { 3 } else { 12 };
         if k % every == 0 {
-            w.submit(gang(k + 1, 1, "quick"), 60.0);
+            simulation.submit(gang(k + 1, 1, "quick"), 60.0);
             came.push(k + 1);
         }
-        w.step();
+        simulation.step();
     }
     // Once all is over each has begun, none later than four minutes after it came.
-    let waited: Vec<f64> = came.iter().filter(|n| **n < 700).map(|n| w.waited(*n)).collect();
+    let waited: Vec<f64> = came.iter().filter(|n| **n < 700).map(|n| simulation.waited(*n)).collect();
     let worst = waited.iter().copied().fold(0.0, f64::max);
     assert!(worst < 240.0, "one began after {worst} s");
     // In the order of coming nearly all of the rush would have waited longer than their aim of 20 s.
     let rush = came.iter().filter(|n| (120..360).contains(*n));
-    let (all, in_time) = rush.fold((0, 0), |(a, t), n| (a + 1, t + u32::from(w.waited(*n) < 20.0)));
+    let (all, in_time) = rush.fold((0, 0), |(a, t), n| (a + 1, t + u32::from(simulation.waited(*n) < 20.0)));
     assert!(in_time * 3 > all, "{in_time} of {all} in time");
 }
--- a/tests/reads.rs
+++ b/tests/store_client.rs
@@ -1,4 +1,4 @@
-//! The client side of the state service: its budget, and the live jobs by changes read.
+//! The client side of the state store: its budget, and the live jobs by changes read.
 
 use milletlock::live_jobs::LiveIds;
 use milletlock::state::TokenBucket;
--- a/tests/three_cells.rs
+++ b/tests/three_cells.rs
@@ -118,14 +118,14 @@
     assert_tally(&cells, tasks);
 }
 
-/// A transaction without an answer may have been carried out or not, and may yet be.
+/// A transaction without a reply may have been carried out or not, and may yet be.
 #[test]
-fn lost_answers_of_the_state_services_lose_and_repeat_nothing() {
+fn lost_replies_of_the_state_stores_lose_and_repeat_nothing() {
     let cells = Cells::start(4, &plans());
-    cells.drops_answers.store(true, Ordering::Relaxed);
+    cells.drops_replies.store(true, Ordering::Relaxed);
     let tasks = flood(&cells);
     wait_until_done(&cells);
-    cells.drops_answers.store(false, Ordering::Relaxed);
+    cells.drops_replies.store(false, Ordering::Relaxed);
     assert_gang_whole(&cells);
     assert_tally(&cells, tasks);
 }
@@ -179,15 +179,15 @@
     let same_id = cells.call(2, "POST", "/api/jobs", Some(&job(1, 1, "batch"))).0;
     assert_eq!(same_id, 503, "two jobs of one id could not be told apart on a worker");
     cells.cut(0, 1, true);
-    let withdraw = || cells.call(0, "POST", &format!("/api/jobs/{}/withdraw", id(1)), Some(&json!({})));
-    assert_eq!(withdraw().0, 503);
+    let cancel = || cells.call(0, "POST", &format!("/api/jobs/{}/withdraw", id(1)), Some(&json!({})));
+    assert_eq!(cancel().0, 503);
     until("only the one behind the cut is left", || holders().iter().eq(["cell-1"]));
-    let (status, answer) = withdraw();
-    assert_eq!(status, 503, "{answer}");
+    let (status, reply) = cancel();
+    assert_eq!(status, 503, "{reply}");
     let stage = cells.stage(0, &id(1));
     assert!(["queued", "running"].contains(&stage.as_str()), "{stage} before it is certain");
     cells.cut(0, 1, false);
-    until("it is confirmed", || withdraw() == (200, json!({ "nameId": id(1), "stage": "cancelled" })));
+    until("it is confirmed", || cancel() == (200, json!({ "nameId": id(1), "stage": "cancelled" })));
     let confirmed = Instant::now();
     let present = || cells.history.lock().expect("the history").present.len();
     until("all of it is gone", || present() == 0);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,12 +1,12 @@
-//! A change of version: the version in production and this one take over from each other on the same
-//! records, while the state service's limits may fall.
+//! A change of version: the version in production and this one fail over to each other on the same
+//! records, while the state store's limits may fall.
 
 mod common;
 
 use std::collections::BTreeMap;
 
 use common::store::Store;
-use common::{config_with_falling_limits, production, record, report, spec, types};
+use common::{config_with_falling_limits, heartbeat, production, record, spec, types};
 use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::history::EstimateKey;
 use milletlock::leadership::{self, LeaderRecord, SHARD_KEY};
@@ -18,7 +18,7 @@
 use serde_json::{json, Value};
 
 const NOW: Steady = Steady(1_000_000_000);
-/// Long enough after a takeover for all that waits to be written.
+/// Long enough after a failover for all that waits to be written.
 const LATER: Steady = Steady(NOW.0 + 20_000_000);
 /// The time of day at [`NOW`].
 const WALL: Wall = Wall(1_790_000_000_000_000);
@@ -51,7 +51,7 @@
 fn production_rows() -> Vec<Row> {
     let past: Vec<Value> = (0..10).map(|n| json!({"end_s": 1_789_000_000 + n, "ratio": 0.6})).collect();
     let bucket = EstimateKey { team: "free".into(), stated: Micros(20_000_000) }.bucket();
-    let owner = json!({"label": "c-1", "incarnation": 5, "token": 41, "lease": 900});
+    let leader = json!({"label": "c-1", "incarnation": 5, "token": 41, "lease": 900});
     vec![
         row(
             "recent",
@@ -76,14 +76,14 @@
         row("done/wk-000001/1", 16, json!("1016-1019,2031")),
         row(&format!("hist/{bucket}"), 17, json!([{"team": "free", "stated_us": 20_000_000, "past": past}])),
         row("final/wk-000000", 18, json!({"stage": "done", "tasks": 3})),
-        row("leader", 19, owner.clone()),
-        row(SHARD_KEY, 19, owner),
+        row("leader", 19, leader.clone()),
+        row(SHARD_KEY, 19, leader),
         row("term", 19, json!({"n": 41})),
     ]
 }
 
-/// An owner of this version that has taken over what is in these rows.
-fn taken_over(rows: Vec<Row>) -> Fleet {
+/// A leader of this version that has loaded these rows.
+fn load_fleet(rows: Vec<Row>) -> Fleet {
     let mut fleet = Fleet::new(falling(), types(), 42, NOW);
     let read_to = rows.iter().map(|r| r.mod_revision).max().unwrap_or(0);
     leadership::load(&mut fleet, rows, NOW, WALL);
@@ -91,14 +91,14 @@
     fleet
 }
 
-/// What an owner would write now, in its transactions.
+/// What a leader would write now, in its transactions.
 fn waiting(fleet: &mut Fleet, shard_revision: u64, now: Steady) -> Vec<leadership::Batch> {
     let pending = fleet.pending(now, Micros::ZERO, chunk_tasks(fleet.value_bytes()));
     let ops = fleet.txn_ops();
     leadership::batches(fleet, shard_revision, pending, ops, now, WALL)
 }
 
-/// Everything an owner writes until nothing waits, each transaction applied and acknowledged. The store
+/// Everything a leader writes until nothing waits, each transaction applied and acknowledged. The store
 /// has `shard_revision/0` already.
 fn write_all(fleet: &mut Fleet, store: &mut Store) -> Vec<Txn> {
     let mut all = Vec::new();
@@ -135,14 +135,14 @@
 }
 
 fn enrol(fleet: &mut Fleet, id: &str, now: Steady) {
-    let answer = fleet.check_in(&report(id, 1, 0, &[]), now, WALL);
-    assert!(matches!(answer, HeartbeatOutcome::Reply(_)), "{id} is not answered: {answer:?}");
+    let outcome = fleet.check_in(&heartbeat(id, 1, 0, &[]), now, WALL);
+    assert!(matches!(outcome, HeartbeatOutcome::Reply(_)), "{id} has no reply: {outcome:?}");
 }
 
 /// Guards against a record of production that this version would not know, or take for another.
 #[test]
-fn every_record_of_production_is_taken_over() {
-    let mut fleet = taken_over(production_rows());
+fn every_record_of_production_is_loaded() {
+    let mut fleet = load_fleet(production_rows());
     let job = &fleet.jobs["wk-000001"];
     assert_eq!((job.spec.tasks, job.mod_revision, job.submitted), (2500, 11, Wall(1_789_999_990_000_000)));
     assert_eq!((job.high, job.inherited, fleet.jobs["wk-000002"].high), (2100, 2100, 4));
@@ -163,14 +163,14 @@
     );
     let recent = fleet.recent(NOW, WALL, 4000);
     assert!(recent.iter().any(|d| d.extra_machines == 3 && d.types == ["large"]), "{recent:?}");
-    // The list of recent jobs has been added to; nothing else is written for a takeover alone.
+    // The list of recent jobs has been added to; nothing else is written for a failover alone.
     let written = waiting(&mut fleet, 19, LATER);
     assert!(written.iter().flat_map(|b| &b.items).all(|(p, _)| *p == PendingWrite::Recent));
     // The others are read by themselves.
     let of = |key: &str| production_rows().into_iter().find(|r| r.key == key).expect("a row").value;
-    let owner: LeaderRecord = serde_json::from_value(of("leader")).expect("an owner");
+    let leader: LeaderRecord = serde_json::from_value(of("leader")).expect("a leader");
     assert_eq!(
-        (owner.label.as_str(), owner.incarnation, owner.fencing_token, owner.lease),
+        (leader.label.as_str(), leader.incarnation, leader.fencing_token, leader.lease),
         ("c-1", 5, 41, 900)
     );
     let over: FinalRecord = serde_json::from_value(of("final/wk-000000")).expect("an end");
@@ -182,7 +182,7 @@
 #[test]
 fn done_chunks_of_production_stay_as_they_are_until_the_jobs_end() {
     let mut store = store_of(production_rows());
-    let mut fleet = taken_over(production_rows());
+    let mut fleet = load_fleet(production_rows());
     let job = fleet.jobs.get_mut("wk-000001").expect("the job");
     for task in (30..60).chain(1100..1110).chain(2400..2405) {
         job.done.insert(task);
@@ -208,11 +208,11 @@
     assert!(written.iter().all(|t| t.then.len() <= SMALL_TXN));
     assert!(store.row("job/wk-000001").is_none() && store.row("final/wk-000001").is_some());
     assert_eq!(store.rows("done/").len(), 0);
-    // An owner that never knew the job removes what is left as well.
+    // A leader that never knew the job removes what is left as well.
     let mut rows = production_rows();
     rows.retain(|r| r.key != "job/wk-000001");
     let mut store = store_of(rows.clone());
-    write_all(&mut taken_over(rows), &mut store);
+    write_all(&mut load_fleet(rows), &mut store);
     assert_eq!(store.rows("done/").len(), 0);
 }
 
@@ -253,7 +253,7 @@
 #[test]
 fn production_reads_whatever_this_version_writes_within_the_coming_limits() {
     let mut store = store_of(vec![row(SHARD_KEY, 1, json!({}))]);
-    let mut fleet = taken_over(Vec::new());
+    let mut fleet = load_fleet(Vec::new());
     for n in 0..1000 {
         enrol(&mut fleet, &format!("i-{n:05}"), NOW);
     }
@@ -294,7 +294,7 @@
     assert_eq!(production::marks_in(&store).len(), 200, "the marks of the jobs that go on");
 }
 
-/// Guards against a mark lowered where two owners left copies of it, whichever of them is read last.
+/// Guards against a mark lowered where two leaders left copies of it, whichever of them is read last.
 #[test]
 fn the_highest_copy_of_a_mark_is_the_one_that_stays() {
     for (first, second) in [(200, 100), (100, 200)] {
@@ -305,11 +305,11 @@
             row("marks/1", 4, json!({ "wk-000001": second })),
         ];
         let mut store = store_of(rows.clone());
-        let mut fleet = taken_over(rows);
+        let mut fleet = load_fleet(rows);
         assert_eq!(fleet.jobs["wk-000001"].high, 200);
         for round in 1..10_i64 {
             for batch in waiting(&mut fleet, 1, LATER + Micros(round * 20_000_000)) {
-                let revision = store.txn(&batch.txn).expect("no other owner");
+                let revision = store.txn(&batch.txn).expect("no other leader");
                 batch.items.iter().for_each(|(p, said)| fleet.written(p, revision, said, LATER));
                 assert_eq!(production::marks_in(&store)["wk-000001"], 200);
             }
@@ -319,11 +319,11 @@
     }
 }
 
-/// Guards against an owner's own earlier transaction, held up on the way, undoing its newer one.
+/// Guards against a leader's own earlier transaction, held up on the way, undoing its newer one.
 #[test]
-fn late_transactions_of_the_same_owner_are_refused() {
+fn late_transactions_of_the_same_leader_are_refused() {
     let mut store = store_of(production_rows());
-    let mut fleet = taken_over(production_rows());
+    let mut fleet = load_fleet(production_rows());
     let finish = |fleet: &mut Fleet, tasks: std::ops::Range<u32>| {
         let job = fleet.jobs.get_mut("wk-000001").expect("the job");
         job.high_wanted = 2100 + tasks.end;
@@ -357,7 +357,7 @@
     });
     let rows = vec![row(SHARD_KEY, 1, json!({})), row("machines/0", 2, json!({ "i-1": later }))];
     let mut store = store_of(rows.clone());
-    let mut fleet = taken_over(rows);
+    let mut fleet = load_fleet(rows);
     enrol(&mut fleet, "i-2", NOW);
     write_all(&mut fleet, &mut store);
     let value = &store.keys["machines/0"].0;
--- a/tests/upgrade_failovers/simulation/events.rs
+++ b/tests/upgrade_failovers/simulation/events.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use super::{parse, SimulatedLeader, Simulation, TxnOutcome, WALL};
-use crate::common::{report, spec};
+use crate::common::{heartbeat, spec};
 
 impl Simulation {
     /// A transaction that was on its way arrives. One of a leader that ended must change nothing.
@@ -83,7 +83,7 @@
             SimulatedLeader::Production(leader) => leader.enrol(&id),
             SimulatedLeader::Current(fleet) => {
                 let wall = Wall(WALL.0 + self.now.0);
-                let reply = fleet.check_in(&report(&id, 1, 0, &[]), self.now, wall);
+                let reply = fleet.check_in(&heartbeat(&id, 1, 0, &[]), self.now, wall);
                 assert!(matches!(reply, HeartbeatOutcome::Reply(_)), "{reply:?}");
             }
         }
