--- /dev/null
+++ b/tests/common/cells/mod.rs
@@ -0,0 +1,269 @@
+//! Cells of the real program on loopback: controllers as processes, between stand-ins for the state store,
+//! the cloud and the workers, and links between cells that can be cut.
+
+mod addresses;
+mod cloud;
+mod history;
+mod link;
+mod plan;
+mod state_store;
+mod worker;
+
+pub use plan::CellPlan;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::{Duration, Instant};
+
+use milletlock::http::Client;
+use milletlock::peer::{self, Call};
+use milletlock::time::{Micros, Steady};
+use milletlock::wire::CellsStatus;
+use serde_json::Value;
+
+use self::addresses::Addresses;
+use self::cloud::cloud;
+use self::history::History;
+use self::link::Link;
+use self::plan::platform_settings;
+use self::state_store::{state_store_server, StateLoad};
+use self::worker::Worker;
+use super::worker::WorkerState;
+
+/// The workers' lease in these settings, in seconds.
+pub const LEASE_S: f64 = 4.0;
+
+/// Waits for a condition that is bound to come; the deadline only ends a broken run.
+pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(60);
+    while !condition() {
+        assert!(Instant::now() < deadline, "never: {what}");
+        std::thread::sleep(Duration::from_millis(20));
+    }
+}
+
+/// Locks a mutex, whatever panicked with it.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(|e| e.into_inner())
+}
+
+/// A cell.
+struct Cell {
+    controllers: Vec<Option<Child>>,
+    users: Vec<SocketAddr>,
+    internal: Vec<SocketAddr>,
+    load: Arc<StateLoad>,
+}
+
+/// Cells that know each other.
+pub struct Cells {
+    cells: Vec<Cell>,
+    /// Links by the cell that asks and the cell that is asked.
+    links: BTreeMap<(usize, usize), Vec<Link>>,
+    /// What the workers did.
+    pub history: Arc<Mutex<History>>,
+    /// Whether the state stores drop replies.
+    pub drops_replies: Arc<AtomicBool>,
+    /// Whether the state stores refuse everybody.
+    pub state_is_out: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
+    folder: std::path::PathBuf,
+}
+
+impl Cells {
+    /// Starts cells; `group` tells the addresses of tests that run at once apart.
+    pub fn start(group: u8, plans: &[CellPlan]) -> Cells {
+        let addresses = Addresses::new(group);
+        let folder = std::env::temp_dir().join(format!("milletlock-cells-{}-{group}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        let mut cells = Cells {
+            cells: Vec::new(),
+            links: BTreeMap::new(),
+            history: Arc::default(),
+            drops_replies: Arc::default(),
+            state_is_out: Arc::default(),
+            stop: Arc::default(),
+            folder,
+        };
+        for (i, plan) in plans.iter().enumerate() {
+            cells.start_links(i, plans, &addresses);
+            cells.start_cell(i, plan, plans.len(), &addresses);
+        }
+        (0..plans.len()).for_each(|i| until("a cell is up", || cells.leader(i).is_some()));
+        cells
+    }
+
+    /// Starts the links of a cell to all others.
+    fn start_links(&mut self, cell: usize, plans: &[CellPlan], addresses: &Addresses) {
+        for to in (0..plans.len()).filter(|to| *to != cell) {
+            let link = |c: usize| Link::start(addresses.link(cell, to, c), addresses.internal(to, c));
+            self.links.insert((cell, to), (0..plans[cell].controllers).map(link).collect());
+        }
+    }
+
+    /// Starts a cell: its state store, cloud, controllers and workers.
+    fn start_cell(&mut self, cell: usize, plan: &CellPlan, cells: usize, addresses: &Addresses) {
+        let controllers = 0..plan.controllers;
+        let users: Vec<SocketAddr> = controllers.clone().map(|c| addresses.users(cell, c)).collect();
+        let internal: Vec<SocketAddr> = controllers.clone().map(|c| addresses.internal(cell, c)).collect();
+        let settings = plan.operator_settings(cell, cells, addresses);
+        std::fs::write(self.folder.join(format!("{cell}.hcl")), settings).expect("written");
+        let machines: Vec<String> = (0..plan.workers).map(|w| format!("i-{cell}{w:05}")).collect();
+        let load = Arc::<StateLoad>::default();
+        let state = state_store_server(self.drops_replies.clone(), self.state_is_out.clone(), load.clone());
+        let cloud = cloud(machines.clone(), self.history.clone());
+        for c in controllers.clone() {
+            let settings = platform_settings(c, &users, &internal, cloud, state);
+            std::fs::write(self.folder.join(format!("{cell}-{c}.json")), settings).expect("written");
+        }
+        let none = controllers.clone().map(|_| None).collect();
+        self.cells.push(Cell { controllers: none, users: users.clone(), internal, load });
+        controllers.for_each(|c| self.start_controller(cell, c));
+        machines.into_iter().for_each(|id| self.start_worker(cell, id, plan.task_time, users.clone()));
+    }
+
+    /// Starts a worker, which runs until the test ends.
+    fn start_worker(&self, cell: usize, id: String, task_time: Duration, controllers: Vec<SocketAddr>) {
+        let mut state = WorkerState::new(id, "north", Steady(0));
+        state.addr = String::new();
+        let worker = Worker { cell, state, ends: BTreeMap::new(), task_time, history: self.history.clone() };
+        let stop = self.stop.clone();
+        std::thread::spawn(move || worker.run(&controllers, &stop));
+    }
+
+    /// Starts a controller's process.
+    pub fn start_controller(&mut self, cell: usize, controller: usize) {
+        let file = |name: String| self.folder.join(name);
+        let log = std::fs::File::create(file(format!("{cell}-{controller}.log"))).expect("a log");
+        let child = Command::new(env!("CARGO_BIN_EXE_milletlock"))
+            .arg("--config")
+            .arg(file(format!("{cell}-{controller}.json")))
+            .arg("--operator")
+            .arg(file(format!("{cell}.hcl")))
+            .env("LOG_LEVEL", "info")
+            .env("LOG_FORMAT", "json")
+            .stdout(Stdio::null())
+            .stderr(log)
+            .spawn()
+            .expect("the program");
+        self.cells[cell].controllers[controller] = Some(child);
+    }
+
+    /// What a controller's process has logged since it was last started.
+    pub fn log_file(&self, cell: usize, controller: usize) -> std::path::PathBuf {
+        self.folder.join(format!("{cell}-{controller}.log"))
+    }
+
+    /// Ends a controller's process at once.
+    pub fn kill_controller(&mut self, cell: usize, controller: usize) {
+        if let Some(mut child) = self.cells[cell].controllers[controller].take() {
+            let _ = child.kill();
+            let _ = child.wait();
+        }
+    }
+
+    /// A cell is gone, with its controllers and machines.
+    pub fn lose_cell(&mut self, cell: usize) {
+        (0..self.cells[cell].controllers.len()).for_each(|c| self.kill_controller(cell, c));
+        let mut history = lock(&self.history);
+        let of_cell = history.present.iter().filter(|(at, _)| at.0 == cell);
+        let machines: BTreeSet<String> = of_cell.map(|(_, machine)| machine.clone()).collect();
+        machines.iter().for_each(|machine| history.remove_machine(machine));
+    }
+
+    /// The address at which a cell's leader hears other controllers.
+    pub fn leader_address(&self, cell: usize) -> String {
+        let mut leader = None;
+        until("a cell has a leader", || {
+            leader = self.leader(cell);
+            leader.is_some()
+        });
+        self.cells[cell].internal[leader.expect("a leader")].to_string()
+    }
+
+    /// Cuts two cells off from each other, or connects them again.
+    pub fn cut(&self, one: usize, other: usize, is_cut: bool) {
+        for pair in [(one, other), (other, one)] {
+            self.links[&pair].iter().for_each(|link| link.cut.store(is_cut, Ordering::Relaxed));
+        }
+    }
+
+    /// What a cell's controllers have asked of their state store.
+    pub fn state_load(&self, cell: usize) -> (usize, usize) {
+        let load = &self.cells[cell].load;
+        (load.requests.load(Ordering::Relaxed), load.changes.load(Ordering::Relaxed))
+    }
+
+    /// Processor time in clock ticks that a cell's controllers have taken.
+    pub fn processor_ticks(&self, cell: usize) -> u64 {
+        let ticks = |child: &Child| -> u64 {
+            let stat = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
+            let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
+            [11, 12].iter().filter_map(|i| fields.get(*i)?.parse::<u64>().ok()).sum()
+        };
+        self.cells[cell].controllers.iter().flatten().map(ticks).sum()
+    }
+
+    /// Has tasks end now, done.
+    pub fn end_tasks(&self, tasks: &[String]) {
+        lock(&self.history).ended_early.extend(tasks.iter().cloned());
+    }
+
+    /// What a controller says of itself.
+    pub fn status(&self, cell: usize, controller: usize) -> Option<Value> {
+        self.cells[cell].controllers[controller].as_ref()?;
+        let call = Call { method: "GET".into(), path: "/status".into(), body: Vec::new() };
+        let response = peer::ask(self.cells[cell].internal[controller], call, Micros::from_secs(2.0)).ok()?;
+        serde_json::from_slice(&response.body).ok()
+    }
+
+    /// Which controller leads a cell.
+    pub fn leader(&self, cell: usize) -> Option<usize> {
+        (0..self.cells[cell].controllers.len())
+            .find(|c| self.status(cell, *c).is_some_and(|status| status["owner"].is_object()))
+    }
+
+    /// What a cell's leader says of loans.
+    pub fn cells_status(&self, cell: usize) -> Option<CellsStatus> {
+        let status = self.status(cell, self.leader(cell)?)?;
+        serde_json::from_value(status["cells"].clone()).ok()
+    }
+
+    /// Calls a cell's users' interface, at whichever controller replies.
+    pub fn call(&self, cell: usize, method: &str, path: &str, body: Option<&Value>) -> (u16, Value) {
+        let body = body.map(|body| body.to_string().into_bytes());
+        for addr in &self.cells[cell].users {
+            let client = Client::new(*addr, 0);
+            if let Ok(response) = client.call(method, path, body.as_deref(), Micros::from_secs(5.0)) {
+                return (response.status, serde_json::from_slice(&response.body).unwrap_or(Value::Null));
+            }
+        }
+        (0, Value::Null)
+    }
+
+    /// Submits a job to a cell.
+    pub fn submit(&self, cell: usize, job: &Value) {
+        until("a job is accepted", || self.call(cell, "POST", "/api/jobs", Some(job)).0 / 100 == 2);
+    }
+
+    /// A job's stage at its home.
+    pub fn stage(&self, cell: usize, job: &str) -> String {
+        let response = self.call(cell, "GET", &format!("/api/jobs/{job}"), None).1;
+        response["stage"].as_str().unwrap_or("").to_string()
+    }
+}
+
+impl Drop for Cells {
+    fn drop(&mut self) {
+        self.stop.store(true, Ordering::Relaxed);
+        for cell in 0..self.cells.len() {
+            (0..self.cells[cell].controllers.len()).for_each(|c| self.kill_controller(cell, c));
+        }
+        if !std::thread::panicking() {
+            let _ = std::fs::remove_dir_all(&self.folder);
+        }
+    }
+}
--- /dev/null
+++ b/tests/common/cells/worker.rs
@@ -0,0 +1,134 @@
+//! A worker that sends heartbeats to its cell's controllers in turn.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use milletlock::http::{Client, ClientResponse};
+use milletlock::time::{Micros, Steady};
+use milletlock::wire::{ExitReason, HeartbeatReply, Order, TaskStage};
+
+use super::super::worker::{Attempt, Task, WorkerState};
+use super::history::History;
+use super::{lock, LEASE_S};
+
+/// How often a worker sends a heartbeat if nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+
+/// How often a worker looks whether it has a reason to send a heartbeat.
+const WORKER_STEP: Duration = Duration::from_millis(40);
+
+/// A worker that sends heartbeats to its cell's controllers in turn until the test ends.
+pub struct Worker {
+    pub cell: usize,
+    pub state: WorkerState,
+    pub ends: BTreeMap<Attempt, Instant>,
+    pub task_time: Duration,
+    pub history: Arc<Mutex<History>>,
+}
+
+impl Worker {
+    /// Runs until the test ends or the machine is gone.
+    pub fn run(mut self, controllers: &[SocketAddr], stop: &AtomicBool) {
+        let started = Instant::now();
+        let lease = Micros::from_secs(LEASE_S);
+        let now = || Steady(started.elapsed().as_micros() as i64);
+        let (mut at, mut sent_at, mut changed) = (0, Instant::now(), true);
+        while !stop.load(Ordering::Relaxed) && !lock(&self.history).gone.contains(&self.state.id) {
+            changed |= self.finish_tasks(now());
+            changed |= self.end_session(lease, now());
+            if changed || sent_at.elapsed() > HEARTBEAT_INTERVAL {
+                let body = serde_json::to_vec(&self.state.heartbeat()).expect("a heartbeat");
+                sent_at = Instant::now();
+                let client = Client::new(controllers[at], 0);
+                let sent = now();
+                let response = client.call("POST", "/checkin", Some(&body), Micros::from_secs(4.0));
+                changed = match response {
+                    Ok(ClientResponse { status: 200, body }) => {
+                        let reply = serde_json::from_slice(&body).expect("a reply");
+                        self.execute(&reply, sent, now())
+                    }
+                    _ => {
+                        at = (at + 1) % controllers.len();
+                        true
+                    }
+                };
+            }
+            std::thread::sleep(WORKER_STEP);
+        }
+    }
+
+    /// Kills all tasks if the lease has run out.
+    fn end_session(&mut self, lease: Micros, now: Steady) -> bool {
+        if !self.state.end_session_after(lease, now) {
+            return false;
+        }
+        let mut history = lock(&self.history);
+        history.killed_by_lease += self.ends.len();
+        for attempt in std::mem::take(&mut self.ends).into_keys() {
+            history.present.remove(&(self.cell, attempt));
+        }
+        true
+    }
+
+    /// Ends the tasks whose time is over; whether there are any.
+    fn finish_tasks(&mut self, now: Steady) -> bool {
+        let early = lock(&self.history).ended_early.clone();
+        let ended: Vec<Attempt> = self
+            .ends
+            .iter()
+            .filter(|(attempt, end)| **end < Instant::now() || early.contains(&attempt.0))
+            .map(|(attempt, _)| attempt.clone())
+            .collect();
+        for attempt in &ended {
+            self.ends.remove(attempt);
+            if let Some(task) = self.state.tasks.get_mut(attempt) {
+                task.enter(TaskStage::Exited, Some(ExitReason::Done), now);
+            }
+            let mut history = lock(&self.history);
+            if history.present.remove(&(self.cell, attempt.clone())).is_none() {
+                continue;
+            }
+            history.finished.entry(attempt.0.clone()).or_default().push(self.cell);
+        }
+        !ended.is_empty()
+    }
+
+    /// Executes the orders of a reply; whether anything changed.
+    fn execute(&mut self, reply: &HeartbeatReply, sent: Steady, now: Steady) -> bool {
+        if !self.state.accept_reply(reply.fencing_token, sent) {
+            return false;
+        }
+        let received = Instant::now();
+        lock(&self.history).orders.extend(reply.orders.iter().map(|order| (received, order.clone())));
+        for order in &reply.orders {
+            match order {
+                Order::Start { task, attempt } => self.start((task.clone(), *attempt), now),
+                Order::Halt { task, attempt, .. } => {
+                    let key = (task.clone(), *attempt);
+                    self.state.halt(task, *attempt);
+                    self.ends.remove(&key);
+                    lock(&self.history).present.remove(&(self.cell, key));
+                }
+                Order::Forget { task, attempt } => self.state.forget(task, *attempt),
+            }
+        }
+        !reply.orders.is_empty()
+    }
+
+    /// Starts a task.
+    fn start(&mut self, attempt: Attempt, now: Steady) {
+        if self.state.tasks.contains_key(&attempt) {
+            return;
+        }
+        self.state.tasks.insert(attempt.clone(), Task::new(TaskStage::Running, Micros::ZERO, now));
+        self.ends.insert(attempt.clone(), Instant::now() + self.task_time);
+        let mut history = lock(&self.history);
+        let elsewhere = history.present.keys().any(|(_, there)| there.0 == attempt.0);
+        assert!(!elsewhere, "{} starts while it is on another machine", attempt.0);
+        history.begun.entry(attempt.0.clone()).or_default().insert((self.cell, attempt.1));
+        history.present.insert((self.cell, attempt), self.state.id.clone());
+    }
+}
