--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
+use super::fleet_writes::acknowledge_writes;
 use super::{config, heartbeat, record, types};
 use milletlock::capacity::Offer;
 use milletlock::config::Config;
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
 use milletlock::jobs::MachineId;
-use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{Heartbeat, JobSpec, Order, TaskStage};
 
@@ -55,12 +55,7 @@
     pub fn step(&mut self, silent: &[&str]) {
         self.now = self.now + HEARTBEAT_INTERVAL;
         self.fleet.tick(self.now, Wall(self.now.0));
-        let pending = self.fleet.pending(self.now, Micros::ZERO, 1000);
-        for b in leadership::batches(&mut self.fleet, 1, pending, 64, self.now, Wall(self.now.0)) {
-            for (p, said) in &b.items {
-                self.fleet.written(p, 1_000_000, said, self.now);
-            }
-        }
+        acknowledge_writes(&mut self.fleet, 64, 1_000_000, self.now);
         for id in self.machines.clone() {
             if !silent.contains(&id.as_str()) {
                 let message = self.running_heartbeat(&id);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,6 +4,8 @@
 pub mod cells;
 pub mod clock;
 pub mod fleet_scenario;
+pub mod fleet_writes;
+pub mod lending_scenario;
 pub mod planner;
 pub mod production;
 pub mod servers;
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -3,95 +3,36 @@
 
 mod common;
 
-use std::sync::Arc;
-
-use common::fleet_scenario::Scenario;
+use common::lending_scenario::{guest, lend, lending_config, lending_scenario, run_to_rest, tasks, wall};
 use common::store::Store;
-use common::{config, production, record, spec, types};
-use milletlock::config::{Config, OperatorConfig};
+use common::{production, record, spec, types};
 use milletlock::fleet::{Fleet, LoanWrite};
 use milletlock::leadership::{self, SHARD_KEY};
 use milletlock::time::{Steady, Wall};
 use milletlock::wire::{ExitReason, Order, TaskStage};
 use milletlock_cells::{
-    BorrowRefusal, BorrowerChange, CellSummary, Lending, Loan, LoanAction, LoanItem, LoanNumber, LoanOffer,
-    LoanSyncRequest, LocalTasks, TaskSet, SUMMARY_FORMAT,
+    BorrowRefusal, BorrowerChange, Lending, Loan, LoanAction, LoanItem, LoanNumber, LoanOffer,
+    LoanSyncRequest, LocalTasks, TaskSet,
 };
 use serde_json::json;
 
-fn with_cells() -> Arc<Config> {
-    let hcl =
-        "cells {\n name = \"here\"\n others = [{ name = \"there\", controllers = [\"127.0.0.1:1\"] }]\n \
-               lend = [\"any\"]\n borrow = [\"any\"]\n borrow_cpus = 20\n lend_after_s = 0\n}\n";
-    let operator = OperatorConfig::parse(hcl, "test").expect("settings");
-    Arc::new(Config { platform: config().platform.clone(), operator })
-}
-
-fn scenario() -> Scenario {
-    Scenario::with_config(with_cells(), 2, false)
-}
-
-/// A guest with capacity for so many processors.
-fn guest(spare_cpus: f64) -> CellSummary {
-    CellSummary { format: SUMMARY_FORMAT, spare_cpus, ..CellSummary::default() }
-}
-
-fn wall(s: &Scenario) -> Wall {
-    Wall(s.now.0)
-}
-
-/// Has the fleet lend the last tasks of its only job.
-fn lend(s: &mut Scenario, count: u32) -> LoanWrite {
-    let candidate = s.fleet.lending_candidate(&guest(1000.0), wall(s)).expect("a job to lend from");
-    s.fleet.begin_loan(&candidate, count, "there").expect("a loan")
-}
-
-fn tasks(text: &str) -> TaskSet {
-    TaskSet::parse(text).expect("tasks")
-}
-
-/// Runs until nothing more starts; the numbers of all tasks that are on machines.
-fn started(s: &mut Scenario) -> TaskSet {
-    let mut all = TaskSet::new();
-    for _ in 0..30 {
-        s.step(&[]);
-        for id in s.machines.clone() {
-            let there = s.tasks(&id);
-            let numbers = there.iter().filter_map(|t| t.0.rsplit_once('/')?.1.parse::<u32>().ok());
-            numbers.for_each(|n| {
-                all.insert(n);
-            });
-            // They are done at once, and gone after that.
-            let done: Vec<_> = there
-                .iter()
-                .map(|t| (t.0.as_str(), t.1, TaskStage::Exited, Some(ExitReason::Done)))
-                .collect();
-            for tasks in [done.as_slice(), &[]] {
-                s.sequence += 1;
-                s.send_heartbeat(&common::heartbeat(&id, s.sequence, 7, tasks));
-            }
-        }
-    }
-    all
-}
-
 #[test]
 fn lent_tasks_do_not_start_at_home_from_before_the_write_on() {
-    let mut s = scenario();
+    let mut s = lending_scenario();
     s.submit(spec(1, 100, "batch"));
     let write = lend(&mut s, 60);
     // The write has no reply yet, and never gets one here.
     s.fleet.loan_unresolved(write.clone());
-    assert_eq!(started(&mut s), tasks("0-39"));
+    assert_eq!(run_to_rest(&mut s), tasks("0-39"));
     // It was not applied, and no copy of it can be any more: all may start again.
     s.fleet.loan_not_written(&write);
-    assert_eq!(started(&mut s), tasks("40-99"));
+    assert_eq!(run_to_rest(&mut s), tasks("40-99"));
 }
 
 /// Lent tasks are kept out of what waits as well; a start is refused all the same.
 #[test]
 fn a_start_of_a_lent_task_is_refused_whatever_waits() {
-    let mut s = scenario();
+    let mut s = lending_scenario();
     s.submit(spec(1, 8, "batch"));
     let write = lend(&mut s, 4);
     s.fleet.loan_written(&write, 20, s.now, wall(&s));
@@ -99,12 +40,12 @@
     (0..8).for_each(|task| {
         job.waiting.insert(task);
     });
-    assert_eq!(started(&mut s), tasks("0-3"));
+    assert_eq!(run_to_rest(&mut s), tasks("0-3"));
 }
 
 #[test]
 fn only_tasks_that_never_began_are_lent_and_only_of_arrays_without_rules() {
-    let mut s = scenario();
+    let mut s = lending_scenario();
     s.submit(spec(1, 100, "batch"));
     (0..4).for_each(|_| s.step(&[]));
     let begun = s.fleet.jobs["wk-000001"].high_wanted;
@@ -112,14 +53,14 @@
     let candidate = s.fleet.lending_candidate(&guest(1000.0), wall(&s)).expect("a candidate");
     assert_eq!(candidate.tasks, TaskSet::span(begun, 100), "what the mark covers may have been started");
     for (name, value) in [("spread", json!(true)), ("oneZone", json!(true)), ("field", json!("north"))] {
-        let mut s = scenario();
+        let mut s = lending_scenario();
         let mut job = json!(spec(1, 100, "batch"));
         job[name] = value;
         s.submit(serde_json::from_value(job).expect("a job"));
         assert!(s.fleet.lending_candidate(&guest(1000.0), wall(&s)).is_none(), "{name}");
     }
     for shape in ["gang", "daemon"] {
-        let mut s = scenario();
+        let mut s = lending_scenario();
         s.submit(spec(1, 100, shape));
         assert!(s.fleet.lending_candidate(&guest(1000.0), wall(&s)).is_none(), "{shape}");
     }
@@ -167,10 +108,10 @@
 
 #[test]
 fn a_guest_runs_what_it_holds_and_nothing_else() {
-    let (mut s, mut store) = (scenario(), Store::default());
+    let (mut s, mut store) = (lending_scenario(), Store::default());
     let held = request(vec![offer(5, 1, "10-19")]);
     handle(&mut s.fleet, &held, &mut store, s.now);
-    assert_eq!(started(&mut s), tasks("10-19"));
+    assert_eq!(run_to_rest(&mut s), tasks("10-19"));
     assert_eq!(s.fleet.recorded_done("wk-000001"), tasks("10-19"));
     let pending = s.fleet.pending(s.now, milletlock::time::Micros::ZERO, 1000);
     assert!(
@@ -187,7 +128,7 @@
 
 #[test]
 fn what_a_guest_gives_back_does_not_start_there() {
-    let (mut s, mut store) = (scenario(), Store::default());
+    let (mut s, mut store) = (lending_scenario(), Store::default());
     handle(&mut s.fleet, &request(vec![offer(5, 1, "0-19")]), &mut store, s.now);
     s.step(&[]);
     s.step(&[]);
@@ -195,13 +136,13 @@
     let changes = handle(&mut s.fleet, &recall, &mut store, s.now);
     let given_back = &changes[0].withdrawn;
     assert!(!given_back.is_empty() && !given_back.contains(0), "{given_back}");
-    assert!(started(&mut s).is_disjoint(given_back));
+    assert!(run_to_rest(&mut s).is_disjoint(given_back));
 }
 
 /// It waits again, but may have saved progress or left something behind: it stays where it began.
 #[test]
 fn a_task_that_was_stopped_is_not_given_back() {
-    let (mut s, mut store) = (scenario(), Store::default());
+    let (mut s, mut store) = (lending_scenario(), Store::default());
     handle(&mut s.fleet, &request(vec![offer(5, 1, "0-19")]), &mut store, s.now);
     s.step(&[]);
     s.step(&[]);
@@ -223,7 +164,7 @@
 
 #[test]
 fn a_cancelled_loan_is_halted_and_its_tasks_are_gone() {
-    let (mut s, mut store) = (scenario(), Store::default());
+    let (mut s, mut store) = (lending_scenario(), Store::default());
     handle(&mut s.fleet, &request(vec![offer(5, 1, "0-19")]), &mut store, s.now);
     (0..3).for_each(|_| s.step(&[]));
     let machine = s.machines[0].clone();
@@ -237,7 +178,7 @@
 
 #[test]
 fn a_guest_refuses_what_it_cannot_or_will_not_run() {
-    let s = scenario();
+    let s = lending_scenario();
     let admit = |item: &LoanItem| s.fleet.local_tasks().admit(item, item.offer.as_ref().expect("an offer"));
     let with = |name: &str, value: serde_json::Value| {
         let mut item = offer(5, 1, "0-9");
@@ -259,7 +200,7 @@
 /// A record that outgrew its value could neither be settled nor closed any more.
 #[test]
 fn records_of_loans_fit_their_values_however_the_sets_fall_apart() {
-    let mut s = scenario();
+    let mut s = lending_scenario();
     s.submit(spec(1, 100_000, "batch"));
     let mut record = None;
     for revision in 20..60 {
@@ -282,7 +223,7 @@
 /// Two jobs of one id could not be told apart on a worker.
 #[test]
 fn a_job_that_was_accepted_here_is_not_borrowed() {
-    let (mut s, mut store) = (scenario(), Store::default());
+    let (mut s, mut store) = (lending_scenario(), Store::default());
     let put = milletlock::wire::Change::put("job/wk-000001".to_string(), json!(record(spec(1, 5, "batch"))));
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then: vec![put] }).expect("written");
     // The leader has not heard of it yet: the transaction fails, and the next try refuses.
@@ -293,14 +234,14 @@
 
 #[test]
 fn a_failover_finds_both_sides_of_loans_in_the_records() {
-    let (mut s, mut store) = (scenario(), Store::default());
+    let (mut s, mut store) = (lending_scenario(), Store::default());
     handle(&mut s.fleet, &request(vec![offer(5, 1, "10-19")]), &mut store, s.now);
     let mut lent = record(spec(2, 50, "batch"));
     lent.lending.loans =
         vec![Loan { number: LoanNumber(9), borrower: "there".into(), tasks: tasks("30-49") }];
     let put = milletlock::wire::Change::put("job/wk-000002".to_string(), json!(lent));
     store.txn(&milletlock::wire::Txn { guards: Vec::new(), then: vec![put] }).expect("written");
-    let mut fleet = Fleet::new(with_cells(), types(), 8, s.now);
+    let mut fleet = Fleet::new(lending_config(), types(), 8, s.now);
     leadership::load(&mut fleet, store.rows(""), s.now, wall(&s));
     assert_eq!(fleet.jobs["wk-000001"].waiting.task_set(), tasks("10-19"));
     assert_eq!(fleet.jobs["wk-000002"].waiting.task_set(), tasks("0-29"));
@@ -311,7 +252,7 @@
 
 #[test]
 fn a_job_being_cancelled_starts_nothing_and_ends_once_no_loan_is_open() {
-    let mut s = scenario();
+    let mut s = lending_scenario();
     s.submit(spec(1, 100, "batch"));
     let write = lend(&mut s, 60);
     s.fleet.loan_written(&write, 20, s.now, wall(&s));
@@ -319,7 +260,7 @@
     let mut cancelling = *lent;
     cancelling.lending.cancelling = true;
     s.fleet.job_put(cancelling.clone(), 21, s.now);
-    assert!(started(&mut s).is_empty());
+    assert!(run_to_rest(&mut s).is_empty());
     let over =
         s.fleet.settle_loan("wk-000001", Lending { loans: Vec::new(), cancelling: true }).expect("a write");
     let txn = leadership::loan_txn(&over, 1);
@@ -332,7 +273,7 @@
 /// An earlier leader that does not know yet that it was replaced must not lend, take or give back.
 #[test]
 fn a_write_of_a_leader_that_was_replaced_is_refused() {
-    let (mut s, mut store) = (scenario(), Store::default());
+    let (mut s, mut store) = (lending_scenario(), Store::default());
     s.submit(spec(1, 100, "batch"));
     let put = |key: &str, value| milletlock::wire::Change::put(key.to_string(), value);
     let then = vec![put("job/wk-000001", json!(record(spec(1, 100, "batch"))))];
--- a/tests/safety/fixtures.rs
+++ b/tests/safety/fixtures.rs
@@ -3,12 +3,11 @@
 use std::ops::Range;
 
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
-use milletlock::leadership;
 use milletlock::records::{JobRecord, MachineRecord};
-use milletlock::time::Micros;
 use milletlock::wire::{Heartbeat, JobSpec, Order, TaskStage};
 
 use crate::common::clock::{at, wall, START};
+use crate::common::fleet_writes::acknowledge_writes;
 use crate::common::{config, heartbeat, record, spec, types};
 
 /// What a leader with a fencing token knows before it has heard anything.
@@ -36,13 +35,8 @@
 
 /// Acknowledges all writes that wait.
 pub fn write_all(fleet: &mut Fleet, s: f64) {
-    let pending = fleet.pending(at(s), Micros::ZERO, 1000);
-    // Values are large enough here for all to go at once.
-    for b in leadership::batches(fleet, 1, pending, 1000, at(s), wall(s)) {
-        for (p, said) in &b.items {
-            fleet.written(p, 1000, said, at(s));
-        }
-    }
+    // Values and transactions are large enough here for all to go at once.
+    acknowledge_writes(fleet, 1000, 1000, at(s));
 }
 
 /// The orders in the reply to a heartbeat.
--- a/tests/starvation.rs
+++ b/tests/starvation.rs
@@ -5,9 +5,9 @@
 
 use std::collections::BTreeMap;
 
+use common::fleet_writes::acknowledge_writes;
 use common::{config, heartbeat, record, spec, types};
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
-use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{ExitReason, JobSpec, Order, Priority, Shape, TaskStage};
 
@@ -80,12 +80,7 @@
         self.now = self.now + STEP;
         let (now, wall) = (self.now, Wall(self.now.0));
         self.fleet.tick(now, wall);
-        let pending = self.fleet.pending(now, Micros::ZERO, 1000);
-        for b in leadership::batches(&mut self.fleet, 1, pending, 64, now, wall) {
-            for (p, said) in &b.items {
-                self.fleet.written(p, 1_000_000, said, now);
-            }
-        }
+        acknowledge_writes(&mut self.fleet, 64, 1_000_000, now);
         // A gang runs once all of its tasks are there.
         let mut there: BTreeMap<(u32, u64), u32> = BTreeMap::new();
         for r in self.workers.iter().flat_map(|w| &w.tasks) {
