--- a/tests/store_client.rs
+++ b/tests/store_client.rs
@@ -1,7 +1,8 @@
-//! The client side of the state store: its budget, and the live jobs by changes read.
+//! The client side of the state store: its budget, its rates after refusals, and the live jobs by changes
+//! read.
 
 use milletlock::live_jobs::LiveIds;
-use milletlock::state::TokenBucket;
+use milletlock::state::{NextRates, TokenBucket};
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::Events;
 use serde_json::{json, Value};
@@ -30,3 +31,42 @@
     s.apply(&changes(json!({ "harvest": 18, "events": [] })));
     assert_eq!((s.ids.len(), s.revision), (1, Some(20)));
 }
+
+/// The beginning of a client's time.
+const NOW: Steady = Steady(1_000_000_000);
+
+/// Seconds of a client's time.
+fn at(seconds: f64) -> Steady {
+    NOW + Micros::from_secs(seconds)
+}
+
+/// Whether refusals at these seconds show the change of limits, and the rates that are kept to then.
+fn after_refusals(seconds: &[f64], shares: (f64, f64)) -> (bool, (f64, f64)) {
+    let mut rates = NextRates::new(shares);
+    let shows: Vec<bool> = seconds.iter().map(|&s| rates.refused(at(s))).collect();
+    // Only one refusal, the last that was needed, shows it.
+    assert!(shows.iter().filter(|s| **s).count() <= 1, "{shows:?}");
+    (shows.contains(&true), rates.in_force())
+}
+
+/// Guards against slower rates than the state store has, for a burst now and then, and against going on with
+/// rates that it no longer has.
+#[test]
+fn five_refusals_within_ten_seconds_show_the_coming_rates() {
+    let coming = (0.5, 0.25);
+    assert_eq!(after_refusals(&[0.0, 2.0, 4.0, 6.0, 9.9], coming), (true, coming));
+    assert_eq!(after_refusals(&[0.0; 5], coming), (true, coming));
+    // Whenever the ten seconds begin.
+    assert_eq!(after_refusals(&[0.0, 9.0, 10.5, 11.0, 12.0, 12.5], coming), (true, coming));
+    assert_eq!(after_refusals(&[0.0; 30], coming), (true, coming), "it holds for good");
+    let mut rates = NextRates::new(coming);
+    rates.rejected();
+    assert_eq!(rates.in_force(), coming, "a write that is rejected as too large shows it as well");
+    assert_eq!(after_refusals(&[0.0, 0.1, 0.2, 0.3], coming), (false, (1.0, 1.0)), "fewer");
+    let spread: Vec<f64> = (0..40).map(|n| f64::from(n) * 3.0).collect();
+    assert_eq!(after_refusals(&spread, coming), (false, (1.0, 1.0)), "no five within ten seconds");
+    let bursts: Vec<f64> = (0..40).map(|n| f64::from(n / 4) * 11.0).collect();
+    assert_eq!(after_refusals(&bursts, coming), (false, (1.0, 1.0)), "four at a time");
+    assert_eq!(after_refusals(&[0.0; 30], (1.0, 1.0)), (false, (1.0, 1.0)), "none are announced");
+    assert_eq!(after_refusals(&[0.0; 5], (1.0, 0.5)), (true, (1.0, 0.5)), "one of both is enough");
+}
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -4,19 +4,21 @@
 mod common;
 
 use std::collections::BTreeMap;
+use std::sync::Arc;
 
 use common::store::Store;
 use common::{config_with_falling_limits, heartbeat, production, record, spec, types};
+use milletlock::config::Config;
 use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::history::EstimateKey;
 use milletlock::leadership::{self, LeaderRecord, SHARD_KEY};
 use milletlock::records::FinalRecord;
-use milletlock::state::NextRates;
 use milletlock::task_ranges::chunk_tasks;
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{Change, Row, Stage, Txn};
 use serde_json::{json, Value};
 
+/// When this version becomes leader.
 const NOW: Steady = Steady(1_000_000_000);
 /// Long enough after a failover for all that waits to be written.
 const LATER: Steady = Steady(NOW.0 + 20_000_000);
@@ -24,13 +26,16 @@
 const WALL: Wall = Wall(1_790_000_000_000_000);
 /// Bytes of a value once the limits of `config_with_falling_limits(4.0, 1.0)` have fallen.
 const SMALL_VALUE: usize = 1024;
+/// Changes of a transaction once they have.
 const SMALL_TXN: usize = 4;
 
+/// A row of the state store.
 fn row(key: &str, mod_revision: u64, value: Value) -> Row {
     Row { key: key.into(), value, mod_revision }
 }
 
-fn falling() -> std::sync::Arc<milletlock::config::Config> {
+/// Settings whose limits fall without notice.
+fn falling_limits() -> Arc<Config> {
     config_with_falling_limits(4.0, 1.0)
 }
 
@@ -84,7 +89,7 @@
 
 /// A leader of this version that has loaded these rows.
 fn load_fleet(rows: Vec<Row>) -> Fleet {
-    let mut fleet = Fleet::new(falling(), types(), 42, NOW);
+    let mut fleet = Fleet::new(falling_limits(), types(), 42, NOW);
     let read_to = rows.iter().map(|r| r.mod_revision).max().unwrap_or(0);
     leadership::load(&mut fleet, rows, NOW, WALL);
     fleet.has_read_to(read_to);
@@ -121,12 +126,14 @@
     panic!("it writes without end");
 }
 
+/// A state store with these rows.
 fn store_of(rows: Vec<Row>) -> Store {
     let revision = rows.iter().map(|r| r.mod_revision).max().unwrap_or(0);
     let keys = rows.into_iter().map(|r| (r.key, (r.value, r.mod_revision))).collect();
     Store { keys, revision, log: Vec::new() }
 }
 
+/// What transactions put.
 fn puts(txns: &[Txn]) -> impl Iterator<Item = (&str, &Value)> {
     txns.iter().flat_map(|t| &t.then).filter_map(|c| match c {
         Change::Put { put, value, .. } => Some((put.as_str(), value)),
@@ -134,7 +141,8 @@
     })
 }
 
-fn enrol(fleet: &mut Fleet, id: &str, now: Steady) {
+/// A machine sends its first heartbeat.
+fn enroll(fleet: &mut Fleet, id: &str, now: Steady) {
     let outcome = fleet.check_in(&heartbeat(id, 1, 0, &[]), now, WALL);
     assert!(matches!(outcome, HeartbeatOutcome::Reply(_)), "{id} has no reply: {outcome:?}");
 }
@@ -216,6 +224,7 @@
     assert_eq!(store.rows("done/").len(), 0);
 }
 
+/// A value in the form of a type; it must have that form.
 fn parses<T: serde::de::DeserializeOwned>(key: &str, value: &Value) -> T {
     serde_json::from_value(value.clone()).unwrap_or_else(|e| panic!("{key}: {e}: {value}"))
 }
@@ -255,7 +264,7 @@
     let mut store = store_of(vec![row(SHARD_KEY, 1, json!({}))]);
     let mut fleet = load_fleet(Vec::new());
     for n in 0..1000 {
-        enrol(&mut fleet, &format!("i-{n:05}"), NOW);
+        enroll(&mut fleet, &format!("i-{n:05}"), NOW);
     }
     for n in 1..=300 {
         let mut spec = spec(n, if n == 1 { 30_000 } else { 40 }, "batch");
@@ -332,7 +341,7 @@
         });
     };
     finish(&mut fleet, 30..40);
-    enrol(&mut fleet, "i-3", NOW);
+    enroll(&mut fleet, "i-3", NOW);
     let late = waiting(&mut fleet, store.mod_revision(SHARD_KEY), LATER);
     let written = |prefix: &str| {
         late.iter().flat_map(|b| puts(std::slice::from_ref(&b.txn))).any(|(k, _)| k.starts_with(prefix))
@@ -358,7 +367,7 @@
     let rows = vec![row(SHARD_KEY, 1, json!({})), row("machines/0", 2, json!({ "i-1": later }))];
     let mut store = store_of(rows.clone());
     let mut fleet = load_fleet(rows);
-    enrol(&mut fleet, "i-2", NOW);
+    enroll(&mut fleet, "i-2", NOW);
     write_all(&mut fleet, &mut store);
     let value = &store.keys["machines/0"].0;
     assert_eq!(value["i-1"], later);
@@ -367,39 +376,3 @@
         json!({"p": 0, "n": 42, "a": "127.0.0.1:9", "t": "small", "z": "north", "s": false})
     );
 }
-
-/// Seconds of a client's time.
-fn at(seconds: f64) -> Steady {
-    NOW + Micros::from_secs(seconds)
-}
-
-/// Whether refusals at these seconds show the change of limits, and the rates that are kept to then.
-fn after_refusals(seconds: &[f64], shares: (f64, f64)) -> (bool, (f64, f64)) {
-    let mut rates = NextRates::new(shares);
-    let shows: Vec<bool> = seconds.iter().map(|&s| rates.refused(at(s))).collect();
-    // Only one refusal, the last that was needed, shows it.
-    assert!(shows.iter().filter(|s| **s).count() <= 1, "{shows:?}");
-    (shows.contains(&true), rates.in_force())
-}
-
-/// Guards against slower rates than the service has, for a burst now and then, and against going on with
-/// rates that it no longer has.
-#[test]
-fn five_refusals_within_ten_seconds_show_the_coming_rates() {
-    let coming = (0.5, 0.25);
-    assert_eq!(after_refusals(&[0.0, 2.0, 4.0, 6.0, 9.9], coming), (true, coming));
-    assert_eq!(after_refusals(&[0.0; 5], coming), (true, coming));
-    // Whenever the ten seconds begin.
-    assert_eq!(after_refusals(&[0.0, 9.0, 10.5, 11.0, 12.0, 12.5], coming), (true, coming));
-    assert_eq!(after_refusals(&[0.0; 30], coming), (true, coming), "it holds for good");
-    let mut rates = NextRates::new(coming);
-    rates.rejected();
-    assert_eq!(rates.in_force(), coming, "a write that is rejected as too large shows it as well");
-    assert_eq!(after_refusals(&[0.0, 0.1, 0.2, 0.3], coming), (false, (1.0, 1.0)), "fewer");
-    let spread: Vec<f64> = (0..40).map(|n| f64::from(n) * 3.0).collect();
-    assert_eq!(after_refusals(&spread, coming), (false, (1.0, 1.0)), "no five within ten seconds");
-    let bursts: Vec<f64> = (0..40).map(|n| f64::from(n / 4) * 11.0).collect();
-    assert_eq!(after_refusals(&bursts, coming), (false, (1.0, 1.0)), "four at a time");
-    assert_eq!(after_refusals(&[0.0; 30], (1.0, 1.0)), (false, (1.0, 1.0)), "none are announced");
-    assert_eq!(after_refusals(&[0.0; 5], (1.0, 0.5)), (true, (1.0, 0.5)), "one of both is enough");
-}
