--- a/tests/common/cells/state_store.rs
+++ b/tests/common/cells/state_store.rs
@@ -117,7 +117,7 @@
             return None;
         }
         if is_out.load(Ordering::Relaxed) {
-            return Some(Response::error(503, "trouble"));
+            return Some(Response::error(503, "unavailable"));
         }
         let response = state.reply(&r);
         changed.notify_all();
--- a/tests/common/simulated_controller.rs
+++ b/tests/common/simulated_controller.rs
@@ -1,4 +1,4 @@
-//! A simulated controller that owns the cluster: it claims, reads changes, writes and reads back like
+//! A simulated controller that leads: it claims the shard, reads changes, writes and reads back like
 //! the real one. Leases, lost connections and when it takes its turn each simulation models for itself.
 //! Tests with whole controllers (`Controller`) do not need it.
 
@@ -22,7 +22,7 @@
 /// A controller that has claimed everything.
 pub struct SimulatedController {
     pub fleet: Fleet,
-    /// The version of the part's record as it claimed it.
+    /// The revision of the shard's record as it claimed it.
     pub shard_revision: u64,
     /// The revision up to which it has read the jobs' changes.
     pub watched: u64,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Reads keys back, except the part's own.
+    /// Reads keys back, except the shard's own.
     pub fn read_back(&mut self, keys: &[String], store: &Store, now: Steady) {
         for key in keys.iter().filter(|k| *k != leadership::SHARD_KEY) {
             leadership::learn(&mut self.fleet, key, store.row(key), now);
--- a/tests/end_to_end/controller.rs
+++ b/tests/end_to_end/controller.rs
@@ -32,7 +32,7 @@
             reads.fetch_add(1, Ordering::SeqCst);
         }
         if unavailable.load(Ordering::SeqCst) {
-            return Response::error(503, "trouble");
+            return Response::error(503, "unavailable");
         }
         let mut s = store.lock().expect("the store");
         let path = r.path.split('?').next().unwrap_or("");
--- a/tests/failover/faults.rs
+++ b/tests/failover/faults.rs
@@ -17,7 +17,7 @@
     pub failover: f64,
     /// Another controller becomes leader each time so many seconds have passed.
     pub failover_every_s: Option<f64>,
-    /// A zone and a leader are cut off together now and then.
+    /// A zone and a leader are partitioned together now and then.
     pub partition: bool,
     /// Share of transactions without a reply at any time: executed at once or late.
     pub lost_replies: f64,
@@ -33,7 +33,7 @@
     pub slow_commands: f64,
     /// Share of the steps in which a leader's fencing token is brought to a machine that it has not heard.
     pub token_commands: f64,
-    /// Rate of periods in which machines are cut off.
+    /// Rate of periods in which machines are partitioned.
     pub partitioned: f64,
     /// Rate of periods in which machines get no reply and no command.
     pub replies_lost: f64,
@@ -93,7 +93,7 @@
     cancel_on_faulty_machine: 0.0,
 };
 
-/// Shorter simulations, of two and a half minutes, in which only some machines are cut off beside what a
+/// Shorter simulations, of two and a half minutes, in which only some machines are partitioned beside what a
 /// combination is about.
 pub const SHORT: Faults = Faults {
     steps: 600,
--- a/tests/failover/main.rs
+++ b/tests/failover/main.rs
@@ -156,8 +156,8 @@
 }
 
 /// A leader replies a heartbeat of a machine that has not seen its fencing token, and the reply is lost. The
-/// machine is cut off together with an older leader, which renews its lease. Then the new fencing token is
-/// brought to it by a direct command: its lease must not be counted from that first reply.
+/// machine is partitioned together with an older leader, which renews its lease. Then the new fencing token
+/// is brought to it by a direct command: its lease must not be counted from that first reply.
 #[test]
 fn a_lease_is_not_counted_from_a_reply_before_the_fencing_token_arrived() {
     simulate_all(110024..=110024, 0, &COMMON);
--- a/tests/failover/simulation/leaders.rs
+++ b/tests/failover/simulation/leaders.rs
@@ -37,7 +37,7 @@
         self.partition = Some((self.now, self.now + Micros::from_secs(long)));
     }
 
-    /// Whether a leader is the one that is cut off.
+    /// Whether a leader is the partitioned one.
     pub(super) fn is_partitioned(&self, leader: usize) -> bool {
         self.partition.is_some() && leader == 0 && self.leaders.len() > 1
     }
--- a/tests/failover/simulation/mod.rs
+++ b/tests/failover/simulation/mod.rs
@@ -104,7 +104,7 @@
     /// How often the faults that a simulation is about occurred.
     faults_occurred: u32,
     next_machine: u32,
-    /// Since when the oldest leader and the south have been cut off from all else, and until when.
+    /// Since when the oldest leader and the south have been partitioned from all else, and until when.
     partition: Option<(Steady, Steady)>,
     faulty: bool,
     starts: usize,
--- a/tests/fault_combinations/partitions.rs
+++ b/tests/fault_combinations/partitions.rs
@@ -117,7 +117,7 @@
 /// what they run, and against waiting for them for ever.
 #[test]
 fn tasks_of_workers_reached_by_commands_only_start_elsewhere_only_after_the_lease() {
-    for (mute, restarted) in [(14.0_f64, false), (200.0, true)] {
+    for (heartbeats_lost_s, restarted) in [(14.0_f64, false), (200.0, true)] {
         let mut scenario = Scenario::new();
         scenario.begin_with(&["north", "north", "north"]);
         let a = scenario.submit(tight(1, 6, "batch"), 60.0);
@@ -134,7 +134,7 @@
         scenario.run(9.0);
         assert_eq!((scenario.started(&a), scenario.placed(&a), scenario.started(&next)), (6, 6, 0));
         assert!(scenario.started_at.contains_key(&gang), "what has room does not wait for them");
-        scenario.run((mute - 14.0).min(60.0));
+        scenario.run((heartbeats_lost_s - 14.0).min(60.0));
         scenario.add_machine(4, "north");
         scenario.add_machine(5, "north");
         if !restarted {
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -185,46 +185,46 @@
 
 #[test]
 fn four_thousand_machines_are_scaled_out_filled_failed_over_and_scaled_in() {
-    let mut c = Cluster::new();
+    let mut cluster = Cluster::new();
     let before = resident_kb();
     let wide = |n: u32| JobSpec { estimate_s: 200.0, ..spec(n, 10_000, "batch") };
-    c.submit(wide(1));
-    c.submit(wide(2));
-    c.scale_out();
-    assert_eq!(c.workers.len(), MACHINES, "all that the cloud has, in one round");
-    (0..4).for_each(|_| c.step());
-    assert_eq!(c.running(), MACHINES * TASKS_PER_MACHINE);
-    let values = c.store.rows("machines/").len();
+    cluster.submit(wide(1));
+    cluster.submit(wide(2));
+    cluster.scale_out();
+    assert_eq!(cluster.workers.len(), MACHINES, "all that the cloud has, in one round");
+    (0..4).for_each(|_| cluster.step());
+    assert_eq!(cluster.running(), MACHINES * TASKS_PER_MACHINE);
+    let values = cluster.store.rows("machines/").len();
     assert!(values * 15 < MACHINES, "{values} values hold the machines' records");
     let kb = resident_kb().saturating_sub(before) / MACHINES;
     assert!(kb <= MAX_KB_PER_MACHINE, "{kb} KiB for a machine");
 
-    // Another takes over: it hears all, and starts nothing that runs.
-    c.fail_over();
-    assert_eq!(c.leader.fleet.unheard(), MACHINES);
-    c.step();
-    assert_eq!(c.leader.fleet.unheard(), 0);
-    c.step();
-    assert_eq!(c.running(), MACHINES * TASKS_PER_MACHINE);
+    // Another becomes leader: it hears all, and starts nothing that runs.
+    cluster.fail_over();
+    assert_eq!(cluster.leader.fleet.unheard(), MACHINES);
+    cluster.step();
+    assert_eq!(cluster.leader.fleet.unheard(), 0);
+    cluster.step();
+    assert_eq!(cluster.running(), MACHINES * TASKS_PER_MACHINE);
 
     // What is left starts as the first tasks end, and all of it ends.
     for _ in 0..4 {
-        c.complete_all();
-        (0..3).for_each(|_| c.step());
+        cluster.complete_all();
+        (0..3).for_each(|_| cluster.step());
     }
-    assert_eq!((c.started.len(), c.running()), (20_000, 0));
-    assert!(c.store.rows("job/").is_empty() && c.store.rows("done/").is_empty());
+    assert_eq!((cluster.started.len(), cluster.running()), (20_000, 0));
+    assert!(cluster.store.rows("job/").is_empty() && cluster.store.rows("done/").is_empty());
 
     // With nothing left to do all machines go back.
     let mut returned = 0;
     for _ in 0..40 {
-        c.step();
-        returned += c.return_machines();
+        cluster.step();
+        returned += cluster.return_machines();
     }
-    assert_eq!((returned, c.workers.len()), (MACHINES, 0));
-    c.write();
-    let left: BTreeSet<JobId> = c.leader.fleet.jobs.keys().cloned().collect();
-    assert!(left.is_empty() && c.leader.fleet.machines.is_empty());
+    assert_eq!((returned, cluster.workers.len()), (MACHINES, 0));
+    cluster.write();
+    let left: BTreeSet<JobId> = cluster.leader.fleet.jobs.keys().cloned().collect();
+    assert!(left.is_empty() && cluster.leader.fleet.machines.is_empty());
 }
 
 #[test]
@@ -248,23 +248,23 @@
 /// Attempt numbers have 24 bits below the fencing token; after that many they would have come again.
 #[test]
 fn a_leader_that_has_used_up_its_attempt_numbers_starts_nothing_more() {
-    let mut c = Cluster::new();
-    c.submit(spec(1, 4, "batch"));
-    c.scale_out();
-    (0..3).for_each(|_| c.step());
-    assert_eq!(c.running(), 4);
-    c.leader.fleet.use_attempts(1 << 24);
-    assert!(c.leader.fleet.attempts_exhausted());
-    c.submit(spec(2, 200, "batch"));
-    c.scale_out();
-    (0..3).for_each(|_| c.step());
-    assert!(c.workers.len() > 1);
-    assert_eq!(c.running(), 4);
+    let mut cluster = Cluster::new();
+    cluster.submit(spec(1, 4, "batch"));
+    cluster.scale_out();
+    (0..3).for_each(|_| cluster.step());
+    assert_eq!(cluster.running(), 4);
+    cluster.leader.fleet.use_attempts(1 << 24);
+    assert!(cluster.leader.fleet.attempts_exhausted());
+    cluster.submit(spec(2, 200, "batch"));
+    cluster.scale_out();
+    (0..3).for_each(|_| cluster.step());
+    assert!(cluster.workers.len() > 1);
+    assert_eq!(cluster.running(), 4);
     // Its successor has as many again.
-    c.fail_over();
-    assert!(!c.leader.fleet.attempts_exhausted());
-    (0..3).for_each(|_| c.step());
-    assert!(c.running() > 4);
+    cluster.fail_over();
+    assert!(!cluster.leader.fleet.attempts_exhausted());
+    (0..3).for_each(|_| cluster.step());
+    assert!(cluster.running() > 4);
 }
 
 /// Every twelve seconds, whatever the rates: what a spot machine had done since was lost with it, and ran
--- a/tests/leader_election.rs
+++ b/tests/leader_election.rs
@@ -63,7 +63,7 @@
     assert!(claim().is_none(), "what is written hangs on the first lease");
 }
 
-/// Records of a later form are neither loaded nor changed: an old process may be back after all
+/// Records of a newer format are neither loaded nor changed: an old process may be back after all
 /// others have moved on.
 #[test]
 fn records_of_a_newer_format_are_not_loaded() {
@@ -97,5 +97,5 @@
         assert_eq!(keys, [leadership::FORMAT_KEY], "nothing is written");
     }
     put(json!({ "reader": known, "more": true }));
-    assert!(claim().expect("an outcome").is_some(), "a form that is known is taken over");
+    assert!(claim().expect("an outcome").is_some(), "a known format is loaded");
 }
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -31,6 +31,7 @@
     reply_as("there", 1, out)
 }
 
+/// Replies under a name, as the leader of a term.
 fn reply_as(name: &str, term: u64, out: Outbound) -> Result<(), PeerError> {
     let summary = proto::CellSummary {
         form: 1,
@@ -45,7 +46,7 @@
 }
 
 /// A state store that carries out writes of loans, and replies to none of them while told so.
-fn state_service(store: Arc<Mutex<Store>>, drops: Arc<AtomicBool>) -> std::net::SocketAddr {
+fn state_store(store: Arc<Mutex<Store>>, drops: Arc<AtomicBool>) -> std::net::SocketAddr {
     serve_some(move |r| {
         let mut store = store.lock().expect("the store");
         match (r.method.as_str(), r.path.split('?').next().unwrap_or("")) {
@@ -65,6 +66,7 @@
     })
 }
 
+/// Sends a request of a worker or another cell to a controller.
 fn post(node: &Controller, path: &str, body: Vec<u8>) -> Response {
     node.answer(&Request { method: "POST".into(), path: path.into(), body }, false)
 }
@@ -90,7 +92,7 @@
     there.into_iter().map(|t| t.0).collect()
 }
 
-/// A controller that owns its cell, with an array of six tasks to lend.
+/// A controller that leads its cell, with an array of six tasks to lend.
 fn controller(
     state: std::net::SocketAddr,
     clock: &Arc<AtomicI64>,
@@ -119,7 +121,7 @@
 fn tasks_of_a_loan_whose_write_has_no_reply_do_not_start_here() {
     let (store, drops) = (Arc::<Mutex<Store>>::default(), Arc::new(AtomicBool::new(true)));
     let clock = Arc::new(AtomicI64::new(1_000_000_000));
-    let state = state_service(store.clone(), drops.clone());
+    let state = state_store(store.clone(), drops.clone());
     let (node, mut choice) = controller(state, &clock, other_cell);
     node.lend_once(&mut choice);
     let lent = job_record(&store);
@@ -136,7 +138,7 @@
 fn a_reply_of_another_cell_or_of_an_older_term_lends_nothing() {
     let store = Arc::<Mutex<Store>>::default();
     let clock = Arc::new(AtomicI64::new(1_000_000_000));
-    let state = state_service(store.clone(), Arc::default());
+    let state = state_store(store.clone(), Arc::default());
     let (term, name) = (Arc::new(AtomicI64::new(5)), Arc::new(Mutex::new("elsewhere")));
     let (term_now, name_now) = (term.clone(), name.clone());
     let carry = move |out: Outbound| {
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -281,7 +281,7 @@
     let write = lend(&mut s, 60);
     let txn = leadership::loan_txn(&write, store.mod_revision(SHARD_KEY));
     let then = vec![put(SHARD_KEY, json!({ "label": "another" }))];
-    store.txn(&milletlock::wire::Txn { guards: Vec::new(), then }).expect("taken over");
+    store.txn(&milletlock::wire::Txn { guards: Vec::new(), then }).expect("a new leader");
     assert_eq!(store.txn(&txn), Err(vec![SHARD_KEY.to_string()]));
 }
 
--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -88,7 +88,7 @@
         let _ = fleet.capacity(at(s), wall(s));
         fleet.leaving().len()
     };
-    assert_eq!(idle(&mut fleet, 20.0), 0, "as far as is known it has just been rented");
+    assert_eq!(idle(&mut fleet, 20.0), 0, "as far as is known it has just been scaled out");
     let listed = ListedMachine {
         id: "i-1".into(),
         addr: None,
--- a/tests/safety/leases.rs
+++ b/tests/safety/leases.rs
@@ -25,7 +25,7 @@
     fleet.confirm(at(25.9));
     fleet.tick(at(26.0), wall(26.0));
     assert_eq!(starts(&orders(&mut fleet, 26.0, &heartbeat("i-2", 50, 7, &[]))).len(), 1);
-    assert!(fleet.leaving().is_empty(), "a machine that may only be cut off is waited for");
+    assert!(fleet.leaving().is_empty(), "a machine that may only be partitioned is waited for");
     for t in [45, 60, 70] {
         orders(&mut fleet, t as f64, &heartbeat("i-2", 100 + t, 7, &[]));
         fleet.tick(at(t as f64), wall(t as f64));
