--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -1,20 +1,20 @@
-//! An owner with a few machines that report in step, and run whatever is started on them.
+//! A leader with a few machines that send heartbeats in step, and run whatever is started on them.
 
 use std::sync::Arc;
 
-use super::{config, record, report, types};
+use super::fleet_writes::acknowledge_writes;
+use super::{config, heartbeat, record, types};
 use milletlock::capacity::MachineOffer;
 use milletlock::config::Config;
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
 use milletlock::jobs::MachineId;
-use milletlock::leadership;
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{Heartbeat, JobSpec, TaskStage, WorkerCommand};
 
 /// Reports come this far apart in these settings.
-const REPORT: Micros = Micros(3_000_000);
+const HEARTBEAT_INTERVAL: Micros = Micros(3_000_000);
 
-/// An owner with small spot machines, all of which report every three seconds.
+/// A leader with small spot machines, all of which send a heartbeat every three seconds.
 pub struct Scenario {
     pub fleet: Fleet,
     pub now: Steady,
@@ -51,31 +51,26 @@
         self.fleet.apply_job_record(record, self.fleet.jobs.len() as u64 + 1, self.now);
     }
 
-    /// Lets a report's interval pass; all machines but the silent ones report what they run.
+    /// Lets a heartbeat's interval pass; all machines but the silent ones send what they run.
     pub fn step(&mut self, silent: &[&str]) {
-        self.now = self.now + REPORT;
+        self.now = self.now + HEARTBEAT_INTERVAL;
         self.fleet.tick(self.now, Wall(self.now.0));
-        let pending = self.fleet.pending_writes(self.now, Micros::ZERO, 1000);
-        for b in leadership::batches(&mut self.fleet, 1, pending, 64, self.now, Wall(self.now.0)) {
-            for (p, said) in &b.items {
-                self.fleet.write_applied(p, 1_000_000, said, self.now);
-            }
-        }
+        acknowledge_writes(&mut self.fleet, 64, 1_000_000, self.now);
         for id in self.machines.clone() {
             if !silent.contains(&id.as_str()) {
-                let report = self.running(&id);
-                self.report(&report);
+                let message = self.running_heartbeat(&id);
+                self.send_heartbeat(&message);
             }
         }
     }
 
-    /// The next report of a machine on which all that was started runs.
-    pub fn running(&mut self, id: &str) -> Heartbeat {
+    /// The next heartbeat of a machine on which all that was started runs.
+    pub fn running_heartbeat(&mut self, id: &str) -> Heartbeat {
         self.sequence += 1;
         let there: Vec<(String, u64)> = self.tasks(id);
         let tasks: Vec<_> =
             there.iter().map(|(task, attempt)| (task.as_str(), *attempt, TaskStage::Running, None)).collect();
-        Heartbeat { spot: true, ..report(id, self.sequence, 7, &tasks) }
+        Heartbeat { spot: true, ..heartbeat(id, self.sequence, 7, &tasks) }
     }
 
     pub fn tasks(&self, id: &str) -> Vec<(String, u64)> {
@@ -84,8 +79,8 @@
         tasks.keys().map(|key| (format!("{}/{}", key.job, key.number), key.attempt)).collect()
     }
 
-    pub fn report(&mut self, report: &Heartbeat) -> Vec<WorkerCommand> {
-        match self.fleet.check_in(report, self.now, Wall(self.now.0)) {
+    pub fn send_heartbeat(&mut self, message: &Heartbeat) -> Vec<WorkerCommand> {
+        match self.fleet.check_in(message, self.now, Wall(self.now.0)) {
             HeartbeatOutcome::Reply(reply) => reply.commands,
             other => panic!("{other:?}"),
         }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,36 +1,42 @@
-//! A change of version: the version in production and this one take over from each other on the same
-//! records, while the state service's limits may fall.
+//! A change of version: the version in production and this one fail over to each other on the same
+//! records, while the state store's limits may fall.
 
 mod common;
 
 use std::collections::BTreeMap;
+use std::sync::Arc;
 
 use common::store::Store;
-use common::{config_with_falling_limits, production, record, report, spec, types};
+use common::{config_with_falling_limits, heartbeat, production, record, spec, types};
+use milletlock::config::Config;
 use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::history::EstimateKey;
+use milletlock::jobs::RunTimes;
 use milletlock::leadership::{self, LeaderRecord, SHARD_KEY};
 use milletlock::records::FinalRecord;
-use milletlock::state::NextRates;
 use milletlock::task_ranges::chunk_tasks;
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{Change, Row, Stage, Txn};
 use serde_json::{json, Value};
 
+/// When this version becomes leader.
 const NOW: Steady = Steady(1_000_000_000);
-/// Long enough after a takeover for all that waits to be written.
+/// Long enough after a failover for all that waits to be written.
 const LATER: Steady = Steady(NOW.0 + 20_000_000);
 /// The time of day at [`NOW`].
 const WALL: Wall = Wall(1_790_000_000_000_000);
 /// Bytes of a value once the limits of `config_with_falling_limits(4.0, 1.0)` have fallen.
 const SMALL_VALUE: usize = 1024;
+/// Changes of a transaction once they have.
 const SMALL_TXN: usize = 4;
 
+/// A row of the state store.
 fn row(key: &str, mod_revision: u64, value: Value) -> Row {
     Row { key: key.into(), value, mod_revision }
 }
 
-fn falling() -> std::sync::Arc<milletlock::config::Config> {
+/// Settings whose limits fall without notice.
+fn falling_limits() -> Arc<Config> {
     config_with_falling_limits(4.0, 1.0)
 }
 
@@ -51,7 +57,7 @@
 fn production_rows() -> Vec<Row> {
     let past: Vec<Value> = (0..10).map(|n| json!({"end_s": 1_789_000_000 + n, "ratio": 0.6})).collect();
     let bucket = EstimateKey { team: "free".into(), stated: Micros(20_000_000) }.bucket();
-    let owner = json!({"label": "c-1", "incarnation": 5, "token": 41, "lease": 900});
+    let leader = json!({"label": "c-1", "incarnation": 5, "token": 41, "lease": 900});
     vec![
         row(
             "recent",
@@ -76,29 +82,29 @@
         row("done/wk-000001/1", 16, json!("1016-1019,2031")),
         row(&format!("hist/{bucket}"), 17, json!([{"team": "free", "stated_us": 20_000_000, "past": past}])),
         row("final/wk-000000", 18, json!({"stage": "done", "tasks": 3})),
-        row("leader", 19, owner.clone()),
-        row(SHARD_KEY, 19, owner),
+        row("leader", 19, leader.clone()),
+        row(SHARD_KEY, 19, leader),
         row("term", 19, json!({"n": 41})),
     ]
 }
 
-/// An owner of this version that has taken over what is in these rows.
-fn taken_over(rows: Vec<Row>) -> Fleet {
-    let mut fleet = Fleet::new(falling(), types(), 42, NOW);
+/// A leader of this version that has loaded these rows.
+fn load_fleet(rows: Vec<Row>) -> Fleet {
+    let mut fleet = Fleet::new(falling_limits(), types(), 42, NOW);
     let read_to = rows.iter().map(|r| r.mod_revision).max().unwrap_or(0);
     leadership::load_records(&mut fleet, rows, NOW, WALL);
     fleet.advance_jobs_revision(read_to);
     fleet
 }
 
-/// What an owner would write now, in its transactions.
+/// What a leader would write now, in its transactions.
 fn waiting(fleet: &mut Fleet, shard_revision: u64, now: Steady) -> Vec<leadership::Batch> {
     let pending = fleet.pending_writes(now, Micros::ZERO, chunk_tasks(fleet.max_value_bytes()));
     let ops = fleet.max_txn_changes();
     leadership::batches(fleet, shard_revision, pending, ops, now, WALL)
 }
 
-/// Everything an owner writes until nothing waits, each transaction applied and acknowledged. The store
+/// Everything a leader writes until nothing waits, each transaction applied and acknowledged. The store
 /// has `shard_revision/0` already.
 fn write_all(fleet: &mut Fleet, store: &mut Store) -> Vec<Txn> {
     let mut all = Vec::new();
@@ -123,12 +129,14 @@
     panic!("it writes without end");
 }
 
+/// A state store with these rows.
 fn store_of(rows: Vec<Row>) -> Store {
     let revision = rows.iter().map(|r| r.mod_revision).max().unwrap_or(0);
     let keys = rows.into_iter().map(|r| (r.key, (r.value, r.mod_revision))).collect();
     Store { keys, revision, log: Vec::new() }
 }
 
+/// What transactions put.
 fn puts(txns: &[Txn]) -> impl Iterator<Item = (&str, &Value)> {
     txns.iter().flat_map(|t| &t.then).filter_map(|c| match c {
         Change::Put { put, value, .. } => Some((put.as_str(), value)),
@@ -136,15 +144,16 @@
     })
 }
 
-fn enrol(fleet: &mut Fleet, id: &str, now: Steady) {
-    let answer = fleet.check_in(&report(id, 1, 0, &[]), now, WALL);
-    assert!(matches!(answer, HeartbeatOutcome::Reply(_)), "{id} is not answered: {answer:?}");
+/// A machine sends its first heartbeat.
+fn enroll(fleet: &mut Fleet, id: &str, now: Steady) {
+    let outcome = fleet.check_in(&heartbeat(id, 1, 0, &[]), now, WALL);
+    assert!(matches!(outcome, HeartbeatOutcome::Reply(_)), "{id} has no reply: {outcome:?}");
 }
 
 /// Guards against a record of production that this version would not know, or take for another.
 #[test]
-fn every_record_of_production_is_taken_over() {
-    let mut fleet = taken_over(production_rows());
+fn every_record_of_production_is_loaded() {
+    let mut fleet = load_fleet(production_rows());
     let job = &fleet.jobs["wk-000001"];
     assert_eq!((job.spec.tasks, job.mod_revision, job.submitted), (2500, 11, Wall(1_789_999_990_000_000)));
     assert_eq!(
@@ -168,14 +177,14 @@
     );
     let recent = fleet.recent_job_records(NOW, WALL, 4000);
     assert!(recent.iter().any(|d| d.extra_machines == 3 && d.types == ["large"]), "{recent:?}");
-    // The list of recent jobs has been added to; nothing else is written for a takeover alone.
+    // The list of recent jobs has been added to; nothing else is written for a failover alone.
     let written = waiting(&mut fleet, 19, LATER);
     assert!(written.iter().flat_map(|b| &b.items).all(|(p, _)| *p == PendingWrite::RecentJobs));
     // The others are read by themselves.
     let of = |key: &str| production_rows().into_iter().find(|r| r.key == key).expect("a row").value;
-    let owner: LeaderRecord = serde_json::from_value(of("leader")).expect("an owner");
+    let leader: LeaderRecord = serde_json::from_value(of("leader")).expect("a leader");
     assert_eq!(
-        (owner.label.as_str(), owner.incarnation, owner.fencing_token, owner.lease),
+        (leader.label.as_str(), leader.incarnation, leader.fencing_token, leader.lease),
         ("c-1", 5, 41, 900)
     );
     let over: FinalRecord = serde_json::from_value(of("final/wk-000000")).expect("an end");
@@ -187,7 +196,7 @@
 #[test]
 fn done_chunks_of_production_stay_as_they_are_until_the_jobs_end() {
     let mut store = store_of(production_rows());
-    let mut fleet = taken_over(production_rows());
+    let mut fleet = load_fleet(production_rows());
     let job = fleet.jobs.get_mut("wk-000001").expect("the job");
     for task in (30..60).chain(1100..1110).chain(2400..2405) {
         job.done.insert(task);
@@ -213,14 +222,15 @@
     assert!(written.iter().all(|t| t.then.len() <= SMALL_TXN));
     assert!(store.row("job/wk-000001").is_none() && store.row("final/wk-000001").is_some());
     assert_eq!(store.rows("done/").len(), 0);
-    // An owner that never knew the job removes what is left as well.
+    // A leader that never knew the job removes what is left as well.
     let mut rows = production_rows();
     rows.retain(|r| r.key != "job/wk-000001");
     let mut store = store_of(rows.clone());
-    write_all(&mut taken_over(rows), &mut store);
+    write_all(&mut load_fleet(rows), &mut store);
     assert_eq!(store.rows("done/").len(), 0);
 }
 
+/// A value in the form of a type; it must have that form.
 fn parses<T: serde::de::DeserializeOwned>(key: &str, value: &Value) -> T {
     serde_json::from_value(value.clone()).unwrap_or_else(|e| panic!("{key}: {e}: {value}"))
 }
@@ -258,9 +268,9 @@
 #[test]
 fn production_reads_whatever_this_version_writes_within_the_coming_limits() {
     let mut store = store_of(vec![row(SHARD_KEY, 1, json!({}))]);
-    let mut fleet = taken_over(Vec::new());
+    let mut fleet = load_fleet(Vec::new());
     for n in 0..1000 {
-        enrol(&mut fleet, &format!("i-{n:05}"), NOW);
+        enroll(&mut fleet, &format!("i-{n:05}"), NOW);
     }
     for n in 1..=300 {
         let mut spec = spec(n, if n == 1 { 30_000 } else { 40 }, "batch");
@@ -269,7 +279,7 @@
         let id: std::sync::Arc<str> = format!("wk-{n:06}").into();
         let job = fleet.jobs.get_mut(&id).expect("the job");
         job.wanted_start_mark = job.spec.tasks;
-        job.run_times = milletlock::jobs::RunTimes { total: Micros(15_000_000), count: 1 };
+        job.run_times = RunTimes { total: Micros(15_000_000), count: 1 };
         let every = if n % 3 == 0 { 1 } else { 2 };
         (0..job.spec.tasks).step_by(every).for_each(|task| {
             job.done.insert(task);
@@ -299,7 +309,7 @@
     assert_eq!(production::marks_in(&store).len(), 200, "the marks of the jobs that go on");
 }
 
-/// Guards against a mark lowered where two owners left copies of it, whichever of them is read last.
+/// Guards against a mark lowered where two leaders left copies of it, whichever of them is read last.
 #[test]
 fn the_highest_copy_of_a_mark_is_the_one_that_stays() {
     for (first, second) in [(200, 100), (100, 200)] {
@@ -310,11 +320,11 @@
             row("marks/1", 4, json!({ "wk-000001": second })),
         ];
         let mut store = store_of(rows.clone());
-        let mut fleet = taken_over(rows);
+        let mut fleet = load_fleet(rows);
         assert_eq!(fleet.jobs["wk-000001"].start_mark, 200);
         for round in 1..10_i64 {
             for batch in waiting(&mut fleet, 1, LATER + Micros(round * 20_000_000)) {
-                let revision = store.txn(&batch.txn).expect("no other owner");
+                let revision = store.txn(&batch.txn).expect("no other leader");
                 batch.items.iter().for_each(|(p, said)| fleet.write_applied(p, revision, said, LATER));
                 assert_eq!(production::marks_in(&store)["wk-000001"], 200);
             }
@@ -324,11 +334,11 @@
     }
 }
 
-/// Guards against an owner's own earlier transaction, held up on the way, undoing its newer one.
+/// Guards against a leader's own earlier transaction, held up on the way, undoing its newer one.
 #[test]
-fn late_transactions_of_the_same_owner_are_refused() {
+fn late_transactions_of_the_same_leader_are_refused() {
     let mut store = store_of(production_rows());
-    let mut fleet = taken_over(production_rows());
+    let mut fleet = load_fleet(production_rows());
     let finish = |fleet: &mut Fleet, tasks: std::ops::Range<u32>| {
         let job = fleet.jobs.get_mut("wk-000001").expect("the job");
         job.wanted_start_mark = 2100 + tasks.end;
@@ -337,7 +347,7 @@
         });
     };
     finish(&mut fleet, 30..40);
-    enrol(&mut fleet, "i-3", NOW);
+    enroll(&mut fleet, "i-3", NOW);
     let late = waiting(&mut fleet, store.mod_revision(SHARD_KEY), LATER);
     let written = |prefix: &str| {
         late.iter().flat_map(|b| puts(std::slice::from_ref(&b.txn))).any(|(k, _)| k.starts_with(prefix))
@@ -362,8 +372,8 @@
     });
     let rows = vec![row(SHARD_KEY, 1, json!({})), row("machines/0", 2, json!({ "i-1": later }))];
     let mut store = store_of(rows.clone());
-    let mut fleet = taken_over(rows);
-    enrol(&mut fleet, "i-2", NOW);
+    let mut fleet = load_fleet(rows);
+    enroll(&mut fleet, "i-2", NOW);
     write_all(&mut fleet, &mut store);
     let value = &store.keys["machines/0"].0;
     assert_eq!(value["i-1"], later);
@@ -372,39 +382,3 @@
         json!({"p": 0, "n": 42, "a": "127.0.0.1:9", "t": "small", "z": "north", "s": false})
     );
 }
-
-/// Seconds of a client's time.
-fn at(seconds: f64) -> Steady {
-    NOW + Micros::from_secs(seconds)
-}
-
-/// Whether refusals at these seconds show the change of limits, and the rates that are kept to then.
-fn after_refusals(seconds: &[f64], shares: (f64, f64)) -> (bool, (f64, f64)) {
-    let mut rates = NextRates::new(shares);
-    let shows: Vec<bool> = seconds.iter().map(|&s| rates.refused(at(s))).collect();
-    // Only one refusal, the last that was needed, shows it.
-    assert!(shows.iter().filter(|s| **s).count() <= 1, "{shows:?}");
-    (shows.contains(&true), rates.in_force())
-}
-
-/// Guards against slower rates than the service has, for a burst now and then, and against going on with
-/// rates that it no longer has.
-#[test]
-fn five_refusals_within_ten_seconds_show_the_coming_rates() {
-    let coming = (0.5, 0.25);
-    assert_eq!(after_refusals(&[0.0, 2.0, 4.0, 6.0, 9.9], coming), (true, coming));
-    assert_eq!(after_refusals(&[0.0; 5], coming), (true, coming));
-    // Whenever the ten seconds begin.
-    assert_eq!(after_refusals(&[0.0, 9.0, 10.5, 11.0, 12.0, 12.5], coming), (true, coming));
-    assert_eq!(after_refusals(&[0.0; 30], coming), (true, coming), "it holds for good");
-    let mut rates = NextRates::new(coming);
-    rates.rejected();
-    assert_eq!(rates.in_force(), coming, "a write that is rejected as too large shows it as well");
-    assert_eq!(after_refusals(&[0.0, 0.1, 0.2, 0.3], coming), (false, (1.0, 1.0)), "fewer");
-    let spread: Vec<f64> = (0..40).map(|n| f64::from(n) * 3.0).collect();
-    assert_eq!(after_refusals(&spread, coming), (false, (1.0, 1.0)), "no five within ten seconds");
-    let bursts: Vec<f64> = (0..40).map(|n| f64::from(n / 4) * 11.0).collect();
-    assert_eq!(after_refusals(&bursts, coming), (false, (1.0, 1.0)), "four at a time");
-    assert_eq!(after_refusals(&[0.0; 30], (1.0, 1.0)), (false, (1.0, 1.0)), "none are announced");
-    assert_eq!(after_refusals(&[0.0; 5], (1.0, 0.5)), (true, (1.0, 0.5)), "one of both is enough");
-}
