--- a/src/api.rs
+++ b/src/api.rs
@@ -14,7 +14,7 @@
 use serde_json::{json, Value};
 
 use crate::config::Config;
-use crate::fleet::{never_runs, JobProgress};
+use crate::fleet::{check_runnable, JobProgress};
 use crate::http::{Request, Response};
 use crate::keys::{borrowed_key, final_key, job_key};
 use crate::live_jobs::LiveJobs;
@@ -222,8 +222,8 @@
         return known_or(backend, Some(&spec.id), retry_later("machine types not known yet"));
     };
     let config = backend.config();
-    if let Some(reason) = never_runs(&spec, config, &types) {
-        return known_or(backend, Some(&spec.id), Response::error(422, &reason));
+    if let Err(reason) = check_runnable(&spec, config, &types) {
+        return known_or(backend, Some(&spec.id), Response::error(422, &reason.to_string()));
     }
     let record = JobRecord { spec, submitted_us: wall().0, start_mark: 0, lending: Lending::default() };
     let value = json!(record);
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -5,29 +5,51 @@
 use crate::sched::TeamUse;
 use crate::wire::{JobSpec, MachineType};
 
-/// Why a submission can never run, by the settings and the catalog, as its user is told; `None` if it
-/// can. Whether the cloud has capacity of a type they do not show: that is known only when a scale-out is
-/// refused, and capacity may be back at any time.
-pub fn never_runs(spec: &JobSpec, config: &Config, types: &[MachineType]) -> Option<String> {
+/// Why a job can never run in this cluster. The display is the reason that its user reads; it names the
+/// fields as the wire does.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum NotRunnable {
+    /// The settings have no team of this name.
+    #[error("owner: no team {0}")]
+    UnknownTeam(String),
+    /// The settings list zones, and none of this name.
+    #[error("field: no zone {0}")]
+    UnknownZone(String),
+    /// One task alone needs more than a machine of any type and zone that the job allows has.
+    #[error("a task fits no allowed machine type")]
+    FitsNoMachineType,
+    /// The tasks that must run at once exceed the quota of this team.
+    #[error("over the limit of team {0}")]
+    OverTeamQuota(String),
+}
+
+/// Checks by the settings and the catalog that a job can ever run. Whether the cloud has capacity of a
+/// type they do not show: that is known only when a scale-out is refused, and capacity may be back at any
+/// time.
+///
+/// # Errors
+///
+/// [`NotRunnable`] if it never can.
+pub fn check_runnable(spec: &JobSpec, config: &Config, types: &[MachineType]) -> Result<(), NotRunnable> {
     let Some(team) = config.team(&spec.team) else {
-        return Some(format!("owner: no team {}", spec.team));
+        return Err(NotRunnable::UnknownTeam(spec.team.clone()));
     };
     if let Some(zone) = &spec.zone {
         let zones = &config.platform.settings.zones;
         if !zones.is_empty() && !zones.contains(zone) {
-            return Some(format!("field: no zone {zone}"));
+            return Err(NotRunnable::UnknownZone(zone.clone()));
         }
     }
     if allowed_types(types, spec).is_empty() {
-        return Some("a task fits no allowed machine type".into());
+        return Err(NotRunnable::FitsNoMachineType);
     }
     let quota = TeamUse { cpu_quota: team.cpus_max, gpu_quota: team.gpus_max, ..TeamUse::default() };
     // Gangs and services need all their tasks at once; a job array makes progress with one at a time.
     let tasks_at_once = if spec.is_array() { 1 } else { spec.tasks };
     if quota.allows(&task_resources(spec)) < tasks_at_once {
-        return Some(format!("over the limit of team {}", spec.team));
+        return Err(NotRunnable::OverTeamQuota(spec.team.clone()));
     }
-    None
+    Ok(())
 }
 
 /// Types, by index, that a job allows and its tasks fit.
@@ -38,7 +60,7 @@
             && spec
                 .zone
                 .as_ref()
-                .is_none_or(|z| machine_type.zones.is_empty() || machine_type.zones.contains(z))
+                .is_none_or(|zone| machine_type.zones.is_empty() || machine_type.zones.contains(zone))
             && type_resources(machine_type).fits(&need) > 0
     };
     (0..types.len()).filter(|&index| is_allowed(&types[index])).collect()
--- a/src/fleet/borrow_admission.rs
+++ b/src/fleet/borrow_admission.rs
@@ -8,7 +8,7 @@
 };
 
 use super::borrowing::is_array_without_rules;
-use super::{never_runs, Fleet};
+use super::{check_runnable, Fleet};
 use crate::time::Wall;
 use crate::wire::JobSpec;
 
@@ -86,10 +86,8 @@
         if !cells.is_some_and(|cells| cells.borrows(spec.class.as_ref())) {
             return Err(BorrowRefusal::ClassNotBorrowed(spec.class.clone().unwrap_or_default()));
         }
-        match never_runs(spec, &fleet.config, &fleet.catalog.types) {
-            Some(reason) => Err(BorrowRefusal::NotRunnable(reason)),
-            None => Ok(()),
-        }
+        check_runnable(spec, &fleet.config, &fleet.catalog.types)
+            .map_err(|reason| BorrowRefusal::NotRunnable(reason.to_string()))
     }
 
     /// Whether this cell has capacity now for the tasks of a loan, and their record fits a value.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -38,7 +38,7 @@
 mod tasks;
 mod team_use;
 
-pub use admission::never_runs;
+pub use admission::{check_runnable, NotRunnable};
 pub use borrow_admission::BorrowedTasks;
 pub use heartbeats::HeartbeatOutcome;
 pub use lending::LendingCandidate;
--- a/tests/services/records.rs
+++ b/tests/services/records.rs
@@ -1,6 +1,6 @@
 //! Records, status and submissions of services.
 
-use milletlock::fleet::{never_runs, Fleet, HeartbeatOutcome, PendingWrite};
+use milletlock::fleet::{check_runnable, Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::records::{JobRecord, MachineRecord};
 use milletlock::time::{Micros, Wall};
 use milletlock::wire::{ExitReason, JobSpec, TaskStage};
@@ -116,9 +116,9 @@
     let with = |shape: &str, replicas: u32| {
         let mut submission = submission(shape);
         (submission["kernels"], submission["expectS"]) = (json!(replicas), json!(20.0));
-        never_runs(&parse_submission(&submission).expect("a good description"), &config(), &types())
+        check_runnable(&parse_submission(&submission).expect("a good description"), &config(), &types())
     };
-    assert_eq!(with("daemon", 6), None);
-    assert!(with("daemon", 7).is_some_and(|reason| reason.contains("limit")));
-    assert_eq!(with("batch", 7), None, "an array gets on with one task at a time");
+    assert_eq!(with("daemon", 6), Ok(()));
+    assert!(with("daemon", 7).is_err_and(|reason| reason.to_string().contains("limit")));
+    assert_eq!(with("batch", 7), Ok(()), "an array gets on with one task at a time");
 }
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{config, spec, types};
-use milletlock::fleet::never_runs;
+use milletlock::fleet::check_runnable;
 use milletlock::records::JobRecord;
 use milletlock::wire::{JobSpec, Shape};
 use serde_json::{json, Value};
@@ -195,40 +195,40 @@
 fn what_fits_no_machine_that_its_job_may_use_can_never_run() {
     let (cfg, mut types) = (config(), types());
     types[1].zones = vec!["north".into()];
-    let never = |change: fn(&mut JobSpec)| {
+    let check = |change: fn(&mut JobSpec)| {
         let mut s = spec(1, 8, "batch");
         change(&mut s);
-        never_runs(&s, &cfg, &types)
+        check_runnable(&s, &cfg, &types)
     };
-    assert_eq!(never(|_| ()), None);
-    assert_eq!(never(|s| s.cpus = 16.0), None);
-    assert!(never(|s| s.cpus = 16.5).is_some());
-    assert!(never(|s| s.memory_gb = 32.5).is_some());
-    assert!(never(|s| s.gpus = 0.5).is_some());
+    assert_eq!(check(|_| ()), Ok(()));
+    assert_eq!(check(|s| s.cpus = 16.0), Ok(()));
+    assert!(check(|s| s.cpus = 16.5).is_err());
+    assert!(check(|s| s.memory_gb = 32.5).is_err());
+    assert!(check(|s| s.gpus = 0.5).is_err());
     // It fits a machine, but none of the allowed types or of the only allowed zone.
-    assert!(never(|s| (s.cpus, s.types) = (16.0, Some(vec!["small".into()]))).is_some());
-    assert!(never(|s| (s.cpus, s.zone) = (16.0, Some("south".into()))).is_some());
-    assert_eq!(never(|s| (s.cpus, s.zone) = (16.0, Some("north".into()))), None);
-    assert!(never(|s| s.types = Some(vec!["unheard".into()])).is_some());
-    assert_eq!(never(|s| s.types = Some(vec!["unheard".into(), "small".into()])), None);
-    assert!(never(|s| s.zone = Some("moon".into())).is_some());
-    assert!(never(|s| s.team = "nobody".into()).is_some());
+    assert!(check(|s| (s.cpus, s.types) = (16.0, Some(vec!["small".into()]))).is_err());
+    assert!(check(|s| (s.cpus, s.zone) = (16.0, Some("south".into()))).is_err());
+    assert_eq!(check(|s| (s.cpus, s.zone) = (16.0, Some("north".into()))), Ok(()));
+    assert!(check(|s| s.types = Some(vec!["unheard".into()])).is_err());
+    assert_eq!(check(|s| s.types = Some(vec!["unheard".into(), "small".into()])), Ok(()));
+    assert!(check(|s| s.zone = Some("moon".into())).is_err());
+    assert!(check(|s| s.team = "nobody".into()).is_err());
     // The catalogue says nothing of what is to be had as an ordinary machine.
-    assert_eq!(never(|s| s.spot = false), None);
+    assert_eq!(check(|s| s.spot = false), Ok(()));
 }
 
 #[test]
 fn gangs_and_services_need_all_their_tasks_within_the_teams_limit_and_arrays_one() {
     let (cfg, types) = (config(), types());
-    let never = |shape: &str, tasks: u32, cpus: f64| {
+    let check = |shape: &str, tasks: u32, cpus: f64| {
         let mut s = spec(1, tasks, shape);
         (s.team, s.cpus) = ("tight".into(), cpus);
-        never_runs(&s, &cfg, &types)
+        check_runnable(&s, &cfg, &types)
     };
     for shape in ["gang", "daemon"] {
-        assert_eq!(never(shape, 6, 1.0), None, "{shape}");
-        assert!(never(shape, 7, 1.0).is_some_and(|why| why.contains("limit")), "{shape}");
+        assert_eq!(check(shape, 6, 1.0), Ok(()), "{shape}");
+        assert!(check(shape, 7, 1.0).is_err_and(|why| why.to_string().contains("limit")), "{shape}");
     }
-    assert_eq!(never("batch", 1000, 6.0), None);
-    assert!(never("batch", 1, 6.5).is_some_and(|why| why.contains("limit")));
+    assert_eq!(check("batch", 1000, 6.0), Ok(()));
+    assert!(check("batch", 1, 6.5).is_err_and(|why| why.to_string().contains("limit")));
 }
