--- a/src/fleet/gang_placement.rs
+++ b/src/fleet/gang_placement.rs
@@ -28,7 +28,7 @@
             if is_over && job.placements.is_empty() {
                 job.gang = None;
             } else if gang.stop_grace_s.is_none() {
-                let has_unsent = gang.places.keys().any(|task| !gang.started.contains(*task));
+                let has_unsent = gang.unsent_places().next().is_some();
                 let waited_too_long =
                     has_unsent && gang.first_start_at.is_some_and(|since| now - since > max_wait);
                 if (lost_place && !gang.started.is_empty()) || waited_too_long {
@@ -65,11 +65,11 @@
         self.reserved_gang_places.clear();
         for job in self.jobs.values() {
             let Some(gang) = job.gang.as_ref().filter(|gang| gang.stop_grace_s.is_none()) else { continue };
-            for (task, machine) in gang.places.iter().filter(|(task, _)| !gang.started.contains(**task)) {
+            for (number, machine) in gang.unsent_places() {
                 self.reserved_gang_places
                     .entry(machine.clone())
                     .or_default()
-                    .push(GangPlace { job: job.id.clone(), number: *task });
+                    .push(GangPlace { job: job.id.clone(), number });
             }
         }
     }
@@ -77,8 +77,7 @@
 
 /// Whether a machine can no longer take the start of a gang's task that was placed on it.
 fn has_lost_place(gang: &GangAttempt, machines: &BTreeMap<MachineId, Machine>, now: Steady) -> bool {
-    let mut unsent = gang.places.iter().filter(|(task, _)| !gang.started.contains(**task));
-    unsent.any(|(_, machine)| {
+    gang.unsent_places().any(|(_, machine)| {
         machines.get(machine).is_none_or(|machine| {
             let is_gone = machine.scaling_in || machine.lease_expired || machine.missing;
             is_gone || machine.interruption_at.is_some() || !machine.usable(now)
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -197,15 +197,10 @@
         if now < job.not_before || is_placed_gang {
             return 0;
         }
-        if self.unacknowledged_machines == 0 || !self.may_run_on_unacknowledged(&job.spec) {
+        if !self.may_run_on_unacknowledged(&job.spec) {
             return job.waiting.len();
         }
-        let depends_on_all_tasks = job.spec.one_zone || job.spec.spread || is_gang;
-        if depends_on_all_tasks && job.inherited_start_mark > 0 {
-            0
-        } else {
-            job.waiting.count_from(job.inherited_start_mark)
-        }
+        job.first_never_started().map_or(0, |first| job.waiting.count_from(first))
     }
 }
 
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -21,10 +21,6 @@
 /// Pairs of job and machine beyond which plans are made no less often.
 const MAX_COUNTED_PAIRS: i64 = 250_000;
 
-/// A job's mark is raised by at least this many tasks ahead, so that starts do not wait for the write
-/// each time.
-const MIN_MARK_AHEAD: u32 = 16;
-
 impl Fleet {
     /// Plans anew if something changed, or the plan is old.
     pub fn replan(&mut self, now: Steady, wall: Wall) {
@@ -81,7 +77,7 @@
                 .push(AssignedStarts { job, count: start.count });
         }
         for (class, count) in tasks_by_class {
-            self.raise_mark(&input.jobs[class], count);
+            self.request_start_mark(&input.jobs[class], count);
         }
         for (class, machines) in gang_machines {
             let waited = input.snapshot.classes[class].waited;
@@ -90,17 +86,13 @@
         self.reserve_gang_places();
     }
 
-    /// Has a job's mark written that allows `count` of its waiting tasks to start.
-    fn raise_mark(&mut self, id: &JobId, count: u32) {
+    /// Asks for a start mark that allows `count` of a job's waiting tasks to start.
+    fn request_start_mark(&mut self, id: &JobId, count: u32) {
         let Some(job) = self.jobs.get(id) else { return };
-        let may_be_unheard = self.unacknowledged_machines > 0 && self.may_run_on_unacknowledged(&job.spec);
-        let first = if may_be_unheard { job.inherited_start_mark } else { 0 };
         let last_index = count.saturating_sub(1) as usize;
-        let last = job.waiting.iter().filter(|task| *task >= first).nth(last_index);
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        if let Some(last) = last.filter(|task| *task >= job.start_mark) {
-            let mark = last.saturating_add(1 + count.max(MIN_MARK_AHEAD));
-            job.wanted_start_mark = job.wanted_start_mark.max(mark.min(job.spec.tasks));
+        let last = self.next_tasks(job).nth(last_index);
+        if let (Some(job), Some(last)) = (self.jobs.get_mut(id), last) {
+            job.request_start_mark(last, count);
         }
     }
 }
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use super::{Fleet, Machine};
+use super::start_check::is_half_of_tasks;
+use super::Fleet;
 use crate::jobs::{Job, JobId, MachineId};
 use crate::sched::{self, MachineSnapshot, PlacedTask, Plan, ReportingMachine, Snapshot};
 use crate::time::{Micros, Steady};
@@ -105,21 +106,6 @@
         }
     }
 
-    /// The machine as the planner sees it, if tasks beyond the plan may start on it: it is usable, neither
-    /// reserved nor waiting for a gang's start, and no task on it is being stopped.
-    fn machine_for_starts(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
-        if self.closed_machines.contains(id) || self.reserved_gang_places.contains_key(id) {
-            return None;
-        }
-        let is_usable =
-            |machine: &&Machine| machine.usable(now) && !machine.missing && !machine.has_unknown_use();
-        let machine = self.machines.get(id).filter(is_usable)?;
-        if machine.tasks.values().any(|task| task.live() && task.stop_grace_s.is_some()) {
-            return None;
-        }
-        self.machine_snapshot(machine, now)
-    }
-
     /// The job of a waiting service if its next replica runs sooner on this machine than by the plan.
     fn service_that_runs_sooner(
         &self,
@@ -142,7 +128,7 @@
                 .planned_snapshot
                 .headroom_for(machine.machine_type, machine.spot)
                 .map(|headroom| headroom.need),
-            crowded_zone: in_zone >= job.spec.tasks.div_ceil(2),
+            crowded_zone: is_half_of_tasks(in_zone, &job.spec),
         };
         let since_plan = now - self.planned_at;
         reporting.runs_sooner(class, service.planned.map(|planned| planned - since_plan)).then_some(job_id)
--- a/src/fleet/start_check.rs
+++ b/src/fleet/start_check.rs
@@ -29,7 +29,7 @@
     /// token.
     fn runs_nowhere_else(&self, job: &Job, number: u32) -> bool {
         self.unacknowledged_machines == 0
-            || self.startable_unacknowledged(job, number)
+            || is_never_started(job, number)
             || !self.may_run_on_unacknowledged(&job.spec)
     }
 
@@ -39,7 +39,12 @@
         let free = machine.free(self.type_capacity(type_index));
         self.allowed_types(spec).contains(&type_index)
             && free.fits(&task_resources(spec)) > 0
-            && spec.zone.as_deref().is_none_or(|zone| zone == self.zone_name(machine.zone))
+            && self.zone_and_kind_allowed(machine, spec)
+    }
+
+    /// Whether a job may use machines of this one's zone, and spot machines if it is one.
+    fn zone_and_kind_allowed(&self, machine: &Machine, spec: &JobSpec) -> bool {
+        spec.zone.as_deref().is_none_or(|zone| zone == self.zone_name(machine.zone))
             && (spec.spot || !machine.spot)
     }
 
@@ -53,19 +58,7 @@
         let zones = self.placements_by_zone(job);
         let here = zones.get(machine.zone).copied().unwrap_or(0);
         let is_elsewhere = zones.iter().sum::<u32>() > here;
-        let is_zone_full = here >= spec.tasks.div_ceil(2);
-        !(spec.one_zone && is_elsewhere || spec.spread && is_zone_full)
-    }
-
-    /// Whether a task certainly was not started by an earlier leader. Tasks that are placed with regard
-    /// to each other may start only if none of them was.
-    pub(super) fn startable_unacknowledged(&self, job: &Job, number: u32) -> bool {
-        let are_tasks_tied = job.spec.one_zone || job.spec.spread || job.spec.is_gang();
-        if are_tasks_tied {
-            job.inherited_start_mark == 0
-        } else {
-            number >= job.inherited_start_mark
-        }
+        !(spec.one_zone && is_elsewhere || spec.spread && is_half_of_tasks(here, spec))
     }
 
     /// Whether a job's started tasks may be running on a machine that has not acknowledged this leader's
@@ -78,8 +71,7 @@
         self.machines.values().any(|machine| {
             !machine.acknowledged
                 && machine.type_index.is_none_or(|index| types.contains(&index))
-                && (spec.spot || !machine.spot)
-                && spec.zone.as_deref().is_none_or(|zone| zone == self.zone_name(machine.zone))
+                && self.zone_and_kind_allowed(machine, spec)
         })
     }
 
@@ -95,6 +87,16 @@
     }
 }
 
+/// Whether so many tasks are half of a job's, or more.
+pub(super) fn is_half_of_tasks(count: u32, spec: &JobSpec) -> bool {
+    count >= spec.tasks.div_ceil(2)
+}
+
+/// Whether no earlier leader can have started a task, nor another one that it is placed with.
+fn is_never_started(job: &Job, number: u32) -> bool {
+    job.first_never_started().is_some_and(|first| number >= first)
+}
+
 /// Whether the job itself allows a task to start: it waits, is below the written start mark, and no other
 /// cell may run it.
 fn is_startable(job: &Job, number: u32, now: Steady) -> bool {
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -1,9 +1,9 @@
 //! Starts of tasks: which of them go into the reply to a machine's heartbeat, and their attempt numbers.
 
-use super::machine::{TaskEntry, TaskKey};
+use super::machine::{Machine, TaskEntry, TaskKey};
 use super::tasks::{task_name, task_resources};
 use super::Fleet;
-use crate::jobs::{JobId, MachineId};
+use crate::jobs::{Job, JobId, MachineId};
 use crate::sched::{self, IncrementalBackfill, MachineSnapshot};
 use crate::time::Steady;
 use crate::wire::WorkerCommand;
@@ -125,20 +125,28 @@
         }
     }
 
-    /// The machine as the planner sees it, if more may start on it before the next plan.
-    pub(super) fn backfill_candidate(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
-        let is_closed = self.closed_machines.contains(id) || self.reserved_gang_places.contains_key(id);
-        if self.plan.unmet.is_empty() || is_closed {
+    /// The machine as the planner sees it, if waiting tasks of job arrays may start on it before the next
+    /// plan.
+    fn backfill_candidate(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
+        if self.plan.unmet.is_empty() {
             return None;
         }
-        let machine = self.machines.get(id).filter(|machine| machine.usable(now))?;
-        if machine.missing || machine.has_unknown_use() {
+        self.machine_for_starts(id, now).filter(|snapshot| snapshot.free.cpus > 0.0)
+    }
+
+    /// The machine as the planner sees it, if tasks beyond the plan may start on it: it is usable, neither
+    /// reserved nor waiting for a gang's start, and no task on it is being stopped.
+    pub(super) fn machine_for_starts(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
+        if self.closed_machines.contains(id) || self.reserved_gang_places.contains_key(id) {
             return None;
         }
+        let is_usable =
+            |machine: &&Machine| machine.usable(now) && !machine.missing && !machine.has_unknown_use();
+        let machine = self.machines.get(id).filter(is_usable)?;
         if machine.tasks.values().any(|task| task.live() && task.stop_grace_s.is_some()) {
             return None;
         }
-        self.machine_snapshot(machine, now).filter(|snapshot| snapshot.free.cpus > 0.0)
+        self.machine_snapshot(machine, now)
     }
 
     /// Starts up to `count` waiting tasks of a job on the machine whose heartbeat is being answered;
@@ -152,9 +160,7 @@
         orders: &mut Vec<WorkerCommand>,
     ) -> u32 {
         let Some(job) = self.jobs.get(id).filter(|job| !job.ended) else { return 0 };
-        let from = if self.may_run_on_unacknowledged(&job.spec) { job.inherited_start_mark } else { 0 };
-        let waiting = job.waiting.iter().filter(|number| *number >= from);
-        let next: Vec<u32> = waiting.take(count as usize).collect();
+        let next: Vec<u32> = self.next_tasks(job).take(count as usize).collect();
         if let (Some(job), Some(last)) = (self.jobs.get_mut(id), next.last()) {
             job.request_start_mark(*last, count);
         }
@@ -168,6 +174,14 @@
         started
     }
 
+    /// The waiting tasks of a job in the order in which they start. As long as an earlier leader's starts
+    /// may be running on machines that have not acknowledged this leader, without those below the start
+    /// mark that this leader found.
+    pub(super) fn next_tasks<'a>(&self, job: &'a Job) -> impl Iterator<Item = u32> + use<'a> {
+        let first = if self.may_run_on_unacknowledged(&job.spec) { job.inherited_start_mark } else { 0 };
+        job.waiting.iter().filter(move |number| *number >= first)
+    }
+
     /// Starts one task on the machine whose heartbeat is being answered, if it may start there; returns
     /// whether it did.
     pub(super) fn start_task(
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -31,6 +31,14 @@
     pub stop_grace_s: Option<f64>,
 }
 
+impl GangAttempt {
+    /// The tasks whose start has not been sent, with their machines.
+    pub(crate) fn unsent_places(&self) -> impl Iterator<Item = (u32, &MachineId)> {
+        let places = self.places.iter().map(|(task, machine)| (*task, machine));
+        places.filter(|(task, _)| !self.started.contains(*task))
+    }
+}
+
 /// Run times that were observed from start to end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunTimes {
@@ -252,6 +260,14 @@
         self.wanted_start_mark = self.wanted_start_mark.max(mark);
     }
 
+    /// The lowest number from which on no earlier leader can have started a task. Tasks that are placed
+    /// with regard to each other count as one: `None` if one of them may have been started.
+    pub(crate) fn first_never_started(&self) -> Option<u32> {
+        let are_placed_together = self.spec.one_zone || self.spec.spread || self.spec.is_gang();
+        let is_excluded = are_placed_together && self.inherited_start_mark > 0;
+        (!is_excluded).then_some(self.inherited_start_mark)
+    }
+
     /// Counts the start of a task that is sent now; returns its attempt number: the gang's, or else
     /// `attempt`.
     pub(crate) fn record_start(&mut self, number: u32, attempt: u64, now: Steady) -> u64 {
