--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -2,7 +2,7 @@
 //! the cloud).
 
 use super::Controller;
-use crate::capacity::MachineOffer;
+use crate::capacity::{MachineOffer, ScaleOutItem};
 use crate::cloud::{CloudError, MAX_MACHINES_PER_RENTAL};
 use crate::fleet::Fleet;
 use crate::time::{wall, Micros, Steady};
@@ -116,7 +116,7 @@
         let mut shared = self.lock();
         let leadership = shared.leadership_with(fencing_token)?;
         let mut requests = Vec::new();
-        for (offer, count) in leadership.fleet.decide_scaling(self.now(), wall()) {
+        for ScaleOutItem { offer, count } in leadership.fleet.decide_scaling(self.now(), wall()) {
             let Some(ty) = leadership.fleet.types().get(offer.ty).map(|ty| ty.name.clone()) else { continue };
             let zone = leadership.fleet.zone_name(offer.zone).to_string();
             let mut remaining = count;
--- a/src/fleet/scaling.rs
+++ b/src/fleet/scaling.rs
@@ -1,8 +1,8 @@
-//! Scale out and scale in of the fleet: what the autoscaler is told of it, and the machines that its
-//! decision removes.
+//! Scale out and scale in of the fleet: the autoscaler's inputs, and the machines that its decision
+//! removes.
 
 use super::{Fleet, Machine};
-use crate::capacity::{Autoscaler, MachineOffer, MachineStatus, ScalingPolicy};
+use crate::capacity::{Autoscaler, MachineOffer, MachineStatus, ScaleOutItem, ScalingPolicy};
 use crate::jobs::MachineId;
 use crate::time::{Micros, Steady, Wall};
 
@@ -13,9 +13,9 @@
 const SILENT_INTERVALS: f64 = 3.0;
 
 impl Fleet {
-    /// Plans and decides on scaling: returns the offers to take machines from, with how many, and marks
-    /// idle machines as leaving.
-    pub fn decide_scaling(&mut self, now: Steady, wall: Wall) -> Vec<(MachineOffer, u32)> {
+    /// Plans and decides on scaling: returns the machines to add, at most one item for each offer, and
+    /// marks idle machines for scale in.
+    pub fn decide_scaling(&mut self, now: Steady, wall: Wall) -> Vec<ScaleOutItem> {
         // Always on a plan of this very moment: its indices are the snapshot's.
         let (snapshot, machines) = self.plan_now(now, wall);
         let zones = self.zones_by_type();
@@ -34,7 +34,7 @@
         for index in decision.scale_in {
             self.remove_idle(&machines[index]);
         }
-        decision.scale_out.into_iter().map(|item| (item.offer, item.count)).collect()
+        decision.scale_out
     }
 
     /// Age and use of the machines of a snapshot, in its order.
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Marks a machine as leaving if no task is on it.
+    /// Marks a machine for scale in if no task is on it.
     fn remove_idle(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.tasks.is_empty()) {
             tracing::info!(machine = %machine.id, reason = "idle", "scale in");
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -12,6 +12,7 @@
 use common::state_store_server::parameter;
 use common::store::{submission, Store};
 use common::{config, heartbeat, record, spec};
+use milletlock::capacity::ScaleOutItem;
 use milletlock::cloud::CloudClient;
 use milletlock::config::Config;
 use milletlock::controller::done_write_interval;
@@ -74,7 +75,7 @@
 
     /// Scales out as the leader asks, fifty at a time, up to what the cloud has.
     fn scale_out(&mut self) {
-        for (offer, count) in self.leader.fleet.decide_scaling(self.now, wall_at(self.now)) {
+        for ScaleOutItem { offer, count } in self.leader.fleet.decide_scaling(self.now, wall_at(self.now)) {
             let mut left = (count as usize).min(MACHINES - self.workers.len());
             while left > 0 {
                 let names: Vec<String> = (0..left.min(MACHINES_PER_REQUEST))
