--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -20,7 +20,7 @@
 pub use fleet_size::TARGET_MACHINES;
 pub use operator::OperatorConfig;
 pub use platform::{
-    ClusterSettings, Member, Objective, PlatformConfig, RegionalServices, Team, WorkerTimings,
+    ClusterSettings, Member, Objective, ObjectiveKind, PlatformConfig, RegionalServices, Team, WorkerTimings,
 };
 pub use server_limits::{FENCING_TOKEN_THREADS, HALT_THREADS};
 pub use service_limits::{CloudLimits, NextStateStoreLimits, ProcessLimits, StateStoreLimits};
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -112,11 +112,36 @@
     pub gpus_max: f64,
 }
 
+/// What a service-level objective limits.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(from = "String")]
+pub enum ObjectiveKind {
+    /// The time until a job starts (`wait`).
+    Start,
+    /// The time until a job ends (`finished`).
+    End,
+    /// The time until a job ends, as a multiple of its own deadline (`deadline`).
+    Deadline,
+    /// A kind that this version does not know; the objective is ignored.
+    Unknown,
+}
+
+impl From<String> for ObjectiveKind {
+    fn from(name: String) -> ObjectiveKind {
+        match name.as_str() {
+            "wait" => ObjectiveKind::Start,
+            "finished" => ObjectiveKind::End,
+            "deadline" => ObjectiveKind::Deadline,
+            _ => ObjectiveKind::Unknown,
+        }
+    }
+}
+
 /// A service-level objective for a class of jobs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// `wait`, `finished` or `deadline`; other kinds are ignored.
-    pub kind: String,
+    /// What it limits.
+    pub kind: ObjectiveKind,
     /// The class of jobs.
     #[serde(default)]
     pub class: String,
--- a/src/fleet/objectives.rs
+++ b/src/fleet/objectives.rs
@@ -2,21 +2,12 @@
 
 use super::recent_jobs::fetch_s;
 use super::{stated_run_time, Fleet};
-use crate::config::Objective;
+use crate::config::{Objective, ObjectiveKind};
 use crate::history::EstimateKey;
 use crate::jobs::Job;
 use crate::time::{Micros, Wall};
 use crate::wire::JobSpec;
 
-/// Kind of an objective on the time until a job starts.
-const KIND_START: &str = "wait";
-
-/// Kind of an objective on the time until a job ends.
-const KIND_END: &str = "finished";
-
-/// Kind of an objective on the time until a job ends, as a multiple of its own deadline.
-const KIND_DEADLINE: &str = "deadline";
-
 /// Seconds after which a narrow job that missed its start objective yields to others no more: it must
 /// start within four minutes.
 const MAX_YIELD_S: f64 = 150.0;
@@ -58,7 +49,7 @@
 
     /// Seconds within which a job of this class should start, if it has such an objective.
     pub(super) fn start_objective_s(&self, spec: &JobSpec) -> Option<f64> {
-        let on_start = self.objectives(spec).filter(|objective| objective.kind == KIND_START);
+        let on_start = self.objectives(spec).filter(|objective| objective.kind == ObjectiveKind::Start);
         on_start.map(|objective| objective.within_s).reduce(f64::min)
     }
 
@@ -84,10 +75,12 @@
         let max_yield_s = Self::max_yield_s(spec, widest);
         let end_s = waited_s + EXPECTED_RUN_SHARE * adjusted.secs();
         let misses_end = |within_s: f64| end_s > within_s && waited_s < MAX_END_OVERRUN * within_s;
-        let missed = self.objectives(spec).filter(|objective| match objective.kind.as_str() {
-            KIND_START => !has_started && waited_s > objective.within_s && waited_s < max_yield_s,
-            KIND_DEADLINE => spec.deadline_s.is_some_and(|due_s| misses_end(due_s * objective.times)),
-            _ => false,
+        let missed = self.objectives(spec).filter(|objective| match objective.kind {
+            ObjectiveKind::Start => !has_started && waited_s > objective.within_s && waited_s < max_yield_s,
+            ObjectiveKind::Deadline => {
+                spec.deadline_s.is_some_and(|due_s| misses_end(due_s * objective.times))
+            }
+            ObjectiveKind::End | ObjectiveKind::Unknown => false,
         });
         let missed_ends = self.end_limits_s(spec).filter(|within_s| misses_end(*within_s));
         (missed.count() + missed_ends.count()).min(MAX_MISSED) as u8
@@ -97,9 +90,10 @@
     /// deadline if no objective is about that. Of objectives on the end only the last counts: jobs that
     /// missed an earlier one have little time left, those that did not have some to spare.
     fn end_limits_s(&self, spec: &JobSpec) -> impl Iterator<Item = f64> {
-        let on_end = self.objectives(spec).filter(|objective| objective.kind == KIND_END);
+        let on_end = self.objectives(spec).filter(|objective| objective.kind == ObjectiveKind::End);
         let last_s = on_end.map(|objective| objective.within_s).reduce(f64::max);
-        let has_deadline_objective = self.objectives(spec).any(|objective| objective.kind == KIND_DEADLINE);
+        let has_deadline_objective =
+            self.objectives(spec).any(|objective| objective.kind == ObjectiveKind::Deadline);
         let own_s = spec.deadline_s.filter(|_| !has_deadline_objective);
         [last_s, own_s].into_iter().flatten()
     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::platform_json;
-use milletlock::config::{Config, OperatorConfig, PlatformConfig};
+use milletlock::config::{Config, ObjectiveKind, OperatorConfig, PlatformConfig};
 use serde_json::{json, Value};
 
 fn said(v: &Value) -> String {
@@ -66,6 +66,22 @@
     }
 }
 
+#[test]
+fn kinds_of_objectives_have_their_names_in_the_settings_and_must_be_strings() {
+    let kind_of = |name: &str| {
+        let settings = with(&["settings", "objectives"], json!([{"kind": name, "class": "quick"}]));
+        let platform = PlatformConfig::parse(&settings.to_string(), "f.json").expect("settings");
+        platform.settings.objectives[0].kind
+    };
+    assert_eq!(kind_of("wait"), ObjectiveKind::Start);
+    assert_eq!(kind_of("finished"), ObjectiveKind::End);
+    assert_eq!(kind_of("deadline"), ObjectiveKind::Deadline);
+    assert_eq!(kind_of("unheard of"), ObjectiveKind::Unknown);
+    let error = said(&with(&["settings", "objectives"], json!([{"kind": 5}])));
+    assert!(error.contains("settings.objectives[0].kind"), "{error:?}");
+    assert!(error.contains("invalid type: integer `5`, expected a string"), "{error:?}");
+}
+
 /// A fleet that outgrows its settings would be noticed only when workers are turned away.
 #[test]
 fn settings_that_do_not_carry_four_thousand_machines_are_named_in_one_line() {
