--- a/src/fleet/borrow_admission.rs
+++ b/src/fleet/borrow_admission.rs
@@ -20,10 +20,10 @@
     pub fn cell_summary(&self, wall: Wall) -> CellSummary {
         let backlog_s = self.array_backlog_s();
         let mut free_cpus: BTreeMap<String, f64> =
-            self.catalog.types.iter().map(|ty| (ty.name.clone(), 0.0)).collect();
+            self.catalog.types.iter().map(|machine_type| (machine_type.name.clone(), 0.0)).collect();
         for machine in self.machines_in_use() {
-            let Some(ty) = machine.type_index else { continue };
-            let free = machine.free(self.type_capacity(ty)).cpus.max(0.0);
+            let Some(type_index) = machine.type_index else { continue };
+            let free = machine.free(self.type_capacity(type_index)).cpus.max(0.0);
             *free_cpus.entry(machine.type_name.clone()).or_default() += free;
         }
         CellSummary {
@@ -106,8 +106,8 @@
 }
 
 impl LocalTasks for BorrowedTasks<'_> {
-    /// A waiting task may have been started by an earlier leader and stopped since, unless it is above the
-    /// mark that this leader found: a task below that counts as begun.
+    /// A waiting task may have been started by an earlier leader and stopped since, unless it is at or above
+    /// the start mark that this leader found: a task below it counts as started.
     fn unstarted(&self, job: &str, tasks: &TaskSet) -> TaskSet {
         let Some(job) = self.fleet.jobs.get(job).filter(|job| job.borrowed_from.is_some()) else {
             return TaskSet::new();
--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -135,7 +135,7 @@
         let id: JobId = id.into();
         for machine in self.machines.values_mut() {
             let of_job = machine.tasks.range_mut(TaskKey::all_of_job(&id));
-            for (_, task) in of_job.filter(|(key, task)| task.live() && withdrawn.contains(key.number)) {
+            for (_, task) in of_job.filter(|(key, task)| task.is_live() && withdrawn.contains(key.number)) {
                 task.stop_grace_s = Some(0.0);
             }
         }
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -44,7 +44,7 @@
         for machine in self.machines.values_mut() {
             machine.type_index = index_by_name.get(machine.type_name.as_str()).copied();
         }
-        if self.demands.is_empty() {
+        if self.recent_jobs.is_empty() {
             // Jobs that were submitted before the types were known.
             let specs: Vec<(Steady, JobSpec)> =
                 self.jobs.values().map(|job| (job.known_since, job.spec.clone())).collect();
@@ -91,7 +91,7 @@
         spot: bool,
     ) {
         let zone = self.catalog.zone_index(zone);
-        let type_index = self.catalog.types.iter().position(|t| t.name == type_name);
+        let type_index = self.catalog.types.iter().position(|known| known.name == type_name);
         let Some(machine) = self.machines.get_mut(id) else { return };
         if !address.is_empty() {
             machine.address = address.to_string();
--- a/src/fleet/eviction.rs
+++ b/src/fleet/eviction.rs
@@ -6,8 +6,8 @@
 use crate::sched::Plan;
 use crate::time::Steady;
 
-/// A task that can save a checkpoint is told to this many heartbeat intervals, beyond its grace period,
-/// before its spot machine is reclaimed.
+/// A task that can save a checkpoint is stopped this many heartbeat intervals, and its grace period, before
+/// its spot machine is reclaimed.
 const SAVE_LEAD_INTERVALS: f64 = 2.5;
 
 /// Seconds added to the time that a job states for saving a checkpoint.
@@ -47,7 +47,7 @@
         for eviction in evictions.iter().filter(|eviction| eviction.delivery == Delivery::Direct) {
             let machine = self.machines.get_mut(&eviction.machine);
             if let Some(task) = machine.and_then(|machine| machine.tasks.get_mut(&eviction.task)) {
-                task.stop_directly = task.live() && task.stop_grace_s.is_some();
+                task.stop_directly = task.is_live() && task.stop_grace_s.is_some();
             }
         }
     }
@@ -59,7 +59,7 @@
             let id = &machines[machine];
             let Some(machine) = self.machines.get(id) else { continue };
             // The snapshot lists the live tasks of a machine in this very order.
-            let mut live_tasks = machine.tasks.iter().filter(|(_, task)| task.live());
+            let mut live_tasks = machine.tasks.iter().filter(|(_, task)| task.is_live());
             if let Some((task, _)) = live_tasks.nth(placed_task) {
                 tracing::info!(machine = %id, job = %task.job, task = task.number, "preempted");
                 evictions.push(self.direct_eviction(id.clone(), task.clone()));
@@ -77,9 +77,9 @@
             let Some(notice) = machine.interruption_at else { continue };
             let left_s = (notice - now).secs();
             for (key, task) in
-                machine.tasks.iter().filter(|(_, task)| task.live() && task.stop_grace_s.is_none())
+                machine.tasks.iter().filter(|(_, task)| task.is_live() && task.stop_grace_s.is_none())
             {
-                let grace_s = self.grace(&key.job);
+                let grace_s = self.checkpoint_grace_s(&key.job);
                 if grace_s > 0.0 && left_s < grace_s + lead_s && task.stage.is_some() {
                     evictions.push(Eviction {
                         machine: machine.id.clone(),
@@ -103,8 +103,9 @@
         evictions
     }
 
+    /// An eviction by direct command, with the grace period of the task's job.
     fn direct_eviction(&self, machine: MachineId, task: TaskKey) -> Eviction {
-        let grace_s = self.grace(&task.job);
+        let grace_s = self.checkpoint_grace_s(&task.job);
         Eviction { machine, task, grace_s, delivery: Delivery::Direct }
     }
 
@@ -116,7 +117,7 @@
         } else {
             let machine = self.machines.get_mut(&eviction.machine);
             let task = machine.and_then(|machine| machine.tasks.get_mut(&eviction.task));
-            if let Some(task) = task.filter(|task| task.live() && task.stop_grace_s.is_none()) {
+            if let Some(task) = task.filter(|task| task.is_live() && task.stop_grace_s.is_none()) {
                 task.stop_grace_s = Some(eviction.grace_s);
             }
         }
@@ -126,7 +127,7 @@
     }
 
     /// Seconds that a job's tasks are given to save a checkpoint when they are stopped.
-    pub(super) fn grace(&self, job: &JobId) -> f64 {
+    pub(super) fn checkpoint_grace_s(&self, job: &JobId) -> f64 {
         let saving_job = self.jobs.get(job).filter(|job| job.spec.checkpoint_s > 0.0);
         saving_job.map_or(0.0, |job| job.spec.save_s + SAVE_MARGIN_S)
     }
--- a/src/fleet/gang_placement.rs
+++ b/src/fleet/gang_placement.rs
@@ -13,7 +13,7 @@
 
 impl Fleet {
     /// Ends attempts of gangs that cannot start as placed. A gang keeps the places it was given, so that
-    /// their workers can be told to send a heartbeat for it. One none of whose starts has been sent is
+    /// their workers can be commanded to send a heartbeat for it. One none of whose starts has been sent is
     /// planned anew when a place is lost or it takes too long; one whose starts have been sent is stopped
     /// then.
     pub(super) fn drop_unsent_gangs(&mut self, now: Steady) {
@@ -80,7 +80,7 @@
     gang.unsent_places().any(|(_, machine)| {
         machines.get(machine).is_none_or(|machine| {
             let is_gone = machine.scaling_in || machine.lease_expired || machine.missing;
-            is_gone || machine.interruption_at.is_some() || !machine.usable(now)
+            is_gone || machine.interruption_at.is_some() || !machine.is_usable(now)
         })
     })
 }
--- a/src/fleet/headroom.rs
+++ b/src/fleet/headroom.rs
@@ -8,7 +8,7 @@
 use crate::time::Steady;
 use crate::wire::{MachineType, Priority};
 
-/// Warm pools are kept for at least this many seconds without a job for them: where such jobs come every
+/// Warm pools stay for at least this many seconds without a job for them: where such jobs come every
 /// ten seconds, a chance gap of forty would have the whole pool removed.
 const MIN_WARM_LULL_S: f64 = 60.0;
 
@@ -19,27 +19,28 @@
     /// By type: how many machines stay up though idle. As many as the recent jobs that start before a
     /// machine boots kept busy, with some to spare: a new machine would come too late for the next one.
     pub(super) fn warm_pools(&self, now: Steady) -> Vec<WarmPool> {
-        let recent = || self.demands.iter().filter(|job| job.starts_before_boot);
+        let recent = || self.recent_jobs.iter().filter(|job| job.starts_before_boot);
         if !self.more_expected(recent, MIN_WARM_LULL_S, now) {
             return vec![WarmPool::default(); self.catalog.types.len()];
         }
         let span_s = arrival_span_s(recent(), now);
-        (0..self.catalog.types.len()).map(|ty| self.warm_pool(ty, span_s)).collect()
+        (0..self.catalog.types.len()).map(|type_index| self.warm_pool(type_index, span_s)).collect()
     }
 
     /// The warm pool of a type, from the jobs of the last `span_s` seconds that prefer it.
-    fn warm_pool(&self, ty: usize, span_s: f64) -> WarmPool {
-        let prefers_type = |job: &&RecentJob| job.starts_before_boot && job.types.first() == Some(&ty);
+    fn warm_pool(&self, type_index: usize, span_s: f64) -> WarmPool {
+        let prefers_type =
+            |job: &&RecentJob| job.starts_before_boot && job.types.first() == Some(&type_index);
         let mut machine_seconds = 0.0;
-        let mut any = false;
+        let mut has_jobs = false;
         let mut spot = false;
-        for job in self.demands.iter().filter(prefers_type) {
-            let tasks_per_machine = self.type_capacity(ty).fits(&job.need).max(1);
-            machine_seconds += job.work / f64::from(tasks_per_machine);
-            any = true;
+        for job in self.recent_jobs.iter().filter(prefers_type) {
+            let tasks_per_machine = self.type_capacity(type_index).fits(&job.need).max(1);
+            machine_seconds += job.task_seconds / f64::from(tasks_per_machine);
+            has_jobs = true;
             spot |= job.spot;
         }
-        if !any {
+        if !has_jobs {
             return WarmPool::default();
         }
         // Square-root staffing: the mean number in use, and its spread on top.
@@ -47,10 +48,11 @@
         WarmPool { count: (load + load.sqrt()).round().max(1.0) as usize, spot }
     }
 
-    /// How many machines of a large type low priorities leave clear: the operator's setting, or as many
+    /// How many machines of a large type low priorities leave free: the operator's setting, or as many
     /// as the widest recent gang that should start at once takes.
-    pub(super) fn clear_machines(&self) -> usize {
-        let urgent_gangs = self.demands.iter().filter(|job| job.starts_before_boot && job.extra_machines > 0);
+    pub(super) fn headroom_machines(&self) -> usize {
+        let urgent_gangs =
+            self.recent_jobs.iter().filter(|job| job.starts_before_boot && job.extra_machines > 0);
         let widest = urgent_gangs.map(|job| job.extra_machines as usize + 1).max();
         widest.unwrap_or(0).max(self.config.operator.keep_clear)
     }
@@ -58,20 +60,21 @@
     /// By type: the headroom that lower priorities leave free, if any. It is for the largest recent task
     /// of a higher priority that fills a machine and that no smaller type takes.
     pub(super) fn reserved_headroom(&self) -> Vec<Option<ReservedHeadroom>> {
-        (0..self.catalog.types.len()).map(|ty| self.headroom_on_type(ty)).collect()
+        (0..self.catalog.types.len()).map(|type_index| self.headroom_on_type(type_index)).collect()
     }
 
-    fn headroom_on_type(&self, ty: usize) -> Option<ReservedHeadroom> {
-        let size = |ty: &MachineType| ty.cpus + CPUS_PER_GPU * ty.gpus;
-        let is_smallest = |job: &&RecentJob| {
-            job.types.iter().all(|&o| size(&self.catalog.types[o]) >= size(&self.catalog.types[ty]))
-        };
+    /// The headroom that lower priorities leave free on one type, if any.
+    fn headroom_on_type(&self, type_index: usize) -> Option<ReservedHeadroom> {
+        let size = |machine_type: &MachineType| machine_type.cpus + CPUS_PER_GPU * machine_type.gpus;
+        let types = &self.catalog.types;
+        let is_smallest =
+            |job: &&RecentJob| job.types.iter().all(|&other| size(&types[other]) >= size(&types[type_index]));
         let largest = self
-            .demands
+            .recent_jobs
             .iter()
-            .filter(|job| job.priority > Priority::Idle && job.types.contains(&ty))
+            .filter(|job| job.priority > Priority::Idle && job.types.contains(&type_index))
             .filter(is_smallest)
-            .filter(|job| self.type_capacity(ty).fits(&job.need) == 1)
+            .filter(|job| self.type_capacity(type_index).fits(&job.need) == 1)
             .max_by(|a, b| a.priority.cmp(&b.priority).then(a.need.cpus.total_cmp(&b.need.cpus)))?;
         Some(ReservedHeadroom { need: largest.need, priority: largest.priority, spot: largest.spot })
     }
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -144,7 +144,7 @@
         for machine in self.machines.values_mut().filter(|machine| !machine.address.is_empty()) {
             let is_overdue = overdue.contains(&machine.id);
             let mut orders = Vec::new();
-            for (key, task) in machine.tasks.iter_mut().filter(|(_, task)| task.live()) {
+            for (key, task) in machine.tasks.iter_mut().filter(|(_, task)| task.is_live()) {
                 let Some(grace_s) = task.stop_grace_s else { continue };
                 let is_remainder = is_overdue && grace_s == 0.0 && has_job_ended(&self.jobs, key);
                 if task.stop_directly || is_remainder {
@@ -167,7 +167,7 @@
         let interval_s = self.config.platform.settings.workers.report_s;
         let overdue = Micros::from_secs(interval_s * OVERDUE_INTERVALS);
         let is_remainder = |key: &TaskKey, task: &TaskEntry| {
-            task.live() && task.stop_grace_s == Some(0.0) && has_job_ended(&self.jobs, key)
+            task.is_live() && task.stop_grace_s == Some(0.0) && has_job_ended(&self.jobs, key)
         };
         let mut machines: Vec<&Machine> = self
             .machines
@@ -220,7 +220,7 @@
     /// Whether a heartbeat's reply may be deferred: nothing is on the machine but service replicas that
     /// run, and there is no order for it, so that a start which comes up meanwhile can be sent at once.
     pub fn may_defer_reply(&self, id: &str, now: Steady) -> bool {
-        let Some(machine) = self.machines.get(id).filter(|machine| machine.usable(now)) else {
+        let Some(machine) = self.machines.get(id).filter(|machine| machine.is_usable(now)) else {
             return false;
         };
         let is_steady_replica = |key: &TaskKey, task: &TaskEntry| {
@@ -243,7 +243,7 @@
     /// mark is written.
     pub fn has_ready_start(&self, id: &str) -> bool {
         let mut places = self.reserved_gang_places.get(id).into_iter().flatten();
-        let mut assigned = self.assigned.get(id).into_iter().flatten();
+        let mut assigned = self.assigned_starts.get(id).into_iter().flatten();
         places.any(|place| self.is_below_start_mark(&place.job, place.number))
             || assigned.any(|starts| self.is_below_start_mark(&starts.job, 0))
     }
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -2,9 +2,10 @@
 //!
 //! A worker stops its tasks when its lease runs out. Once this leader knows for certain that a lease has
 //! ended, the machine's tasks are gone and may start elsewhere; a machine that stays silent beyond that is
-//! returned to the cloud.
+//! scaled in. A machine on which an earlier leader may have started tasks is *unacknowledged* until it has
+//! acknowledged this leader's fencing token.
 
-use super::{Fleet, Machine};
+use super::{Fleet, Machine, CLOCK_DRIFT_FACTOR};
 use crate::jobs::MachineId;
 use crate::time::{Micros, Steady};
 
@@ -39,7 +40,7 @@
 /// With fewer on-demand machines than this their heartbeats do not show whether a network is partitioned.
 const MIN_ON_DEMAND_MACHINES: usize = 20;
 
-/// Few machines are silent, or not heard since the failover, if they are at most one in this many.
+/// Few machines are silent, or unacknowledged, if they are at most one in this many.
 const FEW_MACHINES_DIVISOR: usize = 10;
 
 /// A machine that is not up after this many times its type's boot time never will be.
@@ -51,13 +52,10 @@
 /// Boot time in seconds of a machine whose type is not known.
 const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
 
-/// Clocks of two machines may run apart by this factor.
-const CLOCK_DRIFT_FACTOR: f64 = 1.001;
-
 /// The moments and time limits that a check for lease expiry holds each machine to.
 struct LeaseExpiryCheck {
     now: Steady,
-    /// When this leader took over.
+    /// When this leader was elected.
     failover_at: Steady,
     /// The latest moment at which this leader's own lease is known to have been valid.
     leader_lease_confirmed_at: Steady,
@@ -65,42 +63,42 @@
     lease: Micros,
     /// This long after the failover no lease granted by an earlier leader is left.
     earlier_leases_end_after: Micros,
-    /// This long after the failover a machine that has not been heard is removed.
-    unheard_timeout: Micros,
+    /// This long after the failover unacknowledged machines are scaled in.
+    unacknowledged_timeout: Micros,
     heartbeat_interval: Micros,
     /// By zone, whether few machines are silent: neither the zone nor this leader is partitioned.
     few_silent: Vec<bool>,
 }
 
 impl LeaseExpiryCheck {
-    /// Expires a machine that has not been heard once no lease granted by an earlier leader can be
+    /// Expires an unacknowledged machine once no lease granted by an earlier leader can be
     /// valid, and returns whether that is so now.
-    fn expire_unheard(&self, machine: &mut Machine) -> bool {
+    fn expire_unacknowledged(&self, machine: &mut Machine) -> bool {
         if machine.acknowledged || self.now - self.failover_at <= self.earlier_leases_end_after {
             return false;
         }
-        // Not heard and, with the cloud out, not removed: no earlier leader's command or reply can
-        // still count on it.
+        // The cloud may be in an outage, so that the machine could not be scaled in: no command or reply of
+        // an earlier leader can reach it any more.
         tracing::info!(machine = %machine.id, "lease expiry of earlier leaders");
         machine.acknowledged = true;
         machine.lease_expired = true;
         true
     }
 
-    /// Marks a machine as leaving if it has not been heard for too long since the failover.
-    fn remove_unheard(&self, machine: &mut Machine) {
+    /// Marks a machine for scale in if it has been unacknowledged for too long since the failover.
+    fn remove_unacknowledged(&self, machine: &mut Machine) {
         let silent = self.now - self.failover_at;
-        if silent > self.unheard_timeout || (machine.missing && silent > UNLISTED_GRACE) {
+        if silent > self.unacknowledged_timeout || (machine.missing && silent > UNLISTED_GRACE) {
             tracing::info!(machine = %machine.id, reason = "silent since failover", "scale in");
             machine.scaling_in = true;
         }
     }
 
-    /// Expires a machine's lease if it ran out, and returns whether it did.
+    /// Expires a machine's lease if it has run out, and returns whether it did so now.
     fn expire(&self, machine: &mut Machine) -> bool {
-        // The last reply was this leader's and its fencing token had arrived: the lease is ours to
-        // count. Otherwise an earlier leader may still be renewing it, or, if this leader may have been
-        // replaced before the lease ended, a later one: a leader cut off from the state store and from
+        // The last reply was this leader's and its fencing token had arrived: no other leader has renewed
+        // the lease since. Otherwise an earlier leader may still be renewing it, or, if this leader may have
+        // been replaced before the lease ended, a later one: a leader cut off from the state store and from
         // this machine, but not from others, would start the same tasks there.
         let Some(renewed) = machine.lease_renewed_at() else { return false };
         let is_valid =
@@ -116,7 +114,7 @@
         true
     }
 
-    /// Marks a machine as leaving if it was heard but sends no heartbeats, or never came up.
+    /// Marks a machine for scale in if it is acknowledged but sends no heartbeats, or never came up.
     fn remove_silent(&self, machine: &mut Machine, boot_s: f64) {
         match machine.lease_renewed_at() {
             Some(renewed) => self.remove_unrenewed(machine, renewed),
@@ -125,7 +123,7 @@
         }
     }
 
-    /// Marks a machine as leaving whose lease was last renewed too long ago.
+    /// Marks a machine for scale in whose lease was last renewed too long ago.
     fn remove_unrenewed(&self, machine: &mut Machine, renewed: Steady) {
         let silent = self.now - renewed.max(machine.unanswered_heartbeat_at);
         let reason = if machine.lease_expired && silent > self.lease + PARTITION_GRACE {
@@ -142,7 +140,7 @@
         machine.scaling_in = true;
     }
 
-    /// Marks a machine as leaving that has shown this leader's fencing token in answer to a direct
+    /// Marks a machine for scale in that has shown this leader's fencing token in answer to a direct
     /// command, and so was bound to send a heartbeat within moments, but has not.
     fn remove_without_heartbeat(&self, machine: &mut Machine) {
         if self.now - machine.known_since > self.lease + PARTITION_GRACE {
@@ -151,7 +149,7 @@
         }
     }
 
-    /// Marks a machine as leaving that boots for too long.
+    /// Marks a machine for scale in that boots for too long.
     fn remove_never_up(&self, machine: &mut Machine, boot_s: f64) {
         let age_s = (machine.age_when_known + (self.now - machine.known_since)).secs();
         if machine.missing || age_s > (boot_s * MAX_BOOT_FACTOR).max(MIN_BOOT_GRACE_S) {
@@ -173,41 +171,42 @@
 }
 
 impl Fleet {
-    /// Expires leases, and marks machines that have been silent for too long as leaving.
+    /// Expires leases, and marks machines for scale in that have been silent for too long.
     pub(super) fn check_leases(&mut self, now: Steady) {
         let check = self.lease_expiry_check(now);
         let mut expired = Vec::new();
-        let mut expired_unheard = Vec::new();
+        let mut expired_unacknowledged = Vec::new();
         for machine in self.machines.values_mut() {
-            if check.expire_unheard(machine) {
+            if check.expire_unacknowledged(machine) {
                 expired.push(machine.id.clone());
-                expired_unheard.push(machine.id.clone());
+                expired_unacknowledged.push(machine.id.clone());
             }
             if machine.scaling_in && (machine.lease_expired || !machine.acknowledged) {
                 continue;
             }
             if !machine.acknowledged {
-                check.remove_unheard(machine);
+                check.remove_unacknowledged(machine);
             } else if check.expire(machine) {
                 expired.push(machine.id.clone());
             } else if !machine.scaling_in {
-                let ty = machine.type_index.and_then(|ty| self.catalog.types.get(ty));
-                check.remove_silent(machine, ty.map_or(UNKNOWN_TYPE_BOOT_S, |ty| ty.boot_s));
+                let machine_type = machine.type_index.and_then(|index| self.catalog.types.get(index));
+                let boot_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |known| known.boot_s);
+                check.remove_silent(machine, boot_s);
             }
         }
-        self.end_unheard(&expired_unheard, now);
+        self.end_unacknowledged(&expired_unacknowledged, now);
         for id in expired {
             self.drop_tasks(&id);
         }
     }
 
-    /// Takes machines that were never heard since the failover out of what is waited for.
-    fn end_unheard(&mut self, machines: &[MachineId], now: Steady) {
+    /// Machines whose leases from earlier leaders have expired are no longer waited for.
+    fn end_unacknowledged(&mut self, machines: &[MachineId], now: Steady) {
         if machines.is_empty() {
             return;
         }
         self.unacknowledged_machines = self.unacknowledged_machines.saturating_sub(machines.len());
-        self.team_totals.clear();
+        self.cached_team_use.clear();
         for id in machines {
             self.machine_lost(id, now);
         }
@@ -222,11 +221,11 @@
             failover_at: self.failover_at,
             leader_lease_confirmed_at: self.lease_confirmed_at,
             lease: self.worker_lease,
-            // An earlier leader answers no longer than `max_staleness` after it last knew that nobody
-            // had taken over, and that was before this leader's claim.
+            // An earlier leader answers no longer than `max_staleness` after its lease was last
+            // confirmed, and that was before this leader's election.
             earlier_leases_end_after: self.config.max_staleness().scale(CLOCK_DRIFT_FACTOR)
                 + self.worker_lease,
-            unheard_timeout: self.unheard_timeout(),
+            unacknowledged_timeout: self.unacknowledged_timeout(),
             heartbeat_interval,
             few_silent: (0..self.catalog.zones.len())
                 .map(|zone| self.few_silent(zone, max_silence, now))
@@ -234,15 +233,15 @@
         }
     }
 
-    /// How long after a failover machines that have not been heard are removed. A few silent machines
-    /// hold up all that was started: once the others are heard, the cloud is asked to end them. Where
-    /// many are silent a zone is partitioned, and they are waited for.
-    fn unheard_timeout(&self) -> Micros {
+    /// How long after a failover unacknowledged machines are scaled in. Until a few silent machines are
+    /// gone, no task that may be running on them can start elsewhere: they are scaled in as soon as the
+    /// others have acknowledged. Where many are silent a zone is partitioned, and they are waited for.
+    fn unacknowledged_timeout(&self) -> Micros {
         let fence = Micros::from_secs(self.config.operator.fence_after_s);
         let interval_s = self.config.platform.settings.workers.report_s;
         let early = Micros::from_secs(interval_s + EARLY_FENCE_MARGIN_S).max(MIN_EARLY_FENCE);
-        let few_unheard = self.unacknowledged_machines * FEW_MACHINES_DIVISOR <= self.machines.len();
-        if few_unheard {
+        let few_unacknowledged = self.unacknowledged_machines * FEW_MACHINES_DIVISOR <= self.machines.len();
+        if few_unacknowledged {
             fence.min(early)
         } else {
             fence
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -75,7 +75,7 @@
     }
 
     /// Whether the task has not exited: it is running, or may be.
-    pub(super) fn live(&self) -> bool {
+    pub(super) fn is_live(&self) -> bool {
         self.exit_reason.is_none()
     }
 }
@@ -143,7 +143,7 @@
     /// When it showed this leader's fencing token in reply to a direct command: from then on no
     /// earlier leader renews its lease.
     pub acknowledged_since: Option<Steady>,
-    /// When a direct command was last made out for it.
+    /// When a direct command was last composed for it.
     pub commanded_at: Steady,
     /// When a heartbeat last came that this leader might not answer.
     pub unanswered_heartbeat_at: Steady,
@@ -225,12 +225,12 @@
 
     /// Whether a task of an unknown job is on it, which takes an unknown share of the machine.
     pub(super) fn has_unknown_use(&self) -> bool {
-        self.tasks.values().any(|task| task.live() && task.need.is_none())
+        self.tasks.values().any(|task| task.is_live() && task.need.is_none())
     }
 
-    /// What is left of `total` beside the tasks that are running, or may be.
+    /// What the tasks that are running, or may be, leave free of `total`.
     pub(super) fn free(&self, total: Resources) -> Resources {
-        let live = self.tasks.values().filter(|task| task.live());
+        let live = self.tasks.values().filter(|task| task.is_live());
         live.filter_map(|task| task.need).fold(total, |free, need| free.minus(&need, 1))
     }
 
@@ -239,8 +239,8 @@
         self.answered_at.max(self.acknowledged_since)
     }
 
-    /// Whether this leader's fencing token has to be sent to it, since no heartbeat has fetched it
-    /// of late.
+    /// Whether this leader's fencing token has to be sent to it, since no reply to a heartbeat has
+    /// carried it recently.
     pub fn needs_fencing_token(&self, now: Steady) -> bool {
         let last_contact = self.answered_at.unwrap_or(self.known_since);
         !self.acknowledged && !self.scaling_in && last_contact + FENCING_TOKEN_DELAY < now
@@ -257,7 +257,7 @@
     }
 
     /// Whether tasks may be started on it.
-    pub(super) fn usable(&self, now: Steady) -> bool {
+    pub(super) fn is_usable(&self, now: Steady) -> bool {
         self.up
             && self.registered
             && self.acknowledged
--- a/src/fleet/machine_snapshots.rs
+++ b/src/fleet/machine_snapshots.rs
@@ -12,9 +12,8 @@
 /// After this many heartbeat intervals of silence nothing is started on a machine.
 const MAX_SILENT_INTERVALS: f64 = 2.5;
 
-/// How long, in heartbeat intervals, a silent machine is expected to stay so: it is not counted on until
-/// it sends a heartbeat again.
-const SILENT_OPENS_IN_INTERVALS: f64 = 3.0;
+/// A silent machine is expected to accept starts only after this many heartbeat intervals.
+const SILENT_ACCEPTS_IN_INTERVALS: f64 = 3.0;
 
 /// A machine is expected to be up after this many times its type's boot time.
 const EXPECTED_BOOT_FACTOR: f64 = 1.1;
@@ -76,7 +75,7 @@
         let mut reserved: BTreeMap<&MachineId, ReservedPlaces> = BTreeMap::new();
         for job in self.jobs.values() {
             let Some(gang) = &job.gang else { continue };
-            for (_, machine) in gang.places.iter().filter(|(task, _)| !gang.started.contains(**task)) {
+            for (_, machine) in gang.unsent_places() {
                 let places = reserved.entry(machine).or_default();
                 places.tasks += 1;
                 places.need = places.need.plus(&task_resources(&job.spec), 1);
@@ -97,24 +96,24 @@
         machine: &Machine,
         now: Steady,
     ) -> Option<MachineSnapshot> {
-        let ty = machine.type_index?;
-        let machine_type = &self.catalog.types[ty];
-        let total = self.type_capacity(ty);
+        let type_index = machine.type_index?;
+        let machine_type = &self.catalog.types[type_index];
+        let total = self.type_capacity(type_index);
         let free = machine.free(total);
         let price = match machine_type.spot_price {
             Some(spot_price) if machine.spot => spot_price,
             _ => machine_type.price,
         };
         let max_silence = self.heartbeat_interval().scale(MAX_SILENT_INTERVALS);
-        let live_tasks = machine.tasks.iter().filter(|(_, task)| task.live());
+        let live_tasks = machine.tasks.iter().filter(|(_, task)| task.is_live());
         Some(MachineSnapshot {
-            machine_type: ty,
+            machine_type: type_index,
             zone: machine.zone,
             spot: machine.spot,
             total,
             free: if reserved.tasks > 0 { free.minus(&reserved.need, 1) } else { free },
-            accepts_starts: machine.usable(now) && now - machine.heartbeat_at < max_silence,
-            accepts_starts_in: self.opens_in(machine, machine_type, now),
+            accepts_starts: machine.is_usable(now) && now - machine.heartbeat_at < max_silence,
+            accepts_starts_in: self.accepts_starts_in(machine, machine_type, now),
             images: machine.images.iter().map(|image| image.image).collect(),
             fetch_gb_per_s: machine_type.fetch_gb_per_s,
             cpu_price: (price / machine_type.cpus.max(MIN_CPUS) * PRICE_PARTS) as i64,
@@ -125,7 +124,7 @@
     }
 
     /// How long until a start can reach a machine: with its next heartbeat, or once it has booted.
-    fn opens_in(&self, machine: &Machine, machine_type: &MachineType, now: Steady) -> Micros {
+    fn accepts_starts_in(&self, machine: &Machine, machine_type: &MachineType, now: Steady) -> Micros {
         if !machine.up {
             let boot = Micros::from_secs(machine_type.boot_s).scale(EXPECTED_BOOT_FACTOR);
             return (boot - (machine.age_when_known + (now - machine.known_since))).max(MIN_BOOT_LEFT);
@@ -133,7 +132,7 @@
         let heartbeat_interval = self.heartbeat_interval();
         let silent = now - machine.heartbeat_at;
         if silent > heartbeat_interval.scale(MAX_SILENT_INTERVALS) {
-            heartbeat_interval.scale(SILENT_OPENS_IN_INTERVALS)
+            heartbeat_interval.scale(SILENT_ACCEPTS_IN_INTERVALS)
         } else if now < machine.reply_deferred_until {
             Micros::ZERO
         } else {
@@ -151,7 +150,7 @@
             priority: spec.map_or(Priority::Idle, |spec| spec.priority),
             within_fair_share: self.within_fair_share.contains(&key.job),
             team: spec.and_then(|spec| self.team_settings(&spec.team)).map_or(usize::MAX, |(index, _)| index),
-            remaining: self.stated_left(task, spec, now),
+            remaining: self.remaining_run_time(task, spec, now),
             lost_work: lost_work(task, spec, now),
             preemptible: task.stop_grace_s.is_none() && is_preemptible,
             stopping: task.stop_grace_s.is_some(),
@@ -159,9 +158,9 @@
         }
     }
 
-    /// Time until the stated end of a task. One that exceeds its stated time has a tenth of it left, and
+    /// Run time left of a task by its stated run time. One that exceeds its stated time has a tenth of it left, and
     /// any at least a second.
-    pub(super) fn stated_left(&self, task: &TaskEntry, spec: Option<&JobSpec>, now: Steady) -> Micros {
+    pub(super) fn remaining_run_time(&self, task: &TaskEntry, spec: Option<&JobSpec>, now: Steady) -> Micros {
         let stated = spec.map_or(Micros::from_secs(UNKNOWN_RUN_TIME_S), stated_run_time);
         let may_fetch = matches!(task.stage, None | Some(TaskStage::Fetching | TaskStage::Waiting));
         let fetch = Micros::from_secs(if may_fetch { FETCH_ALLOWANCE_S } else { 0.0 });
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -93,7 +93,7 @@
                 if !machine.acknowledged {
                     self.unacknowledged_machines = self.unacknowledged_machines.saturating_sub(1);
                 }
-                self.team_totals.clear();
+                self.cached_team_use.clear();
                 self.machine_records.remove(&id);
                 if machine.mod_revision > 0 {
                     self.cleanup.machine_records.insert(id.clone(), machine.mod_revision);
@@ -110,7 +110,7 @@
         machine.sent_starts.clear();
         let tasks = std::mem::take(&mut machine.tasks);
         for (key, task) in tasks {
-            if task.live() {
+            if task.is_live() {
                 self.task_lost(&key, id);
             }
         }
--- a/src/fleet/maintenance.rs
+++ b/src/fleet/maintenance.rs
@@ -7,11 +7,11 @@
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::TaskStage;
 
-/// How often the log tells how the machines are used.
+/// Time between two log lines of machine utilization.
 const UTILIZATION_LOG_INTERVAL: Micros = Micros(15_000_000);
 
-/// How long a machine that is gone is remembered, so that late heartbeats from it are refused.
-const GONE_MACHINE_MEMORY: Micros = Micros(900_000_000);
+/// How long a removed machine is remembered, so that late heartbeats from it are refused.
+const REMOVED_MACHINE_RETENTION: Micros = Micros(900_000_000);
 
 /// Least processors that a share is taken of, so that a type without any does not divide by zero.
 const MIN_CPUS: f64 = 0.1;
@@ -40,13 +40,14 @@
             self.log_state.machine_use_at = now;
             self.log_utilization();
         }
-        self.removed_machines.retain(|_, gone_at| now - *gone_at < GONE_MACHINE_MEMORY);
+        self.removed_machines.retain(|_, removed_at| now - *removed_at < REMOVED_MACHINE_RETENTION);
         self.refused_offers.retain(|_, until| now < *until);
         self.forget_vacated(now);
         self.replan(now, wall);
     }
 
-    /// Logs when all machines of the earlier leader are heard or expired, and when no longer.
+    /// Logs when all machines of the earlier leader have acknowledged this one or have expired, and when that
+    /// is no longer so.
     fn log_failover_progress(&mut self, now: Steady) {
         if (self.unacknowledged_machines == 0) != self.log_state.all_acknowledged {
             self.log_state.all_acknowledged = self.unacknowledged_machines == 0;
@@ -77,8 +78,8 @@
             used.machines += 1;
             used.booting += u32::from(!machine.up);
             used.idle += u32::from(machine.up && machine.tasks.is_empty());
-            used.cpus += machine.type_index.map_or(0.0, |ty| self.type_capacity(ty).cpus);
-            for task in machine.tasks.values().filter(|task| task.live()) {
+            used.cpus += machine.type_index.map_or(0.0, |index| self.type_capacity(index).cpus);
+            for task in machine.tasks.values().filter(|task| task.is_live()) {
                 let cpus = task.need.map_or(0.0, |need| need.cpus);
                 used.placed_cpus += cpus;
                 used.running_cpus += if task.stage == Some(TaskStage::Running) { cpus } else { 0.0 };
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -65,7 +65,7 @@
 
 use catalog::Catalog;
 use recent_jobs::RecentJob;
-use records::{RecentJobs, RecordCleanup, WriteLimits};
+use records::{RecentJobsWrites, RecordCleanup, WriteLimits};
 use replicas::WaitingService;
 use starts::{AssignedStarts, GangPlace};
 use status::LogState;
@@ -91,15 +91,18 @@
     pub dirty: bool,
     /// Machine records, packed into state-store values.
     pub machine_records: PackedRecords<MachineRecord>,
-    /// Start marks by job: tasks with lower numbers may be started. Packed into state-store values.
+    /// Start marks by job (see `starts`): tasks with lower numbers may be started. Packed into state-store
+    /// values.
     pub start_marks: PackedRecords<u32>,
+    /// The platform's and the operators' settings.
     config: Arc<Config>,
+    /// The machine types, zones and images.
     catalog: Catalog,
     /// Attempts numbered by this leader; the low bits of each attempt number.
     attempt_counter: u64,
-    /// When this leader took over (the failover).
+    /// When this leader was elected (the failover).
     failover_at: Steady,
-    /// At this moment no other leader had taken over.
+    /// The latest moment at which this leader's own lease is known to have been valid.
     lease_confirmed_at: Steady,
     /// A worker's lease as this leader counts it, with a safety margin.
     worker_lease: Micros,
@@ -114,15 +117,16 @@
     /// Services with replicas that wait for a start.
     waiting_services: Vec<WaitingService>,
     /// What the latest plan starts on each machine.
-    assigned: BTreeMap<MachineId, Vec<AssignedStarts>>,
+    assigned_starts: BTreeMap<MachineId, Vec<AssignedStarts>>,
     /// Places of gang tasks whose starts have not been sent.
     reserved_gang_places: BTreeMap<MachineId, Vec<GangPlace>>,
     /// Jobs that fit their team's fair share, its earlier unfinished ones counted first.
     within_fair_share: BTreeSet<JobId>,
-    /// Resources used by teams with quotas, by team index; empty until it is counted anew.
-    team_totals: Vec<Resources>,
+    /// Resources used by teams with quotas, by team index; empty if they have to be counted again.
+    cached_team_use: Vec<Resources>,
     /// How many machines have not acknowledged this leader's fencing token.
     unacknowledged_machines: usize,
+    /// The sizes of values and transactions that the state store accepts.
     write_limits: WriteLimits,
     /// All changes of jobs up to this revision of the state store have been applied.
     jobs_revision: u64,
@@ -130,14 +134,17 @@
     ended_jobs: BTreeMap<JobId, u64>,
     /// When machines were removed; later heartbeats from them are refused.
     removed_machines: BTreeMap<MachineId, Steady>,
+    /// Stored records that are to be deleted.
     cleanup: RecordCleanup,
-    /// Until when offers that the cloud refused are not asked for again.
+    /// Offers that the cloud refused, and until when they are not requested again.
     refused_offers: BTreeMap<MachineOffer, Steady>,
-    /// Demands of recent jobs by type, for what low priorities leave free.
-    demands: Vec<RecentJob>,
-    recent_jobs: RecentJobs,
+    /// Recently submitted jobs, for warm pools and for the headroom that low priorities leave free.
+    recent_jobs: Vec<RecentJob>,
+    /// Which part of that list is stored.
+    recent_jobs_writes: RecentJobsWrites,
     /// When a record that nobody waits for was last written.
     deferred_write_at: Steady,
+    /// When the periodic log lines were last written.
     log_state: LogState,
 }
 
@@ -145,7 +152,7 @@
 const LEASE_MARGIN: Micros = Micros(1_500_000);
 
 /// Factor on durations that another computer measures: its clock may run slower by so much.
-const CLOCK_DRIFT: f64 = 1.001;
+const CLOCK_DRIFT_FACTOR: f64 = 1.001;
 
 impl Fleet {
     /// An empty model for a new leader with fencing token `fencing_token`; records are loaded into it
@@ -166,16 +173,16 @@
             attempt_counter: 0,
             failover_at: now,
             lease_confirmed_at: now,
-            worker_lease: config.worker_lease().scale(CLOCK_DRIFT) + LEASE_MARGIN,
+            worker_lease: config.worker_lease().scale(CLOCK_DRIFT_FACTOR) + LEASE_MARGIN,
             planned_at: Steady(0),
             planned_jobs: Vec::new(),
             planned_snapshot: Snapshot::default(),
             closed_machines: BTreeSet::new(),
             waiting_services: Vec::new(),
-            assigned: BTreeMap::new(),
+            assigned_starts: BTreeMap::new(),
             reserved_gang_places: BTreeMap::new(),
             within_fair_share: BTreeSet::new(),
-            team_totals: Vec::new(),
+            cached_team_use: Vec::new(),
             unacknowledged_machines: 0,
             write_limits: WriteLimits { value_bytes: config.value_bytes(), txn_changes: config.txn_ops() },
             jobs_revision: 0,
@@ -183,8 +190,8 @@
             removed_machines: BTreeMap::new(),
             cleanup: RecordCleanup::default(),
             refused_offers: BTreeMap::new(),
-            demands: Vec::new(),
-            recent_jobs: RecentJobs { submitted: 0, written: 0, written_at: now },
+            recent_jobs: Vec::new(),
+            recent_jobs_writes: RecentJobsWrites { submitted: 0, written: 0, written_at: now },
             deferred_write_at: now,
             log_state: LogState { machine_use_at: now, recovery_at: now, all_acknowledged: false },
             config,
--- a/src/fleet/objectives.rs
+++ b/src/fleet/objectives.rs
@@ -109,7 +109,7 @@
     /// Seconds that a job's image takes to fetch on the fastest type that it may use; 0 without one.
     fn min_fetch_s(&self, spec: &JobSpec) -> f64 {
         let types = self.allowed_types(spec);
-        let fetch_times = types.iter().map(|&ty| fetch_s(spec, &self.catalog.types[ty]));
+        let fetch_times = types.iter().map(|&index| fetch_s(spec, &self.catalog.types[index]));
         let fastest_s = fetch_times.fold(f64::INFINITY, f64::min);
         if fastest_s.is_finite() {
             fastest_s
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -12,13 +12,13 @@
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::{JobSpec, Priority, Shape};
 
-/// Delays that differ by less count as alike.
+/// The planner treats delays that differ by less than this as equal.
 const DELAY_STEP: Micros = Micros(2_000_000);
 
-/// The same for the lowest priority, in heartbeat intervals.
+/// The same step for the lowest priority, in heartbeat intervals.
 const LOW_PRIORITY_DELAY_STEP_INTERVALS: f64 = 1.5;
 
-/// Resources that a team may exceed its fair share by: rounding errors.
+/// A team may exceed its fair share by this much, since sums of processors have rounding errors.
 const FAIR_SHARE_TOLERANCE: f64 = 1e-6;
 
 /// The planner's input, and what its indices mean.
@@ -34,7 +34,9 @@
 /// Numbers of tasks of the widest unfinished jobs.
 #[derive(Clone, Copy, Default)]
 struct WidestJobs {
+    /// Of gangs.
     gang: u32,
+    /// Of arrays and services.
     other: u32,
 }
 
@@ -72,16 +74,16 @@
         self.forget_old_jobs(now);
         self.within_fair_share = self.jobs_within_fair_share();
         let heartbeat_s = self.config.platform.settings.workers.report_s;
-        let (rooms, machines) = self.machine_snapshots(now);
+        let (machine_snapshots, machines) = self.machine_snapshots(now);
         let (classes, jobs) = self.job_classes(&machines, now, wall);
         let snapshot = Snapshot {
             zone_count: self.catalog.zones.len(),
             reserve: self.config.operator.reserve,
-            headroom_machines: self.clear_machines(),
+            headroom_machines: self.headroom_machines(),
             low_priority_delay_step: Micros::from_secs(LOW_PRIORITY_DELAY_STEP_INTERVALS * heartbeat_s),
             delay_step: DELAY_STEP,
             reserved_headroom: self.reserved_headroom(),
-            machines: rooms,
+            machines: machine_snapshots,
             classes,
             teams: self.team_uses(),
         };
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -59,7 +59,7 @@
 
     /// Notes what the plan starts on each machine, and begins attempts of the gangs that it places.
     fn assign(&mut self, input: &PlannerInput, plan: &Plan, now: Steady) {
-        self.assigned.clear();
+        self.assigned_starts.clear();
         let mut tasks_by_class: BTreeMap<usize, u32> = BTreeMap::new();
         let mut gang_machines: BTreeMap<usize, Vec<MachineId>> = BTreeMap::new();
         for start in &plan.starts {
@@ -71,7 +71,7 @@
             }
             *tasks_by_class.entry(start.class).or_insert(0) += start.count;
             let job = input.jobs[start.class].clone();
-            self.assigned
+            self.assigned_starts
                 .entry(machine.clone())
                 .or_default()
                 .push(AssignedStarts { job, count: start.count });
--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -33,15 +33,15 @@
 #[derive(Clone, Debug)]
 pub(super) struct RecentJob {
     /// When it was submitted.
-    pub(super) at: Steady,
+    pub(super) submitted_at: Steady,
     /// What a task takes.
     pub(super) need: Resources,
     /// Its priority.
     pub(super) priority: Priority,
     /// Indices of the machine types it may use.
     pub(super) types: Vec<usize>,
-    /// Task-seconds, by the stated run time.
-    pub(super) work: f64,
+    /// Run time of all its tasks together in seconds, as stated.
+    pub(super) task_seconds: f64,
     /// Its class should start sooner than a machine boots and fetches the image.
     pub(super) starts_before_boot: bool,
     /// Machines that it takes at once, beyond the first: a gang's tasks.
@@ -62,13 +62,13 @@
         // the capacity for the time that a new machine would take.
         let task_s = if is_service { ready_s } else { stated_run_time(spec).secs() }.min(MAX_TASK_S);
         let starts_before_boot = self.start_objective_s(spec).is_some_and(|within_s| within_s < ready_s);
-        self.recent_jobs.submitted += 1;
-        self.demands.push(RecentJob {
-            at: now,
+        self.recent_jobs_writes.submitted += 1;
+        self.recent_jobs.push(RecentJob {
+            submitted_at: now,
             need: task_resources(spec),
             priority: spec.priority,
             types,
-            work: task_s * f64::from(spec.tasks),
+            task_seconds: task_s * f64::from(spec.tasks),
             starts_before_boot: is_service || starts_before_boot,
             extra_machines: if spec.is_gang() { spec.tasks - 1 } else { 0 },
             has_deadline: spec.deadline_s.is_some(),
@@ -78,15 +78,17 @@
 
     /// Seconds until a new machine of the fastest of these types has booted and has the job's image.
     fn seconds_to_new_machine(&self, spec: &JobSpec, types: &[usize]) -> f64 {
-        let known = types.iter().filter_map(|&ty| self.catalog.types.get(ty));
-        known.map(|ty| ty.boot_s + fetch_s(spec, ty)).fold(f64::INFINITY, f64::min)
+        let known = types.iter().filter_map(|&index| self.catalog.types.get(index));
+        known
+            .map(|machine_type| machine_type.boot_s + fetch_s(spec, machine_type))
+            .fold(f64::INFINITY, f64::min)
     }
 
     /// Recent jobs as they are stored: only those that capacity is kept ready for, the latest first, no
     /// more than fit into `bytes` bytes.
     pub fn recent_job_records(&self, now: Steady, wall: Wall, bytes: usize) -> Vec<DemandRecord> {
         let mut bytes_left = bytes;
-        let latest_first = self.demands.iter().rev();
+        let latest_first = self.recent_jobs.iter().rev();
         latest_first
             .filter(|job| job.starts_before_boot || job.priority > Priority::Idle)
             .map(|job| self.recent_job_record(job, now, wall))
@@ -101,13 +103,13 @@
 
     /// A recent job as it is stored, with the names of its types instead of their indices.
     fn recent_job_record(&self, job: &RecentJob, now: Steady, wall: Wall) -> DemandRecord {
-        let type_name = |ty: &usize| self.catalog.types.get(*ty).map(|ty| ty.name.clone());
+        let type_name = |index: &usize| self.catalog.types.get(*index).map(|known| known.name.clone());
         DemandRecord {
-            submitted_us: (wall - (now - job.at)).0,
+            submitted_us: (wall - (now - job.submitted_at)).0,
             need: (job.need.cpus, job.need.gpus, job.need.memory),
             priority: job.priority,
             types: job.types.iter().filter_map(type_name).collect(),
-            task_seconds: job.work,
+            task_seconds: job.task_seconds,
             starts_before_boot: job.starts_before_boot,
             extra_machines: job.extra_machines,
             has_deadline: job.has_deadline,
@@ -120,14 +122,14 @@
     pub fn inherit_recent_jobs(&mut self, records: Vec<DemandRecord>, now: Steady, wall: Wall) {
         for record in records {
             let age = (wall - Wall(record.submitted_us)).max(Micros::ZERO);
-            let type_index = |name: &String| self.catalog.types.iter().position(|ty| ty.name == *name);
+            let type_index = |name: &String| self.catalog.types.iter().position(|known| known.name == *name);
             let (cpus, gpus, memory) = record.need;
-            self.demands.push(RecentJob {
-                at: now - age,
+            self.recent_jobs.push(RecentJob {
+                submitted_at: now - age,
                 need: Resources { cpus, gpus, memory },
                 priority: record.priority,
                 types: record.types.iter().filter_map(type_index).collect(),
-                work: record.task_seconds,
+                task_seconds: record.task_seconds,
                 starts_before_boot: record.starts_before_boot,
                 extra_machines: record.extra_machines,
                 has_deadline: record.has_deadline,
@@ -139,7 +141,7 @@
 
     /// Drops jobs from the list that are no longer recent.
     pub(super) fn forget_old_jobs(&mut self, now: Steady) {
-        self.demands.retain(|job| now - job.at < RECENT_JOBS_WINDOW);
+        self.recent_jobs.retain(|job| now - job.submitted_at < RECENT_JOBS_WINDOW);
     }
 
     /// Whether more jobs like some recent ones are expected: not if none has come for much longer than
@@ -148,7 +150,7 @@
     where
         I: Iterator<Item = &'a RecentJob>,
     {
-        let Some(last) = recent().map(|job| job.at).max() else { return false };
+        let Some(last) = recent().map(|job| job.submitted_at).max() else { return false };
         let usual_interval_s = arrival_span_s(recent(), now) / recent().count() as f64;
         (now - last).secs() <= (MISSED_ARRIVALS * usual_interval_s).max(min_lull_s)
     }
@@ -156,17 +158,17 @@
     /// Seconds that the slowest type takes to boot. A machine that is removed in a shorter lull may have
     /// to be requested again.
     pub(super) fn slowest_boot_s(&self) -> f64 {
-        self.catalog.types.iter().map(|ty| ty.boot_s).fold(0.0, f64::max)
+        self.catalog.types.iter().map(|machine_type| machine_type.boot_s).fold(0.0, f64::max)
     }
 }
 
 /// Seconds that a job's image takes to fetch on a machine type.
-pub(super) fn fetch_s(spec: &JobSpec, ty: &MachineType) -> f64 {
-    spec.image_gb / ty.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
+pub(super) fn fetch_s(spec: &JobSpec, machine_type: &MachineType) -> f64 {
+    spec.image_gb / machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
 }
 
 /// Seconds over which recent jobs have come.
 pub(super) fn arrival_span_s<'a>(recent: impl Iterator<Item = &'a RecentJob>, now: Steady) -> f64 {
-    let first = recent.map(|job| job.at).min().unwrap_or(now);
+    let first = recent.map(|job| job.submitted_at).min().unwrap_or(now);
     (now - first).secs().clamp(MIN_SPAN_S, RECENT_JOBS_WINDOW.secs())
 }
--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -18,6 +18,9 @@
 /// be lost on the way.
 const SUSPECT_UNDELIVERED_REPLIES: u32 = 2;
 
+/// A lease that expired although its heartbeats were answered counts as this many undelivered replies.
+const UNDELIVERED_REPLIES_PER_LOST_LEASE: u32 = 2;
+
 /// Exponent of two beyond which the pause after undelivered replies grows no more.
 const MAX_PAUSE_EXPONENT: u32 = 4;
 
@@ -29,7 +32,7 @@
 const NO_CAPACITY_PAUSE: Micros = Micros(2_000_000);
 
 /// Tasks of a heartbeat beyond this many are not read.
-const MAX_REPORTED_TASKS: usize = 10_000;
+const MAX_TASKS_PER_HEARTBEAT: usize = 10_000;
 
 /// Whether the job of a task has ended, or is not known.
 pub(super) fn has_job_ended(jobs: &BTreeMap<JobId, Job>, task: &TaskKey) -> bool {
@@ -71,13 +74,13 @@
         machine.latest_heartbeat = position;
         let had_notice = machine.interruption_at.is_some();
         self.reconcile_machine(id, heartbeat, now);
-        let mut reported = self.reconcile_tasks(id, heartbeat, now);
+        let mut listed = self.reconcile_tasks(id, heartbeat, now);
         if !had_notice {
             self.stop_unfinishable(id, now);
         }
-        self.note_reply_delivery(id, &reported, lost_lease, now);
-        reported.sort_unstable();
-        self.drop_absent_tasks(id, &reported);
+        self.note_reply_delivery(id, &listed, lost_lease, now);
+        listed.sort_unstable();
+        self.drop_absent_tasks(id, &listed);
         if let Some(machine) = self.machines.get_mut(id).filter(|machine| !machine.tasks.is_empty()) {
             machine.idle_since = now;
         }
@@ -98,7 +101,7 @@
         if acknowledges {
             machine.acknowledged = true;
             self.unacknowledged_machines = self.unacknowledged_machines.saturating_sub(1);
-            self.team_totals.clear();
+            self.cached_team_use.clear();
             self.dirty = true;
         }
         let notice_s = heartbeat.interruption_notice_s.filter(|seconds| seconds.is_finite());
@@ -118,8 +121,8 @@
 
     /// Reconciles the tasks that a heartbeat lists, and returns their keys.
     fn reconcile_tasks(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Steady) -> Vec<TaskKey> {
-        let mut reported: Vec<TaskKey> = Vec::with_capacity(heartbeat.tasks.len());
-        for status in heartbeat.tasks.iter().take(MAX_REPORTED_TASKS) {
+        let mut listed: Vec<TaskKey> = Vec::with_capacity(heartbeat.tasks.len());
+        for status in heartbeat.tasks.iter().take(MAX_TASKS_PER_HEARTBEAT) {
             let Some((job, number)) = split_task(&status.task) else {
                 tracing::error!(machine = %id, task = %status.task, "heartbeat names a malformed task");
                 continue;
@@ -127,9 +130,9 @@
             let job = self.jobs.get_key_value(job).map_or_else(|| job.into(), |(id, _)| id.clone());
             let key = TaskKey { job, number, attempt: status.attempt };
             self.reconcile_task(id, &key, status, now);
-            reported.push(key);
+            listed.push(key);
         }
-        reported
+        listed
     }
 
     /// Stops the tasks of job arrays on a machine that the cloud is about to reclaim which, by their
@@ -142,9 +145,9 @@
         let saves_nothing = |spec: &JobSpec| spec.is_array() && spec.checkpoint_s <= 0.0;
         let is_unfinishable = |key: &TaskKey, task: &TaskEntry| {
             let spec = self.jobs.get(&key.job).map(|job| &job.spec);
-            task.live()
+            task.is_live()
                 && spec.is_some_and(saves_nothing)
-                && self.stated_left(task, spec, now) > interruption_at - now
+                && self.remaining_run_time(task, spec, now) > interruption_at - now
         };
         let tasks = machine.tasks.iter();
         let unfinishable: Vec<TaskKey> =
@@ -157,15 +160,15 @@
         }
     }
 
-    /// Drops a machine's tasks that are not among those reported, which are sorted.
-    fn drop_absent_tasks(&mut self, id: &MachineId, reported: &[TaskKey]) {
+    /// Drops a machine's tasks that the heartbeat does not list; `listed` is sorted.
+    fn drop_absent_tasks(&mut self, id: &MachineId, listed: &[TaskKey]) {
         let Some(machine) = self.machines.get(id) else { return };
-        let is_absent = |key: &&TaskKey| reported.binary_search(key).is_err();
+        let is_absent = |key: &&TaskKey| listed.binary_search(key).is_err();
         let absent: Vec<TaskKey> = machine.tasks.keys().filter(is_absent).cloned().collect();
         for key in absent {
             let machine = self.machines.get_mut(id);
             let Some(task) = machine.and_then(|machine| machine.tasks.remove(&key)) else { continue };
-            if task.live() {
+            if task.is_live() {
                 // The start was not delivered, or the worker's lease expired and it forgot all.
                 tracing::debug!(machine = %id, job = %key.job, task = key.number, "task missing from heartbeat");
                 self.task_lost(&key, id);
@@ -179,7 +182,7 @@
     pub(super) fn note_reply_delivery(
         &mut self,
         id: &MachineId,
-        reported: &[TaskKey],
+        listed: &[TaskKey],
         lost_lease: bool,
         now: Steady,
     ) {
@@ -192,10 +195,10 @@
         let sent_starts = std::mem::take(&mut machine.sent_starts);
         if lost_lease && was_answered {
             // Its lease expired although its heartbeats were answered.
-            machine.undelivered_replies += 2;
+            machine.undelivered_replies += UNDELIVERED_REPLIES_PER_LOST_LEASE;
         } else if sent_starts.is_empty() {
             return;
-        } else if sent_starts.iter().any(|key| reported.contains(key)) {
+        } else if sent_starts.iter().any(|key| listed.contains(key)) {
             machine.undelivered_replies = 0;
             return;
         } else {
@@ -223,7 +226,7 @@
         }
         let is_new = known.is_none();
         if is_new {
-            self.team_totals.clear();
+            self.cached_team_use.clear();
         }
         let job = self.jobs.get(&key.job);
         let need = job.map(|job| task_resources(&job.spec));
@@ -333,5 +336,5 @@
 
 /// Whether a heartbeat's status of a task is known already.
 fn is_unchanged(task: &TaskEntry, status: &TaskStatus) -> bool {
-    !task.live() || (task.stage == Some(status.stage) && task.need.is_some())
+    !task.is_live() || (task.stage == Some(status.stage) && task.need.is_some())
 }
--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -29,7 +29,7 @@
             // It moves into a value with others; its own record is deleted when the machine is removed.
             self.machine_records.put(&id, record.clone());
         }
-        self.team_totals.clear();
+        self.cached_team_use.clear();
         self.describe_machine(&id, &record.address, &record.machine_type, &record.zone, record.spot);
     }
 
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -81,9 +81,9 @@
     pub(super) done_chunks: BTreeMap<String, u64>,
 }
 
-/// How far the list of recent jobs is written.
-pub(super) struct RecentJobs {
-    /// How many jobs this leader has added to the demands.
+/// Which part of the list of recent jobs is stored.
+pub(super) struct RecentJobsWrites {
+    /// How many jobs this leader has added to the list.
     pub(super) submitted: u64,
     /// That number when the list was last written.
     pub(super) written: u64,
@@ -160,7 +160,7 @@
     /// `chunk` is how many tasks a chunk of done ranges holds.
     pub fn pending_writes(&mut self, now: Steady, batch: Micros, chunk: u32) -> Vec<PendingWrite> {
         self.queue_records();
-        let mut writes = self.pending_of_jobs(now, batch, chunk);
+        let mut writes = self.pending_job_writes(now, batch, chunk);
         writes.extend(self.machine_records.pending(true).map(PendingWrite::Machines));
         writes.extend(self.start_marks.pending(true).map(PendingWrite::StartMarks));
         if now - self.deferred_write_at > DEFERRED_WRITE_INTERVAL {
@@ -170,7 +170,7 @@
         writes.extend(
             machine_records.map(|(id, revision)| PendingWrite::ObsoleteMachineRecord(id.clone(), *revision)),
         );
-        let recent = &self.recent_jobs;
+        let recent = &self.recent_jobs_writes;
         if recent.submitted > recent.written && now - recent.written_at > RECENT_JOBS_INTERVAL {
             writes.push(PendingWrite::RecentJobs);
         }
@@ -192,7 +192,7 @@
     }
 
     /// Ends of jobs that are complete, and chunks of done ranges that are due.
-    fn pending_of_jobs(&self, now: Steady, batch: Micros, chunk: u32) -> Vec<PendingWrite> {
+    fn pending_job_writes(&self, now: Steady, batch: Micros, chunk: u32) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
         for job in self.jobs.values().filter(|job| !job.ended) {
             // The end of a borrowed job is written by the cell that accepted it, which waits for what is
@@ -224,8 +224,8 @@
                 self.cleanup.done_chunks.remove(key);
             }
             PendingWrite::RecentJobs => {
-                self.recent_jobs.written = self.recent_jobs.submitted;
-                self.recent_jobs.written_at = now;
+                self.recent_jobs_writes.written = self.recent_jobs_writes.submitted;
+                self.recent_jobs_writes.written_at = now;
             }
             PendingWrite::Machines(slot) | PendingWrite::Compaction(PackKind::Machines, slot) => {
                 self.machines_written(*slot, revision, contents);
--- a/src/fleet/replica_moves.rs
+++ b/src/fleet/replica_moves.rs
@@ -22,7 +22,7 @@
         for machine in self.machines.values() {
             let Some(notice) = machine.interruption_at else { continue };
             for (key, task) in
-                machine.tasks.iter().filter(|(_, task)| task.live() && task.stop_grace_s.is_none())
+                machine.tasks.iter().filter(|(_, task)| task.is_live() && task.stop_grace_s.is_none())
             {
                 let Some(job) = self.jobs.get(&key.job).filter(|job| job.spec.is_service()) else {
                     continue;
@@ -50,18 +50,17 @@
         let need = task_resources(spec);
         let image = spec.image.as_ref().and_then(|name| self.catalog.images.get(name));
         let is_replacement = |machine: &&Machine| {
-            let ty = machine.type_index.filter(|ty| types.contains(ty));
-            let free = ty.map(|ty| reservations.free(machine, machine.free(self.type_capacity(ty))));
+            let type_index = machine.type_index.filter(|index| types.contains(index));
+            let free =
+                type_index.map(|index| reservations.free(machine, machine.free(self.type_capacity(index))));
             let has_image =
                 spec.image.is_none() || machine.images.iter().any(|held| Some(&held.image) == image);
-            let is_in_zone = spec.zone.as_deref().is_none_or(|zone| zone == self.zone_name(machine.zone));
-            let is_allowed = (spec.spot || !machine.spot) && is_in_zone;
             let has_replica = job.placements.values().flatten().any(|at| *at == machine.id)
                 || reservations.has(&machine.id, &job.id);
             free.is_some_and(|free| free.fits(&need) > 0)
                 && has_image
-                && is_allowed
-                && machine.usable(now)
+                && self.zone_and_kind_allowed(machine, spec)
+                && machine.is_usable(now)
                 && machine.interruption_at.is_none()
                 && !has_replica
         };
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -32,17 +32,19 @@
         &mut self,
         job: &JobId,
         machine: &MachineId,
-        why: ExitReason,
-        lived: Micros,
+        reason: ExitReason,
+        lifetime: Micros,
         now: Steady,
     ) {
         let Some(job) = self.jobs.get_mut(job) else { return };
-        if !matches!(why, ExitReason::Done | ExitReason::Error | ExitReason::UnknownTask | ExitReason::Other)
-        {
+        if !matches!(
+            reason,
+            ExitReason::Done | ExitReason::Error | ExitReason::UnknownTask | ExitReason::Other
+        ) {
             return;
         }
         job.vacated.insert(machine.clone(), now);
-        if lived >= MIN_HEALTHY_LIFE {
+        if lifetime >= MIN_HEALTHY_LIFE {
             job.record_success();
             return;
         }
--- a/src/fleet/scaling.rs
+++ b/src/fleet/scaling.rs
@@ -5,6 +5,7 @@
 use crate::capacity::{Autoscaler, MachineOffer, MachineStatus, ScaleOutItem, ScalingPolicy};
 use crate::jobs::MachineId;
 use crate::time::{Micros, Steady, Wall};
+use crate::wire::MachineType;
 
 /// A zone counts as partitioned only if at least this many of its machines are silent.
 const MIN_SILENT_IN_PARTITIONED_ZONE: usize = 2;
@@ -51,20 +52,24 @@
     /// By type: indices of the zones that it is offered in.
     fn zones_by_type(&mut self) -> Vec<Vec<usize>> {
         let types = self.catalog.types.clone();
-        types.iter().map(|ty| ty.zones.iter().map(|name| self.catalog.zone_index(name)).collect()).collect()
+        let zones_of = |machine_type: &MachineType| {
+            machine_type.zones.iter().map(|name| self.catalog.zone_index(name)).collect()
+        };
+        types.iter().map(zones_of).collect()
     }
 
     /// By type: whether more jobs with a deadline that may use it are expected.
     fn deadline_jobs_expected(&self, now: Steady) -> Vec<bool> {
-        let expected = |ty: usize| {
-            let recent =
-                || self.demands.iter().filter(move |job| job.has_deadline && job.types.contains(&ty));
+        let expected = |type_index: usize| {
+            let recent = || {
+                self.recent_jobs.iter().filter(move |job| job.has_deadline && job.types.contains(&type_index))
+            };
             self.more_expected(recent, self.slowest_boot_s(), now)
         };
         (0..self.catalog.types.len()).map(expected).collect()
     }
 
-    /// Offers that the cloud refused lately, and all of partitioned zones: new machines there
+    /// Offers that the cloud refused recently, and all of partitioned zones: new machines there
     /// could not send heartbeats either.
     fn offers_to_avoid(&self, now: Steady) -> Vec<MachineOffer> {
         let mut offers: Vec<MachineOffer> = self.refused_offers.keys().copied().collect();
@@ -103,7 +108,7 @@
         }
     }
 
-    /// Records that the cloud refused an offer, which is not asked for again before `until`.
+    /// Records that the cloud refused an offer, which is not requested again before `until`.
     pub fn note_offer_refused(&mut self, offer: MachineOffer, until: Steady) {
         self.refused_offers.insert(offer, until);
     }
--- a/src/fleet/start_check.rs
+++ b/src/fleet/start_check.rs
@@ -16,7 +16,7 @@
             return false;
         };
         is_startable(job, number, now)
-            && machine.usable(now)
+            && machine.is_usable(now)
             && !machine.has_unknown_use()
             && self.runs_nowhere_else(job, number)
             && !self.attempts_exhausted()
@@ -43,7 +43,7 @@
     }
 
     /// Whether a job may use machines of this one's zone, and spot machines if it is one.
-    fn zone_and_kind_allowed(&self, machine: &Machine, spec: &JobSpec) -> bool {
+    pub(super) fn zone_and_kind_allowed(&self, machine: &Machine, spec: &JobSpec) -> bool {
         spec.zone.as_deref().is_none_or(|zone| zone == self.zone_name(machine.zone))
             && (spec.spot || !machine.spot)
     }
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -1,4 +1,8 @@
 //! Starts of tasks: which of them go into the reply to a machine's heartbeat, and their attempt numbers.
+//!
+//! A job's *start mark* is the stored high-water mark of its started task numbers. It is written before any
+//! task below it starts, a few tasks ahead, so that a new leader knows which tasks may be running on
+//! machines that it has not heard from.
 
 use super::machine::{Machine, TaskEntry, TaskKey};
 use super::tasks::{task_name, task_resources};
@@ -53,7 +57,7 @@
     pub(super) fn add_start_orders(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<WorkerCommand>) {
         self.start_gang_tasks(id, now, orders);
         let is_service = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.spec.is_service());
-        let assigned = self.assigned.remove(id).unwrap_or_default();
+        let assigned = self.assigned_starts.remove(id).unwrap_or_default();
         let (replicas, tasks): (Vec<_>, Vec<_>) =
             assigned.into_iter().partition(|starts| is_service(&starts.job));
         for starts in replicas {
@@ -97,7 +101,7 @@
         if started < count && has_waiting {
             // Its start mark is being written, or what it replaces has not ended yet.
             let left = AssignedStarts { job, count: count - started };
-            self.assigned.entry(id.clone()).or_default().push(left);
+            self.assigned_starts.entry(id.clone()).or_default().push(left);
         }
     }
 
@@ -141,9 +145,9 @@
             return None;
         }
         let is_usable =
-            |machine: &&Machine| machine.usable(now) && !machine.missing && !machine.has_unknown_use();
+            |machine: &&Machine| machine.is_usable(now) && !machine.missing && !machine.has_unknown_use();
         let machine = self.machines.get(id).filter(is_usable)?;
-        if machine.tasks.values().any(|task| task.live() && task.stop_grace_s.is_some()) {
+        if machine.tasks.values().any(|task| task.is_live() && task.stop_grace_s.is_some()) {
             return None;
         }
         self.machine_snapshot(machine, now)
@@ -231,7 +235,7 @@
         self.attempt_counter + ATTEMPTS_RESERVED > MAX_ATTEMPTS
     }
 
-    /// Proceeds as if `count` attempt numbers had been used: for tests.
+    /// Proceeds as if `count` attempt numbers had been used, so that tests need not use them up.
     pub fn use_attempts(&mut self, count: u64) {
         self.attempt_counter += count;
     }
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -12,9 +12,9 @@
 /// Heartbeat intervals without a heartbeat after which a machine is shown as silent.
 const SILENT_INTERVALS: f64 = 3.0;
 
-/// What was logged last, and when, of what is logged now and then.
+/// When the periodic log lines were last written, and what the latest of them said.
 pub(super) struct LogState {
-    /// When the use of the machines was logged.
+    /// When machine utilization was logged.
     pub(super) machine_use_at: Steady,
     /// When the progress of the recovery was logged.
     pub(super) recovery_at: Steady,
@@ -150,7 +150,7 @@
             zone: self.zone_name(machine.zone).to_string(),
             spot: machine.spot,
             state: self.machine_state(machine, now),
-            tasks: machine.tasks.values().filter(|task| task.live()).count(),
+            tasks: machine.tasks.values().filter(|task| task.is_live()).count(),
             heartbeat_age_s: has_heartbeat.then(|| (now - machine.heartbeat_at).secs()),
         }
     }
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -187,7 +187,7 @@
         for machine in self.machines_with_tasks(id) {
             let Some(machine) = self.machines.get_mut(&machine) else { continue };
             for (key, task) in machine.tasks.range_mut(TaskKey::all_of_job(id)) {
-                let is_meant = attempt.is_none_or(|attempt| attempt == key.attempt) && task.live();
+                let is_meant = attempt.is_none_or(|attempt| attempt == key.attempt) && task.is_live();
                 if is_meant && (replace || task.stop_grace_s.is_none()) {
                     task.stop_grace_s = Some(grace_s);
                 }
@@ -198,7 +198,7 @@
     /// Brings a task's placements in its job in line with the entries of one machine.
     pub(super) fn update_placement(&mut self, id: &JobId, number: u32, machine: &MachineId) {
         let may_be_running = self.machines.get(machine).is_some_and(|machine| {
-            machine.tasks.range(TaskKey::all_of_task(id, number)).any(|(_, task)| task.live())
+            machine.tasks.range(TaskKey::all_of_task(id, number)).any(|(_, task)| task.is_live())
         });
         let Some(job) = self.jobs.get_mut(id) else { return };
         if number >= job.spec.tasks {
@@ -249,7 +249,7 @@
     /// Whether an attempt of a task runs on a machine, by its latest heartbeat.
     fn is_running(&self, job: &JobId, number: u32, machine: &MachineId) -> bool {
         let runs = |task: &TaskEntry| {
-            task.live() && matches!(task.stage, Some(TaskStage::Running | TaskStage::Saving))
+            task.is_live() && matches!(task.stage, Some(TaskStage::Running | TaskStage::Saving))
         };
         self.machines.get(machine).is_some_and(|machine| {
             machine.tasks.range(TaskKey::all_of_task(job, number)).any(|(_, task)| runs(task))
--- a/src/fleet/team_use.rs
+++ b/src/fleet/team_use.rs
@@ -13,7 +13,7 @@
     /// The use of all teams for a plan, with the places reserved for their gangs.
     pub(super) fn team_uses(&mut self) -> Vec<TeamUse> {
         // Counted anew with each plan, so that what has ended is seen.
-        self.team_totals.clear();
+        self.cached_team_use.clear();
         self.uses_with_reservations()
     }
 
@@ -36,7 +36,7 @@
     /// Adds a started task to its team's use, if that is cached.
     pub(super) fn add_use(&mut self, team: &str, need: &Resources) {
         let Some((index, _)) = self.team_settings(team) else { return };
-        if let Some(used) = self.team_totals.get_mut(index) {
+        if let Some(used) = self.cached_team_use.get_mut(index) {
             *used = used.plus(need, 1);
         }
     }
@@ -65,10 +65,10 @@
         if !has_quota(team) {
             return TeamUse { used: Resources::default(), cpu_quota: cpus_max, gpu_quota: gpus_max };
         }
-        if self.team_totals.is_empty() {
-            self.team_totals = self.count_uses();
+        if self.cached_team_use.is_empty() {
+            self.cached_team_use = self.count_uses();
         }
-        TeamUse { used: self.team_totals[index], cpu_quota: cpus_max, gpu_quota: gpus_max }
+        TeamUse { used: self.cached_team_use[index], cpu_quota: cpus_max, gpu_quota: gpus_max }
     }
 
     /// What all teams use, in one pass over all tasks: with a pass for each team, counting took a third
@@ -80,8 +80,8 @@
         let mut unknown = Resources::default();
         for machine in self.machines.values() {
             if !machine.acknowledged || machine.has_unknown_use() {
-                unknown =
-                    unknown.plus(&machine.type_index.map_or(UNKNOWN_USE, |ty| self.type_capacity(ty)), 1);
+                unknown = unknown
+                    .plus(&machine.type_index.map_or(UNKNOWN_USE, |index| self.type_capacity(index)), 1);
             } else {
                 self.count_tasks(machine, &mut by_team, &mut unknown);
             }
@@ -93,7 +93,7 @@
     fn count_tasks(&self, machine: &Machine, by_team: &mut [Resources], unknown: &mut Resources) {
         // Tasks are ordered by job: each job is looked up once.
         let mut latest: Option<(&JobId, Option<&Job>)> = None;
-        for (key, task) in machine.tasks.iter().filter(|(_, task)| task.live()) {
+        for (key, task) in machine.tasks.iter().filter(|(_, task)| task.is_live()) {
             let Some(need) = task.need else { continue };
             let job = match latest {
                 Some((id, job)) if *id == key.job => job,
