--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -4,6 +4,12 @@
 use super::{Autoscaler, ScaleOutItem};
 use crate::sched::{may_use, JobClass};
 
+/// Processors that a task counts for at least.
+const MIN_TASK_CPUS: f64 = 0.1;
+
+/// An array has waited for long once it has waited for this part of the drain time.
+const LONG_WAIT_SHARE: f64 = 0.5;
+
 /// Waiting arrays that can use the same machines.
 struct ArrayDemand<'a> {
     /// The first of them.
@@ -23,18 +29,18 @@
             else {
                 continue;
             };
-            let machine = &self.types[offer.ty];
-            let supply = self.array_supply(demand.class, drain_s + machine.boot_s);
+            let machine_type = &self.types[offer.ty];
+            let supply = self.array_supply(demand.class, drain_s + machine_type.boot_s);
             let falls_short = demand.work > supply;
             if !falls_short {
                 continue;
             }
-            let by_work = (demand.work - supply) / (machine.cpus * drain_s);
-            // The waiting tasks cannot use more processors than they ask for, and some are booting already.
-            let by_width = (demand.cpus - self.booting_cpus(demand.class)) / machine.cpus;
+            let by_work = (demand.work - supply) / (machine_type.cpus * drain_s);
+            // The waiting tasks cannot use more processors than they need, and some are booting already.
+            let by_width = (demand.cpus - self.booting_cpus(demand.class)) / machine_type.cpus;
             // Less than half a machine is not worth one, unless there is none at all.
-            let least = if supply > 0.0 { 0.0 } else { 1.0 };
-            let count = by_work.min(by_width).round().max(least) as u32;
+            let min_count = if supply > 0.0 { 0.0 } else { 1.0 };
+            let count = by_work.min(by_width).round().max(min_count) as u32;
             if count > 0 {
                 add_scale_out(scale_out, ScaleOutItem { offer, count });
             }
@@ -50,10 +56,10 @@
             if class.gang || class.replica_machines.is_some() {
                 continue;
             }
-            let cpus = class.need.cpus.max(0.1) * f64::from(unmet);
+            let cpus = class.need.cpus.max(MIN_TASK_CPUS) * f64::from(unmet);
             // Estimates may be mostly too low for a whole day; then capacity seems enough while jobs
             // wait. What has waited long counts for more.
-            let wait_weight = (class.waited.secs() / (drain_s / 2.0)).max(1.0);
+            let wait_weight = (class.waited.secs() / (drain_s * LONG_WAIT_SHARE)).max(1.0);
             let work = cpus * class.adjusted_runtime.secs() * wait_weight;
             match demands.iter_mut().find(|demand| uses_same_machines(demand.class, class)) {
                 Some(demand) => {
@@ -75,7 +81,7 @@
         booting.map(|(_, machine)| machine.free.cpus).sum()
     }
 
-    /// Processor seconds that the present machines have for a class within `horizon_s` seconds.
+    /// Processor seconds that the existing machines have for a class within `horizon_s` seconds.
     fn array_supply(&self, class: &JobClass, horizon_s: f64) -> f64 {
         let mut supply = 0.0;
         for (index, machine) in self.snapshot.machines.iter().enumerate() {
--- a/src/capacity/gangs.rs
+++ b/src/capacity/gangs.rs
@@ -8,7 +8,9 @@
 /// When a machine has capacity for one more task of a gang. Slots compare by their fields in this order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct GangSlot {
+    /// Time from now until the capacity is free.
     at: Micros,
+    /// Index into `Snapshot::machines`.
     machine: usize,
 }
 
@@ -35,7 +37,7 @@
                     found += 1;
                 }
             }
-            // Machines scaled out for an earlier class in this same round were not asked for this one.
+            // Machines that this round adds for an earlier class do not count: that class will use them.
             scale_out_for_tasks(scale_out, unmet - found, offers.first());
         }
     }
@@ -65,16 +67,16 @@
         return Vec::new();
     }
     let mut by_end: Vec<_> = machine.placed.iter().map(|task| (task.remaining, task.need)).collect();
-    by_end.sort_by_key(|(left, _)| *left);
+    by_end.sort_by_key(|(remaining, _)| *remaining);
     let mut ends = by_end.into_iter();
     let mut free = machine.free;
     let mut at = machine.accepts_starts_in;
     let mut times = Vec::new();
     for slot in used..last {
         while free.fits(&class.need) <= slot {
-            let Some((left, need)) = ends.next() else { return times };
+            let Some((remaining, need)) = ends.next() else { return times };
             free = free.plus(&need, 1);
-            at = at.max(left);
+            at = at.max(remaining);
         }
         times.push(at);
     }
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -86,7 +86,7 @@
     pub types: &'a [MachineType],
     /// By type: indices of the zones that offer it.
     pub zones: &'a [Vec<usize>],
-    /// Offers that the cloud refused lately; they are not asked for again yet.
+    /// Offers that the cloud refused recently; they are not requested again yet.
     pub refused: &'a [MachineOffer],
     /// By type: the warm pool.
     pub warm_pools: &'a [WarmPool],
--- a/src/capacity/offers.rs
+++ b/src/capacity/offers.rs
@@ -17,34 +17,35 @@
     /// Offers for a class, cheapest per task first.
     pub(super) fn fitting_offers(&self, class: &JobClass) -> Vec<FittingOffer> {
         let mut offers: Vec<FittingOffer> = Vec::new();
-        for &ty in &class.machine_types {
-            self.add_fitting_offers(class, ty, &mut offers);
+        for &type_index in &class.machine_types {
+            self.add_fitting_offers(class, type_index, &mut offers);
         }
         offers.sort_by(|a, b| a.task_price.total_cmp(&b.task_price).then(a.offer.cmp(&b.offer)));
         offers
     }
 
     /// Adds the offers of one machine type that fit a class.
-    fn add_fitting_offers(&self, class: &JobClass, ty: usize, offers: &mut Vec<FittingOffer>) {
-        let machine = &self.types[ty];
-        let total = Resources { cpus: machine.cpus, gpus: machine.gpus, memory: machine.memory_gb };
+    fn add_fitting_offers(&self, class: &JobClass, type_index: usize, offers: &mut Vec<FittingOffer>) {
+        let machine_type = &self.types[type_index];
+        let total =
+            Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, memory: machine_type.memory_gb };
         let tasks_per_machine = total.fits(&class.need);
         if tasks_per_machine == 0 {
             return;
         }
-        for &zone in &self.zones[ty] {
+        for &zone in &self.zones[type_index] {
             if class.zone.is_some_and(|only| only != zone) {
                 continue;
             }
             let mut add = |spot: bool, price: f64| {
-                let offer = MachineOffer { ty, zone, spot };
+                let offer = MachineOffer { ty: type_index, zone, spot };
                 if !self.refused.contains(&offer) {
                     let task_price = price / f64::from(tasks_per_machine);
                     offers.push(FittingOffer { offer, task_price, tasks_per_machine });
                 }
             };
-            add(false, machine.price);
-            if let (true, Some(price)) = (class.spot, machine.spot_price.filter(|price| *price > 0.0)) {
+            add(false, machine_type.price);
+            if let (true, Some(price)) = (class.spot, machine_type.spot_price.filter(|price| *price > 0.0)) {
                 add(true, price);
             }
         }
--- a/src/config/cells.rs
+++ b/src/config/cells.rs
@@ -39,13 +39,13 @@
     /// Classes of job arrays that may be borrowed; `*` for all.
     #[serde(default)]
     pub borrow: Vec<String>,
-    /// Most processors that borrowed tasks may use at a time; the rest is kept for own tasks.
+    /// Most processors that borrowed tasks may use at a time; the rest is reserved for this cell's own tasks.
     #[serde(default)]
     pub borrow_cpus: f64,
     /// How long a job waits before any of its tasks are lent, in seconds.
     #[serde(default = "default_lend_after_s")]
     pub lend_after_s: f64,
-    /// A script whose function `portion(view)` says how many tasks to lend.
+    /// A script whose function `portion(view)` returns how many tasks to lend.
     #[serde(default)]
     pub script: Option<String>,
 }
--- a/src/config/fleet_size.rs
+++ b/src/config/fleet_size.rs
@@ -1,4 +1,4 @@
-//! Whether the settings carry a large fleet, as far as that can be told before the fleet exists.
+//! Whether the settings carry a large fleet, as far as that can be computed before the fleet exists.
 
 use super::server_limits::RESERVED_CONNECTION_DIVISOR;
 use super::Config;
@@ -15,7 +15,7 @@
 const RAM_PER_MACHINE_MB: f64 = 0.012;
 /// Bytes of a machine's record, generously.
 const MACHINE_RECORD_BYTES: f64 = 160.0;
-/// Seconds within which the whole fleet should be rented and its records be written.
+/// Seconds within which the whole fleet should be scaled out and its records be written.
 const SCALE_OUT_S: f64 = 120.0;
 /// Part of the rates of the state store and of the cloud that the leader can use to scale out.
 const LEADER_SHARE: f64 = 0.5;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -21,29 +21,29 @@
 pub struct OperatorConfig {
     /// How long the leader's lease lasts, in seconds.
     pub leader_ttl_s: f64,
-    /// A machine without a heartbeat for so long after a failover is returned, in seconds.
+    /// A machine without a heartbeat for this long after a failover is scaled in, in seconds.
     pub fence_after_s: f64,
-    /// Scales out so that waiting job arrays are done in this time, in seconds.
+    /// Drain time: scale out aims to have waiting job arrays done within it, in seconds.
     pub drain_s: f64,
-    /// An idle machine is returned after this time, in seconds.
+    /// An idle machine is scaled in after this time, in seconds.
     pub idle_s: f64,
     /// The same for machine types that jobs use whose objective leaves no time to boot a machine, if
     /// there are more machines than those jobs kept busy.
     pub idle_protected_s: f64,
-    /// The same for machine types that jobs with deadlines used of late: by the time another machine
+    /// The same for machine types that jobs with deadlines used recently: by the time another machine
     /// is up and has their images, much of what a deadline leaves is gone.
     pub idle_deadline_s: f64,
-    /// A machine that is not up after this many times its nominal boot time gets a second one
-    /// beside it.
+    /// A machine that is not up after this many times its nominal boot time is no longer
+    /// counted on, so that scale out may add another.
     pub slow_boot: f64,
     /// Most connections of users and workers at once; 0 derives it from the platform's limits.
     pub max_connections: usize,
     /// Most threads of this process at once, those of the controller's duties included.
     pub max_threads: usize,
-    /// Machines of a large type that are kept clear of low-rank tasks, if that is more than the widest
-    /// recent gang takes.
+    /// Machines of a large type that low-priority tasks leave free, if that is more than the widest recent
+    /// gang takes.
     pub keep_clear: usize,
-    /// Past jobs kept for each key of the run-time history.
+    /// Finished jobs stored for each key of the run-time history.
     pub history_per_key: usize,
     /// False switches the adjustment of stated run times off (for measuring).
     pub adjust: bool,
--- a/src/config/server_limits.rs
+++ b/src/config/server_limits.rs
@@ -10,10 +10,10 @@
 pub const HALT_THREADS: usize = 9;
 /// Threads that send direct commands at the same time.
 const COMMAND_THREADS: usize = FENCING_TOKEN_THREADS + HALT_THREADS;
-/// Threads of the controller beside the server's pool: nine duties, three for the other controllers,
+/// Threads of the controller besides the server's pool: nine duties, three for the other controllers,
 /// their runtime, the poll loop, the main thread, and those that send direct commands.
 const CONTROLLER_THREADS: usize = 15 + COMMAND_THREADS;
-/// Sockets beside those of the server's connections: listeners, watches, the cloud, the other
+/// Sockets besides those of the server's connections: listeners, watches, the cloud, the other
 /// controllers, direct commands.
 const CONTROLLER_SOCKETS: usize = 17 + COMMAND_THREADS;
 /// Fewest threads that the operators may set: with them eight are left to handle requests.
@@ -34,7 +34,7 @@
 
 impl Config {
     /// The limits of the HTTP server. Connections: what the operators set, or else as many as the
-    /// platform's limits of sockets and memory allow beside the controller's own. Threads: what the
+    /// platform's limits of sockets and memory allow besides the controller's own. Threads: what the
     /// operators set, less the controller's own; two thirds of them are for users.
     pub fn server_limits(&self) -> ServerLimits {
         let request_threads = self.request_threads();
@@ -70,7 +70,7 @@
         self.connections_by_sockets().min(by_memory).max(MIN_CONNECTIONS)
     }
 
-    /// Connections that the platform's limit of sockets allows beside the controller's own sockets.
+    /// Connections that the platform's limit of sockets allows besides the controller's own sockets.
     pub(super) fn connections_by_sockets(&self) -> usize {
         let max_sockets = self.platform.settings.limits.max_sockets;
         let own_sockets = (CONTROLLER_SOCKETS + self.interactive_threads()).min(max_sockets / 2);
--- a/src/fleet/borrow_admission.rs
+++ b/src/fleet/borrow_admission.rs
@@ -1,5 +1,5 @@
-//! What this cell takes on for other cells: the capacity it announces, and which of the tasks that are
-//! offered to it are admitted.
+//! Admission of borrowed tasks: the capacity that this cell announces to other cells, and which of the
+//! tasks that they offer it admits.
 
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Processors' worth of tasks that may still be borrowed.
+    /// Processors that further borrowed tasks may take.
     fn spare_cpus(&self) -> f64 {
         let Some(cells) = &self.config.operator.cells else { return 0.0 };
         let held_cpus = |(id, record): (&String, &BorrowedJob)| {
@@ -73,7 +73,7 @@
     fn is_own_job(&self, id: &str) -> bool {
         let loans = &self.fleet.loans;
         let is_live = self.fleet.jobs.get(id).is_some_and(|job| job.borrowed_from.is_none());
-        is_live || loans.known.contains(id) || loans.lent.contains_key(id)
+        is_live || loans.accepted_here.contains(id) || loans.lent.contains_key(id)
     }
 
     /// Whether this cell may ever run tasks of a job for another cell.
--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -11,13 +11,13 @@
 use crate::wire::{JobSpec, Priority};
 
 impl Fleet {
-    /// Takes in the record of a cell from which tasks are borrowed.
+    /// Loads the record of a cell from which tasks are borrowed.
     pub fn inherit_lender(&mut self, cell: &str, record: LenderRecord, mod_revision: u64) {
         self.loans.borrower_ledger.load_high_water(cell, record.high_water);
         self.loans.lenders.insert(cell.to_string(), KnownLender { record, mod_revision });
     }
 
-    /// Takes in the record of a borrowed job.
+    /// Applies the record of a borrowed job.
     pub fn borrowed_put(
         &mut self,
         id: &str,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Adds a borrowed job. What it asks for in the cell that accepted it does not count here: it has the
-    /// lowest priority and no objectives.
+    /// Adds a borrowed job. Its priority and objectives hold only in the cell that accepted it: here it has
+    /// the lowest priority and no objectives.
     fn add_borrowed_job(
         &mut self,
         spec: JobSpec,
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Takes the chunks of done ranges, by number with their revisions, that an earlier loan of the job left
-    /// and that are about to be removed.
+    /// Takes the chunks of done ranges, by number with their revisions, that remain of an earlier loan
+    /// of the job and are about to be deleted.
     fn take_orphans_of(&mut self, id: &JobId) -> Vec<(u32, u64)> {
         let prefix = borrowed_done_prefix(id);
         let mut taken = Vec::new();
@@ -88,7 +88,7 @@
     }
 
     /// Ends a borrowed job that is no longer held from a lender: its remaining tasks are stopped.
-    pub(super) fn borrowed_over(&mut self, id: &str, lender: &str) {
+    pub(super) fn end_borrowing(&mut self, id: &str, lender: &str) {
         self.loans.borrower_ledger.remove(lender, id);
         if self.loans.borrower_ledger.job(id).is_some() {
             return;
@@ -116,17 +116,17 @@
 
     /// Notes that a job of this id was accepted here, as a failed write showed: nothing of it is borrowed.
     pub fn note_known_job(&mut self, id: &str) {
-        if self.loans.known.len() > MAX_REMEMBERED {
-            // What is forgotten shows again with the next failed write.
-            self.loans.known.clear();
+        if self.loans.accepted_here.len() > MAX_REMEMBERED {
+            // The next failed write shows an id that was forgotten again.
+            self.loans.accepted_here.clear();
         }
-        self.loans.known.insert(id.to_string());
+        self.loans.accepted_here.insert(id.to_string());
     }
 
     /// Ends a borrowed job whose record is gone, as read back.
     pub fn forget_borrowed(&mut self, id: &str) {
         if let Some(lender) = self.loans.borrower_ledger.job(id).map(|record| record.lender.clone()) {
-            self.borrowed_over(id, &lender);
+            self.end_borrowing(id, &lender);
         }
     }
 
@@ -142,7 +142,8 @@
     }
 }
 
-/// Whether a job is an array whose tasks may run anywhere, each by itself.
+/// Whether a job is an array without placement rules: its tasks may run in any zone, independently of each
+/// other.
 pub(super) fn is_array_without_rules(spec: &JobSpec) -> bool {
     spec.is_array() && !spec.one_zone && !spec.spread && spec.zone.is_none()
 }
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -9,8 +9,8 @@
 use crate::time::Wall;
 use crate::wire::JobSpec;
 
-/// Tasks are recalled only if they take no more than this part of the drain time: with more they would be
-/// lent again at once.
+/// Lent tasks are recalled only if they take no more than this part of the drain time: with more they would
+/// be lent again at once.
 const RECALLED_SHARE: f64 = 0.5;
 /// Bytes of a record that are left for all but the description and the loans.
 const RECORD_SLACK: usize = 192;
@@ -31,7 +31,7 @@
 }
 
 impl Fleet {
-    /// Takes in tasks of a lent job that are done in the borrowing cell.
+    /// Records tasks of a lent job as done that are done in the borrowing cell.
     pub fn lent_tasks_done(&mut self, id: &str, tasks: &TaskSet) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) else { return };
         for task in tasks.iter().filter(|task| *task < job.spec.tasks) {
@@ -50,7 +50,7 @@
         work / self.array_cpus().max(1.0)
     }
 
-    /// Whether this cell would get through these tasks of a job well within the drain time.
+    /// Whether this cell would finish these tasks of a job well within the drain time.
     pub fn could_run_soon(&self, id: &str, tasks: &TaskSet) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let left = tasks.difference(&job.done.task_set()).len();
@@ -62,7 +62,7 @@
     fn array_cpus(&self) -> f64 {
         self.machines_in_use()
             .filter_map(|machine| machine.type_index)
-            .map(|ty| self.type_capacity(ty).cpus)
+            .map(|type_index| self.type_capacity(type_index).cpus)
             .sum()
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// How many more tasks of a job can be lent so that the records of its loans fit a value on both sides,
-    /// however the sets of tasks fall apart as some are given back. `lent`: the sizes of its open loans.
+    /// however the sets of tasks are split as some are returned. `lent`: the sizes of its open loans.
     pub(super) fn tasks_that_fit(&self, spec: &JobSpec, lent: impl Iterator<Item = u32>) -> u32 {
         let description = serde_json::to_string(spec).map_or(usize::MAX, |text| text.len());
         let taken = lent.fold(description, |bytes, tasks| {
@@ -94,7 +94,8 @@
         candidates.find(|candidate| candidate.inputs.waited_s >= min_wait_s && candidate.inputs.lendable > 0)
     }
 
-    /// The tasks of a job that could be lent. Only tasks above its mark: those have never been started.
+    /// The tasks of a job that could be lent: only those from its start mark on, which have never been
+    /// started.
     fn candidate_from(
         &self,
         job: &Job,
@@ -171,7 +172,7 @@
         Some(write)
     }
 
-    /// The write of what a job's record says of loans from now on; none while another is in flight.
+    /// The write that replaces the loans in a job's record; none while another is in flight.
     fn lender_write(&self, job: &str, lending: Lending, new_loan: Option<LoanNumber>) -> Option<LoanWrite> {
         if self.loans.is_lending(job) {
             return None;
@@ -193,7 +194,7 @@
     JobRecord {
         spec: job.spec.clone(),
         submitted_us: job.submitted.0,
-        // Early versions keep the mark here: what it covers stays covered.
+        // Early versions store the start mark in this record; it must not fall.
         start_mark: job.start_mark,
         lending: Lending::default(),
     }
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -88,7 +88,7 @@
     /// Loans on which their borrowers have decided.
     decided: BTreeSet<LoanNumber>,
     /// Ids of jobs that were accepted in this cell, as a failed write showed.
-    pub(super) known: BTreeSet<String>,
+    pub(super) accepted_here: BTreeSet<String>,
 }
 
 impl Loans {
@@ -103,7 +103,7 @@
             returning_in_flight: BTreeMap::new(),
             unresolved: Vec::new(),
             decided: BTreeSet::new(),
-            known: BTreeSet::new(),
+            accepted_here: BTreeSet::new(),
         }
     }
 
@@ -117,6 +117,7 @@
         self.returning_in_flight.contains_key(job)
     }
 
+    /// The tasks that are withheld for writes in flight of the same side as `write`.
     fn in_flight(&mut self, write: &LoanWrite) -> &mut BTreeMap<JobId, TaskSet> {
         match write {
             LoanWrite::Lender { .. } => &mut self.lending_in_flight,
@@ -129,7 +130,7 @@
         std::mem::take(&mut self.unresolved)
     }
 
-    /// Notes that a borrower holds a loan or has closed it: the job need not be described to it any more.
+    /// Notes that a borrower holds a loan or has closed it: its description need not be sent again.
     pub fn note_decided_by_borrower(&mut self, number: LoanNumber) {
         self.decided.insert(number);
         if self.decided.len() > MAX_REMEMBERED {
@@ -157,13 +158,14 @@
         self.lenders.iter().map(|(cell, lender)| (cell, &lender.record))
     }
 
+    /// The record of a cell from which tasks are borrowed; an empty one if none is written yet.
     pub(super) fn lender(&self, cell: &str) -> KnownLender {
         self.lenders.get(cell).copied().unwrap_or_default()
     }
 }
 
 impl Fleet {
-    /// Takes in what a job's record says of loans. Of a job that is being cancelled nothing may run.
+    /// Applies the loans in a job's record. No task of a job that is being cancelled may run.
     pub(super) fn apply_lending(&mut self, record: &JobRecord, mod_revision: u64) {
         let id: JobId = record.spec.id.as_str().into();
         if record.lending.is_empty() && self.loans.lender_ledger.lending(&id).is_none() {
@@ -184,8 +186,8 @@
         self.loans.lent.remove(id);
     }
 
-    /// Withholds from starting what is lent or, of a borrowed job, not held here, and what a write in
-    /// flight lends or gives back.
+    /// Withholds the tasks of a job that must not start here: those that are lent or, of a borrowed job,
+    /// not on loan to this cell, and those that a write in flight lends or returns.
     pub(super) fn update_withheld(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let (recorded, in_flight) = match job.borrowed_from {
@@ -215,7 +217,7 @@
         self.jobs.get(id).map(|job| job.done.task_set()).unwrap_or_default()
     }
 
-    /// Takes in a write of loans that was applied at a revision.
+    /// Applies a write of loans that the state store executed at a revision.
     pub fn loan_written(&mut self, write: &LoanWrite, revision: u64, now: Steady, wall: Wall) {
         self.loans.in_flight(write).remove(write.job());
         match write {
@@ -237,14 +239,14 @@
                         self.borrowed_put(&change.job, record.clone(), revision, now, wall);
                         self.stop_withdrawn(&change.job, &change.withdrawn);
                     }
-                    None => self.borrowed_over(&change.job, &change.lender),
+                    None => self.end_borrowing(&change.job, &change.lender),
                 }
             }
         }
         self.update_withheld(write.job());
     }
 
-    /// Takes back a write of loans that was not applied and never will be.
+    /// Discards a write of loans that the state store did not execute and never will.
     pub fn loan_not_written(&mut self, write: &LoanWrite) {
         self.loans.in_flight(write).remove(write.job());
         if let LoanWrite::Lender { new_loan: Some(number), .. } = write {
@@ -253,7 +255,7 @@
         self.update_withheld(write.job());
     }
 
-    /// Keeps a write of loans whose outcome is unknown: it stays in flight and is sent again.
+    /// Queues a write of loans whose outcome is unknown: it stays in flight and is sent again.
     pub fn loan_unresolved(&mut self, write: LoanWrite) {
         self.loans.unresolved.push(write);
     }
--- a/src/history.rs
+++ b/src/history.rs
@@ -77,7 +77,7 @@
     pub past: Vec<FinishedJob>,
 }
 
-/// A for one key, with the number of finished jobs behind it.
+/// The factor A of one key, with the number of finished jobs behind it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdjustmentFactor {
     /// Team and stated run time that it applies to.
@@ -188,7 +188,7 @@
         records
     }
 
-    /// A for a waiting job of the key at wall time `now`: 1 with fewer than `MIN_FINISHED_JOBS` jobs within
+    /// The factor A for a waiting job of the key at wall time `now`: 1 with fewer than `MIN_FINISHED_JOBS` jobs within
     /// `WINDOW`, else the `PERCENTILE` of their ratios capped at 1, floored at `MIN_FACTOR`.
     pub fn factor(&self, key: &EstimateKey, now: Wall) -> f64 {
         let Some(jobs) = self.jobs.get(key) else { return 1.0 };
@@ -203,7 +203,7 @@
         ratios[rank.clamp(1, ratios.len()) - 1].max(MIN_FACTOR)
     }
 
-    /// All keys with their A.
+    /// All keys with their factor A.
     pub fn factors(&self, now: Wall) -> Vec<AdjustmentFactor> {
         let keys = self.jobs.iter();
         keys.map(|(key, jobs)| AdjustmentFactor {
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -56,7 +56,8 @@
     }
 }
 
-/// Failures further apart than this are not in a row: twice the longest time between two attempts.
+/// Failures further apart than this do not count as consecutive: twice the longest time between two
+/// attempts.
 const FAILURES_APART: Micros = Micros::from_millis(120_000);
 
 /// Seconds until the next attempt after each of the first `QUICK_RETRIES` failures.
@@ -74,7 +75,7 @@
 /// Failures in a row are counted up to this number.
 const MAX_COUNTED_FAILURES: u32 = 1000;
 
-/// Tasks by which a start mark is at least written ahead of the starts that need it.
+/// A start mark is written at least this many tasks ahead of the starts that need it.
 const MIN_MARK_AHEAD: u32 = 16;
 
 /// The leader's view of a live job.
@@ -223,10 +224,10 @@
         self.failed_on.clear();
     }
 
-    /// Counts a failure: the job is retried ever more seldom, so that one which always fails does not
-    /// hold capacity. While it waits, further failures on the same machine are of starts that were sent
-    /// before and are not counted: a faulty machine fails many tasks at once, and would put the job off
-    /// for a minute.
+    /// Counts a failure: the job is retried with exponential backoff, so that one which always fails does
+    /// not hold capacity. While it waits, further failures on the same machine are of starts that were sent
+    /// before and are not counted: a faulty machine fails many tasks at once, and would delay
+    /// the job by a minute.
     pub fn back_off(&mut self, machine: &MachineId, now: Steady) {
         if now - self.failed_at > FAILURES_APART {
             // Replicas of a service may fail hours apart, with no success that would end the row.
