--- a/src/fleet/borrow_admission.rs
+++ b/src/fleet/borrow_admission.rs
@@ -1,5 +1,5 @@
-//! What this cell takes on for other cells: the capacity it announces, and which of the tasks that are
-//! offered to it are admitted.
+//! Admission of borrowed tasks: the capacity that this cell announces to other cells, and which of the
+//! tasks that they offer it admits.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 };
 
 use super::borrowing::is_array_without_rules;
-use super::{never_runs, Fleet};
+use super::{check_runnable, Fleet};
 use crate::time::Wall;
 use crate::wire::JobSpec;
 
@@ -20,10 +20,10 @@
     pub fn cell_summary(&self, wall: Wall) -> CellSummary {
         let backlog_s = self.array_backlog_s();
         let mut free_cpus: BTreeMap<String, f64> =
-            self.catalog.types.iter().map(|ty| (ty.name.clone(), 0.0)).collect();
+            self.catalog.types.iter().map(|machine_type| (machine_type.name.clone(), 0.0)).collect();
         for machine in self.machines_in_use() {
-            let Some(ty) = machine.type_index else { continue };
-            let free = machine.free(self.type_capacity(ty)).cpus.max(0.0);
+            let Some(type_index) = machine.type_index else { continue };
+            let free = machine.free(self.type_capacity(type_index)).cpus.max(0.0);
             *free_cpus.entry(machine.type_name.clone()).or_default() += free;
         }
         CellSummary {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Processors' worth of tasks that may still be borrowed.
+    /// Processors that further borrowed tasks may take.
     fn spare_cpus(&self) -> f64 {
         let Some(cells) = &self.config.operator.cells else { return 0.0 };
         let held_cpus = |(id, record): (&String, &BorrowedJob)| {
@@ -73,7 +73,7 @@
     fn is_own_job(&self, id: &str) -> bool {
         let loans = &self.fleet.loans;
         let is_live = self.fleet.jobs.get(id).is_some_and(|job| job.borrowed_from.is_none());
-        is_live || loans.known.contains(id) || loans.lent.contains_key(id)
+        is_live || loans.accepted_here.contains(id) || loans.lent.contains_key(id)
     }
 
     /// Whether this cell may ever run tasks of a job for another cell.
@@ -86,10 +86,8 @@
         if !cells.is_some_and(|cells| cells.borrows(spec.class.as_ref())) {
             return Err(BorrowRefusal::ClassNotBorrowed(spec.class.clone().unwrap_or_default()));
         }
-        match never_runs(spec, &fleet.config, &fleet.catalog.types) {
-            Some(reason) => Err(BorrowRefusal::NotRunnable(reason)),
-            None => Ok(()),
-        }
+        check_runnable(spec, &fleet.config, &fleet.catalog.types)
+            .map_err(|reason| BorrowRefusal::NotRunnable(reason.to_string()))
     }
 
     /// Whether this cell has capacity now for the tasks of a loan, and their record fits a value.
@@ -108,8 +106,8 @@
 }
 
 impl LocalTasks for BorrowedTasks<'_> {
-    /// A waiting task may have been started by an earlier leader and stopped since, unless it is above the
-    /// mark that this leader found: a task below that counts as begun.
+    /// A waiting task may have been started by an earlier leader and stopped since, unless it is at or above
+    /// the start mark that this leader found: a task below it counts as started.
     fn unstarted(&self, job: &str, tasks: &TaskSet) -> TaskSet {
         let Some(job) = self.fleet.jobs.get(job).filter(|job| job.borrowed_from.is_some()) else {
             return TaskSet::new();
--- a/src/fleet/scaling.rs
+++ b/src/fleet/scaling.rs
@@ -1,10 +1,11 @@
-//! Scale out and scale in of the fleet: what the autoscaler is told of it, and the machines that its
-//! decision removes.
+//! Scale out and scale in of the fleet: the autoscaler's inputs, and the machines that its decision
+//! removes.
 
 use super::{Fleet, Machine};
-use crate::capacity::{Autoscaler, MachineOffer, MachineStatus, ScalingPolicy};
+use crate::capacity::{Autoscaler, MachineOffer, MachineStatus, ScaleOutItem, ScalingPolicy};
 use crate::jobs::MachineId;
 use crate::time::{Micros, Steady, Wall};
+use crate::wire::MachineType;
 
 /// A zone counts as partitioned only if at least this many of its machines are silent.
 const MIN_SILENT_IN_PARTITIONED_ZONE: usize = 2;
@@ -13,9 +14,9 @@
 const SILENT_INTERVALS: f64 = 3.0;
 
 impl Fleet {
-    /// Plans and decides on scaling: returns the offers to take machines from, with how many, and marks
-    /// idle machines as leaving.
-    pub fn decide_scaling(&mut self, now: Steady, wall: Wall) -> Vec<(MachineOffer, u32)> {
+    /// Plans and decides on scaling: returns the machines to add, at most one item for each offer, and
+    /// marks idle machines for scale in.
+    pub fn decide_scaling(&mut self, now: Steady, wall: Wall) -> Vec<ScaleOutItem> {
         // Always on a plan of this very moment: its indices are the snapshot's.
         let (snapshot, machines) = self.plan_now(now, wall);
         let zones = self.zones_by_type();
@@ -34,7 +35,7 @@
         for index in decision.scale_in {
             self.remove_idle(&machines[index]);
         }
-        decision.scale_out.into_iter().map(|item| (item.offer, item.count)).collect()
+        decision.scale_out
     }
 
     /// Age and use of the machines of a snapshot, in its order.
@@ -51,20 +52,24 @@
     /// By type: indices of the zones that it is offered in.
     fn zones_by_type(&mut self) -> Vec<Vec<usize>> {
         let types = self.catalog.types.clone();
-        types.iter().map(|ty| ty.zones.iter().map(|name| self.catalog.zone_index(name)).collect()).collect()
+        let zones_of = |machine_type: &MachineType| {
+            machine_type.zones.iter().map(|name| self.catalog.zone_index(name)).collect()
+        };
+        types.iter().map(zones_of).collect()
     }
 
     /// By type: whether more jobs with a deadline that may use it are expected.
     fn deadline_jobs_expected(&self, now: Steady) -> Vec<bool> {
-        let expected = |ty: usize| {
-            let recent =
-                || self.demands.iter().filter(move |job| job.has_deadline && job.types.contains(&ty));
+        let expected = |type_index: usize| {
+            let recent = || {
+                self.recent_jobs.iter().filter(move |job| job.has_deadline && job.types.contains(&type_index))
+            };
             self.more_expected(recent, self.slowest_boot_s(), now)
         };
         (0..self.catalog.types.len()).map(expected).collect()
     }
 
-    /// Offers that the cloud refused lately, and all of partitioned zones: new machines there
+    /// Offers that the cloud refused recently, and all of partitioned zones: new machines there
     /// could not send heartbeats either.
     fn offers_to_avoid(&self, now: Steady) -> Vec<MachineOffer> {
         let mut offers: Vec<MachineOffer> = self.refused_offers.keys().copied().collect();
@@ -95,7 +100,7 @@
         }
     }
 
-    /// Marks a machine as leaving if no task is on it.
+    /// Marks a machine for scale in if no task is on it.
     fn remove_idle(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.tasks.is_empty()) {
             tracing::info!(machine = %machine.id, reason = "idle", "scale in");
@@ -103,7 +108,7 @@
         }
     }
 
-    /// Records that the cloud refused an offer, which is not asked for again before `until`.
+    /// Records that the cloud refused an offer, which is not requested again before `until`.
     pub fn note_offer_refused(&mut self, offer: MachineOffer, until: Steady) {
         self.refused_offers.insert(offer, until);
     }
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -1,9 +1,13 @@
 //! Starts of tasks: which of them go into the reply to a machine's heartbeat, and their attempt numbers.
+//!
+//! A job's *start mark* is the stored high-water mark of its started task numbers. It is written before any
+//! task below it starts, a few tasks ahead, so that a new leader knows which tasks may be running on
+//! machines that it has not heard from.
 
-use super::machine::{TaskEntry, TaskKey};
+use super::machine::{Machine, TaskEntry, TaskKey};
 use super::tasks::{task_name, task_resources};
 use super::Fleet;
-use crate::jobs::{JobId, MachineId};
+use crate::jobs::{Job, JobId, MachineId};
 use crate::sched::{self, IncrementalBackfill, MachineSnapshot};
 use crate::time::Steady;
 use crate::wire::WorkerCommand;
@@ -53,7 +57,7 @@
     pub(super) fn add_start_orders(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<WorkerCommand>) {
         self.start_gang_tasks(id, now, orders);
         let is_service = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.spec.is_service());
-        let assigned = self.assigned.remove(id).unwrap_or_default();
+        let assigned = self.assigned_starts.remove(id).unwrap_or_default();
         let (replicas, tasks): (Vec<_>, Vec<_>) =
             assigned.into_iter().partition(|starts| is_service(&starts.job));
         for starts in replicas {
@@ -97,7 +101,7 @@
         if started < count && has_waiting {
             // Its start mark is being written, or what it replaces has not ended yet.
             let left = AssignedStarts { job, count: count - started };
-            self.assigned.entry(id.clone()).or_default().push(left);
+            self.assigned_starts.entry(id.clone()).or_default().push(left);
         }
     }
 
@@ -125,20 +129,28 @@
         }
     }
 
-    /// The machine as the planner sees it, if more may start on it before the next plan.
-    pub(super) fn backfill_candidate(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
-        let is_closed = self.closed_machines.contains(id) || self.reserved_gang_places.contains_key(id);
-        if self.plan.unmet.is_empty() || is_closed {
+    /// The machine as the planner sees it, if waiting tasks of job arrays may start on it before the next
+    /// plan.
+    fn backfill_candidate(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
+        if self.plan.unmet.is_empty() {
             return None;
         }
-        let machine = self.machines.get(id).filter(|machine| machine.usable(now))?;
-        if machine.missing || machine.has_unknown_use() {
+        self.machine_for_starts(id, now).filter(|snapshot| snapshot.free.cpus > 0.0)
+    }
+
+    /// The machine as the planner sees it, if tasks beyond the plan may start on it: it is usable, neither
+    /// reserved nor waiting for a gang's start, and no task on it is being stopped.
+    pub(super) fn machine_for_starts(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
+        if self.closed_machines.contains(id) || self.reserved_gang_places.contains_key(id) {
             return None;
         }
-        if machine.tasks.values().any(|task| task.live() && task.stop_grace_s.is_some()) {
+        let is_usable =
+            |machine: &&Machine| machine.is_usable(now) && !machine.missing && !machine.has_unknown_use();
+        let machine = self.machines.get(id).filter(is_usable)?;
+        if machine.tasks.values().any(|task| task.is_live() && task.stop_grace_s.is_some()) {
             return None;
         }
-        self.machine_snapshot(machine, now).filter(|snapshot| snapshot.free.cpus > 0.0)
+        self.machine_snapshot(machine, now)
     }
 
     /// Starts up to `count` waiting tasks of a job on the machine whose heartbeat is being answered;
@@ -152,9 +164,7 @@
         orders: &mut Vec<WorkerCommand>,
     ) -> u32 {
         let Some(job) = self.jobs.get(id).filter(|job| !job.ended) else { return 0 };
-        let from = if self.may_run_on_unacknowledged(&job.spec) { job.inherited_start_mark } else { 0 };
-        let waiting = job.waiting.iter().filter(|number| *number >= from);
-        let next: Vec<u32> = waiting.take(count as usize).collect();
+        let next: Vec<u32> = self.next_tasks(job).take(count as usize).collect();
         if let (Some(job), Some(last)) = (self.jobs.get_mut(id), next.last()) {
             job.request_start_mark(*last, count);
         }
@@ -168,6 +178,14 @@
         started
     }
 
+    /// The waiting tasks of a job in the order in which they start. As long as an earlier leader's starts
+    /// may be running on machines that have not acknowledged this leader, without those below the start
+    /// mark that this leader found.
+    pub(super) fn next_tasks<'a>(&self, job: &'a Job) -> impl Iterator<Item = u32> + use<'a> {
+        let first = if self.may_run_on_unacknowledged(&job.spec) { job.inherited_start_mark } else { 0 };
+        job.waiting.iter().filter(move |number| *number >= first)
+    }
+
     /// Starts one task on the machine whose heartbeat is being answered, if it may start there; returns
     /// whether it did.
     pub(super) fn start_task(
@@ -217,7 +235,7 @@
         self.attempt_counter + ATTEMPTS_RESERVED > MAX_ATTEMPTS
     }
 
-    /// Proceeds as if `count` attempt numbers had been used: for tests.
+    /// Proceeds as if `count` attempt numbers had been used, so that tests need not use them up.
     pub fn use_attempts(&mut self, count: u64) {
         self.attempt_counter += count;
     }
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -31,6 +31,14 @@
     pub stop_grace_s: Option<f64>,
 }
 
+impl GangAttempt {
+    /// The tasks whose start has not been sent, with their machines.
+    pub(crate) fn unsent_places(&self) -> impl Iterator<Item = (u32, &MachineId)> {
+        let places = self.places.iter().map(|(task, machine)| (*task, machine));
+        places.filter(|(task, _)| !self.started.contains(*task))
+    }
+}
+
 /// Run times that were observed from start to end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunTimes {
@@ -48,7 +56,8 @@
     }
 }
 
-/// Failures further apart than this are not in a row: twice the longest time between two attempts.
+/// Failures further apart than this do not count as consecutive: twice the longest time between two
+/// attempts.
 const FAILURES_APART: Micros = Micros::from_millis(120_000);
 
 /// Seconds until the next attempt after each of the first `QUICK_RETRIES` failures.
@@ -66,7 +75,7 @@
 /// Failures in a row are counted up to this number.
 const MAX_COUNTED_FAILURES: u32 = 1000;
 
-/// Tasks by which a start mark is at least written ahead of the starts that need it.
+/// A start mark is written at least this many tasks ahead of the starts that need it.
 const MIN_MARK_AHEAD: u32 = 16;
 
 /// The leader's view of a live job.
@@ -215,10 +224,10 @@
         self.failed_on.clear();
     }
 
-    /// Counts a failure: the job is retried ever more seldom, so that one which always fails does not
-    /// hold capacity. While it waits, further failures on the same machine are of starts that were sent
-    /// before and are not counted: a faulty machine fails many tasks at once, and would put the job off
-    /// for a minute.
+    /// Counts a failure: the job is retried with exponential backoff, so that one which always fails does
+    /// not hold capacity. While it waits, further failures on the same machine are of starts that were sent
+    /// before and are not counted: a faulty machine fails many tasks at once, and would delay
+    /// the job by a minute.
     pub fn back_off(&mut self, machine: &MachineId, now: Steady) {
         if now - self.failed_at > FAILURES_APART {
             // Replicas of a service may fail hours apart, with no success that would end the row.
@@ -252,6 +261,14 @@
         self.wanted_start_mark = self.wanted_start_mark.max(mark);
     }
 
+    /// The lowest number from which on no earlier leader can have started a task. Tasks that are placed
+    /// with regard to each other count as one: `None` if one of them may have been started.
+    pub(crate) fn first_never_started(&self) -> Option<u32> {
+        let are_placed_together = self.spec.one_zone || self.spec.spread || self.spec.is_gang();
+        let is_excluded = are_placed_together && self.inherited_start_mark > 0;
+        (!is_excluded).then_some(self.inherited_start_mark)
+    }
+
     /// Counts the start of a task that is sent now; returns its attempt number: the gang's, or else
     /// `attempt`.
     pub(crate) fn record_start(&mut self, number: u32, attempt: u64, now: Steady) -> u64 {
