--- /dev/null
+++ b/tests/planner/reservations.rs
@@ -0,0 +1,82 @@
+//! The reservation of the first blocked class.
+
+use milletlock::sched::{plan, JobClass, MachineSnapshot, Plan, Reservation, Snapshot};
+use milletlock::time::Micros;
+use proptest::prelude::*;
+
+use crate::common::planner::{queue_positions, CPU_TOLERANCE};
+use crate::generators::any_snapshot;
+use crate::model::start_delay;
+use crate::random_cases;
+
+/// Free processors of a machine at a time, with what the plan starts of the reserved class and of those
+/// before it in the queue.
+fn free_cpus_at(snapshot: &Snapshot, plan: &Plan, index: usize, at: Micros, reserved_class: usize) -> f64 {
+    let machine = &snapshot.machines[index];
+    if !machine.accepts_starts && machine.accepts_starts_in > at {
+        return 0.0;
+    }
+    let ended = machine.placed.iter().filter(|task| task.remaining <= at);
+    let ended: f64 = ended.map(|task| task.need.cpus).sum();
+    let positions = queue_positions(&snapshot.classes);
+    let started = started_cpus(snapshot, plan, index, |class| positions[class] <= positions[reserved_class]);
+    machine.free.cpus + ended - started
+}
+
+/// Processors of what the plan starts on a machine, of the classes that count.
+fn started_cpus(snapshot: &Snapshot, plan: &Plan, machine: usize, counts: impl Fn(usize) -> bool) -> f64 {
+    let starts = plan.starts.iter().filter(|start| start.machine == machine && counts(start.class));
+    starts.map(|start| f64::from(start.count) * snapshot.classes[start.class].need.cpus).sum()
+}
+
+/// Processors of the tasks that the plan starts from behind the reservation and that run beyond its time.
+fn backfilled_cpus(snapshot: &Snapshot, plan: &Plan, index: usize, reservation: &Reservation) -> f64 {
+    let machine = &snapshot.machines[index];
+    let positions = queue_positions(&snapshot.classes);
+    started_cpus(snapshot, plan, index, |class| {
+        let is_behind = positions[class] > positions[reservation.class];
+        let class = &snapshot.classes[class];
+        is_behind && start_delay(class, machine) + class.adjusted_runtime > reservation.at
+    })
+}
+
+fn may_reserve(class: &JobClass, machine: &MachineSnapshot) -> bool {
+    class.machine_types.contains(&machine.machine_type)
+        && class.zone.is_none_or(|zone| zone == machine.zone)
+        && (class.spot || !machine.spot)
+        && machine.reclaimed_in.is_none()
+}
+
+/// When a machine changes by itself: tasks on it end, or it begins to accept starts.
+fn change_times(machine: &MachineSnapshot) -> impl Iterator<Item = Micros> + '_ {
+    let opens = (!machine.accepts_starts).then_some(machine.accepts_starts_in);
+    machine.placed.iter().map(|task| task.remaining).chain(opens)
+}
+
+proptest! {
+    #![proptest_config(random_cases(1500))]
+
+    #[test]
+    fn the_reservation_is_the_earliest_and_is_not_delayed(snapshot in any_snapshot(7, 9)) {
+        let plan = plan(&snapshot);
+        let Some(reservation) = &plan.reservation else { return Ok(()) };
+        let class = &snapshot.classes[reservation.class];
+        for &(machine, count) in &reservation.machines {
+            let needed = f64::from(count) * class.need.cpus;
+            let free = free_cpus_at(&snapshot, &plan, machine, reservation.at, reservation.class);
+            prop_assert!(free + CPU_TOLERANCE >= needed, "there is no capacity at its time");
+            let backfilled = backfilled_cpus(&snapshot, &plan, machine, reservation);
+            prop_assert!(free - backfilled + CPU_TOLERANCE >= needed, "backfill delays the reservation");
+        }
+        if class.gang || class.one_zone || class.spread {
+            return Ok(());
+        }
+        // No machine has capacity for a task at any earlier change.
+        for (index, machine) in snapshot.machines.iter().enumerate().filter(|(_, m)| may_reserve(class, m)) {
+            for at in change_times(machine).filter(|at| *at < reservation.at) {
+                let free = free_cpus_at(&snapshot, &plan, index, at, reservation.class);
+                prop_assert!(free + CPU_TOLERANCE < class.need.cpus, "capacity at {:?} already", at);
+            }
+        }
+    }
+}
