--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -5,11 +5,18 @@
 use common::{config, heartbeat, record, spec, types};
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
 use milletlock::leadership;
+use milletlock::records::JobRecord;
 use milletlock::time::{Micros, Steady, Wall};
-use milletlock::wire::{Heartbeat, Row, TaskStage, WorkerCommand};
+use milletlock::wire::{Heartbeat, JobSpec, Row, TaskStage, WorkerCommand};
 use serde_json::json;
 
 const FAILOVER_AT: Steady = Steady(1_000_000_000);
+/// When the first machine sends a heartbeat to the new leader.
+const FIRST_HEARTBEAT_AT: Steady = Steady(FAILOVER_AT.0 + 200_000);
+/// The fencing token of the new leader.
+const FENCING_TOKEN: u64 = 7;
+/// The tasks that fill the first machine.
+const RUNNING_TASKS: [&str; 4] = ["wk-000001/0", "wk-000001/1", "wk-000001/2", "wk-000001/3"];
 
 fn wall(now: Steady) -> Wall {
     Wall(now.0)
@@ -25,12 +32,13 @@
         row("machines/1", 3, machine("i-2")),
         row("marks/0", 4, json!({ "wk-000001": 4 })),
     ];
-    let mut fleet = Fleet::new(config(), types(), 7, FAILOVER_AT);
+    let mut fleet = Fleet::new(config(), types(), FENCING_TOKEN, FAILOVER_AT);
     leadership::load_records(&mut fleet, rows, FAILOVER_AT, wall(FAILOVER_AT));
     fleet.advance_jobs_revision(4);
     fleet
 }
 
+/// The commands of the reply to a machine's heartbeat.
 fn check_in(
     fleet: &mut Fleet,
     machine: &str,
@@ -39,55 +47,54 @@
     now: Steady,
 ) -> Vec<WorkerCommand> {
     let running: Vec<_> = tasks.iter().map(|task| (*task, 5, TaskStage::Running, None)).collect();
-    let message = Heartbeat { spot: false, ..heartbeat(machine, sequence, 7, &running) };
+    let message = Heartbeat { spot: false, ..heartbeat(machine, sequence, FENCING_TOKEN, &running) };
     match fleet.check_in(&message, now, wall(now)) {
         HeartbeatOutcome::Reply(reply) => reply.commands,
         other => panic!("{other:?}"),
     }
 }
 
-const RUNNING: [&str; 4] = ["wk-000001/0", "wk-000001/1", "wk-000001/2", "wk-000001/3"];
-
-fn urgent() -> milletlock::wire::JobSpec {
+fn urgent_job() -> JobSpec {
     let mut job = json!(spec(2, 4, "batch"));
     job["rank"] = json!("urgent");
     job["expectS"] = json!(5.0);
     serde_json::from_value(job).expect("a job")
 }
 
+/// A new leader that has heard the full machine only, and to which an urgent job was submitted.
+fn fleet_with_urgent_job() -> Fleet {
+    let mut fleet = fleet_after_failover();
+    let now = FIRST_HEARTBEAT_AT;
+    check_in(&mut fleet, "i-1", 1, &RUNNING_TASKS, now);
+    let submitted = JobRecord { submitted_us: now.0, ..record(urgent_job()) };
+    fleet.apply_job_record(submitted, 10, now);
+    fleet
+}
+
+fn has_halt(commands: &[WorkerCommand]) -> bool {
+    commands.iter().any(|command| matches!(command, WorkerCommand::Halt { .. }))
+}
+
 /// A plan that looks at the heard machines only would stop tasks for work that has capacity elsewhere.
 #[test]
 fn nothing_is_preempted_while_heartbeats_of_machines_are_outstanding() {
-    let mut fleet = fleet_after_failover();
-    let mut now = FAILOVER_AT + Micros::from_millis(200);
-    check_in(&mut fleet, "i-1", 1, &RUNNING, now);
-    fleet.apply_job_record(
-        milletlock::records::JobRecord { submitted_us: now.0, ..record(urgent()) },
-        10,
-        now,
-    );
+    let mut fleet = fleet_with_urgent_job();
+    let mut now = FIRST_HEARTBEAT_AT;
     for sequence in 2..=4 {
         now = now + Micros::from_millis(700);
         fleet.tick(now, wall(now));
-        let orders = check_in(&mut fleet, "i-1", sequence, &RUNNING, now);
-        assert!(!orders.iter().any(|o| matches!(o, WorkerCommand::Halt { .. })), "{orders:?}");
+        let commands = check_in(&mut fleet, "i-1", sequence, &RUNNING_TASKS, now);
+        assert!(!has_halt(&commands), "{commands:?}");
         assert!(fleet.halt_commands(now).is_empty());
     }
 }
 
 #[test]
 fn a_machine_that_stays_unheard_does_not_keep_urgent_work_waiting() {
-    let mut fleet = fleet_after_failover();
-    let mut now = FAILOVER_AT + Micros::from_millis(200);
-    check_in(&mut fleet, "i-1", 1, &RUNNING, now);
-    fleet.apply_job_record(
-        milletlock::records::JobRecord { submitted_us: now.0, ..record(urgent()) },
-        10,
-        now,
-    );
+    let mut fleet = fleet_with_urgent_job();
     // A heartbeat every 3 s in these settings, a quarter more at the most.
-    now = FAILOVER_AT + Micros::from_millis(3_800);
+    let now = FAILOVER_AT + Micros::from_millis(3_800);
     fleet.tick(now, wall(now));
-    let orders = check_in(&mut fleet, "i-1", 2, &RUNNING, now);
-    assert!(orders.iter().any(|o| matches!(o, WorkerCommand::Halt { .. })), "{orders:?}");
+    let commands = check_in(&mut fleet, "i-1", 2, &RUNNING_TASKS, now);
+    assert!(has_halt(&commands), "{commands:?}");
 }
