--- a/tests/services/cluster.rs
+++ b/tests/services/cluster/mod.rs
@@ -1,5 +1,7 @@
 //! A simulated leader and its workers, in steps of simulated time.
 
+mod simulated_worker;
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
@@ -9,6 +11,8 @@
 use milletlock::wire::{ExitReason, JobSpec, Priority, Shape, TaskStage, WorkerCommand};
 
 use crate::common::worker::job_of;
+pub use simulated_worker::{InjectedFailure, Started, Task, Worker, LEASE};
+
 use crate::common::{config, heartbeat, record, spec, types};
 
 /// When a simulation begins.
@@ -23,9 +27,6 @@
 /// Workers send heartbeats this often.
 pub const HEARTBEAT_INTERVAL: Micros = Micros::from_millis(3_000);
 
-/// Workers end all tasks so long after the last heartbeat that had a reply.
-pub const LEASE: Micros = Micros::from_millis(22_000);
-
 /// The service's id in most tests.
 pub const SERVICE: &str = "wk-000001";
 
@@ -33,8 +34,8 @@
 pub const ARRAY: &str = "wk-000002";
 
 /// So many seconds.
-pub fn secs(s: f64) -> Micros {
-    Micros::from_secs(s)
+pub fn secs(seconds: f64) -> Micros {
+    Micros::from_secs(seconds)
 }
 
 /// A service of one-processor replicas, above all other priorities here.
@@ -47,65 +48,28 @@
     spec(number, tasks, "batch")
 }
 
-/// The tasks that orders start.
-pub fn starts(orders: &[WorkerCommand]) -> Vec<&str> {
-    orders
+/// The tasks that commands start.
+pub fn starts(commands: &[WorkerCommand]) -> Vec<&str> {
+    commands
         .iter()
-        .filter_map(|order| match order {
+        .filter_map(|command| match command {
             WorkerCommand::Start { task, .. } => Some(task.as_str()),
             _ => None,
         })
         .collect()
 }
 
-/// The tasks that orders halt.
-pub fn halts(orders: &[WorkerCommand]) -> Vec<&str> {
-    orders
+/// The tasks that commands halt.
+pub fn halts(commands: &[WorkerCommand]) -> Vec<&str> {
+    commands
         .iter()
-        .filter_map(|order| match order {
+        .filter_map(|command| match command {
             WorkerCommand::Halt { task, .. } => Some(task.as_str()),
             _ => None,
         })
         .collect()
 }
 
-/// A task on a worker.
-#[derive(Clone, Debug)]
-pub struct Task {
-    pub since: Steady,
-    pub ended: Option<ExitReason>,
-}
-
-/// A machine as it really is, whatever the leader knows of it.
-#[derive(Debug)]
-pub struct Worker {
-    pub zone: &'static str,
-    pub agent_epoch: u64,
-    pub sequence: u64,
-    pub fencing_token: u64,
-    pub last_reply: Steady,
-    pub next_heartbeat: Steady,
-    /// Partitioned from the leader until then.
-    pub partitioned_until: Steady,
-    /// When the cloud takes it.
-    pub preempted_at: Option<Steady>,
-    pub tasks: BTreeMap<(String, u64), Task>,
-}
-
-/// Tasks of a job end so as soon as they have started, on one machine or on all.
-pub struct InjectedFailure {
-    pub machine: Option<&'static str>,
-    pub job: &'static str,
-    pub why: ExitReason,
-}
-
-/// A start that has reached a worker.
-pub struct Started {
-    pub at: Steady,
-    pub machine: String,
-    pub task: String,
-}
-
 /// The leader and its workers, in steps of simulated time.
 pub struct SimulatedCluster {
     pub fleet: Fleet,
@@ -145,18 +109,7 @@
 
     /// A machine is up, sends its first heartbeat and is enrolled.
     pub fn add_machine(&mut self, machine: &str, zone: &'static str) {
-        let worker = Worker {
-            zone,
-            agent_epoch: 1,
-            sequence: 0,
-            fencing_token: 0,
-            last_reply: self.now,
-            next_heartbeat: self.now,
-            partitioned_until: START,
-            preempted_at: None,
-            tasks: BTreeMap::new(),
-        };
-        self.workers.insert(machine.into(), worker);
+        self.workers.insert(machine.into(), Worker::new(zone, self.now));
         self.exchange_heartbeat(machine);
         self.write_records();
     }
@@ -181,16 +134,16 @@
     /// Writes all that waits to be written. Nothing ever says that a service is done.
     pub fn write_records(&mut self) {
         let pending = self.fleet.pending_writes(self.now, Micros::ZERO, 1000);
-        for p in &pending {
-            if let PendingWrite::Final(job) | PendingWrite::Done(job, _) = p {
-                assert!(!self.services.contains(&**job), "a service is said to be done: {p:?}");
+        for write in &pending {
+            if let PendingWrite::Final(job) | PendingWrite::Done(job, _) = write {
+                assert!(!self.services.contains(&**job), "a service is said to be done: {write:?}");
             }
         }
         let (now, wall) = (self.now, self.wall());
         for batch in leadership::batches(&mut self.fleet, 1, pending, 1000, now, wall) {
             self.revision += 1;
-            for (p, said) in &batch.items {
-                self.fleet.write_applied(p, self.revision, said, now);
+            for (write, contents) in &batch.items {
+                self.fleet.write_applied(write, self.revision, contents, now);
             }
         }
     }
@@ -206,13 +159,8 @@
     /// The workers' lists of tasks as they change by themselves.
     pub fn run_workers(&mut self) {
         for worker in self.workers.values_mut() {
-            if self.now - worker.last_reply > LEASE {
-                worker.tasks.clear();
-                worker.agent_epoch += 1;
-                worker.sequence = 0;
-                worker.last_reply = self.now;
-            }
-            for ((name, _), task) in worker.tasks.iter_mut().filter(|x| x.1.ended.is_none()) {
+            worker.expire_lease(self.now);
+            for ((name, _), task) in worker.tasks.iter_mut().filter(|(_, task)| task.ended.is_none()) {
                 let time = self.runs_for.get(job_of(name));
                 if time.is_some_and(|time| self.now - task.since >= *time) {
                     task.ended = Some(ExitReason::Done);
@@ -225,28 +173,29 @@
     /// The leader's direct commands reach their workers at once, but for those that are partitioned.
     pub fn deliver_commands(&mut self) -> Vec<WorkerCommand> {
         let mut delivered = Vec::new();
-        for command in self.fleet.halt_commands(self.now) {
-            let reachable =
-                self.workers.get(&*command.machine).is_some_and(|w| w.partitioned_until <= self.now);
-            if reachable {
-                self.execute_orders(&command.machine, &command.commands);
-                delivered.extend(command.commands);
+        for message in self.fleet.halt_commands(self.now) {
+            let worker = self.workers.get(&*message.machine);
+            if worker.is_some_and(|worker| worker.is_reachable(self.now)) {
+                self.execute_commands(&message.machine, &message.commands);
+                delivered.extend(message.commands);
             }
         }
         delivered
     }
 
-    /// A worker executes orders.
-    pub fn execute_orders(&mut self, machine: &str, orders: &[WorkerCommand]) {
+    /// A worker executes commands.
+    pub fn execute_commands(&mut self, machine: &str, commands: &[WorkerCommand]) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(machine) else { return };
-        for order in orders {
+        for command in commands {
             worker.next_heartbeat = now;
-            match order {
+            match command {
                 WorkerCommand::Start { task, attempt } => {
-                    let here = |f: &&InjectedFailure| f.machine.is_none_or(|m| m == machine);
-                    let failure = self.failures.iter().filter(here).find(|f| f.job == job_of(task));
-                    let started = Task { since: now, ended: failure.map(|f| f.why) };
+                    let is_hit = |failure: &&InjectedFailure| {
+                        failure.job == job_of(task) && failure.machine.is_none_or(|hit| hit == machine)
+                    };
+                    let failure = self.failures.iter().find(is_hit);
+                    let started = Task { since: now, ended: failure.map(|failure| failure.why) };
                     worker.tasks.insert((task.clone(), *attempt), started);
                     self.started.push(Started { at: now, machine: machine.into(), task: task.clone() });
                 }
@@ -287,16 +236,16 @@
         }
     }
 
-    /// A machine sends a heartbeat and carries out the orders of the reply.
+    /// A machine sends a heartbeat and carries out the commands of the reply.
     pub fn exchange_heartbeat(&mut self, machine: &str) -> Vec<WorkerCommand> {
-        let Some(orders) = self.send_heartbeat(machine) else { return Vec::new() };
+        let Some(commands) = self.send_heartbeat(machine) else { return Vec::new() };
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.fencing_token = FENCING_TOKEN;
             worker.last_reply = now;
         }
-        self.execute_orders(machine, &orders);
-        orders
+        self.execute_commands(machine, &commands);
+        commands
     }
 
     /// Time goes on by a step for all.
@@ -304,8 +253,9 @@
         self.advance(STEP);
         self.run_workers();
         self.deliver_commands();
-        let due = |w: &Worker| w.next_heartbeat <= self.now && w.partitioned_until <= self.now;
-        let senders: Vec<String> = self.workers.iter().filter(|x| due(x.1)).map(|x| x.0.clone()).collect();
+        let is_due = |worker: &Worker| worker.next_heartbeat <= self.now && worker.is_reachable(self.now);
+        let due = self.workers.iter().filter(|(_, worker)| is_due(worker));
+        let senders: Vec<String> = due.map(|(machine, _)| machine.clone()).collect();
         for machine in senders {
             self.exchange_heartbeat(&machine);
         }
@@ -332,14 +282,18 @@
 
     /// Tasks of a job that really run, with their machines.
     pub fn running_tasks(&self, job: &str) -> Vec<(String, String)> {
-        let all = self.workers.iter().flat_map(|(machine, w)| w.tasks.iter().map(move |t| (machine, t)));
+        let all = self
+            .workers
+            .iter()
+            .flat_map(|(machine, worker)| worker.tasks.iter().map(move |task| (machine, task)));
         let running = all.filter(|(_, (key, task))| task.ended.is_none() && job_of(&key.0) == job);
         running.map(|(machine, (key, _))| (key.0.clone(), machine.clone())).collect()
     }
 
     /// The machines on which tasks of a job run, once for each task.
     pub fn machines_of(&self, job: &str) -> Vec<String> {
-        let mut machines: Vec<String> = self.running_tasks(job).into_iter().map(|x| x.1).collect();
+        let mut machines: Vec<String> =
+            self.running_tasks(job).into_iter().map(|(_, machine)| machine).collect();
         machines.sort();
         machines
     }
@@ -348,7 +302,7 @@
     pub fn assert_nothing_runs_twice(&self) {
         let mut seen: BTreeMap<&str, &str> = BTreeMap::new();
         for (machine, worker) in &self.workers {
-            for ((name, _), _) in worker.tasks.iter().filter(|x| x.1.ended.is_none()) {
+            for ((name, _), _) in worker.tasks.iter().filter(|(_, task)| task.ended.is_none()) {
                 let other = seen.insert(name, machine);
                 assert_eq!(other, None, "{name} runs on {machine} as well");
             }
@@ -358,8 +312,10 @@
     /// Ends a running task of a job on a machine.
     pub fn end_task(&mut self, machine: &str, job: &str, why: ExitReason) {
         let worker = self.workers.get_mut(machine).expect("a machine");
-        let mut running = worker.tasks.iter_mut().filter(|t| t.1.ended.is_none() && job_of(&t.0 .0) == job);
-        running.next().expect("a running task").1.ended = Some(why);
+        let mut running =
+            worker.tasks.iter_mut().filter(|((name, _), task)| task.ended.is_none() && job_of(name) == job);
+        let (_, task) = running.next().expect("a running task");
+        task.ended = Some(why);
         worker.next_heartbeat = self.now;
     }
 
@@ -379,7 +335,8 @@
     pub fn send_spot_notice(&mut self, machine: &str, time: Micros) {
         let at = self.now + time;
         let worker = self.workers.get_mut(machine).expect("a machine");
-        (worker.preempted_at, worker.next_heartbeat) = (Some(at), self.now);
+        worker.preempted_at = Some(at);
+        worker.next_heartbeat = self.now;
     }
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -12,7 +12,7 @@
 use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::history::EstimateKey;
 use milletlock::jobs::RunTimes;
-use milletlock::leadership::{self, LeaderRecord, SHARD_KEY};
+use milletlock::leadership::{self, Batch, LeaderRecord, SHARD_KEY};
 use milletlock::records::FinalRecord;
 use milletlock::task_ranges::chunk_tasks;
 use milletlock::time::{Micros, Steady, Wall};
@@ -91,17 +91,24 @@
 /// A leader of this version that has loaded these rows.
 fn load_fleet(rows: Vec<Row>) -> Fleet {
     let mut fleet = Fleet::new(falling_limits(), types(), 42, NOW);
-    let read_to = rows.iter().map(|r| r.mod_revision).max().unwrap_or(0);
+    let read_to = rows.iter().map(|row| row.mod_revision).max().unwrap_or(0);
     leadership::load_records(&mut fleet, rows, NOW, WALL);
     fleet.advance_jobs_revision(read_to);
     fleet
 }
 
 /// What a leader would write now, in its transactions.
-fn waiting(fleet: &mut Fleet, shard_revision: u64, now: Steady) -> Vec<leadership::Batch> {
+fn pending_batches(fleet: &mut Fleet, shard_revision: u64, now: Steady) -> Vec<Batch> {
     let pending = fleet.pending_writes(now, Micros::ZERO, chunk_tasks(fleet.max_value_bytes()));
-    let ops = fleet.max_txn_changes();
-    leadership::batches(fleet, shard_revision, pending, ops, now, WALL)
+    let max_changes = fleet.max_txn_changes();
+    leadership::batches(fleet, shard_revision, pending, max_changes, now, WALL)
+}
+
+/// The store has applied a batch of writes.
+fn acknowledge(fleet: &mut Fleet, batch: &Batch, revision: u64, now: Steady) {
+    for (write, contents) in &batch.items {
+        fleet.write_applied(write, revision, contents, now);
+    }
 }
 
 /// Everything a leader writes until nothing waits, each transaction applied and acknowledged. The store
@@ -110,18 +117,16 @@
     let mut all = Vec::new();
     for round in 0..2000_i64 {
         let now = LATER + Micros(round * 20_000_000);
-        let batches = waiting(fleet, store.mod_revision(SHARD_KEY), now);
+        let batches = pending_batches(fleet, store.mod_revision(SHARD_KEY), now);
         if batches.is_empty() {
             return all;
         }
         for batch in batches {
             match store.txn(&batch.txn) {
-                Ok(revision) => {
-                    batch.items.iter().for_each(|(p, said)| fleet.write_applied(p, revision, said, now))
-                }
-                Err(failed) => {
-                    failed.iter().for_each(|k| leadership::update_from_store(fleet, k, store.row(k), now))
-                }
+                Ok(revision) => acknowledge(fleet, &batch, revision, now),
+                Err(failed) => failed
+                    .iter()
+                    .for_each(|key| leadership::update_from_store(fleet, key, store.row(key), now)),
             }
             all.push(batch.txn);
         }
@@ -131,14 +136,14 @@
 
 /// A state store with these rows.
 fn store_of(rows: Vec<Row>) -> Store {
-    let revision = rows.iter().map(|r| r.mod_revision).max().unwrap_or(0);
-    let keys = rows.into_iter().map(|r| (r.key, (r.value, r.mod_revision))).collect();
+    let revision = rows.iter().map(|row| row.mod_revision).max().unwrap_or(0);
+    let keys = rows.into_iter().map(|row| (row.key, (row.value, row.mod_revision))).collect();
     Store { keys, revision, log: Vec::new() }
 }
 
 /// What transactions put.
 fn puts(txns: &[Txn]) -> impl Iterator<Item = (&str, &Value)> {
-    txns.iter().flat_map(|t| &t.then).filter_map(|c| match c {
+    txns.iter().flat_map(|txn| &txn.then).filter_map(|change| match change {
         Change::Put { put, value, .. } => Some((put.as_str(), value)),
         Change::Drop { .. } => None,
     })
@@ -164,31 +169,37 @@
     assert_eq!(job.done_written, job.done);
     assert_eq!(job.done_chunks, BTreeMap::from([(0, 15), (1, 16)]));
     assert!(!job.waiting.contains(20) && job.waiting.contains(21));
-    for (id, addr, ty, spot) in
+    for (id, address, type_name, spot) in
         [("i-1", "127.0.0.1:9", "small", false), ("i-2", "127.0.0.1:8", "large", true)]
     {
-        let m = &fleet.machines[id];
-        assert_eq!((m.address.as_str(), m.type_name.as_str(), m.spot), (addr, ty, spot));
-        assert!(m.registered && m.inherited && !m.acknowledged, "tasks may be on {id}");
+        let machine = &fleet.machines[id];
+        assert_eq!(
+            (machine.address.as_str(), machine.type_name.as_str(), machine.spot),
+            (address, type_name, spot)
+        );
+        assert!(machine.registered && machine.inherited && !machine.acknowledged, "tasks may be on {id}");
     }
     assert_eq!(
         fleet.history.factor(&EstimateKey { team: "free".into(), stated: Micros(20_000_000) }, WALL),
         0.6
     );
     let recent = fleet.recent_job_records(NOW, WALL, 4000);
-    assert!(recent.iter().any(|d| d.extra_machines == 3 && d.types == ["large"]), "{recent:?}");
+    assert!(recent.iter().any(|job| job.extra_machines == 3 && job.types == ["large"]), "{recent:?}");
     // The list of recent jobs has been added to; nothing else is written for a failover alone.
-    let written = waiting(&mut fleet, 19, LATER);
-    assert!(written.iter().flat_map(|b| &b.items).all(|(p, _)| *p == PendingWrite::RecentJobs));
+    let written = pending_batches(&mut fleet, 19, LATER);
+    assert!(written
+        .iter()
+        .flat_map(|batch| &batch.items)
+        .all(|(write, _)| *write == PendingWrite::RecentJobs));
     // The others are read by themselves.
-    let of = |key: &str| production_rows().into_iter().find(|r| r.key == key).expect("a row").value;
-    let leader: LeaderRecord = serde_json::from_value(of("leader")).expect("a leader");
+    let value_of = |key: &str| production_rows().into_iter().find(|row| row.key == key).expect("a row").value;
+    let leader: LeaderRecord = serde_json::from_value(value_of("leader")).expect("a leader");
     assert_eq!(
         (leader.label.as_str(), leader.incarnation, leader.fencing_token, leader.lease),
         ("c-1", 5, 41, 900)
     );
-    let over: FinalRecord = serde_json::from_value(of("final/wk-000000")).expect("an end");
-    assert_eq!(over, FinalRecord { stage: Stage::Done, tasks: 3 });
+    let final_record: FinalRecord = serde_json::from_value(value_of("final/wk-000000")).expect("an end");
+    assert_eq!(final_record, FinalRecord { stage: Stage::Done, tasks: 3 });
 }
 
 /// Guards against chunks of another size being rewritten under production's numbers, which would drop
@@ -219,12 +230,12 @@
     });
     assert!(fleet.jobs["wk-000001"].done_chunks.len() > SMALL_TXN);
     let written = write_all(&mut fleet, &mut store);
-    assert!(written.iter().all(|t| t.then.len() <= SMALL_TXN));
+    assert!(written.iter().all(|txn| txn.then.len() <= SMALL_TXN));
     assert!(store.row("job/wk-000001").is_none() && store.row("final/wk-000001").is_some());
     assert_eq!(store.rows("done/").len(), 0);
     // A leader that never knew the job removes what is left as well.
     let mut rows = production_rows();
-    rows.retain(|r| r.key != "job/wk-000001");
+    rows.retain(|row| row.key != "job/wk-000001");
     let mut store = store_of(rows.clone());
     write_all(&mut load_fleet(rows), &mut store);
     assert_eq!(store.rows("done/").len(), 0);
@@ -232,19 +243,21 @@
 
 /// A value in the form of a type; it must have that form.
 fn parses<T: serde::de::DeserializeOwned>(key: &str, value: &Value) -> T {
-    serde_json::from_value(value.clone()).unwrap_or_else(|e| panic!("{key}: {e}: {value}"))
+    serde_json::from_value(value.clone()).unwrap_or_else(|error| panic!("{key}: {error}: {value}"))
 }
 
 /// Reads a value as production does, and the fields of its own with nothing else among them.
 fn check_production_reads(key: &str, value: &Value) {
     let parts: Vec<&str> = key.split('/').collect();
-    let number = |text: &str| text.parse::<u32>().unwrap_or_else(|e| panic!("{key}: {e}"));
+    let number = |text: &str| text.parse::<u32>().unwrap_or_else(|error| panic!("{key}: {error}"));
     match parts[..] {
         ["machines", slot] => {
             assert!(number(slot) < 100_000, "{key}");
             let machines: BTreeMap<String, production::MachineRecord> = parses(key, value);
             assert_eq!(&json!(machines), value, "{key}");
-            assert!(machines.values().all(|m| !m.addr.is_empty() && !m.ty.is_empty() && !m.zone.is_empty()));
+            assert!(machines.values().all(|machine| {
+                !machine.addr.is_empty() && !machine.ty.is_empty() && !machine.zone.is_empty()
+            }));
         }
         ["marks", slot] => {
             assert!(number(slot) < 100_000, "{key}");
@@ -269,29 +282,29 @@
 fn production_reads_whatever_this_version_writes_within_the_coming_limits() {
     let mut store = store_of(vec![row(SHARD_KEY, 1, json!({}))]);
     let mut fleet = load_fleet(Vec::new());
-    for n in 0..1000 {
-        enroll(&mut fleet, &format!("i-{n:05}"), NOW);
+    for number in 0..1000 {
+        enroll(&mut fleet, &format!("i-{number:05}"), NOW);
     }
-    for n in 1..=300 {
-        let mut spec = spec(n, if n == 1 { 30_000 } else { 40 }, "batch");
+    for number in 1..=300 {
+        let mut spec = spec(number, if number == 1 { 30_000 } else { 40 }, "batch");
         spec.priority = milletlock::wire::Priority::Urgent;
-        fleet.apply_job_record(record(spec), 1 + u64::from(n), NOW);
-        let id: std::sync::Arc<str> = format!("wk-{n:06}").into();
+        fleet.apply_job_record(record(spec), 1 + u64::from(number), NOW);
+        let id: std::sync::Arc<str> = format!("wk-{number:06}").into();
         let job = fleet.jobs.get_mut(&id).expect("the job");
         job.wanted_start_mark = job.spec.tasks;
         job.run_times = RunTimes { total: Micros(15_000_000), count: 1 };
-        let every = if n % 3 == 0 { 1 } else { 2 };
+        let every = if number % 3 == 0 { 1 } else { 2 };
         (0..job.spec.tasks).step_by(every).for_each(|task| {
             job.done.insert(task);
         });
         // Jobs that are not written here are guarded by their version: they have to be there.
         store.keys.insert(format!("job/{id}"), (json!({}), job.mod_revision));
     }
-    for n in 0..200 {
+    for sample in 0..200 {
         fleet.history.add(
             &EstimateKey { team: "free".into(), stated: Micros(20_000_000) },
             WALL,
-            f64::from(n) / 300.0,
+            f64::from(sample) / 300.0,
         );
     }
     store.revision = 1000;
@@ -300,8 +313,8 @@
         check_production_reads(key, value);
         assert!(value.to_string().len() <= SMALL_VALUE, "{key} has {} bytes", value.to_string().len());
     }
-    assert!(written.iter().all(|t| (1..=SMALL_TXN).contains(&t.then.len())));
-    assert!(written.iter().all(|t| t.guards[0].key == SHARD_KEY));
+    assert!(written.iter().all(|txn| (1..=SMALL_TXN).contains(&txn.then.len())));
+    assert!(written.iter().all(|txn| txn.guards[0].key == SHARD_KEY));
     for kind in ["machines/", "marks/", "done/", "hist/", "recent", "final/"] {
         assert!(puts(&written).any(|(key, _)| key.starts_with(kind)), "no {kind} was written");
     }
@@ -323,13 +336,13 @@
         let mut fleet = load_fleet(rows);
         assert_eq!(fleet.jobs["wk-000001"].start_mark, 200);
         for round in 1..10_i64 {
-            for batch in waiting(&mut fleet, 1, LATER + Micros(round * 20_000_000)) {
+            for batch in pending_batches(&mut fleet, 1, LATER + Micros(round * 20_000_000)) {
                 let revision = store.txn(&batch.txn).expect("no other leader");
-                batch.items.iter().for_each(|(p, said)| fleet.write_applied(p, revision, said, LATER));
+                acknowledge(&mut fleet, &batch, revision, LATER);
                 assert_eq!(production::marks_in(&store)["wk-000001"], 200);
             }
         }
-        let copies = store.rows("marks/").iter().filter(|r| r.value.get("wk-000001").is_some()).count();
+        let copies = store.rows("marks/").iter().filter(|row| row.value.get("wk-000001").is_some()).count();
         assert_eq!(copies, 1);
     }
 }
@@ -348,16 +361,19 @@
     };
     finish(&mut fleet, 30..40);
     enroll(&mut fleet, "i-3", NOW);
-    let late = waiting(&mut fleet, store.mod_revision(SHARD_KEY), LATER);
+    let late = pending_batches(&mut fleet, store.mod_revision(SHARD_KEY), LATER);
     let written = |prefix: &str| {
-        late.iter().flat_map(|b| puts(std::slice::from_ref(&b.txn))).any(|(k, _)| k.starts_with(prefix))
+        late.iter()
+            .flat_map(|batch| puts(std::slice::from_ref(&batch.txn)))
+            .any(|(key, _)| key.starts_with(prefix))
     };
     assert!(["done/", "marks/", "machines/"].iter().all(|prefix| written(prefix)));
     finish(&mut fleet, 40..50);
     write_all(&mut fleet, &mut store);
     let before = store.keys.clone();
     // What is written without a guard of its own may come late: it is only a hint.
-    for batch in late.iter().filter(|b| b.items.iter().any(|(p, _)| *p != PendingWrite::RecentJobs)) {
+    let is_guarded = |batch: &&Batch| batch.items.iter().any(|(write, _)| *write != PendingWrite::RecentJobs);
+    for batch in late.iter().filter(is_guarded) {
         assert!(store.txn(&batch.txn).is_err(), "{:?}", batch.txn);
     }
     assert_eq!(store.keys, before);
