--- a/src/config/service_limits.rs
+++ b/src/config/service_limits.rs
@@ -2,6 +2,8 @@
 
 use serde::Deserialize;
 
+use crate::state::RateShares;
+
 /// Limits of the state store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateStoreLimits {
@@ -48,12 +50,14 @@
         next.map_or(self.txn_ops, |next| next.min(self.txn_ops))
     }
 
-    /// The next rates as fractions of the present ones, at most 1: of requests, then of puts and
-    /// deletes.
-    pub fn next_rates(&self) -> (f64, f64) {
+    /// The next rates as fractions of the present ones, at most 1.
+    pub fn next_rates(&self) -> RateShares {
         let fraction = |now: f64, next: Option<f64>| next.map_or(1.0, |next| (next / now).min(1.0));
         let next = self.next.clone().unwrap_or_default();
-        (fraction(self.rps, next.rps), fraction(self.write_rps, next.write_rps))
+        RateShares {
+            requests: fraction(self.rps, next.rps),
+            writes: fraction(self.write_rps, next.write_rps),
+        }
     }
 }
 
--- a/src/controller/state_budget.rs
+++ b/src/controller/state_budget.rs
@@ -1,6 +1,7 @@
 //! Each controller's share of the state store's rate limits.
 
 use crate::config::Config;
+use crate::state::RateShares;
 
 /// The share of the limits that all controllers together plan to use.
 const PLANNED_SHARE: f64 = 0.9;
@@ -34,25 +35,28 @@
     /// is, and what the state store refuses then is tried again at once.
     pub(super) fn new(config: &Config, role: ControllerRole) -> StateBudget {
         let limits = &config.platform.settings.state;
-        let (request_share, write_share) = shares(config.controller_count(), role);
+        let shares = shares(config.controller_count(), role);
         StateBudget {
-            requests_per_s: limits.rps * request_share,
-            writes_per_s: limits.write_rps * write_share,
+            requests_per_s: limits.rps * shares.requests,
+            writes_per_s: limits.write_rps * shares.writes,
         }
     }
 }
 
-/// The shares of the requests and of the writes.
-fn shares(controllers: usize, role: ControllerRole) -> (f64, f64) {
+/// One controller's share of the limits, by its role among so many controllers.
+fn shares(controllers: usize, role: ControllerRole) -> RateShares {
     // The leader counts as two controllers.
     let weights = controllers as f64 + 1.0;
     match (controllers, role) {
-        (1, _) => (PLANNED_SHARE, PLANNED_SHARE),
-        (_, ControllerRole::Leader) => (PLANNED_SHARE * LEADER_REQUEST_WEIGHT / weights, LEADER_WRITE_SHARE),
+        (1, _) => RateShares { requests: PLANNED_SHARE, writes: PLANNED_SHARE },
+        (_, ControllerRole::Leader) => RateShares {
+            requests: PLANNED_SHARE * LEADER_REQUEST_WEIGHT / weights,
+            writes: LEADER_WRITE_SHARE,
+        },
         (_, ControllerRole::Follower) => {
             let followers = controllers.saturating_sub(1) as f64;
-            let write_share = (FOLLOWERS_WRITE_SHARE / followers).min(MAX_FOLLOWER_WRITE_SHARE);
-            (PLANNED_SHARE / weights, write_share)
+            let writes = (FOLLOWERS_WRITE_SHARE / followers).min(MAX_FOLLOWER_WRITE_SHARE);
+            RateShares { requests: PLANNED_SHARE / weights, writes }
         }
     }
 }
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -130,9 +130,9 @@
 
     /// Sets the rates by this controller's share and, once they are in force, by the next limits.
     fn set_rates(&mut self) {
-        let (requests, writes) = self.next.in_force();
-        self.requests.rate = self.allowed.requests * requests;
-        self.writes.rate = self.allowed.writes * writes;
+        let shares = self.next.in_force();
+        self.requests.rate = self.allowed.requests * shares.requests;
+        self.writes.rate = self.allowed.writes * shares.writes;
     }
 
     /// Takes one request and `writes` changes at `priority`.
@@ -173,8 +173,8 @@
         self.requests.level = self.requests.level.min(0.0);
         if self.next.refused(steady()) {
             tracing::info!(
-                requests_share = self.next.shares.0,
-                writes_share = self.next.shares.1,
+                requests_share = self.next.shares.requests,
+                writes_share = self.next.shares.writes,
                 "the state service has its new limits"
             );
             self.set_rates();
@@ -194,24 +194,35 @@
 /// several controllers are refused now and then under any limits.
 const DECISIVE_REFUSALS: usize = 5;
 
-/// Fractions of the present limits while these stay: (requests, changes).
-const UNCHANGED_SHARES: (f64, f64) = (1.0, 1.0);
+/// Parts of rate limits, as fractions: 1 is the whole limit.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RateShares {
+    /// Fraction of the limit of requests.
+    pub requests: f64,
+    /// Fraction of the limit of changes (puts and deletes).
+    pub writes: f64,
+}
+
+impl RateShares {
+    /// The whole of both limits.
+    pub const FULL: RateShares = RateShares { requests: 1.0, writes: 1.0 };
+}
 
 /// Rate limits that come into force at some moment, without notice. The present ones are kept to
 /// until refusals for the rate (429) or of a write that is too large (400) show the change. An
 /// outage, or a store that refuses this controller alone, answers 503 and shows nothing.
 #[derive(Clone, Debug)]
 pub struct NextRates {
-    /// The next limits as fractions of the present ones: (requests, changes).
-    shares: (f64, f64),
+    /// The next limits as fractions of the present ones.
+    shares: RateShares,
     /// The latest refusals for the rate, at most [`DECISIVE_REFUSALS`].
     refusals: VecDeque<Steady>,
     in_force: bool,
 }
 
 impl NextRates {
-    /// The next limits as fractions of the present ones, each at most 1: (requests, changes).
-    pub fn new(shares: (f64, f64)) -> NextRates {
+    /// The next limits as fractions of the present ones, each at most 1.
+    pub fn new(shares: RateShares) -> NextRates {
         NextRates { shares, refusals: VecDeque::new(), in_force: false }
     }
 
@@ -224,7 +235,7 @@
         }
         let oldest = self.refusals.front().copied().unwrap_or(now);
         let decisive = self.refusals.len() == DECISIVE_REFUSALS && now - oldest <= REFUSAL_WINDOW;
-        let comes_into_force = decisive && !self.in_force && self.shares != UNCHANGED_SHARES;
+        let comes_into_force = decisive && !self.in_force && self.shares != RateShares::FULL;
         self.in_force |= comes_into_force;
         comes_into_force
     }
@@ -234,12 +245,12 @@
         self.in_force = true;
     }
 
-    /// The fractions of the present limits to keep to now: (requests, changes).
-    pub fn in_force(&self) -> (f64, f64) {
+    /// The fractions of the present limits to keep to now.
+    pub fn in_force(&self) -> RateShares {
         if self.in_force {
             self.shares
         } else {
-            UNCHANGED_SHARES
+            RateShares::FULL
         }
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -15,7 +15,7 @@
 use crate::wire::{LeaseGranted, LeaseRequest, Row, RowPage, Txn, TxnCommitted, TxnConflict, WatchEvents};
 
 use budget::{AllowedRates, RateBudget};
-pub use budget::{NextRates, RequestPriority, TokenBucket};
+pub use budget::{NextRates, RateShares, RequestPriority, TokenBucket};
 pub use error::{StateStoreError, TxnOutcome};
 
 /// Client of the state store. Calls wait for this controller's rate budget (by their
@@ -55,13 +55,13 @@
 const USER_TXN_TRIES: u32 = 3;
 
 impl StateStoreClient {
-    /// A client that keeps to these rates, and to the fractions `next` (requests, changes) of them
-    /// once the store's limits fall.
+    /// A client that keeps to these rates, and to the fractions `next` of them once the store's
+    /// limits fall.
     pub fn new(
         address: SocketAddr,
         requests_per_s: f64,
         writes_per_s: f64,
-        next: (f64, f64),
+        next: RateShares,
     ) -> StateStoreClient {
         let allowed = AllowedRates { requests: requests_per_s, writes: writes_per_s };
         StateStoreClient {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,6 +4,7 @@
 
 use common::platform_json;
 use milletlock::config::{Config, OperatorConfig, PlatformConfig};
+use milletlock::state::RateShares;
 use serde_json::{json, Value};
 
 fn said(v: &Value) -> String {
@@ -217,10 +218,19 @@
         let c = Config { platform, operator: OperatorConfig::default() };
         (c.value_bytes(), c.txn_ops(), c.platform.settings.state.next_rates())
     };
-    assert_eq!(of(json!(null)), (4096, 8, (1.0, 1.0)));
-    assert_eq!(of(json!({"value_kb": 2, "txn_ops": 5})), (2048, 5, (1.0, 1.0)));
-    assert_eq!(of(json!({"value_kb": 64, "txn_ops": 50, "rps": 900})), (4096, 8, (1.0, 1.0)));
-    assert_eq!(of(json!({"rps": 250, "write_rps": 100})), (4096, 8, (0.5, 0.2)));
+    assert_eq!(of(json!(null)), (4096, 8, RateShares { requests: 1.0, writes: 1.0 }));
+    assert_eq!(
+        of(json!({"value_kb": 2, "txn_ops": 5})),
+        (2048, 5, RateShares { requests: 1.0, writes: 1.0 })
+    );
+    assert_eq!(
+        of(json!({"value_kb": 64, "txn_ops": 50, "rps": 900})),
+        (4096, 8, RateShares { requests: 1.0, writes: 1.0 })
+    );
+    assert_eq!(
+        of(json!({"rps": 250, "write_rps": 100})),
+        (4096, 8, RateShares { requests: 0.5, writes: 0.2 })
+    );
 }
 
 /// Guards against a mistake in the settings that the program does not end by, or says at length.
--- a/tests/store_client.rs
+++ b/tests/store_client.rs
@@ -2,7 +2,7 @@
 //! read.
 
 use milletlock::live_jobs::LiveIds;
-use milletlock::state::{NextRates, TokenBucket};
+use milletlock::state::{NextRates, RateShares, TokenBucket};
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::WatchEvents;
 use serde_json::{json, Value};
@@ -41,7 +41,7 @@
 }
 
 /// Whether refusals at these seconds show the change of limits, and the rates that are kept to then.
-fn after_refusals(seconds: &[f64], shares: (f64, f64)) -> (bool, (f64, f64)) {
+fn after_refusals(seconds: &[f64], shares: RateShares) -> (bool, RateShares) {
     let mut rates = NextRates::new(shares);
     let shows: Vec<bool> = seconds.iter().map(|&s| rates.refused(at(s))).collect();
     // Only one refusal, the last that was needed, shows it.
@@ -53,7 +53,8 @@
 /// rates that it no longer has.
 #[test]
 fn five_refusals_within_ten_seconds_show_the_coming_rates() {
-    let coming = (0.5, 0.25);
+    let coming = RateShares { requests: 0.5, writes: 0.25 };
+    let present = RateShares { requests: 1.0, writes: 1.0 };
     assert_eq!(after_refusals(&[0.0, 2.0, 4.0, 6.0, 9.9], coming), (true, coming));
     assert_eq!(after_refusals(&[0.0; 5], coming), (true, coming));
     // Whenever the ten seconds begin.
@@ -62,11 +63,12 @@
     let mut rates = NextRates::new(coming);
     rates.rejected();
     assert_eq!(rates.in_force(), coming, "a write that is rejected as too large shows it as well");
-    assert_eq!(after_refusals(&[0.0, 0.1, 0.2, 0.3], coming), (false, (1.0, 1.0)), "fewer");
+    assert_eq!(after_refusals(&[0.0, 0.1, 0.2, 0.3], coming), (false, present), "fewer");
     let spread: Vec<f64> = (0..40).map(|n| f64::from(n) * 3.0).collect();
-    assert_eq!(after_refusals(&spread, coming), (false, (1.0, 1.0)), "no five within ten seconds");
+    assert_eq!(after_refusals(&spread, coming), (false, present), "no five within ten seconds");
     let bursts: Vec<f64> = (0..40).map(|n| f64::from(n / 4) * 11.0).collect();
-    assert_eq!(after_refusals(&bursts, coming), (false, (1.0, 1.0)), "four at a time");
-    assert_eq!(after_refusals(&[0.0; 30], (1.0, 1.0)), (false, (1.0, 1.0)), "none are announced");
-    assert_eq!(after_refusals(&[0.0; 5], (1.0, 0.5)), (true, (1.0, 0.5)), "one of both is enough");
+    assert_eq!(after_refusals(&bursts, coming), (false, present), "four at a time");
+    assert_eq!(after_refusals(&[0.0; 30], present), (false, present), "none are announced");
+    let fewer_writes = RateShares { requests: 1.0, writes: 0.5 };
+    assert_eq!(after_refusals(&[0.0; 5], fewer_writes), (true, fewer_writes), "one of both is enough");
 }
