--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -126,8 +126,8 @@
 /// Ends the jobs whose cancellation was announced while the records were read.
 fn end_cancelled_jobs(fleet: &mut Fleet, shared: &SharedState) {
     for id in fleet.jobs.keys().cloned().collect::<Vec<_>>() {
-        if let Some((_, revision)) = shared.final_records.get(&*id) {
-            fleet.job_ended(&id, *revision);
+        if let Some(ended) = shared.final_records.get(&id) {
+            fleet.job_ended(&id, ended.revision);
         }
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -14,6 +14,7 @@
 mod duties;
 mod error;
 mod failover;
+mod final_records;
 mod heartbeats;
 mod latency;
 mod leader_lease;
--- a/src/controller/shared_state.rs
+++ b/src/controller/shared_state.rs
@@ -1,13 +1,13 @@
 //! The state that all threads of a controller share, under one lock.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 
 use super::deferred_replies::DeferredHeartbeatReply;
+use super::final_records::FinalRecordCache;
 use super::other_cells::OtherCellState;
 use crate::fleet::{Fleet, JobProgress};
 use crate::jobs::MachineId;
 use crate::leadership::{LeaderRecord, LeadershipTerm};
-use crate::records::FinalRecord;
 use crate::store_contact::StoreContact;
 use crate::time::Steady;
 use crate::wire::MachineType;
@@ -43,10 +43,8 @@
     pub(super) refused_cells: BTreeMap<String, String>,
     /// The machine types, once known.
     pub(super) machine_types: Option<Vec<MachineType>>,
-    /// Final stages known to be written, with the revisions at which they were written.
-    pub(super) final_records: BTreeMap<String, (FinalRecord, u64)>,
-    /// The keys of `final_records`, oldest first.
-    pub(super) final_records_order: VecDeque<String>,
+    /// Final records known to be written.
+    pub(super) final_records: FinalRecordCache,
     /// Task counts of live jobs as the leader announced them.
     pub(super) announced_counts: BTreeMap<String, JobProgress>,
     /// Heartbeats of idle workers whose replies are deferred.
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -16,8 +16,6 @@
 use crate::time::Micros;
 use crate::wire::MachineType;
 
-/// Most final stages that are kept; the oldest are dropped first.
-const MAX_FINAL_RECORDS: usize = 20_000;
 /// How long another controller has to answer a user's request.
 const RELAY_TIMEOUT: Micros = Micros::from_millis(900);
 /// How long no request is relayed after one that no other controller could answer either.
@@ -55,21 +53,11 @@
     }
 
     fn known_final(&self, id: &str) -> Option<StoredFinal> {
-        self.lock().final_records.get(id).map(|&(record, revision)| StoredFinal { record, revision })
+        self.lock().final_records.get(id)
     }
 
     fn learn_final(&self, id: &str, record: FinalRecord, revision: u64) {
-        let mut shared = self.lock();
-        if shared.final_records.contains_key(id) {
-            return;
-        }
-        shared.final_records.insert(id.to_string(), (record, revision));
-        shared.final_records_order.push_back(id.to_string());
-        if shared.final_records_order.len() > MAX_FINAL_RECORDS {
-            if let Some(oldest) = shared.final_records_order.pop_front() {
-                shared.final_records.remove(&oldest);
-            }
-        }
+        self.lock().final_records.insert(id, StoredFinal { record, revision });
     }
 
     fn machine_types(&self) -> Option<Vec<MachineType>> {
