--- a/src/api.rs
+++ b/src/api.rs
@@ -139,9 +139,9 @@
 /// Where a request came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOrigin {
-    /// A user, through the load balancer.
-    User,
-    /// Another controller that could not answer it: it is not relayed again.
+    /// The HTTP server: a user or the load balancer, or a worker with its heartbeat.
+    Http,
+    /// Another controller, which relayed it: it is not relayed again.
     Peer,
 }
 
@@ -155,7 +155,7 @@
     let path = request.path.split('?').next().unwrap_or("");
     tracing::debug!(path, %error, "state store unavailable for a user request");
     let relayed_response = match origin {
-        RequestOrigin::User => backend.relay_to_any(request),
+        RequestOrigin::Http => backend.relay_to_any(request),
         RequestOrigin::Peer => None,
     };
     relayed_response.unwrap_or_else(|| retry_later(&format!("the state service cannot be asked: {error}")))
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -8,6 +8,7 @@
 use super::responses::{CONTENT_TOO_LARGE, UNAVAILABLE};
 use super::step_down::StepDownReason;
 use super::{lock_ignoring_poison, Controller, VERSION};
+use crate::api::RequestOrigin;
 use crate::fleet::JobProgress;
 use crate::http::{self, Request, Response};
 use crate::leadership::LeaderRecord;
@@ -81,7 +82,7 @@
         let response = if request.body.len() > http::MAX_BODY {
             Response::error(CONTENT_TOO_LARGE, "body over 64 KiB")
         } else {
-            self.answer(&request, true)
+            self.answer(&request, RequestOrigin::Peer)
         };
         PeerReply::Answer(Answer {
             status: u32::from(response.status),
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -28,13 +28,14 @@
         if request.path == HEARTBEAT_PATH && request.method == "POST" {
             self.handle_heartbeat(request, Some(reply));
         } else {
-            reply.send(&self.answer(request, false));
+            reply.send(&self.answer(request, RequestOrigin::Http));
         }
     }
 
-    /// Answers a request of a user, a worker or the load balancer; `relayed` if another controller sent
-    /// it on.
-    pub fn answer(&self, request: &Request, relayed: bool) -> Response {
+    /// Answers a request of a user, a worker or the load balancer, or one that another controller
+    /// relayed.
+    pub fn answer(&self, request: &Request, origin: RequestOrigin) -> Response {
+        let is_relayed = origin == RequestOrigin::Peer;
         match request.path.as_str() {
             HEARTBEAT_PATH if request.method == "POST" => {
                 let refused = || unavailable("not now");
@@ -43,12 +44,9 @@
             HEALTH_PATH if request.method == "GET" => self.health(),
             HEARTBEAT_PATH | HEALTH_PATH => Response::error(METHOD_NOT_ALLOWED, "wrong method"),
             // For operators, over the controllers' own interface: users' connections never reach it.
-            path if relayed && path.starts_with(STATUS_PATH) => self.status(request),
-            path if relayed && path.starts_with(WRITE_OFF_PATH) => self.write_off(request),
-            _ => {
-                let origin = if relayed { RequestOrigin::Peer } else { RequestOrigin::User };
-                api::handle(self, request, origin)
-            }
+            path if is_relayed && path.starts_with(STATUS_PATH) => self.status(request),
+            path if is_relayed && path.starts_with(WRITE_OFF_PATH) => self.write_off(request),
+            _ => api::handle(self, request, origin),
         }
     }
 }
--- a/tests/cancellation_in_outage/simulation.rs
+++ b/tests/cancellation_in_outage/simulation.rs
@@ -4,6 +4,7 @@
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
+use milletlock::api::RequestOrigin;
 use milletlock::config::{Config, OperatorConfig, PlatformConfig};
 use milletlock::controller::Controller;
 use milletlock::http::Request;
@@ -136,7 +137,9 @@
     /// Sends a request to a controller: its status and body.
     pub fn call(&self, controller: usize, method: &str, path: &str, body: &str) -> (u16, Value) {
         let r = Request { method: method.into(), path: path.into(), body: body.into() };
-        let a = self.controllers()[controller].answer(&r, path == "/status");
+        // Only the controllers' own interface shows the status.
+        let origin = if path == "/status" { RequestOrigin::Peer } else { RequestOrigin::Http };
+        let a = self.controllers()[controller].answer(&r, origin);
         (a.status, serde_json::from_slice(&a.body).unwrap_or(Value::Null))
     }
 
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -10,6 +10,7 @@
 use common::state_store_server::{read_response, transaction, transaction_response};
 use common::store::Store;
 use common::{heartbeat, platform_json, spec};
+use milletlock::api::RequestOrigin;
 use milletlock::config::{Config, OperatorConfig, PlatformConfig};
 use milletlock::controller::{Controller, LendingPolicy};
 use milletlock::http::{Request, Response};
@@ -68,7 +69,7 @@
 
 /// Sends a request of a worker or another cell to a controller.
 fn post(node: &Controller, path: &str, body: Vec<u8>) -> Response {
-    node.answer(&Request { method: "POST".into(), path: path.into(), body }, false)
+    node.answer(&Request { method: "POST".into(), path: path.into(), body }, RequestOrigin::Http)
 }
 
 /// Lets a worker send heartbeats until nothing more starts; the tasks that are on it.
