--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -6,7 +6,7 @@
 use crate::api::JobsBackend;
 use crate::fleet::PendingWrite;
 use crate::jobs::JobId;
-use crate::leadership::{self, Batch, LeadershipTerm, SHARD_KEY};
+use crate::leadership::{self, Batch, ComposedWrite, LeadershipTerm, SHARD_KEY};
 use crate::records::FinalRecord;
 use crate::state::{RequestPriority, StateStoreError, TxnOutcome};
 use crate::task_ranges::chunk_tasks;
@@ -112,13 +112,13 @@
                 return false;
             };
             let now = self.now();
-            for (item, contents) in &batch.items {
-                if let PendingWrite::Final(id) = item {
+            for ComposedWrite { write, contents } in &batch.writes {
+                if let PendingWrite::Final(id) = write {
                     if let Some(job) = leadership.fleet.jobs.get(id) {
                         finished.push((id.clone(), job.spec.tasks));
                     }
                 }
-                leadership.fleet.write_applied(item, revision, contents, now);
+                leadership.fleet.write_applied(write, revision, contents, now);
             }
         }
         for (id, tasks) in finished {
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -26,12 +26,20 @@
 /// Least estimate, in seconds, that a run time is divided by.
 const MIN_ESTIMATE_S: f64 = 0.001;
 
+/// A pending write as it was composed for a transaction.
+pub struct ComposedWrite {
+    /// Which of the fleet's pending writes it is.
+    pub write: PendingWrite,
+    /// What it holds.
+    pub contents: WriteContents,
+}
+
 /// A transaction and what it writes.
 pub struct Batch {
     /// The transaction.
     pub txn: Txn,
-    /// The pending writes in it, each with its contents as they were composed.
-    pub items: Vec<(PendingWrite, WriteContents)>,
+    /// The pending writes in it.
+    pub writes: Vec<ComposedWrite>,
     /// Whether a start or a user waits for it.
     pub urgent: bool,
     /// Size of the changes in bytes.
@@ -42,7 +50,7 @@
     /// A batch without changes yet, guarded by the shard's revision.
     fn new(shard_revision: u64, urgent: bool) -> Batch {
         let guards = vec![Guard { key: SHARD_KEY.into(), mod_revision: shard_revision }];
-        Batch { txn: Txn { guards, then: Vec::new() }, items: Vec::new(), urgent, bytes: 0 }
+        Batch { txn: Txn { guards, then: Vec::new() }, writes: Vec::new(), urgent, bytes: 0 }
     }
 
     /// Whether a write fits into the batch, which may hold `max_changes`. Urgent writes never share a
@@ -63,7 +71,7 @@
             }
         }
         self.txn.then.extend(write.changes);
-        self.items.push((write.item, write.contents));
+        self.writes.push(ComposedWrite { write: write.item, contents: write.contents });
     }
 }
 
--- a/tests/common/fleet_writes.rs
+++ b/tests/common/fleet_writes.rs
@@ -10,8 +10,8 @@
 pub fn acknowledge_writes(fleet: &mut Fleet, txn_ops: usize, revision: u64, now: Steady) {
     let pending = fleet.pending_writes(now, Micros::ZERO, 1000);
     for batch in leadership::batches(fleet, 1, pending, txn_ops, now, wall_at(now)) {
-        for (write, said) in &batch.items {
-            fleet.write_applied(write, revision, said, now);
+        for composed in &batch.writes {
+            fleet.write_applied(&composed.write, revision, &composed.contents, now);
         }
     }
 }
--- a/tests/common/simulated_controller.rs
+++ b/tests/common/simulated_controller.rs
@@ -78,8 +78,8 @@
     ) -> Result<(), Vec<String>> {
         match result {
             Some(Ok(revision)) => {
-                for (item, said) in &batch.items {
-                    self.fleet.write_applied(item, revision, said, now);
+                for composed in &batch.writes {
+                    self.fleet.write_applied(&composed.write, revision, &composed.contents, now);
                 }
                 Ok(())
             }
--- a/tests/fault_combinations/cancellations.rs
+++ b/tests/fault_combinations/cancellations.rs
@@ -33,7 +33,7 @@
         let known = scenario.store.row(&job_key(&a)).expect("live");
         let user_transaction = scenario.store.cancellation(&scenario.specs[&a]).expect("live");
         let leader_batch = scenario.batches(0, chunk_tasks(4096)).remove(0);
-        assert!(leader_batch.items.iter().any(|x| matches!(x.0, PendingWrite::Final(_))));
+        assert!(leader_batch.writes.iter().any(|w| matches!(w.write, PendingWrite::Final(_))));
         match race {
             Race::UserFirst => {
                 assert!(scenario.cancel(&a));
--- a/tests/fault_combinations/scenario/leaders.rs
+++ b/tests/fault_combinations/scenario/leaders.rs
@@ -94,7 +94,7 @@
             return;
         }
         for b in self.batches(i, chunk) {
-            let lost = self.leaders[i].lost_reply.filter(|u| b.items.iter().any(|x| u.1(&x.0)));
+            let lost = self.leaders[i].lost_reply.filter(|u| b.writes.iter().any(|w| u.1(&w.write)));
             let applied = if let Some((delay, _)) = lost {
                 self.leaders[i].lost_reply = None;
                 self.late_transactions.push((at(self.seconds + delay), b.txn.clone()));
--- a/tests/services/cluster.rs
+++ b/tests/services/cluster.rs
@@ -189,8 +189,8 @@
         let (now, wall) = (self.now, self.wall());
         for batch in leadership::batches(&mut self.fleet, 1, pending, 1000, now, wall) {
             self.revision += 1;
-            for (p, said) in &batch.items {
-                self.fleet.write_applied(p, self.revision, said, now);
+            for composed in &batch.writes {
+                self.fleet.write_applied(&composed.write, self.revision, &composed.contents, now);
             }
         }
     }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -116,9 +116,10 @@
         }
         for batch in batches {
             match store.txn(&batch.txn) {
-                Ok(revision) => {
-                    batch.items.iter().for_each(|(p, said)| fleet.write_applied(p, revision, said, now))
-                }
+                Ok(revision) => batch
+                    .writes
+                    .iter()
+                    .for_each(|w| fleet.write_applied(&w.write, revision, &w.contents, now)),
                 Err(failed) => {
                     failed.iter().for_each(|k| leadership::update_from_store(fleet, k, store.row(k), now))
                 }
@@ -179,7 +180,7 @@
     assert!(recent.iter().any(|d| d.extra_machines == 3 && d.types == ["large"]), "{recent:?}");
     // The list of recent jobs has been added to; nothing else is written for a failover alone.
     let written = waiting(&mut fleet, 19, LATER);
-    assert!(written.iter().flat_map(|b| &b.items).all(|(p, _)| *p == PendingWrite::RecentJobs));
+    assert!(written.iter().flat_map(|b| &b.writes).all(|w| w.write == PendingWrite::RecentJobs));
     // The others are read by themselves.
     let of = |key: &str| production_rows().into_iter().find(|r| r.key == key).expect("a row").value;
     let leader: LeaderRecord = serde_json::from_value(of("leader")).expect("a leader");
@@ -325,7 +326,7 @@
         for round in 1..10_i64 {
             for batch in waiting(&mut fleet, 1, LATER + Micros(round * 20_000_000)) {
                 let revision = store.txn(&batch.txn).expect("no other leader");
-                batch.items.iter().for_each(|(p, said)| fleet.write_applied(p, revision, said, LATER));
+                batch.writes.iter().for_each(|w| fleet.write_applied(&w.write, revision, &w.contents, LATER));
                 assert_eq!(production::marks_in(&store)["wk-000001"], 200);
             }
         }
@@ -357,7 +358,7 @@
     write_all(&mut fleet, &mut store);
     let before = store.keys.clone();
     // What is written without a guard of its own may come late: it is only a hint.
-    for batch in late.iter().filter(|b| b.items.iter().any(|(p, _)| *p != PendingWrite::RecentJobs)) {
+    for batch in late.iter().filter(|b| b.writes.iter().any(|w| w.write != PendingWrite::RecentJobs)) {
         assert!(store.txn(&batch.txn).is_err(), "{:?}", batch.txn);
     }
     assert_eq!(store.keys, before);
--- a/tests/upgrade_failovers/simulation/writes.rs
+++ b/tests/upgrade_failovers/simulation/writes.rs
@@ -66,7 +66,10 @@
         match self.submit(&batch.txn) {
             TxnOutcome::Applied(revision) => {
                 let SimulatedLeader::Current(fleet) = &mut self.leader else { return false };
-                batch.items.iter().for_each(|(p, said)| fleet.write_applied(p, revision, said, self.now));
+                batch
+                    .writes
+                    .iter()
+                    .for_each(|w| fleet.write_applied(&w.write, revision, &w.contents, self.now));
                 true
             }
             TxnOutcome::Refused(failed) => {
