--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -10,6 +10,7 @@
 use crate::keys::{
     done_key, final_key, job_key, slot_key, HISTORY_PREFIX, MACHINES_PREFIX, RECENT_KEY, START_MARKS_PREFIX,
 };
+use crate::packed_records::SlotContents;
 use crate::records::FinalRecord;
 use crate::task_ranges::chunk_span;
 use crate::time::{Micros, Steady, Wall};
@@ -218,19 +219,19 @@
 
 /// A value of packed machine records.
 fn compose_machines(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
-    let (mod_revision, version, items) = fleet.machine_records.slot(slot)?;
+    let SlotContents { mod_revision, version, records } = fleet.machine_records.slot(slot)?;
     let key = slot_key(MACHINES_PREFIX, slot);
-    let contents = WriteContents::Machines(items.keys().cloned().collect(), version);
-    let change = Change::put(key.clone(), json!(items));
+    let contents = WriteContents::Machines(records.keys().cloned().collect(), version);
+    let change = Change::put(key.clone(), json!(records));
     Some(Write::new(item, vec![Guard { key, mod_revision }], vec![change]).with_contents(contents))
 }
 
 /// A value of packed started high-water marks.
 fn compose_high_water_marks(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
-    let (mod_revision, version, items) = fleet.start_marks.slot(slot)?;
+    let SlotContents { mod_revision, version, records } = fleet.start_marks.slot(slot)?;
     let key = slot_key(START_MARKS_PREFIX, slot);
-    let start_marks = items.iter().map(|(id, high)| (id.clone(), *high)).collect();
-    let change = Change::put(key.clone(), json!(items));
+    let start_marks = records.iter().map(|(id, high)| (id.clone(), *high)).collect();
+    let change = Change::put(key.clone(), json!(records));
     let write = Write::new(item, vec![Guard { key, mod_revision }], vec![change]);
     Some(write.with_contents(WriteContents::StartMarks(start_marks, version)))
 }
--- a/src/packed_records.rs
+++ b/src/packed_records.rs
@@ -36,6 +36,17 @@
     slot_by_id: BTreeMap<Arc<str>, usize>,
 }
 
+/// The contents of a slot as they are to be written.
+#[derive(Debug)]
+pub struct SlotContents<'a, T> {
+    /// `mod_revision` of the stored value, for the guard of the write; 0: not stored.
+    pub mod_revision: u64,
+    /// Version of the contents, to be passed to [`PackedRecords::written`].
+    pub version: u64,
+    /// The records.
+    pub records: &'a SlotRecords<T>,
+}
+
 /// A write that has to precede another one: of this slot, at this version or later.
 #[derive(Clone, Copy, Debug)]
 struct Prerequisite {
@@ -255,10 +266,13 @@
         })
     }
 
-    /// A slot's contents as they are to be written: the stored value's `mod_revision` for the guard,
-    /// the version to pass to [`PackedRecords::written`], and the records.
-    pub fn slot(&self, slot: u32) -> Option<(u64, u64, &SlotRecords<T>)> {
-        self.slots.get(slot as usize).map(|slot| (slot.mod_revision, slot.version, &slot.records))
+    /// A slot's contents as they are to be written; `None` if there is no such slot.
+    pub fn slot(&self, slot: u32) -> Option<SlotContents<'_, T>> {
+        self.slots.get(slot as usize).map(|slot| SlotContents {
+            mod_revision: slot.mod_revision,
+            version: slot.version,
+            records: &slot.records,
+        })
     }
 
     /// Notes that a slot's contents of `version` were written at a revision.
--- a/tests/packed_records.rs
+++ b/tests/packed_records.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use milletlock::packed_records::{PackedRecords, SlotRecords};
+use milletlock::packed_records::{PackedRecords, SlotContents, SlotRecords};
 
 fn slots(p: &PackedRecords<u32>) -> u32 {
     (0..).find(|&s| p.slot(s).is_none()).expect("an end")
@@ -16,9 +16,9 @@
     let dirty: Vec<u32> = p.pending(true).collect();
     assert!(dirty.len() > 5, "one value would be too long");
     for &s in &dirty {
-        let (mod_revision, version, items) = p.slot(s).expect("a value");
+        let SlotContents { mod_revision, version, records } = p.slot(s).expect("a value");
         assert_eq!(mod_revision, 0);
-        assert!(serde_json::to_string(items).expect("a value").len() <= 512);
+        assert!(serde_json::to_string(records).expect("a value").len() <= 512);
         // A change while the write is under way keeps the slot to be written.
         if s == 0 {
             p.put(&id(0), 7);
@@ -26,8 +26,8 @@
         p.written(s, version, 10);
     }
     assert_eq!(p.pending(true).collect::<Vec<_>>(), [0]);
-    let (mod_revision, version, items) = p.slot(0).expect("a value");
-    assert_eq!((mod_revision, items[&id(0)]), (10, 7));
+    let SlotContents { mod_revision, version, records } = p.slot(0).expect("a value");
+    assert_eq!((mod_revision, records[&id(0)]), (10, 7));
     p.written(0, version, 11);
     assert_eq!(p.pending(true).count(), 0);
     // What goes is written when there is time, and its place is used again.
@@ -39,7 +39,7 @@
     // Another leader reads the same back.
     let mut q: PackedRecords<u32> = PackedRecords::new(512);
     for s in 0..before {
-        q.load(s, 9, p.slot(s).expect("a value").2.clone(), u32::max);
+        q.load(s, 9, p.slot(s).expect("a value").records.clone(), u32::max);
     }
     assert_eq!(q.get("wk-000230"), Some(&230));
     assert_eq!(q.get("wk-000003"), None);
@@ -54,7 +54,7 @@
 fn write_all(p: &mut PackedRecords<u32>, revision: u64) -> Vec<u32> {
     let pending: Vec<u32> = p.pending(true).chain(p.pending(false)).collect();
     for &s in &pending {
-        let version = p.slot(s).expect("a value").1;
+        let version = p.slot(s).expect("a value").version;
         p.written(s, version, revision);
     }
     pending
@@ -67,14 +67,14 @@
     let mut p: PackedRecords<u32> = PackedRecords::new(1024);
     p.load(0, 5, many(100), u32::max);
     p.empty_oversized();
-    assert!(p.slot(0).expect("a value").2.is_empty());
+    assert!(p.slot(0).expect("a value").records.is_empty());
     assert!(p.pending(false).all(|s| s != 0) && p.pending(false).count() > 1);
     (200..300).for_each(|n| p.put(&format!("wk-{n:06}").into(), n));
-    assert!(p.slot(0).expect("a value").2.is_empty());
+    assert!(p.slot(0).expect("a value").records.is_empty());
     assert!(p.pending(true).all(|s| s != 0));
     // One of the others is not enough.
     let first = p.pending(true).next().expect("a slot");
-    let version = p.slot(first).expect("a value").1;
+    let version = p.slot(first).expect("a value").version;
     p.written(first, version, 6);
     assert!(p.pending(true).chain(p.pending(false)).all(|s| s != 0));
     assert!(!write_all(&mut p, 7).contains(&0));
@@ -83,7 +83,7 @@
     // Now it is like any other.
     let before = slots(&p);
     (300..310).for_each(|n| p.put(&format!("wk-{n:06}").into(), n));
-    assert!(!p.slot(0).expect("a value").2.is_empty() && slots(&p) == before);
+    assert!(!p.slot(0).expect("a value").records.is_empty() && slots(&p) == before);
 }
 
 /// Guards against a copy that is the only one left being dropped before the merged one is written.
@@ -95,8 +95,8 @@
     p.load(1, 6, SlotRecords::from([(job.clone(), 40)]), u32::max);
     assert_eq!(p.get(&job), Some(&90));
     assert_eq!(p.pending(false).collect::<Vec<_>>(), [1], "the lower copy is raised first");
-    let (_, version, items) = p.slot(1).expect("a value");
-    assert_eq!(items.get(&job), Some(&90));
+    let SlotContents { version, records, .. } = p.slot(1).expect("a value");
+    assert_eq!(records.get(&job), Some(&90));
     p.written(1, version, 7);
     assert_eq!(p.pending(false).collect::<Vec<_>>(), [0]);
 }
@@ -116,7 +116,7 @@
     }
     p.reduce_limit(512);
     (0..20).for_each(|_| assert!(write_all(&mut p, 50).iter().all(|s| ![0, 3].contains(s))));
-    assert!(p.slot(0).expect("a value").2.is_empty() && p.slot(3).expect("a value").2.is_empty());
+    assert!(p.slot(0).expect("a value").records.is_empty() && p.slot(3).expect("a value").records.is_empty());
     // Nor one that has something to be written.
     let mut q: PackedRecords<u32> = PackedRecords::new(1024);
     q.load(0, 5, many(3), u32::max);
@@ -143,7 +143,7 @@
             p.remove(&id(n - 200));
         }
         for s in 0..slots(&p) {
-            let value = serde_json::to_string(p.slot(s).expect("a value").2).expect("a value");
+            let value = serde_json::to_string(p.slot(s).expect("a value").records).expect("a value");
             assert!(value.len() <= LIMIT, "after {n} jobs slot {s} has {} bytes", value.len());
         }
     }
