--- /dev/null
+++ b/src/api/lookup.rs
@@ -0,0 +1,93 @@
+//! The status of jobs: looks up what the state store holds of a job, and answers status requests.
+
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+
+use super::responses::no_such_job;
+use super::{JobsBackend, StoredFinal};
+use crate::http::Response;
+use crate::keys::{final_key, job_key};
+use crate::records::{FinalRecord, JobRecord};
+use crate::state::{RequestPriority, StateStoreError};
+use crate::wire::{is_job_id, JobStatus, Stage};
+
+/// What the state store holds of a job.
+pub(super) enum JobLookup {
+    /// A live job: its record and the record's `mod_revision`.
+    Live { record: Box<JobRecord>, mod_revision: u64 },
+    /// A finished or cancelled job.
+    Final(StoredFinal),
+    /// No job of that id was ever accepted.
+    Unknown,
+}
+
+/// Looks a job up in the state store, unless its final record is known here.
+pub(super) fn look_up(backend: &dyn JobsBackend, id: &str) -> Result<JobLookup, StateStoreError> {
+    if let Some(known) = backend.known_final(id) {
+        return Ok(JobLookup::Final(known));
+    }
+    // The live record first: a job goes from one to the other in one transaction, so one of the
+    // two reads finds it.
+    if let Some(row) = backend.state().get(&job_key(id), RequestPriority::User)? {
+        let record = parse_record(row.value)?;
+        return Ok(JobLookup::Live { record: Box::new(record), mod_revision: row.mod_revision });
+    }
+    Ok(read_final(backend, id)?.map_or(JobLookup::Unknown, JobLookup::Final))
+}
+
+/// Reads a job's final record, and remembers it; none if the job has not ended or was never accepted.
+fn read_final(backend: &dyn JobsBackend, id: &str) -> Result<Option<StoredFinal>, StateStoreError> {
+    let Some(row) = backend.state().get(&final_key(id), RequestPriority::User)? else { return Ok(None) };
+    let record: FinalRecord = parse_record(row.value)?;
+    // Written once, in the transaction that removed the live record.
+    backend.learn_final(id, record, row.mod_revision);
+    Ok(Some(StoredFinal { record, revision: row.mod_revision }))
+}
+
+/// Decodes a stored record; [`StateStoreError::Malformed`] if that fails.
+fn parse_record<T: DeserializeOwned>(value: Value) -> Result<T, StateStoreError> {
+    serde_json::from_value(value).map_err(|e| StateStoreError::Malformed(e.to_string()))
+}
+
+/// The status of a live job: its task counts.
+fn live_status(backend: &dyn JobsBackend, id: &str) -> JobStatus {
+    let counts = backend.counts(id);
+    let stage = if counts.running > 0 { Stage::Running } else { Stage::Queued };
+    JobStatus { id: id.to_string(), stage, done: counts.done, running: counts.running }
+}
+
+/// The status of a job that has ended.
+fn final_status(id: &str, record: FinalRecord) -> JobStatus {
+    let done = if record.stage == Stage::Done { record.tasks } else { 0 };
+    JobStatus { id: id.to_string(), stage: record.stage, done, running: 0 }
+}
+
+/// The status of a job as the state store holds it; none if there is no such job.
+pub(super) fn stored_status(
+    backend: &dyn JobsBackend,
+    id: &str,
+) -> Result<Option<JobStatus>, StateStoreError> {
+    Ok(match look_up(backend, id)? {
+        JobLookup::Live { .. } => Some(live_status(backend, id)),
+        JobLookup::Final(known) => Some(final_status(id, known.record)),
+        JobLookup::Unknown => None,
+    })
+}
+
+/// Answers a status request.
+pub(super) fn show(backend: &dyn JobsBackend, id: &str) -> Result<Response, StateStoreError> {
+    if !is_job_id(id) {
+        return Ok(no_such_job());
+    }
+    if let Some(known) = backend.known_final(id) {
+        return Ok(Response::json(200, &final_status(id, known.record)));
+    }
+    if backend.live_jobs().is_live(id, backend.state())? {
+        return Ok(Response::json(200, &live_status(backend, id)));
+    }
+    // If it ever was a live job, the transaction that removed it wrote its final record.
+    Ok(match read_final(backend, id)? {
+        Some(known) => Response::json(200, &final_status(id, known.record)),
+        None => no_such_job(),
+    })
+}
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -37,7 +37,7 @@
             return;
         }
         let txn = Txn {
-            guards: vec![Guard { key: MACHINE_TYPES_KEY.into(), mod_revision: 0 }],
+            guards: vec![Guard::must_not_exist(MACHINE_TYPES_KEY.into())],
             then: vec![Change::put(MACHINE_TYPES_KEY, value)],
         };
         // Without it they are read from the cloud the next time.
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -193,7 +193,7 @@
     let job = fleet.jobs.get(id)?;
     let guards = vec![
         Guard { key: job_key(id), mod_revision: job.mod_revision },
-        Guard { key: final_key(id), mod_revision: 0 },
+        Guard::must_not_exist(final_key(id)),
     ];
     let final_record = FinalRecord { stage: Stage::Done, tasks: job.spec.tasks };
     let mut changes = vec![Change::drop(job_key(id)), Change::put(final_key(id), json!(final_record))];
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -41,6 +41,13 @@
     pub mod_revision: u64,
 }
 
+impl Guard {
+    /// A guard that holds only while there is no such key.
+    pub fn must_not_exist(key: String) -> Guard {
+        Guard { key, mod_revision: 0 }
+    }
+}
+
 /// A change of a key in a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
