--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -3,7 +3,7 @@
 
 use rand::Rng;
 
-use super::{Controller, ControllerRole, Leadership, SharedState, StateBudget};
+use super::{allowed_rates, Controller, ControllerRole, Leadership, SharedState};
 use crate::api::JobsBackend;
 use crate::fleet::Fleet;
 use crate::leadership::{self, LeaderRecord, LeadershipTerm};
@@ -99,8 +99,7 @@
             fleet.set_types(types.clone());
         }
         let now = self.now();
-        let budget = StateBudget::new(&self.config, ControllerRole::Leader);
-        self.state.set_rates(budget.requests_per_s, budget.writes_per_s);
+        self.state.set_allowed_rates(allowed_rates(&self.config, ControllerRole::Leader));
         tracing::info!(
             fencing_token = term.fencing_token,
             jobs = fleet.jobs.len(),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -45,7 +45,7 @@
 use self::latency::Latencies;
 pub use self::lending::LendingPolicy;
 use self::shared_state::{Leadership, SharedState};
-use self::state_budget::{ControllerRole, StateBudget};
+use self::state_budget::{allowed_rates, ControllerRole};
 pub use self::status::STATUS_PATH;
 pub use self::writer::done_write_interval;
 use crate::cancellation_notices::CancellationNotices;
@@ -53,7 +53,7 @@
 use crate::config::Config;
 use crate::live_jobs::LiveJobs;
 use crate::peer::PeerHub;
-use crate::state::StateStoreClient;
+use crate::state::{AllowedRates, StateStoreClient};
 use crate::time::{Clock, Micros, Steady};
 
 /// Reads of the live jobs begin no closer together than this.
@@ -112,18 +112,17 @@
         clock: Clock,
         stop: Arc<AtomicBool>,
     ) -> Result<Arc<Controller>, ControllerError> {
-        let budget = StateBudget::new(&config, ControllerRole::Follower);
+        let allowed = allowed_rates(&config, ControllerRole::Follower);
         let platform = &config.platform;
         let notice_retention = Micros::from_secs(platform.settings.workers.cancel_s);
         let now = clock.now();
         Ok(Arc::new(Controller {
             state: StateStoreClient::new(
                 platform.services.state,
-                budget.requests_per_s,
-                budget.writes_per_s,
+                allowed,
                 platform.settings.state.next_rates(),
             ),
-            live: LiveJobs::new(poll_read_interval(&budget)),
+            live: LiveJobs::new(poll_read_interval(allowed)),
             cloud: CloudClient::new(
                 platform.services.cloud,
                 platform.settings.cloud.rps * CLOUD_REQUEST_SHARE,
@@ -178,7 +177,7 @@
 }
 
 /// How far apart reads of the live jobs begin at least.
-fn poll_read_interval(budget: &StateBudget) -> Micros {
-    Micros::from_secs(REQUESTS_PER_POLL_READ / budget.requests_per_s.max(MIN_REQUEST_RATE))
+fn poll_read_interval(allowed: AllowedRates) -> Micros {
+    Micros::from_secs(REQUESTS_PER_POLL_READ / allowed.requests_per_s.max(MIN_REQUEST_RATE))
         .clamp(MIN_POLL_READ_INTERVAL, MAX_POLL_READ_INTERVAL)
 }
--- a/src/controller/state_budget.rs
+++ b/src/controller/state_budget.rs
@@ -1,7 +1,7 @@
 //! Each controller's share of the state store's rate limits.
 
 use crate::config::Config;
-use crate::state::RateShares;
+use crate::state::{AllowedRates, RateShares};
 
 /// The share of the limits that all controllers together plan to use.
 const PLANNED_SHARE: f64 = 0.9;
@@ -23,23 +23,15 @@
     Follower,
 }
 
-/// This controller's share of the state store's requests and writes, per second.
-pub(super) struct StateBudget {
-    pub(super) requests_per_s: f64,
-    pub(super) writes_per_s: f64,
-}
-
-impl StateBudget {
-    /// The share by the controller's role. The leader writes for all, so it is allowed more of the writes
-    /// than the others. Those only accept and cancel, in bursts: their shares add up to more than there
-    /// is, and what the state store refuses then is tried again at once.
-    pub(super) fn new(config: &Config, role: ControllerRole) -> StateBudget {
-        let limits = &config.platform.settings.state;
-        let shares = shares(config.controller_count(), role);
-        StateBudget {
-            requests_per_s: limits.rps * shares.requests,
-            writes_per_s: limits.write_rps * shares.writes,
-        }
+/// The rates that a controller is allowed, by its role. The leader writes for all, so it is allowed more of
+/// the writes than the others. Those only accept and cancel, in bursts: their shares add up to more than
+/// there is, and what the state store refuses then is tried again at once.
+pub(super) fn allowed_rates(config: &Config, role: ControllerRole) -> AllowedRates {
+    let limits = &config.platform.settings.state;
+    let shares = shares(config.controller_count(), role);
+    AllowedRates {
+        requests_per_s: limits.rps * shares.requests,
+        writes_per_s: limits.write_rps * shares.writes,
     }
 }
 
--- a/src/controller/step_down.rs
+++ b/src/controller/step_down.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::{Controller, ControllerRole, SharedState, StateBudget};
+use super::{allowed_rates, Controller, ControllerRole, SharedState};
 
 /// Why a leader steps down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,8 +63,7 @@
         let higher = reason.higher_fencing_token();
         shared.highest_fencing_token = shared.highest_fencing_token.max(higher);
         if let Some(leadership) = shared.leadership.take() {
-            let budget = StateBudget::new(&self.config, ControllerRole::Follower);
-            self.state.set_rates(budget.requests_per_s, budget.writes_per_s);
+            self.state.set_allowed_rates(allowed_rates(&self.config, ControllerRole::Follower));
             tracing::info!(
                 fencing_token = leadership.term.fencing_token,
                 higher,
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -8,7 +8,7 @@
 /// How much a call matters when the budget is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPriority {
-    /// Leadership (claim, lease renewal, reads after a failover): never waits for the budget.
+    /// Leadership (election, lease renewal, reads after a failover): never waits for the budget.
     Leadership,
     /// Acceptance, cancellation and status of jobs: a user waits for the answer.
     User,
@@ -93,11 +93,11 @@
 
 /// Rates that one controller may use: its share of the state store's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct AllowedRates {
+pub struct AllowedRates {
     /// Requests a second.
-    pub(super) requests: f64,
+    pub requests_per_s: f64,
     /// Changes (puts and deletes) a second.
-    pub(super) writes: f64,
+    pub writes_per_s: f64,
 }
 
 /// The rate budget of one client: requests and changes, by this controller's share of the limits.
@@ -114,8 +114,8 @@
     /// A full budget; `next` are the limits to come.
     pub(super) fn new(allowed: AllowedRates, next: NextRates, now: Steady) -> RateBudget {
         RateBudget {
-            requests: TokenBucket::new(allowed.requests, now),
-            writes: TokenBucket::new(allowed.writes, now),
+            requests: TokenBucket::new(allowed.requests_per_s, now),
+            writes: TokenBucket::new(allowed.writes_per_s, now),
             pause_until: Steady(0),
             allowed,
             next,
@@ -131,8 +131,8 @@
     /// Sets the rates by this controller's share and, once they are in force, by the next limits.
     fn set_rates(&mut self) {
         let shares = self.next.in_force();
-        self.requests.rate = self.allowed.requests * shares.requests;
-        self.writes.rate = self.allowed.writes * shares.writes;
+        self.requests.rate = self.allowed.requests_per_s * shares.requests;
+        self.writes.rate = self.allowed.writes_per_s * shares.writes;
     }
 
     /// Takes one request and `writes` changes at `priority`.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -14,8 +14,8 @@
 use crate::time::{steady, Micros, Steady};
 use crate::wire::{LeaseGranted, LeaseRequest, Row, RowPage, Txn, TxnCommitted, TxnConflict, WatchEvents};
 
-use budget::{AllowedRates, RateBudget};
-pub use budget::{NextRates, RateShares, RequestPriority, TokenBucket};
+use budget::RateBudget;
+pub use budget::{AllowedRates, NextRates, RateShares, RequestPriority, TokenBucket};
 pub use error::{StateStoreError, TxnOutcome};
 
 /// Client of the state store. Calls wait for this controller's rate budget (by their
@@ -55,15 +55,9 @@
 const USER_TXN_TRIES: u32 = 3;
 
 impl StateStoreClient {
-    /// A client that keeps to these rates, and to the fractions `next` of them once the store's
+    /// A client that keeps to the `allowed` rates, and to the fractions `next` of them once the store's
     /// limits fall.
-    pub fn new(
-        address: SocketAddr,
-        requests_per_s: f64,
-        writes_per_s: f64,
-        next: RateShares,
-    ) -> StateStoreClient {
-        let allowed = AllowedRates { requests: requests_per_s, writes: writes_per_s };
+    pub fn new(address: SocketAddr, allowed: AllowedRates, next: RateShares) -> StateStoreClient {
         StateStoreClient {
             calls: Client::new(address, CALL_CONNECTIONS),
             watches: Client::new(address, WATCH_CONNECTIONS),
@@ -80,9 +74,9 @@
     }
 
     /// Changes this controller's share of the store's limits.
-    pub fn set_rates(&self, requests_per_s: f64, writes_per_s: f64) {
+    pub fn set_allowed_rates(&self, allowed: AllowedRates) {
         if let Ok(mut budget) = self.budget.lock() {
-            budget.set_allowed(AllowedRates { requests: requests_per_s, writes: writes_per_s });
+            budget.set_allowed(allowed);
         }
     }
 
--- a/tests/leader_election.rs
+++ b/tests/leader_election.rs
@@ -9,11 +9,14 @@
 use common::store::Store;
 use milletlock::http::Response;
 use milletlock::leadership;
-use milletlock::state::{RateShares, StateStoreClient, StateStoreError};
+use milletlock::state::{AllowedRates, RateShares, StateStoreClient, StateStoreError};
 use milletlock::time::Micros;
 use milletlock::wire::Txn;
 use serde_json::json;
 
+/// Rates that are never reached here.
+const UNLIMITED: AllowedRates = AllowedRates { requests_per_s: 1e6, writes_per_s: 1e6 };
+
 /// A claim has no reply and is carried out only when the same process claims again, with the same
 /// fencing token, incarnation and label, and has no reply once more. Taken for the second it would leave the
 /// leader renewing a lease that the leader's record does not hang on.
@@ -54,7 +57,7 @@
             _ => Response::error(404, "no such path"),
         })
     });
-    let client = StateStoreClient::new(addr, 1e6, 1e6, RateShares::FULL);
+    let client = StateStoreClient::new(addr, UNLIMITED, RateShares::FULL);
     let claim =
         || leadership::try_become_leader(&client, "c-0", 7, Micros::from_secs(3.0), 0).expect("an outcome");
     assert!(claim().is_none(), "not there when it was looked for");
@@ -82,7 +85,7 @@
             _ => Response::error(404, "no such path"),
         })
     });
-    let client = StateStoreClient::new(addr, 1e6, 1e6, RateShares::FULL);
+    let client = StateStoreClient::new(addr, UNLIMITED, RateShares::FULL);
     let claim = || leadership::try_become_leader(&client, "c-0", 7, Micros::from_secs(3.0), 0);
     let put = |value: serde_json::Value| {
         let mut store = store.lock().expect("the store");
