--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -5,7 +5,7 @@
 
 use super::responses::no_such_job;
 use super::{JobsBackend, StoredFinal};
-use crate::http::Response;
+use crate::http::{status, Response};
 use crate::keys::{final_key, job_key};
 use crate::records::{FinalRecord, JobRecord};
 use crate::state::{RequestPriority, StateStoreError};
@@ -80,14 +80,14 @@
         return Ok(no_such_job());
     }
     if let Some(known) = backend.known_final(id) {
-        return Ok(Response::json(200, &final_status(id, known.record)));
+        return Ok(Response::json(status::OK, &final_status(id, known.record)));
     }
     if backend.live_jobs().is_live(id, backend.state())? {
-        return Ok(Response::json(200, &live_status(backend, id)));
+        return Ok(Response::json(status::OK, &live_status(backend, id)));
     }
     // If it ever was a live job, the transaction that removed it wrote its final record.
     Ok(match read_final(backend, id)? {
-        Some(known) => Response::json(200, &final_status(id, known.record)),
+        Some(known) => Response::json(status::OK, &final_status(id, known.record)),
         None => no_such_job(),
     })
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::config::Config;
 use crate::fleet::JobProgress;
-use crate::http::{Request, Response};
+use crate::http::{status, Request, Response};
 use crate::live_jobs::LiveJobs;
 use crate::records::{FinalRecord, JobRecord};
 use crate::state::{StateStoreClient, StateStoreError};
@@ -90,20 +90,20 @@
     let path = request.path.split('?').next().unwrap_or("");
     let method = request.method.as_str();
     let Some(rest) = path.strip_prefix(JOBS_PATH) else {
-        return Ok(Response::error(404, "no such path"));
+        return Ok(Response::error(status::NOT_FOUND, "no such path"));
     };
     if rest.is_empty() || rest == "/" {
         return match method {
             "POST" => submission::submit(backend, &request.body),
-            _ => Ok(Response::error(405, "only POST")),
+            _ => Ok(Response::error(status::METHOD_NOT_ALLOWED, "only POST")),
         };
     }
     let rest = rest.trim_start_matches('/');
     match (rest.split_once('/'), method) {
         (None, "GET") => lookup::show(backend, rest),
-        (None, _) => Ok(Response::error(405, "only GET")),
+        (None, _) => Ok(Response::error(status::METHOD_NOT_ALLOWED, "only GET")),
         (Some((id, "withdraw")), "POST") => cancellation::cancel(backend, id),
-        (Some((_, "withdraw")), _) => Ok(Response::error(405, "only POST")),
-        _ => Ok(Response::error(404, "no such path")),
+        (Some((_, "withdraw")), _) => Ok(Response::error(status::METHOD_NOT_ALLOWED, "only POST")),
+        _ => Ok(Response::error(status::NOT_FOUND, "no such path")),
     }
 }
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -1,6 +1,6 @@
 //! Responses that several handlers share.
 
-use crate::http::Response;
+use crate::http::{status, Response};
 use crate::wire::{JobStage, Stage};
 
 /// Seconds a user is asked to wait before retrying a request that could not be decided.
@@ -10,15 +10,15 @@
 
 /// The stage of a job that was cancelled or has ended.
 pub(super) fn stage_response(id: &str, stage: Stage) -> Response {
-    Response::json(200, &JobStage { id: id.to_string(), stage })
+    Response::json(status::OK, &JobStage { id: id.to_string(), stage })
 }
 
 /// The response for an id of which no job was ever accepted.
 pub(super) fn no_such_job() -> Response {
-    Response::error(404, "no such job")
+    Response::error(status::NOT_FOUND, "no such job")
 }
 
 /// The response to a request that could not be decided and is to be sent again.
 pub(super) fn retry_later(reason: &str) -> Response {
-    Response::error(503, reason).with_retry_after(RETRY_AFTER_S)
+    Response::error(status::SERVICE_UNAVAILABLE, reason).with_retry_after(RETRY_AFTER_S)
 }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -7,7 +7,7 @@
 use super::responses::{retry_later, TRY_AGAIN};
 use super::JobsBackend;
 use crate::fleet::never_runs;
-use crate::http::Response;
+use crate::http::{status, Response};
 use crate::keys::{borrowed_key, final_key, job_key};
 use crate::records::JobRecord;
 use crate::state::{RequestPriority, StateStoreError, TxnOutcome};
@@ -25,12 +25,12 @@
     };
     let config = backend.config();
     if let Some(reason) = never_runs(&spec, config, &types) {
-        return known_or(backend, Some(&spec.id), Response::error(422, &reason));
+        return known_or(backend, Some(&spec.id), Response::error(status::UNPROCESSABLE_CONTENT, &reason));
     }
     let record = JobRecord { spec, submitted_us: wall().0, start_mark: 0, lending: Lending::default() };
     let value = json!(record);
     if value.to_string().len() > config.value_bytes() {
-        let refusal = Response::error(400, "the description is too long");
+        let refusal = Response::error(status::BAD_REQUEST, "the description is too long");
         return known_or(backend, Some(&record.spec.id), refusal);
     }
     accept(backend, record, value)
@@ -45,7 +45,7 @@
     let reason = error.to_string();
     tracing::debug!(reason, "malformed submission");
     let id = submitted_id(body);
-    known_or(backend, id.as_deref(), Response::error(400, &reason))
+    known_or(backend, id.as_deref(), Response::error(status::BAD_REQUEST, &reason))
 }
 
 /// The status of a known job in place of a refusal: a repeat of an accepted submission (an
@@ -57,7 +57,7 @@
 ) -> Result<Response, StateStoreError> {
     let Some(id) = id.filter(|id| is_job_id(id)) else { return Ok(refusal) };
     let status = stored_status(backend, id)?;
-    Ok(status.map_or(refusal, |status| Response::json(200, &status)))
+    Ok(status.map_or(refusal, |status| Response::json(status::OK, &status)))
 }
 
 /// Writes the record of a new job (`value` is its JSON), unless a job of that id is known.
@@ -77,11 +77,11 @@
     match result? {
         TxnOutcome::Committed(revision) => {
             backend.job_written(&id, record, revision);
-            Ok(Response::json(201, &JobStage { id, stage: Stage::Queued }))
+            Ok(Response::json(status::CREATED, &JobStage { id, stage: Stage::Queued }))
         }
         TxnOutcome::Conflict(_) => {
             let status = stored_status(backend, &id)?;
-            Ok(status.map_or_else(|| retry_later(TRY_AGAIN), |status| Response::json(200, &status)))
+            Ok(status.map_or_else(|| retry_later(TRY_AGAIN), |status| Response::json(status::OK, &status)))
         }
     }
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -11,7 +11,7 @@
 
 use crate::config::{Config, ConfigError};
 use crate::controller::{Controller, STATUS_PATH};
-use crate::http::{Client, ClientResponse};
+use crate::http::{self, Client, ClientResponse};
 use crate::peer::{self, Call};
 use crate::report::RecoveryLog;
 use crate::time::Micros;
@@ -249,7 +249,7 @@
     match peer::call_once(internal, call, WRITE_OFF_TIMEOUT) {
         Ok(answer) => {
             println!("{}", String::from_utf8_lossy(&answer.body));
-            if answer.status == 200 {
+            if answer.status == u32::from(http::status::OK) {
                 ExitCode::SUCCESS
             } else {
                 fail(EXIT_FAILURE, format!("the controller answered {}", answer.status))
--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -5,10 +5,10 @@
 use milletlock_cells::{BorrowedJob, Lending, Loan};
 
 use super::loan_writes::LoanOutcome;
-use super::responses::{redirect, METHOD_NOT_ALLOWED, NOT_FOUND, OK, UNAVAILABLE};
+use super::responses::redirect;
 use super::{Controller, Leadership, SharedState};
 use crate::fleet::Fleet;
-use crate::http::{Request, Response};
+use crate::http::{status, Request, Response};
 use crate::wire::{BorrowedStatus, CellsStatus, LentStatus, OtherCellStatus, WrittenOff, WRITE_OFF_PATH};
 
 impl Controller {
@@ -42,10 +42,10 @@
     pub(super) fn write_off(&self, request: &Request) -> Response {
         let cell = request.path.strip_prefix(WRITE_OFF_PATH).unwrap_or("");
         if request.method != "POST" {
-            return Response::error(METHOD_NOT_ALLOWED, "only POST");
+            return Response::error(status::METHOD_NOT_ALLOWED, "only POST");
         }
         if self.config.operator.cells.as_ref().is_none_or(|cells| cells.other(cell).is_none()) {
-            return Response::error(NOT_FOUND, "no such cell in the settings");
+            return Response::error(status::NOT_FOUND, "no such cell in the settings");
         }
         let (fencing_token, jobs) = {
             let shared = self.lock();
@@ -64,7 +64,7 @@
             }
         }
         tracing::warn!(cell, jobs = result.tasks.len(), left = result.left.len(), "loans written off");
-        Response::json(if result.left.is_empty() { OK } else { UNAVAILABLE }, &result)
+        Response::json(if result.left.is_empty() { status::OK } else { status::SERVICE_UNAVAILABLE }, &result)
     }
 
     /// Writes off a job's loans with a cell; whether that is recorded.
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -9,7 +9,7 @@
 use crate::config::{FENCING_TOKEN_THREADS, HALT_THREADS};
 use crate::direct_command::DirectCommand;
 use crate::fleet::Fleet;
-use crate::http::{Client, ClientResponse};
+use crate::http::{status, Client, ClientResponse};
 use crate::time::{Micros, Steady};
 use crate::wire::{DirectCommandRequest, Heartbeat, COMMANDS_PATH};
 
@@ -23,7 +23,7 @@
 const COMMAND_ATTEMPTS: usize = 2;
 /// The HTTP status with which a worker refuses a command: its agent epoch is another, or it has seen a
 /// higher fencing token.
-const COMMAND_REFUSED_STATUS: u16 = 409;
+const COMMAND_REFUSED_STATUS: u16 = status::CONFLICT;
 /// Stack size in bytes of a thread that sends commands.
 const COMMAND_STACK_BYTES: usize = 128 * 1024;
 
--- a/src/controller/deferred_replies.rs
+++ b/src/controller/deferred_replies.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use super::responses::{not_the_leader, OK};
+use super::responses::not_the_leader;
 use super::{Controller, Leadership, SharedState};
-use crate::http::{Reply, Response};
+use crate::http::{status, Reply, Response};
 use crate::jobs::MachineId;
 use crate::time::{wall, Steady};
 use crate::wire::{Heartbeat, HeartbeatReply};
@@ -77,7 +77,7 @@
         return None;
     }
     let deferred = deferred_replies.remove(machine)?;
-    let response = Response::json(OK, &HeartbeatReply { fencing_token, commands: orders });
+    let response = Response::json(status::OK, &HeartbeatReply { fencing_token, commands: orders });
     Some(DueReply { reply: deferred.reply, response })
 }
 
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use super::deferred_replies::DeferredHeartbeatReply;
-use super::responses::{not_the_leader, redirect, unavailable, BAD_REQUEST, OK};
+use super::responses::{not_the_leader, redirect, unavailable};
 use super::step_down::StepDownReason;
 use super::{Controller, SharedState};
 use crate::fleet::HeartbeatOutcome;
-use crate::http::{Reply, Request, Response};
+use crate::http::{status, Reply, Request, Response};
 use crate::jobs::MachineId;
 use crate::time::{wall, Micros, Steady};
 use crate::wire::{Heartbeat, HeartbeatReply};
@@ -56,7 +56,10 @@
             Ok(heartbeat) => heartbeat,
             Err(error) => {
                 tracing::error!(%error, "malformed heartbeat");
-                return HeartbeatHandling::Answer(Response::error(BAD_REQUEST, &error.to_string()), reply);
+                return HeartbeatHandling::Answer(
+                    Response::error(status::BAD_REQUEST, &error.to_string()),
+                    reply,
+                );
             }
         };
         let mut shared = self.await_rebuild();
@@ -162,5 +165,5 @@
             return HeartbeatHandling::Deferred;
         }
     }
-    HeartbeatHandling::Answer(Response::json(OK, heartbeat_reply), reply)
+    HeartbeatHandling::Answer(Response::json(status::OK, heartbeat_reply), reply)
 }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -5,12 +5,11 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use super::responses::{CONTENT_TOO_LARGE, UNAVAILABLE};
 use super::step_down::StepDownReason;
 use super::{lock_ignoring_poison, Controller, VERSION};
 use crate::api::RequestOrigin;
 use crate::fleet::JobProgress;
-use crate::http::{self, Request, Response};
+use crate::http::{self, status, Request, Response};
 use crate::leadership::LeaderRecord;
 use crate::peer::{
     self, Ack, Answer, Call, InboundMessage, JobCounts, JobNews, PeerMessage, PeerReply, Summary,
@@ -31,7 +30,7 @@
             return None;
         };
         Some(Response {
-            status: u16::try_from(answer.status).unwrap_or(UNAVAILABLE),
+            status: u16::try_from(answer.status).unwrap_or(status::SERVICE_UNAVAILABLE),
             body: answer.body,
             retry_after: (answer.retry_after > 0).then_some(answer.retry_after),
         })
@@ -80,7 +79,7 @@
         let request =
             Request { method: call.method.clone(), path: call.path.clone(), body: call.body.clone() };
         let response = if request.body.len() > http::MAX_BODY {
-            Response::error(CONTENT_TOO_LARGE, "body over 64 KiB")
+            Response::error(status::CONTENT_TOO_LARGE, "body over 64 KiB")
         } else {
             self.answer(&request, RequestOrigin::Peer)
         };
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use super::responses::{unavailable, METHOD_NOT_ALLOWED};
+use super::responses::unavailable;
 use super::{Controller, STATUS_PATH};
 use crate::api::{self, RequestOrigin};
-use crate::http::{self, Reply, Request, RequestClass, Response};
+use crate::http::{self, status, Reply, Request, RequestClass, Response};
 use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH, WRITE_OFF_PATH};
 
 impl Controller {
@@ -42,7 +42,7 @@
                 self.handle_heartbeat(request, None).unwrap_or_else(refused)
             }
             HEALTH_PATH if request.method == "GET" => self.health(),
-            HEARTBEAT_PATH | HEALTH_PATH => Response::error(METHOD_NOT_ALLOWED, "wrong method"),
+            HEARTBEAT_PATH | HEALTH_PATH => Response::error(status::METHOD_NOT_ALLOWED, "wrong method"),
             // For operators, over the controllers' own interface: users' connections never reach it.
             path if is_relayed && path.starts_with(STATUS_PATH) => self.status(request),
             path if is_relayed && path.starts_with(WRITE_OFF_PATH) => self.write_off(request),
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use super::responses::{unavailable, OK};
+use super::responses::unavailable;
 use super::{Controller, Leadership, SharedState, VERSION};
-use crate::http::{Request, Response};
+use crate::http::{status, Request, Response};
 use crate::time::{wall, Micros};
 use crate::wire::{ControllerStatus, Health, ShardStatus};
 
@@ -32,7 +32,7 @@
         if store_unreachable && self.peers.count() > 0 && peer_silence > PEER_TIMEOUT {
             return unavailable("cut off from the state service and the other controllers");
         }
-        Response::json(OK, &Health { healthy: true })
+        Response::json(status::OK, &Health { healthy: true })
     }
 
     /// The status, whole or for the team that the path names.
@@ -50,7 +50,7 @@
             state_age_s: leadership.map(|leadership| leadership.store_contact.age(self.now()).secs()),
             cells: leadership.filter(|_| team.is_none()).and_then(cells_status),
         };
-        Response::json(OK, &status)
+        Response::json(status::OK, &status)
     }
 
     /// The status of the only shard, which this leader has.
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -2,13 +2,12 @@
 //! covers the final stages and task counts that this controller knows, and notices of written and cancelled
 //! jobs to the other controllers.
 
-use super::responses::UNAVAILABLE;
 use super::{lock_ignoring_poison, Controller};
 use crate::api::{JobsBackend, StoredFinal};
 use crate::cancellation_notices::Cancellation;
 use crate::config::Config;
 use crate::fleet::JobProgress;
-use crate::http::{Request, Response};
+use crate::http::{status, Request, Response};
 use crate::live_jobs::LiveJobs;
 use crate::peer::{JobNews, PeerMessage};
 use crate::records::{FinalRecord, JobRecord};
@@ -43,7 +42,8 @@
         }
         for peer in 0..self.peers.count() {
             let response = self.relay(peer, request, RELAY_TIMEOUT);
-            if let Some(response) = response.filter(|response| response.status != UNAVAILABLE) {
+            if let Some(response) = response.filter(|response| response.status != status::SERVICE_UNAVAILABLE)
+            {
                 return Some(response);
             }
         }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -8,6 +8,7 @@
 mod response_parser;
 mod server;
 mod service;
+pub mod status;
 mod thread_pool;
 mod waiting_connections;
 mod work_queue;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-use crate::http::{CallError, Client, ClientResponse};
+use crate::http::{status, CallError, Client, ClientResponse};
 use crate::time::{steady, Micros, Steady};
 use crate::wire::{LeaseGranted, LeaseRequest, Row, RowPage, Txn, TxnCommitted, TxnConflict, WatchEvents};
 
@@ -115,13 +115,15 @@
         let result = client.call(method, path, body.as_deref().map(str::as_bytes), timeout);
         self.note_reachability(&result);
         match result {
-            Ok(ClientResponse { status: 429, .. }) => {
+            Ok(ClientResponse { status: status::TOO_MANY_REQUESTS, .. }) => {
                 if let Ok(mut budget) = self.budget.lock() {
                     budget.rate_refused();
                 }
-                Err(StateStoreError::Refused(429))
+                Err(StateStoreError::Refused(status::TOO_MANY_REQUESTS))
+            }
+            Ok(ClientResponse { status: status::SERVICE_UNAVAILABLE, .. }) => {
+                Err(StateStoreError::Refused(status::SERVICE_UNAVAILABLE))
             }
-            Ok(ClientResponse { status: 503, .. }) => Err(StateStoreError::Refused(503)),
             Ok(response) => Ok(response),
             Err(CallError::NotSent(_)) => Err(StateStoreError::NotSent),
             Err(CallError::NoAnswer(cause)) => Err(StateStoreError::Unknown(cause)),
@@ -131,7 +133,7 @@
     fn note_reachability(&self, result: &Result<ClientResponse, CallError>) {
         let Ok(mut unreachable_since) = self.unreachable_since.lock() else { return };
         match result {
-            Ok(ClientResponse { status: 503, .. }) | Err(_) => {
+            Ok(ClientResponse { status: status::SERVICE_UNAVAILABLE, .. }) | Err(_) => {
                 unreachable_since.get_or_insert_with(steady);
             }
             Ok(_) => *unreachable_since = None,
@@ -143,9 +145,9 @@
         self.admit(0, priority, BUDGET_PATIENCE)?;
         let response = self.call(&self.calls, "GET", &format!("/keys/{key}"), None, CALL_TIMEOUT)?;
         match response.status {
-            200 => parse(&response.body).map(Some),
-            404 => Ok(None),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK => parse(&response.body).map(Some),
+            status::NOT_FOUND => Ok(None),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 
@@ -171,8 +173,8 @@
         let path = format!("/keys?starts={prefix}{from}&most={LIST_PAGE_ROWS}");
         let response = self.call(&self.calls, "GET", &path, None, CALL_TIMEOUT)?;
         match response.status {
-            200 => parse(&response.body),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK => parse(&response.body),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 
@@ -184,10 +186,14 @@
     pub fn txn(&self, txn: &Txn, priority: RequestPriority) -> Result<TxnOutcome, StateStoreError> {
         let response = self.send_txn(txn, priority)?;
         match response.status {
-            200 => parse::<TxnCommitted>(&response.body).map(|reply| TxnOutcome::Committed(reply.revision)),
-            409 => parse::<TxnConflict>(&response.body).map(|reply| TxnOutcome::Conflict(reply.failed)),
-            400 => Err(self.txn_rejected(&response.body)),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK => {
+                parse::<TxnCommitted>(&response.body).map(|reply| TxnOutcome::Committed(reply.revision))
+            }
+            status::CONFLICT => {
+                parse::<TxnConflict>(&response.body).map(|reply| TxnOutcome::Conflict(reply.failed))
+            }
+            status::BAD_REQUEST => Err(self.txn_rejected(&response.body)),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 
@@ -200,7 +206,7 @@
             tries -= 1;
             match self.call(&self.calls, "POST", "/txn", Some(&body), CALL_TIMEOUT) {
                 // Too many changes at this moment, and a user waits: nothing was executed.
-                Err(StateStoreError::Refused(429)) if tries > 0 => {}
+                Err(StateStoreError::Refused(status::TOO_MANY_REQUESTS)) if tries > 0 => {}
                 result => return result,
             }
         }
@@ -224,8 +230,8 @@
         let body = json!(LeaseRequest { ttl_ms: ttl.millis() });
         let response = self.call(&self.calls, "POST", "/leases", Some(&body), CALL_TIMEOUT)?;
         match response.status {
-            200 | 201 => parse::<LeaseGranted>(&response.body).map(|reply| reply.lease),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK | status::CREATED => parse::<LeaseGranted>(&response.body).map(|reply| reply.lease),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 
@@ -238,9 +244,9 @@
         let path = format!("/leases/{lease}/renew");
         let response = self.call(&self.calls, "POST", &path, Some(&json!({})), LEASE_CALL_TIMEOUT)?;
         match response.status {
-            200 => Ok(()),
-            404 => Err(StateStoreError::NoLease),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK => Ok(()),
+            status::NOT_FOUND => Err(StateStoreError::NoLease),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 
@@ -283,9 +289,9 @@
         let path = format!("/watch?starts={prefix}&from={from}&blockMs={}", block.millis());
         let response = self.call(client, "GET", &path, None, block + CALL_TIMEOUT)?;
         match response.status {
-            200 => parse(&response.body),
-            410 => Err(StateStoreError::TooOld),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK => parse(&response.body),
+            status::GONE => Err(StateStoreError::TooOld),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 }
