--- a/src/cli.rs
+++ b/src/cli.rs
@@ -126,16 +126,19 @@
     }
 }
 
+/// Prints why a command failed; returns its exit code.
 fn fail(code: u8, reason: impl std::fmt::Display) -> ExitCode {
     eprintln!("milletlock: {reason}");
     ExitCode::from(code)
 }
 
+/// Loads the settings; the operators' own are named by an argument or the environment.
 fn load_config(config: &Path, operator: Option<PathBuf>) -> Result<Config, ConfigError> {
     let operator = operator.or_else(|| std::env::var_os("MILLETLOCK_OPERATOR").map(PathBuf::from));
     Config::load(config, operator.as_deref())
 }
 
+/// Starts the log on standard error, at the level and in the form that the environment names.
 fn start_log() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
@@ -155,10 +158,11 @@
     };
 }
 
+/// Runs a controller.
 fn run(config: &Path, operator: Option<PathBuf>) -> ExitCode {
     let config = match load_config(config, operator) {
         Ok(config) => config,
-        Err(e) => return fail(EXIT_USAGE, e),
+        Err(error) => return fail(EXIT_USAGE, error),
     };
     start_log();
     if let Some(warning) = config.size_warning() {
@@ -166,20 +170,22 @@
     }
     match Controller::run(config, Arc::new(AtomicBool::new(false))) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => fail(EXIT_FAILURE, e),
+        Err(error) => fail(EXIT_FAILURE, error),
     }
 }
 
+/// Checks the settings.
 fn check(config: &Path, operator: Option<PathBuf>) -> ExitCode {
     match load_config(config, operator) {
         Ok(config) => {
             print_summary(&config);
             ExitCode::SUCCESS
         }
-        Err(e) => fail(EXIT_USAGE, e),
+        Err(error) => fail(EXIT_USAGE, error),
     }
 }
 
+/// Prints what the settings amount to.
 fn print_summary(config: &Config) {
     let settings = &config.platform.settings;
     println!(
@@ -209,6 +215,7 @@
     }
 }
 
+/// Prints a controller's status.
 fn status(internal: SocketAddr, team: Option<String>) -> ExitCode {
     let path = team.map_or(STATUS_PATH.to_string(), |team| format!("{STATUS_PATH}/{team}"));
     let call = Call { method: "GET".into(), path, body: Vec::new() };
@@ -218,27 +225,29 @@
             println!("{status:#}");
             ExitCode::SUCCESS
         }
-        Err(e) => fail(EXIT_FAILURE, format!("{internal}: {e}")),
+        Err(error) => fail(EXIT_FAILURE, format!("{internal}: {error}")),
     }
 }
 
+/// Writes the page of the recoveries in a log.
 fn report(file: &Path, output: &Path) -> ExitCode {
     let log = match std::fs::read(file) {
         Ok(log) => log,
-        Err(e) => return fail(EXIT_USAGE, format!("{}: {e}", file.display())),
+        Err(error) => return fail(EXIT_USAGE, format!("{}: {error}", file.display())),
     };
     let page = RecoveryLog::read(&log).and_then(|log| Ok((log.page()?, log)));
     let (page, log) = match page {
         Ok(page) => page,
-        Err(e) => return fail(EXIT_FAILURE, format!("{}: {e}", file.display())),
+        Err(error) => return fail(EXIT_FAILURE, format!("{}: {error}", file.display())),
     };
-    if let Err(e) = std::fs::write(output, page) {
-        return fail(EXIT_USAGE, format!("{}: {e}", output.display()));
+    if let Err(error) = std::fs::write(output, page) {
+        return fail(EXIT_USAGE, format!("{}: {error}", output.display()));
     }
     println!("{}: {} recoveries{}", output.display(), log.recoveries.len(), log.omissions());
     ExitCode::SUCCESS
 }
 
+/// Writes off what a lost cell holds.
 fn write_off(internal: SocketAddr, cell: &str, lost_for_good: bool) -> ExitCode {
     if !lost_for_good {
         let reason = "tasks that the cell still runs would run twice, and their results count twice; \
@@ -255,17 +264,18 @@
                 fail(EXIT_FAILURE, format!("the controller answered {}", answer.status))
             }
         }
-        Err(e) => fail(EXIT_FAILURE, format!("{internal}: {e}")),
+        Err(error) => fail(EXIT_FAILURE, format!("{internal}: {error}")),
     }
 }
 
+/// Submits, shows or cancels a job.
 fn job(server: SocketAddr, action: JobCommand) -> ExitCode {
     let client = Client::new(server, 1);
     let call = |method: &str, path: &str, body: Option<&[u8]>| client.call(method, path, body, CALL_TIMEOUT);
     let result = match action {
         JobCommand::Submit { file } => match read_submission(&file) {
             Ok(body) => call("POST", "/api/jobs", Some(&body)),
-            Err(e) => return fail(EXIT_USAGE, format!("{}: {e}", file.display())),
+            Err(error) => return fail(EXIT_USAGE, format!("{}: {error}", file.display())),
         },
         JobCommand::Show { id } => call("GET", &format!("/api/jobs/{id}"), None),
         JobCommand::Cancel { id } => call("POST", &format!("/api/jobs/{id}/withdraw"), Some(b"{}")),
@@ -279,7 +289,7 @@
                 fail(EXIT_FAILURE, format!("the service answered {status}"))
             }
         }
-        Err(e) => fail(EXIT_FAILURE, format!("{server}: {e}")),
+        Err(error) => fail(EXIT_FAILURE, format!("{server}: {error}")),
     }
 }
 
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -81,13 +81,13 @@
         if !self.is_still_due(fencing_token, command) {
             return;
         }
-        let DirectCommand { machine, address, agent_epoch, commands: orders } = command;
+        let DirectCommand { machine, address, agent_epoch, commands } = command;
         let Ok(address) = address.parse() else { return };
         let client = Client::new(address, 1);
         let mut agent_epoch = *agent_epoch;
         for _ in 0..COMMAND_ATTEMPTS {
-            let commands = DirectCommandRequest { fencing_token, agent_epoch, commands: orders.clone() };
-            let Ok(body) = serde_json::to_vec(&commands) else { return };
+            let request = DirectCommandRequest { fencing_token, agent_epoch, commands: commands.clone() };
+            let Ok(body) = serde_json::to_vec(&request) else { return };
             let Ok(ClientResponse { status, body }) =
                 client.call("POST", COMMANDS_PATH, Some(&body), COMMAND_TIMEOUT)
             else {
@@ -101,7 +101,7 @@
             // With halts, a later agent epoch has nothing left to be halted.
             if status == COMMAND_REFUSED_STATUS
                 && heartbeat.fencing_token < fencing_token
-                && orders.is_empty()
+                && commands.is_empty()
             {
                 agent_epoch = heartbeat.agent_epoch;
                 continue;
--- a/src/controller/deferred_replies.rs
+++ b/src/controller/deferred_replies.rs
@@ -61,8 +61,8 @@
     due_replies
 }
 
-/// Removes the deferred reply of a machine, if it is of this term and has orders or has reached its
-/// deadline.
+/// Removes the deferred reply of a machine, if it is of this term and there are commands for the machine or
+/// its deadline has passed.
 fn take_reply(
     leadership: &mut Leadership,
     deferred_replies: &mut BTreeMap<MachineId, DeferredHeartbeatReply>,
@@ -72,12 +72,12 @@
     let fencing_token = leadership.term.fencing_token;
     let deferred =
         deferred_replies.get(machine).filter(|deferred| deferred.fencing_token == fencing_token)?;
-    let orders = leadership.fleet.deferred_orders(&deferred.heartbeat, now, wall());
-    if orders.is_empty() && now < deferred.deadline {
+    let commands = leadership.fleet.deferred_orders(&deferred.heartbeat, now, wall());
+    if commands.is_empty() && now < deferred.deadline {
         return None;
     }
     let deferred = deferred_replies.remove(machine)?;
-    let response = Response::json(status::OK, &HeartbeatReply { fencing_token, commands: orders });
+    let response = Response::json(status::OK, &HeartbeatReply { fencing_token, commands });
     Some(DueReply { reply: deferred.reply, response })
 }
 
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -1,12 +1,11 @@
 //! The leadership duty: renews the leader's lease, or follows the leader until its lease expires.
 
+use super::step_down::StepDownReason;
 use super::{Controller, SharedState};
-use crate::leadership::{LeaderRecord, LEADER_KEY};
+use crate::leadership::{LeaderRecord, LeadershipTerm, LEADER_KEY};
 use crate::state::{KeyList, StateStoreError};
 use crate::time::Micros;
 
-use super::step_down::StepDownReason;
-
 /// Renewals of the lease begin no closer together than this.
 const MIN_RENEWAL_INTERVAL: Micros = Micros::from_millis(100);
 /// The lease is renewed after this part of its duration.
@@ -38,13 +37,9 @@
     /// Renews the leader's lease, or waits a while for its end and fails over; returns how long to
     /// pause. `ttl` is the duration of the lease.
     pub fn maintain_leadership_once(&self, ttl: Micros) -> Micros {
-        let held = self
-            .lock()
-            .leadership
-            .as_ref()
-            .map(|leadership| (leadership.term.lease, leadership.term.fencing_token));
-        if let Some((lease, fencing_token)) = held {
-            self.renew_lease(lease, fencing_token);
+        let term = self.lock().leadership.as_ref().map(|leadership| leadership.term);
+        if let Some(term) = term {
+            self.renew_lease(term);
             return self.renewal_interval(ttl);
         }
         match self.follow_leader(ttl) {
@@ -63,13 +58,13 @@
         ttl.scale(RENEWAL_SHARE_OF_LEASE).min(by_staleness).max(MIN_RENEWAL_INTERVAL)
     }
 
-    /// Renews the leader's lease; steps down if it has expired, or if this leader is isolated.
-    fn renew_lease(&self, lease: u64, fencing_token: u64) {
+    /// Renews the lease of a term; steps down if it has expired, or if this leader is isolated.
+    fn renew_lease(&self, term: LeadershipTerm) {
         let begun = self.now();
-        let renewal = self.state.renew_lease(lease);
+        let renewal = self.state.renew_lease(term.lease);
         let renewed = renewal.is_ok();
         let mut shared = self.lock();
-        let Some(leadership) = shared.leadership_with(fencing_token) else { return };
+        let Some(leadership) = shared.leadership_with(term.fencing_token) else { return };
         // A single controller is followed by no other while it lives.
         if renewed || self.config.controller_count() == 1 {
             leadership.fleet.confirm_lease(begun);
@@ -84,7 +79,7 @@
             shared.no_election_until = self.now() + RESIGNATION_PAUSE;
             self.step_down(&mut shared, StepDownReason::Isolated);
             drop(shared);
-            let _ = self.state.end_lease(lease);
+            let _ = self.state.end_lease(term.lease);
         }
     }
 
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -1,4 +1,4 @@
-//! The lending duty: tells other cells of the loans that they hold, processes their loan reports, and lends
+//! The lending duty: sends other cells the loans that they hold, processes their loan reports, and lends
 //! them tasks that this cell cannot run in time.
 
 use milletlock_cells::{BacklogThreshold, LendingScript, Loan, LoanAction, LoanReport};
@@ -25,7 +25,7 @@
 /// The first version that supports loans.
 const FIRST_LENDING_VERSION: ReleaseVersion = ReleaseVersion { major: 0, minor: 3 };
 
-/// A version of this program, as far as it says which messages and records the program knows.
+/// A release of this program; releases with the same numbers here know the same messages and records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ReleaseVersion {
     // Compared first.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,5 +1,5 @@
 //! The controller: accepts jobs, elects one leader among the controllers, scales the cloud's
-//! machines out and in, and tells workers what to run.
+//! machines out and in, and sends commands to workers.
 //!
 //! Each long-lived duty runs on a standard thread of its own, in a module of its own (`duties` starts
 //! them). All threads share one lock (`Controller::lock`), which is never held during I/O: a duty copies
@@ -57,11 +57,11 @@
 use crate::time::{Clock, Micros, Steady};
 
 /// Reads of the live jobs begin no closer together than this.
-const MIN_POLL_READ_INTERVAL: Micros = Micros::from_millis(20);
+const MIN_LIVE_READ_INTERVAL: Micros = Micros::from_millis(20);
 /// Reads of the live jobs may always begin this far apart.
-const MAX_POLL_READ_INTERVAL: Micros = Micros::from_millis(250);
+const MAX_LIVE_READ_INTERVAL: Micros = Micros::from_millis(250);
 /// Reads of the live jobs take at most one in so many of the requests that the state store allows.
-const REQUESTS_PER_POLL_READ: f64 = 2.0;
+const REQUESTS_PER_LIVE_READ: f64 = 2.0;
 /// Least rate of requests, per second, that the interval of those reads is computed from.
 const MIN_REQUEST_RATE: f64 = 0.1;
 /// The share of the cloud's allowed requests that a controller uses.
@@ -79,11 +79,12 @@
     config: Arc<Config>,
     /// The client of the state store.
     state: StateStoreClient,
-    /// The live jobs, for polls.
+    /// The live jobs, for status requests.
     live: LiveJobs,
     cloud: CloudClient,
     /// Connections to the other controllers.
     peers: PeerHub,
+    /// See [`Controller::lock`].
     shared: Mutex<SharedState>,
     /// Notified when there is something to write, and when the leadership changes.
     wake: Condvar,
@@ -94,10 +95,12 @@
     /// Held while another cell's message changes what is borrowed.
     loan_changes: Mutex<()>,
     latencies: Mutex<Latencies>,
+    /// Set when the controller is to end.
     stop: Arc<AtomicBool>,
     clock: Clock,
     /// Random number of this run of the process.
     incarnation: u64,
+    /// When this run began.
     started: Steady,
 }
 
@@ -122,7 +125,7 @@
                 allowed,
                 platform.settings.state.next_rates(),
             ),
-            live: LiveJobs::new(poll_read_interval(allowed)),
+            live: LiveJobs::new(live_read_interval(allowed)),
             cloud: CloudClient::new(
                 platform.services.cloud,
                 platform.settings.cloud.rps * CLOUD_REQUEST_SHARE,
@@ -177,7 +180,7 @@
 }
 
 /// How far apart reads of the live jobs begin at least.
-fn poll_read_interval(allowed: AllowedRates) -> Micros {
-    Micros::from_secs(REQUESTS_PER_POLL_READ / allowed.requests_per_s.max(MIN_REQUEST_RATE))
-        .clamp(MIN_POLL_READ_INTERVAL, MAX_POLL_READ_INTERVAL)
+fn live_read_interval(allowed: AllowedRates) -> Micros {
+    Micros::from_secs(REQUESTS_PER_LIVE_READ / allowed.requests_per_s.max(MIN_REQUEST_RATE))
+        .clamp(MIN_LIVE_READ_INTERVAL, MAX_LIVE_READ_INTERVAL)
 }
--- a/src/controller/other_cells.rs
+++ b/src/controller/other_cells.rs
@@ -37,15 +37,15 @@
     /// Its latest summary.
     summary: Option<CellSummary>,
     /// Whether its leader answered the last message.
-    answers: bool,
+    reachable: bool,
     /// How many messages this controller has sent to it.
     messages: u64,
 }
 
 impl OtherCellState {
-    /// Its latest summary, if its leader answers.
+    /// Its latest summary, if its leader answered the last message.
     pub(super) fn summary(&self) -> Option<&CellSummary> {
-        self.summary.as_ref().filter(|_| self.answers)
+        self.summary.as_ref().filter(|_| self.reachable)
     }
 
     /// How many messages this controller has sent to it.
@@ -62,7 +62,7 @@
     /// Sends the next messages to the controller with the address `leader`, or to the cell's next one if
     /// it has none of that address.
     fn switch_controller(&mut self, cell: &OtherCell, leader: &str) {
-        self.answers = false;
+        self.reachable = false;
         let leads = cell.controllers.iter().position(|addr| addr.to_string() == leader);
         self.controller = leads.unwrap_or((self.controller + 1) % cell.controllers.len().max(1));
     }
@@ -73,13 +73,13 @@
     pub(super) fn cell_unreachable(&self, cell: &OtherCell, error: &CellExchangeError) {
         let mut shared = self.lock();
         let state = shared.other_cells.entry(cell.name.clone()).or_default();
-        if state.answers {
+        if state.reachable {
             tracing::info!(cell = %cell.name, why = error.to_string(), "cell unreachable");
         }
         state.switch_controller(cell, "");
     }
 
-    /// Notes what an answer says of the cell itself; whether its loan reports are to be used.
+    /// Records the state of a cell by its answer; returns whether the loan reports in it are to be used.
     pub(super) fn note_cell(&self, cell: &OtherCell, reply: &LoanReply) -> bool {
         let mut shared = self.lock();
         let state = shared.other_cells.entry(cell.name.clone()).or_default();
@@ -93,10 +93,10 @@
             return false;
         }
         state.term = reply.term;
-        if !state.answers {
+        if !state.reachable {
             tracing::info!(cell = %cell.name, term = reply.term, "cell reachable");
         }
-        state.answers = true;
+        state.reachable = true;
         state.summary = self.checked_summary(cell, reply);
         true
     }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -105,7 +105,7 @@
         acknowledgement(self.lock().highest_fencing_token)
     }
 
-    /// Another controller leads: its task counts of live jobs are kept for polls.
+    /// Another controller leads: its task counts of live jobs are kept for status requests.
     fn on_announcement(&self, summary: &Summary) -> PeerReply {
         let mut shared = self.lock();
         if summary.token > shared.highest_fencing_token {
--- a/src/controller/responses.rs
+++ b/src/controller/responses.rs
@@ -13,7 +13,8 @@
     unavailable("not the owner")
 }
 
-/// The response that names the leader, to which the request is to be sent instead; its label is empty if none is known.
+/// The response that names the leader, to which the request is to be sent instead; its label is empty if
+/// none is known.
 pub(super) fn redirect(leader: String) -> Response {
     Response::json(status::MISDIRECTED_REQUEST, &Redirect { leader })
 }
--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -5,6 +5,7 @@
 use crate::capacity::MachineOffer;
 use crate::cloud::{CloudError, MAX_MACHINES_PER_RENTAL};
 use crate::fleet::Fleet;
+use crate::leadership::LeadershipTerm;
 use crate::time::{wall, Micros, Steady};
 use crate::wire::ScaleOutRequest;
 
@@ -37,12 +38,8 @@
         let mut leader_since = Steady(0);
         while !self.stopping() {
             self.sleep(SCALING_INTERVAL);
-            let term = self
-                .lock()
-                .leadership
-                .as_ref()
-                .map(|leadership| (leadership.term.fencing_token, leadership.term.is_first));
-            let Some((fencing_token, is_first)) = term else { continue };
+            let term = self.lock().leadership.as_ref().map(|leadership| leadership.term);
+            let Some(LeadershipTerm { fencing_token, is_first, .. }) = term else { continue };
             if last_fencing_token != fencing_token {
                 last_fencing_token = fencing_token;
                 leader_since = self.now();
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -3,7 +3,7 @@
 use super::step_down::StepDownReason;
 use super::{Controller, Leadership};
 use crate::fleet::Fleet;
-use crate::leadership::JOBS_PREFIX;
+use crate::keys::JOBS_PREFIX;
 use crate::records::JobRecord;
 use crate::state::{RequestPriority, StateStoreError};
 use crate::store_contact::StoreContact;
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -67,7 +67,7 @@
         let write_rps = self.config.platform.settings.state.write_rps;
         let interval = done_write_interval(fleet.jobs.len(), write_rps);
         let pending = fleet.pending_writes(now, interval, chunk);
-        let term = leadership.term.clone();
+        let term = leadership.term;
         let batches = leadership::batches(fleet, term.shard_revision, pending, max_changes, now, wall());
         Some(PendingBatches { term, batches })
     }
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -3,9 +3,12 @@
 /// Key of the list of recent jobs.
 pub const RECENT_KEY: &str = "recent";
 
+/// Prefix of the live jobs' keys.
+pub const JOBS_PREFIX: &str = "job/";
+
 /// Key of a live job.
 pub fn job_key(id: &str) -> String {
-    format!("job/{id}")
+    format!("{JOBS_PREFIX}{id}")
 }
 
 /// Key of a job that has ended.
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -22,9 +22,9 @@
     /// Its fencing token.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// The lease that the leader's record hangs on. It distinguishes two elections of one process: if an
-    /// unanswered transaction were carried out late, the process would take it for its next one, renew
-    /// the other lease and never learn from that that it had been replaced.
+    /// The lease to which the leader's record is attached. It distinguishes two elections of one process:
+    /// if an unanswered transaction were carried out late, the process would mistake it for its next one,
+    /// renew the other lease and never learn from that that it had been replaced.
     #[serde(default)]
     pub lease: u64,
 }
@@ -45,11 +45,11 @@
 }
 
 /// A won election: what the new leader acts under.
-#[derive(Clone, Debug)]
+#[derive(Clone, Copy, Debug)]
 pub struct LeadershipTerm {
     /// The fencing token.
     pub fencing_token: u64,
-    /// The lease that the leader's record hangs on.
+    /// The lease to which the leader's record is attached.
     pub lease: u64,
     /// The shard's revision: the guard of every write of this leader.
     pub shard_revision: u64,
--- a/src/leadership/keys.rs
+++ b/src/leadership/keys.rs
@@ -1,6 +1,6 @@
 //! Keys of the single records that leadership rests on, and the version of the records' format.
 
-/// Key of the leader's record, which hangs on the leader's lease.
+/// Key of the leader's record, which is attached to the leader's lease.
 pub const LEADER_KEY: &str = "leader";
 /// Key of the term, whose number is the latest fencing token.
 pub const TERM_KEY: &str = "term";
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -13,7 +13,7 @@
 use crate::time::{Steady, Wall};
 use crate::wire::{Change, Guard, Row, Stage, Txn};
 
-/// A guard that a key still has this revision; 0: that there is no such key.
+/// A guard that a key still has this `mod_revision`; 0: that there is no such key.
 fn guard(key: String, mod_revision: u64) -> Guard {
     Guard { key, mod_revision }
 }
@@ -35,7 +35,7 @@
 fn lender_txn(job: &str, record: &JobRecord, mod_revision: u64) -> Txn {
     let mut guards = vec![guard(job_key(job), mod_revision)];
     let then = if record.lending.is_cancelled() {
-        guards.push(guard(final_key(job), 0));
+        guards.push(Guard::must_not_exist(final_key(job)));
         let final_record = FinalRecord { stage: Stage::Cancelled, tasks: record.spec.tasks };
         vec![Change::drop(job_key(job)), Change::put(final_key(job), json!(final_record))]
     } else {
@@ -60,8 +60,8 @@
         Some(record) => {
             guards.extend([
                 guard(key.clone(), job_revision),
-                guard(job_key(job), 0),
-                guard(final_key(job), 0),
+                Guard::must_not_exist(job_key(job)),
+                Guard::must_not_exist(final_key(job)),
             ]);
             then.push(Change::put(key, json!(record)));
         }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -23,5 +23,4 @@
 pub use loan_records::{loan_txn, read_loan_records, KeyState};
 pub use read_back::update_from_store;
 pub use rebuild::{load_records, read_machine_types, rebuild};
-pub(crate) use record_keys::JOBS_PREFIX;
 pub use writes::{batches, Batch, ComposedWrite};
--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -8,12 +8,12 @@
 use super::keys::MACHINE_TYPES_KEY;
 use super::loan_records;
 use super::record_keys::{
-    RecordKey, ALL_HISTORY_PREFIX, ALL_MACHINES_PREFIX, DONE_PREFIX, JOBS_PREFIX, PACKED_MACHINES_PREFIX,
+    RecordKey, ALL_HISTORY_PREFIX, ALL_MACHINES_PREFIX, DONE_PREFIX, PACKED_MACHINES_PREFIX,
 };
 use crate::config::Config;
 use crate::fleet::Fleet;
 use crate::history::HistoryRecord;
-use crate::keys::{RECENT_KEY, START_MARKS_PREFIX};
+use crate::keys::{JOBS_PREFIX, RECENT_KEY, START_MARKS_PREFIX};
 use crate::records::{JobRecord, MachineRecord};
 use crate::state::{KeyList, RequestPriority, StateStoreClient, StateStoreError};
 use crate::time::{wall, Steady, Wall};
--- a/src/leadership/record_keys.rs
+++ b/src/leadership/record_keys.rs
@@ -2,8 +2,6 @@
 
 use crate::keys::{BORROWED_PREFIX, HISTORY_PREFIX, MACHINES_PREFIX, RECENT_KEY, START_MARKS_PREFIX};
 
-/// Prefix of the live jobs' keys.
-pub(crate) const JOBS_PREFIX: &str = "job/";
 /// Prefix of the machines' records in both forms, `machine/<id>` and `machines/<slot>`.
 pub(super) const ALL_MACHINES_PREFIX: &str = "machine";
 /// Prefix of the packed machine records.
@@ -23,7 +21,7 @@
     Machine(&'a str),
     /// A value of packed machine records, by slot.
     PackedMachines(&'a str),
-    /// A value of packed started high-water marks, by slot.
+    /// A value of packed start marks, by slot.
     PackedStartMarks(&'a str),
     /// A chunk of a job's done ranges.
     DoneChunk {
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -57,7 +57,7 @@
     /// Whether a write fits into the batch, which may hold `max_changes`. Urgent writes never share a
     /// transaction with others, which are sent with a lower priority.
     fn fits(&self, write: &Write, max_changes: usize) -> bool {
-        self.urgent == write.item.urgent()
+        self.urgent == write.pending.urgent()
             && self.txn.then.len() + write.changes.len() <= max_changes
             && self.txn.guards.len() + write.guards.len() <= GUARDS_PER_CHANGE * max_changes
             && self.bytes + write.bytes() <= MAX_BATCH_BYTES
@@ -72,13 +72,13 @@
             }
         }
         self.txn.then.extend(write.changes);
-        self.writes.push(ComposedWrite { write: write.item, contents: write.contents });
+        self.writes.push(ComposedWrite { write: write.pending, contents: write.contents });
     }
 }
 
 /// One pending write with its guards and changes.
 struct Write {
-    item: PendingWrite,
+    pending: PendingWrite,
     guards: Vec<Guard>,
     changes: Vec<Change>,
     contents: WriteContents,
@@ -86,8 +86,8 @@
 
 impl Write {
     /// A write of which nothing has to be remembered.
-    fn new(item: &PendingWrite, guards: Vec<Guard>, changes: Vec<Change>) -> Write {
-        Write { item: item.clone(), guards, changes, contents: WriteContents::Nothing }
+    fn new(pending: &PendingWrite, guards: Vec<Guard>, changes: Vec<Change>) -> Write {
+        Write { pending: pending.clone(), guards, changes, contents: WriteContents::Nothing }
     }
 
     /// The same with the contents that the fleet compares once it is committed.
@@ -128,30 +128,30 @@
     batches
 }
 
-/// Composes the write for an item; none if there is nothing to write any more.
+/// Composes a pending write; none if there is nothing to write any more.
 fn compose(
     fleet: &mut Fleet,
-    item: &PendingWrite,
+    pending: &PendingWrite,
     max_changes: usize,
     now: Steady,
     wall: Wall,
 ) -> Option<Write> {
-    match item {
-        PendingWrite::Final(id) => compose_final(fleet, item, id, max_changes, wall),
+    match pending {
+        PendingWrite::Final(id) => compose_final(fleet, pending, id, max_changes, wall),
         PendingWrite::Machines(slot) | PendingWrite::Compaction(PackKind::Machines, slot) => {
-            compose_machines(fleet, item, *slot)
+            compose_machines(fleet, pending, *slot)
         }
         PendingWrite::StartMarks(slot) | PendingWrite::Compaction(PackKind::StartMarks, slot) => {
-            compose_high_water_marks(fleet, item, *slot)
+            compose_start_marks(fleet, pending, *slot)
         }
-        PendingWrite::History(bucket) => Some(compose_history(fleet, item, *bucket)),
-        PendingWrite::Done(id, chunk) => compose_done(fleet, item, id, *chunk),
-        PendingWrite::RecentJobs => Some(compose_recent(fleet, item, now, wall)),
+        PendingWrite::History(bucket) => Some(compose_history(fleet, pending, *bucket)),
+        PendingWrite::Done(id, chunk) => compose_done(fleet, pending, id, *chunk),
+        PendingWrite::RecentJobs => Some(compose_recent(fleet, pending, now, wall)),
         PendingWrite::OrphanedDoneChunk(key, mod_revision) => {
-            Some(compose_drop(item, key.clone(), *mod_revision))
+            Some(compose_drop(pending, key.clone(), *mod_revision))
         }
         PendingWrite::ObsoleteMachineRecord(id, mod_revision) => {
-            Some(compose_drop(item, single_machine_key(id), *mod_revision))
+            Some(compose_drop(pending, single_machine_key(id), *mod_revision))
         }
     }
 }
@@ -162,29 +162,29 @@
 }
 
 /// A bucket of the history.
-fn compose_history(fleet: &mut Fleet, item: &PendingWrite, bucket: u32) -> Write {
+fn compose_history(fleet: &mut Fleet, pending: &PendingWrite, bucket: u32) -> Write {
     let value = fleet.history.value(bucket, max_value_bytes(fleet));
     let key = slot_key(HISTORY_PREFIX, bucket);
     let guard = Guard { key: key.clone(), mod_revision: fleet.history.mod_revision(bucket) };
-    Write::new(item, vec![guard], vec![Change::put(key, json!(value))])
+    Write::new(pending, vec![guard], vec![Change::put(key, json!(value))])
 }
 
 /// The list of recent jobs; it has no guard besides the shard's revision.
-fn compose_recent(fleet: &Fleet, item: &PendingWrite, now: Steady, wall: Wall) -> Write {
+fn compose_recent(fleet: &Fleet, pending: &PendingWrite, now: Steady, wall: Wall) -> Write {
     let list = fleet.recent_job_records(now, wall, max_value_bytes(fleet));
-    Write::new(item, Vec::new(), vec![Change::put(RECENT_KEY, json!(list))])
+    Write::new(pending, Vec::new(), vec![Change::put(RECENT_KEY, json!(list))])
 }
 
 /// The removal of a key that nothing belongs to any more.
-fn compose_drop(item: &PendingWrite, key: String, mod_revision: u64) -> Write {
-    Write::new(item, vec![Guard { key: key.clone(), mod_revision }], vec![Change::drop(key)])
+fn compose_drop(pending: &PendingWrite, key: String, mod_revision: u64) -> Write {
+    Write::new(pending, vec![Guard { key: key.clone(), mod_revision }], vec![Change::drop(key)])
 }
 
 /// The end of a job: its final record replaces the live one, and as many of its chunks of done ranges are
-/// removed as the transaction has room for.
+/// removed as the transaction may still hold.
 fn compose_final(
     fleet: &mut Fleet,
-    item: &PendingWrite,
+    pending: &PendingWrite,
     id: &JobId,
     max_changes: usize,
     wall: Wall,
@@ -197,10 +197,10 @@
     ];
     let final_record = FinalRecord { stage: Stage::Done, tasks: job.spec.tasks };
     let mut changes = vec![Change::drop(job_key(id)), Change::put(final_key(id), json!(final_record))];
-    let room = max_changes.saturating_sub(changes.len());
-    let dropped: Vec<u32> = job.done_chunks.keys().take(room).copied().collect();
+    let free_changes = max_changes.saturating_sub(changes.len());
+    let dropped: Vec<u32> = job.done_chunks.keys().take(free_changes).copied().collect();
     changes.extend(dropped.iter().map(|chunk| Change::drop(done_key(id, *chunk))));
-    Some(Write::new(item, guards, changes).with_contents(WriteContents::RemovedDoneChunks(dropped)))
+    Some(Write::new(pending, guards, changes).with_contents(WriteContents::RemovedDoneChunks(dropped)))
 }
 
 /// Adds the run times of a finished job to the history, once, even if its end has to be written again.
@@ -218,26 +218,26 @@
 }
 
 /// A value of packed machine records.
-fn compose_machines(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
+fn compose_machines(fleet: &Fleet, pending: &PendingWrite, slot: u32) -> Option<Write> {
     let SlotContents { mod_revision, version, records } = fleet.machine_records.slot(slot)?;
     let key = slot_key(MACHINES_PREFIX, slot);
     let contents = WriteContents::Machines(records.keys().cloned().collect(), version);
     let change = Change::put(key.clone(), json!(records));
-    Some(Write::new(item, vec![Guard { key, mod_revision }], vec![change]).with_contents(contents))
+    Some(Write::new(pending, vec![Guard { key, mod_revision }], vec![change]).with_contents(contents))
 }
 
-/// A value of packed started high-water marks.
-fn compose_high_water_marks(fleet: &Fleet, item: &PendingWrite, slot: u32) -> Option<Write> {
+/// A value of packed start marks.
+fn compose_start_marks(fleet: &Fleet, pending: &PendingWrite, slot: u32) -> Option<Write> {
     let SlotContents { mod_revision, version, records } = fleet.start_marks.slot(slot)?;
     let key = slot_key(START_MARKS_PREFIX, slot);
-    let start_marks = records.iter().map(|(id, high)| (id.clone(), *high)).collect();
+    let start_marks = records.iter().map(|(id, mark)| (id.clone(), *mark)).collect();
     let change = Change::put(key.clone(), json!(records));
-    let write = Write::new(item, vec![Guard { key, mod_revision }], vec![change]);
+    let write = Write::new(pending, vec![Guard { key, mod_revision }], vec![change]);
     Some(write.with_contents(WriteContents::StartMarks(start_marks, version)))
 }
 
 /// A chunk of a job's done ranges.
-fn compose_done(fleet: &Fleet, item: &PendingWrite, id: &JobId, chunk: u32) -> Option<Write> {
+fn compose_done(fleet: &Fleet, pending: &PendingWrite, id: &JobId, chunk: u32) -> Option<Write> {
     let job = fleet.jobs.get(id)?;
     let span = chunk_span(chunk);
     let tasks = job.done.within(span.start, span.end);
@@ -248,5 +248,5 @@
         Guard { key: key.clone(), mod_revision },
     ];
     let change = Change::put(key, json!(tasks.text()));
-    Some(Write::new(item, guards, vec![change]).with_contents(WriteContents::Done(tasks)))
+    Some(Write::new(pending, guards, vec![change]).with_contents(WriteContents::Done(tasks)))
 }
--- a/src/live_jobs.rs
+++ b/src/live_jobs.rs
@@ -8,14 +8,13 @@
 use std::collections::BTreeSet;
 use std::sync::{Condvar, Mutex, MutexGuard};
 
+use crate::keys::JOBS_PREFIX;
 use crate::state::{KeyList, RequestPriority, StateStoreClient, StateStoreError};
 use crate::time::{steady, Micros, Steady};
 use crate::wire::WatchEvents;
 
 /// How long a status request waits for a read; its user gives up after two seconds.
 const REQUEST_PATIENCE: Micros = Micros::from_millis(1900);
-/// Prefix of the live jobs' keys.
-const JOB_PREFIX: &str = "job/";
 
 /// Ids of the live jobs at a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -30,7 +29,7 @@
     /// Applies changes since the revision.
     pub fn apply(&mut self, changes: &WatchEvents) {
         let job_id =
-            |key: Option<&String>| key.and_then(|key| key.strip_prefix(JOB_PREFIX)).map(str::to_string);
+            |key: Option<&String>| key.and_then(|key| key.strip_prefix(JOBS_PREFIX)).map(str::to_string);
         self.ids.extend(changes.events.iter().filter_map(|event| job_id(event.put.as_ref())));
         // Removals last, whatever order the events come in: a job that has ended never lives again.
         for ended in changes.events.iter().filter_map(|event| job_id(event.drop.as_ref())) {
@@ -170,15 +169,15 @@
 
 /// Reads what changed since a revision, or everything.
 fn read(store: &StateStoreClient, from: Option<u64>) -> Result<ReadResult, StateStoreError> {
-    match from.map(|from| store.changes(JOB_PREFIX, from, RequestPriority::User)) {
+    match from.map(|from| store.changes(JOBS_PREFIX, from, RequestPriority::User)) {
         // Too much has changed since: everything is read again.
         None | Some(Err(StateStoreError::TooOld)) => {}
         Some(result) => return result.map(ReadResult::Changes),
     }
-    let KeyList { rows, revision } = store.list(JOB_PREFIX)?;
-    let ids = rows.iter().filter_map(|row| row.key.strip_prefix(JOB_PREFIX)).map(str::to_string).collect();
+    let KeyList { rows, revision } = store.list(JOBS_PREFIX)?;
+    let ids = rows.iter().filter_map(|row| row.key.strip_prefix(JOBS_PREFIX)).map(str::to_string).collect();
     // The pages of a list are not read at one moment: what changed meanwhile is read as well.
-    let changes = store.changes(JOB_PREFIX, revision, RequestPriority::User)?;
+    let changes = store.changes(JOBS_PREFIX, revision, RequestPriority::User)?;
     let mut live = LiveIds { ids, revision: Some(revision) };
     live.apply(&changes);
     Ok(ReadResult::All(live))
--- a/src/packed_records.rs
+++ b/src/packed_records.rs
@@ -93,8 +93,8 @@
         self.urgent_version > self.written_version
     }
 
-    /// Whether a new record of a size may be placed in it.
-    fn has_room(&self, record_bytes: usize, max_slot_bytes: usize) -> bool {
+    /// Whether a new record of a size, in bytes, may be placed in it.
+    fn can_hold(&self, record_bytes: usize, max_slot_bytes: usize) -> bool {
         self.bytes + record_bytes <= max_slot_bytes && self.prerequisites.is_empty() && !self.unreadable
     }
 
@@ -138,7 +138,7 @@
         };
         let slot = &mut self.slots[index];
         if let Some(replaced) = slot.records.insert(id.clone(), record) {
-            // Counted again: a slot whose records grow would otherwise seem to have ever more room, and
+            // Counted again: a slot whose records grow would otherwise seem to have ever more space, and
             // outgrow the limit of a value.
             let replaced_bytes = PackedRecords::record_bytes(id, &replaced);
             slot.bytes = slot.bytes.saturating_sub(replaced_bytes) + record_bytes;
@@ -150,10 +150,10 @@
     /// Finds a slot for a new record of a size and reserves the bytes; returns the slot's index.
     fn place(&mut self, id: &Arc<str>, record_bytes: usize) -> usize {
         let max_slot_bytes = self.max_slot_bytes;
-        let has_room = |slot: &Slot<T>| slot.has_room(record_bytes, max_slot_bytes);
+        let can_hold = |slot: &Slot<T>| slot.can_hold(record_bytes, max_slot_bytes);
         // A slot that is to be written anyway takes it without a further change.
-        let urgent = self.slots.iter().position(|slot| slot.is_urgent() && has_room(slot));
-        let index = urgent.or_else(|| self.slots.iter().position(has_room)).unwrap_or_else(|| {
+        let urgent = self.slots.iter().position(|slot| slot.is_urgent() && can_hold(slot));
+        let index = urgent.or_else(|| self.slots.iter().position(can_hold)).unwrap_or_else(|| {
             self.slots.push(Slot::default());
             self.slots.len() - 1
         });
--- a/src/peer/hub.rs
+++ b/src/peer/hub.rs
@@ -23,7 +23,7 @@
 pub struct OutboundMessage {
     /// Number of the controller among the others.
     pub to: usize,
-    /// What it says.
+    /// Its content.
     pub message: PeerMessage,
     /// How long the other controller has to reply.
     pub(super) timeout: Duration,
@@ -65,8 +65,8 @@
         members.extend(other_cells);
         listener.set_nonblocking(true)?;
         std::thread::Builder::new().name("peer".into()).stack_size(STACK_BYTES).spawn(move || {
-            if let Err(e) = run(listener, members, to_send, inbound) {
-                tracing::error!(error = %e, "gRPC runtime ended");
+            if let Err(error) = run(listener, members, to_send, inbound) {
+                tracing::error!(%error, "gRPC runtime ended");
             }
         })?;
         let transport = move |message| outbound.try_send(message).map_err(queue_error);
@@ -87,11 +87,17 @@
     }
 
     /// Sends a message and waits for the reply.
+    ///
+    /// # Errors
+    /// Any [`PeerError`].
     pub fn call(&self, to: usize, message: PeerMessage, timeout: Micros) -> Result<PeerReply, PeerError> {
         self.send(to, message, timeout)?.wait()
     }
 
     /// Sends a message without waiting for the reply yet.
+    ///
+    /// # Errors
+    /// [`PeerError::Busy`] or [`PeerError::Stopped`]: the message is not sent.
     pub fn send(&self, to: usize, message: PeerMessage, timeout: Micros) -> Result<PendingReply, PeerError> {
         let (reply, pending) = sync_channel(1);
         let timeout = timeout.std();
@@ -116,6 +122,9 @@
 
 impl PendingReply {
     /// Waits for it, no longer than the message's timeout and a little.
+    ///
+    /// # Errors
+    /// Why there is no reply.
     pub fn wait(self) -> Result<PeerReply, PeerError> {
         match self.reply.recv_timeout(self.timeout + REPLY_GRACE) {
             Ok(result) => result,
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -11,7 +11,7 @@
 
 /// A message from another controller, to be answered.
 pub struct InboundMessage {
-    /// What it says.
+    /// Its content.
     pub message: PeerMessage,
     reply: oneshot::Sender<PeerReply>,
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Waits for room in the budget for one request with `writes` changes, at most `patience`.
+    /// Waits until the budget allows one request with `writes` changes, at most `patience`.
     fn admit(
         &self,
         writes: usize,
@@ -141,6 +141,9 @@
     }
 
     /// Reads a key; `None` if it does not exist.
+    ///
+    /// # Errors
+    /// As any call.
     pub fn get(&self, key: &str, priority: RequestPriority) -> Result<Option<Row>, StateStoreError> {
         self.admit(0, priority, BUDGET_PATIENCE)?;
         let response = self.call(&self.calls, "GET", &format!("/keys/{key}"), None, CALL_TIMEOUT)?;
@@ -152,6 +155,9 @@
     }
 
     /// Reads all keys with a prefix, page by page.
+    ///
+    /// # Errors
+    /// As any call; the first error ends the read.
     pub fn list(&self, prefix: &str) -> Result<KeyList, StateStoreError> {
         let mut rows: Vec<Row> = Vec::new();
         let mut revision = None;
@@ -225,6 +231,9 @@
     }
 
     /// Takes a new lease of `ttl` (whole milliseconds on the wire); returns its id.
+    ///
+    /// # Errors
+    /// As any call.
     pub fn grant_lease(&self, ttl: Micros) -> Result<u64, StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let body = json!(LeaseRequest { ttl_ms: ttl.millis() });
@@ -251,6 +260,9 @@
     }
 
     /// Ends a lease; the store removes the keys that are attached to it.
+    ///
+    /// # Errors
+    /// As any call; a lease that is gone already is no error.
     pub fn end_lease(&self, lease: u64) -> Result<(), StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         self.call(&self.calls, "DELETE", &format!("/leases/{lease}"), None, LEASE_CALL_TIMEOUT).map(|_| ())
--- a/src/wire/replies.rs
+++ b/src/wire/replies.rs
@@ -37,7 +37,7 @@
     /// The leader's model; none on any other controller.
     #[serde(rename = "owner")]
     pub fleet: Option<FleetView>,
-    /// Program versions of the controllers, by label; none for one that has not been heard from.
+    /// Program versions of the controllers, by label; none for one that has not reported its version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub versions: Option<BTreeMap<String, Option<String>>>,
     /// The shards that it leads.
--- a/src/wire/submissions.rs
+++ b/src/wire/submissions.rs
@@ -11,9 +11,9 @@
 /// Most machine types that a submission may name.
 const MAX_TYPES: usize = 32;
 /// Longest text in a submission, in bytes.
-const MAX_TEXT: usize = 200;
+const MAX_TEXT_BYTES: usize = 200;
 /// Longest reason given to a user, in characters, whatever they sent.
-const MAX_REASON: usize = 300;
+const MAX_REASON_CHARS: usize = 300;
 /// Most digits in a job id.
 const MAX_ID_DIGITS: usize = 18;
 
@@ -161,8 +161,8 @@
 }
 
 fn check_text(field: &str, text: &str) -> Result<(), SubmissionError> {
-    if text.is_empty() || text.len() > MAX_TEXT || text.chars().any(char::is_control) {
-        Err(SubmissionError::field(field, format!("must be 1 to {MAX_TEXT} bytes")))
+    if text.is_empty() || text.len() > MAX_TEXT_BYTES || text.chars().any(char::is_control) {
+        Err(SubmissionError::field(field, format!("must be 1 to {MAX_TEXT_BYTES} bytes")))
     } else {
         Ok(())
     }
@@ -171,5 +171,5 @@
 /// A reason as one line of bounded length; parts of it may be the user's own text.
 fn one_line(reason: &str) -> String {
     let printable = |c: char| if c.is_control() { ' ' } else { c };
-    reason.chars().take(MAX_REASON).map(printable).collect()
+    reason.chars().take(MAX_REASON_CHARS).map(printable).collect()
 }
