--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -39,7 +39,7 @@
 fn confirm_final(backend: &dyn JobsBackend, id: &str, known: StoredFinal) -> Response {
     if known.record.stage == Stage::Cancelled {
         // The controller that wrote the record may have had no reply, and notified nobody.
-        backend.cancellation_confirmed(id, known.record, known.revision);
+        backend.cancellation_confirmed(id, known);
     }
     stage_response(id, known.record.stage)
 }
@@ -58,7 +58,7 @@
         then: vec![Change::drop(job_key(id)), Change::put(final_key(id), json!(cancelled))],
     };
     let Some(revision) = commit(backend, &txn)? else { return Ok(None) };
-    backend.cancellation_confirmed(id, cancelled, revision);
+    backend.cancellation_confirmed(id, StoredFinal { record: cancelled, revision });
     Ok(Some(stage_response(id, Stage::Cancelled)))
 }
 
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -40,8 +40,9 @@
     let Some(row) = backend.state().get(&final_key(id), RequestPriority::User)? else { return Ok(None) };
     let record: FinalRecord = parse_record(row.value)?;
     // Written once, in the transaction that removed the live record.
-    backend.learn_final(id, record, row.mod_revision);
-    Ok(Some(StoredFinal { record, revision: row.mod_revision }))
+    let ended = StoredFinal { record, revision: row.mod_revision };
+    backend.learn_final(id, ended);
+    Ok(Some(ended))
 }
 
 /// Decodes a stored record; [`StateStoreError::Malformed`] if that fails.
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -45,7 +45,7 @@
     /// A job's final record, if it is known to be written.
     fn known_final(&self, id: &str) -> Option<StoredFinal>;
     /// Remembers a final record read from the state store; final records never change.
-    fn learn_final(&self, id: &str, record: FinalRecord, revision: u64);
+    fn learn_final(&self, id: &str, ended: StoredFinal);
     /// Task counts of a live job, for display.
     fn counts(&self, id: &str) -> JobProgress;
     /// The machine types, once known; until then no submission can be decided.
@@ -53,7 +53,7 @@
     /// Notifies the leader of a job record that this controller has written.
     fn job_written(&self, id: &str, record: JobRecord, revision: u64);
     /// Makes a confirmed cancellation known to all controllers and stops what is left of the job.
-    fn cancellation_confirmed(&self, id: &str, record: FinalRecord, revision: u64);
+    fn cancellation_confirmed(&self, id: &str, cancelled: StoredFinal);
     /// Relays a request that this controller cannot answer to the others; none if none could
     /// answer it.
     fn relay_to_any(&self, request: &Request) -> Option<Response>;
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -7,7 +7,7 @@
 
 use super::step_down::StepDownReason;
 use super::{lock_ignoring_poison, Controller, VERSION};
-use crate::api::RequestOrigin;
+use crate::api::{RequestOrigin, StoredFinal};
 use crate::fleet::JobProgress;
 use crate::http::{self, status, Request, Response};
 use crate::leadership::LeaderRecord;
@@ -100,7 +100,7 @@
                 continue;
             }
             let record = FinalRecord { stage: Stage::Cancelled, tasks: cancellation.tasks };
-            self.apply_cancellation(id, record, cancellation.revision);
+            self.apply_cancellation(id, StoredFinal { record, revision: cancellation.revision });
         }
         acknowledgement(self.lock().highest_fencing_token)
     }
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -10,7 +10,7 @@
 use crate::http::{status, Request, Response};
 use crate::live_jobs::LiveJobs;
 use crate::peer::{JobNews, PeerMessage};
-use crate::records::{FinalRecord, JobRecord};
+use crate::records::JobRecord;
 use crate::state::StateStoreClient;
 use crate::time::Micros;
 use crate::wire::MachineType;
@@ -56,8 +56,8 @@
         self.lock().final_records.get(id)
     }
 
-    fn learn_final(&self, id: &str, record: FinalRecord, revision: u64) {
-        self.lock().final_records.insert(id, StoredFinal { record, revision });
+    fn learn_final(&self, id: &str, ended: StoredFinal) {
+        self.lock().final_records.insert(id, ended);
     }
 
     fn machine_types(&self) -> Option<Vec<MachineType>> {
@@ -93,23 +93,24 @@
 
     /// This controller confirms to a user that a job is cancelled: its tasks are stopped here, and
     /// all others are notified, whichever of them leads.
-    fn cancellation_confirmed(&self, id: &str, record: FinalRecord, revision: u64) {
+    fn cancellation_confirmed(&self, id: &str, cancelled: StoredFinal) {
         if self.peers.count() > 0 {
             let since = self.now();
+            let StoredFinal { record, revision } = cancelled;
             let cancellation = Cancellation { id: id.to_string(), tasks: record.tasks, revision, since };
             lock_ignoring_poison(&self.notices).add(&cancellation);
             self.notices_added.notify_one();
         }
-        self.apply_cancellation(id, record, revision);
+        self.apply_cancellation(id, cancelled);
     }
 }
 
 impl Controller {
     /// Records a confirmed cancellation and, on the leader, stops what is left of the job.
-    pub(super) fn apply_cancellation(&self, id: &str, record: FinalRecord, revision: u64) {
-        self.learn_final(id, record, revision);
+    pub(super) fn apply_cancellation(&self, id: &str, cancelled: StoredFinal) {
+        self.learn_final(id, cancelled);
         if let Some(leadership) = self.lock().leadership.as_mut() {
-            leadership.fleet.job_ended(id, revision);
+            leadership.fleet.job_ended(id, cancelled.revision);
             self.wake.notify_all();
         }
     }
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -3,7 +3,7 @@
 
 use super::step_down::StepDownReason;
 use super::Controller;
-use crate::api::JobsBackend;
+use crate::api::{JobsBackend, StoredFinal};
 use crate::fleet::PendingWrite;
 use crate::jobs::JobId;
 use crate::leadership::{self, Batch, ComposedWrite, LeadershipTerm, SHARD_KEY};
@@ -123,7 +123,8 @@
         }
         for (id, tasks) in finished {
             tracing::debug!(job = %id, "job done recorded");
-            self.learn_final(&id, FinalRecord { stage: Stage::Done, tasks }, revision);
+            let record = FinalRecord { stage: Stage::Done, tasks };
+            self.learn_final(&id, StoredFinal { record, revision });
         }
         true
     }
