--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -9,7 +9,7 @@
 use crate::config::{FENCING_TOKEN_THREADS, HALT_THREADS};
 use crate::direct_command::DirectCommand;
 use crate::fleet::Fleet;
-use crate::http::{Client, ClientResponse};
+use crate::http::{status, Client, ClientResponse};
 use crate::time::{Micros, Steady};
 use crate::wire::{DirectCommandRequest, Heartbeat, COMMANDS_PATH};
 
@@ -23,7 +23,7 @@
 const COMMAND_ATTEMPTS: usize = 2;
 /// The HTTP status with which a worker refuses a command: its agent epoch is another, or it has seen a
 /// higher fencing token.
-const COMMAND_REFUSED_STATUS: u16 = 409;
+const COMMAND_REFUSED_STATUS: u16 = status::CONFLICT;
 /// Stack size in bytes of a thread that sends commands.
 const COMMAND_STACK_BYTES: usize = 128 * 1024;
 
@@ -81,13 +81,13 @@
         if !self.is_still_due(fencing_token, command) {
             return;
         }
-        let DirectCommand { machine, address, agent_epoch, commands: orders } = command;
+        let DirectCommand { machine, address, agent_epoch, commands } = command;
         let Ok(address) = address.parse() else { return };
         let client = Client::new(address, 1);
         let mut agent_epoch = *agent_epoch;
         for _ in 0..COMMAND_ATTEMPTS {
-            let commands = DirectCommandRequest { fencing_token, agent_epoch, commands: orders.clone() };
-            let Ok(body) = serde_json::to_vec(&commands) else { return };
+            let request = DirectCommandRequest { fencing_token, agent_epoch, commands: commands.clone() };
+            let Ok(body) = serde_json::to_vec(&request) else { return };
             let Ok(ClientResponse { status, body }) =
                 client.call("POST", COMMANDS_PATH, Some(&body), COMMAND_TIMEOUT)
             else {
@@ -101,7 +101,7 @@
             // With halts, a later agent epoch has nothing left to be halted.
             if status == COMMAND_REFUSED_STATUS
                 && heartbeat.fencing_token < fencing_token
-                && orders.is_empty()
+                && commands.is_empty()
             {
                 agent_epoch = heartbeat.agent_epoch;
                 continue;
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -5,11 +5,11 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use super::responses::{CONTENT_TOO_LARGE, UNAVAILABLE};
 use super::step_down::StepDownReason;
 use super::{lock_ignoring_poison, Controller, VERSION};
+use crate::api::{RequestOrigin, StoredFinal};
 use crate::fleet::JobProgress;
-use crate::http::{self, Request, Response};
+use crate::http::{self, status, Request, Response};
 use crate::leadership::LeaderRecord;
 use crate::peer::{
     self, Ack, Answer, Call, InboundMessage, JobCounts, JobNews, PeerMessage, PeerReply, Summary,
@@ -30,7 +30,7 @@
             return None;
         };
         Some(Response {
-            status: u16::try_from(answer.status).unwrap_or(UNAVAILABLE),
+            status: u16::try_from(answer.status).unwrap_or(status::SERVICE_UNAVAILABLE),
             body: answer.body,
             retry_after: (answer.retry_after > 0).then_some(answer.retry_after),
         })
@@ -79,9 +79,9 @@
         let request =
             Request { method: call.method.clone(), path: call.path.clone(), body: call.body.clone() };
         let response = if request.body.len() > http::MAX_BODY {
-            Response::error(CONTENT_TOO_LARGE, "body over 64 KiB")
+            Response::error(status::CONTENT_TOO_LARGE, "body over 64 KiB")
         } else {
-            self.answer(&request, true)
+            self.answer(&request, RequestOrigin::Peer)
         };
         PeerReply::Answer(Answer {
             status: u32::from(response.status),
@@ -100,12 +100,12 @@
                 continue;
             }
             let record = FinalRecord { stage: Stage::Cancelled, tasks: cancellation.tasks };
-            self.apply_cancellation(id, record, cancellation.revision);
+            self.apply_cancellation(id, StoredFinal { record, revision: cancellation.revision });
         }
         acknowledgement(self.lock().highest_fencing_token)
     }
 
-    /// Another controller leads: its task counts of live jobs are kept for polls.
+    /// Another controller leads: its task counts of live jobs are kept for status requests.
     fn on_announcement(&self, summary: &Summary) -> PeerReply {
         let mut shared = self.lock();
         if summary.token > shared.highest_fencing_token {
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use super::responses::{unavailable, METHOD_NOT_ALLOWED};
+use super::responses::unavailable;
 use super::{Controller, STATUS_PATH};
 use crate::api::{self, RequestOrigin};
-use crate::http::{self, Reply, Request, RequestClass, Response};
+use crate::http::{self, status, Reply, Request, RequestClass, Response};
 use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH, WRITE_OFF_PATH};
 
 impl Controller {
@@ -28,27 +28,25 @@
         if request.path == HEARTBEAT_PATH && request.method == "POST" {
             self.handle_heartbeat(request, Some(reply));
         } else {
-            reply.send(&self.answer(request, false));
+            reply.send(&self.answer(request, RequestOrigin::Http));
         }
     }
 
-    /// Answers a request of a user, a worker or the load balancer; `relayed` if another controller sent
-    /// it on.
-    pub fn answer(&self, request: &Request, relayed: bool) -> Response {
+    /// Answers a request of a user, a worker or the load balancer, or one that another controller
+    /// relayed.
+    pub fn answer(&self, request: &Request, origin: RequestOrigin) -> Response {
+        let is_relayed = origin == RequestOrigin::Peer;
         match request.path.as_str() {
             HEARTBEAT_PATH if request.method == "POST" => {
                 let refused = || unavailable("not now");
                 self.handle_heartbeat(request, None).unwrap_or_else(refused)
             }
             HEALTH_PATH if request.method == "GET" => self.health(),
-            HEARTBEAT_PATH | HEALTH_PATH => Response::error(METHOD_NOT_ALLOWED, "wrong method"),
+            HEARTBEAT_PATH | HEALTH_PATH => Response::error(status::METHOD_NOT_ALLOWED, "wrong method"),
             // For operators, over the controllers' own interface: users' connections never reach it.
-            path if relayed && path.starts_with(STATUS_PATH) => self.status(request),
-            path if relayed && path.starts_with(WRITE_OFF_PATH) => self.write_off(request),
-            _ => {
-                let origin = if relayed { RequestOrigin::Peer } else { RequestOrigin::User };
-                api::handle(self, request, origin)
-            }
+            path if is_relayed && path.starts_with(STATUS_PATH) => self.status(request),
+            path if is_relayed && path.starts_with(WRITE_OFF_PATH) => self.write_off(request),
+            _ => api::handle(self, request, origin),
         }
     }
 }
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -2,22 +2,19 @@
 //! covers the final stages and task counts that this controller knows, and notices of written and cancelled
 //! jobs to the other controllers.
 
-use super::responses::UNAVAILABLE;
 use super::{lock_ignoring_poison, Controller};
 use crate::api::{JobsBackend, StoredFinal};
 use crate::cancellation_notices::Cancellation;
 use crate::config::Config;
 use crate::fleet::JobProgress;
-use crate::http::{Request, Response};
+use crate::http::{status, Request, Response};
 use crate::live_jobs::LiveJobs;
 use crate::peer::{JobNews, PeerMessage};
-use crate::records::{FinalRecord, JobRecord};
+use crate::records::JobRecord;
 use crate::state::StateStoreClient;
 use crate::time::Micros;
 use crate::wire::MachineType;
 
-/// Most final stages that are kept; the oldest are dropped first.
-const MAX_FINAL_RECORDS: usize = 20_000;
 /// How long another controller has to answer a user's request.
 const RELAY_TIMEOUT: Micros = Micros::from_millis(900);
 /// How long no request is relayed after one that no other controller could answer either.
@@ -45,7 +42,8 @@
         }
         for peer in 0..self.peers.count() {
             let response = self.relay(peer, request, RELAY_TIMEOUT);
-            if let Some(response) = response.filter(|response| response.status != UNAVAILABLE) {
+            if let Some(response) = response.filter(|response| response.status != status::SERVICE_UNAVAILABLE)
+            {
                 return Some(response);
             }
         }
@@ -55,21 +53,11 @@
     }
 
     fn known_final(&self, id: &str) -> Option<StoredFinal> {
-        self.lock().final_records.get(id).map(|&(record, revision)| StoredFinal { record, revision })
+        self.lock().final_records.get(id)
     }
 
-    fn learn_final(&self, id: &str, record: FinalRecord, revision: u64) {
-        let mut shared = self.lock();
-        if shared.final_records.contains_key(id) {
-            return;
-        }
-        shared.final_records.insert(id.to_string(), (record, revision));
-        shared.final_records_order.push_back(id.to_string());
-        if shared.final_records_order.len() > MAX_FINAL_RECORDS {
-            if let Some(oldest) = shared.final_records_order.pop_front() {
-                shared.final_records.remove(&oldest);
-            }
-        }
+    fn learn_final(&self, id: &str, ended: StoredFinal) {
+        self.lock().final_records.insert(id, ended);
     }
 
     fn machine_types(&self) -> Option<Vec<MachineType>> {
@@ -105,23 +93,24 @@
 
     /// This controller confirms to a user that a job is cancelled: its tasks are stopped here, and
     /// all others are notified, whichever of them leads.
-    fn cancellation_confirmed(&self, id: &str, record: FinalRecord, revision: u64) {
+    fn cancellation_confirmed(&self, id: &str, cancelled: StoredFinal) {
         if self.peers.count() > 0 {
             let since = self.now();
+            let StoredFinal { record, revision } = cancelled;
             let cancellation = Cancellation { id: id.to_string(), tasks: record.tasks, revision, since };
             lock_ignoring_poison(&self.notices).add(&cancellation);
             self.notices_added.notify_one();
         }
-        self.apply_cancellation(id, record, revision);
+        self.apply_cancellation(id, cancelled);
     }
 }
 
 impl Controller {
     /// Records a confirmed cancellation and, on the leader, stops what is left of the job.
-    pub(super) fn apply_cancellation(&self, id: &str, record: FinalRecord, revision: u64) {
-        self.learn_final(id, record, revision);
+    pub(super) fn apply_cancellation(&self, id: &str, cancelled: StoredFinal) {
+        self.learn_final(id, cancelled);
         if let Some(leadership) = self.lock().leadership.as_mut() {
-            leadership.fleet.job_ended(id, revision);
+            leadership.fleet.job_ended(id, cancelled.revision);
             self.wake.notify_all();
         }
     }
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -3,10 +3,10 @@
 
 use super::step_down::StepDownReason;
 use super::Controller;
-use crate::api::JobsBackend;
+use crate::api::{JobsBackend, StoredFinal};
 use crate::fleet::PendingWrite;
 use crate::jobs::JobId;
-use crate::leadership::{self, Batch, LeadershipTerm, SHARD_KEY};
+use crate::leadership::{self, Batch, ComposedWrite, LeadershipTerm, SHARD_KEY};
 use crate::records::FinalRecord;
 use crate::state::{RequestPriority, StateStoreError, TxnOutcome};
 use crate::task_ranges::chunk_tasks;
@@ -67,7 +67,7 @@
         let write_rps = self.config.platform.settings.state.write_rps;
         let interval = done_write_interval(fleet.jobs.len(), write_rps);
         let pending = fleet.pending_writes(now, interval, chunk);
-        let term = leadership.term.clone();
+        let term = leadership.term;
         let batches = leadership::batches(fleet, term.shard_revision, pending, max_changes, now, wall());
         Some(PendingBatches { term, batches })
     }
@@ -112,18 +112,19 @@
                 return false;
             };
             let now = self.now();
-            for (item, contents) in &batch.items {
-                if let PendingWrite::Final(id) = item {
+            for ComposedWrite { write, contents } in &batch.writes {
+                if let PendingWrite::Final(id) = write {
                     if let Some(job) = leadership.fleet.jobs.get(id) {
                         finished.push((id.clone(), job.spec.tasks));
                     }
                 }
-                leadership.fleet.write_applied(item, revision, contents, now);
+                leadership.fleet.write_applied(write, revision, contents, now);
             }
         }
         for (id, tasks) in finished {
             tracing::debug!(job = %id, "job done recorded");
-            self.learn_final(&id, FinalRecord { stage: Stage::Done, tasks }, revision);
+            let record = FinalRecord { stage: Stage::Done, tasks };
+            self.learn_final(&id, StoredFinal { record, revision });
         }
         true
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -10,12 +10,12 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-use crate::http::{CallError, Client, ClientResponse};
+use crate::http::{status, CallError, Client, ClientResponse};
 use crate::time::{steady, Micros, Steady};
 use crate::wire::{LeaseGranted, LeaseRequest, Row, RowPage, Txn, TxnCommitted, TxnConflict, WatchEvents};
 
-use budget::{AllowedRates, RateBudget};
-pub use budget::{NextRates, RequestPriority, TokenBucket};
+use budget::RateBudget;
+pub use budget::{AllowedRates, NextRates, RateShares, RequestPriority, TokenBucket};
 pub use error::{StateStoreError, TxnOutcome};
 
 /// Client of the state store. Calls wait for this controller's rate budget (by their
@@ -55,15 +55,9 @@
 const USER_TXN_TRIES: u32 = 3;
 
 impl StateStoreClient {
-    /// A client that keeps to these rates, and to the fractions `next` (requests, changes) of them
-    /// once the store's limits fall.
-    pub fn new(
-        address: SocketAddr,
-        requests_per_s: f64,
-        writes_per_s: f64,
-        next: (f64, f64),
-    ) -> StateStoreClient {
-        let allowed = AllowedRates { requests: requests_per_s, writes: writes_per_s };
+    /// A client that keeps to the `allowed` rates, and to the fractions `next` of them once the store's
+    /// limits fall.
+    pub fn new(address: SocketAddr, allowed: AllowedRates, next: RateShares) -> StateStoreClient {
         StateStoreClient {
             calls: Client::new(address, CALL_CONNECTIONS),
             watches: Client::new(address, WATCH_CONNECTIONS),
@@ -80,13 +74,13 @@
     }
 
     /// Changes this controller's share of the store's limits.
-    pub fn set_rates(&self, requests_per_s: f64, writes_per_s: f64) {
+    pub fn set_allowed_rates(&self, allowed: AllowedRates) {
         if let Ok(mut budget) = self.budget.lock() {
-            budget.set_allowed(AllowedRates { requests: requests_per_s, writes: writes_per_s });
+            budget.set_allowed(allowed);
         }
     }
 
-    /// Waits for room in the budget for one request with `writes` changes, at most `patience`.
+    /// Waits until the budget allows one request with `writes` changes, at most `patience`.
     fn admit(
         &self,
         writes: usize,
@@ -121,13 +115,15 @@
         let result = client.call(method, path, body.as_deref().map(str::as_bytes), timeout);
         self.note_reachability(&result);
         match result {
-            Ok(ClientResponse { status: 429, .. }) => {
+            Ok(ClientResponse { status: status::TOO_MANY_REQUESTS, .. }) => {
                 if let Ok(mut budget) = self.budget.lock() {
                     budget.rate_refused();
                 }
-                Err(StateStoreError::Refused(429))
+                Err(StateStoreError::Refused(status::TOO_MANY_REQUESTS))
+            }
+            Ok(ClientResponse { status: status::SERVICE_UNAVAILABLE, .. }) => {
+                Err(StateStoreError::Refused(status::SERVICE_UNAVAILABLE))
             }
-            Ok(ClientResponse { status: 503, .. }) => Err(StateStoreError::Refused(503)),
             Ok(response) => Ok(response),
             Err(CallError::NotSent(_)) => Err(StateStoreError::NotSent),
             Err(CallError::NoAnswer(cause)) => Err(StateStoreError::Unknown(cause)),
@@ -137,7 +133,7 @@
     fn note_reachability(&self, result: &Result<ClientResponse, CallError>) {
         let Ok(mut unreachable_since) = self.unreachable_since.lock() else { return };
         match result {
-            Ok(ClientResponse { status: 503, .. }) | Err(_) => {
+            Ok(ClientResponse { status: status::SERVICE_UNAVAILABLE, .. }) | Err(_) => {
                 unreachable_since.get_or_insert_with(steady);
             }
             Ok(_) => *unreachable_since = None,
@@ -145,17 +141,23 @@
     }
 
     /// Reads a key; `None` if it does not exist.
+    ///
+    /// # Errors
+    /// As any call.
     pub fn get(&self, key: &str, priority: RequestPriority) -> Result<Option<Row>, StateStoreError> {
         self.admit(0, priority, BUDGET_PATIENCE)?;
         let response = self.call(&self.calls, "GET", &format!("/keys/{key}"), None, CALL_TIMEOUT)?;
         match response.status {
-            200 => parse(&response.body).map(Some),
-            404 => Ok(None),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK => parse(&response.body).map(Some),
+            status::NOT_FOUND => Ok(None),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 
     /// Reads all keys with a prefix, page by page.
+    ///
+    /// # Errors
+    /// As any call; the first error ends the read.
     pub fn list(&self, prefix: &str) -> Result<KeyList, StateStoreError> {
         let mut rows: Vec<Row> = Vec::new();
         let mut revision = None;
@@ -177,8 +179,8 @@
         let path = format!("/keys?starts={prefix}{from}&most={LIST_PAGE_ROWS}");
         let response = self.call(&self.calls, "GET", &path, None, CALL_TIMEOUT)?;
         match response.status {
-            200 => parse(&response.body),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK => parse(&response.body),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 
@@ -190,10 +192,14 @@
     pub fn txn(&self, txn: &Txn, priority: RequestPriority) -> Result<TxnOutcome, StateStoreError> {
         let response = self.send_txn(txn, priority)?;
         match response.status {
-            200 => parse::<TxnCommitted>(&response.body).map(|reply| TxnOutcome::Committed(reply.revision)),
-            409 => parse::<TxnConflict>(&response.body).map(|reply| TxnOutcome::Conflict(reply.failed)),
-            400 => Err(self.txn_rejected(&response.body)),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK => {
+                parse::<TxnCommitted>(&response.body).map(|reply| TxnOutcome::Committed(reply.revision))
+            }
+            status::CONFLICT => {
+                parse::<TxnConflict>(&response.body).map(|reply| TxnOutcome::Conflict(reply.failed))
+            }
+            status::BAD_REQUEST => Err(self.txn_rejected(&response.body)),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 
@@ -206,7 +212,7 @@
             tries -= 1;
             match self.call(&self.calls, "POST", "/txn", Some(&body), CALL_TIMEOUT) {
                 // Too many changes at this moment, and a user waits: nothing was executed.
-                Err(StateStoreError::Refused(429)) if tries > 0 => {}
+                Err(StateStoreError::Refused(status::TOO_MANY_REQUESTS)) if tries > 0 => {}
                 result => return result,
             }
         }
@@ -225,13 +231,16 @@
     }
 
     /// Takes a new lease of `ttl` (whole milliseconds on the wire); returns its id.
+    ///
+    /// # Errors
+    /// As any call.
     pub fn grant_lease(&self, ttl: Micros) -> Result<u64, StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let body = json!(LeaseRequest { ttl_ms: ttl.millis() });
         let response = self.call(&self.calls, "POST", "/leases", Some(&body), CALL_TIMEOUT)?;
         match response.status {
-            200 | 201 => parse::<LeaseGranted>(&response.body).map(|reply| reply.lease),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK | status::CREATED => parse::<LeaseGranted>(&response.body).map(|reply| reply.lease),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 
@@ -244,13 +253,16 @@
         let path = format!("/leases/{lease}/renew");
         let response = self.call(&self.calls, "POST", &path, Some(&json!({})), LEASE_CALL_TIMEOUT)?;
         match response.status {
-            200 => Ok(()),
-            404 => Err(StateStoreError::NoLease),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK => Ok(()),
+            status::NOT_FOUND => Err(StateStoreError::NoLease),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 
     /// Ends a lease; the store removes the keys that are attached to it.
+    ///
+    /// # Errors
+    /// As any call; a lease that is gone already is no error.
     pub fn end_lease(&self, lease: u64) -> Result<(), StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         self.call(&self.calls, "DELETE", &format!("/leases/{lease}"), None, LEASE_CALL_TIMEOUT).map(|_| ())
@@ -289,9 +301,9 @@
         let path = format!("/watch?starts={prefix}&from={from}&blockMs={}", block.millis());
         let response = self.call(client, "GET", &path, None, block + CALL_TIMEOUT)?;
         match response.status {
-            200 => parse(&response.body),
-            410 => Err(StateStoreError::TooOld),
-            status => Err(StateStoreError::Refused(status)),
+            status::OK => parse(&response.body),
+            status::GONE => Err(StateStoreError::TooOld),
+            other => Err(StateStoreError::Refused(other)),
         }
     }
 }
--- a/tests/services/cluster/mod.rs
+++ b/tests/services/cluster/mod.rs
@@ -142,8 +142,8 @@
         let (now, wall) = (self.now, self.wall());
         for batch in leadership::batches(&mut self.fleet, 1, pending, 1000, now, wall) {
             self.revision += 1;
-            for (write, contents) in &batch.items {
-                self.fleet.write_applied(write, self.revision, contents, now);
+            for composed in &batch.writes {
+                self.fleet.write_applied(&composed.write, self.revision, &composed.contents, now);
             }
         }
     }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -106,8 +106,8 @@
 
 /// The store has applied a batch of writes.
 fn acknowledge(fleet: &mut Fleet, batch: &Batch, revision: u64, now: Steady) {
-    for (write, contents) in &batch.items {
-        fleet.write_applied(write, revision, contents, now);
+    for composed in &batch.writes {
+        fleet.write_applied(&composed.write, revision, &composed.contents, now);
     }
 }
 
@@ -189,8 +189,8 @@
     let written = pending_batches(&mut fleet, 19, LATER);
     assert!(written
         .iter()
-        .flat_map(|batch| &batch.items)
-        .all(|(write, _)| *write == PendingWrite::RecentJobs));
+        .flat_map(|batch| &batch.writes)
+        .all(|composed| composed.write == PendingWrite::RecentJobs));
     // The others are read by themselves.
     let value_of = |key: &str| production_rows().into_iter().find(|row| row.key == key).expect("a row").value;
     let leader: LeaderRecord = serde_json::from_value(value_of("leader")).expect("a leader");
@@ -372,7 +372,8 @@
     write_all(&mut fleet, &mut store);
     let before = store.keys.clone();
     // What is written without a guard of its own may come late: it is only a hint.
-    let is_guarded = |batch: &&Batch| batch.items.iter().any(|(write, _)| *write != PendingWrite::RecentJobs);
+    let is_guarded =
+        |batch: &&Batch| batch.writes.iter().any(|composed| composed.write != PendingWrite::RecentJobs);
     for batch in late.iter().filter(is_guarded) {
         assert!(store.txn(&batch.txn).is_err(), "{:?}", batch.txn);
     }
