--- a/tests/planner/reservations.rs
+++ b/tests/planner/reservations.rs
@@ -1,10 +1,13 @@
 //! The reservation of the first blocked class.
 
-use milletlock::sched::{plan, JobClass, MachineSnapshot, Plan, Reservation, Snapshot};
+use milletlock::sched::{plan, JobClass, MachineSnapshot, PlacedTask, Plan, Reservation, Snapshot, TeamUse};
 use milletlock::time::Micros;
+use milletlock::wire::Priority;
 use proptest::prelude::*;
 
-use crate::common::planner::{queue_positions, CPU_TOLERANCE};
+use crate::common::planner::{
+    class, empty_machine, machine_with_tasks, queue_positions, running_task, secs, CPU_TOLERANCE,
+};
 use crate::generators::any_snapshot;
 use crate::model::start_delay;
 use crate::random_cases;
@@ -80,3 +83,28 @@
         }
     }
 }
+
+/// Guards against a reservation that counts on a spot machine which the cloud is about to take back.
+#[test]
+fn a_reservation_leaves_out_machines_with_an_interruption_notice() {
+    let full_until = |end: Micros, machine: MachineSnapshot| {
+        let task = PlacedTask { remaining: end, ..running_task(4.0, Priority::Normal) };
+        machine_with_tasks(machine, vec![task])
+    };
+    let reserved = |reclaimed_in: Option<Micros>| {
+        let spot = MachineSnapshot { spot: true, reclaimed_in, ..empty_machine(4.0) };
+        let snapshot = Snapshot {
+            zone_count: 1,
+            machines: vec![full_until(secs(10), spot), full_until(secs(30), empty_machine(4.0))],
+            classes: vec![class(1, 20, 5)],
+            teams: vec![TeamUse::default()],
+            reserved_headroom: vec![None],
+            reserve: true,
+            ..Snapshot::default()
+        };
+        plan(&snapshot).reservation.map(|reservation| (reservation.at, reservation.machines))
+    };
+    assert_eq!(reserved(None), Some((secs(10), vec![(0, 1)])));
+    // The notice leaves time for the task, but not for what may delay it.
+    assert_eq!(reserved(Some(secs(1000))), Some((secs(30), vec![(1, 1)])));
+}
