--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -29,7 +29,7 @@
             else {
                 continue;
             };
-            let machine_type = &self.types[offer.ty];
+            let machine_type = &self.types[offer.type_index];
             let supply = self.array_supply(demand.class, drain_s + machine_type.boot_s);
             let falls_short = demand.work > supply;
             if !falls_short {
--- a/src/capacity/gangs.rs
+++ b/src/capacity/gangs.rs
@@ -25,7 +25,7 @@
                 continue;
             }
             let offers = self.fitting_offers(class);
-            let boot_s = offers.first().map(|best| self.types[best.offer.ty].boot_s);
+            let boot_s = offers.first().map(|best| self.types[best.offer.type_index].boot_s);
             let boot = boot_s.map_or(Micros::ZERO, Micros::from_secs);
             let mut found = 0u32;
             for GangSlot { at, machine } in self.gang_slots(class, &used_slots, unmet) {
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineOffer {
     /// Index into the machine types.
-    pub ty: usize,
+    pub type_index: usize,
     /// Index into the zones.
     pub zone: usize,
     /// Whether the machine is a spot (preemptible) instance.
--- a/src/capacity/offers.rs
+++ b/src/capacity/offers.rs
@@ -38,7 +38,7 @@
                 continue;
             }
             let mut add = |spot: bool, price: f64| {
-                let offer = MachineOffer { ty: type_index, zone, spot };
+                let offer = MachineOffer { type_index, zone, spot };
                 if !self.refused.contains(&offer) {
                     let task_price = price / f64::from(tasks_per_machine);
                     offers.push(FittingOffer { offer, task_price, tasks_per_machine });
--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -148,7 +148,9 @@
         let leadership = shared.leadership_with(fencing_token)?;
         let mut requests = Vec::new();
         for ScaleOutItem { offer, count } in leadership.fleet.decide_scaling(self.now(), wall()) {
-            let Some(ty) = leadership.fleet.types().get(offer.ty).map(|ty| ty.name.clone()) else { continue };
+            let Some(ty) = leadership.fleet.types().get(offer.type_index).map(|ty| ty.name.clone()) else {
+                continue;
+            };
             let zone = leadership.fleet.zone_name(offer.zone).to_string();
             let mut remaining = count;
             while remaining > 0 {
--- a/tests/safety/machines.rs
+++ b/tests/safety/machines.rs
@@ -173,7 +173,7 @@
 /// allowed, in the second in which the partition ended.
 #[test]
 fn machines_that_boot_in_a_partitioned_zone_are_waited_for() {
-    let offer = |zone| MachineOffer { ty: 0, zone, spot: false };
+    let offer = |zone| MachineOffer { type_index: 0, zone, spot: false };
     let ids = |zone: &str| (0..6).map(|n| format!("{zone}-{n}")).collect::<Vec<String>>();
     let mut fleet = new_fleet(9);
     fleet.machines_scaled_out(&ids("north"), offer(0), START);
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -96,7 +96,7 @@
 fn the_cheapest_offer_is_taken_and_a_refused_one_passed_over() {
     let all = decide(vec![], vec![class(16, 40, 0)], None, &[], false);
     assert_eq!(all.0, [(true, 2)]);
-    let refused = MachineOffer { ty: 0, zone: 0, spot: true };
+    let refused = MachineOffer { type_index: 0, zone: 0, spot: true };
     assert_eq!(decide(vec![], vec![class(16, 40, 0)], None, &[refused], false).0, [(false, 2)]);
 }
 
