--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -54,7 +54,7 @@
 pub(crate) use eligibility::may_use;
 pub use eligibility::start_delay;
 pub use incremental_backfill::IncrementalBackfill;
-pub use queue::{order, score};
+pub use queue::{queue_order, score};
 pub use replica_starts::ReportingMachine;
 pub use resources::Resources;
 pub use snapshot::{JobClass, MachineSnapshot, PlacedTask, ReservedHeadroom, Snapshot, TeamUse};
@@ -66,7 +66,7 @@
 pub fn plan(snapshot: &Snapshot) -> Plan {
     let mut plan = Plan::default();
     let mut state = PlanState::new(snapshot);
-    for class_index in order(&snapshot.classes) {
+    for class_index in queue_order(&snapshot.classes) {
         if snapshot.classes[class_index].startable_tasks > 0 {
             state.plan_class(class_index, &mut plan);
         }
--- a/src/sched/queue.rs
+++ b/src/sched/queue.rs
@@ -46,7 +46,7 @@
 
 /// The queue: indices into `classes` by fair share, priority, missed objectives and score; of equal
 /// classes the first one goes first.
-pub fn order(classes: &[JobClass]) -> Vec<usize> {
+pub fn queue_order(classes: &[JobClass]) -> Vec<usize> {
     let scores: Vec<f64> = classes.iter().map(score).collect();
     let mut queue: Vec<usize> = (0..classes.len()).collect();
     queue.sort_by(|&a, &b| {
--- a/tests/common/planner.rs
+++ b/tests/common/planner.rs
@@ -1,6 +1,6 @@
 //! Builders and generators for the tests of the planner.
 
-use milletlock::sched::{order, JobClass, MachineSnapshot, PlacedTask, Resources};
+use milletlock::sched::{queue_order, JobClass, MachineSnapshot, PlacedTask, Resources};
 use milletlock::time::Micros;
 use milletlock::wire::{MachineType, Priority};
 use proptest::prelude::*;
@@ -90,7 +90,7 @@
 /// The position of each class in the queue, by its index into `classes`.
 pub fn queue_positions(classes: &[JobClass]) -> Vec<usize> {
     let mut positions = vec![0; classes.len()];
-    for (position, class) in order(classes).into_iter().enumerate() {
+    for (position, class) in queue_order(classes).into_iter().enumerate() {
         positions[class] = position;
     }
     positions
--- a/tests/planner/incremental_backfill.rs
+++ b/tests/planner/incremental_backfill.rs
@@ -1,7 +1,7 @@
 //! What starts on a machine between two plans.
 
 use milletlock::sched::{
-    order, IncrementalBackfill, JobClass, MachineSnapshot, Snapshot, TeamUse, UnmetTasks,
+    queue_order, IncrementalBackfill, JobClass, MachineSnapshot, Snapshot, TeamUse, UnmetTasks,
 };
 use milletlock::wire::Priority;
 
@@ -28,7 +28,7 @@
     pub fn starts(self) -> Vec<UnmetTasks> {
         let machine = MachineSnapshot { images: vec![CACHED_IMAGE], ..empty_machine(4.0) };
         let snapshot = Snapshot { zone_count: 1, classes: self.classes, ..Snapshot::default() };
-        let queue = order(&snapshot.classes).into_iter();
+        let queue = queue_order(&snapshot.classes).into_iter();
         let mut unmet: Vec<UnmetTasks> =
             queue.map(|class| (class, snapshot.classes[class].startable_tasks)).collect();
         IncrementalBackfill {
--- a/tests/planner/model.rs
+++ b/tests/planner/model.rs
@@ -1,7 +1,7 @@
 //! The plain model: it keeps single tasks and asks each question anew from all that was placed.
 
 use milletlock::sched::{
-    order, plan, JobClass, MachineSnapshot, Reservation, ReservedHeadroom, Snapshot, Start,
+    plan, queue_order, JobClass, MachineSnapshot, Reservation, ReservedHeadroom, Snapshot, Start,
 };
 use milletlock::time::Micros;
 use milletlock::wire::Priority;
@@ -76,7 +76,7 @@
 // Placing the classes in the order of the queue.
 impl Model<'_> {
     fn run(&mut self) {
-        for class in order(&self.snapshot.classes) {
+        for class in queue_order(&self.snapshot.classes) {
             self.place_class(class);
         }
     }
--- a/tests/planner/queue_order.rs
+++ b/tests/planner/queue_order.rs
@@ -1,6 +1,6 @@
 //! The order of the queue.
 
-use milletlock::sched::{order, JobClass};
+use milletlock::sched::{queue_order, JobClass};
 use milletlock::wire::Priority;
 
 use crate::common::planner::{class, secs};
@@ -19,9 +19,9 @@
     let missed_two = JobClass { missed_objectives: 2, waited: secs(9000), ..base.clone() };
     let classes =
         [missed_two, missed_one, base.clone(), waited_longer, larger, urgent.clone(), within_fair_share];
-    assert_eq!(order(&classes), [6, 5, 4, 3, 2, 1, 0]);
+    assert_eq!(queue_order(&classes), [6, 5, 4, 3, 2, 1, 0]);
     // One that waited for long counts as urgent, never behind its own priority and not above the urgent.
     let aged = JobClass { aged_priority: Some(Priority::Urgent), ..base.clone() };
     let aged_critical = JobClass { priority: Priority::Critical, waited: secs(1), ..aged.clone() };
-    assert_eq!(order(&[base, urgent, aged, aged_critical]), [3, 2, 1, 0]);
+    assert_eq!(queue_order(&[base, urgent, aged, aged_critical]), [3, 2, 1, 0]);
 }
