--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -51,7 +51,7 @@
     fn array_demands(&self) -> Vec<ArrayDemand<'_>> {
         let drain_s = self.policy.drain_time.secs();
         let mut demands: Vec<ArrayDemand> = Vec::new();
-        for &(class_index, unmet) in &self.plan.unmet {
+        for &(class_index, unmet) in &self.plan.unplaced {
             let class = &self.snapshot.classes[class_index];
             if class.gang || class.replica_machines.is_some() {
                 continue;
--- a/src/capacity/gangs.rs
+++ b/src/capacity/gangs.rs
@@ -19,7 +19,7 @@
     /// tasks.
     pub(super) fn scale_out_for_gangs(&self, scale_out: &mut Vec<ScaleOutItem>) {
         let mut used_slots = vec![0u32; self.snapshot.machines.len()];
-        for &(class_index, unmet) in &self.plan.unmet {
+        for &(class_index, unmet) in &self.plan.unplaced {
             let class = &self.snapshot.classes[class_index];
             if !class.gang {
                 continue;
--- a/src/capacity/services.rs
+++ b/src/capacity/services.rs
@@ -9,7 +9,7 @@
     /// since a replica outlives most spot machines.
     pub(super) fn scale_out_for_services(&self, scale_out: &mut Vec<ScaleOutItem>) {
         let mut booting_capacity = self.booting_capacity();
-        for &(class_index, unmet) in &self.plan.unmet {
+        for &(class_index, unmet) in &self.plan.unplaced {
             let class = &self.snapshot.classes[class_index];
             if class.replica_machines.is_none() {
                 continue;
--- a/src/fleet/maintenance.rs
+++ b/src/fleet/maintenance.rs
@@ -67,7 +67,7 @@
             let running = used.running_cpus / used.cpus.max(MIN_CPUS);
             tracing::info!(ty, spot, machines, booting, idle, placed, running, "machine utilization");
         }
-        let waiting: u32 = self.plan.unmet.iter().map(|(_, tasks)| tasks).sum();
+        let waiting: u32 = self.plan.unplaced.iter().map(|(_, tasks)| tasks).sum();
         tracing::info!(jobs = self.jobs.len(), waiting, "queue");
     }
 
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -81,7 +81,7 @@
             }
         }
         let unmet =
-            plan.unmet.iter().filter(|(class, _)| snapshot.classes[*class].replica_machines.is_some());
+            plan.unplaced.iter().filter(|(class, _)| snapshot.classes[*class].replica_machines.is_some());
         waiting.extend(unmet.map(|(class, _)| (*class, None)));
         let services = waiting.into_iter();
         self.waiting_services = services.map(|(class, planned)| WaitingService { class, planned }).collect();
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -111,7 +111,7 @@
         let Some(machine) = self.backfill_candidate(id, now) else { return };
         let team_uses = self.current_team_uses();
         let classes = &self.planned_snapshot.classes;
-        let gang_waits = self.plan.unmet.iter().any(|unmet| {
+        let gang_waits = self.plan.unplaced.iter().any(|unmet| {
             let class = &classes[unmet.0];
             unmet.1 > 0 && class.gang && sched::may_use(class, &machine)
         });
@@ -123,7 +123,7 @@
             machine: &machine,
             gang_waits,
         };
-        let mut starts = backfill.starts(&mut self.plan.unmet);
+        let mut starts = backfill.starts(&mut self.plan.unplaced);
         let taken = starts.iter().map(|(class, count)| (classes[*class].need, *count));
         let free = taken.fold(machine.free, |free, (need, count)| free.minus(&need, count));
         for (team_use, other) in backfill.team_uses.iter_mut().zip(&self.plan.quota_of_other_starts) {
@@ -140,7 +140,7 @@
     /// The machine as the planner sees it, if waiting tasks of job arrays may start on it before the next
     /// plan.
     fn backfill_candidate(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
-        if self.plan.unmet.is_empty() && self.plan.held_by_quota.is_empty() {
+        if self.plan.unplaced.is_empty() && self.plan.held_by_quota.is_empty() {
             return None;
         }
         self.machine_for_starts(id, now).filter(|snapshot| snapshot.free.cpus > 0.0)
--- a/src/fleet/wait_reasons.rs
+++ b/src/fleet/wait_reasons.rs
@@ -142,7 +142,7 @@
         for assigned in self.assigned_starts.values().flatten() {
             *starting.entry(&assigned.job).or_default() += assigned.count;
         }
-        let unmet = self.plan.unmet.iter();
+        let unmet = self.plan.unplaced.iter();
         let unmet = unmet.filter_map(|(class, tasks)| Some((self.planned_jobs.get(*class)?, *tasks)));
         let usable = self.machines.values().filter(|machine| machine.is_usable(now));
         PlanView {
--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -46,7 +46,7 @@
     /// Tasks to preempt.
     pub preempt: Vec<PlacedTaskIndex>,
     /// Tasks that found no capacity, in the queue's order.
-    pub unmet: Vec<UnmetTasks>,
+    pub unplaced: Vec<UnmetTasks>,
     /// Tasks of job arrays that their team's quota holds back, in the queue's order: of each team only the first
     /// group of the queue that it holds back, and none if a service or a gang goes first.
     pub held_by_quota: Vec<UnmetTasks>,
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -99,7 +99,7 @@
         if unmet == 0 {
             return;
         }
-        plan.unmet.push((class_index, unmet));
+        plan.unplaced.push((class_index, unmet));
         self.mark_contended_types(class);
         // All that can be preempted for a service is by now; what it lacks beyond that has to be rented.
         if class.replica_machines.is_none() {
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -134,7 +134,7 @@
             reserved_headroom: vec![Some(keep)],
             ..Snapshot::default()
         };
-        plan(&s).unmet.len()
+        plan(&s).unplaced.len()
     };
     let full = |spot: bool| MachineSnapshot { spot, ..machine(8, 1) };
     assert_eq!((unmet(spot()), unmet(full(true))), (0, 1));
--- a/tests/service_placement/model_rules.rs
+++ b/tests/service_placement/model_rules.rs
@@ -82,7 +82,7 @@
     fn a_replica_waits_only_if_no_machine_has_capacity_for_it(snapshot in any_snapshot()) {
         let plan = plan(&snapshot);
         let model = Model::new(&snapshot, &plan);
-        for &(class, unplaced) in plan.unmet.iter().filter(|unmet| model.is_service(unmet.0)) {
+        for &(class, unplaced) in plan.unplaced.iter().filter(|unmet| model.is_service(unmet.0)) {
             let placed = machines_of(&plan, class).len() as u32;
             prop_assert_eq!(placed + unplaced, snapshot.classes[class].startable_tasks);
             if model.quota_allows_another(class) {
--- a/tests/service_placement/preemption.rs
+++ b/tests/service_placement/preemption.rs
@@ -17,7 +17,7 @@
         assert_eq!((machines_of(&plan, 0), plan.preempt.len()), (vec![0], 1), "{priority:?}");
     }
     let plan = plan_for(vec![full(Priority::Critical)], vec![service(1)]);
-    assert_eq!((plan.starts, plan.preempt, plan.unmet), (Vec::new(), Vec::new(), vec![(0, 1)]));
+    assert_eq!((plan.starts, plan.preempt, plan.unplaced), (Vec::new(), Vec::new(), vec![(0, 1)]));
     let urgent = JobClass { priority: Priority::Urgent, ..service(1) };
     for priority in [Priority::Urgent, Priority::Critical] {
         let plan = plan_for(vec![full(priority)], vec![urgent.clone()]);
