--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -9,7 +9,7 @@
 pub type TasksOnMachine = (usize, u32);
 
 /// Tasks of one class that could not be placed: index into `Snapshot::classes`, number of tasks.
-pub type UnmetTasks = (usize, u32);
+pub type TasksOfClass = (usize, u32);
 
 /// A placed task: index into `Snapshot::machines`, index into that machine's `placed`.
 pub type PlacedTaskIndex = (usize, usize);
@@ -46,10 +46,10 @@
     /// Tasks to preempt.
     pub preempt: Vec<PlacedTaskIndex>,
     /// Tasks that found no capacity, in the queue's order.
-    pub unplaced: Vec<UnmetTasks>,
+    pub unplaced: Vec<TasksOfClass>,
     /// Tasks of job arrays that their team's quota holds back, in the queue's order: of each team only the first
     /// group of the queue that it holds back, and none if a service or a gang goes first.
-    pub held_by_quota: Vec<UnmetTasks>,
+    pub held_by_quota: Vec<TasksOfClass>,
     /// By team: what the plan's starts of all other work take of its quota, which is left to them.
     pub quota_of_other_starts: Vec<Resources>,
     /// By machine type: whether tasks wait that headroom on it is reserved for. Lower priorities do not
--- a/src/sched/incremental_backfill.rs
+++ b/src/sched/incremental_backfill.rs
@@ -1,7 +1,7 @@
 //! Incremental backfill: array tasks that start between two plans, on a machine that has free capacity
 //! now because it has just sent a heartbeat.
 
-use super::decisions::UnmetTasks;
+use super::decisions::TasksOfClass;
 use super::eligibility::{adjusted_end, lacks_awaited_image, may_use};
 use super::queue::QueueGroup;
 use super::resources::{Resources, NEGLIGIBLE};
@@ -52,7 +52,7 @@
     /// `unmet`. Classes start in the queue's order, but within a group those whose image the machine has
     /// cached go first: where all machines are in use, each would otherwise fetch every image, and
     /// fetching takes as much of its time as running.
-    pub fn starts(&mut self, unmet: &mut [UnmetTasks]) -> Vec<UnmetTasks> {
+    pub fn starts(&mut self, unmet: &mut [TasksOfClass]) -> Vec<TasksOfClass> {
         self.fill_in_turn(unmet, &[Candidates::First, Candidates::Last], self.machine.free)
     }
 
@@ -60,19 +60,19 @@
     /// since. The plan's starts of the same group on other machines count on what is free of the quota: what
     /// would have to fetch an image leaves it to them. What the plan starts of other work is to be counted in
     /// `team_uses`; `free` is what is left of the machine.
-    pub fn starts_on_freed_quota(&mut self, held: &mut [UnmetTasks], free: Resources) -> Vec<UnmetTasks> {
+    pub fn starts_on_freed_quota(&mut self, held: &mut [TasksOfClass], free: Resources) -> Vec<TasksOfClass> {
         self.fill_in_turn(held, &[Candidates::WithImage], free)
     }
 
     /// Starts what fits, by groups of the queue; within a group some candidates after the others.
     fn fill_in_turn(
         &mut self,
-        unmet: &mut [UnmetTasks],
+        unmet: &mut [TasksOfClass],
         turns: &[Candidates],
         mut free: Resources,
-    ) -> Vec<UnmetTasks> {
+    ) -> Vec<TasksOfClass> {
         let classes = &self.snapshot.classes;
-        let group = |unmet: &UnmetTasks| QueueGroup::of(&classes[unmet.0]);
+        let group = |unmet: &TasksOfClass| QueueGroup::of(&classes[unmet.0]);
         let mut starts = Vec::new();
         // Classes of one group stand together in the queue.
         for alike in unmet.chunk_by_mut(|a, b| group(a) == group(b)) {
@@ -89,10 +89,10 @@
     /// Starts what fits of the candidates.
     fn fill(
         &mut self,
-        unmet: &mut [UnmetTasks],
+        unmet: &mut [TasksOfClass],
         candidates: Candidates,
         free: &mut Resources,
-        starts: &mut Vec<UnmetTasks>,
+        starts: &mut Vec<TasksOfClass>,
     ) {
         for (class_index, waiting) in unmet.iter_mut().filter(|unmet| unmet.1 > 0) {
             let class = &self.snapshot.classes[*class_index];
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -50,7 +50,7 @@
 mod snapshot;
 mod zone_limits;
 
-pub use decisions::{PlacedTaskIndex, Plan, Reservation, Start, TasksOnMachine, UnmetTasks};
+pub use decisions::{PlacedTaskIndex, Plan, Reservation, Start, TasksOfClass, TasksOnMachine};
 pub(crate) use eligibility::may_use;
 pub use eligibility::start_delay;
 pub use incremental_backfill::IncrementalBackfill;
--- a/tests/planner/incremental_backfill.rs
+++ b/tests/planner/incremental_backfill.rs
@@ -1,7 +1,7 @@
 //! What starts on a machine between two plans.
 
 use milletlock::sched::{
-    queue_order, IncrementalBackfill, JobClass, MachineSnapshot, Snapshot, TeamUse, UnmetTasks,
+    queue_order, IncrementalBackfill, JobClass, MachineSnapshot, Snapshot, TasksOfClass, TeamUse,
 };
 use milletlock::wire::Priority;
 
@@ -25,11 +25,11 @@
 
 impl BackfillCase {
     /// What starts on an empty machine of four processors that has [`CACHED_IMAGE`].
-    pub fn starts(self) -> Vec<UnmetTasks> {
+    pub fn starts(self) -> Vec<TasksOfClass> {
         let machine = MachineSnapshot { images: vec![CACHED_IMAGE], ..empty_machine(4.0) };
         let snapshot = Snapshot { zone_count: 1, classes: self.classes, ..Snapshot::default() };
         let queue = queue_order(&snapshot.classes).into_iter();
-        let mut unmet: Vec<UnmetTasks> =
+        let mut unmet: Vec<TasksOfClass> =
             queue.map(|class| (class, snapshot.classes[class].startable_tasks)).collect();
         IncrementalBackfill {
             snapshot: &snapshot,
