--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -129,7 +129,7 @@
         for (team_use, other) in backfill.team_uses.iter_mut().zip(&self.plan.quota_of_other_starts) {
             team_use.used = team_use.used.plus(other, 1);
         }
-        starts.extend(backfill.starts_on_freed_quota(&mut self.plan.held_by_quota, free));
+        starts.extend(backfill.starts_on_freed_quota(&mut self.plan.blocked_by_quota, free));
         for (class, count) in starts {
             if let Some(job) = self.planned_jobs.get(class).cloned() {
                 self.start_tasks(&job, count, id, now, orders);
@@ -140,7 +140,7 @@
     /// The machine as the planner sees it, if waiting tasks of job arrays may start on it before the next
     /// plan.
     fn backfill_candidate(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
-        if self.plan.unplaced.is_empty() && self.plan.held_by_quota.is_empty() {
+        if self.plan.unplaced.is_empty() && self.plan.blocked_by_quota.is_empty() {
             return None;
         }
         self.machine_for_starts(id, now).filter(|snapshot| snapshot.free.cpus > 0.0)
--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -49,7 +49,7 @@
     pub unplaced: Vec<TasksOfClass>,
     /// Tasks of job arrays that their team's quota holds back, in the queue's order: of each team only the first
     /// group of the queue that it holds back, and none if a service or a gang goes first.
-    pub held_by_quota: Vec<TasksOfClass>,
+    pub blocked_by_quota: Vec<TasksOfClass>,
     /// By team: what the plan's starts of all other work take of its quota, which is left to them.
     pub quota_of_other_starts: Vec<Resources>,
     /// By machine type: whether tasks wait that headroom on it is reserved for. Lower priorities do not
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -49,7 +49,7 @@
         let is_service = class.replica_machines.is_some();
         let first = first.get_or_insert_with(|| HeldGroup { group: QueueGroup::of(class), is_service });
         if !first.is_service && !is_service && first.group == group {
-            plan.held_by_quota.push((class_index, held));
+            plan.blocked_by_quota.push((class_index, held));
         }
     }
 
--- a/tests/planner/quotas.rs
+++ b/tests/planner/quotas.rs
@@ -82,15 +82,15 @@
     let with = |first: JobClass| plan(&snapshot_near_quota(0.0, vec![first, small_tasks()]));
     let first = JobClass { priority: Priority::Urgent, ..class(3, 30, 40) };
     let held = with(first.clone());
-    assert_eq!(held.held_by_quota, [(0, 1)], "not the small tasks behind it");
+    assert_eq!(held.blocked_by_quota, [(0, 1)], "not the small tasks behind it");
     assert_eq!(held.quota_of_other_starts, [need(0.0)]);
     let behind_starts = with(JobClass { startable_tasks: 1, ..first.clone() });
-    assert_eq!(behind_starts.held_by_quota, [(1, 7)]);
+    assert_eq!(behind_starts.blocked_by_quota, [(1, 7)]);
     assert_eq!(
         behind_starts.quota_of_other_starts[0].cpus,
         need(1.0).cpus,
         "what the first one starts is its own"
     );
     let service = JobClass { replica_machines: Some(Vec::new()), ..first };
-    assert!(with(service).held_by_quota.is_empty(), "a service goes first");
+    assert!(with(service).blocked_by_quota.is_empty(), "a service goes first");
 }
