--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -118,7 +118,7 @@
         let mut backfill = IncrementalBackfill {
             snapshot: &self.planned_snapshot,
             contended_types: &self.plan.contended_types,
-            gang_awaits_quota: &self.plan.gang_awaits_quota,
+            gang_blocked_by_quota: &self.plan.gang_blocked_by_quota,
             team_uses,
             machine: &machine,
             gang_waits,
--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -56,5 +56,5 @@
     /// start there meanwhile.
     pub contended_types: Vec<bool>,
     /// By team: whether a gang of it is held back by its quota. Quota that comes free is left to that gang.
-    pub gang_awaits_quota: Vec<bool>,
+    pub gang_blocked_by_quota: Vec<bool>,
 }
--- a/src/sched/gangs.rs
+++ b/src/sched/gangs.rs
@@ -21,10 +21,10 @@
         if self.tasks_within_quota(class_index) >= class.startable_tasks {
             return self.start_gang(class_index, &mut plan.starts);
         }
-        if self.gang_awaits_quota[class.team] {
+        if self.gang_blocked_by_quota[class.team] {
             return GangOutcome::AwaitsQuota;
         }
-        self.gang_awaits_quota[class.team] = true;
+        self.gang_blocked_by_quota[class.team] = true;
         let Some(places) = self.place_gang_now(class_index) else { return GangOutcome::NoCapacity };
         self.reserve_quota(class_index, places, plan);
         GangOutcome::AwaitsQuota
--- a/src/sched/incremental_backfill.rs
+++ b/src/sched/incremental_backfill.rs
@@ -26,8 +26,8 @@
     pub snapshot: &'a Snapshot,
     /// [`super::Plan::contended_types`] of the latest plan.
     pub contended_types: &'a [bool],
-    /// [`super::Plan::gang_awaits_quota`] of the latest plan.
-    pub gang_awaits_quota: &'a [bool],
+    /// [`super::Plan::gang_blocked_by_quota`] of the latest plan.
+    pub gang_blocked_by_quota: &'a [bool],
     /// By team: what it uses now; empty if no team has a quota.
     pub team_uses: Vec<TeamUse>,
     /// The machine.
@@ -148,8 +148,8 @@
         let team_use = self.team_uses.get(class.team);
         let has_quota = team_use.is_some_and(|team| team.cpu_quota > 0.0 || team.gpu_quota > 0.0);
         let is_tied = class.gang || class.one_zone || class.spread;
-        let gang_awaits_quota = self.gang_awaits_quota.get(class.team).copied().unwrap_or(false);
-        is_tied || gang_awaits_quota || (has_quota && self.gang_waits)
+        let gang_blocked_by_quota = self.gang_blocked_by_quota.get(class.team).copied().unwrap_or(false);
+        is_tied || gang_blocked_by_quota || (has_quota && self.gang_waits)
     }
 
     /// Whether the class must leave the machine to tasks that headroom on it is reserved for.
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -73,7 +73,7 @@
     }
     plan.quota_of_other_starts = state.quota_of_other_starts(&plan.starts);
     plan.contended_types = state.contended_types;
-    plan.gang_awaits_quota = state.gang_awaits_quota;
+    plan.gang_blocked_by_quota = state.gang_blocked_by_quota;
     plan
 }
 
--- a/src/sched/plan_state.rs
+++ b/src/sched/plan_state.rs
@@ -43,7 +43,7 @@
     /// By team: the part of its quota that is reserved for its first gang that the quota holds back.
     pub(super) quota_reservations: Vec<Option<QuotaReservation>>,
     /// By team: whether a gang of it is held back by its quota, whether it finds capacity or not.
-    pub(super) gang_awaits_quota: Vec<bool>,
+    pub(super) gang_blocked_by_quota: Vec<bool>,
     /// By team: the first group of the queue that its quota holds back.
     pub(super) first_held_by_quota: Vec<Option<HeldGroup>>,
     /// By team: when the tasks that this plan starts give their quota back.
@@ -100,7 +100,7 @@
             preempted_for_replicas: BTreeSet::new(),
             given_to_replicas: vec![Resources::default(); machine_count],
             quota_reservations: vec![None; team_count],
-            gang_awaits_quota: vec![false; team_count],
+            gang_blocked_by_quota: vec![false; team_count],
             first_held_by_quota: (0..team_count).map(|_| None).collect(),
             planned_releases: vec![Vec::new(); team_count],
         }
--- a/tests/planner/incremental_backfill.rs
+++ b/tests/planner/incremental_backfill.rs
@@ -18,7 +18,7 @@
     pub classes: Vec<JobClass>,
     pub team_uses: Vec<TeamUse>,
     /// A gang of the first team waits for its quota.
-    pub gang_awaits_quota: bool,
+    pub gang_blocked_by_quota: bool,
     /// A gang waits for capacity.
     pub gang_waits: bool,
 }
@@ -34,7 +34,7 @@
         IncrementalBackfill {
             snapshot: &snapshot,
             contended_types: &[false],
-            gang_awaits_quota: &[self.gang_awaits_quota],
+            gang_blocked_by_quota: &[self.gang_blocked_by_quota],
             team_uses: self.team_uses,
             machine: &machine,
             gang_waits: self.gang_waits,
@@ -79,7 +79,7 @@
     assert_eq!(case(of_two_teams(), 8.0).starts(), [(0, 2), (1, 2)]);
     assert_eq!(case(of_two_teams(), 10.0).starts(), [(1, 3)]);
     // A gang of the second one's team waits for what comes free of its quota.
-    let quota_awaited = BackfillCase { gang_awaits_quota: true, ..case(of_two_teams(), 0.0) };
+    let quota_awaited = BackfillCase { gang_blocked_by_quota: true, ..case(of_two_teams(), 0.0) };
     assert_eq!(quota_awaited.starts(), [(0, 3)]);
     // A gang waits for capacity: it is left to the next plan.
     let capacity_awaited = BackfillCase { gang_waits: true, ..case(of_two_teams(), 0.0) };
