--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -129,7 +129,7 @@
         for (team_use, other) in backfill.team_uses.iter_mut().zip(&self.plan.quota_of_other_starts) {
             team_use.used = team_use.used.plus(other, 1);
         }
-        starts.extend(backfill.starts_on_freed_quota(&mut self.plan.blocked_by_quota, free));
+        starts.extend(backfill.starts_within_freed_quota(&mut self.plan.blocked_by_quota, free));
         for (class, count) in starts {
             if let Some(job) = self.planned_jobs.get(class).cloned() {
                 self.start_tasks(&job, count, id, now, orders);
--- a/src/sched/incremental_backfill.rs
+++ b/src/sched/incremental_backfill.rs
@@ -60,7 +60,11 @@
     /// since. The plan's starts of the same group on other machines count on what is free of the quota: what
     /// would have to fetch an image leaves it to them. What the plan starts of other work is to be counted in
     /// `team_uses`; `free` is what is left of the machine.
-    pub fn starts_on_freed_quota(&mut self, held: &mut [TasksOfClass], free: Resources) -> Vec<TasksOfClass> {
+    pub fn starts_within_freed_quota(
+        &mut self,
+        held: &mut [TasksOfClass],
+        free: Resources,
+    ) -> Vec<TasksOfClass> {
         self.fill_in_turn(held, &[Candidates::WithImage], free)
     }
 
