--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -133,6 +133,6 @@
             crowded_zone: is_half_of_tasks(in_zone, &job.spec),
         };
         let since_plan = now - self.planned_at;
-        reporting.runs_sooner(class, service.planned.map(|planned| planned - since_plan)).then_some(job_id)
+        reporting.should_start(class, service.planned.map(|planned| planned - since_plan)).then_some(job_id)
     }
 }
--- a/src/sched/replica_starts.rs
+++ b/src/sched/replica_starts.rs
@@ -20,7 +20,7 @@
     /// Whether one more replica may start here ahead of the next plan. `planned` is the time until it
     /// would run where the plan has placed it; none if the plan found no place for it. It has to run sooner
     /// here, and a place in another zone is waited for if this one has many replicas.
-    pub fn runs_sooner(&self, class: &JobClass, planned: Option<Micros>) -> bool {
+    pub fn should_start(&self, class: &JobClass, planned: Option<Micros>) -> bool {
         let machine = self.machine;
         let runs_in = Micros::from_secs(fetch_seconds(class, machine)) + machine.failure_penalty;
         let is_sooner = planned.is_none_or(|planned| !self.crowded_zone && runs_in < planned);
