--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -130,7 +130,7 @@
                 .planned_snapshot
                 .headroom_for(machine.machine_type, machine.spot)
                 .map(|headroom| headroom.need),
-            crowded_zone: is_half_of_tasks(in_zone, &job.spec),
+            zone_has_half_of_replicas: is_half_of_tasks(in_zone, &job.spec),
         };
         let since_plan = now - self.planned_at;
         reporting.should_start(class, service.planned.map(|planned| planned - since_plan)).then_some(job_id)
--- a/src/sched/replica_starts.rs
+++ b/src/sched/replica_starts.rs
@@ -13,7 +13,7 @@
     /// Resources of a task that headroom on the machine is reserved for, if any is.
     pub headroom: Option<Resources>,
     /// Whether the machine's zone has half of the service's replicas already.
-    pub crowded_zone: bool,
+    pub zone_has_half_of_replicas: bool,
 }
 
 impl ReportingMachine<'_> {
@@ -23,7 +23,7 @@
     pub fn should_start(&self, class: &JobClass, planned: Option<Micros>) -> bool {
         let machine = self.machine;
         let runs_in = Micros::from_secs(fetch_seconds(class, machine)) + machine.failure_penalty;
-        let is_sooner = planned.is_none_or(|planned| !self.crowded_zone && runs_in < planned);
+        let is_sooner = planned.is_none_or(|planned| !self.zone_has_half_of_replicas && runs_in < planned);
         may_use(class, machine)
             && machine.reclaimed_in.is_none()
             && self.leaves_headroom(class)
