--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -46,7 +46,7 @@
     let quota = TeamUse { cpu_quota: team.cpus_max, gpu_quota: team.gpus_max, ..TeamUse::default() };
     // Gangs and services need all their tasks at once; a job array makes progress with one at a time.
     let tasks_at_once = if spec.is_array() { 1 } else { spec.tasks };
-    if quota.allows(&task_resources(spec)) < tasks_at_once {
+    if quota.allowed_tasks(&task_resources(spec)) < tasks_at_once {
         return Err(NotRunnable::OverTeamQuota(spec.team.clone()));
     }
     Ok(())
--- a/src/fleet/start_check.rs
+++ b/src/fleet/start_check.rs
@@ -24,7 +24,7 @@
             && !self.attempts_exhausted()
             && self.machine_fits(machine, &job.spec)
             && self.zone_rules_allow(machine, job)
-            && team_use.allows(&task_resources(&job.spec)) > 0
+            && team_use.allowed_tasks(&task_resources(&job.spec)) > 0
     }
 
     /// Whether a task cannot be running on a machine that has not acknowledged this leader's fencing
--- a/src/sched/incremental_backfill.rs
+++ b/src/sched/incremental_backfill.rs
@@ -166,7 +166,7 @@
 
     /// How many more tasks of the class its team's quota allows.
     fn quota_allows(&self, class: &JobClass) -> u32 {
-        self.team_uses.get(class.team).map_or(u32::MAX, |team_use| team_use.allows(&class.need))
+        self.team_uses.get(class.team).map_or(u32::MAX, |team_use| team_use.allowed_tasks(&class.need))
     }
 
     /// Counts started tasks against their team's quota.
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -36,7 +36,7 @@
         if let Some(reservation) = reservation.filter(|reservation| runs_for > reservation.at) {
             team_use.used = team_use.used.plus(&reservation.need, reservation.count);
         }
-        class.startable_tasks.min(team_use.allows(&class.need))
+        class.startable_tasks.min(team_use.allowed_tasks(&class.need))
     }
 
     /// Lists the tasks of an array that its team's quota holds back, unless other work of the team goes first:
@@ -139,5 +139,5 @@
 
 /// Whether the quota lets all the class's tasks that could start do so at once.
 fn allows_whole(team_use: &TeamUse, class: &JobClass) -> bool {
-    team_use.allows(&class.need) >= class.startable_tasks
+    team_use.allowed_tasks(&class.need) >= class.startable_tasks
 }
--- a/src/sched/snapshot.rs
+++ b/src/sched/snapshot.rs
@@ -157,7 +157,7 @@
 
 impl TeamUse {
     /// How many more tasks that each take `task` the quota allows.
-    pub fn allows(&self, task: &Resources) -> u32 {
+    pub fn allowed_tasks(&self, task: &Resources) -> u32 {
         let allowed = |quota: f64, used: f64, per_task: f64| {
             if quota <= 0.0 {
                 u32::MAX
