--- a/src/history.rs
+++ b/src/history.rs
@@ -148,7 +148,7 @@
     }
 
     /// Notes that a bucket's stored value cannot be read: it is never written.
-    pub fn keep_unreadable(&mut self, bucket: u32) {
+    pub fn mark_unreadable(&mut self, bucket: u32) {
         self.unreadable.insert(bucket);
     }
 
--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -131,7 +131,7 @@
     let decoded = decode_packed::<Vec<HistoryRecord>>(fleet, UnreadableRecord::Other, key, bucket, value);
     let Some((bucket, records)) = decoded else {
         if let Ok(bucket) = bucket.parse() {
-            fleet.history.keep_unreadable(bucket);
+            fleet.history.mark_unreadable(bucket);
         }
         return;
     };
