--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -252,7 +252,7 @@
             }
             PendingWrite::LentStartMark(id) => self.start_mark_copied(id, revision, contents),
             PendingWrite::Done(id, chunk) => self.done_chunk_written(id, *chunk, revision, contents, now),
-            PendingWrite::History(bucket) => self.history.written(*bucket, revision),
+            PendingWrite::History(bucket) => self.history.mark_written(*bucket, revision),
             PendingWrite::ObsoleteMachineRecord(id, _) => {
                 self.cleanup.machine_records.remove(id);
             }
--- a/src/history.rs
+++ b/src/history.rs
@@ -168,7 +168,7 @@
     }
 
     /// Records that a bucket was written at a revision: it is clean again.
-    pub fn written(&mut self, bucket: u32, revision: u64) {
+    pub fn mark_written(&mut self, bucket: u32, revision: u64) {
         self.revisions.insert(bucket, revision);
         self.dirty.remove(&bucket);
     }
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -73,6 +73,6 @@
     assert!(value.len() >= 5 && serde_json::to_string(&value).unwrap().len() <= 1002);
     assert_eq!(value[0].stated_us, 1_999_000_000);
     assert!(h.dirty().any(|d| d == b));
-    h.written(b, 9);
+    h.mark_written(b, 9);
     assert!(h.dirty().all(|d| d != b) && h.mod_revision(b) == 9);
 }
