--- a/src/history.rs
+++ b/src/history.rs
@@ -185,7 +185,7 @@
     /// `bytes` bytes of JSON (one separator byte counted for each). Of a key that does not fit whole
     /// the latest jobs are written: with half the bytes to a value a full key would otherwise keep
     /// its whole value from being written.
-    pub fn value(&self, bucket: u32, bytes: usize) -> Vec<HistoryRecord> {
+    pub fn records_to_store(&self, bucket: u32, bytes: usize) -> Vec<HistoryRecord> {
         let mut latest_first: Vec<(&EstimateKey, &Vec<FinishedJob>)> =
             self.jobs.iter().filter(|(key, _)| key.bucket() == bucket).collect();
         latest_first.sort_by_key(|(_, jobs)| std::cmp::Reverse(latest_end_s(jobs)));
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -166,7 +166,7 @@
 
 /// A bucket of the history.
 fn compose_history(fleet: &mut Fleet, pending: &PendingWrite, bucket: u32) -> Write {
-    let value = fleet.history.value(bucket, max_value_bytes(fleet));
+    let value = fleet.history.records_to_store(bucket, max_value_bytes(fleet));
     let key = slot_key(HISTORY_PREFIX, bucket);
     let guard = Guard { key: key.clone(), mod_revision: fleet.history.mod_revision(bucket) };
     Write::new(pending, vec![guard], vec![Change::put(key, json!(value))])
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -40,7 +40,7 @@
         for (day, ratio) in &past {
             h.add(&k, Wall(day * DAY), *ratio);
         }
-        let written = h.value(k.bucket(), 100_000);
+        let written = h.records_to_store(k.bucket(), 100_000);
         let now = Wall(60 * DAY);
         prop_assert_eq!(h.factor(&k, now), model(&past, now.0, most));
         // Rebuilt from what was written, it says the same.
@@ -69,7 +69,7 @@
         h.add(&key("a", n), Wall(n * 1_000_000), 0.9);
     }
     let b = key("a", 1999).bucket();
-    let value = h.value(b, 1000);
+    let value = h.records_to_store(b, 1000);
     assert!(value.len() >= 5 && serde_json::to_string(&value).unwrap().len() <= 1002);
     assert_eq!(value[0].stated_us, 1_999_000_000);
     assert!(h.dirty().any(|d| d == b));
