--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -197,7 +197,7 @@
         writes.extend(machines.map(|slot| PendingWrite::Compaction(PackKind::Machines, slot)));
         let marks = self.start_marks.pending(false);
         writes.extend(marks.map(|slot| PendingWrite::Compaction(PackKind::StartMarks, slot)));
-        writes.extend(self.history.dirty().map(PendingWrite::History));
+        writes.extend(self.history.dirty_buckets().map(PendingWrite::History));
     }
 
     /// Ends of jobs that are complete, and chunks of done ranges that are due.
--- a/src/history.rs
+++ b/src/history.rs
@@ -153,7 +153,7 @@
     }
 
     /// Buckets to write: they have changed since they were last written.
-    pub fn dirty(&self) -> impl Iterator<Item = u32> + '_ {
+    pub fn dirty_buckets(&self) -> impl Iterator<Item = u32> + '_ {
         self.dirty.difference(&self.unreadable).copied()
     }
 
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -72,7 +72,7 @@
     let value = h.records_to_store(b, 1000);
     assert!(value.len() >= 5 && serde_json::to_string(&value).unwrap().len() <= 1002);
     assert_eq!(value[0].stated_us, 1_999_000_000);
-    assert!(h.dirty().any(|d| d == b));
+    assert!(h.dirty_buckets().any(|d| d == b));
     h.mark_written(b, 9);
-    assert!(h.dirty().all(|d| d != b) && h.mod_revision(b) == 9);
+    assert!(h.dirty_buckets().all(|d| d != b) && h.mod_revision(b) == 9);
 }
--- a/tests/services/restarts.rs
+++ b/tests/services/restarts.rs
@@ -21,7 +21,7 @@
         cluster.run(secs(30.0));
         assert_eq!(cluster.fleet.progress(SERVICE).map(|c| (c.done, c.running)), Some((0, 1)), "{why:?}");
         assert!(!cluster.fleet.jobs[SERVICE].is_complete(), "{why:?}");
-        assert_eq!(cluster.fleet.history.dirty().count(), 0, "{why:?}: in the history");
+        assert_eq!(cluster.fleet.history.dirty_buckets().count(), 0, "{why:?}: in the history");
     }
 }
 
