--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -29,7 +29,7 @@
             else {
                 continue;
             };
-            let machine_type = &self.types[offer.ty];
+            let machine_type = &self.types[offer.type_index];
             let supply = self.array_supply(demand.class, drain_s + machine_type.boot_s);
             let falls_short = demand.work > supply;
             if !falls_short {
@@ -51,7 +51,7 @@
     fn array_demands(&self) -> Vec<ArrayDemand<'_>> {
         let drain_s = self.policy.drain_time.secs();
         let mut demands: Vec<ArrayDemand> = Vec::new();
-        for &(class_index, unmet) in &self.plan.unmet {
+        for &(class_index, unmet) in &self.plan.unplaced {
             let class = &self.snapshot.classes[class_index];
             if class.gang || class.replica_machines.is_some() {
                 continue;
--- a/src/capacity/gangs.rs
+++ b/src/capacity/gangs.rs
@@ -19,13 +19,13 @@
     /// tasks.
     pub(super) fn scale_out_for_gangs(&self, scale_out: &mut Vec<ScaleOutItem>) {
         let mut used_slots = vec![0u32; self.snapshot.machines.len()];
-        for &(class_index, unmet) in &self.plan.unmet {
+        for &(class_index, unmet) in &self.plan.unplaced {
             let class = &self.snapshot.classes[class_index];
             if !class.gang {
                 continue;
             }
             let offers = self.fitting_offers(class);
-            let boot_s = offers.first().map(|best| self.types[best.offer.ty].boot_s);
+            let boot_s = offers.first().map(|best| self.types[best.offer.type_index].boot_s);
             let boot = boot_s.map_or(Micros::ZERO, Micros::from_secs);
             let mut found = 0u32;
             for GangSlot { at, machine } in self.gang_slots(class, &used_slots, unmet) {
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -197,7 +197,7 @@
         writes.extend(machines.map(|slot| PendingWrite::Compaction(PackKind::Machines, slot)));
         let marks = self.start_marks.pending(false);
         writes.extend(marks.map(|slot| PendingWrite::Compaction(PackKind::StartMarks, slot)));
-        writes.extend(self.history.dirty().map(PendingWrite::History));
+        writes.extend(self.history.dirty_buckets().map(PendingWrite::History));
     }
 
     /// Ends of jobs that are complete, and chunks of done ranges that are due.
@@ -252,7 +252,7 @@
             }
             PendingWrite::LentStartMark(id) => self.start_mark_copied(id, revision, contents),
             PendingWrite::Done(id, chunk) => self.done_chunk_written(id, *chunk, revision, contents, now),
-            PendingWrite::History(bucket) => self.history.written(*bucket, revision),
+            PendingWrite::History(bucket) => self.history.mark_written(*bucket, revision),
             PendingWrite::ObsoleteMachineRecord(id, _) => {
                 self.cleanup.machine_records.remove(id);
             }
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -81,7 +81,7 @@
             }
         }
         let unmet =
-            plan.unmet.iter().filter(|(class, _)| snapshot.classes[*class].replica_machines.is_some());
+            plan.unplaced.iter().filter(|(class, _)| snapshot.classes[*class].replica_machines.is_some());
         waiting.extend(unmet.map(|(class, _)| (*class, None)));
         let services = waiting.into_iter();
         self.waiting_services = services.map(|(class, planned)| WaitingService { class, planned }).collect();
@@ -130,9 +130,9 @@
                 .planned_snapshot
                 .headroom_for(machine.machine_type, machine.spot)
                 .map(|headroom| headroom.need),
-            crowded_zone: is_half_of_tasks(in_zone, &job.spec),
+            zone_has_half_of_replicas: is_half_of_tasks(in_zone, &job.spec),
         };
         let since_plan = now - self.planned_at;
-        reporting.runs_sooner(class, service.planned.map(|planned| planned - since_plan)).then_some(job_id)
+        reporting.should_start(class, service.planned.map(|planned| planned - since_plan)).then_some(job_id)
     }
 }
--- a/src/history.rs
+++ b/src/history.rs
@@ -148,12 +148,12 @@
     }
 
     /// Notes that a bucket's stored value cannot be read: it is never written.
-    pub fn keep_unreadable(&mut self, bucket: u32) {
+    pub fn mark_unreadable(&mut self, bucket: u32) {
         self.unreadable.insert(bucket);
     }
 
     /// Buckets to write: they have changed since they were last written.
-    pub fn dirty(&self) -> impl Iterator<Item = u32> + '_ {
+    pub fn dirty_buckets(&self) -> impl Iterator<Item = u32> + '_ {
         self.dirty.difference(&self.unreadable).copied()
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Records that a bucket was written at a revision: it is clean again.
-    pub fn written(&mut self, bucket: u32, revision: u64) {
+    pub fn mark_written(&mut self, bucket: u32, revision: u64) {
         self.revisions.insert(bucket, revision);
         self.dirty.remove(&bucket);
     }
@@ -185,7 +185,7 @@
     /// `bytes` bytes of JSON (one separator byte counted for each). Of a key that does not fit whole
     /// the latest jobs are written: with half the bytes to a value a full key would otherwise keep
     /// its whole value from being written.
-    pub fn value(&self, bucket: u32, bytes: usize) -> Vec<HistoryRecord> {
+    pub fn records_to_store(&self, bucket: u32, bytes: usize) -> Vec<HistoryRecord> {
         let mut latest_first: Vec<(&EstimateKey, &Vec<FinishedJob>)> =
             self.jobs.iter().filter(|(key, _)| key.bucket() == bucket).collect();
         latest_first.sort_by_key(|(_, jobs)| std::cmp::Reverse(latest_end_s(jobs)));
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -50,11 +50,11 @@
 mod snapshot;
 mod zone_limits;
 
-pub use decisions::{PlacedTaskIndex, Plan, Reservation, Start, TasksOnMachine, UnmetTasks};
+pub use decisions::{PlacedTaskIndex, Plan, Reservation, Start, TasksOfClass, TasksOnMachine};
 pub(crate) use eligibility::may_use;
 pub use eligibility::start_delay;
 pub use incremental_backfill::IncrementalBackfill;
-pub use queue::{order, score};
+pub use queue::{queue_order, score};
 pub use replica_starts::ReportingMachine;
 pub use resources::Resources;
 pub use snapshot::{JobClass, MachineSnapshot, PlacedTask, ReservedHeadroom, Snapshot, TeamUse};
@@ -66,14 +66,14 @@
 pub fn plan(snapshot: &Snapshot) -> Plan {
     let mut plan = Plan::default();
     let mut state = PlanState::new(snapshot);
-    for class_index in order(&snapshot.classes) {
+    for class_index in queue_order(&snapshot.classes) {
         if snapshot.classes[class_index].startable_tasks > 0 {
             state.plan_class(class_index, &mut plan);
         }
     }
     plan.quota_of_other_starts = state.quota_of_other_starts(&plan.starts);
     plan.contended_types = state.contended_types;
-    plan.gang_awaits_quota = state.gang_awaits_quota;
+    plan.gang_blocked_by_quota = state.gang_blocked_by_quota;
     plan
 }
 
@@ -99,7 +99,7 @@
         if unmet == 0 {
             return;
         }
-        plan.unmet.push((class_index, unmet));
+        plan.unplaced.push((class_index, unmet));
         self.mark_contended_types(class);
         // All that can be preempted for a service is by now; what it lacks beyond that has to be rented.
         if class.replica_machines.is_none() {
--- a/tests/planner/incremental_backfill.rs
+++ b/tests/planner/incremental_backfill.rs
@@ -1,7 +1,7 @@
 //! What starts on a machine between two plans.
 
 use milletlock::sched::{
-    order, IncrementalBackfill, JobClass, MachineSnapshot, Snapshot, TeamUse, UnmetTasks,
+    queue_order, IncrementalBackfill, JobClass, MachineSnapshot, Snapshot, TasksOfClass, TeamUse,
 };
 use milletlock::wire::Priority;
 
@@ -18,23 +18,23 @@
     pub classes: Vec<JobClass>,
     pub team_uses: Vec<TeamUse>,
     /// A gang of the first team waits for its quota.
-    pub gang_awaits_quota: bool,
+    pub gang_blocked_by_quota: bool,
     /// A gang waits for capacity.
     pub gang_waits: bool,
 }
 
 impl BackfillCase {
     /// What starts on an empty machine of four processors that has [`CACHED_IMAGE`].
-    pub fn starts(self) -> Vec<UnmetTasks> {
+    pub fn starts(self) -> Vec<TasksOfClass> {
         let machine = MachineSnapshot { images: vec![CACHED_IMAGE], ..empty_machine(4.0) };
         let snapshot = Snapshot { zone_count: 1, classes: self.classes, ..Snapshot::default() };
-        let queue = order(&snapshot.classes).into_iter();
-        let mut unmet: Vec<UnmetTasks> =
+        let queue = queue_order(&snapshot.classes).into_iter();
+        let mut unmet: Vec<TasksOfClass> =
             queue.map(|class| (class, snapshot.classes[class].startable_tasks)).collect();
         IncrementalBackfill {
             snapshot: &snapshot,
             contended_types: &[false],
-            gang_awaits_quota: &[self.gang_awaits_quota],
+            gang_blocked_by_quota: &[self.gang_blocked_by_quota],
             team_uses: self.team_uses,
             machine: &machine,
             gang_waits: self.gang_waits,
@@ -79,7 +79,7 @@
     assert_eq!(case(of_two_teams(), 8.0).starts(), [(0, 2), (1, 2)]);
     assert_eq!(case(of_two_teams(), 10.0).starts(), [(1, 3)]);
     // A gang of the second one's team waits for what comes free of its quota.
-    let quota_awaited = BackfillCase { gang_awaits_quota: true, ..case(of_two_teams(), 0.0) };
+    let quota_awaited = BackfillCase { gang_blocked_by_quota: true, ..case(of_two_teams(), 0.0) };
     assert_eq!(quota_awaited.starts(), [(0, 3)]);
     // A gang waits for capacity: it is left to the next plan.
     let capacity_awaited = BackfillCase { gang_waits: true, ..case(of_two_teams(), 0.0) };
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -96,7 +96,7 @@
 fn the_cheapest_offer_is_taken_and_a_refused_one_passed_over() {
     let all = decide(vec![], vec![class(16, 40, 0)], None, &[], false);
     assert_eq!(all.0, [(true, 2)]);
-    let refused = MachineOffer { ty: 0, zone: 0, spot: true };
+    let refused = MachineOffer { type_index: 0, zone: 0, spot: true };
     assert_eq!(decide(vec![], vec![class(16, 40, 0)], None, &[refused], false).0, [(false, 2)]);
 }
 
@@ -134,7 +134,7 @@
             reserved_headroom: vec![Some(keep)],
             ..Snapshot::default()
         };
-        plan(&s).unmet.len()
+        plan(&s).unplaced.len()
     };
     let full = |spot: bool| MachineSnapshot { spot, ..machine(8, 1) };
     assert_eq!((unmet(spot()), unmet(full(true))), (0, 1));
