--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::machine::{HeartbeatPosition, Machine, TaskEntry, TaskKey};
-use super::starts::MAX_ORDERS;
+use super::starts::MAX_COMMANDS_PER_REPLY;
 use super::tasks::task_name;
 use super::Fleet;
 use crate::direct_command::DirectCommand;
@@ -184,12 +184,12 @@
     }
 
     /// The orders with which a machine's heartbeat is answered: forgets of exited tasks whose end is
-    /// written, halts, and the starts of the plan (at most `MAX_ORDERS`).
+    /// written, halts, and the starts of the plan (at most `MAX_COMMANDS_PER_REPLY`).
     pub(super) fn reply_orders(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<WorkerCommand> {
         let mut orders = Vec::new();
         if let Some(machine) = self.machines.get(id) {
             let of_tasks = machine.tasks.iter().filter_map(|(key, task)| self.order_for(key, task));
-            orders.extend(of_tasks.take(MAX_ORDERS));
+            orders.extend(of_tasks.take(MAX_COMMANDS_PER_REPLY));
         }
         if self.jobs.len() * self.machines.len() <= MAX_PAIRS_PLANNED_INLINE {
             // Cheap enough to be up to date with this very heartbeat.
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -39,7 +39,7 @@
 
 /// Most orders in a reply to a heartbeat. A line of a reply may take 64 KiB, and an order up to a hundred
 /// bytes; further orders are sent with the next replies.
-pub(super) const MAX_ORDERS: usize = 500;
+pub(super) const MAX_COMMANDS_PER_REPLY: usize = 500;
 
 impl Fleet {
     /// Whether starts wait for a start mark to be written.
@@ -204,7 +204,7 @@
         now: Steady,
         orders: &mut Vec<WorkerCommand>,
     ) -> bool {
-        if orders.len() >= MAX_ORDERS || !self.may_start(id, number, machine, now) {
+        if orders.len() >= MAX_COMMANDS_PER_REPLY || !self.may_start(id, number, machine, now) {
             return false;
         }
         let attempt = self.next_attempt();
