--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -83,7 +83,7 @@
             machine.lease_expired = false;
             machine.missing = false;
         }
-        let orders = self.reply_orders(&id, now, wall);
+        let orders = self.reply_commands(&id, now, wall);
         HeartbeatOutcome::Reply(HeartbeatReply { fencing_token: self.fencing_token, commands: orders })
     }
 
@@ -185,7 +185,7 @@
 
     /// The orders with which a machine's heartbeat is answered: forgets of exited tasks whose end is
     /// written, halts, and the starts of the plan (at most `MAX_COMMANDS_PER_REPLY`).
-    pub(super) fn reply_orders(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<WorkerCommand> {
+    pub(super) fn reply_commands(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<WorkerCommand> {
         let mut orders = Vec::new();
         if let Some(machine) = self.machines.get(id) {
             let of_tasks = machine.tasks.iter().filter_map(|(key, task)| self.order_for(key, task));
@@ -265,7 +265,7 @@
         if self.machines.get(&id).is_none_or(|machine| machine.latest_heartbeat != position) {
             return Vec::new();
         }
-        self.reply_orders(&id, now, wall)
+        self.reply_commands(&id, now, wall)
     }
 }
 
