--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -195,7 +195,7 @@
             // Cheap enough to be up to date with this very heartbeat.
             self.replan(now, wall);
         }
-        self.add_start_orders(id, now, &mut orders);
+        self.add_start_commands(id, now, &mut orders);
         self.count_orders(&orders, now);
         orders
     }
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -54,7 +54,12 @@
 
     /// Adds the starts for the machine whose heartbeat is being answered: what the latest plan assigns
     /// to it, and waiting tasks of job arrays that fit there before the next plan.
-    pub(super) fn add_start_orders(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<WorkerCommand>) {
+    pub(super) fn add_start_commands(
+        &mut self,
+        id: &MachineId,
+        now: Steady,
+        orders: &mut Vec<WorkerCommand>,
+    ) {
         self.start_gang_tasks(id, now, orders);
         let is_service = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.spec.is_service());
         let assigned = self.assigned_starts.remove(id).unwrap_or_default();
