--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -172,7 +172,7 @@
     }
 
     /// Counts an order to a worker.
-    pub fn count_order(&mut self, kind: OrderKind) {
+    pub fn count_command(&mut self, kind: OrderKind) {
         self.orders.add(kind);
     }
 
--- a/crates/recovery/tests/discrepancies.rs
+++ b/crates/recovery/tests/discrepancies.rs
@@ -131,7 +131,7 @@
     let mut recovery = RecoveryTracker::default();
     [OrderKind::Start, OrderKind::Halt, OrderKind::Start, OrderKind::Forget]
         .into_iter()
-        .for_each(|kind| recovery.count_order(kind));
+        .for_each(|kind| recovery.count_command(kind));
     let orders = recovery.progress(SECOND).orders;
     assert_eq!((orders.starts, orders.halts, orders.forgets, orders.total()), (2, 1, 1, 4));
 }
@@ -187,7 +187,7 @@
 fn progress_keeps_its_serialized_names() {
     let mut recovery = recovery(&["a", "b"]);
     report(&mut recovery, "a", &[task("array", 1, ReportedTaskState::Done)]);
-    recovery.count_order(OrderKind::Forget);
+    recovery.count_command(OrderKind::Forget);
     let progress = serde_json::to_value(recovery.progress(SECOND)).expect("a value");
     let expected = serde_json::json!({
         "after_s": 1.0, "machines": 2, "unheard": 1, "lost": 0, "adopted": 0,
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -156,7 +156,7 @@
                 commands.push(machine.direct_command(orders));
             }
         }
-        self.count_orders(commands.iter().flat_map(|command| &command.commands), now);
+        self.count_commands(commands.iter().flat_map(|command| &command.commands), now);
         commands
     }
 
@@ -196,7 +196,7 @@
             self.replan(now, wall);
         }
         self.add_start_commands(id, now, &mut orders);
-        self.count_orders(&orders, now);
+        self.count_commands(&orders, now);
         orders
     }
 
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -87,7 +87,7 @@
     }
 
     /// Counts orders that are sent while the recovery's progress is logged.
-    pub(super) fn count_orders<'a>(
+    pub(super) fn count_commands<'a>(
         &mut self,
         orders: impl IntoIterator<Item = &'a WorkerCommand>,
         now: Steady,
@@ -96,7 +96,7 @@
             return;
         }
         for order in orders {
-            self.recovery.count_order(match order {
+            self.recovery.count_command(match order {
                 WorkerCommand::Start { .. } => OrderKind::Start,
                 WorkerCommand::Halt { .. } => OrderKind::Halt,
                 WorkerCommand::Forget { .. } => OrderKind::Forget,
