--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -16,5 +16,5 @@
 pub use discrepancy::{
     Discrepancy, JobRecordState, RecordedJobs, ReportedTask, ReportedTaskState, TaskDiscrepancy,
 };
-pub use progress::{DiscrepancyCounts, OrderCounts, OrderKind, RecoveryProgress};
+pub use progress::{CommandCounts, CommandKind, DiscrepancyCounts, RecoveryProgress};
 pub use tracker::{MachineStatus, RecoveryTracker};
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -8,7 +8,7 @@
 
 /// Kinds of orders to workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum OrderKind {
+pub enum CommandKind {
     /// A task is started.
     Start,
     /// A task is stopped.
@@ -19,7 +19,7 @@
 
 /// Orders since the failover, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderCounts {
+pub struct CommandCounts {
     /// Orders to start a task.
     pub starts: u64,
     /// Orders to stop a task, repeated ones included.
@@ -28,13 +28,13 @@
     pub forgets: u64,
 }
 
-impl OrderCounts {
+impl CommandCounts {
     /// Counts an order.
-    pub fn add(&mut self, kind: OrderKind) {
+    pub fn add(&mut self, kind: CommandKind) {
         let count = match kind {
-            OrderKind::Start => &mut self.starts,
-            OrderKind::Halt => &mut self.halts,
-            OrderKind::Forget => &mut self.forgets,
+            CommandKind::Start => &mut self.starts,
+            CommandKind::Halt => &mut self.halts,
+            CommandKind::Forget => &mut self.forgets,
         };
         *count += 1;
     }
@@ -84,7 +84,7 @@
     #[serde(rename = "differences")]
     pub discrepancies: DiscrepancyCounts,
     /// Orders sent so far.
-    pub orders: OrderCounts,
+    pub orders: CommandCounts,
     /// Seconds from the failover until every machine had reported or was lost; `None` before that.
     pub settled_s: Option<f64>,
 }
--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -6,7 +6,7 @@
 use crate::discrepancy::{
     Discrepancy, JobRecordState, RecordedJobs, ReportedTask, ReportedTaskState, TaskDiscrepancy,
 };
-use crate::progress::{DiscrepancyCounts, OrderCounts, OrderKind, RecoveryProgress};
+use crate::progress::{CommandCounts, CommandKind, DiscrepancyCounts, RecoveryProgress};
 
 /// What is known of a machine that the records name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,7 +61,7 @@
     adopted: u64,
     lost: u64,
     discrepancies: DiscrepancyCounts,
-    orders: OrderCounts,
+    orders: CommandCounts,
     settled: Option<Duration>,
 }
 
@@ -172,7 +172,7 @@
     }
 
     /// Counts an order to a worker.
-    pub fn count_command(&mut self, kind: OrderKind) {
+    pub fn count_command(&mut self, kind: CommandKind) {
         self.orders.add(kind);
     }
 
--- a/crates/recovery/tests/discrepancies.rs
+++ b/crates/recovery/tests/discrepancies.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use milletlock_recovery::{
-    Discrepancy, JobRecordState, MachineStatus, OrderKind, RecordedJobs, RecoveryTracker, ReportedTask,
+    CommandKind, Discrepancy, JobRecordState, MachineStatus, RecordedJobs, RecoveryTracker, ReportedTask,
     ReportedTaskState, TaskDiscrepancy,
 };
 use rand::rngs::StdRng;
@@ -129,7 +129,7 @@
 #[test]
 fn orders_are_counted_by_kind() {
     let mut recovery = RecoveryTracker::default();
-    [OrderKind::Start, OrderKind::Halt, OrderKind::Start, OrderKind::Forget]
+    [CommandKind::Start, CommandKind::Halt, CommandKind::Start, CommandKind::Forget]
         .into_iter()
         .for_each(|kind| recovery.count_command(kind));
     let orders = recovery.progress(SECOND).orders;
@@ -187,7 +187,7 @@
 fn progress_keeps_its_serialized_names() {
     let mut recovery = recovery(&["a", "b"]);
     report(&mut recovery, "a", &[task("array", 1, ReportedTaskState::Done)]);
-    recovery.count_command(OrderKind::Forget);
+    recovery.count_command(CommandKind::Forget);
     let progress = serde_json::to_value(recovery.progress(SECOND)).expect("a value");
     let expected = serde_json::json!({
         "after_s": 1.0, "machines": 2, "unheard": 1, "lost": 0, "adopted": 0,
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use milletlock_recovery::{
-    Discrepancy, JobRecordState, OrderKind, RecordedJobs, RecoveryProgress, ReportedTask, ReportedTaskState,
+    CommandKind, Discrepancy, JobRecordState, RecordedJobs, RecoveryProgress, ReportedTask, ReportedTaskState,
 };
 
 use super::Fleet;
@@ -97,9 +97,9 @@
         }
         for order in orders {
             self.recovery.count_command(match order {
-                WorkerCommand::Start { .. } => OrderKind::Start,
-                WorkerCommand::Halt { .. } => OrderKind::Halt,
-                WorkerCommand::Forget { .. } => OrderKind::Forget,
+                WorkerCommand::Start { .. } => CommandKind::Start,
+                WorkerCommand::Halt { .. } => CommandKind::Halt,
+                WorkerCommand::Forget { .. } => CommandKind::Forget,
             });
         }
     }
