--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -188,7 +188,7 @@
     pub(super) fn reply_commands(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<WorkerCommand> {
         let mut orders = Vec::new();
         if let Some(machine) = self.machines.get(id) {
-            let of_tasks = machine.tasks.iter().filter_map(|(key, task)| self.order_for(key, task));
+            let of_tasks = machine.tasks.iter().filter_map(|(key, task)| self.command_for_task(key, task));
             orders.extend(of_tasks.take(MAX_COMMANDS_PER_REPLY));
         }
         if self.jobs.len() * self.machines.len() <= MAX_PAIRS_PLANNED_INLINE {
@@ -201,7 +201,7 @@
     }
 
     /// The order for a task that a machine has, if there is one: a forget or a halt.
-    fn order_for(&self, key: &TaskKey, task: &TaskEntry) -> Option<WorkerCommand> {
+    fn command_for_task(&self, key: &TaskKey, task: &TaskEntry) -> Option<WorkerCommand> {
         match (task.exit_reason, task.stop_grace_s) {
             (Some(reason), _) if self.is_end_written(key, reason) => {
                 Some(WorkerCommand::Forget { task: task_name(&key.job, key.number), attempt: key.attempt })
