--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -6,7 +6,7 @@
 
 use crate::discrepancy::Discrepancy;
 
-/// Kinds of orders to workers.
+/// Kinds of commands to workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CommandKind {
     /// A task is started.
@@ -17,19 +17,19 @@
     Forget,
 }
 
-/// Orders since the failover, by kind.
+/// Commands since the failover, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandCounts {
-    /// Orders to start a task.
+    /// Commands to start a task.
     pub starts: u64,
-    /// Orders to stop a task, repeated ones included.
+    /// Commands to stop a task, repeated ones included.
     pub halts: u64,
-    /// Orders to drop an exited task from the reports, repeated ones included.
+    /// Commands to drop an exited task from the reports, repeated ones included.
     pub forgets: u64,
 }
 
 impl CommandCounts {
-    /// Counts an order.
+    /// Counts a command.
     pub fn add(&mut self, kind: CommandKind) {
         let count = match kind {
             CommandKind::Start => &mut self.starts,
@@ -39,7 +39,7 @@
         *count += 1;
     }
 
-    /// Number of orders of all kinds.
+    /// Number of commands of all kinds.
     pub fn total(&self) -> u64 {
         self.starts + self.halts + self.forgets
     }
@@ -83,8 +83,9 @@
     /// Discrepancies found so far.
     #[serde(rename = "differences")]
     pub discrepancies: DiscrepancyCounts,
-    /// Orders sent so far.
-    pub orders: CommandCounts,
+    /// Commands sent so far.
+    #[serde(rename = "orders")]
+    pub commands: CommandCounts,
     /// Seconds from the failover until every machine had reported or was lost; `None` before that.
     pub settled_s: Option<f64>,
 }
--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -61,7 +61,7 @@
     adopted: u64,
     lost: u64,
     discrepancies: DiscrepancyCounts,
-    orders: CommandCounts,
+    commands: CommandCounts,
     settled: Option<Duration>,
 }
 
@@ -129,7 +129,7 @@
         None
     }
 
-    /// A machine has reported with this leader's fencing token: no order of an earlier leader can reach
+    /// A machine has reported with this leader's fencing token: no command of an earlier leader can reach
     /// it any more.
     pub fn machine_reported(&mut self, machine: &str, after: Duration) {
         self.resolve_machine(machine, MachineStatus::Reported, after);
@@ -171,9 +171,9 @@
         self.gangs.clear();
     }
 
-    /// Counts an order to a worker.
+    /// Counts a command to a worker.
     pub fn count_command(&mut self, kind: CommandKind) {
-        self.orders.add(kind);
+        self.commands.add(kind);
     }
 
     /// Whether every machine has reported or is lost.
@@ -190,7 +190,7 @@
             lost: self.lost,
             adopted: self.adopted,
             discrepancies: self.discrepancies.clone(),
-            orders: self.orders,
+            commands: self.commands,
             settled_s: self.settled.map(|settled| settled.as_secs_f64()),
         }
     }
--- a/crates/recovery/tests/discrepancies.rs
+++ b/crates/recovery/tests/discrepancies.rs
@@ -127,13 +127,13 @@
 }
 
 #[test]
-fn orders_are_counted_by_kind() {
+fn commands_are_counted_by_kind() {
     let mut recovery = RecoveryTracker::default();
     [CommandKind::Start, CommandKind::Halt, CommandKind::Start, CommandKind::Forget]
         .into_iter()
         .for_each(|kind| recovery.count_command(kind));
-    let orders = recovery.progress(SECOND).orders;
-    assert_eq!((orders.starts, orders.halts, orders.forgets, orders.total()), (2, 1, 1, 4));
+    let commands = recovery.progress(SECOND).commands;
+    assert_eq!((commands.starts, commands.halts, commands.forgets, commands.total()), (2, 1, 1, 4));
 }
 
 /// Random machines that report in random order, some twice, some never.
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats from workers and the replies to them: orders in the reply, replies that are deferred until
+//! Heartbeats from workers and the replies to them: commands in the reply, replies that are deferred until
 //! a start comes up, and direct commands that carry this leader's fencing token or halts to machines
 //! that send no heartbeat.
 
@@ -34,7 +34,7 @@
 /// What to do with a worker's heartbeat, as decided by [`Fleet::check_in`].
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// Answer 200 with this reply: this leader's fencing token and the orders for the machine.
+    /// Answer 200 with this reply: this leader's fencing token and the commands for the machine.
     Reply(HeartbeatReply),
     /// The heartbeat carries this higher fencing token: another leader has taken over.
     Superseded(u64),
@@ -83,8 +83,8 @@
             machine.lease_expired = false;
             machine.missing = false;
         }
-        let orders = self.reply_commands(&id, now, wall);
-        HeartbeatOutcome::Reply(HeartbeatReply { fencing_token: self.fencing_token, commands: orders })
+        let commands = self.reply_commands(&id, now, wall);
+        HeartbeatOutcome::Reply(HeartbeatReply { fencing_token: self.fencing_token, commands })
     }
 
     /// Adds the machine of a first heartbeat; returns false if the heartbeat is to be refused.
@@ -126,7 +126,7 @@
         None
     }
 
-    /// Direct commands without orders to the machines to which this leader's fencing token has to be
+    /// Direct commands without commands to the machines to which this leader's fencing token has to be
     /// sent.
     pub fn fencing_token_commands(&self, now: Steady) -> Vec<DirectCommand> {
         let is_due = |machine: &&Machine| machine.needs_fencing_token(now) && !machine.address.is_empty();
@@ -142,18 +142,18 @@
         let mut commands = Vec::new();
         for machine in self.machines.values_mut().filter(|machine| !machine.address.is_empty()) {
             let remains = remains.get(&machine.id);
-            let mut orders = Vec::new();
+            let mut halts = Vec::new();
             for (key, task) in machine.tasks.iter_mut().filter(|(_, task)| task.is_live()) {
                 let Some(grace_s) = task.stop_grace_s else { continue };
                 let is_remainder = remains.is_some_and(|remains| remains.contains(key));
                 if task.stop_directly || is_remainder {
                     task.stop_directly = false;
-                    orders.push(halt(key, grace_s));
+                    halts.push(halt(key, grace_s));
                 }
             }
-            if !orders.is_empty() {
+            if !halts.is_empty() {
                 machine.commanded_at = now;
-                commands.push(machine.direct_command(orders));
+                commands.push(machine.direct_command(halts));
             }
         }
         self.count_commands(commands.iter().flat_map(|command| &command.commands), now);
@@ -183,24 +183,24 @@
         remains.map(|(key, _)| key.clone()).collect()
     }
 
-    /// The orders with which a machine's heartbeat is answered: forgets of exited tasks whose end is
+    /// The commands with which a machine's heartbeat is answered: forgets of exited tasks whose end is
     /// written, halts, and the starts of the plan (at most `MAX_COMMANDS_PER_REPLY`).
     pub(super) fn reply_commands(&mut self, id: &MachineId, now: Steady, wall: Wall) -> Vec<WorkerCommand> {
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         if let Some(machine) = self.machines.get(id) {
             let of_tasks = machine.tasks.iter().filter_map(|(key, task)| self.command_for_task(key, task));
-            orders.extend(of_tasks.take(MAX_COMMANDS_PER_REPLY));
+            commands.extend(of_tasks.take(MAX_COMMANDS_PER_REPLY));
         }
         if self.jobs.len() * self.machines.len() <= MAX_PAIRS_PLANNED_INLINE {
             // Cheap enough to be up to date with this very heartbeat.
             self.replan(now, wall);
         }
-        self.add_start_commands(id, now, &mut orders);
-        self.count_commands(&orders, now);
-        orders
+        self.add_start_commands(id, now, &mut commands);
+        self.count_commands(&commands, now);
+        commands
     }
 
-    /// The order for a task that a machine has, if there is one: a forget or a halt.
+    /// The command for a task that a machine has, if there is one: a forget or a halt.
     fn command_for_task(&self, key: &TaskKey, task: &TaskEntry) -> Option<WorkerCommand> {
         match (task.exit_reason, task.stop_grace_s) {
             (Some(reason), _) if self.is_end_written(key, reason) => {
@@ -223,7 +223,7 @@
     }
 
     /// Whether a heartbeat's reply may be deferred: nothing is on the machine but service replicas that
-    /// run, and there is no order for it, so that a start which comes up meanwhile can be sent at once.
+    /// run, and there is no command for it, so that a start which comes up meanwhile can be sent at once.
     pub fn may_defer_reply(&self, id: &str, now: Steady) -> bool {
         let Some(machine) = self.machines.get(id).filter(|machine| machine.is_usable(now)) else {
             return false;
@@ -253,7 +253,7 @@
             || assigned.any(|starts| self.is_below_start_mark(&starts.job, 0))
     }
 
-    /// The orders with which a deferred heartbeat is answered; empty if a newer heartbeat has come.
+    /// The commands with which a deferred heartbeat is answered; empty if a newer heartbeat has come.
     pub fn deferred_commands(
         &mut self,
         heartbeat: &Heartbeat,
@@ -274,7 +274,7 @@
     !id.is_empty() && id.len() <= MAX_MACHINE_ID_BYTES && !id.contains(FORBIDDEN_IN_MACHINE_ID)
 }
 
-/// The order that stops a task.
+/// The command that stops a task.
 fn halt(key: &TaskKey, grace_s: f64) -> WorkerCommand {
     WorkerCommand::Halt { task: task_name(&key.job, key.number), attempt: key.attempt, grace_s }
 }
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -252,12 +252,12 @@
     }
 
     /// A command to be sent straight to its worker.
-    pub(super) fn direct_command(&self, orders: Vec<WorkerCommand>) -> DirectCommand {
+    pub(super) fn direct_command(&self, commands: Vec<WorkerCommand>) -> DirectCommand {
         DirectCommand {
             machine: self.id.clone(),
             address: self.address.clone(),
             agent_epoch: self.latest_heartbeat.agent_epoch.max(1),
-            commands: orders,
+            commands,
         }
     }
 
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -20,7 +20,7 @@
 /// Time between two log lines of a recovery's progress.
 const PROGRESS_LOG_INTERVAL: Micros = Micros(500_000);
 
-/// How long after a failover progress is logged, and orders are counted.
+/// How long after a failover progress is logged, and commands are counted.
 const RECOVERY_LOGGED_FOR: Micros = Micros(60_000_000);
 
 /// A read-only view of this leader's jobs for the recovery tracker: the jobs as the records had them
@@ -86,17 +86,17 @@
         self.recovery.machine_lost(id, self.since_failover(now));
     }
 
-    /// Counts orders that are sent while the recovery's progress is logged.
+    /// Counts commands that are sent while the recovery's progress is logged.
     pub(super) fn count_commands<'a>(
         &mut self,
-        orders: impl IntoIterator<Item = &'a WorkerCommand>,
+        commands: impl IntoIterator<Item = &'a WorkerCommand>,
         now: Steady,
     ) {
         if now - self.failover_at > RECOVERY_LOGGED_FOR {
             return;
         }
-        for order in orders {
-            self.recovery.count_command(match order {
+        for command in commands {
+            self.recovery.count_command(match command {
                 WorkerCommand::Start { .. } => CommandKind::Start,
                 WorkerCommand::Halt { .. } => CommandKind::Halt,
                 WorkerCommand::Forget { .. } => CommandKind::Forget,
@@ -130,9 +130,9 @@
             failed = count(Discrepancy::Failed),
             partial_gang = count(Discrepancy::PartialGang),
             machine_lost = count(Discrepancy::MachineLost),
-            starts = progress.orders.starts,
-            halts = progress.orders.halts,
-            forgets = progress.orders.forgets,
+            starts = progress.commands.starts,
+            halts = progress.commands.halts,
+            forgets = progress.commands.forgets,
             settled_s = progress.settled_s,
             "recovery"
         );
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -89,7 +89,7 @@
 
     /// Starts waiting replicas on a machine that has just sent a heartbeat, if they run sooner here than
     /// where the plan has them.
-    pub(super) fn start_replicas(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<WorkerCommand>) {
+    pub(super) fn start_replicas(&mut self, id: &MachineId, now: Steady, commands: &mut Vec<WorkerCommand>) {
         if self.waiting_services.is_empty() {
             return;
         }
@@ -104,7 +104,7 @@
             }
         }
         for job in chosen {
-            self.start_tasks(&job, 1, id, now, orders);
+            self.start_tasks(&job, 1, id, now, commands);
         }
     }
 
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -37,8 +37,8 @@
 /// Attempt numbers that are left for what one plan places, gangs included, before no more is started.
 const ATTEMPTS_RESERVED: u64 = 1 << 18;
 
-/// Most orders in a reply to a heartbeat. A line of a reply may take 64 KiB, and an order up to a hundred
-/// bytes; further orders are sent with the next replies.
+/// Most commands in a reply to a heartbeat. A line of a reply may take 64 KiB, and a command up to a hundred
+/// bytes; further commands are sent with the next replies.
 pub(super) const MAX_COMMANDS_PER_REPLY: usize = 500;
 
 impl Fleet {
@@ -58,25 +58,25 @@
         &mut self,
         id: &MachineId,
         now: Steady,
-        orders: &mut Vec<WorkerCommand>,
+        commands: &mut Vec<WorkerCommand>,
     ) {
-        self.start_gang_tasks(id, now, orders);
+        self.start_gang_tasks(id, now, commands);
         let is_service = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.spec.is_service());
         let assigned = self.assigned_starts.remove(id).unwrap_or_default();
         let (replicas, tasks): (Vec<_>, Vec<_>) =
             assigned.into_iter().partition(|starts| is_service(&starts.job));
         for starts in replicas {
-            self.start_assigned_replicas(starts, id, now, orders);
+            self.start_assigned_replicas(starts, id, now, commands);
         }
-        self.start_replicas(id, now, orders);
+        self.start_replicas(id, now, commands);
         for starts in tasks {
-            self.start_tasks(&starts.job, starts.count, id, now, orders);
+            self.start_tasks(&starts.job, starts.count, id, now, commands);
         }
-        self.backfill(id, now, orders);
+        self.backfill(id, now, commands);
     }
 
     /// Starts gang tasks whose places are reserved on the machine.
-    fn start_gang_tasks(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<WorkerCommand>) {
+    fn start_gang_tasks(&mut self, id: &MachineId, now: Steady, commands: &mut Vec<WorkerCommand>) {
         for place in self.reserved_gang_places.remove(id).unwrap_or_default() {
             let gang = self.jobs.get(&place.job).and_then(|job| job.gang.as_ref());
             let is_due = gang.is_some_and(|gang| {
@@ -84,7 +84,7 @@
                     && gang.places.get(&place.number) == Some(id)
                     && !gang.started.contains(place.number)
             });
-            if is_due && !self.start_task(&place.job, place.number, id, now, orders) {
+            if is_due && !self.start_task(&place.job, place.number, id, now, commands) {
                 // Its start mark or the machine's record is still being written.
                 self.reserved_gang_places.entry(id.clone()).or_default().push(place);
             }
@@ -98,10 +98,10 @@
         assigned: AssignedStarts,
         id: &MachineId,
         now: Steady,
-        orders: &mut Vec<WorkerCommand>,
+        commands: &mut Vec<WorkerCommand>,
     ) {
         let AssignedStarts { job, count } = assigned;
-        let started = self.start_tasks(&job, count, id, now, orders);
+        let started = self.start_tasks(&job, count, id, now, commands);
         let has_waiting = self.jobs.get(&job).is_some_and(|job| !job.waiting.is_empty());
         if started < count && has_waiting {
             // Its start mark is being written, or what it replaces has not ended yet.
@@ -112,7 +112,7 @@
 
     /// Starts tasks that the latest plan left unmet, or that a quota held back then, and that fit the machine
     /// now.
-    fn backfill(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<WorkerCommand>) {
+    fn backfill(&mut self, id: &MachineId, now: Steady, commands: &mut Vec<WorkerCommand>) {
         let Some(machine) = self.backfill_candidate(id, now) else { return };
         let team_uses = self.current_team_uses();
         let classes = &self.planned_snapshot.classes;
@@ -137,7 +137,7 @@
         starts.extend(backfill.starts_on_freed_quota(&mut self.plan.held_by_quota, free));
         for (class, count) in starts {
             if let Some(job) = self.planned_jobs.get(class).cloned() {
-                self.start_tasks(&job, count, id, now, orders);
+                self.start_tasks(&job, count, id, now, commands);
             }
         }
     }
@@ -174,7 +174,7 @@
         count: u32,
         machine: &MachineId,
         now: Steady,
-        orders: &mut Vec<WorkerCommand>,
+        commands: &mut Vec<WorkerCommand>,
     ) -> u32 {
         let Some(job) = self.jobs.get(id).filter(|job| !job.ended) else { return 0 };
         let next: Vec<u32> = self.next_tasks(job).take(count as usize).collect();
@@ -183,7 +183,7 @@
         }
         let mut started = 0;
         for number in next {
-            if !self.start_task(id, number, machine, now, orders) {
+            if !self.start_task(id, number, machine, now, commands) {
                 break;
             }
             started += 1;
@@ -207,9 +207,9 @@
         number: u32,
         machine: &MachineId,
         now: Steady,
-        orders: &mut Vec<WorkerCommand>,
+        commands: &mut Vec<WorkerCommand>,
     ) -> bool {
-        if orders.len() >= MAX_COMMANDS_PER_REPLY || !self.may_start(id, number, machine, now) {
+        if commands.len() >= MAX_COMMANDS_PER_REPLY || !self.may_start(id, number, machine, now) {
             return false;
         }
         let attempt = self.next_attempt();
@@ -230,7 +230,7 @@
         }
         self.update_placement(id, number, machine);
         tracing::debug!(machine = %machine, job = %id, task = number, "task start sent");
-        orders.push(WorkerCommand::Start { task: task_name(id, number), attempt });
+        commands.push(WorkerCommand::Start { task: task_name(id, number), attempt });
         true
     }
 
