--- a/tests/cancellation_in_outage/simulation.rs
+++ b/tests/cancellation_in_outage/simulation.rs
@@ -239,7 +239,7 @@
         }
         let reply: HeartbeatReply = serde_json::from_value(v).expect("a reply");
         if w.state.accept_reply(reply.fencing_token, Steady(now)) {
-            w.execute_orders(&reply.commands, now);
+            w.execute_commands(&reply.commands, now);
         }
     }
 
--- a/tests/cancellation_in_outage/worker.rs
+++ b/tests/cancellation_in_outage/worker.rs
@@ -36,7 +36,7 @@
     }
 
     /// Executes the orders of a reply or command.
-    pub fn execute_orders(&mut self, orders: &[WorkerCommand], now: i64) {
+    pub fn execute_commands(&mut self, orders: &[WorkerCommand], now: i64) {
         for o in orders {
             match o {
                 WorkerCommand::Start { task, attempt } => {
@@ -60,7 +60,7 @@
         if !self.state.accept_command(c.fencing_token, c.agent_epoch) {
             return Some(Response::json(409, &self.state.heartbeat()));
         }
-        self.execute_orders(&c.commands, now);
+        self.execute_commands(&c.commands, now);
         Some(Response::json(200, &self.state.heartbeat()))
     }
 
--- a/tests/failover/simulation/heartbeats.rs
+++ b/tests/failover/simulation/heartbeats.rs
@@ -82,7 +82,7 @@
                 && self.now - sent <= REPLY_TIMEOUT
                 && !replies_lost
             {
-                self.execute_orders(w, &reply, sent);
+                self.execute_commands(w, &reply, sent);
             }
         }
         if self.now < self.workers[w].due {
@@ -125,7 +125,7 @@
             return;
         }
         let now = self.now;
-        self.execute_orders(w, &reply, now);
+        self.execute_commands(w, &reply, now);
     }
 
     /// Direct commands that bring the newest leader's fencing token to machines that it has not heard. They
--- a/tests/fault_combinations/late_messages.rs
+++ b/tests/fault_combinations/late_messages.rs
@@ -178,7 +178,7 @@
     assert!(matches!(reply.commands[..], [WorkerCommand::Start { .. }]), "{reply:?}");
     // The held copy of the command comes between the heartbeat and its reply.
     let back = scenario.command("i-1", fencing_token, 1);
-    scenario.execute_orders(0, &reply);
+    scenario.execute_commands(0, &reply);
     assert_eq!(scenario.placed(&a), 1);
     let now = at(scenario.seconds);
     scenario.fleet().direct_command_answered(&back, now);
--- a/tests/fault_combinations/scenario/messages.rs
+++ b/tests/fault_combinations/scenario/messages.rs
@@ -78,7 +78,7 @@
         self.workers[w].leader = leader;
         match self.leaders[leader].controller.fleet.check_in(&r, at(self.seconds), wall(self.seconds)) {
             HeartbeatOutcome::Reply(reply) if self.workers[w].link == Link::Up => {
-                self.execute_orders(w, &reply)
+                self.execute_commands(w, &reply)
             }
             HeartbeatOutcome::Reply(_) => {}
             HeartbeatOutcome::Superseded(_) => {
@@ -93,7 +93,7 @@
     }
 
     /// A worker executes the orders of a reply.
-    pub fn execute_orders(&mut self, w: usize, reply: &HeartbeatReply) {
+    pub fn execute_commands(&mut self, w: usize, reply: &HeartbeatReply) {
         let (s, worker) = (self.seconds, &mut self.workers[w]);
         let before = worker.state.fencing_token;
         if !worker.state.accept_reply(reply.fencing_token, at(s)) {
