--- a/tests/cancellation_in_outage/worker.rs
+++ b/tests/cancellation_in_outage/worker.rs
@@ -35,9 +35,9 @@
         }
     }
 
-    /// Executes the orders of a reply or command.
-    pub fn execute_commands(&mut self, orders: &[WorkerCommand], now: i64) {
-        for o in orders {
+    /// Executes the commands of a reply or of a direct command.
+    pub fn execute_commands(&mut self, commands: &[WorkerCommand], now: i64) {
+        for o in commands {
             match o {
                 WorkerCommand::Start { task, attempt } => {
                     let running = Task::new(TaskStage::Running, Micros::ZERO, Steady(now));
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -1,4 +1,4 @@
-//! All controllers of a cell end and come back while its workers go on. The orders that workers get after
+//! All controllers of a cell end and come back while its workers go on. The commands that workers get after
 //! that are counted from their side: about as many as there are real differences between what the workers
 //! have and what is recorded, however many workers there are.
 
@@ -22,9 +22,9 @@
 /// More than a lease and a heartbeat.
 const LONG_OUTAGE: Duration = Duration::from_millis(6_000);
 
-/// Orders that workers got after a moment, by kind.
+/// Commands that workers got after a moment, by kind.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Orders {
+struct Commands {
     starts: usize,
     halts: usize,
     forgets: usize,
@@ -127,26 +127,26 @@
         );
     }
 
-    /// The orders since the controllers were started again, once no more come for a while.
-    fn orders(&self) -> Orders {
-        let count = || self.cells.history.lock().expect("the history").orders.len();
+    /// The commands since the controllers were started again, once no more come for a while.
+    fn commands(&self) -> Commands {
+        let count = || self.cells.history.lock().expect("the history").commands.len();
         let (mut seen, mut quiet_since) = (count(), Instant::now());
-        until("no more orders come", || {
+        until("no more commands come", || {
             if count() > seen {
                 (seen, quiet_since) = (count(), Instant::now());
             }
             quiet_since.elapsed() > Duration::from_secs(2)
         });
-        let mut orders = Orders::default();
+        let mut commands = Commands::default();
         let history = self.cells.history.lock().expect("the history");
-        for (_, order) in history.orders.iter().filter(|(at, _)| *at > self.since) {
-            match order {
-                WorkerCommand::Start { .. } => orders.starts += 1,
-                WorkerCommand::Halt { .. } => orders.halts += 1,
-                WorkerCommand::Forget { .. } => orders.forgets += 1,
+        for (_, command) in history.commands.iter().filter(|(at, _)| *at > self.since) {
+            match command {
+                WorkerCommand::Start { .. } => commands.starts += 1,
+                WorkerCommand::Halt { .. } => commands.halts += 1,
+                WorkerCommand::Forget { .. } => commands.forgets += 1,
             }
         }
-        orders
+        commands
     }
 }
 
@@ -170,7 +170,7 @@
 fn without_a_difference_no_order_is_given() {
     let mut blackout = Blackout::prepare(31, 40);
     blackout.run(SHORT_OUTAGE, |_| ());
-    assert_eq!(blackout.orders(), Orders::default());
+    assert_eq!(blackout.commands(), Commands::default());
     assert_eq!(
         blackout.cells.history.lock().expect("the history").scale_out_requests,
         0,
@@ -183,7 +183,7 @@
     for (group, controllers) in [(36, 1), (37, 5)] {
         let mut blackout = Blackout::prepare_with(group, 10, controllers);
         blackout.run(SHORT_OUTAGE, |_| ());
-        assert_eq!(blackout.orders(), Orders::default(), "{controllers} controllers");
+        assert_eq!(blackout.commands(), Commands::default(), "{controllers} controllers");
     }
 }
 
@@ -198,7 +198,7 @@
     blackout.run(Duration::from_millis(500), |_| ());
     let lost = blackout.cells.history.lock().expect("the history").killed_by_lease;
     blackout.wait_until_full();
-    assert_eq!(blackout.orders(), Orders { starts: lost, ..Orders::default() });
+    assert_eq!(blackout.commands(), Commands { starts: lost, ..Commands::default() });
 }
 
 #[test]
@@ -210,7 +210,7 @@
     });
     blackout.wait_until_full();
     let lost = blackout.workers * TASKS_PER_WORKER;
-    assert_eq!(blackout.orders(), Orders { starts: lost, ..Orders::default() });
+    assert_eq!(blackout.commands(), Commands { starts: lost, ..Commands::default() });
 }
 
 /// Tasks that end while nobody listens, machines that go, a cancellation that was just confirmed.
@@ -237,13 +237,13 @@
     });
     let left = (blackout.workers - 1) * TASKS_PER_WORKER - ended;
     until("what was lost with machines runs again", || blackout.present() == left);
-    let orders = blackout.orders();
+    let commands = blackout.commands();
     let differences = ended + lost + TASKS_PER_WORKER;
-    // An order is repeated until a heartbeat shows its effect: at most once more for each.
-    assert_eq!(orders.starts, lost, "{orders:?}");
-    assert!(orders.halts <= 2 * TASKS_PER_WORKER, "{orders:?}, one job was cancelled");
-    assert!(orders.forgets <= 2 * (ended + TASKS_PER_WORKER), "{orders:?}, {ended} tasks ended");
-    assert!(orders.starts + orders.halts + orders.forgets <= 2 * differences, "{orders:?}");
+    // A command is repeated until a heartbeat shows its effect: at most once more for each.
+    assert_eq!(commands.starts, lost, "{commands:?}");
+    assert!(commands.halts <= 2 * TASKS_PER_WORKER, "{commands:?}, one job was cancelled");
+    assert!(commands.forgets <= 2 * (ended + TASKS_PER_WORKER), "{commands:?}, {ended} tasks ended");
+    assert!(commands.starts + commands.halts + commands.forgets <= 2 * differences, "{commands:?}");
     blackout.assert_told(ended, lost / TASKS_PER_WORKER);
     let history = blackout.cells.history.lock().expect("the history");
     assert!(history.present.keys().all(|(_, attempt)| !attempt.0.starts_with(&format!("{cancelled}/"))));
@@ -259,10 +259,10 @@
             let changes = blackout.cells.state_load(0).1;
             blackout.run(outage, |_| ());
             let heard = blackout.since.elapsed();
-            let orders = blackout.orders();
+            let commands = blackout.commands();
             let changes = blackout.cells.state_load(0).1 - changes;
             println!(
-                "{workers} workers, away {outage:?}: heard after {heard:?}, {orders:?}, {changes} changes"
+                "{workers} workers, away {outage:?}: heard after {heard:?}, {commands:?}, {changes} changes"
             );
         }
     }
--- a/tests/common/cells/history.rs
+++ b/tests/common/cells/history.rs
@@ -37,8 +37,8 @@
     pub ended_early: BTreeSet<String>,
     /// Machines that were asked for in vain.
     pub scale_out_requests: u64,
-    /// The orders that workers executed, and when.
-    pub orders: Vec<(Instant, WorkerCommand)>,
+    /// The commands that workers executed, and when.
+    pub commands: Vec<(Instant, WorkerCommand)>,
     /// Tasks that were killed by the end of a worker's lease.
     pub killed_by_lease: usize,
 }
--- a/tests/common/cells/worker.rs
+++ b/tests/common/cells/worker.rs
@@ -110,15 +110,15 @@
         !ended.is_empty()
     }
 
-    /// Executes the orders of a reply; whether anything changed.
+    /// Executes the commands of a reply; whether anything changed.
     fn execute(&mut self, reply: &HeartbeatReply, sent: Steady, now: Steady) -> bool {
         if !self.state.accept_reply(reply.fencing_token, sent) {
             return false;
         }
         let received = Instant::now();
-        lock(&self.history).orders.extend(reply.commands.iter().map(|order| (received, order.clone())));
-        for order in &reply.commands {
-            match order {
+        lock(&self.history).commands.extend(reply.commands.iter().map(|command| (received, command.clone())));
+        for command in &reply.commands {
+            match command {
                 WorkerCommand::Start { task, attempt } => self.start((task.clone(), *attempt), now),
                 WorkerCommand::Halt { task, attempt, .. } => {
                     let key = (task.clone(), *attempt);
--- a/tests/failover/simulation/heartbeats.rs
+++ b/tests/failover/simulation/heartbeats.rs
@@ -82,7 +82,7 @@
                 && self.now - sent <= REPLY_TIMEOUT
                 && !replies_lost
             {
-                self.execute_commands(w, &reply, sent);
+                self.execute_reply(w, &reply, sent);
             }
         }
         if self.now < self.workers[w].due {
@@ -113,7 +113,7 @@
         let Some(reply) = self.deliver(i, &r) else { return };
         if self.chance(0.05) {
             let again = self.deliver(i, &r);
-            assert!(again.is_none_or(|r| r.commands.is_empty()), "a copy was given orders");
+            assert!(again.is_none_or(|r| r.commands.is_empty()), "a copy was given commands");
         }
         if self.chance(0.05) || self.now < self.workers[w].replies_lost_until {
             return;
@@ -125,7 +125,7 @@
             return;
         }
         let now = self.now;
-        self.execute_commands(w, &reply, now);
+        self.execute_reply(w, &reply, now);
     }
 
     /// Direct commands that bring the newest leader's fencing token to machines that it has not heard. They
--- a/tests/failover/simulation/tasks.rs
+++ b/tests/failover/simulation/tasks.rs
@@ -16,7 +16,7 @@
 
 impl Simulation {
     /// A worker executes a reply to a heartbeat that it sent at a moment.
-    pub(super) fn execute_commands(&mut self, w: usize, reply: &HeartbeatReply, sent: Steady) {
+    pub(super) fn execute_reply(&mut self, w: usize, reply: &HeartbeatReply, sent: Steady) {
         let now = self.now;
         let worker = &mut self.workers[w].state;
         if !worker.accept_reply(reply.fencing_token, sent) {
--- a/tests/fault_combinations/scenario/messages.rs
+++ b/tests/fault_combinations/scenario/messages.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// A worker executes the orders of a reply.
+    /// A worker executes the commands of a reply.
     pub fn execute_commands(&mut self, w: usize, reply: &HeartbeatReply) {
         let (s, worker) = (self.seconds, &mut self.workers[w]);
         let before = worker.state.fencing_token;
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -128,14 +128,14 @@
         else {
             panic!("the heartbeat of {name} is refused");
         };
-        for order in reply.commands {
-            self.execute(name, order);
+        for command in reply.commands {
+            self.execute(name, command);
         }
     }
 
-    fn execute(&mut self, name: &str, order: WorkerCommand) {
+    fn execute(&mut self, name: &str, command: WorkerCommand) {
         let tasks = self.workers.get_mut(name).expect("a worker");
-        match order {
+        match command {
             WorkerCommand::Start { task, attempt } => {
                 assert!(self.started.insert(task.clone()), "{task} starts twice");
                 tasks.insert((task, attempt), TaskStage::Running);
--- a/tests/held_under_earlier_program.rs
+++ b/tests/held_under_earlier_program.rs
@@ -321,8 +321,8 @@
     });
     let begun_late: Vec<&String> = begun_late.map(|(task, _)| task).collect();
     let is_halt =
-        |order: &WorkerCommand| matches!(order, WorkerCommand::Halt { task, .. } if is_of_job(task));
-    let halts = history.orders.iter().filter(|(_, order)| is_halt(order)).count();
+        |command: &WorkerCommand| matches!(command, WorkerCommand::Halt { task, .. } if is_of_job(task));
+    let halts = history.commands.iter().filter(|(_, command)| is_halt(command)).count();
     let exits = history.exits.iter().filter(|(_, exits)| exits[0].cell == 0);
     let exited: BTreeSet<u32> =
         exits.map(|(task, _)| milletlock::jobs::split_task(task).expect("a task").1).collect();
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -82,7 +82,7 @@
         let response = post(node, "/checkin", serde_json::to_vec(&message).expect("a heartbeat"));
         let reply: HeartbeatReply = serde_json::from_slice(&response.body).expect("a reply");
         fencing_token = reply.fencing_token;
-        there.extend(reply.commands.into_iter().filter_map(|order| match order {
+        there.extend(reply.commands.into_iter().filter_map(|command| match command {
             WorkerCommand::Start { task, attempt } => Some((task, attempt)),
             _ => None,
         }));
--- a/tests/safety/ended_jobs.rs
+++ b/tests/safety/ended_jobs.rs
@@ -5,7 +5,7 @@
 use crate::common::clock::{at, wall, START};
 use crate::common::{heartbeat, record, spec};
 use crate::fixtures::{
-    fleet_with, fleet_with_a_running_task, machine_record, new_fleet, orders, starts, write_all,
+    fleet_with, fleet_with_a_running_task, machine_record, new_fleet, reply_commands, starts, write_all,
 };
 
 #[test]
@@ -14,18 +14,18 @@
     fleet.apply_job_record(record(spec(2, 4, "batch")), 1, START);
     let there = [("wk-000001/0", 3, TaskStage::Running, None)];
     fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
-    orders(&mut fleet, 0.0, &heartbeat("i-1", 1, 7, &there));
+    reply_commands(&mut fleet, 0.0, &heartbeat("i-1", 1, 7, &there));
     write_all(&mut fleet, 0.0);
     fleet.tick(at(0.1), wall(0.1));
     write_all(&mut fleet, 0.1);
-    let o = orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &there));
+    let o = reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &there));
     assert_eq!(o, [WorkerCommand::Halt { task: "wk-000001/0".into(), attempt: 3, grace_s: 0.0 }]);
     let ended = [("wk-000001/0", 3, TaskStage::Exited, Some(ExitReason::Stopped))];
-    let o = orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &ended));
+    let o = reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &ended));
     assert_eq!(o[0], WorkerCommand::Forget { task: "wk-000001/0".into(), attempt: 3 });
     fleet.tick(at(2.1), wall(2.1));
     write_all(&mut fleet, 2.1);
-    assert_eq!(starts(&orders(&mut fleet, 3.0, &heartbeat("i-1", 4, 7, &[]))).len(), 4);
+    assert_eq!(starts(&reply_commands(&mut fleet, 3.0, &heartbeat("i-1", 4, 7, &[]))).len(), 4);
 }
 
 /// Halts go by direct command to machines whose heartbeat is overdue, and to no others; nothing else is
--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -6,7 +6,9 @@
 
 use crate::common::clock::{at, wall, START};
 use crate::common::{heartbeat, record, spec};
-use crate::fixtures::{fleet_with, machine_record, new_fleet, orders, started_job, starts, write_all};
+use crate::fixtures::{
+    fleet_with, machine_record, new_fleet, reply_commands, started_job, starts, write_all,
+};
 
 #[test]
 fn after_a_failover_only_what_cannot_be_elsewhere_starts() {
@@ -15,18 +17,18 @@
     fleet.inherit_machine("i-2", &machine_record("small"), 5, START);
     fleet.apply_job_record(started_job(spec(1, 8, "batch"), 6), 6, START);
     fleet.apply_job_record(started_job(spec(2, 2, "gang"), 2), 7, START);
-    orders(&mut fleet, 0.5, &heartbeat("i-2", 9, 9, &[]));
+    reply_commands(&mut fleet, 0.5, &heartbeat("i-2", 9, 9, &[]));
     fleet.tick(at(0.6), wall(0.6));
     write_all(&mut fleet, 0.6);
-    let s = starts(&orders(&mut fleet, 1.0, &heartbeat("i-2", 10, 9, &[])));
+    let s = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-2", 10, 9, &[])));
     let names: Vec<&str> = s.iter().map(|x| x.0.as_str()).collect();
     assert_eq!(names, ["wk-000001/6", "wk-000001/7"]);
     // The missing machine shows our fencing token and holds one of the tasks: the others may start.
     let there = [("wk-000001/0", 77, TaskStage::Running, None)];
-    orders(&mut fleet, 1.5, &heartbeat("i-1", 40, 9, &there));
+    reply_commands(&mut fleet, 1.5, &heartbeat("i-1", 40, 9, &there));
     fleet.tick(at(1.6), wall(1.6));
     write_all(&mut fleet, 1.6);
-    let rest = starts(&orders(&mut fleet, 2.0, &heartbeat("i-1", 41, 9, &there)));
+    let rest = starts(&reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 41, 9, &there)));
     assert!(!rest.is_empty() && rest.iter().all(|x| x.0 != "wk-000001/0"));
 }
 
@@ -37,12 +39,12 @@
     let mut s = spec(1, 8, "batch");
     s.team = "tight".into();
     fleet.apply_job_record(record(s), 6, START);
-    orders(&mut fleet, 0.5, &heartbeat("i-2", 1, 0, &[]));
+    reply_commands(&mut fleet, 0.5, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 0.5);
     fleet.tick(at(0.6), wall(0.6));
     write_all(&mut fleet, 0.6);
     // The limit is 6 and the unheard machine has 4 processors: two are left.
-    assert_eq!(starts(&orders(&mut fleet, 1.0, &heartbeat("i-2", 2, 9, &[]))).len(), 2);
+    assert_eq!(starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-2", 2, 9, &[]))).len(), 2);
 }
 
 #[test]
@@ -85,9 +87,9 @@
 fn a_new_leader_knows_the_age_of_machines_that_others_scaled_out() {
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
-    orders(&mut fleet, 0.5, &heartbeat("i-1", 9, 9, &[]));
+    reply_commands(&mut fleet, 0.5, &heartbeat("i-1", 9, 9, &[]));
     let idle = |fleet: &mut Fleet, s: f64| {
-        orders(fleet, s, &heartbeat("i-1", 10 + s as u64, 9, &[]));
+        reply_commands(fleet, s, &heartbeat("i-1", 10 + s as u64, 9, &[]));
         let _ = fleet.decide_scaling(at(s), wall(s));
         fleet.machines_to_scale_in().len()
     };
@@ -133,7 +135,7 @@
         for m in 0..MACHINES {
             let s = 1.0 + round as f64 * 3.0 + f64::from(m) * 1e-3;
             let r = report_of(m, 100 + round);
-            given.extend(starts(&orders(&mut fleet, s, &r)).into_iter().map(|x| x.0));
+            given.extend(starts(&reply_commands(&mut fleet, s, &r)).into_iter().map(|x| x.0));
         }
         assert_eq!(fleet.unacknowledged_machines(), 0);
         let s = 3.0 + round as f64 * 3.0;
--- a/tests/safety/fixtures.rs
+++ b/tests/safety/fixtures.rs
@@ -39,17 +39,17 @@
     acknowledge_writes(fleet, 1000, 1000, at(s));
 }
 
-/// The orders in the reply to a heartbeat.
-pub fn orders(fleet: &mut Fleet, s: f64, r: &Heartbeat) -> Vec<WorkerCommand> {
+/// The commands in the reply to a heartbeat.
+pub fn reply_commands(fleet: &mut Fleet, s: f64, r: &Heartbeat) -> Vec<WorkerCommand> {
     match fleet.check_in(r, at(s), wall(s)) {
         HeartbeatOutcome::Reply(r) => r.commands,
         other => panic!("no reply: {other:?}"),
     }
 }
 
-/// The tasks that orders start, with their attempts.
-pub fn starts(orders: &[WorkerCommand]) -> Vec<(String, u64)> {
-    orders
+/// The tasks that commands start, with their attempts.
+pub fn starts(commands: &[WorkerCommand]) -> Vec<(String, u64)> {
+    commands
         .iter()
         .filter_map(|o| match o {
             WorkerCommand::Start { task, attempt } => Some((task.clone(), *attempt)),
@@ -62,7 +62,7 @@
 pub fn fleet_with(job: JobSpec) -> Fleet {
     let mut fleet = new_fleet(7);
     fleet.apply_job_record(record(job), 1, START);
-    orders(&mut fleet, 0.0, &heartbeat("i-1", 1, 0, &[]));
+    reply_commands(&mut fleet, 0.0, &heartbeat("i-1", 1, 0, &[]));
     write_all(&mut fleet, 0.0);
     fleet.tick(at(0.1), wall(0.1));
     write_all(&mut fleet, 0.1);
@@ -72,9 +72,9 @@
 /// A job's only task has been running on the one machine since 2 s; gives its name and attempt.
 pub fn fleet_with_a_running_task() -> (Fleet, (String, u64)) {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
-    let s = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).remove(0);
+    let s = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).remove(0);
     let running = [(s.0.as_str(), s.1, TaskStage::Running, None)];
-    orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &running));
+    reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &running));
     (fleet, s)
 }
 
@@ -86,7 +86,10 @@
         let s = f64::from(s);
         fleet.confirm_lease(at(s));
         fleet.tick(at(s), wall(s));
-        assert!(starts(&orders(fleet, s, &heartbeat("i-2", sequence, 9, &[]))).is_empty(), "after {s} s");
+        assert!(
+            starts(&reply_commands(fleet, s, &heartbeat("i-2", sequence, 9, &[]))).is_empty(),
+            "after {s} s"
+        );
         sequence += 1;
     }
     sequence
--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -6,7 +6,7 @@
 use crate::common::clock::{at, wall, START};
 use crate::common::{heartbeat, record, spec};
 use crate::fixtures::{
-    fleet_with, fleet_with_a_running_task, machine_record, new_fleet, orders, starts, write_all,
+    fleet_with, fleet_with_a_running_task, machine_record, new_fleet, reply_commands, starts, write_all,
 };
 
 #[test]
@@ -15,7 +15,7 @@
     fleet.job_ended("wk-000001", 1000);
     fleet.apply_job_record(record(spec(1, 1, "batch")), 999, at(1.0));
     assert!(fleet.jobs.is_empty());
-    assert!(starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).is_empty());
+    assert!(starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).is_empty());
 }
 
 #[test]
--- a/tests/safety/machines.rs
+++ b/tests/safety/machines.rs
@@ -7,12 +7,14 @@
 
 use crate::common::clock::{at, wall, START};
 use crate::common::{config_with, heartbeat, record, spec, types};
-use crate::fixtures::{fleet_with, machine_record, new_fleet, orders, started_job, starts, write_all};
+use crate::fixtures::{
+    fleet_with, machine_record, new_fleet, reply_commands, started_job, starts, write_all,
+};
 
 #[test]
 fn unknown_machines_are_enrolled_and_returned_ones_stay_gone() {
     let mut fleet = new_fleet(7);
-    orders(&mut fleet, 0.0, &heartbeat("i-5", 1, 0, &[]));
+    reply_commands(&mut fleet, 0.0, &heartbeat("i-5", 1, 0, &[]));
     assert_eq!(fleet.pending_writes(START, Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
     assert!(fleet.machine_records.get("i-5").is_some());
     fleet.machines_scaled_in(&["i-5".into()], at(1.0));
@@ -25,12 +27,12 @@
     let mut sequence = 2;
     let mut tries = 0;
     for t in 1..60 {
-        let s = starts(&orders(&mut fleet, t as f64, &heartbeat("i-1", sequence, 7, &[])));
+        let s = starts(&reply_commands(&mut fleet, t as f64, &heartbeat("i-1", sequence, 7, &[])));
         sequence += 1;
         if let Some((task, attempt)) = s.first() {
             tries += 1;
             let ended = [(task.as_str(), *attempt, TaskStage::Exited, Some(ExitReason::Error))];
-            orders(&mut fleet, t as f64 + 0.5, &heartbeat("i-1", sequence, 7, &ended));
+            reply_commands(&mut fleet, t as f64 + 0.5, &heartbeat("i-1", sequence, 7, &ended));
             sequence += 1;
         }
     }
@@ -39,9 +41,9 @@
     fleet.apply_job_record(record(spec(2, 1, "batch")), 50, at(60.0));
     fleet.tick(at(61.0), wall(61.0));
     write_all(&mut fleet, 61.0);
-    let s = starts(&orders(&mut fleet, 62.0, &heartbeat("i-1", sequence, 7, &[])));
+    let s = starts(&reply_commands(&mut fleet, 62.0, &heartbeat("i-1", sequence, 7, &[])));
     let ended = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Error))];
-    orders(&mut fleet, 63.0, &heartbeat("i-1", sequence + 1, 7, &ended));
+    reply_commands(&mut fleet, 63.0, &heartbeat("i-1", sequence + 1, 7, &ended));
     assert_eq!(fleet.machines_to_scale_in(), ["i-1"]);
 }
 
@@ -51,7 +53,7 @@
     let (mut sequence, mut offered, mut t) = (2, Vec::new(), 1.0);
     while fleet.machines_to_scale_in().is_empty() && t < 120.0 {
         // What it was told to start never shows in its heartbeats.
-        offered.push(starts(&orders(&mut fleet, t, &heartbeat("i-1", sequence, 7, &[]))).len());
+        offered.push(starts(&reply_commands(&mut fleet, t, &heartbeat("i-1", sequence, 7, &[]))).len());
         write_all(&mut fleet, t + 0.1);
         fleet.tick(at(t + 0.2), wall(t + 0.2));
         (sequence, t) = (sequence + 1, t + 3.0);
@@ -87,7 +89,7 @@
             fleet.inherit_machine(&format!("i-{n}"), &machine_record("small"), 0, START);
         }
         for n in silent..20 {
-            orders(&mut fleet, 1.0, &heartbeat(&format!("i-{n}"), 9, 9, &[]));
+            reply_commands(&mut fleet, 1.0, &heartbeat(&format!("i-{n}"), 9, 9, &[]));
         }
         fleet.tick(at(t), wall(t));
         fleet.machines_to_scale_in().len()
@@ -123,7 +125,7 @@
     for n in 0..10 {
         let task = format!("wk-000001/{n}");
         let there = [(task.as_str(), 5, TaskStage::Running, None)];
-        orders(&mut fleet, LONG_LEASE_S - 0.5, &heartbeat(&format!("i-{n}"), 9, 9, &there));
+        reply_commands(&mut fleet, LONG_LEASE_S - 0.5, &heartbeat(&format!("i-{n}"), 9, 9, &there));
     }
     fleet.tick(at(LONG_LEASE_S), wall(LONG_LEASE_S));
     assert!(fleet.machines_to_scale_in().is_empty());
@@ -164,7 +166,7 @@
         fleet.tick(at(s), wall(s));
         assert!(fleet.machines_to_scale_in().is_empty(), "after {s} s");
     }
-    (1..10).for_each(|n| drop(orders(&mut fleet, 21.0, &heartbeat(&format!("i-{n}"), 9, 0, &[]))));
+    (1..10).for_each(|n| drop(reply_commands(&mut fleet, 21.0, &heartbeat(&format!("i-{n}"), 9, 0, &[]))));
     fleet.tick(at(30.0), wall(30.0));
     assert_eq!(fleet.machines_to_scale_in(), ["i-0"], "the one that others outlived");
 }
@@ -183,7 +185,7 @@
     for s in 25..75u32 {
         for id in &heard {
             let report = Heartbeat { zone: "south".into(), ..heartbeat(id, u64::from(s), 0, &[]) };
-            orders(&mut fleet, f64::from(s), &report);
+            reply_commands(&mut fleet, f64::from(s), &report);
         }
         fleet.tick(at(f64::from(s)), wall(f64::from(s)));
     }
@@ -198,8 +200,12 @@
 #[test]
 fn machines_without_replies_count_neither_as_silent_nor_as_unreachable() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
-    let s = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).remove(0);
-    orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &[(s.0.as_str(), s.1, TaskStage::Running, None)]));
+    let s = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).remove(0);
+    reply_commands(
+        &mut fleet,
+        2.0,
+        &heartbeat("i-1", 3, 7, &[(s.0.as_str(), s.1, TaskStage::Running, None)]),
+    );
     for t in 3..90 {
         fleet.heartbeat_unanswered("i-1", at(f64::from(t)));
         fleet.tick(at(f64::from(t)), wall(f64::from(t)));
@@ -209,9 +215,9 @@
     assert!(fleet.machines_to_scale_in().is_empty(), "it reports, and only was not answered");
     let mut later = heartbeat("i-1", 1, 7, &[]);
     later.agent_epoch = 2;
-    orders(&mut fleet, 90.5, &later);
+    reply_commands(&mut fleet, 90.5, &later);
     fleet.tick(at(90.6), wall(90.6));
     assert_eq!(fleet.machines["i-1"].undelivered_replies, 0);
     later.sequence = 2;
-    assert_eq!(starts(&orders(&mut fleet, 91.0, &later)).len(), 1, "and has work again");
+    assert_eq!(starts(&reply_commands(&mut fleet, 91.0, &later)).len(), 1, "and has work again");
 }
--- a/tests/safety/starts.rs
+++ b/tests/safety/starts.rs
@@ -6,16 +6,16 @@
 
 use crate::common::clock::{at, wall, START};
 use crate::common::{heartbeat, record, spec, TIGHT_LIMIT};
-use crate::fixtures::{fleet_with, fleet_with_a_running_task, new_fleet, orders, starts, write_all};
+use crate::fixtures::{fleet_with, fleet_with_a_running_task, new_fleet, reply_commands, starts, write_all};
 
 #[test]
 fn a_start_that_a_newer_heartbeat_lacks_is_started_again() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
-    let first = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
+    let first = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
     assert_eq!(first.len(), 1);
     // The same heartbeat once more decides nothing.
     assert_eq!(fleet.check_in(&heartbeat("i-1", 2, 7, &[]), at(1.5), wall(1.5)), HeartbeatOutcome::Refuse);
-    let second = starts(&orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &[])));
+    let second = starts(&reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &[])));
     assert_eq!(second.len(), 1);
     assert_ne!(first[0].1, second[0].1, "an attempt number is used twice");
 }
@@ -23,14 +23,14 @@
 #[test]
 fn attempts_of_a_later_fencing_token_are_greater() {
     let mut early = fleet_with(spec(1, 4, "batch"));
-    let a = starts(&orders(&mut early, 1.0, &heartbeat("i-1", 2, 7, &[])));
+    let a = starts(&reply_commands(&mut early, 1.0, &heartbeat("i-1", 2, 7, &[])));
     let mut late = new_fleet(8);
     late.apply_job_record(record(spec(2, 4, "batch")), 1, START);
-    orders(&mut late, 0.0, &heartbeat("i-9", 1, 0, &[]));
+    reply_commands(&mut late, 0.0, &heartbeat("i-9", 1, 0, &[]));
     write_all(&mut late, 0.0);
     late.tick(at(0.1), wall(0.1));
     write_all(&mut late, 0.1);
-    let b = starts(&orders(&mut late, 1.0, &heartbeat("i-9", 2, 8, &[])));
+    let b = starts(&reply_commands(&mut late, 1.0, &heartbeat("i-9", 2, 8, &[])));
     assert_eq!((a.len(), b.len()), (4, 4));
     assert!(a.iter().all(|x| b.iter().all(|y| x.1 < y.1)));
 }
@@ -39,11 +39,14 @@
 fn nothing_starts_before_its_mark_and_its_machine_are_written() {
     let mut fleet = new_fleet(7);
     fleet.apply_job_record(record(spec(1, 1, "batch")), 1, START);
-    assert!(starts(&orders(&mut fleet, 0.0, &heartbeat("i-1", 1, 0, &[]))).is_empty(), "not enrolled");
+    assert!(
+        starts(&reply_commands(&mut fleet, 0.0, &heartbeat("i-1", 1, 0, &[]))).is_empty(),
+        "not enrolled"
+    );
     assert_eq!(fleet.pending_writes(at(0.0), Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
     write_all(&mut fleet, 0.0);
     assert!(
-        starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).is_empty(),
+        starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).is_empty(),
         "not marked as started"
     );
     assert!(fleet
@@ -51,23 +54,23 @@
         .iter()
         .any(|p| matches!(p, PendingWrite::StartMarks(_))));
     write_all(&mut fleet, 1.0);
-    assert_eq!(starts(&orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &[]))).len(), 1);
+    assert_eq!(starts(&reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &[]))).len(), 1);
 }
 
 #[test]
 fn forget_follows_the_written_done_range() {
     let mut fleet = fleet_with(spec(1, 3, "batch"));
-    let s = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
+    let s = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
     assert_eq!(s.len(), 3);
     let done = [
         (s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Done)),
         (s[1].0.as_str(), s[1].1, TaskStage::Exited, Some(ExitReason::Done)),
         (s[2].0.as_str(), s[2].1, TaskStage::Running, None),
     ];
-    let o = orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &done));
+    let o = reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &done));
     assert!(!o.iter().any(|o| matches!(o, WorkerCommand::Forget { .. })), "forgotten before it is written");
     write_all(&mut fleet, 3.0);
-    let o = orders(&mut fleet, 4.0, &heartbeat("i-1", 4, 7, &done));
+    let o = reply_commands(&mut fleet, 4.0, &heartbeat("i-1", 4, 7, &done));
     let forget = |s: &(String, u64)| WorkerCommand::Forget { task: s.0.clone(), attempt: s.1 };
     assert_eq!(o, [forget(&s[0]), forget(&s[1])]);
 }
@@ -77,11 +80,11 @@
     let (mut fleet, (task, attempt)) = fleet_with_a_running_task();
     assert!(!fleet.may_defer_reply("i-1", at(2.0)), "what changes on a busy machine must be heard at once");
     let done = [(task.as_str(), attempt, TaskStage::Exited, Some(ExitReason::Done))];
-    orders(&mut fleet, 3.0, &heartbeat("i-1", 4, 7, &done));
+    reply_commands(&mut fleet, 3.0, &heartbeat("i-1", 4, 7, &done));
     write_all(&mut fleet, 3.1);
-    orders(&mut fleet, 3.5, &heartbeat("i-1", 5, 7, &done));
+    reply_commands(&mut fleet, 3.5, &heartbeat("i-1", 5, 7, &done));
     let idle = heartbeat("i-1", 6, 7, &[]);
-    assert!(orders(&mut fleet, 4.0, &idle).is_empty() && fleet.may_defer_reply("i-1", at(4.0)));
+    assert!(reply_commands(&mut fleet, 4.0, &idle).is_empty() && fleet.may_defer_reply("i-1", at(4.0)));
     fleet.apply_job_record(record(spec(2, 2, "gang")), 2000, at(4.2));
     fleet.tick(at(4.3), wall(4.3));
     assert!(!fleet.has_ready_start("i-1"), "its mark is not written");
@@ -101,18 +104,21 @@
     let mut fleet = fleet_with(one_zone);
     let mut south = heartbeat("i-2", 1, 0, &[]);
     south.zone = "south".into();
-    orders(&mut fleet, 0.5, &south);
+    reply_commands(&mut fleet, 0.5, &south);
     write_all(&mut fleet, 0.5);
-    assert_eq!(starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).len(), 4);
+    assert_eq!(starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).len(), 4);
     south.sequence = 2;
     south.fencing_token = 7;
     write_all(&mut fleet, 1.1);
-    assert!(starts(&orders(&mut fleet, 1.2, &south)).is_empty(), "a second zone beside starts on their way");
+    assert!(
+        starts(&reply_commands(&mut fleet, 1.2, &south)).is_empty(),
+        "a second zone beside starts on their way"
+    );
 
     let mut spread = spec(2, 3, "batch");
     spread.spread = true;
     let mut fleet = fleet_with(spread);
-    assert_eq!(starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).len(), 2);
+    assert_eq!(starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).len(), 2);
 
     let mut no_spot = spec(3, 1, "batch");
     no_spot.spot = false;
@@ -120,11 +126,11 @@
     fleet.apply_job_record(record(no_spot), 1, START);
     let mut r = heartbeat("i-1", 1, 0, &[]);
     r.spot = true;
-    orders(&mut fleet, 0.0, &r);
+    reply_commands(&mut fleet, 0.0, &r);
     write_all(&mut fleet, 0.0);
     r.sequence = 2;
     r.fencing_token = 7;
-    assert!(starts(&orders(&mut fleet, 1.0, &r)).is_empty());
+    assert!(starts(&reply_commands(&mut fleet, 1.0, &r)).is_empty());
 }
 
 #[test]
@@ -136,13 +142,13 @@
         fleet.apply_job_record(record(s), u64::from(n), START);
     }
     for m in ["i-1", "i-2"] {
-        orders(&mut fleet, 0.0, &heartbeat(m, 1, 0, &[]));
+        reply_commands(&mut fleet, 0.0, &heartbeat(m, 1, 0, &[]));
     }
     write_all(&mut fleet, 0.0);
     fleet.tick(at(0.1), wall(0.1));
     write_all(&mut fleet, 0.1);
-    let a = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).len();
-    let b = starts(&orders(&mut fleet, 1.1, &heartbeat("i-2", 2, 7, &[]))).len();
+    let a = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).len();
+    let b = starts(&reply_commands(&mut fleet, 1.1, &heartbeat("i-2", 2, 7, &[]))).len();
     assert_eq!(a + b, 6);
 }
 
@@ -151,47 +157,47 @@
     let mut small = spec(1, 30, "batch");
     small.team = "tight".into();
     let mut fleet = fleet_with(small);
-    orders(&mut fleet, 0.5, &heartbeat("i-2", 1, 0, &[]));
+    reply_commands(&mut fleet, 0.5, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 0.5);
     let mut gang = spec(2, 3, "gang");
     gang.team = "tight".into();
     gang.priority = Priority::Urgent;
-    let held = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
-    let more = starts(&orders(&mut fleet, 1.1, &heartbeat("i-2", 2, 7, &[])));
+    let held = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
+    let more = starts(&reply_commands(&mut fleet, 1.1, &heartbeat("i-2", 2, 7, &[])));
     assert_eq!((held.len(), more.len()), (4, 2), "the limit of 6 is used up");
     fleet.apply_job_record(record(gang), 9, at(1.2));
     // Two end; four are in use and the gang needs three of six: the small ones may not refill.
     let mut there: Vec<_> =
         more.iter().map(|s| (s.0.as_str(), s.1, TaskStage::Exited, Some(ExitReason::Done))).collect();
-    let o = orders(&mut fleet, 2.0, &heartbeat("i-2", 3, 7, &there));
+    let o = reply_commands(&mut fleet, 2.0, &heartbeat("i-2", 3, 7, &there));
     assert!(starts(&o).is_empty());
     there.clear();
     let left = [(held[0].0.as_str(), held[0].1, TaskStage::Exited, Some(ExitReason::Done))];
     let running: Vec<_> = held[1..].iter().map(|s| (s.0.as_str(), s.1, TaskStage::Running, None)).collect();
-    orders(&mut fleet, 3.0, &heartbeat("i-1", 3, 7, &[&left[..], &running[..]].concat()));
+    reply_commands(&mut fleet, 3.0, &heartbeat("i-1", 3, 7, &[&left[..], &running[..]].concat()));
     fleet.tick(at(3.1), wall(3.1));
     write_all(&mut fleet, 3.1);
-    let mut s = starts(&orders(&mut fleet, 4.0, &heartbeat("i-2", 4, 7, &[])));
-    s.extend(starts(&orders(&mut fleet, 4.1, &heartbeat("i-1", 4, 7, &running))));
+    let mut s = starts(&reply_commands(&mut fleet, 4.0, &heartbeat("i-2", 4, 7, &[])));
+    s.extend(starts(&reply_commands(&mut fleet, 4.1, &heartbeat("i-1", 4, 7, &running))));
     assert_eq!(s.iter().filter(|s| s.0.starts_with("wk-000002/")).count(), 3);
 }
 
 #[test]
 fn a_gang_that_lost_a_task_is_stopped_before_it_starts_again() {
     let mut fleet = fleet_with(spec(1, 2, "gang"));
-    let s = starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
+    let s = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
     assert_eq!(s.len(), 2);
     assert_eq!(s[0].1, s[1].1, "the tasks of a gang share their attempt");
     let half = [
         (s[0].0.as_str(), s[0].1, TaskStage::Running, None),
         (s[1].0.as_str(), s[1].1, TaskStage::Exited, Some(ExitReason::Error)),
     ];
-    let o = orders(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &half));
+    let o = reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &half));
     assert!(o.iter().any(|o| matches!(o, WorkerCommand::Halt { task, .. } if *task == s[0].0)));
     assert!(starts(&o).is_empty());
     let gone = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Stopped))];
-    orders(&mut fleet, 5.0, &heartbeat("i-1", 4, 7, &gone));
-    let again = starts(&orders(&mut fleet, 6.0, &heartbeat("i-1", 5, 7, &[])));
+    reply_commands(&mut fleet, 5.0, &heartbeat("i-1", 4, 7, &gone));
+    let again = starts(&reply_commands(&mut fleet, 6.0, &heartbeat("i-1", 5, 7, &[])));
     assert_eq!(again.len(), 2);
     assert_ne!(again[0].1, s[0].1);
 }
@@ -212,13 +218,13 @@
         let large = JobSpec { cpus: 16.0, ..spec(2 + n, 1, "batch") };
         fleet.apply_job_record(record(large), u64::from(2 + n), START);
     }
-    (0..MACHINES).for_each(|n| drop(orders(&mut fleet, 0.0, &heartbeat(&id(n), 1, 0, &[]))));
+    (0..MACHINES).for_each(|n| drop(reply_commands(&mut fleet, 0.0, &heartbeat(&id(n), 1, 0, &[]))));
     write_all(&mut fleet, 0.0);
     fleet.tick(at(1.5), wall(1.5));
     write_all(&mut fleet, 1.5);
     let mut running = Vec::new();
     for n in 0..MACHINES {
-        let started = starts(&orders(&mut fleet, 1.6, &heartbeat(&id(n), 2, 7, &[])));
+        let started = starts(&reply_commands(&mut fleet, 1.6, &heartbeat(&id(n), 2, 7, &[])));
         running.extend(started.into_iter().map(|task| (n, task)));
     }
     assert_eq!(running.len(), TIGHT_LIMIT);
@@ -228,14 +234,14 @@
         let listed: Vec<_> = there.iter().map(|(task, n)| (task.as_str(), *n, stage, reason)).collect();
         heartbeat(&id(machine), sequence, 7, &listed)
     };
-    orders(&mut fleet, 2.0, &report(3, TaskStage::Running, None));
-    orders(&mut fleet, 2.1, &report(4, TaskStage::Exited, Some(ExitReason::Done)));
+    reply_commands(&mut fleet, 2.0, &report(3, TaskStage::Running, None));
+    reply_commands(&mut fleet, 2.1, &report(4, TaskStage::Exited, Some(ExitReason::Done)));
     write_all(&mut fleet, 2.2);
     fleet.tick(at(3.0), wall(3.0));
     write_all(&mut fleet, 3.0);
-    let again = starts(&orders(&mut fleet, 3.1, &heartbeat(&id(machine), 5, 7, &[])));
+    let again = starts(&reply_commands(&mut fleet, 3.1, &heartbeat(&id(machine), 5, 7, &[])));
     assert_eq!(again.len(), there.len(), "as many as have ended");
     let elsewhere = (machine + 1) % MACHINES;
-    let beyond = starts(&orders(&mut fleet, 3.2, &heartbeat(&id(elsewhere), 5, 7, &[])));
+    let beyond = starts(&reply_commands(&mut fleet, 3.2, &heartbeat(&id(elsewhere), 5, 7, &[])));
     assert!(beyond.is_empty(), "the quota is used up: {beyond:?}");
 }
--- a/tests/services/preemption.rs
+++ b/tests/services/preemption.rs
@@ -22,8 +22,8 @@
     assert_eq!(job_of(halts(&direct)[0]), ARRAY);
     assert!(cluster.deliver_commands().is_empty(), "once");
     cluster.advance(Micros::from_millis(50));
-    let orders = cluster.exchange_heartbeat("a");
-    assert_eq!(starts(&orders), ["wk-000001/0"]);
+    let commands = cluster.exchange_heartbeat("a");
+    assert_eq!(starts(&commands), ["wk-000001/0"]);
     cluster.assert_nothing_runs_twice();
     assert_eq!(cluster.running_tasks(ARRAY).len(), 3);
 }
--- a/tests/services/records.rs
+++ b/tests/services/records.rs
@@ -38,7 +38,7 @@
     fleet.inherit_machine("a", &machine, 0, START);
     fleet.inherit_machine("b", &machine, 0, START);
     fleet.apply_job_record(JobRecord { start_mark: 2, ..record(service(1, 2)) }, 1, START);
-    let mut orders_to_b = |sequence: u64, after: Micros| {
+    let mut commands_to_b = |sequence: u64, after: Micros| {
         let now = START + after;
         fleet.tick(now, Wall(now.0));
         match fleet.check_in(&heartbeat("b", sequence, FENCING_TOKEN, &[]), now, Wall(now.0)) {
@@ -46,8 +46,8 @@
             other => panic!("no reply: {other:?}"),
         }
     };
-    assert!(orders_to_b(1, secs(0.5)).is_empty());
-    assert!(orders_to_b(2, secs(2.0)).is_empty());
+    assert!(commands_to_b(1, secs(0.5)).is_empty());
+    assert!(commands_to_b(2, secs(2.0)).is_empty());
     let now = START + secs(2.5);
     let there = [("wk-000001/0", 3, TaskStage::Running, None)];
     fleet.check_in(&heartbeat("a", 1, FENCING_TOKEN, &there), now, Wall(now.0));
--- a/tests/services/relocation.rs
+++ b/tests/services/relocation.rs
@@ -31,8 +31,8 @@
     cluster.advance(STEP);
     let direct = cluster.deliver_commands();
     assert!(!halts(&direct).is_empty(), "not halted by direct command");
-    let orders = cluster.exchange_heartbeat("a");
-    assert!(starts(&orders).is_empty(), "started on the machine that goes");
+    let commands = cluster.exchange_heartbeat("a");
+    assert!(starts(&commands).is_empty(), "started on the machine that goes");
     let again = cluster.run_until(SERVICE, 4, secs(20.0));
     assert!(again <= HEARTBEAT_INTERVAL.scale(2.0), "{again:?}");
     assert!(cluster.machines_of(SERVICE).contains(&"b".to_string()));
--- a/tests/services/restarts.rs
+++ b/tests/services/restarts.rs
@@ -13,9 +13,9 @@
     for why in [ExitReason::Done, ExitReason::Error, ExitReason::UnknownTask, ExitReason::Other] {
         let mut cluster = cluster_with_a_replica_on_a();
         cluster.end_task("a", SERVICE, why);
-        let orders = cluster.exchange_heartbeat("a");
-        assert!(matches!(orders.first(), Some(WorkerCommand::Forget { .. })), "{why:?}: {orders:?}");
-        assert!(starts(&orders).is_empty(), "{why:?}: started where it ended");
+        let commands = cluster.exchange_heartbeat("a");
+        assert!(matches!(commands.first(), Some(WorkerCommand::Forget { .. })), "{why:?}: {commands:?}");
+        assert!(starts(&commands).is_empty(), "{why:?}: started where it ended");
         cluster.run_until(SERVICE, 1, secs(6.0));
         assert_eq!(cluster.machines_of(SERVICE), ["b"], "{why:?}");
         cluster.run(secs(30.0));
--- a/tests/spot_machines.rs
+++ b/tests/spot_machines.rs
@@ -11,8 +11,8 @@
 use milletlock::time::Micros;
 use milletlock::wire::{Heartbeat, JobSpec, WorkerCommand};
 
-fn stopped(orders: &[WorkerCommand]) -> usize {
-    orders.iter().filter(|o| matches!(o, WorkerCommand::Halt { .. })).count()
+fn stopped(commands: &[WorkerCommand]) -> usize {
+    commands.iter().filter(|o| matches!(o, WorkerCommand::Halt { .. })).count()
 }
 
 /// Tasks of 15 s that ran on with a notice of 15 s were lost with the machine, and began again up to a
@@ -25,9 +25,9 @@
     (0..3).for_each(|_| s.step(&[]));
     assert_eq!(s.tasks("i-000").len(), 4);
     let notice = Heartbeat { interruption_notice_s: Some(15.0), ..s.running_heartbeat("i-000") };
-    let orders = s.send_heartbeat(&notice);
-    assert_eq!(stopped(&orders), 2, "{orders:?}");
-    assert!(orders
+    let commands = s.send_heartbeat(&notice);
+    assert_eq!(stopped(&commands), 2, "{commands:?}");
+    assert!(commands
         .iter()
         .all(|o| !matches!(o, WorkerCommand::Halt { task, .. } if !task.starts_with("wk-000001"))));
     // Near its end what overruns its estimate is left to end.
--- a/tests/starvation.rs
+++ b/tests/starvation.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A worker sends its heartbeat and executes the orders of the reply.
+    /// A worker sends its heartbeat and executes the commands of the reply.
     fn exchange_heartbeat(&mut self, i: usize, now: Steady, wall: Wall) {
         let w = &mut self.workers[i];
         w.sequence += 1;
