--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -101,7 +101,7 @@
         };
         if !leadership.store_contact.may_act(now) {
             // Cancellations cannot be seen any more: the workers' leases must be left to expire.
-            leadership.fleet.heartbeat_unanswered(&heartbeat.machine, now);
+            leadership.fleet.record_unanswered_heartbeat(&heartbeat.machine, now);
             let refused = unavailable("out of touch with the state service");
             return HeartbeatHandling::Answer(refused, reply);
         }
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -47,7 +47,7 @@
     /// Notes that a heartbeat came while this leader may answer none (its own lease is not confirmed).
     /// Without this a machine whose lease expired for that would be taken for silent and scaled in as
     /// soon as the leader may act again: after a long outage of the state store all of them.
-    pub fn heartbeat_unanswered(&mut self, machine: &str, now: Steady) {
+    pub fn record_unanswered_heartbeat(&mut self, machine: &str, now: Steady) {
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.unanswered_heartbeat_at = now;
         }
--- a/tests/safety/machines.rs
+++ b/tests/safety/machines.rs
@@ -207,7 +207,7 @@
         &heartbeat("i-1", 3, 7, &[(s.0.as_str(), s.1, TaskStage::Running, None)]),
     );
     for t in 3..90 {
-        fleet.heartbeat_unanswered("i-1", at(f64::from(t)));
+        fleet.record_unanswered_heartbeat("i-1", at(f64::from(t)));
         fleet.tick(at(f64::from(t)), wall(f64::from(t)));
     }
     fleet.confirm_lease(at(90.0));
