--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -127,7 +127,7 @@
     fn on_command_answer(&self, fencing_token: u64, heartbeat: &Heartbeat) {
         let mut shared = self.lock();
         let Some(leadership) = shared.leadership_with(fencing_token) else { return };
-        if let Some(higher) = leadership.fleet.direct_command_answered(heartbeat, self.now()) {
+        if let Some(higher) = leadership.fleet.apply_direct_command_reply(heartbeat, self.now()) {
             self.step_down(&mut shared, StepDownReason::HigherTokenAtWorker(higher));
         }
     }
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -107,7 +107,7 @@
     /// token was delivered. Its task list may be older than a start that is being delivered, so once the
     /// machine has acknowledged the token it is not used at all. Returns a higher fencing token, if the
     /// heartbeat carries one (of a newer leader).
-    pub fn direct_command_answered(&mut self, heartbeat: &Heartbeat, now: Steady) -> Option<u64> {
+    pub fn apply_direct_command_reply(&mut self, heartbeat: &Heartbeat, now: Steady) -> Option<u64> {
         if heartbeat.fencing_token > self.fencing_token {
             return Some(heartbeat.fencing_token);
         }
--- a/tests/failover/simulation/heartbeats.rs
+++ b/tests/failover/simulation/heartbeats.rs
@@ -194,7 +194,7 @@
             else {
                 continue;
             };
-            if self.leaders[i].controller.fleet.direct_command_answered(&r, now).is_some() {
+            if self.leaders[i].controller.fleet.apply_direct_command_reply(&r, now).is_some() {
                 self.leaders.remove(i);
             }
         }
--- a/tests/fault_combinations/late_messages.rs
+++ b/tests/fault_combinations/late_messages.rs
@@ -126,7 +126,7 @@
     scenario.run(2.0);
     assert_eq!(scenario.fleet().unacknowledged_machines(), 0);
     let now = at(scenario.seconds);
-    assert_eq!(scenario.fleet().direct_command_answered(&back, now), None);
+    assert_eq!(scenario.fleet().apply_direct_command_reply(&back, now), None);
     scenario.run(10.0);
     assert_eq!((scenario.placed(&a), scenario.started(&a)), (1, 1));
     // A command of a leader that has been replaced does nothing and tells it so.
@@ -135,7 +135,7 @@
     let stale = scenario.command(&place, fencing_token, 1);
     let newer = scenario.fleet().fencing_token;
     assert_eq!(
-        scenario.leaders[1].controller.fleet.direct_command_answered(&stale, at(scenario.seconds)),
+        scenario.leaders[1].controller.fleet.apply_direct_command_reply(&stale, at(scenario.seconds)),
         Some(newer)
     );
     scenario.finish(60.0);
@@ -181,7 +181,7 @@
     scenario.execute_commands(0, &reply);
     assert_eq!(scenario.placed(&a), 1);
     let now = at(scenario.seconds);
-    scenario.fleet().direct_command_answered(&back, now);
+    scenario.fleet().apply_direct_command_reply(&back, now);
     // The other sends its heartbeat first, and has capacity.
     scenario.link(&["i-2"], Link::Up);
     scenario.run(10.0);
--- a/tests/fault_combinations/scenario/messages.rs
+++ b/tests/fault_combinations/scenario/messages.rs
@@ -42,7 +42,8 @@
                     continue;
                 }
                 let r = self.command(&id, fencing_token, agent_epoch);
-                if self.leaders[i].controller.fleet.direct_command_answered(&r, at(self.seconds)).is_some() {
+                if self.leaders[i].controller.fleet.apply_direct_command_reply(&r, at(self.seconds)).is_some()
+                {
                     self.end_leader(i);
                     break;
                 }
--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -54,7 +54,7 @@
         fleet.check_in(&heartbeat("i-1", 2, 8, &[]), at(1.0), wall(1.0)),
         HeartbeatOutcome::Superseded(8)
     );
-    assert_eq!(fleet.direct_command_answered(&heartbeat("i-1", 3, 9, &[]), at(1.0)), Some(9));
+    assert_eq!(fleet.apply_direct_command_reply(&heartbeat("i-1", 3, 9, &[]), at(1.0)), Some(9));
 }
 
 #[test]
@@ -105,7 +105,7 @@
     };
     // One that has only replied to a direct command so far is no boot that never ended.
     fleet.inherit_machine("i-2", &machine_record("small"), 0, at(19.0));
-    fleet.direct_command_answered(&heartbeat("i-2", 9, 9, &[]), at(20.5));
+    fleet.apply_direct_command_reply(&heartbeat("i-2", 9, 9, &[]), at(20.5));
     fleet.machines_listed(&[listed.clone(), ListedMachine { id: "i-2".into(), ..listed }], at(21.0));
     fleet.tick(at(21.5), wall(21.5));
     assert!(fleet.machines_to_scale_in().is_empty());
--- a/tests/safety/leases.rs
+++ b/tests/safety/leases.rs
@@ -82,7 +82,7 @@
     fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 1, START);
     let running = [("wk-000001/0", 5, TaskStage::Running, None)];
-    assert_eq!(fleet.direct_command_answered(&heartbeat("i-1", 9, 9, &running), at(3.0)), None);
+    assert_eq!(fleet.apply_direct_command_reply(&heartbeat("i-1", 9, 9, &running), at(3.0)), None);
     assert_eq!(fleet.unacknowledged_machines(), 0);
     reply_commands(&mut fleet, 3.0, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 3.0);
@@ -123,7 +123,7 @@
     reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 8, 5, &running));
     reply_commands(&mut fleet, 1.0, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 1.0);
-    assert_eq!(fleet.direct_command_answered(&heartbeat("i-1", 30, 9, &running), at(20.0)), None);
+    assert_eq!(fleet.apply_direct_command_reply(&heartbeat("i-1", 30, 9, &running), at(20.0)), None);
     let sequence = assert_second_machine_starts_nothing(&mut fleet, 20..44);
     fleet.confirm_lease(at(44.0));
     fleet.tick(at(44.0), wall(44.0));
