--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -213,7 +213,7 @@
             if is_partial {
                 fleet.note_offer_refused(offer, now + NO_CAPACITY_BACKOFF);
             }
-            fleet.machines_scaled_out(&ids, offer, now);
+            fleet.add_scaled_out_machines(&ids, offer, now);
             if is_partial {
                 ScaleOutOutcome::Partial
             } else {
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -28,7 +28,7 @@
     }
 
     /// Adds machines that the cloud granted to this leader.
-    pub fn machines_scaled_out(&mut self, ids: &[String], offer: MachineOffer, now: Steady) {
+    pub fn add_scaled_out_machines(&mut self, ids: &[String], offer: MachineOffer, now: Steady) {
         let machine_type = self.catalog.types.get(offer.ty);
         let type_name = machine_type.map(|machine_type| machine_type.name.clone()).unwrap_or_default();
         let zone = self.zone_name(offer.zone).to_string();
--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -32,7 +32,7 @@
         let now = Steady(1_000_000_000);
         let mut fleet = Fleet::new(config, types(), 7, now);
         let machines: Vec<String> = (0..machines).map(|n| format!("i-{n:03}")).collect();
-        fleet.machines_scaled_out(&machines, MachineOffer { ty: 0, zone: 0, spot }, now);
+        fleet.add_scaled_out_machines(&machines, MachineOffer { ty: 0, zone: 0, spot }, now);
         let mut s = Scenario { fleet, now, sequence: 0, machines };
         s.step(&[]);
         s
@@ -41,7 +41,7 @@
     /// Adds ordinary machines in a zone.
     pub fn add_ordinary(&mut self, machines: usize, zone: usize) {
         let added: Vec<String> = (0..machines).map(|n| format!("j-{n:03}")).collect();
-        self.fleet.machines_scaled_out(&added, MachineOffer { ty: 0, zone, spot: false }, self.now);
+        self.fleet.add_scaled_out_machines(&added, MachineOffer { ty: 0, zone, spot: false }, self.now);
         self.machines.extend(added);
     }
 
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -83,7 +83,7 @@
                     .collect();
                 left -= names.len();
                 self.workers.extend(names.iter().map(|name| (name.clone(), Tasks::new())));
-                self.leader.fleet.machines_scaled_out(&names, offer, self.now);
+                self.leader.fleet.add_scaled_out_machines(&names, offer, self.now);
             }
         }
     }
--- a/tests/safety/machines.rs
+++ b/tests/safety/machines.rs
@@ -178,8 +178,8 @@
     let offer = |zone| MachineOffer { ty: 0, zone, spot: false };
     let ids = |zone: &str| (0..6).map(|n| format!("{zone}-{n}")).collect::<Vec<String>>();
     let mut fleet = new_fleet(9);
-    fleet.machines_scaled_out(&ids("north"), offer(0), START);
-    fleet.machines_scaled_out(&ids("south"), offer(1), START);
+    fleet.add_scaled_out_machines(&ids("north"), offer(0), START);
+    fleet.add_scaled_out_machines(&ids("south"), offer(1), START);
     // One machine of the south does not come up; nothing is heard of the north.
     let heard = ids("south").split_off(1);
     for s in 25..75u32 {
