--- a/src/controller/machine_list.rs
+++ b/src/controller/machine_list.rs
@@ -72,7 +72,7 @@
     fn refresh_list(&self, fencing_token: u64) -> Option<usize> {
         let list = self.cloud.list().ok()?;
         if let Some(leadership) = self.lock().leadership_with(fencing_token) {
-            leadership.fleet.machines_listed(&list, self.now());
+            leadership.fleet.apply_machine_list(&list, self.now());
         }
         Some(list.len())
     }
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -43,7 +43,7 @@
     }
 
     /// Applies the cloud's list of machines; it may be late, and older than the one before.
-    pub fn machines_listed(&mut self, list: &[ListedMachine], now: Steady) {
+    pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Steady) {
         let listed_ids: BTreeSet<&str> = list.iter().map(|listed| listed.id.as_str()).collect();
         for machine in self.machines.values_mut() {
             // One that was registered by an earlier leader was up then, and so has been listed.
--- a/tests/failover/simulation/machines.rs
+++ b/tests/failover/simulation/machines.rs
@@ -95,7 +95,7 @@
             if !self.is_partitioned(i) && self.rng.random_bool(0.1) {
                 let at = usize::from(self.rng.random_bool(0.8));
                 let now = self.now;
-                self.leaders[i].controller.fleet.machines_listed(&self.lists[at], now);
+                self.leaders[i].controller.fleet.apply_machine_list(&self.lists[at], now);
             }
         }
     }
--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -106,7 +106,7 @@
     // One that has only replied to a direct command so far is no boot that never ended.
     fleet.inherit_machine("i-2", &machine_record("small"), 0, at(19.0));
     fleet.apply_direct_command_reply(&heartbeat("i-2", 9, 9, &[]), at(20.5));
-    fleet.machines_listed(&[listed.clone(), ListedMachine { id: "i-2".into(), ..listed }], at(21.0));
+    fleet.apply_machine_list(&[listed.clone(), ListedMachine { id: "i-2".into(), ..listed }], at(21.0));
     fleet.tick(at(21.5), wall(21.5));
     assert!(fleet.machines_to_scale_in().is_empty());
     assert_eq!(idle(&mut fleet, 22.0), 1);
--- a/tests/safety/machines.rs
+++ b/tests/safety/machines.rs
@@ -161,7 +161,7 @@
 #[test]
 fn a_new_leader_gives_idle_machines_time_to_send_a_heartbeat() {
     let mut fleet = new_fleet(9);
-    fleet.machines_listed(&listed_machines(10, 300.0), at(0.5));
+    fleet.apply_machine_list(&listed_machines(10, 300.0), at(0.5));
     for s in [1.0, 5.0, 20.0] {
         fleet.tick(at(s), wall(s));
         assert!(fleet.machines_to_scale_in().is_empty(), "after {s} s");
