--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -53,13 +53,13 @@
             }
         }
         for listed in list {
-            self.machine_listed(listed, now);
+            self.apply_listed_machine(listed, now);
         }
         self.dirty = true;
     }
 
     /// Applies one entry of the cloud's list.
-    fn machine_listed(&mut self, listed: &ListedMachine, now: Steady) {
+    fn apply_listed_machine(&mut self, listed: &ListedMachine, now: Steady) {
         let id: MachineId = listed.id.as_str().into();
         if self.removed_machines.contains_key(&id) {
             return;
