--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -98,7 +98,7 @@
             match self.cloud.return_machines(batch) {
                 Ok(()) => {
                     if let Some(leadership) = self.lock().leadership_with(fencing_token) {
-                        leadership.fleet.machines_scaled_in(batch, self.now());
+                        leadership.fleet.remove_scaled_in_machines(batch, self.now());
                     }
                     self.wake.notify_all();
                 }
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -92,7 +92,7 @@
     }
 
     /// The cloud confirmed that these machines have ended: nothing runs on them any more.
-    pub fn machines_scaled_in(&mut self, ids: &[String], now: Steady) {
+    pub fn remove_scaled_in_machines(&mut self, ids: &[String], now: Steady) {
         for id in ids {
             let id: MachineId = id.as_str().into();
             self.drop_tasks(&id);
--- a/tests/failover/simulation/machines.rs
+++ b/tests/failover/simulation/machines.rs
@@ -136,7 +136,7 @@
             }
             if !self.chance(0.2) {
                 let now = self.now;
-                self.leaders[i].controller.fleet.machines_scaled_in(&ids, now);
+                self.leaders[i].controller.fleet.remove_scaled_in_machines(&ids, now);
             }
         }
     }
--- a/tests/fault_combinations/scenario/leaders.rs
+++ b/tests/fault_combinations/scenario/leaders.rs
@@ -151,7 +151,7 @@
                 continue;
             }
             self.workers.retain(|w| !ids.contains(&w.state.id));
-            self.leaders[i].controller.fleet.machines_scaled_in(&ids, at(self.seconds));
+            self.leaders[i].controller.fleet.remove_scaled_in_machines(&ids, at(self.seconds));
         }
     }
 }
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -168,7 +168,7 @@
         self.leader.fleet.decide_scaling(self.now, wall_at(self.now));
         let leaving = self.leader.fleet.machines_to_scale_in();
         for part in leaving.chunks(100) {
-            self.leader.fleet.machines_scaled_in(part, self.now);
+            self.leader.fleet.remove_scaled_in_machines(part, self.now);
             for name in part {
                 assert!(self.workers.remove(name).is_some_and(|tasks| tasks.is_empty()), "{name} was in use");
             }
--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -71,7 +71,7 @@
     }
     // Half of them go.
     let gone: Vec<String> = (0..MACHINES / 2).map(id).collect();
-    fleet.machines_scaled_in(&gone, at(4.0));
+    fleet.remove_scaled_in_machines(&gone, at(4.0));
     let (machines, before) = (fleet.machines.len(), format!("{:?}", fleet.machines));
     let stale = [("wk-000001/3", 99, TaskStage::Running, None)];
     for late in [5.0, 12.0, 23.0, 60.0, 300.0] {
--- a/tests/safety/leases.rs
+++ b/tests/safety/leases.rs
@@ -69,7 +69,7 @@
     }
     // Only its return ends the doubt.
     assert_eq!(fleet.machines_to_scale_in(), ["i-1"]);
-    fleet.machines_scaled_in(&["i-1".into()], at(61.0));
+    fleet.remove_scaled_in_machines(&["i-1".into()], at(61.0));
     fleet.tick(at(61.1), wall(61.1));
     assert_eq!(starts(&reply_commands(&mut fleet, 62.0, &heartbeat("i-2", 99, 9, &[]))).len(), 1);
 }
--- a/tests/safety/machines.rs
+++ b/tests/safety/machines.rs
@@ -17,7 +17,7 @@
     reply_commands(&mut fleet, 0.0, &heartbeat("i-5", 1, 0, &[]));
     assert_eq!(fleet.pending_writes(START, Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
     assert!(fleet.machine_records.get("i-5").is_some());
-    fleet.machines_scaled_in(&["i-5".into()], at(1.0));
+    fleet.remove_scaled_in_machines(&["i-5".into()], at(1.0));
     assert_eq!(fleet.check_in(&heartbeat("i-5", 2, 7, &[]), at(2.0), wall(2.0)), HeartbeatOutcome::Refuse);
 }
 
@@ -63,7 +63,7 @@
     let busy = offered.iter().filter(|n| **n > 0).count();
     assert!(busy <= 5 && offered.len() > busy, "work kept going to it: {offered:?}");
     // Nothing counted as delivered: all is there to be started elsewhere.
-    fleet.machines_scaled_in(&["i-1".into()], at(t));
+    fleet.remove_scaled_in_machines(&["i-1".into()], at(t));
     assert_eq!(fleet.jobs["wk-000001"].waiting.len(), 400);
 }
 
--- a/tests/services/cluster/mod.rs
+++ b/tests/services/cluster/mod.rs
@@ -322,7 +322,7 @@
     /// The machine is gone and the cloud has said so.
     pub fn remove_machine(&mut self, machine: &str) {
         self.workers.remove(machine);
-        self.fleet.machines_scaled_in(&[machine.into()], self.now);
+        self.fleet.remove_scaled_in_machines(&[machine.into()], self.now);
     }
 
     /// Cuts a machine off from the leader for a time.
--- a/tests/spot_machines.rs
+++ b/tests/spot_machines.rs
@@ -113,7 +113,7 @@
     // Beyond the 20 s within which its class should start.
     (0..10).for_each(|_| s.step(&[]));
     assert_eq!(s.tasks("i-000").len(), 4);
-    s.fleet.machines_scaled_in(&["i-000".into()], s.now);
+    s.fleet.remove_scaled_in_machines(&["i-000".into()], s.now);
     s.machines.clear();
     s.submit(quick(2));
     s.add_ordinary(1, 0);
--- a/tests/upgrade_failovers/simulation/events.rs
+++ b/tests/upgrade_failovers/simulation/events.rs
@@ -97,7 +97,7 @@
         self.model.returned.insert(id.clone());
         match &mut self.leader {
             SimulatedLeader::Production(leader) => leader.returned(&id),
-            SimulatedLeader::Current(fleet) => fleet.machines_scaled_in(&[id], self.now),
+            SimulatedLeader::Current(fleet) => fleet.remove_scaled_in_machines(&[id], self.now),
         }
     }
 
