--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -211,7 +211,7 @@
             );
             let is_partial = (ids.len() as u32) < request.count;
             if is_partial {
-                fleet.note_offer_refused(offer, now + NO_CAPACITY_BACKOFF);
+                fleet.record_refused_offer(offer, now + NO_CAPACITY_BACKOFF);
             }
             fleet.add_scaled_out_machines(&ids, offer, now);
             if is_partial {
@@ -227,12 +227,12 @@
                 spot = request.spot,
                 "scale out: no capacity"
             );
-            fleet.note_offer_refused(offer, now + NO_CAPACITY_BACKOFF);
+            fleet.record_refused_offer(offer, now + NO_CAPACITY_BACKOFF);
             ScaleOutOutcome::Partial
         }
         Err(error) => {
             tracing::info!(%error, "scale out failed");
-            fleet.note_offer_refused(offer, now + CLOUD_ERROR_BACKOFF);
+            fleet.record_refused_offer(offer, now + CLOUD_ERROR_BACKOFF);
             ScaleOutOutcome::Failed
         }
     }
--- a/src/fleet/scaling.rs
+++ b/src/fleet/scaling.rs
@@ -105,7 +105,7 @@
     }
 
     /// Records that the cloud refused an offer, which is not requested again before `until`.
-    pub fn note_offer_refused(&mut self, offer: MachineOffer, until: Steady) {
+    pub fn record_refused_offer(&mut self, offer: MachineOffer, until: Steady) {
         self.refused_offers.insert(offer, until);
     }
 }
