--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -249,7 +249,7 @@
     }
 
     /// Proceeds as if `count` attempt numbers had been used, so that tests need not use them up.
-    pub fn use_attempts(&mut self, count: u64) {
+    pub fn skip_attempt_numbers(&mut self, count: u64) {
         self.attempt_counter += count;
     }
 }
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -254,7 +254,7 @@
     cluster.scale_out();
     (0..3).for_each(|_| cluster.step());
     assert_eq!(cluster.running(), 4);
-    cluster.leader.fleet.use_attempts(1 << 24);
+    cluster.leader.fleet.skip_attempt_numbers(1 << 24);
     assert!(cluster.leader.fleet.attempts_exhausted());
     cluster.submit(spec(2, 200, "batch"));
     cluster.scale_out();
