--- a/src/fleet/gang_placement.rs
+++ b/src/fleet/gang_placement.rs
@@ -16,7 +16,7 @@
     /// their workers can be commanded to send a heartbeat for it. One none of whose starts has been sent is
     /// planned anew when a place is lost or it takes too long; one whose starts have been sent is stopped
     /// then.
-    pub(super) fn drop_unsent_gangs(&mut self, now: Steady) {
+    pub(super) fn end_unstartable_gang_attempts(&mut self, now: Steady) {
         let max_wait = Micros::from_secs(self.config.platform.settings.workers.gang_wait_s);
         let max_unsent = self.heartbeat_interval().scale(MAX_UNSENT_INTERVALS);
         let mut broken = Vec::new();
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -37,7 +37,7 @@
     pub(super) fn plan_now(&mut self, now: Steady, wall: Wall) -> (Snapshot, Vec<MachineId>) {
         self.dirty = false;
         self.planned_at = now;
-        self.drop_unsent_gangs(now);
+        self.end_unstartable_gang_attempts(now);
         let input = self.planner_input(now, wall);
         let mut plan = sched::plan(&input.snapshot);
         if self.awaits_heartbeats(now) {
