--- a/src/fleet/maintenance.rs
+++ b/src/fleet/maintenance.rs
@@ -43,7 +43,7 @@
         }
         self.removed_machines.retain(|_, removed_at| now - *removed_at < REMOVED_MACHINE_RETENTION);
         self.refused_offers.retain(|_, until| now < *until);
-        self.forget_vacated(now);
+        self.forget_old_vacated_machines(now);
         self.replan(now, wall);
     }
 
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -64,7 +64,7 @@
     }
 
     /// Forgets which machines replicas have left long ago.
-    pub(super) fn forget_vacated(&mut self, now: Steady) {
+    pub(super) fn forget_old_vacated_machines(&mut self, now: Steady) {
         for job in self.jobs.values_mut() {
             job.vacated.retain(|_, left_at| now - *left_at < AVOID_MACHINE_FOR);
         }
