--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -46,7 +46,7 @@
         self.assign(&input, &plan, now);
         let PlannerInput { snapshot, machines, jobs } = input;
         self.evict_tasks(&plan, &machines, now);
-        self.note_waiting_services(&snapshot, &plan);
+        self.update_waiting_services(&snapshot, &plan);
         let reserved = plan.reservation.iter().flat_map(|reservation| &reservation.machines);
         let reserved = reserved.map(|(machine, _)| machine);
         let closed = reserved.chain(plan.preempt.iter().map(|(machine, _)| machine));
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -71,7 +71,7 @@
     }
 
     /// Notes which services have replicas waiting, and when they would run by the plan.
-    pub(super) fn note_waiting_services(&mut self, snapshot: &Snapshot, plan: &Plan) {
+    pub(super) fn update_waiting_services(&mut self, snapshot: &Snapshot, plan: &Plan) {
         let mut waiting: BTreeMap<usize, Option<Micros>> = BTreeMap::new();
         for start in &plan.starts {
             let class = &snapshot.classes[start.class];
