--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -71,7 +71,7 @@
         if !had_notice {
             self.stop_unfinishable(id, now);
         }
-        self.note_reply_delivery(id, &listed, lost_lease, now);
+        self.record_reply_delivery(id, &listed, lost_lease, now);
         listed.sort_unstable();
         self.drop_absent_tasks(id, &listed);
         if let Some(machine) = self.machines.get_mut(id).filter(|machine| !machine.tasks.is_empty()) {
@@ -172,7 +172,7 @@
     /// Judges from the next heartbeat whether the last reply was delivered. A machine whose heartbeats
     /// come through while replies do not would have the same work assigned to it for ever, and nothing
     /// of it run: nothing is placed on it during pauses that grow, and it is scaled in if that persists.
-    pub(super) fn note_reply_delivery(
+    pub(super) fn record_reply_delivery(
         &mut self,
         id: &MachineId,
         listed: &[TaskKey],
