--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -239,7 +239,7 @@
         let has_exited = status.stage == TaskStage::Exited;
         let exit = has_exited.then(|| task.exit(status.exit_reason.unwrap_or(ExitReason::Other), now));
         if changed {
-            self.note_cached_image(id, &key.job);
+            self.record_cached_image(id, &key.job);
         }
         if let Some(exit) = exit {
             self.task_exited(id, key, &exit, now);
@@ -249,7 +249,7 @@
     }
 
     /// Notes that a machine caches a job's image, and drops the oldest ones beyond its cache's size.
-    fn note_cached_image(&mut self, id: &MachineId, job: &JobId) {
+    fn record_cached_image(&mut self, id: &MachineId, job: &JobId) {
         let Some(spec) = self.jobs.get(job).map(|job| &job.spec) else { return };
         let (Some(name), image_gb) = (spec.image.clone(), spec.image_gb) else { return };
         let image = self.image_index(&name);
