--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -108,7 +108,7 @@
             self.compare_with_records(id, heartbeat);
         }
         if acknowledges {
-            self.machine_acknowledged(id, now);
+            self.mark_machine_acknowledged(id, now);
         }
     }
 
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -77,7 +77,7 @@
     }
 
     /// A machine has acknowledged this leader's fencing token.
-    pub(super) fn machine_acknowledged(&mut self, id: &str, now: Steady) {
+    pub(super) fn mark_machine_acknowledged(&mut self, id: &str, now: Steady) {
         self.recovery.machine_reported(id, self.since_failover(now));
     }
 
