--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -131,7 +131,7 @@
 
     /// A machine has reported with this leader's fencing token: no command of an earlier leader can reach
     /// it any more.
-    pub fn machine_reported(&mut self, machine: &str, after: Duration) {
+    pub fn mark_reported(&mut self, machine: &str, after: Duration) {
         self.resolve_machine(machine, MachineStatus::Reported, after);
     }
 
--- a/crates/recovery/tests/discrepancies.rs
+++ b/crates/recovery/tests/discrepancies.rs
@@ -48,7 +48,7 @@
 /// A machine's first report, which shows the leader's fencing token as well.
 fn report(recovery: &mut RecoveryTracker, machine: &str, tasks: &[ReportedTask<'_>]) -> Vec<TaskDiscrepancy> {
     let found = recovery.compare_first_report(machine, tasks, &records());
-    recovery.machine_reported(machine, SECOND);
+    recovery.mark_reported(machine, SECOND);
     found
 }
 
@@ -172,7 +172,7 @@
                 recovery.compare_first_report(machine, &tasks, &records).is_empty(),
                 "the first report only"
             );
-            recovery.machine_reported(machine, SECOND);
+            recovery.mark_reported(machine, SECOND);
         }
         let progress = recovery.progress(SECOND);
         assert_eq!(progress.discrepancies.total(), expected + lost, "seed {seed}");
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -78,7 +78,7 @@
 
     /// A machine has acknowledged this leader's fencing token.
     pub(super) fn mark_machine_acknowledged(&mut self, id: &str, now: Steady) {
-        self.recovery.machine_reported(id, self.since_failover(now));
+        self.recovery.mark_reported(id, self.since_failover(now));
     }
 
     /// No task can be running any more on a machine that may not have acknowledged the fencing token.
