--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::start_check::is_half_of_tasks;
+use super::start_check::is_at_least_half_of_tasks;
 use super::Fleet;
 use crate::jobs::{Job, JobId, MachineId};
 use crate::sched::{self, MachineSnapshot, PlacedTask, Plan, ReportingMachine, Snapshot};
@@ -130,7 +130,7 @@
                 .planned_snapshot
                 .headroom_for(machine.machine_type, machine.spot)
                 .map(|headroom| headroom.need),
-            crowded_zone: is_half_of_tasks(in_zone, &job.spec),
+            crowded_zone: is_at_least_half_of_tasks(in_zone, &job.spec),
         };
         let since_plan = now - self.planned_at;
         reporting.runs_sooner(class, service.planned.map(|planned| planned - since_plan)).then_some(job_id)
--- a/src/fleet/start_check.rs
+++ b/src/fleet/start_check.rs
@@ -60,7 +60,7 @@
         let zones = self.placements_by_zone(job);
         let here = zones.get(machine.zone).copied().unwrap_or(0);
         let is_elsewhere = zones.iter().sum::<u32>() > here;
-        !(spec.one_zone && is_elsewhere || spec.spread && is_half_of_tasks(here, spec))
+        !(spec.one_zone && is_elsewhere || spec.spread && is_at_least_half_of_tasks(here, spec))
     }
 
     /// Whether a job's started tasks may be running on a machine that has not acknowledged this leader's
@@ -90,7 +90,7 @@
 }
 
 /// Whether so many tasks are half of a job's, or more.
-pub(super) fn is_half_of_tasks(count: u32, spec: &JobSpec) -> bool {
+pub(super) fn is_at_least_half_of_tasks(count: u32, spec: &JobSpec) -> bool {
     count >= spec.tasks.div_ceil(2)
 }
 
