--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -210,7 +210,7 @@
         }
         self.end_unacknowledged(&expired_unacknowledged, now);
         for id in expired {
-            self.drop_tasks(&id);
+            self.remove_all_tasks(&id);
         }
     }
 
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -95,7 +95,7 @@
     pub fn remove_scaled_in_machines(&mut self, ids: &[String], now: Steady) {
         for id in ids {
             let id: MachineId = id.as_str().into();
-            self.drop_tasks(&id);
+            self.remove_all_tasks(&id);
             self.machine_lost(&id, now);
             if let Some(machine) = self.machines.remove(&id) {
                 if !machine.acknowledged {
@@ -113,7 +113,7 @@
     }
 
     /// No task can be running on the machine any more: its entries are dropped.
-    pub(super) fn drop_tasks(&mut self, id: &MachineId) {
+    pub(super) fn remove_all_tasks(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.sent_starts.clear();
         let tasks = std::mem::take(&mut machine.tasks);
