--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -72,7 +72,7 @@
     /// By zone, whether few machines are silent: neither the zone nor this leader is partitioned.
     few_silent: Vec<bool>,
     /// By zone, whether fewer machines are heard than have not come up in time.
-    mostly_unheard: Vec<bool>,
+    mostly_overdue: Vec<bool>,
     /// This long after a failover few silent machines are scaled in.
     early_fence_delay: Micros,
 }
@@ -159,7 +159,7 @@
     /// Marks a machine for scale in that boots for too long. One that an earlier leader scaled out may be up
     /// and first has to find this leader; where most of a zone's machines do not, it is partitioned.
     fn remove_never_up(&self, machine: &mut Machine, boot_s: f64) {
-        let is_partitioned = self.mostly_unheard.get(machine.zone).copied().unwrap_or(false);
+        let is_partitioned = self.mostly_overdue.get(machine.zone).copied().unwrap_or(false);
         let grace = if is_partitioned {
             PARTITION_GRACE
         } else if machine.age_when_known > Micros::ZERO {
@@ -246,13 +246,13 @@
             unacknowledged_timeout: self.unacknowledged_timeout(),
             heartbeat_interval,
             few_silent: zones.clone().map(|zone| self.few_silent(zone, max_silence, now)).collect(),
-            mostly_unheard: zones.map(|zone| self.mostly_unheard(zone, max_silence, now)).collect(),
+            mostly_overdue: zones.map(|zone| self.mostly_overdue(zone, max_silence, now)).collect(),
             early_fence_delay: self.early_fence_delay(),
         }
     }
 
     /// Whether at least two machines of a zone have not come up in time, and fewer are heard than that.
-    fn mostly_unheard(&self, zone: usize, max_silence: Micros, now: Steady) -> bool {
+    fn mostly_overdue(&self, zone: usize, max_silence: Micros, now: Steady) -> bool {
         let in_zone = |machine: &&Machine| machine.zone == zone && !machine.scaling_in && !machine.missing;
         let is_overdue = |machine: &&Machine| {
             let boot_s = self.catalog.boot_s(machine.type_index);
