--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -62,7 +62,7 @@
         if self.removed_machines.contains_key(&id) {
             return HeartbeatOutcome::Refuse;
         }
-        if !self.machines.contains_key(&id) && !self.add_machine_of(heartbeat, &id, now) {
+        if !self.machines.contains_key(&id) && !self.add_reporting_machine(heartbeat, &id, now) {
             return HeartbeatOutcome::Refuse;
         }
         self.describe_machine(
@@ -88,7 +88,7 @@
     }
 
     /// Adds the machine of a first heartbeat; returns false if the heartbeat is to be refused.
-    fn add_machine_of(&mut self, heartbeat: &Heartbeat, id: &MachineId, now: Steady) -> bool {
+    fn add_reporting_machine(&mut self, heartbeat: &Heartbeat, id: &MachineId, now: Steady) -> bool {
         if !is_well_formed_machine_id(&heartbeat.machine) {
             return false;
         }
