--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -136,7 +136,7 @@
     }
 
     /// A machine that has not reported is given up.
-    pub fn machine_lost(&mut self, machine: &str, after: Duration) {
+    pub fn mark_lost(&mut self, machine: &str, after: Duration) {
         self.resolve_machine(machine, MachineStatus::Lost, after);
     }
 
--- a/crates/recovery/tests/discrepancies.rs
+++ b/crates/recovery/tests/discrepancies.rs
@@ -95,7 +95,7 @@
         &[task("gang", 0, ReportedTaskState::Present), task("gang", 1, ReportedTaskState::Present)],
     );
     assert_eq!(recovery.progress(SECOND).discrepancies.total(), 0, "the third may be on the other machine");
-    recovery.machine_lost("b", 2 * SECOND);
+    recovery.mark_lost("b", 2 * SECOND);
     let discrepancies = recovery.progress(2 * SECOND).discrepancies;
     assert_eq!(discrepancies.count(Discrepancy::PartialGang), 1);
     assert_eq!(discrepancies.count(Discrepancy::MachineLost), 1);
@@ -120,7 +120,7 @@
     let mut recovery = recovery(&["a"]);
     report(&mut recovery, "a", &[]);
     assert!(report(&mut recovery, "a", &[task("array", 1, ReportedTaskState::Done)]).is_empty());
-    recovery.machine_lost("a", SECOND);
+    recovery.mark_lost("a", SECOND);
     assert_eq!(recovery.machine_status("a"), Some(MachineStatus::Reported));
     assert!(report(&mut recovery, "new", &[task("array", 1, ReportedTaskState::Done)]).is_empty());
     assert_eq!(recovery.machine_status("new"), None, "rented since, it has nothing from before");
@@ -147,7 +147,7 @@
         let (mut expected, mut present, mut lost) = (0, BTreeSet::new(), 0);
         for machine in &machines {
             if rng.random_range(0..5) == 0 {
-                recovery.machine_lost(machine, SECOND);
+                recovery.mark_lost(machine, SECOND);
                 lost += 1;
                 continue;
             }
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -222,7 +222,7 @@
         self.unacknowledged_machines = self.unacknowledged_machines.saturating_sub(machines.len());
         self.cached_team_use.clear();
         for id in machines {
-            self.machine_lost(id, now);
+            self.mark_machine_lost(id, now);
         }
     }
 
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -96,7 +96,7 @@
         for id in ids {
             let id: MachineId = id.as_str().into();
             self.remove_all_tasks(&id);
-            self.machine_lost(&id, now);
+            self.mark_machine_lost(&id, now);
             if let Some(machine) = self.machines.remove(&id) {
                 if !machine.acknowledged {
                     self.unacknowledged_machines = self.unacknowledged_machines.saturating_sub(1);
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -82,8 +82,8 @@
     }
 
     /// No task can be running any more on a machine that may not have acknowledged the fencing token.
-    pub(super) fn machine_lost(&mut self, id: &str, now: Steady) {
-        self.recovery.machine_lost(id, self.since_failover(now));
+    pub(super) fn mark_machine_lost(&mut self, id: &str, now: Steady) {
+        self.recovery.mark_lost(id, self.since_failover(now));
     }
 
     /// Counts commands that are sent while the recovery's progress is logged.
