--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -75,7 +75,8 @@
     /// Machines that earlier leaders left.
     pub machines: u64,
     /// Those of them that have neither reported nor been given up.
-    pub unheard: u64,
+    #[serde(rename = "unheard")]
+    pub not_reported: u64,
     /// Those of them that were given up.
     pub lost: u64,
     /// Tasks that were found on a machine and agree with the records.
--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineStatus {
     /// It has not reported: whatever may be on it is neither started elsewhere nor taken for missing.
-    Unheard,
+    NotReported,
     /// It has reported with this leader's fencing token.
     Reported,
     /// It is gone, or its lease has certainly expired.
@@ -53,7 +53,7 @@
     machines: BTreeMap<String, MachineStatus>,
     /// Machines whose first report has been compared with the records.
     compared: BTreeSet<String>,
-    unheard: u64,
+    not_reported: u64,
     /// Reported tasks that are present; dropped once every machine has reported or is lost.
     present: BTreeSet<TaskKey>,
     /// Reported gangs; dropped at the same time.
@@ -68,8 +68,8 @@
 impl RecoveryTracker {
     /// Adds a machine that the records name. Nothing is known of it yet.
     pub fn expect_machine(&mut self, machine: &str) {
-        if self.machines.insert(machine.to_string(), MachineStatus::Unheard).is_none() {
-            self.unheard += 1;
+        if self.machines.insert(machine.to_string(), MachineStatus::NotReported).is_none() {
+            self.not_reported += 1;
         }
     }
 
@@ -81,7 +81,7 @@
     /// Whether some machines have not reported and, this long after the failover, may still do so within
     /// `window`. What depends on how they are used, and can wait, is not decided before.
     pub fn is_awaiting_reports(&self, after: Duration, window: Duration) -> bool {
-        self.unheard > 0 && after < window
+        self.not_reported > 0 && after < window
     }
 
     /// Compares a machine's first report with the records and returns the discrepancies.
@@ -95,8 +95,8 @@
         tasks: &[ReportedTask<'_>],
         records: &impl RecordedJobs,
     ) -> Vec<TaskDiscrepancy> {
-        let is_unheard = self.machine_status(machine) == Some(MachineStatus::Unheard);
-        if !is_unheard || !self.compared.insert(machine.to_string()) {
+        let has_not_reported = self.machine_status(machine) == Some(MachineStatus::NotReported);
+        if !has_not_reported || !self.compared.insert(machine.to_string()) {
             return Vec::new();
         }
         let mut found = Vec::new();
@@ -142,16 +142,16 @@
 
     /// Changes the status of a machine that is unheard; has no effect on any other.
     fn resolve_machine(&mut self, machine: &str, status: MachineStatus, after: Duration) {
-        if self.machine_status(machine) != Some(MachineStatus::Unheard) {
+        if self.machine_status(machine) != Some(MachineStatus::NotReported) {
             return;
         }
         self.machines.insert(machine.to_string(), status);
-        self.unheard -= 1;
+        self.not_reported -= 1;
         if status == MachineStatus::Lost {
             self.lost += 1;
             self.discrepancies.add(Discrepancy::MachineLost);
         }
-        if self.unheard == 0 {
+        if self.not_reported == 0 {
             self.finish_comparison(after);
         }
     }
@@ -178,7 +178,7 @@
 
     /// Whether every machine has reported or is lost.
     pub fn is_settled(&self) -> bool {
-        self.unheard == 0
+        self.not_reported == 0
     }
 
     /// How far the recovery has come, this long after the failover.
@@ -186,7 +186,7 @@
         RecoveryProgress {
             after_s: after.as_secs_f64(),
             machines: self.machines.len() as u64,
-            unheard: self.unheard,
+            not_reported: self.not_reported,
             lost: self.lost,
             adopted: self.adopted,
             discrepancies: self.discrepancies.clone(),
--- a/crates/recovery/tests/discrepancies.rs
+++ b/crates/recovery/tests/discrepancies.rs
@@ -176,7 +176,7 @@
         }
         let progress = recovery.progress(SECOND);
         assert_eq!(progress.discrepancies.total(), expected + lost, "seed {seed}");
-        assert_eq!((progress.lost, progress.unheard), (lost, 0));
+        assert_eq!((progress.lost, progress.not_reported), (lost, 0));
         assert_eq!(progress.adopted, present.len() as u64);
         assert!(recovery.is_settled());
     }
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -120,7 +120,7 @@
             fencing_token = self.fencing_token,
             after_s = progress.after_s,
             machines = progress.machines,
-            unheard = progress.unheard,
+            unheard = progress.not_reported,
             lost = progress.lost,
             adopted = progress.adopted,
             finished = count(Discrepancy::Finished),
