--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -88,5 +88,6 @@
     #[serde(rename = "orders")]
     pub commands: CommandCounts,
     /// Seconds from the failover until every machine had reported or was lost; `None` before that.
-    pub settled_s: Option<f64>,
+    #[serde(rename = "settled_s")]
+    pub completed_after_s: Option<f64>,
 }
--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -62,7 +62,7 @@
     lost: u64,
     discrepancies: DiscrepancyCounts,
     commands: CommandCounts,
-    settled: Option<Duration>,
+    completed_after: Option<Duration>,
 }
 
 impl RecoveryTracker {
@@ -158,10 +158,10 @@
 
     /// Every machine has reported or is lost, so a gang of which tasks are missing is a partial one.
     fn finish_comparison(&mut self, after: Duration) {
-        if self.settled.is_some() {
+        if self.completed_after.is_some() {
             return;
         }
-        self.settled = Some(after);
+        self.completed_after = Some(after);
         let partial_gangs = self.gangs.values().filter(|gang| gang.is_partial()).count();
         for _ in 0..partial_gangs {
             self.discrepancies.add(Discrepancy::PartialGang);
@@ -177,7 +177,7 @@
     }
 
     /// Whether every machine has reported or is lost.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.not_reported == 0
     }
 
@@ -191,7 +191,7 @@
             adopted: self.adopted,
             discrepancies: self.discrepancies.clone(),
             commands: self.commands,
-            settled_s: self.settled.map(|settled| settled.as_secs_f64()),
+            completed_after_s: self.completed_after.map(|duration| duration.as_secs_f64()),
         }
     }
 }
--- a/crates/recovery/tests/discrepancies.rs
+++ b/crates/recovery/tests/discrepancies.rs
@@ -111,7 +111,7 @@
     assert!(!recovery.is_awaiting_reports(window, window), "one that stays away does not hold up the others");
     report(&mut recovery, "b", &[]);
     assert!(!recovery.is_awaiting_reports(SECOND, window));
-    assert_eq!(recovery.progress(9 * SECOND).settled_s, Some(1.0));
+    assert_eq!(recovery.progress(9 * SECOND).completed_after_s, Some(1.0));
     assert!(!RecoveryTracker::default().is_awaiting_reports(SECOND, window), "nothing to recover");
 }
 
@@ -178,7 +178,7 @@
         assert_eq!(progress.discrepancies.total(), expected + lost, "seed {seed}");
         assert_eq!((progress.lost, progress.not_reported), (lost, 0));
         assert_eq!(progress.adopted, present.len() as u64);
-        assert!(recovery.is_settled());
+        assert!(recovery.is_complete());
     }
 }
 
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -133,7 +133,7 @@
             starts = progress.commands.starts,
             halts = progress.commands.halts,
             forgets = progress.commands.forgets,
-            settled_s = progress.settled_s,
+            settled_s = progress.completed_after_s,
             "recovery"
         );
     }
