--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -106,7 +106,7 @@
             return HeartbeatHandling::Answer(refused, reply);
         }
         leadership.last_heartbeat = now;
-        let outcome = leadership.fleet.check_in(&heartbeat, now, wall());
+        let outcome = leadership.fleet.apply_heartbeat(&heartbeat, now, wall());
         if leadership.fleet.has_results_of_loans(&heartbeat) {
             self.wake.notify_all();
         }
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -31,7 +31,7 @@
 /// Characters that a machine id may not hold, since it becomes part of keys and of addresses.
 const FORBIDDEN_IN_MACHINE_ID: [char; 6] = [' ', '/', '?', '&', '%', '#'];
 
-/// What to do with a worker's heartbeat, as decided by [`Fleet::check_in`].
+/// What to do with a worker's heartbeat, as decided by [`Fleet::apply_heartbeat`].
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
     /// Answer 200 with this reply: this leader's fencing token and the commands for the machine.
@@ -54,7 +54,7 @@
     }
 
     /// Takes a worker's heartbeat: reconciles the model with it and decides how to answer.
-    pub fn check_in(&mut self, heartbeat: &Heartbeat, now: Steady, wall: Wall) -> HeartbeatOutcome {
+    pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Steady, wall: Wall) -> HeartbeatOutcome {
         if heartbeat.fencing_token > self.fencing_token {
             return HeartbeatOutcome::Superseded(heartbeat.fencing_token);
         }
--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -80,7 +80,7 @@
     }
 
     pub fn send_heartbeat(&mut self, message: &Heartbeat) -> Vec<WorkerCommand> {
-        match self.fleet.check_in(message, self.now, Wall(self.now.0)) {
+        match self.fleet.apply_heartbeat(message, self.now, Wall(self.now.0)) {
             HeartbeatOutcome::Reply(reply) => reply.commands,
             other => panic!("{other:?}"),
         }
--- a/tests/failover/simulation/heartbeats.rs
+++ b/tests/failover/simulation/heartbeats.rs
@@ -19,7 +19,7 @@
         if !self.may_reply(i) {
             return None;
         }
-        match self.leaders[i].controller.fleet.check_in(r, now, wall_at(now)) {
+        match self.leaders[i].controller.fleet.apply_heartbeat(r, now, wall_at(now)) {
             HeartbeatOutcome::Reply(reply) => Some(reply),
             HeartbeatOutcome::Superseded(_) => {
                 self.leaders.remove(i);
--- a/tests/fault_combinations/failovers.rs
+++ b/tests/fault_combinations/failovers.rs
@@ -147,7 +147,10 @@
         (scenario.fleet().fencing_token, at(scenario.seconds), wall(scenario.seconds));
     let newer = scenario.worker("i-1").state.heartbeat();
     for o in &mut scenario.leaders[..4] {
-        assert_eq!(o.controller.fleet.check_in(&newer, now, t), HeartbeatOutcome::Superseded(fencing_token));
+        assert_eq!(
+            o.controller.fleet.apply_heartbeat(&newer, now, t),
+            HeartbeatOutcome::Superseded(fencing_token)
+        );
     }
     for r in &scenario.late_results {
         assert!(
@@ -266,7 +269,7 @@
     );
     for r in &held {
         let (now, t) = (at(scenario.seconds), wall(scenario.seconds));
-        assert_eq!(scenario.fleet().check_in(r, now, t), HeartbeatOutcome::Refuse);
+        assert_eq!(scenario.fleet().apply_heartbeat(r, now, t), HeartbeatOutcome::Refuse);
     }
     scenario.finish(80.0);
     // What was done and not written is lost with the session, and runs again.
--- a/tests/fault_combinations/late_messages.rs
+++ b/tests/fault_combinations/late_messages.rs
@@ -38,7 +38,7 @@
     let late = |scenario: &mut Scenario| {
         for r in [&agent_epoch, &attempt, &agent_epoch] {
             let (now, wall) = (at(scenario.seconds), wall(scenario.seconds));
-            assert_eq!(scenario.fleet().check_in(r, now, wall), HeartbeatOutcome::Refuse);
+            assert_eq!(scenario.fleet().apply_heartbeat(r, now, wall), HeartbeatOutcome::Refuse);
         }
         scenario.run(3.0);
         assert_eq!(
@@ -167,7 +167,7 @@
         scenario.seconds += STEP;
         let (r, now, wall) =
             (scenario.worker("i-1").state.heartbeat(), at(scenario.seconds), wall(scenario.seconds));
-        let HeartbeatOutcome::Reply(reply) = scenario.fleet().check_in(&r, now, wall) else {
+        let HeartbeatOutcome::Reply(reply) = scenario.fleet().apply_heartbeat(&r, now, wall) else {
             panic!("no reply")
         };
         scenario.write_records();
@@ -212,7 +212,7 @@
         let unheard = usize::from(before_newer);
         assert_eq!(scenario.fleet().unacknowledged_machines(), unheard);
         let (now, t) = (at(scenario.seconds), wall(scenario.seconds));
-        let out = scenario.fleet().check_in(&held, now, t);
+        let out = scenario.fleet().apply_heartbeat(&held, now, t);
         if before_newer {
             assert!(!matches!(out, HeartbeatOutcome::Superseded(_)));
         } else {
@@ -248,13 +248,13 @@
     assert_eq!((scenario.started(&a), scenario.placed(&a)), (2, 1));
     let late = |scenario: &mut Scenario| {
         let (now, t) = (at(scenario.seconds), wall(scenario.seconds));
-        assert_eq!(scenario.fleet().check_in(&held, now, t), HeartbeatOutcome::Refuse);
+        assert_eq!(scenario.fleet().apply_heartbeat(&held, now, t), HeartbeatOutcome::Refuse);
         assert!(!scenario.fleet().machines.contains_key(place.as_str()));
     };
     late(&mut scenario);
     // Nor by one that shows no task.
     let (now, t) = (at(scenario.seconds), wall(scenario.seconds));
-    assert_eq!(scenario.fleet().check_in(&empty, now, t), HeartbeatOutcome::Refuse);
+    assert_eq!(scenario.fleet().apply_heartbeat(&empty, now, t), HeartbeatOutcome::Refuse);
     // Nor at the next leader, which never knew it.
     scenario.replace_leader(1.0);
     scenario.run(2.0);
--- a/tests/fault_combinations/scenario/messages.rs
+++ b/tests/fault_combinations/scenario/messages.rs
@@ -77,7 +77,8 @@
             return;
         };
         self.workers[w].leader = leader;
-        match self.leaders[leader].controller.fleet.check_in(&r, at(self.seconds), wall(self.seconds)) {
+        match self.leaders[leader].controller.fleet.apply_heartbeat(&r, at(self.seconds), wall(self.seconds))
+        {
             HeartbeatOutcome::Reply(reply) if self.workers[w].link == Link::Up => {
                 self.execute_commands(w, &reply)
             }
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -124,7 +124,7 @@
             .collect();
         let message = heartbeat(name, self.sequence, self.leader.fleet.fencing_token, &listed);
         let HeartbeatOutcome::Reply(reply) =
-            self.leader.fleet.check_in(&message, self.now, wall_at(self.now))
+            self.leader.fleet.apply_heartbeat(&message, self.now, wall_at(self.now))
         else {
             panic!("the heartbeat of {name} is refused");
         };
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -168,7 +168,7 @@
     // Nothing of the job is started again for now.
     scenario.fleet.jobs.get_mut("wk-000001").expect("the job").not_before = Steady(i64::MAX);
     let message = Heartbeat { spot: false, ..common::heartbeat(&machine, scenario.sequence, 7, &stopped) };
-    scenario.fleet.check_in(&message, scenario.now, wall(&scenario));
+    scenario.fleet.apply_heartbeat(&message, scenario.now, wall(&scenario));
     let numbers: TaskSet =
         running.iter().filter_map(|(task, _)| task.rsplit_once('/')?.1.parse().ok()).collect();
     let recall = request(vec![LoanItem { action: LoanAction::Recall, ..offer(5, 1, "0-19") }]);
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -39,7 +39,7 @@
 }
 
 /// The commands of the reply to a machine's heartbeat.
-fn check_in(
+fn apply_heartbeat(
     fleet: &mut Fleet,
     machine: &str,
     sequence: u64,
@@ -48,7 +48,7 @@
 ) -> Vec<WorkerCommand> {
     let running: Vec<_> = tasks.iter().map(|task| (*task, 5, TaskStage::Running, None)).collect();
     let message = Heartbeat { spot: false, ..heartbeat(machine, sequence, FENCING_TOKEN, &running) };
-    match fleet.check_in(&message, now, wall(now)) {
+    match fleet.apply_heartbeat(&message, now, wall(now)) {
         HeartbeatOutcome::Reply(reply) => reply.commands,
         other => panic!("{other:?}"),
     }
@@ -65,7 +65,7 @@
 fn fleet_with_urgent_job() -> Fleet {
     let mut fleet = fleet_after_failover();
     let now = FIRST_HEARTBEAT_AT;
-    check_in(&mut fleet, "i-1", 1, &RUNNING_TASKS, now);
+    apply_heartbeat(&mut fleet, "i-1", 1, &RUNNING_TASKS, now);
     let submitted = JobRecord { submitted_us: now.0, ..record(urgent_job()) };
     fleet.apply_job_record(submitted, 10, now);
     fleet
@@ -83,7 +83,7 @@
     for sequence in 2..=4 {
         now = now + Micros::from_millis(700);
         fleet.tick(now, wall(now));
-        let commands = check_in(&mut fleet, "i-1", sequence, &RUNNING_TASKS, now);
+        let commands = apply_heartbeat(&mut fleet, "i-1", sequence, &RUNNING_TASKS, now);
         assert!(!has_halt(&commands), "{commands:?}");
         assert!(fleet.halt_commands(now).is_empty());
     }
@@ -95,6 +95,6 @@
     // A heartbeat every 3 s in these settings, a quarter more at the most.
     let now = FAILOVER_AT + Micros::from_millis(3_800);
     fleet.tick(now, wall(now));
-    let commands = check_in(&mut fleet, "i-1", 2, &RUNNING_TASKS, now);
+    let commands = apply_heartbeat(&mut fleet, "i-1", 2, &RUNNING_TASKS, now);
     assert!(has_halt(&commands), "{commands:?}");
 }
--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -51,7 +51,7 @@
 fn a_higher_fencing_token_ends_leadership_and_is_never_replied_to_with_200() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
     assert_eq!(
-        fleet.check_in(&heartbeat("i-1", 2, 8, &[]), at(1.0), wall(1.0)),
+        fleet.apply_heartbeat(&heartbeat("i-1", 2, 8, &[]), at(1.0), wall(1.0)),
         HeartbeatOutcome::Superseded(8)
     );
     assert_eq!(fleet.apply_direct_command_reply(&heartbeat("i-1", 3, 9, &[]), at(1.0)), Some(9));
--- a/tests/safety/fixtures.rs
+++ b/tests/safety/fixtures.rs
@@ -41,7 +41,7 @@
 
 /// The commands in the reply to a heartbeat.
 pub fn reply_commands(fleet: &mut Fleet, s: f64, r: &Heartbeat) -> Vec<WorkerCommand> {
-    match fleet.check_in(r, at(s), wall(s)) {
+    match fleet.apply_heartbeat(r, at(s), wall(s)) {
         HeartbeatOutcome::Reply(r) => r.commands,
         other => panic!("no reply: {other:?}"),
     }
--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -26,26 +26,29 @@
     let held = heartbeat("i-1", 4, 7, &running);
     // A copy within the lease does not put off its end.
     assert_eq!(
-        fleet.check_in(&heartbeat("i-1", 3, 7, &running), at(20.0), wall(20.0)),
+        fleet.apply_heartbeat(&heartbeat("i-1", 3, 7, &running), at(20.0), wall(20.0)),
         HeartbeatOutcome::Refuse
     );
     fleet.confirm_lease(at(25.9));
     fleet.tick(at(26.0), wall(26.0));
     assert!(fleet.jobs["wk-000001"].waiting.contains(0), "the lease has surely run out");
-    assert_eq!(fleet.check_in(&held, at(27.0), wall(27.0)), HeartbeatOutcome::Refuse);
+    assert_eq!(fleet.apply_heartbeat(&held, at(27.0), wall(27.0)), HeartbeatOutcome::Refuse);
     assert!(fleet.jobs["wk-000001"].waiting.contains(0), "a late report brought back what has ended");
     // The machine itself is back in its next session.
     let mut back = heartbeat("i-1", 1, 7, &[]);
     back.agent_epoch = 2;
-    assert!(matches!(fleet.check_in(&back, at(30.0), wall(30.0)), HeartbeatOutcome::Reply(_)));
+    assert!(matches!(fleet.apply_heartbeat(&back, at(30.0), wall(30.0)), HeartbeatOutcome::Reply(_)));
     // From before this leader came, of a machine that has no record any more.
     let mut g = new_fleet(9);
-    assert_eq!(g.check_in(&heartbeat("i-7", 40, 8, &running), at(1.0), wall(1.0)), HeartbeatOutcome::Refuse);
+    assert_eq!(
+        g.apply_heartbeat(&heartbeat("i-7", 40, 8, &running), at(1.0), wall(1.0)),
+        HeartbeatOutcome::Refuse
+    );
     assert!(g.machines.is_empty());
     // A copy that shows an older fencing token ends nobody's leadership, and does not count as heard.
     g.inherit_machine("i-8", &machine_record("small"), 0, START);
     assert!(matches!(
-        g.check_in(&heartbeat("i-8", 40, 8, &[]), at(1.0), wall(1.0)),
+        g.apply_heartbeat(&heartbeat("i-8", 40, 8, &[]), at(1.0), wall(1.0)),
         HeartbeatOutcome::Reply(_)
     ));
     assert_eq!(g.unacknowledged_machines(), 1);
@@ -61,7 +64,7 @@
     for sequence in 1..=3 {
         for m in 0..MACHINES {
             let fencing_token = if sequence > 1 { 7 } else { 0 };
-            fleet.check_in(
+            fleet.apply_heartbeat(
                 &heartbeat(&id(m), sequence, fencing_token, &[]),
                 at(sequence as f64),
                 wall(sequence as f64),
@@ -78,7 +81,7 @@
         for m in 0..MACHINES {
             for (sequence, tasks) in [(1, &stale[..]), (3, &[][..])] {
                 let r = heartbeat(&id(m), sequence, if sequence > 1 { 7 } else { 0 }, tasks);
-                assert_eq!(fleet.check_in(&r, at(late), wall(late)), HeartbeatOutcome::Refuse);
+                assert_eq!(fleet.apply_heartbeat(&r, at(late), wall(late)), HeartbeatOutcome::Refuse);
             }
         }
     }
@@ -86,7 +89,7 @@
     // What is remembered of those that are gone ends as well: long after, a name is only a name.
     fleet.tick(at(1000.0), wall(1000.0));
     assert!(matches!(
-        fleet.check_in(&heartbeat(&id(0), 4, 7, &[]), at(1000.0), wall(1000.0)),
+        fleet.apply_heartbeat(&heartbeat(&id(0), 4, 7, &[]), at(1000.0), wall(1000.0)),
         HeartbeatOutcome::Reply(_)
     ));
 }
--- a/tests/safety/machines.rs
+++ b/tests/safety/machines.rs
@@ -18,7 +18,10 @@
     assert_eq!(fleet.pending_writes(START, Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
     assert!(fleet.machine_records.get("i-5").is_some());
     fleet.remove_scaled_in_machines(&["i-5".into()], at(1.0));
-    assert_eq!(fleet.check_in(&heartbeat("i-5", 2, 7, &[]), at(2.0), wall(2.0)), HeartbeatOutcome::Refuse);
+    assert_eq!(
+        fleet.apply_heartbeat(&heartbeat("i-5", 2, 7, &[]), at(2.0), wall(2.0)),
+        HeartbeatOutcome::Refuse
+    );
 }
 
 #[test]
@@ -75,7 +78,7 @@
             let t = agent_epoch as f64 * 24.0 + k as f64 * 3.0;
             let mut r = heartbeat("i-1", 10 + k, 7, &[]);
             r.agent_epoch = agent_epoch;
-            fleet.check_in(&r, at(t), wall(t));
+            fleet.apply_heartbeat(&r, at(t), wall(t));
         }
     }
     assert_eq!(fleet.machines_to_scale_in(), ["i-1"]);
--- a/tests/safety/starts.rs
+++ b/tests/safety/starts.rs
@@ -14,7 +14,10 @@
     let first = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
     assert_eq!(first.len(), 1);
     // The same heartbeat once more decides nothing.
-    assert_eq!(fleet.check_in(&heartbeat("i-1", 2, 7, &[]), at(1.5), wall(1.5)), HeartbeatOutcome::Refuse);
+    assert_eq!(
+        fleet.apply_heartbeat(&heartbeat("i-1", 2, 7, &[]), at(1.5), wall(1.5)),
+        HeartbeatOutcome::Refuse
+    );
     let second = starts(&reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &[])));
     assert_eq!(second.len(), 1);
     assert_ne!(first[0].1, second[0].1, "an attempt number is used twice");
--- a/tests/services/cluster/mod.rs
+++ b/tests/services/cluster/mod.rs
@@ -229,7 +229,7 @@
         message.agent_epoch = worker.agent_epoch;
         message.zone = worker.zone.into();
         message.interruption_notice_s = worker.preempted_at.map(|at| (at - now).secs());
-        match self.fleet.check_in(&message, now, Wall(now.0)) {
+        match self.fleet.apply_heartbeat(&message, now, Wall(now.0)) {
             HeartbeatOutcome::Reply(reply) => Some(reply.commands),
             HeartbeatOutcome::Refuse => None,
             HeartbeatOutcome::Superseded(fencing_token) => panic!("replaced by {fencing_token}"),
--- a/tests/services/records.rs
+++ b/tests/services/records.rs
@@ -41,7 +41,7 @@
     let mut commands_to_b = |sequence: u64, after: Micros| {
         let now = START + after;
         fleet.tick(now, Wall(now.0));
-        match fleet.check_in(&heartbeat("b", sequence, FENCING_TOKEN, &[]), now, Wall(now.0)) {
+        match fleet.apply_heartbeat(&heartbeat("b", sequence, FENCING_TOKEN, &[]), now, Wall(now.0)) {
             HeartbeatOutcome::Reply(reply) => reply.commands,
             other => panic!("no reply: {other:?}"),
         }
@@ -50,11 +50,11 @@
     assert!(commands_to_b(2, secs(2.0)).is_empty());
     let now = START + secs(2.5);
     let there = [("wk-000001/0", 3, TaskStage::Running, None)];
-    fleet.check_in(&heartbeat("a", 1, FENCING_TOKEN, &there), now, Wall(now.0));
+    fleet.apply_heartbeat(&heartbeat("a", 1, FENCING_TOKEN, &there), now, Wall(now.0));
     let now = START + secs(3.0);
     fleet.tick(now, Wall(now.0));
     let HeartbeatOutcome::Reply(reply) =
-        fleet.check_in(&heartbeat("b", 3, FENCING_TOKEN, &[]), now, Wall(now.0))
+        fleet.apply_heartbeat(&heartbeat("b", 3, FENCING_TOKEN, &[]), now, Wall(now.0))
     else {
         panic!("no reply");
     };
--- a/tests/starvation.rs
+++ b/tests/starvation.rs
@@ -129,7 +129,7 @@
         let mut message =
             heartbeat(&format!("i-{i:03}"), w.sequence, if w.sequence > 1 { 7 } else { 0 }, &tasks);
         message.machine_type = "large".into();
-        let HeartbeatOutcome::Reply(reply) = self.fleet.check_in(&message, now, wall) else {
+        let HeartbeatOutcome::Reply(reply) = self.fleet.apply_heartbeat(&message, now, wall) else {
             panic!("no reply")
         };
         for o in reply.commands {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -151,7 +151,7 @@
 
 /// A machine sends its first heartbeat.
 fn enroll(fleet: &mut Fleet, id: &str, now: Steady) {
-    let outcome = fleet.check_in(&heartbeat(id, 1, 0, &[]), now, WALL);
+    let outcome = fleet.apply_heartbeat(&heartbeat(id, 1, 0, &[]), now, WALL);
     assert!(matches!(outcome, HeartbeatOutcome::Reply(_)), "{id} has no reply: {outcome:?}");
 }
 
--- a/tests/upgrade_failovers/simulation/events.rs
+++ b/tests/upgrade_failovers/simulation/events.rs
@@ -83,7 +83,7 @@
             SimulatedLeader::Production(leader) => leader.enrol(&id),
             SimulatedLeader::Current(fleet) => {
                 let wall = Wall(WALL.0 + self.now.0);
-                let reply = fleet.check_in(&heartbeat(&id, 1, 0, &[]), self.now, wall);
+                let reply = fleet.apply_heartbeat(&heartbeat(&id, 1, 0, &[]), self.now, wall);
                 assert!(matches!(reply, HeartbeatOutcome::Reply(_)), "{reply:?}");
             }
         }
--- a/tests/wait_reasons.rs
+++ b/tests/wait_reasons.rs
@@ -29,7 +29,7 @@
 
 /// A heartbeat without tasks.
 fn beat(fleet: &mut Fleet, machine: u32, sequence: u64, s: f64) {
-    fleet.check_in(&heartbeat(&format!("i-{machine}"), sequence, TOKEN, &[]), at(s), wall(s));
+    fleet.apply_heartbeat(&heartbeat(&format!("i-{machine}"), sequence, TOKEN, &[]), at(s), wall(s));
 }
 
 fn of_team(team: &str, spec: JobSpec) -> JobSpec {
@@ -104,7 +104,7 @@
     beat(&mut fleet, 0, 2, 2.0);
     let attempt = fleet.machines["i-0"].tasks.keys().next().expect("started").attempt;
     let failed = [("wk-000001/0", attempt, TaskStage::Exited, Some(ExitReason::Error))];
-    fleet.check_in(&heartbeat("i-0", 3, TOKEN, &failed), at(3.0), wall(3.0));
+    fleet.apply_heartbeat(&heartbeat("i-0", 3, TOKEN, &failed), at(3.0), wall(3.0));
     assert_eq!(reasons(&fleet, 3.1, "wk-000001"), WaitReasons::from([(WaitReason::Backoff, 1)]));
 }
 
