--- a/src/fleet/scaling.rs
+++ b/src/fleet/scaling.rs
@@ -30,7 +30,7 @@
         };
         let decision = autoscaler.decide();
         for index in decision.scale_in {
-            self.remove_idle(&machines[index]);
+            self.scale_in_idle(&machines[index]);
         }
         decision.scale_out
     }
@@ -97,7 +97,7 @@
     }
 
     /// Marks a machine for scale in if no task is on it.
-    fn remove_idle(&mut self, id: &MachineId) {
+    fn scale_in_idle(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.tasks.is_empty()) {
             tracing::info!(machine = %machine.id, reason = "idle", "scale in");
             machine.scaling_in = true;
