--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -93,7 +93,7 @@
     }
 
     /// Marks a machine for scale in if it has been unacknowledged for too long since the failover.
-    fn remove_unacknowledged(&self, machine: &mut Machine) {
+    fn scale_in_unacknowledged(&self, machine: &mut Machine) {
         let silent = self.now - self.failover_at;
         if silent > self.unacknowledged_timeout || (machine.missing && silent > UNLISTED_GRACE) {
             tracing::info!(machine = %machine.id, reason = "silent since failover", "scale in");
@@ -201,7 +201,7 @@
                 continue;
             }
             if !machine.acknowledged {
-                check.remove_unacknowledged(machine);
+                check.scale_in_unacknowledged(machine);
             } else if check.expire(machine) {
                 expired.push(machine.id.clone());
             } else if !machine.scaling_in {
