--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -122,7 +122,7 @@
     }
 
     /// Marks a machine for scale in if it is acknowledged but sends no heartbeats, or never came up.
-    fn remove_silent(&self, machine: &mut Machine, boot_s: f64) {
+    fn scale_in_silent(&self, machine: &mut Machine, boot_s: f64) {
         match machine.lease_renewed_at() {
             Some(renewed) => self.remove_unrenewed(machine, renewed),
             None if machine.up => self.remove_without_heartbeat(machine),
@@ -205,7 +205,7 @@
             } else if check.expire(machine) {
                 expired.push(machine.id.clone());
             } else if !machine.scaling_in {
-                check.remove_silent(machine, self.catalog.boot_s(machine.type_index));
+                check.scale_in_silent(machine, self.catalog.boot_s(machine.type_index));
             }
         }
         self.end_unacknowledged(&expired_unacknowledged, now);
