--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -124,14 +124,14 @@
     /// Marks a machine for scale in if it is acknowledged but sends no heartbeats, or never came up.
     fn scale_in_silent(&self, machine: &mut Machine, boot_s: f64) {
         match machine.lease_renewed_at() {
-            Some(renewed) => self.remove_unrenewed(machine, renewed),
+            Some(renewed) => self.scale_in_unrenewed(machine, renewed),
             None if machine.up => self.remove_without_heartbeat(machine),
             None => self.remove_never_up(machine, boot_s),
         }
     }
 
     /// Marks a machine for scale in whose lease was last renewed too long ago.
-    fn remove_unrenewed(&self, machine: &mut Machine, renewed: Steady) {
+    fn scale_in_unrenewed(&self, machine: &mut Machine, renewed: Steady) {
         let silent = self.now - renewed.max(machine.unanswered_heartbeat_at);
         let reason = if machine.lease_expired && silent > self.lease + PARTITION_GRACE {
             // The cloud lists it as running: partitioned, most likely, and good again afterwards.
