--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -125,7 +125,7 @@
     fn scale_in_silent(&self, machine: &mut Machine, boot_s: f64) {
         match machine.lease_renewed_at() {
             Some(renewed) => self.scale_in_unrenewed(machine, renewed),
-            None if machine.up => self.remove_without_heartbeat(machine),
+            None if machine.up => self.scale_in_without_heartbeat(machine),
             None => self.remove_never_up(machine, boot_s),
         }
     }
@@ -149,7 +149,7 @@
 
     /// Marks a machine for scale in that has shown this leader's fencing token in answer to a direct
     /// command, and so was bound to send a heartbeat within moments, but has not.
-    fn remove_without_heartbeat(&self, machine: &mut Machine) {
+    fn scale_in_without_heartbeat(&self, machine: &mut Machine) {
         if self.now - machine.known_since > self.lease + PARTITION_GRACE {
             tracing::info!(machine = %machine.id, reason = "no heartbeat", "scale in");
             machine.scaling_in = true;
