--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -126,7 +126,7 @@
         match machine.lease_renewed_at() {
             Some(renewed) => self.scale_in_unrenewed(machine, renewed),
             None if machine.up => self.scale_in_without_heartbeat(machine),
-            None => self.remove_never_up(machine, boot_s),
+            None => self.scale_in_never_up(machine, boot_s),
         }
     }
 
@@ -158,7 +158,7 @@
 
     /// Marks a machine for scale in that boots for too long. One that an earlier leader scaled out may be up
     /// and first has to find this leader; where most of a zone's machines do not, it is partitioned.
-    fn remove_never_up(&self, machine: &mut Machine, boot_s: f64) {
+    fn scale_in_never_up(&self, machine: &mut Machine, boot_s: f64) {
         let is_partitioned = self.mostly_overdue.get(machine.zone).copied().unwrap_or(false);
         let grace = if is_partitioned {
             PARTITION_GRACE
