--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -208,14 +208,14 @@
                 check.scale_in_silent(machine, self.catalog.boot_s(machine.type_index));
             }
         }
-        self.end_unacknowledged(&expired_unacknowledged, now);
+        self.mark_unacknowledged_lost(&expired_unacknowledged, now);
         for id in expired {
             self.remove_all_tasks(&id);
         }
     }
 
     /// Machines whose leases from earlier leaders have expired are no longer waited for.
-    fn end_unacknowledged(&mut self, machines: &[MachineId], now: Steady) {
+    fn mark_unacknowledged_lost(&mut self, machines: &[MachineId], now: Steady) {
         if machines.is_empty() {
             return;
         }
