--- a/src/fleet/machine_snapshots.rs
+++ b/src/fleet/machine_snapshots.rs
@@ -40,7 +40,7 @@
 const MIN_CPUS: f64 = 0.1;
 
 /// Prices of a processor are compared in thousandths.
-const PRICE_PARTS: f64 = 1e3;
+const CPU_PRICE_SCALE: f64 = 1e3;
 
 /// Capacity of a machine that is reserved for gang tasks whose starts have not been sent yet.
 #[derive(Clone, Copy, Default)]
@@ -116,7 +116,7 @@
             accepts_starts_in: self.accepts_starts_in(machine, machine_type, now),
             images: machine.images.iter().map(|image| image.image).collect(),
             fetch_gb_per_s: machine_type.fetch_gb_per_s,
-            cpu_price: (price / machine_type.cpus.max(MIN_CPUS) * PRICE_PARTS) as i64,
+            cpu_price: (price / machine_type.cpus.max(MIN_CPUS) * CPU_PRICE_SCALE) as i64,
             failure_penalty: Micros::from_secs(PENALTY_PER_FAILED_JOB_S * machine.failed_jobs.len() as f64),
             reclaimed_in: machine.interruption_at.map(|notice| notice - now),
             placed: live_tasks.map(|(key, task)| self.placed_task(key, task, now)).collect(),
