--- a/src/fleet/headroom.rs
+++ b/src/fleet/headroom.rs
@@ -10,7 +10,7 @@
 
 /// Warm pools stay for at least this many seconds without a job for them: where such jobs come every
 /// ten seconds, a chance gap of forty would have the whole pool removed.
-const MIN_WARM_LULL_S: f64 = 60.0;
+const MIN_WARM_POOL_GAP_S: f64 = 60.0;
 
 /// How many processors a GPU counts for where machine types are compared by size.
 const CPUS_PER_GPU: f64 = 8.0;
@@ -20,7 +20,7 @@
     /// machine boots kept busy, with some to spare: a new machine would come too late for the next one.
     pub(super) fn warm_pools(&self, now: Steady) -> Vec<WarmPool> {
         let recent = || self.recent_jobs.iter().filter(|job| job.starts_before_boot);
-        if !self.more_expected(recent, MIN_WARM_LULL_S, now) {
+        if !self.more_expected(recent, MIN_WARM_POOL_GAP_S, now) {
             return vec![WarmPool::default(); self.catalog.types.len()];
         }
         let span_s = arrival_span_s(recent(), now);
