--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -166,7 +166,7 @@
         let interval_s = self.config.platform.settings.workers.report_s;
         let overdue = Micros::from_secs(interval_s * OVERDUE_INTERVALS);
         let is_overdue = |machine: &&Machine| now - machine.heartbeat_at.max(machine.commanded_at) > overdue;
-        let with_remains = |machine| (machine, self.remains_on(machine));
+        let with_remains = |machine| (machine, self.ended_job_tasks_on(machine));
         let machines = self.machines.values().filter(is_overdue).map(with_remains);
         let mut machines: Vec<_> = machines.filter(|(_, remains)| !remains.is_empty()).collect();
         machines.sort_by_key(|(machine, _)| machine.commanded_at);
@@ -175,7 +175,7 @@
     }
 
     /// Tasks of ended jobs on a machine that are to exit at once.
-    fn remains_on(&self, machine: &Machine) -> BTreeSet<TaskKey> {
+    fn ended_job_tasks_on(&self, machine: &Machine) -> BTreeSet<TaskKey> {
         let is_remainder = |key: &TaskKey, task: &TaskEntry| {
             task.is_live() && task.stop_grace_s == Some(0.0) && self.has_job_ended(key)
         };
