--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -138,7 +138,7 @@
     /// jobs on machines whose heartbeat is overdue. The reply to a heartbeat carries the same halts;
     /// these reach a machine that reaches no controller, or whose leader may no longer answer.
     pub fn halt_commands(&mut self, now: Steady) -> Vec<DirectCommand> {
-        let remains = self.remains_on_overdue_machines(now);
+        let remains = self.ended_job_tasks_on_overdue_machines(now);
         let mut commands = Vec::new();
         for machine in self.machines.values_mut().filter(|machine| !machine.address.is_empty()) {
             let remains = remains.get(&machine.id);
@@ -162,7 +162,7 @@
 
     /// What is left of ended jobs on machines whose heartbeat is overdue: on those that were commanded least
     /// recently, and no more than can be waited for without holding up other halts.
-    fn remains_on_overdue_machines(&self, now: Steady) -> BTreeMap<MachineId, BTreeSet<TaskKey>> {
+    fn ended_job_tasks_on_overdue_machines(&self, now: Steady) -> BTreeMap<MachineId, BTreeSet<TaskKey>> {
         let interval_s = self.config.platform.settings.workers.report_s;
         let overdue = Micros::from_secs(interval_s * OVERDUE_INTERVALS);
         let is_overdue = |machine: &&Machine| now - machine.heartbeat_at.max(machine.commanded_at) > overdue;
