--- a/src/fleet/eviction.rs
+++ b/src/fleet/eviction.rs
@@ -40,7 +40,7 @@
     pub(super) fn evict_tasks(&mut self, plan: &Plan, machines: &[MachineId], now: Steady) {
         let mut evictions = self.preempted_tasks(plan, machines);
         evictions.extend(self.tasks_to_save(now));
-        evictions.extend(self.moved_replicas(now));
+        evictions.extend(self.replica_evictions(now));
         for eviction in &evictions {
             self.evict(eviction);
         }
@@ -94,7 +94,7 @@
     }
 
     /// Replicas that leave a spot machine before it is reclaimed.
-    fn moved_replicas(&self, now: Steady) -> Vec<Eviction> {
+    fn replica_evictions(&self, now: Steady) -> Vec<Eviction> {
         let mut evictions = Vec::new();
         for (machine, task) in self.replicas_to_move(now) {
             tracing::info!(machine = %machine, job = %task.job, task = task.number, "replica moved");
