--- a/src/fleet/start_check.rs
+++ b/src/fleet/start_check.rs
@@ -20,7 +20,7 @@
             && (is_never_started(job, number) || !self.may_have_unknown_machines(now))
             && machine.is_usable(now)
             && !machine.has_unknown_use()
-            && self.runs_nowhere_else(job, number)
+            && self.cannot_run_on_unacknowledged(job, number)
             && !self.attempts_exhausted()
             && self.machine_fits(machine, &job.spec)
             && self.zone_rules_allow(machine, job)
@@ -29,7 +29,7 @@
 
     /// Whether a task cannot be running on a machine that has not acknowledged this leader's fencing
     /// token.
-    fn runs_nowhere_else(&self, job: &Job, number: u32) -> bool {
+    fn cannot_run_on_unacknowledged(&self, job: &Job, number: u32) -> bool {
         self.unacknowledged_machines == 0
             || is_never_started(job, number)
             || !self.may_run_on_unacknowledged(&job.spec)
