--- a/src/fleet/start_check.rs
+++ b/src/fleet/start_check.rs
@@ -1,4 +1,4 @@
-//! The check that every start passes, with everything counted that is running or may be.
+//! The check that every start of a task must pass. It counts all tasks that are running or may be running.
 
 use super::machine::Machine;
 use super::tasks::task_resources;
@@ -8,7 +8,7 @@
 use crate::wire::JobSpec;
 
 impl Fleet {
-    /// Whether a task may start on a machine now. No start is sent without this check.
+    /// Whether a task may start on a machine now. Every start is checked here just before it is sent.
     pub(super) fn may_start(&mut self, id: &JobId, number: u32, machine: &MachineId, now: Steady) -> bool {
         let Some(team) = self.jobs.get(id).map(|job| job.spec.team.clone()) else { return false };
         let team_use = self.team_use(&team);
@@ -27,15 +27,16 @@
             && team_use.allows(&task_resources(&job.spec)) > 0
     }
 
-    /// Whether a task cannot be running on a machine that has not acknowledged this leader's fencing
-    /// token.
+    /// Whether it is certain that a task is not running on a machine that has not acknowledged this leader's
+    /// fencing token.
     fn cannot_run_on_unacknowledged(&self, job: &Job, number: u32) -> bool {
         self.unacknowledged_machines == 0
             || is_never_started(job, number)
             || !self.may_run_on_unacknowledged(&job.spec)
     }
 
-    /// Whether a machine is of an allowed type, zone and kind, and has the capacity for one more task.
+    /// Whether a machine is of a type, zone and kind (spot or on-demand) that the job allows, and has enough
+    /// free capacity for one more of its tasks.
     fn machine_fits(&self, machine: &Machine, spec: &JobSpec) -> bool {
         let Some(type_index) = machine.type_index else { return false };
         let free = machine.free(self.type_capacity(type_index));
@@ -44,14 +45,14 @@
             && self.zone_and_kind_allowed(machine, spec)
     }
 
-    /// Whether a job may use machines of this one's zone, and spot machines if it is one.
+    /// Whether the job allows the machine's zone and, if the machine is a spot instance, spot instances.
     pub(super) fn zone_and_kind_allowed(&self, machine: &Machine, spec: &JobSpec) -> bool {
         spec.zone.as_deref().is_none_or(|zone| zone == self.zone_name(machine.zone))
             && (spec.spot || !machine.spot)
     }
 
-    /// Whether the job's rules on zones allow one more task in the machine's zone: all tasks in one
-    /// zone, or at most half of them in each.
+    /// Whether the job's zone rules allow one more task in the machine's zone. With `one_zone` all tasks must
+    /// be in the same zone; with `spread` at most half of them, rounded up, may be in any one zone.
     fn zone_rules_allow(&self, machine: &Machine, job: &Job) -> bool {
         let spec = &job.spec;
         if !spec.one_zone && !spec.spread {
@@ -63,8 +64,9 @@
         !(spec.one_zone && is_elsewhere || spec.spread && is_at_least_half_of_tasks(here, spec))
     }
 
-    /// Whether a job's started tasks may be running on a machine that has not acknowledged this leader's
-    /// fencing token. Only on one that the job may use: an earlier leader checked that as this one does.
+    /// Whether tasks of a job that an earlier leader started may be running on a machine that has not
+    /// acknowledged this leader's fencing token. Only machines that the job allows count, since earlier
+    /// leaders made the same check before a start.
     pub(super) fn may_run_on_unacknowledged(&self, spec: &JobSpec) -> bool {
         if self.unacknowledged_machines == 0 {
             return false;
@@ -77,7 +79,7 @@
         })
     }
 
-    /// How many tasks of a job are running, or may be, in each zone.
+    /// By zone index: how many tasks of a job are running, or may be running, in the zone.
     pub(super) fn placements_by_zone(&self, job: &Job) -> Vec<u32> {
         let mut counts = vec![0; self.catalog.zones.len()];
         for id in job.placements.values().flatten() {
@@ -89,17 +91,19 @@
     }
 }
 
-/// Whether so many tasks are half of a job's, or more.
+/// Whether `count` tasks are at least half of the job's tasks, rounded up.
 pub(super) fn is_at_least_half_of_tasks(count: u32, spec: &JobSpec) -> bool {
     count >= spec.tasks.div_ceil(2)
 }
 
-/// Whether no earlier leader can have started a task, nor another one that it is placed with.
+/// Whether no earlier leader can have started the task, nor any other task of the job whose place matters for
+/// it (in a gang or with zone rules).
 fn is_never_started(job: &Job, number: u32) -> bool {
     job.first_never_started().is_some_and(|first| number >= first)
 }
 
-/// Whether the job itself allows a task to start: it waits, is below the written start mark, and no other
+/// Whether the job itself allows a task to start: the job has not ended and is not backed off after a
+/// failure, and the task is waiting, is below the stored start mark, and is not withheld because another
 /// cell may run it.
 fn is_startable(job: &Job, number: u32, now: Steady) -> bool {
     !job.ended
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -1,8 +1,9 @@
-//! Starts of tasks: which of them go into the reply to a machine's heartbeat, and their attempt numbers.
+//! Starts of tasks: which starts go into the reply to a machine's heartbeat, and the attempt numbers.
 //!
-//! A job's *start mark* is the stored high-water mark of its started task numbers. It is written before any
-//! task below it starts, a few tasks ahead, so that a new leader knows which tasks may be running on
-//! machines that it has not heard from.
+//! A job's *start mark* is the stored high-water mark of its started task numbers: only tasks with lower
+//! numbers may be started. The mark is written before these tasks start, and is raised a few tasks ahead of
+//! them. From the mark a new leader knows which tasks may be running on machines that have not yet
+//! acknowledged its fencing token.
 
 use super::machine::{Machine, TaskEntry, TaskKey};
 use super::tasks::{task_name, task_resources};
@@ -16,7 +17,7 @@
 pub(super) struct AssignedStarts {
     /// The job.
     pub(super) job: JobId,
-    /// How many of its tasks.
+    /// Number of tasks of the job that are to start there.
     pub(super) count: u32,
 }
 
@@ -28,32 +29,34 @@
     pub(super) number: u32,
 }
 
-/// Low bits of an attempt number, which count attempts; the high bits are the fencing token.
+/// Number of low bits of an attempt number that count attempts; the bits above them are the fencing token.
 const ATTEMPT_BITS: u32 = 24;
 
-/// The highest count in an attempt number.
+/// Highest value of the attempt counter that fits the low bits of an attempt number.
 const MAX_ATTEMPTS: u64 = (1 << ATTEMPT_BITS) - 1;
 
-/// Attempt numbers that are left for what one plan places, gangs included, before no more is started.
+/// The leader stops starting tasks when only this many attempt numbers are left, so that everything one plan
+/// places, gangs included, still gets numbers.
 const ATTEMPTS_RESERVED: u64 = 1 << 18;
 
-/// Most commands in a reply to a heartbeat. A line of a reply may take 64 KiB, and a command up to a hundred
-/// bytes; further commands are sent with the next replies.
+/// Maximum number of commands in a reply to a heartbeat. A line of a reply may take 64 KiB, and a command
+/// takes up to a hundred bytes. Further commands are sent with the next replies.
 pub(super) const MAX_COMMANDS_PER_REPLY: usize = 500;
 
 impl Fleet {
-    /// Whether starts wait for a start mark to be written.
+    /// Whether some start has to wait until a higher start mark of its job is written.
     pub fn starts_await_marks(&self) -> bool {
         self.jobs.values().any(|job| job.wanted_start_mark > job.start_mark && !job.ended)
     }
 
-    /// Whether the start mark that allows a task to start is written.
+    /// Whether a start mark that allows the task to start is stored.
     pub(super) fn is_below_start_mark(&self, id: &JobId, number: u32) -> bool {
         self.jobs.get(id).is_some_and(|job| job.stored_start_mark() > number)
     }
 
-    /// Adds the starts for the machine whose heartbeat is being answered: what the latest plan assigns
-    /// to it, and waiting tasks of job arrays that fit there before the next plan.
+    /// Adds the starts for the machine whose heartbeat is being answered: the tasks that the latest plan
+    /// assigns to it, waiting replicas that run sooner there than planned, and waiting tasks of job arrays
+    /// that fit there and need not wait for the next plan (backfill).
     pub(super) fn add_start_commands(
         &mut self,
         id: &MachineId,
@@ -85,14 +88,14 @@
                     && !gang.started.contains(place.number)
             });
             if is_due && !self.start_task(&place.job, place.number, id, now, commands) {
-                // Its start mark or the machine's record is still being written.
+                // The start mark or the machine's record is still being written: the place stays reserved.
                 self.reserved_gang_places.entry(id.clone()).or_default().push(place);
             }
         }
     }
 
-    /// Starts the replicas that the plan assigns to the machine, and keeps the assignment of those that
-    /// cannot start yet.
+    /// Starts the replicas that the plan assigns to the machine. Replicas that cannot start yet stay assigned
+    /// to it.
     fn start_assigned_replicas(
         &mut self,
         assigned: AssignedStarts,
@@ -104,14 +107,14 @@
         let started = self.start_tasks(&job, count, id, now, commands);
         let has_waiting = self.jobs.get(&job).is_some_and(|job| !job.waiting.is_empty());
         if started < count && has_waiting {
-            // Its start mark is being written, or what it replaces has not ended yet.
+            // The start mark is still being written, or the task that the replica replaces has not ended yet.
             let left = AssignedStarts { job, count: count - started };
             self.assigned_starts.entry(id.clone()).or_default().push(left);
         }
     }
 
-    /// Starts tasks that the latest plan left unmet, or that a quota held back then, and that fit the machine
-    /// now.
+    /// Starts tasks that the latest plan left without a machine, or that a quota blocked at that time, if
+    /// they fit the machine now.
     fn backfill(&mut self, id: &MachineId, now: Steady, commands: &mut Vec<WorkerCommand>) {
         let Some(machine) = self.backfill_candidate(id, now) else { return };
         let team_uses = self.current_team_uses();
@@ -142,8 +145,8 @@
         }
     }
 
-    /// The machine as the planner sees it, if waiting tasks of job arrays may start on it before the next
-    /// plan.
+    /// The planner's snapshot of the machine; `None` if no waiting task of a job array may start on it before
+    /// the next plan.
     fn backfill_candidate(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
         if self.plan.unmet.is_empty() && self.plan.held_by_quota.is_empty() {
             return None;
@@ -151,8 +154,9 @@
         self.machine_for_starts(id, now).filter(|snapshot| snapshot.free.cpus > 0.0)
     }
 
-    /// The machine as the planner sees it, if tasks beyond the plan may start on it: it is usable, neither
-    /// reserved nor waiting for a gang's start, and no task on it is being stopped.
+    /// The planner's snapshot of the machine, if tasks that the plan did not assign to it may start there:
+    /// the machine must be usable, not closed by the latest plan and without a place reserved for a gang's
+    /// task, and no task on it may be being stopped.
     pub(super) fn machine_for_starts(&self, id: &MachineId, now: Steady) -> Option<MachineSnapshot> {
         if self.closed_machines.contains(id) || self.reserved_gang_places.contains_key(id) {
             return None;
@@ -166,8 +170,8 @@
         self.machine_snapshot(machine, now)
     }
 
-    /// Starts up to `count` waiting tasks of a job on the machine whose heartbeat is being answered;
-    /// returns how many.
+    /// Starts up to `count` waiting tasks of a job on the machine whose heartbeat is being answered; returns
+    /// how many were started.
     pub(super) fn start_tasks(
         &mut self,
         id: &JobId,
@@ -191,16 +195,16 @@
         started
     }
 
-    /// The waiting tasks of a job in the order in which they start. As long as an earlier leader's starts
-    /// may be running on machines that have not acknowledged this leader, without those below the start
-    /// mark that this leader found.
+    /// The waiting tasks of a job in the order in which they start. As long as tasks that an earlier leader
+    /// started may be running on machines that have not acknowledged this leader's fencing token, the tasks
+    /// below the start mark at the failover are left out.
     pub(super) fn next_tasks<'a>(&self, job: &'a Job) -> impl Iterator<Item = u32> + use<'a> {
         let first = if self.may_run_on_unacknowledged(&job.spec) { job.inherited_start_mark } else { 0 };
         job.waiting.iter().filter(move |number| *number >= first)
     }
 
-    /// Starts one task on the machine whose heartbeat is being answered, if it may start there; returns
-    /// whether it did.
+    /// Starts one task on the machine whose heartbeat is being answered, if it may start there and the
+    /// reply has room for the command; returns whether it was started.
     pub(super) fn start_task(
         &mut self,
         id: &JobId,
@@ -234,21 +238,21 @@
         true
     }
 
-    /// The next attempt number, from the fencing token and a counter: it is never used again, by this
-    /// leader or another, and nothing has to be written for that.
+    /// The next attempt number, composed of the fencing token and a counter. Neither this leader nor any
+    /// other uses the number again, and nothing has to be written to ensure that.
     pub(super) fn next_attempt(&mut self) -> u64 {
         self.attempt_counter += 1;
         (self.fencing_token << ATTEMPT_BITS) | (self.attempt_counter & MAX_ATTEMPTS)
     }
 
-    /// Whether this leader has hardly an attempt number left. It starts nothing more: under a higher
-    /// fencing token there are as many again. Four thousand machines that each start a task a second get
-    /// here within little more than an hour.
+    /// Whether this leader has nearly used up its attempt numbers. It then starts no more tasks: a leader
+    /// with a higher fencing token has a full set of numbers again. Four thousand machines that each start
+    /// one task a second use up the numbers in little more than an hour.
     pub fn attempts_exhausted(&self) -> bool {
         self.attempt_counter + ATTEMPTS_RESERVED > MAX_ATTEMPTS
     }
 
-    /// Proceeds as if `count` attempt numbers had been used, so that tests need not use them up.
+    /// Skips `count` attempt numbers, so that tests can reach the end of the numbers without starting tasks.
     pub fn skip_attempt_numbers(&mut self, count: u64) {
         self.attempt_counter += count;
     }
