--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation: bringing the model in line with the machine and the tasks that a heartbeat describes,
-//! and applying a task's exit to its machine and job.
+//! Reconciliation of the model with a heartbeat: with the state of the machine and of the tasks that the
+//! heartbeat lists. The exit of a task is applied to its machine and its job.
 
 use super::machine::{CachedImage, HeartbeatPosition, TaskEntry, TaskKey};
 use super::tasks::task_resources;
@@ -9,40 +9,43 @@
 use crate::time::{Micros, Steady};
 use crate::wire::{ExitReason, Heartbeat, JobSpec, TaskStage, TaskStatus};
 
-/// A machine to which so many replies in a row were not delivered is scaled in.
+/// Number of consecutive undelivered replies after which a machine is scaled in.
 const MAX_UNDELIVERED_REPLIES: u32 = 4;
 
-/// Undelivered replies in a row from which on nothing is placed on a machine for a while: a single one may
-/// be lost on the way.
+/// Number of consecutive undelivered replies from which on nothing is placed on a machine for a while. A
+/// single reply may be lost on an otherwise working connection.
 const SUSPECT_UNDELIVERED_REPLIES: u32 = 2;
 
-/// A lease that expired although its heartbeats were answered counts as this many undelivered replies.
+/// A lease that expired although the machine's heartbeats were answered counts as this many undelivered
+/// replies.
 const UNDELIVERED_REPLIES_PER_LOST_LEASE: u32 = 2;
 
-/// Exponent of two beyond which the pause after undelivered replies grows no more.
+/// The pause after N consecutive undelivered replies is 2^N heartbeat intervals, with N limited to this
+/// value.
 const MAX_PAUSE_EXPONENT: u32 = 4;
 
-/// A machine on which tasks of so many jobs failed, with no success between, is scaled in; one on which a
-/// job failed that succeeds on others, at once.
+/// A machine is scaled in once tasks of this many jobs have failed on it without a success in between. If the
+/// job that failed there succeeds on other machines, one failure is enough.
 const MAX_FAILED_JOBS: usize = 2;
 
-/// How long nothing is placed on a machine that had too little free capacity for a task.
+/// How long nothing is placed on a machine whose worker rejected a task because it had too little free
+/// capacity.
 const NO_CAPACITY_PAUSE: Micros = Micros(2_000_000);
 
-/// Tasks of a heartbeat beyond this many are not read.
+/// Maximum number of tasks that are read from one heartbeat; further tasks are ignored.
 const MAX_TASKS_PER_HEARTBEAT: usize = 10_000;
 
-/// How a task exited, as taken from a heartbeat.
+/// How a task exited, according to a heartbeat.
 struct TaskExit {
     reason: ExitReason,
-    /// How long it ran, if that was observed from start to end.
+    /// How long the task ran; `None` if this leader has not observed it from its start on.
     run_time: Option<Micros>,
-    /// How long it has been known here.
+    /// How long this leader has known of the task on this machine.
     known_for: Micros,
 }
 
 impl TaskEntry {
-    /// Marks the task as exited.
+    /// Marks the task as exited at `now`.
     fn exit(&mut self, reason: ExitReason, now: Steady) -> TaskExit {
         self.exit_reason = Some(reason);
         TaskExit {
@@ -54,8 +57,8 @@
 }
 
 impl Fleet {
-    /// Reconciles the model with a heartbeat, unless it is no newer (by agent epoch and sequence number)
-    /// than the latest one of its machine; returns whether it was used.
+    /// Reconciles the model with a heartbeat; returns whether that was done. The heartbeat is ignored if,
+    /// by agent epoch and sequence number, it is no newer than the machine's latest one.
     pub(super) fn reconcile_heartbeat(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Steady) -> bool {
         let Some(machine) = self.machines.get_mut(id) else { return false };
         let position = HeartbeatPosition::of(heartbeat);
@@ -80,8 +83,8 @@
         true
     }
 
-    /// Reconciles the machine itself with a heartbeat: that it is up, which fencing token it has, and any
-    /// spot interruption notice.
+    /// Reconciles the machine itself with a heartbeat: the machine is up, may have acknowledged this leader's
+    /// fencing token, and may have received a spot interruption notice.
     fn reconcile_machine(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Steady) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let is_first = !machine.up;
@@ -128,18 +131,19 @@
         listed
     }
 
-    /// Stops the tasks of job arrays on a machine that the cloud is about to reclaim which, by their
-    /// stated run time, end only after that: what they have done is lost anyway, and the sooner they run
-    /// elsewhere the better. Decided once, when the spot interruption notice comes: later on, one that
-    /// overruns its stated run time would be stopped just before its end.
+    /// Stops tasks on a spot machine with an interruption notice that by their stated run time would end
+    /// only after the cloud has reclaimed the machine. Only tasks of job arrays without checkpoints are
+    /// stopped: the work they have done is lost anyway, and they should run elsewhere soon. This is decided
+    /// only once, when the notice comes. Later a task that exceeds its stated run time might be stopped
+    /// just before its end.
     fn stop_unfinishable(&mut self, id: &MachineId, now: Steady) {
         let Some(machine) = self.machines.get(id) else { return };
         let Some(interruption_at) = machine.interruption_at else { return };
-        let saves_nothing = |spec: &JobSpec| spec.is_array() && spec.checkpoint_s <= 0.0;
+        let saves_no_checkpoint = |spec: &JobSpec| spec.is_array() && spec.checkpoint_s <= 0.0;
         let is_unfinishable = |key: &TaskKey, task: &TaskEntry| {
             let spec = self.jobs.get(&key.job).map(|job| &job.spec);
             task.is_live()
-                && spec.is_some_and(saves_nothing)
+                && spec.is_some_and(saves_no_checkpoint)
                 && self.remaining_run_time(task, spec, now) > interruption_at - now
         };
         let tasks = machine.tasks.iter();
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Drops a machine's tasks that the heartbeat does not list; `listed` is sorted.
+    /// Removes the machine's tasks that its heartbeat does not list; `listed` is sorted.
     fn drop_absent_tasks(&mut self, id: &MachineId, listed: &[TaskKey]) {
         let Some(machine) = self.machines.get(id) else { return };
         let is_absent = |key: &&TaskKey| listed.binary_search(key).is_err();
@@ -162,16 +166,19 @@
             let machine = self.machines.get_mut(id);
             let Some(task) = machine.and_then(|machine| machine.tasks.remove(&key)) else { continue };
             if task.is_live() {
-                // The start was not delivered, or the worker's lease expired and it forgot all.
+                // The start was not delivered, or the worker's lease expired and it stopped all its tasks.
                 tracing::debug!(machine = %id, job = %key.job, task = key.number, "task missing from heartbeat");
                 self.task_lost(&key, id);
             }
         }
     }
 
-    /// Judges from the next heartbeat whether the last reply was delivered. A machine whose heartbeats
-    /// come through while replies do not would have the same work assigned to it for ever, and nothing
-    /// of it run: nothing is placed on it during pauses that grow, and it is scaled in if that persists.
+    /// Determines from a machine's next heartbeat whether the last reply was delivered, and counts
+    /// undelivered replies. A machine whose heartbeats arrive while the replies to it are lost would be
+    /// assigned the same tasks again and again without ever running them. Therefore nothing is placed on it
+    /// during pauses that double with each undelivered reply, and it is scaled in if the replies stay
+    /// undelivered. `listed` are the tasks in the heartbeat; `lost_lease` says whether the worker's lease
+    /// expired since the heartbeat before.
     pub(super) fn record_reply_delivery(
         &mut self,
         id: &MachineId,
@@ -181,13 +188,13 @@
     ) {
         let heartbeat_interval = self.heartbeat_interval();
         let Some(machine) = self.machines.get_mut(id) else { return };
-        // Unless this leader itself let the lease expire, since it might not answer.
+        // False if this leader itself let the lease expire because it was not allowed to answer.
         let was_answered = machine.answered_at.is_some_and(|answered_at| {
             now - answered_at < self.worker_lease && machine.unanswered_heartbeat_at <= answered_at
         });
         let sent_starts = std::mem::take(&mut machine.sent_starts);
         if lost_lease && was_answered {
-            // Its lease expired although its heartbeats were answered.
+            // The lease expired although the heartbeats were answered.
             machine.undelivered_replies += UNDELIVERED_REPLIES_PER_LOST_LEASE;
         } else if sent_starts.is_empty() {
             return;
@@ -212,7 +219,7 @@
 
     /// Reconciles one task with its status in a heartbeat.
     pub(super) fn reconcile_task(&mut self, id: &MachineId, key: &TaskKey, status: &TaskStatus, now: Steady) {
-        // Most of a heartbeat repeats what is known already.
+        // Most tasks of a heartbeat have not changed since the heartbeat before.
         let known = self.machines.get(id).and_then(|machine| machine.tasks.get(key));
         if known.is_some_and(|task| is_unchanged(task, status)) {
             return;
@@ -223,7 +230,7 @@
         }
         let job = self.jobs.get(&key.job);
         let need = job.map(|job| task_resources(&job.spec));
-        // Cancelled, or done while this task was out of sight.
+        // The job was cancelled, or it completed while this task was not reported.
         let job_ended = self.has_job_ended(key);
         let Some(machine) = self.machines.get_mut(id) else { return };
         let task = machine.tasks.entry(key.clone()).or_insert_with(|| TaskEntry::new(need, now));
@@ -248,7 +255,8 @@
         }
     }
 
-    /// Notes that a machine caches a job's image, and drops the oldest ones beyond its cache's size.
+    /// Records that a machine has a job's image in its cache, and drops the least recently used images as
+    /// long as the cached images exceed the size of the cache. The job's image itself is never dropped.
     fn record_cached_image(&mut self, id: &MachineId, job: &JobId) {
         let Some(spec) = self.jobs.get(job).map(|job| &job.spec) else { return };
         let (Some(name), image_gb) = (spec.image.clone(), spec.image_gb) else { return };
@@ -280,20 +288,21 @@
         self.update_placement(&key.job, key.number, id);
     }
 
-    /// Applies a task's exit to its machine: repeated failures have it scaled in.
+    /// Applies a task's exit to its machine. A machine on which tasks fail repeatedly is marked for scale in.
     fn apply_exit_to_machine(&mut self, id: &MachineId, job: &JobId, exit: &TaskExit, now: Steady) {
         let succeeds_elsewhere = self.jobs.get(job).is_some_and(|job| !job.done.is_empty());
         let Some(machine) = self.machines.get_mut(id) else { return };
         match exit.reason {
-            // A task that started before the failure does not show that the machine is healthy now.
+            // The success of a task that started before the last failure would not show that the machine is
+            // healthy now.
             ExitReason::Done if now - exit.known_for > machine.failed_at => machine.failed_jobs.clear(),
             ExitReason::Error => {
                 machine.failed_jobs.insert(job.clone());
                 machine.failed_at = now;
                 let jobs = machine.failed_jobs.len();
                 if (jobs >= MAX_FAILED_JOBS || succeeds_elsewhere) && !machine.scaling_in {
-                    // Errors across different jobs, or of one that succeeds on others: the machine is at
-                    // fault.
+                    // Different jobs fail here, or one that succeeds on other machines: the machine must be
+                    // faulty.
                     tracing::info!(machine = %id, jobs, reason = "tasks failed", "scale in");
                     machine.scaling_in = true;
                 }
@@ -303,14 +312,14 @@
         }
     }
 
-    /// Applies a task's exit to its job, which is no service.
+    /// Applies a task's exit to its job, which must not be a service.
     fn apply_exit_to_job(&mut self, key: &TaskKey, id: &MachineId, exit: &TaskExit, now: Steady) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         match exit.reason {
             ExitReason::Done if key.number < job.spec.tasks => {
                 job.record_success();
                 if job.spec.is_gang() {
-                    // A gang completes together.
+                    // The tasks of a gang complete together.
                     job.done = TaskRanges::span(0, job.spec.tasks);
                     job.waiting = TaskRanges::new();
                 } else {
@@ -327,7 +336,7 @@
     }
 }
 
-/// Whether a heartbeat's status of a task is known already.
+/// Whether a task's status in a heartbeat brings no change to its entry.
 fn is_unchanged(task: &TaskEntry, status: &TaskStatus) -> bool {
     !task.is_live() || (task.stage == Some(status.stage) && task.need.is_some())
 }
