--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -6,9 +6,9 @@
 
 use crate::discrepancy::Discrepancy;
 
-/// Kinds of orders to workers.
+/// Kinds of commands to workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum OrderKind {
+pub enum CommandKind {
     /// A task is started.
     Start,
     /// A task is stopped.
@@ -17,29 +17,29 @@
     Forget,
 }
 
-/// Orders since the failover, by kind.
+/// Commands since the failover, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderCounts {
-    /// Orders to start a task.
+pub struct CommandCounts {
+    /// Commands to start a task.
     pub starts: u64,
-    /// Orders to stop a task, repeated ones included.
+    /// Commands to stop a task, repeated ones included.
     pub halts: u64,
-    /// Orders to drop an exited task from the reports, repeated ones included.
+    /// Commands to drop an exited task from the reports, repeated ones included.
     pub forgets: u64,
 }
 
-impl OrderCounts {
-    /// Counts an order.
-    pub fn add(&mut self, kind: OrderKind) {
+impl CommandCounts {
+    /// Counts a command.
+    pub fn add(&mut self, kind: CommandKind) {
         let count = match kind {
-            OrderKind::Start => &mut self.starts,
-            OrderKind::Halt => &mut self.halts,
-            OrderKind::Forget => &mut self.forgets,
+            CommandKind::Start => &mut self.starts,
+            CommandKind::Halt => &mut self.halts,
+            CommandKind::Forget => &mut self.forgets,
         };
         *count += 1;
     }
 
-    /// Number of orders of all kinds.
+    /// Number of commands of all kinds.
     pub fn total(&self) -> u64 {
         self.starts + self.halts + self.forgets
     }
@@ -75,7 +75,8 @@
     /// Machines that earlier leaders left.
     pub machines: u64,
     /// Those of them that have neither reported nor been given up.
-    pub unheard: u64,
+    #[serde(rename = "unheard")]
+    pub not_reported: u64,
     /// Those of them that were given up.
     pub lost: u64,
     /// Tasks that were found on a machine and agree with the records.
@@ -83,8 +84,10 @@
     /// Discrepancies found so far.
     #[serde(rename = "differences")]
     pub discrepancies: DiscrepancyCounts,
-    /// Orders sent so far.
-    pub orders: OrderCounts,
+    /// Commands sent so far.
+    #[serde(rename = "orders")]
+    pub commands: CommandCounts,
     /// Seconds from the failover until every machine had reported or was lost; `None` before that.
-    pub settled_s: Option<f64>,
+    #[serde(rename = "settled_s")]
+    pub completed_after_s: Option<f64>,
 }
--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -6,13 +6,13 @@
 use crate::discrepancy::{
     Discrepancy, JobRecordState, RecordedJobs, ReportedTask, ReportedTaskState, TaskDiscrepancy,
 };
-use crate::progress::{DiscrepancyCounts, OrderCounts, OrderKind, RecoveryProgress};
+use crate::progress::{CommandCounts, CommandKind, DiscrepancyCounts, RecoveryProgress};
 
 /// What is known of a machine that the records name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineStatus {
     /// It has not reported: whatever may be on it is neither started elsewhere nor taken for missing.
-    Unheard,
+    NotReported,
     /// It has reported with this leader's fencing token.
     Reported,
     /// It is gone, or its lease has certainly expired.
@@ -53,7 +53,7 @@
     machines: BTreeMap<String, MachineStatus>,
     /// Machines whose first report has been compared with the records.
     compared: BTreeSet<String>,
-    unheard: u64,
+    not_reported: u64,
     /// Reported tasks that are present; dropped once every machine has reported or is lost.
     present: BTreeSet<TaskKey>,
     /// Reported gangs; dropped at the same time.
@@ -61,15 +61,15 @@
     adopted: u64,
     lost: u64,
     discrepancies: DiscrepancyCounts,
-    orders: OrderCounts,
-    settled: Option<Duration>,
+    commands: CommandCounts,
+    completed_after: Option<Duration>,
 }
 
 impl RecoveryTracker {
     /// Adds a machine that the records name. Nothing is known of it yet.
     pub fn expect_machine(&mut self, machine: &str) {
-        if self.machines.insert(machine.to_string(), MachineStatus::Unheard).is_none() {
-            self.unheard += 1;
+        if self.machines.insert(machine.to_string(), MachineStatus::NotReported).is_none() {
+            self.not_reported += 1;
         }
     }
 
@@ -81,7 +81,7 @@
     /// Whether some machines have not reported and, this long after the failover, may still do so within
     /// `window`. What depends on how they are used, and can wait, is not decided before.
     pub fn is_awaiting_reports(&self, after: Duration, window: Duration) -> bool {
-        self.unheard > 0 && after < window
+        self.not_reported > 0 && after < window
     }
 
     /// Compares a machine's first report with the records and returns the discrepancies.
@@ -95,8 +95,8 @@
         tasks: &[ReportedTask<'_>],
         records: &impl RecordedJobs,
     ) -> Vec<TaskDiscrepancy> {
-        let is_unheard = self.machine_status(machine) == Some(MachineStatus::Unheard);
-        if !is_unheard || !self.compared.insert(machine.to_string()) {
+        let has_not_reported = self.machine_status(machine) == Some(MachineStatus::NotReported);
+        if !has_not_reported || !self.compared.insert(machine.to_string()) {
             return Vec::new();
         }
         let mut found = Vec::new();
@@ -129,39 +129,39 @@
         None
     }
 
-    /// A machine has reported with this leader's fencing token: no order of an earlier leader can reach
+    /// A machine has reported with this leader's fencing token: no command of an earlier leader can reach
     /// it any more.
-    pub fn machine_reported(&mut self, machine: &str, after: Duration) {
+    pub fn mark_reported(&mut self, machine: &str, after: Duration) {
         self.resolve_machine(machine, MachineStatus::Reported, after);
     }
 
     /// A machine that has not reported is given up.
-    pub fn machine_lost(&mut self, machine: &str, after: Duration) {
+    pub fn mark_lost(&mut self, machine: &str, after: Duration) {
         self.resolve_machine(machine, MachineStatus::Lost, after);
     }
 
     /// Changes the status of a machine that is unheard; has no effect on any other.
     fn resolve_machine(&mut self, machine: &str, status: MachineStatus, after: Duration) {
-        if self.machine_status(machine) != Some(MachineStatus::Unheard) {
+        if self.machine_status(machine) != Some(MachineStatus::NotReported) {
             return;
         }
         self.machines.insert(machine.to_string(), status);
-        self.unheard -= 1;
+        self.not_reported -= 1;
         if status == MachineStatus::Lost {
             self.lost += 1;
             self.discrepancies.add(Discrepancy::MachineLost);
         }
-        if self.unheard == 0 {
+        if self.not_reported == 0 {
             self.finish_comparison(after);
         }
     }
 
     /// Every machine has reported or is lost, so a gang of which tasks are missing is a partial one.
     fn finish_comparison(&mut self, after: Duration) {
-        if self.settled.is_some() {
+        if self.completed_after.is_some() {
             return;
         }
-        self.settled = Some(after);
+        self.completed_after = Some(after);
         let partial_gangs = self.gangs.values().filter(|gang| gang.is_partial()).count();
         for _ in 0..partial_gangs {
             self.discrepancies.add(Discrepancy::PartialGang);
@@ -171,14 +171,14 @@
         self.gangs.clear();
     }
 
-    /// Counts an order to a worker.
-    pub fn count_order(&mut self, kind: OrderKind) {
-        self.orders.add(kind);
+    /// Counts a command to a worker.
+    pub fn count_command(&mut self, kind: CommandKind) {
+        self.commands.add(kind);
     }
 
     /// Whether every machine has reported or is lost.
-    pub fn is_settled(&self) -> bool {
-        self.unheard == 0
+    pub fn is_complete(&self) -> bool {
+        self.not_reported == 0
     }
 
     /// How far the recovery has come, this long after the failover.
@@ -186,12 +186,12 @@
         RecoveryProgress {
             after_s: after.as_secs_f64(),
             machines: self.machines.len() as u64,
-            unheard: self.unheard,
+            not_reported: self.not_reported,
             lost: self.lost,
             adopted: self.adopted,
             discrepancies: self.discrepancies.clone(),
-            orders: self.orders,
-            settled_s: self.settled.map(|settled| settled.as_secs_f64()),
+            commands: self.commands,
+            completed_after_s: self.completed_after.map(|duration| duration.as_secs_f64()),
         }
     }
 }
--- a/crates/recovery/tests/discrepancies.rs
+++ b/crates/recovery/tests/discrepancies.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use milletlock_recovery::{
-    Discrepancy, JobRecordState, MachineStatus, OrderKind, RecordedJobs, RecoveryTracker, ReportedTask,
+    CommandKind, Discrepancy, JobRecordState, MachineStatus, RecordedJobs, RecoveryTracker, ReportedTask,
     ReportedTaskState, TaskDiscrepancy,
 };
 use rand::rngs::StdRng;
@@ -48,7 +48,7 @@
 /// A machine's first report, which shows the leader's fencing token as well.
 fn report(recovery: &mut RecoveryTracker, machine: &str, tasks: &[ReportedTask<'_>]) -> Vec<TaskDiscrepancy> {
     let found = recovery.compare_first_report(machine, tasks, &records());
-    recovery.machine_reported(machine, SECOND);
+    recovery.mark_reported(machine, SECOND);
     found
 }
 
@@ -95,7 +95,7 @@
         &[task("gang", 0, ReportedTaskState::Present), task("gang", 1, ReportedTaskState::Present)],
     );
     assert_eq!(recovery.progress(SECOND).discrepancies.total(), 0, "the third may be on the other machine");
-    recovery.machine_lost("b", 2 * SECOND);
+    recovery.mark_lost("b", 2 * SECOND);
     let discrepancies = recovery.progress(2 * SECOND).discrepancies;
     assert_eq!(discrepancies.count(Discrepancy::PartialGang), 1);
     assert_eq!(discrepancies.count(Discrepancy::MachineLost), 1);
@@ -111,7 +111,7 @@
     assert!(!recovery.is_awaiting_reports(window, window), "one that stays away does not hold up the others");
     report(&mut recovery, "b", &[]);
     assert!(!recovery.is_awaiting_reports(SECOND, window));
-    assert_eq!(recovery.progress(9 * SECOND).settled_s, Some(1.0));
+    assert_eq!(recovery.progress(9 * SECOND).completed_after_s, Some(1.0));
     assert!(!RecoveryTracker::default().is_awaiting_reports(SECOND, window), "nothing to recover");
 }
 
@@ -120,20 +120,20 @@
     let mut recovery = recovery(&["a"]);
     report(&mut recovery, "a", &[]);
     assert!(report(&mut recovery, "a", &[task("array", 1, ReportedTaskState::Done)]).is_empty());
-    recovery.machine_lost("a", SECOND);
+    recovery.mark_lost("a", SECOND);
     assert_eq!(recovery.machine_status("a"), Some(MachineStatus::Reported));
     assert!(report(&mut recovery, "new", &[task("array", 1, ReportedTaskState::Done)]).is_empty());
     assert_eq!(recovery.machine_status("new"), None, "rented since, it has nothing from before");
 }
 
 #[test]
-fn orders_are_counted_by_kind() {
+fn commands_are_counted_by_kind() {
     let mut recovery = RecoveryTracker::default();
-    [OrderKind::Start, OrderKind::Halt, OrderKind::Start, OrderKind::Forget]
+    [CommandKind::Start, CommandKind::Halt, CommandKind::Start, CommandKind::Forget]
         .into_iter()
-        .for_each(|kind| recovery.count_order(kind));
-    let orders = recovery.progress(SECOND).orders;
-    assert_eq!((orders.starts, orders.halts, orders.forgets, orders.total()), (2, 1, 1, 4));
+        .for_each(|kind| recovery.count_command(kind));
+    let commands = recovery.progress(SECOND).commands;
+    assert_eq!((commands.starts, commands.halts, commands.forgets, commands.total()), (2, 1, 1, 4));
 }
 
 /// Random machines that report in random order, some twice, some never.
@@ -147,7 +147,7 @@
         let (mut expected, mut present, mut lost) = (0, BTreeSet::new(), 0);
         for machine in &machines {
             if rng.random_range(0..5) == 0 {
-                recovery.machine_lost(machine, SECOND);
+                recovery.mark_lost(machine, SECOND);
                 lost += 1;
                 continue;
             }
@@ -172,13 +172,13 @@
                 recovery.compare_first_report(machine, &tasks, &records).is_empty(),
                 "the first report only"
             );
-            recovery.machine_reported(machine, SECOND);
+            recovery.mark_reported(machine, SECOND);
         }
         let progress = recovery.progress(SECOND);
         assert_eq!(progress.discrepancies.total(), expected + lost, "seed {seed}");
-        assert_eq!((progress.lost, progress.unheard), (lost, 0));
+        assert_eq!((progress.lost, progress.not_reported), (lost, 0));
         assert_eq!(progress.adopted, present.len() as u64);
-        assert!(recovery.is_settled());
+        assert!(recovery.is_complete());
     }
 }
 
@@ -187,7 +187,7 @@
 fn progress_keeps_its_serialized_names() {
     let mut recovery = recovery(&["a", "b"]);
     report(&mut recovery, "a", &[task("array", 1, ReportedTaskState::Done)]);
-    recovery.count_order(OrderKind::Forget);
+    recovery.count_command(CommandKind::Forget);
     let progress = serde_json::to_value(recovery.progress(SECOND)).expect("a value");
     let expected = serde_json::json!({
         "after_s": 1.0, "machines": 2, "unheard": 1, "lost": 0, "adopted": 0,
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -101,12 +101,12 @@
         };
         if !leadership.store_contact.may_act(now) {
             // Cancellations cannot be seen any more: the workers' leases must be left to expire.
-            leadership.fleet.heartbeat_unanswered(&heartbeat.machine, now);
+            leadership.fleet.record_unanswered_heartbeat(&heartbeat.machine, now);
             let refused = unavailable("out of touch with the state service");
             return HeartbeatHandling::Answer(refused, reply);
         }
         leadership.last_heartbeat = now;
-        let outcome = leadership.fleet.check_in(&heartbeat, now, wall());
+        let outcome = leadership.fleet.apply_heartbeat(&heartbeat, now, wall());
         if leadership.fleet.has_results_of_loans(&heartbeat) {
             self.wake.notify_all();
         }
--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -98,7 +98,7 @@
             match self.cloud.return_machines(batch) {
                 Ok(()) => {
                     if let Some(leadership) = self.lock().leadership_with(fencing_token) {
-                        leadership.fleet.machines_scaled_in(batch, self.now());
+                        leadership.fleet.remove_scaled_in_machines(batch, self.now());
                     }
                     self.wake.notify_all();
                 }
@@ -213,9 +213,9 @@
             );
             let is_partial = (ids.len() as u32) < request.count;
             if is_partial {
-                fleet.note_offer_refused(offer, now + NO_CAPACITY_BACKOFF);
+                fleet.record_refused_offer(offer, now + NO_CAPACITY_BACKOFF);
             }
-            fleet.machines_scaled_out(&ids, offer, now);
+            fleet.add_scaled_out_machines(&ids, offer, now);
             if is_partial {
                 ScaleOutOutcome::Partial
             } else {
@@ -229,12 +229,12 @@
                 spot = request.spot,
                 "scale out: no capacity"
             );
-            fleet.note_offer_refused(offer, now + NO_CAPACITY_BACKOFF);
+            fleet.record_refused_offer(offer, now + NO_CAPACITY_BACKOFF);
             ScaleOutOutcome::Partial
         }
         Err(error) => {
             tracing::info!(%error, "scale out failed");
-            fleet.note_offer_refused(offer, now + CLOUD_ERROR_BACKOFF);
+            fleet.record_refused_offer(offer, now + CLOUD_ERROR_BACKOFF);
             ScaleOutOutcome::Failed
         }
     }
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -28,7 +28,7 @@
     }
 
     /// Adds machines that the cloud granted to this leader.
-    pub fn machines_scaled_out(&mut self, ids: &[String], offer: MachineOffer, now: Steady) {
+    pub fn add_scaled_out_machines(&mut self, ids: &[String], offer: MachineOffer, now: Steady) {
         let machine_type = self.catalog.types.get(offer.type_index);
         let type_name = machine_type.map(|machine_type| machine_type.name.clone()).unwrap_or_default();
         let zone = self.zone_name(offer.zone).to_string();
@@ -43,7 +43,7 @@
     }
 
     /// Applies the cloud's list of machines; it may be late, and older than the one before.
-    pub fn machines_listed(&mut self, list: &[ListedMachine], now: Steady) {
+    pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Steady) {
         let listed_ids: BTreeSet<&str> = list.iter().map(|listed| listed.id.as_str()).collect();
         for machine in self.machines.values_mut() {
             // One that was registered by an earlier leader was up then, and so has been listed.
@@ -53,13 +53,13 @@
             }
         }
         for listed in list {
-            self.machine_listed(listed, now);
+            self.apply_listed_machine(listed, now);
         }
         self.dirty = true;
     }
 
     /// Applies one entry of the cloud's list.
-    fn machine_listed(&mut self, listed: &ListedMachine, now: Steady) {
+    fn apply_listed_machine(&mut self, listed: &ListedMachine, now: Steady) {
         let id: MachineId = listed.id.as_str().into();
         if self.removed_machines.contains_key(&id) {
             return;
@@ -92,11 +92,11 @@
     }
 
     /// The cloud confirmed that these machines have ended: nothing runs on them any more.
-    pub fn machines_scaled_in(&mut self, ids: &[String], now: Steady) {
+    pub fn remove_scaled_in_machines(&mut self, ids: &[String], now: Steady) {
         for id in ids {
             let id: MachineId = id.as_str().into();
-            self.drop_tasks(&id);
-            self.machine_lost(&id, now);
+            self.remove_all_tasks(&id);
+            self.mark_machine_lost(&id, now);
             if let Some(machine) = self.machines.remove(&id) {
                 if !machine.acknowledged {
                     self.unacknowledged_machines = self.unacknowledged_machines.saturating_sub(1);
@@ -113,7 +113,7 @@
     }
 
     /// No task can be running on the machine any more: its entries are dropped.
-    pub(super) fn drop_tasks(&mut self, id: &MachineId) {
+    pub(super) fn remove_all_tasks(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.sent_starts.clear();
         let tasks = std::mem::take(&mut machine.tasks);
--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -37,7 +37,7 @@
     pub(super) fn plan_now(&mut self, now: Steady, wall: Wall) -> (Snapshot, Vec<MachineId>) {
         self.dirty = false;
         self.planned_at = now;
-        self.drop_unsent_gangs(now);
+        self.end_unstartable_gang_attempts(now);
         let input = self.planner_input(now, wall);
         let mut plan = sched::plan(&input.snapshot);
         if self.awaits_heartbeats(now) {
@@ -46,7 +46,7 @@
         self.assign(&input, &plan, now);
         let PlannerInput { snapshot, machines, jobs } = input;
         self.evict_tasks(&plan, &machines, now);
-        self.note_waiting_services(&snapshot, &plan);
+        self.update_waiting_services(&snapshot, &plan);
         let reserved = plan.reservation.iter().flat_map(|reservation| &reservation.machines);
         let reserved = reserved.map(|(machine, _)| machine);
         let closed = reserved.chain(plan.preempt.iter().map(|(machine, _)| machine));
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use milletlock_recovery::{
-    Discrepancy, JobRecordState, OrderKind, RecordedJobs, RecoveryProgress, ReportedTask, ReportedTaskState,
+    CommandKind, Discrepancy, JobRecordState, RecordedJobs, RecoveryProgress, ReportedTask, ReportedTaskState,
 };
 
 use super::Fleet;
@@ -20,7 +20,7 @@
 /// Time between two log lines of a recovery's progress.
 const PROGRESS_LOG_INTERVAL: Micros = Micros(500_000);
 
-/// How long after a failover progress is logged, and orders are counted.
+/// How long after a failover progress is logged, and commands are counted.
 const RECOVERY_LOGGED_FOR: Micros = Micros(60_000_000);
 
 /// A read-only view of this leader's jobs for the recovery tracker: the jobs as the records had them
@@ -77,29 +77,29 @@
     }
 
     /// A machine has acknowledged this leader's fencing token.
-    pub(super) fn machine_acknowledged(&mut self, id: &str, now: Steady) {
-        self.recovery.machine_reported(id, self.since_failover(now));
+    pub(super) fn mark_machine_acknowledged(&mut self, id: &str, now: Steady) {
+        self.recovery.mark_reported(id, self.since_failover(now));
     }
 
     /// No task can be running any more on a machine that may not have acknowledged the fencing token.
-    pub(super) fn machine_lost(&mut self, id: &str, now: Steady) {
-        self.recovery.machine_lost(id, self.since_failover(now));
+    pub(super) fn mark_machine_lost(&mut self, id: &str, now: Steady) {
+        self.recovery.mark_lost(id, self.since_failover(now));
     }
 
-    /// Counts orders that are sent while the recovery's progress is logged.
-    pub(super) fn count_orders<'a>(
+    /// Counts commands that are sent while the recovery's progress is logged.
+    pub(super) fn count_commands<'a>(
         &mut self,
-        orders: impl IntoIterator<Item = &'a WorkerCommand>,
+        commands: impl IntoIterator<Item = &'a WorkerCommand>,
         now: Steady,
     ) {
         if now - self.failover_at > RECOVERY_LOGGED_FOR {
             return;
         }
-        for order in orders {
-            self.recovery.count_order(match order {
-                WorkerCommand::Start { .. } => OrderKind::Start,
-                WorkerCommand::Halt { .. } => OrderKind::Halt,
-                WorkerCommand::Forget { .. } => OrderKind::Forget,
+        for command in commands {
+            self.recovery.count_command(match command {
+                WorkerCommand::Start { .. } => CommandKind::Start,
+                WorkerCommand::Halt { .. } => CommandKind::Halt,
+                WorkerCommand::Forget { .. } => CommandKind::Forget,
             });
         }
     }
@@ -120,7 +120,7 @@
             fencing_token = self.fencing_token,
             after_s = progress.after_s,
             machines = progress.machines,
-            unheard = progress.unheard,
+            unheard = progress.not_reported,
             lost = progress.lost,
             adopted = progress.adopted,
             finished = count(Discrepancy::Finished),
@@ -130,10 +130,10 @@
             failed = count(Discrepancy::Failed),
             partial_gang = count(Discrepancy::PartialGang),
             machine_lost = count(Discrepancy::MachineLost),
-            starts = progress.orders.starts,
-            halts = progress.orders.halts,
-            forgets = progress.orders.forgets,
-            settled_s = progress.settled_s,
+            starts = progress.commands.starts,
+            halts = progress.commands.halts,
+            forgets = progress.commands.forgets,
+            settled_s = progress.completed_after_s,
             "recovery"
         );
     }
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::start_check::is_half_of_tasks;
+use super::start_check::is_at_least_half_of_tasks;
 use super::Fleet;
 use crate::jobs::{Job, JobId, MachineId};
 use crate::sched::{self, MachineSnapshot, PlacedTask, Plan, ReportingMachine, Snapshot};
@@ -64,14 +64,14 @@
     }
 
     /// Forgets which machines replicas have left long ago.
-    pub(super) fn forget_vacated(&mut self, now: Steady) {
+    pub(super) fn forget_old_vacated_machines(&mut self, now: Steady) {
         for job in self.jobs.values_mut() {
             job.vacated.retain(|_, left_at| now - *left_at < AVOID_MACHINE_FOR);
         }
     }
 
     /// Notes which services have replicas waiting, and when they would run by the plan.
-    pub(super) fn note_waiting_services(&mut self, snapshot: &Snapshot, plan: &Plan) {
+    pub(super) fn update_waiting_services(&mut self, snapshot: &Snapshot, plan: &Plan) {
         let mut waiting: BTreeMap<usize, Option<Micros>> = BTreeMap::new();
         for start in &plan.starts {
             let class = &snapshot.classes[start.class];
@@ -89,7 +89,7 @@
 
     /// Starts waiting replicas on a machine that has just sent a heartbeat, if they run sooner here than
     /// where the plan has them.
-    pub(super) fn start_replicas(&mut self, id: &MachineId, now: Steady, orders: &mut Vec<WorkerCommand>) {
+    pub(super) fn start_replicas(&mut self, id: &MachineId, now: Steady, commands: &mut Vec<WorkerCommand>) {
         if self.waiting_services.is_empty() {
             return;
         }
@@ -104,7 +104,7 @@
             }
         }
         for job in chosen {
-            self.start_tasks(&job, 1, id, now, orders);
+            self.start_tasks(&job, 1, id, now, commands);
         }
     }
 
@@ -130,7 +130,7 @@
                 .planned_snapshot
                 .headroom_for(machine.machine_type, machine.spot)
                 .map(|headroom| headroom.need),
-            zone_has_half_of_replicas: is_half_of_tasks(in_zone, &job.spec),
+            zone_has_half_of_replicas: is_at_least_half_of_tasks(in_zone, &job.spec),
         };
         let since_plan = now - self.planned_at;
         reporting.should_start(class, service.planned.map(|planned| planned - since_plan)).then_some(job_id)
--- a/tests/failover/simulation/heartbeats.rs
+++ b/tests/failover/simulation/heartbeats.rs
@@ -19,7 +19,7 @@
         if !self.may_reply(i) {
             return None;
         }
-        match self.leaders[i].controller.fleet.check_in(r, now, wall_at(now)) {
+        match self.leaders[i].controller.fleet.apply_heartbeat(r, now, wall_at(now)) {
             HeartbeatOutcome::Reply(reply) => Some(reply),
             HeartbeatOutcome::Superseded(_) => {
                 self.leaders.remove(i);
@@ -82,7 +82,7 @@
                 && self.now - sent <= REPLY_TIMEOUT
                 && !replies_lost
             {
-                self.execute_orders(w, &reply, sent);
+                self.execute_reply(w, &reply, sent);
             }
         }
         if self.now < self.workers[w].due {
@@ -113,7 +113,7 @@
         let Some(reply) = self.deliver(i, &r) else { return };
         if self.chance(0.05) {
             let again = self.deliver(i, &r);
-            assert!(again.is_none_or(|r| r.commands.is_empty()), "a copy was given orders");
+            assert!(again.is_none_or(|r| r.commands.is_empty()), "a copy was given commands");
         }
         if self.chance(0.05) || self.now < self.workers[w].replies_lost_until {
             return;
@@ -125,7 +125,7 @@
             return;
         }
         let now = self.now;
-        self.execute_orders(w, &reply, now);
+        self.execute_reply(w, &reply, now);
     }
 
     /// Direct commands that bring the newest leader's fencing token to machines that it has not heard. They
@@ -194,7 +194,7 @@
             else {
                 continue;
             };
-            if self.leaders[i].controller.fleet.direct_command_answered(&r, now).is_some() {
+            if self.leaders[i].controller.fleet.apply_direct_command_reply(&r, now).is_some() {
                 self.leaders.remove(i);
             }
         }
--- a/tests/fault_combinations/late_messages.rs
+++ b/tests/fault_combinations/late_messages.rs
@@ -38,7 +38,7 @@
     let late = |scenario: &mut Scenario| {
         for r in [&agent_epoch, &attempt, &agent_epoch] {
             let (now, wall) = (at(scenario.seconds), wall(scenario.seconds));
-            assert_eq!(scenario.fleet().check_in(r, now, wall), HeartbeatOutcome::Refuse);
+            assert_eq!(scenario.fleet().apply_heartbeat(r, now, wall), HeartbeatOutcome::Refuse);
         }
         scenario.run(3.0);
         assert_eq!(
@@ -126,7 +126,7 @@
     scenario.run(2.0);
     assert_eq!(scenario.fleet().unacknowledged_machines(), 0);
     let now = at(scenario.seconds);
-    assert_eq!(scenario.fleet().direct_command_answered(&back, now), None);
+    assert_eq!(scenario.fleet().apply_direct_command_reply(&back, now), None);
     scenario.run(10.0);
     assert_eq!((scenario.placed(&a), scenario.started(&a)), (1, 1));
     // A command of a leader that has been replaced does nothing and tells it so.
@@ -135,7 +135,7 @@
     let stale = scenario.command(&place, fencing_token, 1);
     let newer = scenario.fleet().fencing_token;
     assert_eq!(
-        scenario.leaders[1].controller.fleet.direct_command_answered(&stale, at(scenario.seconds)),
+        scenario.leaders[1].controller.fleet.apply_direct_command_reply(&stale, at(scenario.seconds)),
         Some(newer)
     );
     scenario.finish(60.0);
@@ -167,7 +167,7 @@
         scenario.seconds += STEP;
         let (r, now, wall) =
             (scenario.worker("i-1").state.heartbeat(), at(scenario.seconds), wall(scenario.seconds));
-        let HeartbeatOutcome::Reply(reply) = scenario.fleet().check_in(&r, now, wall) else {
+        let HeartbeatOutcome::Reply(reply) = scenario.fleet().apply_heartbeat(&r, now, wall) else {
             panic!("no reply")
         };
         scenario.write_records();
@@ -178,10 +178,10 @@
     assert!(matches!(reply.commands[..], [WorkerCommand::Start { .. }]), "{reply:?}");
     // The held copy of the command comes between the heartbeat and its reply.
     let back = scenario.command("i-1", fencing_token, 1);
-    scenario.execute_orders(0, &reply);
+    scenario.execute_commands(0, &reply);
     assert_eq!(scenario.placed(&a), 1);
     let now = at(scenario.seconds);
-    scenario.fleet().direct_command_answered(&back, now);
+    scenario.fleet().apply_direct_command_reply(&back, now);
     // The other sends its heartbeat first, and has capacity.
     scenario.link(&["i-2"], Link::Up);
     scenario.run(10.0);
@@ -212,7 +212,7 @@
         let unheard = usize::from(before_newer);
         assert_eq!(scenario.fleet().unacknowledged_machines(), unheard);
         let (now, t) = (at(scenario.seconds), wall(scenario.seconds));
-        let out = scenario.fleet().check_in(&held, now, t);
+        let out = scenario.fleet().apply_heartbeat(&held, now, t);
         if before_newer {
             assert!(!matches!(out, HeartbeatOutcome::Superseded(_)));
         } else {
@@ -248,13 +248,13 @@
     assert_eq!((scenario.started(&a), scenario.placed(&a)), (2, 1));
     let late = |scenario: &mut Scenario| {
         let (now, t) = (at(scenario.seconds), wall(scenario.seconds));
-        assert_eq!(scenario.fleet().check_in(&held, now, t), HeartbeatOutcome::Refuse);
+        assert_eq!(scenario.fleet().apply_heartbeat(&held, now, t), HeartbeatOutcome::Refuse);
         assert!(!scenario.fleet().machines.contains_key(place.as_str()));
     };
     late(&mut scenario);
     // Nor by one that shows no task.
     let (now, t) = (at(scenario.seconds), wall(scenario.seconds));
-    assert_eq!(scenario.fleet().check_in(&empty, now, t), HeartbeatOutcome::Refuse);
+    assert_eq!(scenario.fleet().apply_heartbeat(&empty, now, t), HeartbeatOutcome::Refuse);
     // Nor at the next leader, which never knew it.
     scenario.replace_leader(1.0);
     scenario.run(2.0);
--- a/tests/fault_combinations/scenario/messages.rs
+++ b/tests/fault_combinations/scenario/messages.rs
@@ -42,7 +42,8 @@
                     continue;
                 }
                 let r = self.command(&id, fencing_token, agent_epoch);
-                if self.leaders[i].controller.fleet.direct_command_answered(&r, at(self.seconds)).is_some() {
+                if self.leaders[i].controller.fleet.apply_direct_command_reply(&r, at(self.seconds)).is_some()
+                {
                     self.end_leader(i);
                     break;
                 }
@@ -76,9 +77,10 @@
             return;
         };
         self.workers[w].leader = leader;
-        match self.leaders[leader].controller.fleet.check_in(&r, at(self.seconds), wall(self.seconds)) {
+        match self.leaders[leader].controller.fleet.apply_heartbeat(&r, at(self.seconds), wall(self.seconds))
+        {
             HeartbeatOutcome::Reply(reply) if self.workers[w].link == Link::Up => {
-                self.execute_orders(w, &reply)
+                self.execute_commands(w, &reply)
             }
             HeartbeatOutcome::Reply(_) => {}
             HeartbeatOutcome::Superseded(_) => {
@@ -92,8 +94,8 @@
         }
     }
 
-    /// A worker executes the orders of a reply.
-    pub fn execute_orders(&mut self, w: usize, reply: &HeartbeatReply) {
+    /// A worker executes the commands of a reply.
+    pub fn execute_commands(&mut self, w: usize, reply: &HeartbeatReply) {
         let (s, worker) = (self.seconds, &mut self.workers[w]);
         let before = worker.state.fencing_token;
         if !worker.state.accept_reply(reply.fencing_token, at(s)) {
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -83,7 +83,7 @@
                     .collect();
                 left -= names.len();
                 self.workers.extend(names.iter().map(|name| (name.clone(), Tasks::new())));
-                self.leader.fleet.machines_scaled_out(&names, offer, self.now);
+                self.leader.fleet.add_scaled_out_machines(&names, offer, self.now);
             }
         }
     }
@@ -124,18 +124,18 @@
             .collect();
         let message = heartbeat(name, self.sequence, self.leader.fleet.fencing_token, &listed);
         let HeartbeatOutcome::Reply(reply) =
-            self.leader.fleet.check_in(&message, self.now, wall_at(self.now))
+            self.leader.fleet.apply_heartbeat(&message, self.now, wall_at(self.now))
         else {
             panic!("the heartbeat of {name} is refused");
         };
-        for order in reply.commands {
-            self.execute(name, order);
+        for command in reply.commands {
+            self.execute(name, command);
         }
     }
 
-    fn execute(&mut self, name: &str, order: WorkerCommand) {
+    fn execute(&mut self, name: &str, command: WorkerCommand) {
         let tasks = self.workers.get_mut(name).expect("a worker");
-        match order {
+        match command {
             WorkerCommand::Start { task, attempt } => {
                 assert!(self.started.insert(task.clone()), "{task} starts twice");
                 tasks.insert((task, attempt), TaskStage::Running);
@@ -168,7 +168,7 @@
         self.leader.fleet.decide_scaling(self.now, wall_at(self.now));
         let leaving = self.leader.fleet.machines_to_scale_in();
         for part in leaving.chunks(100) {
-            self.leader.fleet.machines_scaled_in(part, self.now);
+            self.leader.fleet.remove_scaled_in_machines(part, self.now);
             for name in part {
                 assert!(self.workers.remove(name).is_some_and(|tasks| tasks.is_empty()), "{name} was in use");
             }
@@ -254,7 +254,7 @@
     cluster.scale_out();
     (0..3).for_each(|_| cluster.step());
     assert_eq!(cluster.running(), 4);
-    cluster.leader.fleet.use_attempts(1 << 24);
+    cluster.leader.fleet.skip_attempt_numbers(1 << 24);
     assert!(cluster.leader.fleet.attempts_exhausted());
     cluster.submit(spec(2, 200, "batch"));
     cluster.scale_out();
--- a/tests/services/cluster/mod.rs
+++ b/tests/services/cluster/mod.rs
@@ -229,7 +229,7 @@
         message.agent_epoch = worker.agent_epoch;
         message.zone = worker.zone.into();
         message.interruption_notice_s = worker.preempted_at.map(|at| (at - now).secs());
-        match self.fleet.check_in(&message, now, Wall(now.0)) {
+        match self.fleet.apply_heartbeat(&message, now, Wall(now.0)) {
             HeartbeatOutcome::Reply(reply) => Some(reply.commands),
             HeartbeatOutcome::Refuse => None,
             HeartbeatOutcome::Superseded(fencing_token) => panic!("replaced by {fencing_token}"),
@@ -322,7 +322,7 @@
     /// The machine is gone and the cloud has said so.
     pub fn remove_machine(&mut self, machine: &str) {
         self.workers.remove(machine);
-        self.fleet.machines_scaled_in(&[machine.into()], self.now);
+        self.fleet.remove_scaled_in_machines(&[machine.into()], self.now);
     }
 
     /// Cuts a machine off from the leader for a time.
