--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -148,7 +148,7 @@
         lends_class
             && has_type
             && !job.ended
-            && !self.is_held(&job.id)
+            && !self.is_blocked_by_unreadable_record(&job.id)
             && job.borrowed_from.is_none()
             && is_array_without_rules(spec)
             && !self.loans.is_lending(&job.id)
--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -51,7 +51,8 @@
 
     /// Loads a value of start marks. Those of jobs that have ended are dropped.
     pub fn inherit_start_marks(&mut self, slot: u32, marks: BTreeMap<JobId, u32>, mod_revision: u64) {
-        let has_ended = |id: &&JobId| !self.jobs.contains_key(*id) && !self.is_held(id);
+        let has_ended =
+            |id: &&JobId| !self.jobs.contains_key(*id) && !self.is_blocked_by_unreadable_record(id);
         let ended: Vec<JobId> = marks.keys().filter(has_ended).cloned().collect();
         for (id, mark) in &marks {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -119,7 +120,7 @@
     /// Notes what a job that has ended has left behind, which is to be deleted; `mod_revision` is 0 if there is no
     /// such row.
     fn note_orphan(&mut self, id: &str, key: String, mod_revision: u64) {
-        if mod_revision > 0 && !self.is_held(id) {
+        if mod_revision > 0 && !self.is_blocked_by_unreadable_record(id) {
             tracing::info!(key, "row of a job that has no record, to be removed");
             self.cleanup.rows.insert(key, mod_revision);
         }
--- a/src/fleet/start_check.rs
+++ b/src/fleet/start_check.rs
@@ -16,7 +16,7 @@
             return false;
         };
         is_startable(job, number, now)
-            && !self.is_held(id)
+            && !self.is_blocked_by_unreadable_record(id)
             && (is_never_started(job, number) || !self.may_have_unknown_machines(now))
             && machine.is_usable(now)
             && !machine.has_unknown_use()
--- a/src/fleet/unreadable.rs
+++ b/src/fleet/unreadable.rs
@@ -39,7 +39,7 @@
 
 impl UnreadableRecords {
     /// Whether a record of a job cannot be read: nothing of it starts, and nothing of it is removed.
-    pub(super) fn holds_job(&self, id: &str) -> bool {
+    pub(super) fn blocks_job(&self, id: &str) -> bool {
         self.jobs_of_rows.contains(id) || self.cannot_end(id) || self.has_job(id)
     }
 
@@ -115,8 +115,8 @@
     }
 
     /// Whether a record of a job cannot be read.
-    pub fn is_held(&self, id: &str) -> bool {
-        self.unreadable.holds_job(id)
+    pub fn is_blocked_by_unreadable_record(&self, id: &str) -> bool {
+        self.unreadable.blocks_job(id)
     }
 
     /// Whether a write of a job's progress replaces a row that cannot be read: it would be refused each time, and
@@ -189,7 +189,7 @@
             return None;
         }
         let mut readable = request.clone();
-        readable.loans.retain(|item| !self.is_held(&item.job));
+        readable.loans.retain(|item| !self.is_blocked_by_unreadable_record(&item.job));
         if readable.loans.len() < request.loans.len() {
             // Loans that are left out are not closed.
             readable.horizon = LoanNumber::default();
--- a/src/fleet/wait_reasons.rs
+++ b/src/fleet/wait_reasons.rs
@@ -198,7 +198,7 @@
 
     /// Why no task of a job may start, if that is so whatever the plan says.
     fn reason_of_whole_job(&self, job: &Job, now: Steady) -> Option<WaitReason> {
-        if self.is_held(&job.id) {
+        if self.is_blocked_by_unreadable_record(&job.id) {
             return Some(WaitReason::UnreadableRecord);
         }
         if now < job.not_before {
