--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -64,7 +64,7 @@
 
     fn note_unreadable(&self, key: &str, error: &dyn Display) {
         match self.lock().leadership.as_mut() {
-            Some(leadership) => leadership.fleet.note_unreadable(UnreadableRecord::Other, key, error),
+            Some(leadership) => leadership.fleet.mark_unreadable(UnreadableRecord::Other, key, error),
             None => tracing::error!(key, %error, "record unreadable"),
         }
     }
--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -42,7 +42,7 @@
         match spec {
             Ok(spec) => self.add_borrowed_job(spec, lender, mod_revision, now, wall),
             Err(error) => {
-                self.note_unreadable(UnreadableRecord::BorrowedJob(id), &borrowed_key(id), &error);
+                self.mark_unreadable(UnreadableRecord::BorrowedJob(id), &borrowed_key(id), &error);
             }
         }
     }
--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -129,7 +129,7 @@
     /// Notes whether done ranges of a job could be read and were added.
     fn note_added(&mut self, id: &str, key: &str, added: Result<(), TaskRangeError>) {
         if let Err(error) = added {
-            self.note_unreadable(UnreadableRecord::OfJob(id), key, &error);
+            self.mark_unreadable(UnreadableRecord::OfJob(id), key, &error);
         }
     }
 }
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -71,7 +71,7 @@
             // What is done of it is not known here: only a leader that reads everything anew may begin.
             return;
         }
-        self.job_readable(&id);
+        self.mark_job_readable(&id);
         if is_late || self.ended_jobs.get(&id).is_some_and(|&ended_at| ended_at >= mod_revision) {
             return;
         }
@@ -136,7 +136,7 @@
     /// What is left of it is stopped.
     pub fn job_ended(&mut self, id: &str, revision: u64) {
         let id: JobId = id.into();
-        self.job_readable(&id);
+        self.mark_job_readable(&id);
         if revision > self.jobs_revision {
             let ended_at = self.ended_jobs.entry(id.clone()).or_insert(0);
             *ended_at = (*ended_at).max(revision);
--- a/src/fleet/unreadable.rs
+++ b/src/fleet/unreadable.rs
@@ -86,7 +86,7 @@
 
 impl Fleet {
     /// Notes that the record under a key cannot be read, and logs it once.
-    pub fn note_unreadable(&mut self, record: UnreadableRecord<'_>, key: &str, error: &dyn Display) {
+    pub fn mark_unreadable(&mut self, record: UnreadableRecord<'_>, key: &str, error: &dyn Display) {
         let unreadable = &mut self.unreadable;
         if unreadable.keys.insert(key.to_string()) {
             tracing::error!(key, %error, "record unreadable");
@@ -142,7 +142,7 @@
     }
 
     /// The record of a known job can be read again, or is gone.
-    pub(super) fn job_readable(&mut self, id: &str) {
+    pub(super) fn mark_job_readable(&mut self, id: &str) {
         if self.unreadable.jobs.remove(id) {
             self.unreadable.keys.remove(&job_key(id));
             self.dirty = true;
@@ -203,7 +203,7 @@
         let removals = self.cleanup.rows.len();
         self.cleanup.rows.retain(|key, _| key.split('/').all(|part| part != id));
         if self.cleanup.rows.len() < removals {
-            self.note_unreadable(UnreadableRecord::OfJob(id), &job_key(id), &"the job was taken for ended");
+            self.mark_unreadable(UnreadableRecord::OfJob(id), &job_key(id), &"the job was taken for ended");
         }
     }
 
--- a/src/leadership/read_back.rs
+++ b/src/leadership/read_back.rs
@@ -58,7 +58,7 @@
     for key in failed {
         let RecordKey::Final(id) = RecordKey::parse(key) else { continue };
         if !failed.contains(&job_key(id)) {
-            fleet.note_unreadable(UnreadableRecord::Final(id), key, &NoPlaceholder);
+            fleet.mark_unreadable(UnreadableRecord::Final(id), key, &NoPlaceholder);
         }
     }
 }
@@ -79,7 +79,7 @@
             }
         }
         Err(error) => {
-            fleet.note_unreadable(UnreadableRecord::Job(id), &row.key, &error);
+            fleet.mark_unreadable(UnreadableRecord::Job(id), &row.key, &error);
             fleet.keep_records_of(id);
         }
     }
--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -164,7 +164,7 @@
     match try_decode_packed(slot, value) {
         Ok(decoded) => Some(decoded),
         Err(error) => {
-            fleet.note_unreadable(record, key, &error);
+            fleet.mark_unreadable(record, key, &error);
             match (record, slot.parse()) {
                 (UnreadableRecord::Machines, Ok(slot)) => fleet.machine_records.keep_unreadable(slot),
                 (UnreadableRecord::StartMarks, Ok(slot)) => fleet.start_marks.keep_unreadable(slot),
@@ -202,7 +202,7 @@
 
 /// Notes that a row is no text of done ranges.
 pub(super) fn note_no_done_ranges(fleet: &mut Fleet, job: &str, key: &str) {
-    fleet.note_unreadable(UnreadableRecord::OfJob(job), key, &NoDoneRanges);
+    fleet.mark_unreadable(UnreadableRecord::OfJob(job), key, &NoDoneRanges);
 }
 
 /// A record's value, or none if it cannot be decoded: that is noted, and the load goes on without it.
@@ -212,5 +212,5 @@
     key: &str,
     value: Value,
 ) -> Option<T> {
-    serde_json::from_value(value).map_err(|error| fleet.note_unreadable(record, key, &error)).ok()
+    serde_json::from_value(value).map_err(|error| fleet.mark_unreadable(record, key, &error)).ok()
 }
