--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -114,7 +114,7 @@
             leadership::note_refused_finals(fleet, keys);
         }
         if is_borrowing && keys.iter().any(|key| *key == job_key(job) || *key == final_key(job)) {
-            fleet.note_known_job(job);
+            fleet.record_own_job_id(job);
         }
         fleet.loan_not_written(&write);
         LoanOutcome::NotWritten
--- a/src/fleet/borrow_admission.rs
+++ b/src/fleet/borrow_admission.rs
@@ -73,7 +73,7 @@
     fn is_own_job(&self, id: &str) -> bool {
         let loans = &self.fleet.loans;
         let is_live = self.fleet.jobs.get(id).is_some_and(|job| job.borrowed_from.is_none());
-        is_live || loans.accepted_here.contains(id) || loans.lent.contains_key(id)
+        is_live || loans.own_job_ids.contains(id) || loans.lent.contains_key(id)
     }
 
     /// Whether this cell may ever run tasks of a job for another cell.
--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -117,12 +117,12 @@
     }
 
     /// Notes that a job of this id was accepted here, as a failed write showed: nothing of it is borrowed.
-    pub fn note_known_job(&mut self, id: &str) {
-        if self.loans.accepted_here.len() > MAX_REMEMBERED {
+    pub fn record_own_job_id(&mut self, id: &str) {
+        if self.loans.own_job_ids.len() > MAX_REMEMBERED {
             // The next failed write shows an id that was forgotten again.
-            self.loans.accepted_here.clear();
+            self.loans.own_job_ids.clear();
         }
-        self.loans.accepted_here.insert(id.to_string());
+        self.loans.own_job_ids.insert(id.to_string());
     }
 
     /// Ends a borrowed job whose record is gone, as read back.
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -92,7 +92,7 @@
     /// Loans on which their borrowers have decided.
     decided: BTreeSet<LoanNumber>,
     /// Ids of jobs that were accepted in this cell, as a failed write showed.
-    pub(super) accepted_here: BTreeSet<String>,
+    pub(super) own_job_ids: BTreeSet<String>,
 }
 
 impl Loans {
@@ -108,7 +108,7 @@
             left_placeholders: BTreeMap::new(),
             unresolved: Vec::new(),
             decided: BTreeSet::new(),
-            accepted_here: BTreeSet::new(),
+            own_job_ids: BTreeSet::new(),
         }
     }
 
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -113,7 +113,7 @@
             Ok(revision) => fleet.loan_written(&write, revision, now, Wall(now.0)),
             Err(keys) => {
                 assert!(keys.iter().any(|key| key.starts_with("job/")), "{keys:?}");
-                fleet.note_known_job(write.job());
+                fleet.record_own_job_id(write.job());
                 fleet.loan_not_written(&write);
             }
         }
