--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -226,7 +226,7 @@
         fleet.loans.lender_ledger.change_for_report(&cell.name, report, |job| fleet.recorded_done(job));
     match change {
         Ok(Some(settlement)) => {
-            fleet.loans.note_decided_by_borrower(report.number);
+            fleet.loans.mark_decided_by_borrower(report.number);
             fleet.lent_tasks_done(&settlement.job, &settlement.done);
             settlement.lending.and_then(|lending| fleet.settle_loan(&settlement.job, lending))
         }
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -136,7 +136,7 @@
     }
 
     /// Notes that a borrower holds a loan or has closed it: its description need not be sent again.
-    pub fn note_decided_by_borrower(&mut self, number: LoanNumber) {
+    pub fn mark_decided_by_borrower(&mut self, number: LoanNumber) {
         self.decided.insert(number);
         if self.decided.len() > MAX_REMEMBERED {
             let is_open = |number: &LoanNumber| {
