--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -86,7 +86,7 @@
     /// Tasks of borrowed jobs that are withheld for a write in flight, by job.
     pub(super) returning_in_flight: BTreeMap<JobId, TaskSet>,
     /// Revisions of placeholders that 0.3.0 to 0.3.2 left behind when they wrote the records back, by job.
-    pub(super) left_placeholders: BTreeMap<JobId, u64>,
+    pub(super) leftover_placeholders: BTreeMap<JobId, u64>,
     /// Writes whose outcome is unknown, which are sent again until it is known.
     unresolved: Vec<LoanWrite>,
     /// Loans on which their borrowers have decided.
@@ -105,7 +105,7 @@
             borrowed: BTreeMap::new(),
             lending_in_flight: BTreeMap::new(),
             returning_in_flight: BTreeMap::new(),
-            left_placeholders: BTreeMap::new(),
+            leftover_placeholders: BTreeMap::new(),
             unresolved: Vec::new(),
             decided: BTreeSet::new(),
             own_job_ids: BTreeSet::new(),
@@ -193,7 +193,7 @@
     pub(super) fn end_lending(&mut self, id: &str) {
         self.loans.lender_ledger.remove(id);
         self.loans.lent.remove(id);
-        self.loans.left_placeholders.remove(id);
+        self.loans.leftover_placeholders.remove(id);
     }
 
     /// Withholds the tasks of a job that must not start here: those that are lent or, of a borrowed job,
@@ -241,7 +241,7 @@
                 if let Some(number) = new_loan {
                     self.loans.lender_ledger.write_resolved(*number);
                 }
-                self.loans.left_placeholders.remove(job);
+                self.loans.leftover_placeholders.remove(job);
                 if record.lending.is_cancelled() {
                     self.end_lending(job);
                     self.job_ended(job, revision);
@@ -286,7 +286,7 @@
 
     /// The revision of the placeholder that is stored with the record of an own job; 0: there is none.
     pub fn placeholder_revision(&self, id: &str) -> u64 {
-        if let Some(revision) = self.loans.left_placeholders.get(id) {
+        if let Some(revision) = self.loans.leftover_placeholders.get(id) {
             return *revision;
         }
         let lent = self.loans.lent.get(id).filter(|lent| lent.record.has_placeholder());
@@ -295,13 +295,13 @@
 
     /// Notes that the record of a job was restored, which 0.3.0 to 0.3.2 had written back without its
     /// placeholder.
-    pub fn note_left_placeholder(&mut self, id: JobId, revision: u64) {
-        self.loans.left_placeholders.insert(id, revision);
+    pub fn record_leftover_placeholder(&mut self, id: JobId, revision: u64) {
+        self.loans.leftover_placeholders.insert(id, revision);
     }
 
     /// Writes of the records that were restored.
     pub fn begin_restores(&mut self) -> Vec<LoanWrite> {
-        let restored: Vec<JobId> = self.loans.left_placeholders.keys().cloned().collect();
+        let restored: Vec<JobId> = self.loans.leftover_placeholders.keys().cloned().collect();
         restored.iter().filter_map(|job| self.settle_as_it_is(job)).collect()
     }
 
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -95,7 +95,7 @@
         }
         if mod_revision > job.mod_revision {
             // A placeholder that was left behind goes with the first write of the record.
-            self.loans.left_placeholders.remove(id);
+            self.loans.leftover_placeholders.remove(id);
             job.mod_revision = mod_revision;
             job.start_mark = job.start_mark.max(record.start_mark);
             job.wanted_start_mark = job.wanted_start_mark.max(job.start_mark);
--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -58,7 +58,7 @@
     load_records(&mut fleet, rows, now, wall());
     for left in left_placeholders {
         tracing::info!(job = %left.job, "record of held job restored");
-        fleet.note_left_placeholder(left.job, left.mod_revision);
+        fleet.record_leftover_placeholder(left.job, left.mod_revision);
     }
     fleet.advance_jobs_revision(revision);
     Ok(fleet)
