--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -207,7 +207,7 @@
         if !all_read_held_records || !leadership.store_contact.may_act(self.now()) {
             return Vec::new();
         }
-        leadership.fleet.begin_holds(MAX_HOLDS_PER_ROUND)
+        leadership.fleet.begin_held_form_rewrites(MAX_HOLDS_PER_ROUND)
     }
 
     /// Whether all controllers of this cell read the records of lent jobs.
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -213,14 +213,15 @@
 
     /// Writes that store records in the held form which were read in the hidden one, `count` at the most. Those
     /// that would not fit a value, however their loans are split, stay as they are.
-    pub fn begin_holds(&mut self, count: usize) -> Vec<LoanWrite> {
+    pub fn begin_held_form_rewrites(&mut self, count: usize) -> Vec<LoanWrite> {
         let hidden = self.loans.lent.iter().filter(|(_, lent)| lent.record.lent_form == LentForm::Hidden);
-        let writes = hidden.filter(|(_, lent)| self.fits_held(&lent.record)).filter_map(|(job, lent)| {
-            let mut write = self.lender_write(job, lent.record.lending.clone(), None)?;
-            let LoanWrite::Lender { record, .. } = &mut write else { return None };
-            record.lent_form = LentForm::Held;
-            Some(write)
-        });
+        let writes =
+            hidden.filter(|(_, lent)| self.fits_held_form(&lent.record)).filter_map(|(job, lent)| {
+                let mut write = self.lender_write(job, lent.record.lending.clone(), None)?;
+                let LoanWrite::Lender { record, .. } = &mut write else { return None };
+                record.lent_form = LentForm::Held;
+                Some(write)
+            });
         let writes: Vec<LoanWrite> = writes.take(count).collect();
         for write in &writes {
             self.loans.lending_in_flight.insert(write.job().into(), TaskSet::new());
@@ -237,7 +238,7 @@
     }
 
     /// Whether a record with its loans fits a value in the held form, however the loans are split.
-    fn fits_held(&self, record: &JobRecord) -> bool {
+    fn fits_held_form(&self, record: &JobRecord) -> bool {
         let lent = record.lending.loans.iter().map(|loan| loan.tasks.len());
         Self::record_bytes(&record.spec, lent) <= self.write_limits.value_bytes
     }
--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -61,7 +61,7 @@
     hidden.lent_form = LentForm::Hidden;
     scenario.fleet.apply_job_record(hidden, 21, scenario.now);
     note_refused_finals(&mut scenario.fleet, &[format!("final/{JOB}")]);
-    assert!(scenario.fleet.begin_holds(8).is_empty(), "its record is rewritten");
+    assert!(scenario.fleet.begin_held_form_rewrites(8).is_empty(), "its record is rewritten");
     assert!(scenario.fleet.settle_loan(JOB, Lending::default()).is_none(), "its loan is settled");
 }
 
