--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -57,7 +57,7 @@
             // Jobs that were submitted before the types were known.
             let specs: Vec<(Steady, JobSpec)> =
                 self.jobs.values().map(|job| (job.known_since, job.spec.clone())).collect();
-            specs.iter().for_each(|(known_since, spec)| self.note_submitted(spec, *known_since));
+            specs.iter().for_each(|(known_since, spec)| self.record_recent_job(spec, *known_since));
         }
         self.dirty = true;
     }
--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -54,7 +54,7 @@
 
 impl Fleet {
     /// Adds a submitted job to the recent ones.
-    pub(super) fn note_submitted(&mut self, spec: &JobSpec, now: Steady) {
+    pub(super) fn record_recent_job(&mut self, spec: &JobSpec, now: Steady) {
         let types = self.allowed_types(spec);
         let ready_s = self.seconds_to_new_machine(spec, &types);
         let is_service = spec.is_service();
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -114,7 +114,7 @@
             job.wanted_start_mark = job.spec.tasks;
         }
         let need = task_resources(&job.spec);
-        self.note_submitted(&job.spec, now);
+        self.record_recent_job(&job.spec, now);
         // Heartbeats may have listed tasks of the job before its record was known.
         for machine in self.machines.values_mut() {
             for (_, task) in machine.tasks.range_mut(TaskKey::all_of_job(&id)) {
