--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -109,7 +109,7 @@
         );
         end_cancelled_jobs(&mut fleet, shared);
         for (job, results) in shared.heard_results.iter() {
-            fleet.heard_results(job, results);
+            fleet.add_results_received_as_follower(job, results);
         }
         shared.leader = Some(LeaderRecord {
             label: self.config.platform.label.clone(),
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -40,7 +40,7 @@
     }
 
     /// Notes results that this controller heard of before it led, of a job with loans.
-    pub fn heard_results(&mut self, id: &str, tasks: &TaskSet) {
+    pub fn add_results_received_as_follower(&mut self, id: &str, tasks: &TaskSet) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.has_loans()) else { return };
         let in_this_cell = match self.loans.borrower_ledger.job(id) {
             Some(record) => tasks.intersection(&record.tasks()),
