--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -227,7 +227,7 @@
     match change {
         Ok(Some(settlement)) => {
             fleet.loans.mark_decided_by_borrower(report.number);
-            fleet.lent_tasks_done(&settlement.job, &settlement.done);
+            fleet.mark_lent_tasks_done(&settlement.job, &settlement.done);
             settlement.lending.and_then(|lending| fleet.settle_loan(&settlement.job, lending))
         }
         Ok(None) => None,
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -32,7 +32,7 @@
 
 impl Fleet {
     /// Records tasks of a lent job as done that are done in the borrowing cell.
-    pub fn lent_tasks_done(&mut self, id: &str, tasks: &TaskSet) {
+    pub fn mark_lent_tasks_done(&mut self, id: &str, tasks: &TaskSet) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) else { return };
         let count = job.spec.tasks;
         job.add_done(tasks.iter().filter(|task| *task < count));
--- a/tests/refused_writes.rs
+++ b/tests/refused_writes.rs
@@ -56,8 +56,8 @@
     let now = Steady(1_000_000_000);
     let mut fleet = Fleet::new(config(), types(), 8, now);
     leadership::load_records(&mut fleet, store.rows(""), now, Wall(now.0));
-    fleet.lent_tasks_done("wk-000001", &tasks("0-4"));
-    fleet.lent_tasks_done("wk-000002", &tasks("0-4"));
+    fleet.mark_lent_tasks_done("wk-000001", &tasks("0-4"));
+    fleet.mark_lent_tasks_done("wk-000002", &tasks("0-4"));
     let refused: usize = (0..5).map(|_| write_all(&mut fleet, &mut store, now)).sum();
     assert_eq!(store.rows("done/wk-000002/").len(), 1, "the other job's done ranges, {refused} refused");
     assert_eq!(store.row(&row).map(|row| row.value), Some(json!({ "form": 2 })));
@@ -79,7 +79,7 @@
     let now = Steady(1_000_000_000);
     let mut fleet = Fleet::new(config(), types(), 8, now);
     leadership::load_records(&mut fleet, store.rows(""), now, Wall(now.0));
-    fleet.lent_tasks_done("wk-000002", &tasks("0-9"));
+    fleet.mark_lent_tasks_done("wk-000002", &tasks("0-9"));
     let refused: usize = (0..5).map(|_| write_all(&mut fleet, &mut store, now)).sum();
     assert!(store.row("final/wk-000002").is_some(), "the other job has not ended, {refused} refused");
     assert_eq!(store.row("lent/marks/wk-000001").map(|row| row.value), Some(json!({ "form": 2 })));
