--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -121,7 +121,7 @@
                 task.need = Some(need);
             }
         }
-        self.keep_records_of(&id);
+        self.cancel_removals_of_job(&id);
         self.jobs.insert(id.clone(), job);
         if let Some(record) = lending {
             self.apply_lending(&record, mod_revision);
--- a/src/fleet/unreadable.rs
+++ b/src/fleet/unreadable.rs
@@ -199,7 +199,7 @@
 
     /// Keeps what was left of a job that turned out to have a record, and holds the job: what is done of it is
     /// not known here.
-    pub fn keep_records_of(&mut self, id: &str) {
+    pub fn cancel_removals_of_job(&mut self, id: &str) {
         let removals = self.cleanup.rows.len();
         self.cleanup.rows.retain(|key, _| key.split('/').all(|part| part != id));
         if self.cleanup.rows.len() < removals {
--- a/src/leadership/read_back.rs
+++ b/src/leadership/read_back.rs
@@ -75,12 +75,12 @@
             let is_cancelling = record.lending.cancelling;
             fleet.apply_job_record(record, row.mod_revision, now);
             if !is_cancelling && !fleet.jobs.contains_key(id) {
-                fleet.keep_records_of(id);
+                fleet.cancel_removals_of_job(id);
             }
         }
         Err(error) => {
             fleet.mark_unreadable(UnreadableRecord::Job(id), &row.key, &error);
-            fleet.keep_records_of(id);
+            fleet.cancel_removals_of_job(id);
         }
     }
 }
