--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -66,7 +66,7 @@
 
     /// All values have been loaded: those above the present size limit are split, and what unreadable ones may
     /// say is assumed.
-    pub fn records_loaded(&mut self) {
+    pub fn finish_loading(&mut self) {
         self.assume_start_marks();
         self.machine_records.empty_oversized();
         self.start_marks.empty_oversized();
--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -71,7 +71,7 @@
     for row in rows {
         load_record(fleet, row, now, wall);
     }
-    fleet.records_loaded();
+    fleet.finish_loading();
 }
 
 /// Loads one record, by the form of its key.
