--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -18,7 +18,7 @@
     }
 
     /// Applies the record of a borrowed job.
-    pub fn borrowed_put(
+    pub fn apply_borrowed_record(
         &mut self,
         id: &str,
         record: BorrowedJob,
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -253,7 +253,7 @@
                 self.inherit_lender(&change.lender, *lender, revision);
                 match &change.record {
                     Some(record) => {
-                        self.borrowed_put(&change.job, record.clone(), revision, now, wall);
+                        self.apply_borrowed_record(&change.job, record.clone(), revision, now, wall);
                         self.stop_withdrawn(&change.job, &change.withdrawn);
                     }
                     None => self.end_borrowing(&change.job, &change.lender),
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -95,7 +95,7 @@
         BorrowedKey::Job(id) => {
             if let Some(record) = decode::<BorrowedJob>(fleet, UnreadableRecord::BorrowedJob(id), key, value)
             {
-                fleet.borrowed_put(id, record, mod_revision, now, wall);
+                fleet.apply_borrowed_record(id, record, mod_revision, now, wall);
             }
         }
         BorrowedKey::Lender(cell) => {
