--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -60,7 +60,7 @@
             // Refused without having been executed.
             Err(StateStoreError::Refused(_) | StateStoreError::Budget | StateStoreError::Rejected(_)) => {
                 if let Some(leadership) = self.lock().leadership_with(fencing_token) {
-                    leadership.fleet.loan_not_written(&write);
+                    leadership.fleet.discard_loan_write(&write);
                 }
                 LoanOutcome::NotWritten
             }
@@ -75,7 +75,7 @@
     fn loan_written(&self, fencing_token: u64, write: &LoanWrite, revision: u64) -> LoanOutcome {
         let mut shared = self.lock();
         let Some(leadership) = shared.leadership_with(fencing_token) else { return LoanOutcome::Unknown };
-        leadership.fleet.loan_written(write, revision, self.now(), wall());
+        leadership.fleet.apply_loan_write(write, revision, self.now(), wall());
         self.wake.notify_all();
         LoanOutcome::Written
     }
@@ -83,7 +83,7 @@
     /// Keeps a write whose outcome is unknown, to be sent again.
     fn loan_unresolved(&self, fencing_token: u64, write: LoanWrite) -> LoanOutcome {
         if let Some(leadership) = self.lock().leadership_with(fencing_token) {
-            leadership.fleet.loan_unresolved(write);
+            leadership.fleet.queue_unresolved_loan_write(write);
         }
         LoanOutcome::Unknown
     }
@@ -116,7 +116,7 @@
         if is_borrowing && keys.iter().any(|key| *key == job_key(job) || *key == final_key(job)) {
             fleet.record_own_job_id(job);
         }
-        fleet.loan_not_written(&write);
+        fleet.discard_loan_write(&write);
         LoanOutcome::NotWritten
     }
 }
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -234,7 +234,7 @@
     }
 
     /// Applies a write of loans that the state store executed at a revision.
-    pub fn loan_written(&mut self, write: &LoanWrite, revision: u64, now: Steady, wall: Wall) {
+    pub fn apply_loan_write(&mut self, write: &LoanWrite, revision: u64, now: Steady, wall: Wall) {
         self.loans.in_flight(write).remove(write.job());
         match write {
             LoanWrite::Lender { job, record, new_loan, .. } => {
@@ -264,7 +264,7 @@
     }
 
     /// Discards a write of loans that the state store did not execute and never will.
-    pub fn loan_not_written(&mut self, write: &LoanWrite) {
+    pub fn discard_loan_write(&mut self, write: &LoanWrite) {
         self.loans.in_flight(write).remove(write.job());
         if let LoanWrite::Lender { new_loan: Some(number), .. } = write {
             self.loans.lender_ledger.write_resolved(*number);
@@ -273,7 +273,7 @@
     }
 
     /// Queues a write of loans whose outcome is unknown: it stays in flight and is sent again.
-    pub fn loan_unresolved(&mut self, write: LoanWrite) {
+    pub fn queue_unresolved_loan_write(&mut self, write: LoanWrite) {
         self.loans.unresolved.push(write);
     }
 
--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -55,7 +55,7 @@
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 100, "batch"));
     let write = lend(&mut scenario, 60);
-    scenario.fleet.loan_written(&write, 20, scenario.now, wall(&scenario));
+    scenario.fleet.apply_loan_write(&write, 20, scenario.now, wall(&scenario));
     let LoanWrite::Lender { record, .. } = write else { panic!("a loan of this cell") };
     let mut hidden = *record;
     hidden.lent_form = LentForm::Hidden;
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -37,10 +37,10 @@
     scenario.submit(spec(1, 100, "batch"));
     let write = lend(&mut scenario, 60);
     // The write has no reply yet, and never gets one here.
-    scenario.fleet.loan_unresolved(write.clone());
+    scenario.fleet.queue_unresolved_loan_write(write.clone());
     assert_eq!(run_to_rest(&mut scenario), tasks("0-39"));
     // It was not applied, and no copy of it can be any more: all may start again.
-    scenario.fleet.loan_not_written(&write);
+    scenario.fleet.discard_loan_write(&write);
     assert_eq!(run_to_rest(&mut scenario), tasks("40-99"));
 }
 
@@ -50,7 +50,7 @@
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 8, "batch"));
     let write = lend(&mut scenario, 4);
-    scenario.fleet.loan_written(&write, 20, scenario.now, wall(&scenario));
+    scenario.fleet.apply_loan_write(&write, 20, scenario.now, wall(&scenario));
     let job = scenario.fleet.jobs.get_mut("wk-000001").expect("the job");
     (0..8).for_each(|task| {
         job.waiting.insert(task);
@@ -110,11 +110,11 @@
         assert!(changes.len() < 100, "it changes without end");
         let write = fleet.begin_borrower_change(change);
         match store.txn(&leadership::loan_txn(&write, store.mod_revision(SHARD_KEY))) {
-            Ok(revision) => fleet.loan_written(&write, revision, now, Wall(now.0)),
+            Ok(revision) => fleet.apply_loan_write(&write, revision, now, Wall(now.0)),
             Err(keys) => {
                 assert!(keys.iter().any(|key| key.starts_with("job/")), "{keys:?}");
                 fleet.record_own_job_id(write.job());
-                fleet.loan_not_written(&write);
+                fleet.discard_loan_write(&write);
             }
         }
     }
@@ -225,7 +225,7 @@
         let Some(candidate) = lending_candidate(&scenario, 1e9) else { break };
         let write =
             scenario.fleet.begin_loan(&candidate, candidate.inputs.lendable, "there").expect("a loan");
-        scenario.fleet.loan_written(&write, revision, scenario.now, wall(&scenario));
+        scenario.fleet.apply_loan_write(&write, revision, scenario.now, wall(&scenario));
         let LoanWrite::Lender { record: written, .. } = write else { panic!("a loan of this cell") };
         record = Some(*written);
     }
@@ -270,7 +270,7 @@
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 100, "batch"));
     let write = lend(&mut scenario, 60);
-    scenario.fleet.loan_written(&write, 20, scenario.now, wall(&scenario));
+    scenario.fleet.apply_loan_write(&write, 20, scenario.now, wall(&scenario));
     let LoanWrite::Lender { record: lent, .. } = write else { panic!("a loan of this cell") };
     let mut cancelling = *lent;
     cancelling.lending.cancelling = true;
@@ -283,7 +283,7 @@
     let txn = leadership::loan_txn(&over, 1);
     let keys: Vec<String> = txn.then.iter().map(|change| format!("{change:?}")).collect();
     assert!(keys.iter().any(|change| change.contains("final/wk-000001")), "{keys:?}");
-    scenario.fleet.loan_written(&over, 22, scenario.now, wall(&scenario));
+    scenario.fleet.apply_loan_write(&over, 22, scenario.now, wall(&scenario));
     assert!(scenario.fleet.loans.lender_ledger.jobs().next().is_none());
 }
 
--- a/tests/withheld_writes.rs
+++ b/tests/withheld_writes.rs
@@ -53,7 +53,7 @@
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 100, "batch"));
     let write = lend(&mut scenario, 20);
-    scenario.fleet.loan_written(&write, 20, scenario.now, wall(&scenario));
+    scenario.fleet.apply_loan_write(&write, 20, scenario.now, wall(&scenario));
     scenario
 }
 
