--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -35,7 +35,7 @@
     /// those versions write: all controllers read it.
     pub(super) fn write_restored_records(&self) {
         let (fencing_token, writes) = match self.lock().leadership.as_mut() {
-            Some(leadership) => (leadership.term.fencing_token, leadership.fleet.begin_restores()),
+            Some(leadership) => (leadership.term.fencing_token, leadership.fleet.begin_record_restores()),
             None => return,
         };
         if self.config.operator.cells.is_none() {
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -230,7 +230,7 @@
     }
 
     /// The write that stores a job's record as it is known here.
-    pub(super) fn settle_as_it_is(&mut self, job: &str) -> Option<LoanWrite> {
+    pub(super) fn rewrite_record(&mut self, job: &str) -> Option<LoanWrite> {
         let lending = self.loans.lender_ledger.lending(job).cloned().unwrap_or_default();
         let write = self.lender_write(job, lending, None)?;
         self.loans.lending_in_flight.insert(job.into(), TaskSet::new());
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -300,9 +300,9 @@
     }
 
     /// Writes of the records that were restored.
-    pub fn begin_restores(&mut self) -> Vec<LoanWrite> {
+    pub fn begin_record_restores(&mut self) -> Vec<LoanWrite> {
         let restored: Vec<JobId> = self.loans.leftover_placeholders.keys().cloned().collect();
-        restored.iter().filter_map(|job| self.settle_as_it_is(job)).collect()
+        restored.iter().filter_map(|job| self.rewrite_record(job)).collect()
     }
 
     /// Version of the record of a borrowed job; 0: it has none.
