--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -207,7 +207,7 @@
         if !all_read_held_records || !leadership.store_contact.may_act(self.now()) {
             return Vec::new();
         }
-        leadership.fleet.begin_holds(MAX_HOLDS_PER_ROUND)
+        leadership.fleet.begin_held_form_rewrites(MAX_HOLDS_PER_ROUND)
     }
 
     /// Whether all controllers of this cell read the records of lent jobs.
@@ -226,8 +226,8 @@
         fleet.loans.lender_ledger.change_for_report(&cell.name, report, |job| fleet.recorded_done(job));
     match change {
         Ok(Some(settlement)) => {
-            fleet.loans.note_decided_by_borrower(report.number);
-            fleet.lent_tasks_done(&settlement.job, &settlement.done);
+            fleet.loans.mark_decided_by_borrower(report.number);
+            fleet.mark_lent_tasks_done(&settlement.job, &settlement.done);
             settlement.lending.and_then(|lending| fleet.settle_loan(&settlement.job, lending))
         }
         Ok(None) => None,
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -32,7 +32,7 @@
 
 impl Fleet {
     /// Records tasks of a lent job as done that are done in the borrowing cell.
-    pub fn lent_tasks_done(&mut self, id: &str, tasks: &TaskSet) {
+    pub fn mark_lent_tasks_done(&mut self, id: &str, tasks: &TaskSet) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) else { return };
         let count = job.spec.tasks;
         job.add_done(tasks.iter().filter(|task| *task < count));
@@ -40,7 +40,7 @@
     }
 
     /// Notes results that this controller heard of before it led, of a job with loans.
-    pub fn heard_results(&mut self, id: &str, tasks: &TaskSet) {
+    pub fn add_results_received_as_follower(&mut self, id: &str, tasks: &TaskSet) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.has_loans()) else { return };
         let in_this_cell = match self.loans.borrower_ledger.job(id) {
             Some(record) => tasks.intersection(&record.tasks()),
@@ -148,7 +148,7 @@
         lends_class
             && has_type
             && !job.ended
-            && !self.is_held(&job.id)
+            && !self.is_blocked_by_unreadable_record(&job.id)
             && job.borrowed_from.is_none()
             && is_array_without_rules(spec)
             && !self.loans.is_lending(&job.id)
@@ -213,14 +213,15 @@
 
     /// Writes that store records in the held form which were read in the hidden one, `count` at the most. Those
     /// that would not fit a value, however their loans are split, stay as they are.
-    pub fn begin_holds(&mut self, count: usize) -> Vec<LoanWrite> {
+    pub fn begin_held_form_rewrites(&mut self, count: usize) -> Vec<LoanWrite> {
         let hidden = self.loans.lent.iter().filter(|(_, lent)| lent.record.lent_form == LentForm::Hidden);
-        let writes = hidden.filter(|(_, lent)| self.fits_held(&lent.record)).filter_map(|(job, lent)| {
-            let mut write = self.lender_write(job, lent.record.lending.clone(), None)?;
-            let LoanWrite::Lender { record, .. } = &mut write else { return None };
-            record.lent_form = LentForm::Held;
-            Some(write)
-        });
+        let writes =
+            hidden.filter(|(_, lent)| self.fits_held_form(&lent.record)).filter_map(|(job, lent)| {
+                let mut write = self.lender_write(job, lent.record.lending.clone(), None)?;
+                let LoanWrite::Lender { record, .. } = &mut write else { return None };
+                record.lent_form = LentForm::Held;
+                Some(write)
+            });
         let writes: Vec<LoanWrite> = writes.take(count).collect();
         for write in &writes {
             self.loans.lending_in_flight.insert(write.job().into(), TaskSet::new());
@@ -229,7 +230,7 @@
     }
 
     /// The write that stores a job's record as it is known here.
-    pub(super) fn settle_as_it_is(&mut self, job: &str) -> Option<LoanWrite> {
+    pub(super) fn rewrite_record(&mut self, job: &str) -> Option<LoanWrite> {
         let lending = self.loans.lender_ledger.lending(job).cloned().unwrap_or_default();
         let write = self.lender_write(job, lending, None)?;
         self.loans.lending_in_flight.insert(job.into(), TaskSet::new());
@@ -237,7 +238,7 @@
     }
 
     /// Whether a record with its loans fits a value in the held form, however the loans are split.
-    fn fits_held(&self, record: &JobRecord) -> bool {
+    fn fits_held_form(&self, record: &JobRecord) -> bool {
         let lent = record.lending.loans.iter().map(|loan| loan.tasks.len());
         Self::record_bytes(&record.spec, lent) <= self.write_limits.value_bytes
     }
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -86,13 +86,13 @@
     /// Tasks of borrowed jobs that are withheld for a write in flight, by job.
     pub(super) returning_in_flight: BTreeMap<JobId, TaskSet>,
     /// Revisions of placeholders that 0.3.0 to 0.3.2 left behind when they wrote the records back, by job.
-    pub(super) left_placeholders: BTreeMap<JobId, u64>,
+    pub(super) leftover_placeholders: BTreeMap<JobId, u64>,
     /// Writes whose outcome is unknown, which are sent again until it is known.
     unresolved: Vec<LoanWrite>,
     /// Loans on which their borrowers have decided.
     decided: BTreeSet<LoanNumber>,
     /// Ids of jobs that were accepted in this cell, as a failed write showed.
-    pub(super) accepted_here: BTreeSet<String>,
+    pub(super) own_job_ids: BTreeSet<String>,
 }
 
 impl Loans {
@@ -105,10 +105,10 @@
             borrowed: BTreeMap::new(),
             lending_in_flight: BTreeMap::new(),
             returning_in_flight: BTreeMap::new(),
-            left_placeholders: BTreeMap::new(),
+            leftover_placeholders: BTreeMap::new(),
             unresolved: Vec::new(),
             decided: BTreeSet::new(),
-            accepted_here: BTreeSet::new(),
+            own_job_ids: BTreeSet::new(),
         }
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Notes that a borrower holds a loan or has closed it: its description need not be sent again.
-    pub fn note_decided_by_borrower(&mut self, number: LoanNumber) {
+    pub fn mark_decided_by_borrower(&mut self, number: LoanNumber) {
         self.decided.insert(number);
         if self.decided.len() > MAX_REMEMBERED {
             let is_open = |number: &LoanNumber| {
@@ -193,7 +193,7 @@
     pub(super) fn end_lending(&mut self, id: &str) {
         self.loans.lender_ledger.remove(id);
         self.loans.lent.remove(id);
-        self.loans.left_placeholders.remove(id);
+        self.loans.leftover_placeholders.remove(id);
     }
 
     /// Withholds the tasks of a job that must not start here: those that are lent or, of a borrowed job,
@@ -234,14 +234,14 @@
     }
 
     /// Applies a write of loans that the state store executed at a revision.
-    pub fn loan_written(&mut self, write: &LoanWrite, revision: u64, now: Steady, wall: Wall) {
+    pub fn apply_loan_write(&mut self, write: &LoanWrite, revision: u64, now: Steady, wall: Wall) {
         self.loans.in_flight(write).remove(write.job());
         match write {
             LoanWrite::Lender { job, record, new_loan, .. } => {
                 if let Some(number) = new_loan {
                     self.loans.lender_ledger.write_resolved(*number);
                 }
-                self.loans.left_placeholders.remove(job);
+                self.loans.leftover_placeholders.remove(job);
                 if record.lending.is_cancelled() {
                     self.end_lending(job);
                     self.job_ended(job, revision);
@@ -253,7 +253,7 @@
                 self.inherit_lender(&change.lender, *lender, revision);
                 match &change.record {
                     Some(record) => {
-                        self.borrowed_put(&change.job, record.clone(), revision, now, wall);
+                        self.apply_borrowed_record(&change.job, record.clone(), revision, now, wall);
                         self.stop_withdrawn(&change.job, &change.withdrawn);
                     }
                     None => self.end_borrowing(&change.job, &change.lender),
@@ -264,7 +264,7 @@
     }
 
     /// Discards a write of loans that the state store did not execute and never will.
-    pub fn loan_not_written(&mut self, write: &LoanWrite) {
+    pub fn discard_loan_write(&mut self, write: &LoanWrite) {
         self.loans.in_flight(write).remove(write.job());
         if let LoanWrite::Lender { new_loan: Some(number), .. } = write {
             self.loans.lender_ledger.write_resolved(*number);
@@ -273,7 +273,7 @@
     }
 
     /// Queues a write of loans whose outcome is unknown: it stays in flight and is sent again.
-    pub fn loan_unresolved(&mut self, write: LoanWrite) {
+    pub fn queue_unresolved_loan_write(&mut self, write: LoanWrite) {
         self.loans.unresolved.push(write);
     }
 
@@ -286,7 +286,7 @@
 
     /// The revision of the placeholder that is stored with the record of an own job; 0: there is none.
     pub fn placeholder_revision(&self, id: &str) -> u64 {
-        if let Some(revision) = self.loans.left_placeholders.get(id) {
+        if let Some(revision) = self.loans.leftover_placeholders.get(id) {
             return *revision;
         }
         let lent = self.loans.lent.get(id).filter(|lent| lent.record.has_placeholder());
@@ -295,14 +295,14 @@
 
     /// Notes that the record of a job was restored, which 0.3.0 to 0.3.2 had written back without its
     /// placeholder.
-    pub fn note_left_placeholder(&mut self, id: JobId, revision: u64) {
-        self.loans.left_placeholders.insert(id, revision);
+    pub fn record_leftover_placeholder(&mut self, id: JobId, revision: u64) {
+        self.loans.leftover_placeholders.insert(id, revision);
     }
 
     /// Writes of the records that were restored.
-    pub fn begin_restores(&mut self) -> Vec<LoanWrite> {
-        let restored: Vec<JobId> = self.loans.left_placeholders.keys().cloned().collect();
-        restored.iter().filter_map(|job| self.settle_as_it_is(job)).collect()
+    pub fn begin_record_restores(&mut self) -> Vec<LoanWrite> {
+        let restored: Vec<JobId> = self.loans.leftover_placeholders.keys().cloned().collect();
+        restored.iter().filter_map(|job| self.rewrite_record(job)).collect()
     }
 
     /// Version of the record of a borrowed job; 0: it has none.
--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -51,7 +51,8 @@
 
     /// Loads a value of start marks. Those of jobs that have ended are dropped.
     pub fn inherit_start_marks(&mut self, slot: u32, marks: BTreeMap<JobId, u32>, mod_revision: u64) {
-        let has_ended = |id: &&JobId| !self.jobs.contains_key(*id) && !self.is_held(id);
+        let has_ended =
+            |id: &&JobId| !self.jobs.contains_key(*id) && !self.is_blocked_by_unreadable_record(id);
         let ended: Vec<JobId> = marks.keys().filter(has_ended).cloned().collect();
         for (id, mark) in &marks {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -65,7 +66,7 @@
 
     /// All values have been loaded: those above the present size limit are split, and what unreadable ones may
     /// say is assumed.
-    pub fn records_loaded(&mut self) {
+    pub fn finish_loading(&mut self) {
         self.assume_start_marks();
         self.machine_records.empty_oversized();
         self.start_marks.empty_oversized();
@@ -119,7 +120,7 @@
     /// Notes what a job that has ended has left behind, which is to be deleted; `mod_revision` is 0 if there is no
     /// such row.
     fn note_orphan(&mut self, id: &str, key: String, mod_revision: u64) {
-        if mod_revision > 0 && !self.is_held(id) {
+        if mod_revision > 0 && !self.is_blocked_by_unreadable_record(id) {
             tracing::info!(key, "row of a job that has no record, to be removed");
             self.cleanup.rows.insert(key, mod_revision);
         }
@@ -128,7 +129,7 @@
     /// Notes whether done ranges of a job could be read and were added.
     fn note_added(&mut self, id: &str, key: &str, added: Result<(), TaskRangeError>) {
         if let Err(error) = added {
-            self.note_unreadable(UnreadableRecord::OfJob(id), key, &error);
+            self.mark_unreadable(UnreadableRecord::OfJob(id), key, &error);
         }
     }
 }
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -71,7 +71,7 @@
             // What is done of it is not known here: only a leader that reads everything anew may begin.
             return;
         }
-        self.job_readable(&id);
+        self.mark_job_readable(&id);
         if is_late || self.ended_jobs.get(&id).is_some_and(|&ended_at| ended_at >= mod_revision) {
             return;
         }
@@ -95,7 +95,7 @@
         }
         if mod_revision > job.mod_revision {
             // A placeholder that was left behind goes with the first write of the record.
-            self.loans.left_placeholders.remove(id);
+            self.loans.leftover_placeholders.remove(id);
             job.mod_revision = mod_revision;
             job.start_mark = job.start_mark.max(record.start_mark);
             job.wanted_start_mark = job.wanted_start_mark.max(job.start_mark);
@@ -114,14 +114,14 @@
             job.wanted_start_mark = job.spec.tasks;
         }
         let need = task_resources(&job.spec);
-        self.note_submitted(&job.spec, now);
+        self.record_recent_job(&job.spec, now);
         // Heartbeats may have listed tasks of the job before its record was known.
         for machine in self.machines.values_mut() {
             for (_, task) in machine.tasks.range_mut(TaskKey::all_of_job(&id)) {
                 task.need = Some(need);
             }
         }
-        self.keep_records_of(&id);
+        self.cancel_removals_of_job(&id);
         self.jobs.insert(id.clone(), job);
         if let Some(record) = lending {
             self.apply_lending(&record, mod_revision);
@@ -136,7 +136,7 @@
     /// What is left of it is stopped.
     pub fn job_ended(&mut self, id: &str, revision: u64) {
         let id: JobId = id.into();
-        self.job_readable(&id);
+        self.mark_job_readable(&id);
         if revision > self.jobs_revision {
             let ended_at = self.ended_jobs.entry(id.clone()).or_insert(0);
             *ended_at = (*ended_at).max(revision);
--- a/src/fleet/unreadable.rs
+++ b/src/fleet/unreadable.rs
@@ -39,7 +39,7 @@
 
 impl UnreadableRecords {
     /// Whether a record of a job cannot be read: nothing of it starts, and nothing of it is removed.
-    pub(super) fn holds_job(&self, id: &str) -> bool {
+    pub(super) fn blocks_job(&self, id: &str) -> bool {
         self.jobs_of_rows.contains(id) || self.cannot_end(id) || self.has_job(id)
     }
 
@@ -86,7 +86,7 @@
 
 impl Fleet {
     /// Notes that the record under a key cannot be read, and logs it once.
-    pub fn note_unreadable(&mut self, record: UnreadableRecord<'_>, key: &str, error: &dyn Display) {
+    pub fn mark_unreadable(&mut self, record: UnreadableRecord<'_>, key: &str, error: &dyn Display) {
         let unreadable = &mut self.unreadable;
         if unreadable.keys.insert(key.to_string()) {
             tracing::error!(key, %error, "record unreadable");
@@ -115,8 +115,8 @@
     }
 
     /// Whether a record of a job cannot be read.
-    pub fn is_held(&self, id: &str) -> bool {
-        self.unreadable.holds_job(id)
+    pub fn is_blocked_by_unreadable_record(&self, id: &str) -> bool {
+        self.unreadable.blocks_job(id)
     }
 
     /// Whether a write of a job's progress replaces a row that cannot be read: it would be refused each time, and
@@ -142,7 +142,7 @@
     }
 
     /// The record of a known job can be read again, or is gone.
-    pub(super) fn job_readable(&mut self, id: &str) {
+    pub(super) fn mark_job_readable(&mut self, id: &str) {
         if self.unreadable.jobs.remove(id) {
             self.unreadable.keys.remove(&job_key(id));
             self.dirty = true;
@@ -189,7 +189,7 @@
             return None;
         }
         let mut readable = request.clone();
-        readable.loans.retain(|item| !self.is_held(&item.job));
+        readable.loans.retain(|item| !self.is_blocked_by_unreadable_record(&item.job));
         if readable.loans.len() < request.loans.len() {
             // Loans that are left out are not closed.
             readable.horizon = LoanNumber::default();
@@ -199,11 +199,11 @@
 
     /// Keeps what was left of a job that turned out to have a record, and holds the job: what is done of it is
     /// not known here.
-    pub fn keep_records_of(&mut self, id: &str) {
+    pub fn cancel_removals_of_job(&mut self, id: &str) {
         let removals = self.cleanup.rows.len();
         self.cleanup.rows.retain(|key, _| key.split('/').all(|part| part != id));
         if self.cleanup.rows.len() < removals {
-            self.note_unreadable(UnreadableRecord::OfJob(id), &job_key(id), &"the job was taken for ended");
+            self.mark_unreadable(UnreadableRecord::OfJob(id), &job_key(id), &"the job was taken for ended");
         }
     }
 
--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -58,7 +58,7 @@
     load_records(&mut fleet, rows, now, wall());
     for left in left_placeholders {
         tracing::info!(job = %left.job, "record of held job restored");
-        fleet.note_left_placeholder(left.job, left.mod_revision);
+        fleet.record_leftover_placeholder(left.job, left.mod_revision);
     }
     fleet.advance_jobs_revision(revision);
     Ok(fleet)
@@ -71,7 +71,7 @@
     for row in rows {
         load_record(fleet, row, now, wall);
     }
-    fleet.records_loaded();
+    fleet.finish_loading();
 }
 
 /// Loads one record, by the form of its key.
@@ -164,7 +164,7 @@
     match try_decode_packed(slot, value) {
         Ok(decoded) => Some(decoded),
         Err(error) => {
-            fleet.note_unreadable(record, key, &error);
+            fleet.mark_unreadable(record, key, &error);
             match (record, slot.parse()) {
                 (UnreadableRecord::Machines, Ok(slot)) => fleet.machine_records.keep_unreadable(slot),
                 (UnreadableRecord::StartMarks, Ok(slot)) => fleet.start_marks.keep_unreadable(slot),
@@ -202,7 +202,7 @@
 
 /// Notes that a row is no text of done ranges.
 pub(super) fn note_no_done_ranges(fleet: &mut Fleet, job: &str, key: &str) {
-    fleet.note_unreadable(UnreadableRecord::OfJob(job), key, &NoDoneRanges);
+    fleet.mark_unreadable(UnreadableRecord::OfJob(job), key, &NoDoneRanges);
 }
 
 /// A record's value, or none if it cannot be decoded: that is noted, and the load goes on without it.
@@ -212,5 +212,5 @@
     key: &str,
     value: Value,
 ) -> Option<T> {
-    serde_json::from_value(value).map_err(|error| fleet.note_unreadable(record, key, &error)).ok()
+    serde_json::from_value(value).map_err(|error| fleet.mark_unreadable(record, key, &error)).ok()
 }
--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -55,13 +55,13 @@
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 100, "batch"));
     let write = lend(&mut scenario, 60);
-    scenario.fleet.loan_written(&write, 20, scenario.now, wall(&scenario));
+    scenario.fleet.apply_loan_write(&write, 20, scenario.now, wall(&scenario));
     let LoanWrite::Lender { record, .. } = write else { panic!("a loan of this cell") };
     let mut hidden = *record;
     hidden.lent_form = LentForm::Hidden;
     scenario.fleet.apply_job_record(hidden, 21, scenario.now);
     note_refused_finals(&mut scenario.fleet, &[format!("final/{JOB}")]);
-    assert!(scenario.fleet.begin_holds(8).is_empty(), "its record is rewritten");
+    assert!(scenario.fleet.begin_held_form_rewrites(8).is_empty(), "its record is rewritten");
     assert!(scenario.fleet.settle_loan(JOB, Lending::default()).is_none(), "its loan is settled");
 }
 
