--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -111,7 +111,7 @@
         let job = write.job();
         let is_borrowing = matches!(write, LoanWrite::Borrower { .. });
         if !is_borrowing {
-            leadership::note_refused_finals(fleet, keys);
+            leadership::mark_unreadable_finals(fleet, keys);
         }
         if is_borrowing && keys.iter().any(|key| *key == job_key(job) || *key == final_key(job)) {
             fleet.note_known_job(job);
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -95,7 +95,7 @@
                     return false;
                 }
                 if let Some(leadership) = self.lock().leadership_with(term.fencing_token) {
-                    leadership::note_refused_finals(&mut leadership.fleet, &keys);
+                    leadership::mark_unreadable_finals(&mut leadership.fleet, &keys);
                 }
                 self.read_back(term, &keys)
             }
--- a/src/leadership/read_back.rs
+++ b/src/leadership/read_back.rs
@@ -54,7 +54,7 @@
 
 /// Notes the live jobs that cannot be ended: a write was refused for the key of their final record alone, so that
 /// their own record is as it is known here. `failed`: the keys for which it was refused.
-pub fn note_refused_finals(fleet: &mut Fleet, failed: &[String]) {
+pub fn mark_unreadable_finals(fleet: &mut Fleet, failed: &[String]) {
     for key in failed {
         let RecordKey::Final(id) = RecordKey::parse(key) else { continue };
         if !failed.contains(&job_key(id)) {
--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -7,7 +7,7 @@
 use common::lending_world::{Leader, Machine, World, JOB, SETTLED, VALUE_BYTES};
 use common::spec;
 use milletlock::fleet::LoanWrite;
-use milletlock::leadership::note_refused_finals;
+use milletlock::leadership::mark_unreadable_finals;
 use milletlock::records::{JobRecord, LentForm};
 use milletlock::wire::{Change, Txn};
 use milletlock_cells::Lending;
@@ -60,7 +60,7 @@
     let mut hidden = *record;
     hidden.lent_form = LentForm::Hidden;
     scenario.fleet.apply_job_record(hidden, 21, scenario.now);
-    note_refused_finals(&mut scenario.fleet, &[format!("final/{JOB}")]);
+    mark_unreadable_finals(&mut scenario.fleet, &[format!("final/{JOB}")]);
     assert!(scenario.fleet.begin_holds(8).is_empty(), "its record is rewritten");
     assert!(scenario.fleet.settle_loan(JOB, Lending::default()).is_none(), "its loan is settled");
 }
