--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -150,7 +150,7 @@
         let done = TaskRanges::parse(text, self.spec.tasks)?;
         self.add_done(done.iter());
         self.copy.is_kept = true;
-        self.copy.note_done_chunk(chunk, &done, mod_revision);
+        self.copy.record_done_chunk(chunk, &done, mod_revision);
         Ok(())
     }
 
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -313,7 +313,7 @@
                 job.done_written.insert(number);
             }
             if *is_copied {
-                job.copy.note_done_chunk(chunk, tasks, revision);
+                job.copy.record_done_chunk(chunk, tasks, revision);
             }
         }
         job.done_chunks.insert(chunk, revision);
--- a/src/progress_copy.rs
+++ b/src/progress_copy.rs
@@ -26,7 +26,7 @@
 
 impl ProgressCopy {
     /// Notes that the copy of a chunk of done ranges is stored with these tasks, at this version.
-    pub fn note_done_chunk(&mut self, chunk: u32, tasks: &TaskRanges, mod_revision: u64) {
+    pub fn record_done_chunk(&mut self, chunk: u32, tasks: &TaskRanges, mod_revision: u64) {
         for number in tasks.iter() {
             self.done.insert(number);
         }
