--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -194,7 +194,7 @@
             return;
         }
         if let Some(known) = self.jobs.get_mut(job) {
-            known.copy.note_start_mark(record.start_mark);
+            known.copy.record_start_mark(record.start_mark);
         }
     }
 
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -183,7 +183,7 @@
             self.loans.lent.insert(id.clone(), LentJob { record: record.clone(), mod_revision });
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.copy.is_kept = true;
-                job.copy.note_start_mark(record.start_mark);
+                job.copy.record_start_mark(record.start_mark);
             }
         }
         self.update_withheld(&id);
--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -159,7 +159,7 @@
     fn add_start_mark_copy(&mut self, mark: u32, mod_revision: u64) {
         self.copy.is_kept = true;
         self.copy.start_mark_revision = mod_revision;
-        self.copy.note_start_mark(mark);
+        self.copy.record_start_mark(mark);
         self.wanted_start_mark = self.wanted_start_mark.max(mark);
         self.inherited_start_mark = self.inherited_start_mark.max(mark);
     }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -295,7 +295,7 @@
     fn start_mark_copied(&mut self, id: &JobId, revision: u64, contents: &WriteContents) {
         let WriteContents::LentStartMark(mark) = contents else { return };
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.copy.note_start_mark(*mark);
+        job.copy.record_start_mark(*mark);
         job.copy.start_mark_revision = revision;
     }
 
--- a/src/progress_copy.rs
+++ b/src/progress_copy.rs
@@ -34,7 +34,7 @@
     }
 
     /// Notes that a start mark is stored, which only rises.
-    pub fn note_start_mark(&mut self, mark: u32) {
+    pub fn record_start_mark(&mut self, mark: u32) {
         self.start_mark = self.start_mark.max(mark);
     }
 }
