--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -112,7 +112,7 @@
         }
         leadership.fleet.advance_jobs_revision(if read_at.is_some() { changes.revision } else { latest });
         if let Some(sent) = read_at {
-            leadership.store_contact.note_read(sent);
+            leadership.store_contact.record_read(sent);
         }
         is_rebuild_due
     }
--- a/src/store_contact.rs
+++ b/src/store_contact.rs
@@ -25,7 +25,7 @@
 
     /// Notes that all changes were read by a request sent at this moment. A watch that blocks does
     /// not count: one that stays silent may wait for a store that no longer answers this controller.
-    pub fn note_read(&mut self, sent: Steady) {
+    pub fn record_read(&mut self, sent: Steady) {
         self.last_read = self.last_read.max(sent);
     }
 
--- a/tests/failover/simulation/leaders.rs
+++ b/tests/failover/simulation/leaders.rs
@@ -105,7 +105,7 @@
             o.controller.read_changes(&self.store, self.now);
             o.controller.fleet.advance_jobs_revision(o.controller.watched);
             o.last_read = self.now;
-            o.store_contact.note_read(self.now);
+            o.store_contact.record_read(self.now);
         }
     }
 
