--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -68,7 +68,7 @@
         // A single controller is followed by no other while it lives.
         if renewed || self.config.controller_count() == 1 {
             leadership.fleet.confirm_lease(begun);
-            leadership.store_contact.note_renewal(begun);
+            leadership.store_contact.record_renewal(begun);
         }
         match renewal {
             Ok(()) => {}
--- a/src/store_contact.rs
+++ b/src/store_contact.rs
@@ -30,7 +30,7 @@
     }
 
     /// Notes that a renewal of the leader's lease, sent at this moment, was granted.
-    pub fn note_renewal(&mut self, sent: Steady) {
+    pub fn record_renewal(&mut self, sent: Steady) {
         self.last_renewal = self.last_renewal.max(sent);
     }
 
--- a/tests/failover/simulation/leaders.rs
+++ b/tests/failover/simulation/leaders.rs
@@ -147,7 +147,7 @@
         let o = &mut self.leaders[i];
         if renewed {
             o.controller.fleet.confirm_lease(now);
-            o.store_contact.note_renewal(now);
+            o.store_contact.record_renewal(now);
         }
         o.controller.fleet.tick(now, wall_at(now));
         if self.is_partitioned(i) || store_lost {
--- a/tests/safety/leases.rs
+++ b/tests/safety/leases.rs
@@ -145,14 +145,14 @@
     let bound = Micros::from_secs(10.0);
     let (mut reads, mut renewals) = (StoreContact::new(START, bound), StoreContact::new(START, bound));
     reads.record_read(at(9.0));
-    renewals.note_renewal(at(9.0));
+    renewals.record_renewal(at(9.0));
     for v in [reads, renewals] {
         assert!(v.may_act(at(10.0)) && !v.may_act(at(10.1)));
     }
-    reads.note_renewal(at(8.0));
+    reads.record_renewal(at(8.0));
     assert!(reads.may_act(at(18.0)) && !reads.may_act(at(18.1)));
     // A reply that was overtaken by a later one moves nothing back.
-    reads.note_renewal(at(7.0));
+    reads.record_renewal(at(7.0));
     reads.record_read(at(1.0));
     assert!(reads.may_act(at(18.0)));
 }
