--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -58,7 +58,11 @@
             Ok(TxnOutcome::Committed(revision)) => self.loan_written(fencing_token, &write, revision),
             Ok(TxnOutcome::Conflict(keys)) => self.loan_conflict(fencing_token, write, &keys),
             // Refused without having been executed.
-            Err(StateStoreError::Refused(_) | StateStoreError::Budget | StateStoreError::Rejected(_)) => {
+            Err(
+                StateStoreError::Refused(_)
+                | StateStoreError::RateBudgetExceeded
+                | StateStoreError::Rejected(_),
+            ) => {
                 if let Some(leadership) = self.lock().leadership_with(fencing_token) {
                     leadership.fleet.loan_not_written(&write);
                 }
--- a/src/live_jobs.rs
+++ b/src/live_jobs.rs
@@ -167,7 +167,7 @@
     /// Whether a job is live, by a read that begins after this call.
     ///
     /// # Errors
-    /// That of the read; [`StateStoreError::Budget`] if none ended in time.
+    /// That of the read; [`StateStoreError::RateBudgetExceeded`] if none ended in time.
     pub fn presence(&self, id: &str, store: &StateStoreClient) -> Result<Presence, StateStoreError> {
         let deadline = steady() + REQUEST_PATIENCE;
         let mut state = self.lock();
@@ -179,7 +179,7 @@
             }
             let left = deadline - steady();
             if left.0 <= 0 {
-                return Err(StateStoreError::Budget);
+                return Err(StateStoreError::RateBudgetExceeded);
             }
             state =
                 if state.read_in_progress { self.wait(state, left) } else { self.read_once(state, store) };
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -11,7 +11,7 @@
     Refused(u16),
     /// Over this controller's own share of the rate limits: nothing was sent.
     #[error("over this node's share of the state store's rate limits")]
-    Budget,
+    RateBudgetExceeded,
     /// No answer: the request may have been executed, or may yet be.
     #[error("the state store did not answer: {0}")]
     Unknown(String),
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -88,16 +88,16 @@
         patience: Micros,
     ) -> Result<(), StateStoreError> {
         let deadline = steady() + patience;
-        let Ok(mut budget) = self.budget.lock() else { return Err(StateStoreError::Budget) };
+        let Ok(mut budget) = self.budget.lock() else { return Err(StateStoreError::RateBudgetExceeded) };
         loop {
             let now = steady();
             let Err(wait) = budget.try_take(now, writes, priority) else { return Ok(()) };
             if now + wait > deadline {
-                return Err(StateStoreError::Budget);
+                return Err(StateStoreError::RateBudgetExceeded);
             }
             match self.budget_changed.wait_timeout(budget, wait.std()) {
                 Ok((guard, _)) => budget = guard,
-                Err(_) => return Err(StateStoreError::Budget),
+                Err(_) => return Err(StateStoreError::RateBudgetExceeded),
             }
         }
     }
