--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -72,7 +72,7 @@
         }
         match renewal {
             Ok(()) => {}
-            Err(StateStoreError::NoLease) => self.step_down(&mut shared, StepDownReason::LeaseExpired),
+            Err(StateStoreError::LeaseNotFound) => self.step_down(&mut shared, StepDownReason::LeaseExpired),
             Err(error) => tracing::info!(%error, "leader lease renewal failed"),
         }
         if renewed && self.is_isolated(&shared) {
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -17,7 +17,7 @@
     Unknown(String),
     /// The lease is gone (lease expiry, or it was ended).
     #[error("the lease is gone")]
-    NoLease,
+    LeaseNotFound,
     /// The watch's revision is older than the store keeps.
     #[error("the watch revision is compacted away")]
     TooOld,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -187,7 +187,7 @@
     /// Executes a compare-and-swap transaction.
     ///
     /// # Errors
-    /// [`StateStoreError::NoLease`] if a put names a lease that is gone; [`StateStoreError::Rejected`] if
+    /// [`StateStoreError::LeaseNotFound`] if a put names a lease that is gone; [`StateStoreError::Rejected`] if
     /// the store takes no such transaction (too large); otherwise as any call.
     pub fn txn(&self, txn: &Txn, priority: RequestPriority) -> Result<TxnOutcome, StateStoreError> {
         let response = self.send_txn(txn, priority)?;
@@ -222,7 +222,7 @@
     fn txn_rejected(&self, body: &[u8]) -> StateStoreError {
         let text = String::from_utf8_lossy(body).into_owned();
         if text.contains("no such lease") {
-            return StateStoreError::NoLease;
+            return StateStoreError::LeaseNotFound;
         }
         if let Ok(mut budget) = self.budget.lock() {
             budget.write_rejected();
@@ -247,14 +247,14 @@
     /// Renews a lease.
     ///
     /// # Errors
-    /// [`StateStoreError::NoLease`] if it is gone (lease expiry); otherwise as any call.
+    /// [`StateStoreError::LeaseNotFound`] if it is gone (lease expiry); otherwise as any call.
     pub fn renew_lease(&self, lease: u64) -> Result<(), StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let path = format!("/leases/{lease}/renew");
         let response = self.call(&self.calls, "POST", &path, Some(&json!({})), LEASE_CALL_TIMEOUT)?;
         match response.status {
             status::OK => Ok(()),
-            status::NOT_FOUND => Err(StateStoreError::NoLease),
+            status::NOT_FOUND => Err(StateStoreError::LeaseNotFound),
             other => Err(StateStoreError::Refused(other)),
         }
     }
