--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -77,7 +77,7 @@
                 }
                 WATCH_PAUSE
             }
-            Err(StateStoreError::TooOld) => {
+            Err(StateStoreError::RevisionCompacted) => {
                 self.step_down_from(position.fencing_token, StepDownReason::WatchCompacted);
                 Micros::ZERO
             }
--- a/src/live_jobs.rs
+++ b/src/live_jobs.rs
@@ -226,7 +226,7 @@
 fn read(store: &StateStoreClient, from: Option<u64>) -> Result<ReadResult, StateStoreError> {
     match from.map(|from| store.changes(JOBS_PREFIX, from, RequestPriority::User)) {
         // Too much has changed since: everything is read again.
-        None | Some(Err(StateStoreError::TooOld)) => {}
+        None | Some(Err(StateStoreError::RevisionCompacted)) => {}
         Some(result) => return result.map(ReadResult::Changes),
     }
     let KeyList { rows, revision } = store.list(JOBS_PREFIX)?;
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -20,7 +20,7 @@
     LeaseNotFound,
     /// The watch's revision is older than the store keeps.
     #[error("the watch revision is compacted away")]
-    TooOld,
+    RevisionCompacted,
     /// The store takes no such request: a value or a transaction is too large. Never to be sent
     /// again as it is.
     #[error("the state store rejected the request: {0}")]
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -271,7 +271,7 @@
     /// What has changed under a prefix since a revision, by a read that does not block.
     ///
     /// # Errors
-    /// [`StateStoreError::TooOld`] if the revision is compacted away; otherwise as any call.
+    /// [`StateStoreError::RevisionCompacted`] if the revision is compacted away; otherwise as any call.
     pub fn changes(
         &self,
         prefix: &str,
@@ -285,7 +285,7 @@
     /// Waits up to `block` for changes under a prefix since a revision.
     ///
     /// # Errors
-    /// [`StateStoreError::TooOld`] if the revision is compacted away; otherwise as any call.
+    /// [`StateStoreError::RevisionCompacted`] if the revision is compacted away; otherwise as any call.
     pub fn watch(&self, prefix: &str, from: u64, block: Micros) -> Result<WatchEvents, StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         self.read_events(&self.watches, prefix, from, block)
@@ -302,7 +302,7 @@
         let response = self.call(client, "GET", &path, None, block + CALL_TIMEOUT)?;
         match response.status {
             status::OK => parse(&response.body),
-            status::GONE => Err(StateStoreError::TooOld),
+            status::GONE => Err(StateStoreError::RevisionCompacted),
             other => Err(StateStoreError::Refused(other)),
         }
     }
