--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -83,7 +83,7 @@
 fn commit(backend: &dyn JobsBackend, txn: &Txn) -> Result<Option<u64>, StateStoreError> {
     match backend.state().txn(txn, RequestPriority::User) {
         Ok(TxnOutcome::Committed(revision)) => Ok(Some(revision)),
-        Ok(TxnOutcome::Conflict(_)) | Err(StateStoreError::Unknown(_)) => Ok(None),
+        Ok(TxnOutcome::Conflict(_)) | Err(StateStoreError::NoAnswer(_)) => Ok(None),
         Err(error) => Err(error),
     }
 }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -70,7 +70,7 @@
     let guards = [job_key(&id), final_key(&id), borrowed_key(&id)].map(Guard::must_not_exist).to_vec();
     let txn = Txn { guards, then: vec![Change::put(job_key(&id), value)] };
     let mut result = backend.state().txn(&txn, RequestPriority::User);
-    if matches!(result, Err(StateStoreError::Unknown(_))) {
+    if matches!(result, Err(StateStoreError::NoAnswer(_))) {
         // The guards make a repeat harmless, and show whether the first try was executed.
         result = backend.state().txn(&txn, RequestPriority::User);
     }
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -99,7 +99,7 @@
                 }
                 self.read_back(term, &keys)
             }
-            Err(StateStoreError::Unknown(error)) => {
+            Err(StateStoreError::NoAnswer(error)) => {
                 tracing::info!(%error, "write outcome unknown, reading back");
                 self.read_back(term, &guarded_keys(&batch))
             }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -106,7 +106,7 @@
             let _ = state.end_lease(lease);
             Ok(None)
         }
-        Err(StateStoreError::Unknown(_)) => resolve_unknown_election(state, &leader),
+        Err(StateStoreError::NoAnswer(_)) => resolve_unknown_election(state, &leader),
         Err(error) => {
             let _ = state.end_lease(lease);
             Err(error)
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -14,7 +14,7 @@
     RateBudgetExceeded,
     /// No answer: the request may have been executed, or may yet be.
     #[error("the state store did not answer: {0}")]
-    Unknown(String),
+    NoAnswer(String),
     /// The lease is gone (lease expiry, or it was ended).
     #[error("the lease is gone")]
     LeaseNotFound,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -126,7 +126,7 @@
             }
             Ok(response) => Ok(response),
             Err(CallError::NotSent(_)) => Err(StateStoreError::NotSent),
-            Err(CallError::NoAnswer(cause)) => Err(StateStoreError::Unknown(cause)),
+            Err(CallError::NoAnswer(cause)) => Err(StateStoreError::NoAnswer(cause)),
         }
     }
 
