--- a/src/controller/duties.rs
+++ b/src/controller/duties.rs
@@ -63,7 +63,7 @@
         let other_cells = config.operator.cells.as_ref().map(|cells| cells.addresses()).unwrap_or_default();
         let (peers, inbound) =
             PeerHub::start(internal, members, &other_cells).map_err(ControllerError::Peers)?;
-        let controller = Controller::new(config, peers, Clock::Machine, stop)?;
+        let controller = Controller::new(config, peers, Clock::System, stop)?;
         tracing::info!(
             label = %controller.config.platform.label,
             incarnation = controller.incarnation,
--- a/src/time.rs
+++ b/src/time.rs
@@ -124,7 +124,7 @@
 pub enum Clock {
     /// The machine's.
     #[default]
-    Machine,
+    System,
     /// Stands still until it is set, in microseconds.
     Manual(Arc<AtomicI64>),
 }
@@ -133,7 +133,7 @@
     /// The present moment.
     pub fn now(&self) -> Steady {
         match self {
-            Clock::Machine => steady(),
+            Clock::System => steady(),
             Clock::Manual(micros) => Steady(micros.load(Ordering::SeqCst)),
         }
     }
