--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -141,7 +141,7 @@
             turn - now
         };
         if wait > Micros::ZERO {
-            std::thread::sleep(wait.std());
+            std::thread::sleep(wait.to_duration());
         }
     }
 }
--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -41,7 +41,7 @@
     fn await_notices(&self, timeout: Micros, all_acknowledged: bool) {
         let notices = lock_ignoring_poison(&self.notices);
         if timeout.0 > 0 && (notices.is_empty() || !all_acknowledged) {
-            drop(self.notices_added.wait_timeout(notices, timeout.std()));
+            drop(self.notices_added.wait_timeout(notices, timeout.to_duration()));
         }
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -169,7 +169,7 @@
     /// Sleeps, unless the controller is to end.
     fn sleep(&self, pause: Micros) {
         if !self.stopping() {
-            std::thread::sleep(pause.std());
+            std::thread::sleep(pause.to_duration());
         }
     }
 
--- a/src/controller/shutdown.rs
+++ b/src/controller/shutdown.rs
@@ -38,7 +38,7 @@
                 return left;
             }
             if !self.write_results_of_loans() {
-                std::thread::sleep(RECORD_RETRY_DELAY.std());
+                std::thread::sleep(RECORD_RETRY_DELAY.to_duration());
             }
         }
     }
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -43,7 +43,7 @@
     /// Writes pending records until the controller ends.
     pub(super) fn write(&self) {
         while !self.stopping() {
-            drop(self.wake.wait_timeout(self.lock(), WRITE_INTERVAL.std()));
+            drop(self.wake.wait_timeout(self.lock(), WRITE_INTERVAL.to_duration()));
             if !self.write_once() {
                 self.sleep(WRITE_RETRY_DELAY);
             }
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -52,7 +52,7 @@
         let heartbeat_interval = self.heartbeat_interval();
         self.recovery.is_awaiting_reports(
             self.since_failover(now),
-            heartbeat_interval.scale(INTERVALS_UNTIL_ALL_HEARTBEATS).std(),
+            heartbeat_interval.scale(INTERVALS_UNTIL_ALL_HEARTBEATS).to_duration(),
         )
     }
 
@@ -62,7 +62,7 @@
     }
 
     fn since_failover(&self, now: Steady) -> Duration {
-        (now - self.failover_at).max(Micros::ZERO).std()
+        (now - self.failover_at).max(Micros::ZERO).to_duration()
     }
 
     /// Compares a machine's first heartbeat after the failover with the records, before it is applied to
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -193,5 +193,5 @@
 
 /// The time that remains until a deadline, as a time-out for the system.
 fn socket_timeout(remaining: Micros) -> Duration {
-    remaining.std().max(MIN_SOCKET_TIMEOUT)
+    remaining.to_duration().max(MIN_SOCKET_TIMEOUT)
 }
--- a/src/live_jobs.rs
+++ b/src/live_jobs.rs
@@ -158,7 +158,7 @@
     }
 
     fn wait<'a>(&self, state: MutexGuard<'a, ReadState>, timeout: Micros) -> MutexGuard<'a, ReadState> {
-        match self.read_ended.wait_timeout(state, timeout.std()) {
+        match self.read_ended.wait_timeout(state, timeout.to_duration()) {
             Ok((state, _)) => state,
             Err(poisoned) => poisoned.into_inner().0,
         }
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -85,7 +85,8 @@
 pub fn call_once(address: SocketAddr, call: Call, timeout: Micros) -> Result<Answer, GrpcError> {
     single_threaded_runtime()?.block_on(async {
         let endpoint = Endpoint::from_shared(format!("http://{address}"))?;
-        let channel = endpoint.connect_timeout(timeout.std()).timeout(timeout.std()).connect().await?;
+        let channel =
+            endpoint.connect_timeout(timeout.to_duration()).timeout(timeout.to_duration()).connect().await?;
         let response = PeerClient::new(channel).relay(call).await;
         response.map(Response::into_inner).map_err(|status| GrpcError::Refused(Box::new(status)))
     })
--- a/src/peer/hub.rs
+++ b/src/peer/hub.rs
@@ -100,7 +100,7 @@
     /// [`PeerError::Busy`] or [`PeerError::Stopped`]: the message is not sent.
     pub fn send(&self, to: usize, message: PeerMessage, timeout: Micros) -> Result<PendingReply, PeerError> {
         let (reply, pending) = sync_channel(1);
-        let timeout = timeout.std();
+        let timeout = timeout.to_duration();
         (self.transport)(OutboundMessage { to, message, timeout, reply })?;
         Ok(PendingReply { reply: pending, timeout })
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -95,7 +95,7 @@
             if now + wait > deadline {
                 return Err(StateStoreError::RateBudgetExceeded);
             }
-            match self.budget_changed.wait_timeout(budget, wait.std()) {
+            match self.budget_changed.wait_timeout(budget, wait.to_duration()) {
                 Ok((guard, _)) => budget = guard,
                 Err(_) => return Err(StateStoreError::RateBudgetExceeded),
             }
--- a/src/time.rs
+++ b/src/time.rs
@@ -52,7 +52,7 @@
     }
 
     /// The span for the standard library; negative spans are empty.
-    pub fn std(self) -> Duration {
+    pub fn to_duration(self) -> Duration {
         Duration::from_micros(self.0.max(0) as u64)
     }
 
