--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -80,7 +80,8 @@
         let max_changes = fleet.max_txn_changes();
         let pending = pending(fleet);
         let term = leadership.term;
-        let batches = leadership::batches(fleet, term.shard_revision, pending, max_changes, now, wall());
+        let batches =
+            leadership::compose_batches(fleet, term.shard_revision, pending, max_changes, now, wall());
         Some(PendingBatches { term, batches })
     }
 
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -7,7 +7,7 @@
 //! - [`update_from_store`]: updates the fleet with one key as it stands after a conflict or an unknown outcome;
 //! - [`read_jobs_with_loans`]: what is stored of their progress, and the copies that a follower adds while a leader
 //!   without copies leads;
-//! - [`batches`] and [`loan_txn`]: put pending writes into transactions.
+//! - [`compose_batches`] and [`loan_txn`]: put pending writes into transactions.
 //!
 //! The records form one shard, which a leader takes as a whole. Every write of a leader is guarded
 //! by the shard's revision, so that a leader that was replaced cannot write any more.
@@ -30,4 +30,4 @@
 pub use stored_progress::{
     read_jobs_with_loans, read_start_marks, JobWithLoans, ProgressError, StoredProgress,
 };
-pub use writes::{batches, Batch, ComposedWrite};
+pub use writes::{compose_batches, Batch, ComposedWrite};
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -106,7 +106,7 @@
 
 /// Puts pending writes into transactions of at most `max_changes` changes, each guarded by the shard's
 /// revision. Writes beyond the limits stay pending for the next call.
-pub fn batches(
+pub fn compose_batches(
     fleet: &mut Fleet,
     shard_revision: u64,
     pending: Vec<PendingWrite>,
--- a/tests/common/simulated_controller.rs
+++ b/tests/common/simulated_controller.rs
@@ -66,7 +66,7 @@
     /// The transactions that it would write now; done ranges may wait for a while.
     pub fn batches(&mut self, done_delay: Micros, chunk: u32, now: Steady) -> Vec<Batch> {
         let pending = self.fleet.pending_writes(now, done_delay, chunk);
-        leadership::batches(&mut self.fleet, self.shard_revision, pending, 8, now, wall_at(now))
+        leadership::compose_batches(&mut self.fleet, self.shard_revision, pending, 8, now, wall_at(now))
     }
 
     /// Learns the result of a transaction (none: no reply). The error names the keys to read back.
--- a/tests/refused_writes.rs
+++ b/tests/refused_writes.rs
@@ -25,7 +25,7 @@
     let pending = fleet.pending_writes(now, Micros::ZERO, CHUNK);
     let shard = store.mod_revision(SHARD_KEY);
     let mut refused = 0;
-    for batch in leadership::batches(fleet, shard, pending, 8, now, Wall(now.0)) {
+    for batch in leadership::compose_batches(fleet, shard, pending, 8, now, Wall(now.0)) {
         match store.txn(&batch.txn) {
             Ok(revision) => {
                 for composed in &batch.writes {
--- a/tests/services/cluster/mod.rs
+++ b/tests/services/cluster/mod.rs
@@ -140,7 +140,7 @@
             }
         }
         let (now, wall) = (self.now, self.wall());
-        for batch in leadership::batches(&mut self.fleet, 1, pending, 1000, now, wall) {
+        for batch in leadership::compose_batches(&mut self.fleet, 1, pending, 1000, now, wall) {
             self.revision += 1;
             for composed in &batch.writes {
                 self.fleet.write_applied(&composed.write, self.revision, &composed.contents, now);
--- a/tests/unreadable_records.rs
+++ b/tests/unreadable_records.rs
@@ -406,7 +406,7 @@
         if !pending.iter().any(is_removal) {
             break;
         }
-        for batch in leadership::batches(&mut fleet, shard, pending, 8, now, Wall(now.0)) {
+        for batch in leadership::compose_batches(&mut fleet, shard, pending, 8, now, Wall(now.0)) {
             for key in store.txn(&batch.txn).err().unwrap_or_default() {
                 leadership::update_from_store(&mut fleet, &key, store.row(&key), now);
             }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -101,7 +101,7 @@
 fn pending_batches(fleet: &mut Fleet, shard_revision: u64, now: Steady) -> Vec<Batch> {
     let pending = fleet.pending_writes(now, Micros::ZERO, chunk_tasks(fleet.max_value_bytes()));
     let max_changes = fleet.max_txn_changes();
-    leadership::batches(fleet, shard_revision, pending, max_changes, now, WALL)
+    leadership::compose_batches(fleet, shard_revision, pending, max_changes, now, WALL)
 }
 
 /// The store has applied a batch of writes.
--- a/tests/upgrade_failovers/simulation/mod.rs
+++ b/tests/upgrade_failovers/simulation/mod.rs
@@ -186,7 +186,8 @@
                 let pending = fleet.pending_writes(self.now, Micros::ZERO, chunk);
                 let ops = fleet.max_txn_changes();
                 let wall = Wall(WALL.0 + self.now.0);
-                let batches = leadership::batches(fleet, self.shard_revision, pending, ops, self.now, wall);
+                let batches =
+                    leadership::compose_batches(fleet, self.shard_revision, pending, ops, self.now, wall);
                 batches.into_iter().map(|b| b.txn).collect()
             }
         };
--- a/tests/upgrade_failovers/simulation/writes.rs
+++ b/tests/upgrade_failovers/simulation/writes.rs
@@ -24,7 +24,8 @@
                 let chunk = chunk_tasks(fleet.max_value_bytes());
                 let pending = fleet.pending_writes(now, Micros::ZERO, chunk);
                 let ops = fleet.max_txn_changes();
-                let batches = leadership::batches(fleet, self.shard_revision, pending, ops, now, wall);
+                let batches =
+                    leadership::compose_batches(fleet, self.shard_revision, pending, ops, now, wall);
                 batches.iter().take(most).take_while(|b| self.write_batch(b)).count()
             }
         }
--- a/tests/withheld_writes.rs
+++ b/tests/withheld_writes.rs
@@ -20,7 +20,7 @@
 fn acknowledge(fleet: &mut Fleet, now: Steady, is_withheld: impl Fn(&PendingWrite) -> bool) {
     let pending = fleet.pending_writes(now, Micros::ZERO, 1000);
     let (_, answered): (Vec<_>, Vec<_>) = pending.into_iter().partition(is_withheld);
-    for batch in leadership::batches(fleet, 1, answered, 64, now, Wall(now.0)) {
+    for batch in leadership::compose_batches(fleet, 1, answered, 64, now, Wall(now.0)) {
         for composed in &batch.writes {
             fleet.write_applied(&composed.write, 1_000_000, &composed.contents, now);
         }
