--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -274,7 +274,7 @@
 
     fn machines_written(&mut self, slot: u32, revision: u64, contents: &WriteContents) {
         let WriteContents::Machines(ids, version) = contents else { return };
-        self.machine_records.written(slot, *version, revision);
+        self.machine_records.mark_written(slot, *version, revision);
         for id in ids {
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.registered = true;
@@ -284,7 +284,7 @@
 
     fn start_marks_written(&mut self, slot: u32, revision: u64, contents: &WriteContents) {
         let WriteContents::StartMarks(marks, version) = contents else { return };
-        self.start_marks.written(slot, *version, revision);
+        self.start_marks.mark_written(slot, *version, revision);
         for (id, mark) in marks {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.start_mark = job.start_mark.max(*mark);
--- a/src/packed_records.rs
+++ b/src/packed_records.rs
@@ -41,7 +41,7 @@
 pub struct SlotContents<'a, T> {
     /// `mod_revision` of the stored value, for the guard of the write; 0: not stored.
     pub mod_revision: u64,
-    /// Version of the contents, to be passed to [`PackedRecords::written`].
+    /// Version of the contents, to be passed to [`PackedRecords::mark_written`].
     pub version: u64,
     /// The records.
     pub records: &'a SlotRecords<T>,
@@ -276,7 +276,7 @@
     }
 
     /// Notes that a slot's contents of `version` were written at a revision.
-    pub fn written(&mut self, slot: u32, version: u64, revision: u64) {
+    pub fn mark_written(&mut self, slot: u32, version: u64, revision: u64) {
         if let Some(slot) = self.slots.get_mut(slot as usize) {
             slot.mod_revision = slot.mod_revision.max(revision);
             slot.written_version = slot.written_version.max(version);
--- a/tests/packed_records.rs
+++ b/tests/packed_records.rs
@@ -23,12 +23,12 @@
         if s == 0 {
             p.put(&id(0), 7);
         }
-        p.written(s, version, 10);
+        p.mark_written(s, version, 10);
     }
     assert_eq!(p.pending(true).collect::<Vec<_>>(), [0]);
     let SlotContents { mod_revision, version, records } = p.slot(0).expect("a value");
     assert_eq!((mod_revision, records[&id(0)]), (10, 7));
-    p.written(0, version, 11);
+    p.mark_written(0, version, 11);
     assert_eq!(p.pending(true).count(), 0);
     // What goes is written when there is time, and its place is used again.
     let before = slots(&p);
@@ -55,7 +55,7 @@
     let pending: Vec<u32> = p.pending(true).chain(p.pending(false)).collect();
     for &s in &pending {
         let version = p.slot(s).expect("a value").version;
-        p.written(s, version, revision);
+        p.mark_written(s, version, revision);
     }
     pending
 }
@@ -75,7 +75,7 @@
     // One of the others is not enough.
     let first = p.pending(true).next().expect("a slot");
     let version = p.slot(first).expect("a value").version;
-    p.written(first, version, 6);
+    p.mark_written(first, version, 6);
     assert!(p.pending(true).chain(p.pending(false)).all(|s| s != 0));
     assert!(!write_all(&mut p, 7).contains(&0));
     assert_eq!(write_all(&mut p, 8), [0]);
@@ -97,7 +97,7 @@
     assert_eq!(p.pending(false).collect::<Vec<_>>(), [1], "the lower copy is raised first");
     let SlotContents { version, records, .. } = p.slot(1).expect("a value");
     assert_eq!(records.get(&job), Some(&90));
-    p.written(1, version, 7);
+    p.mark_written(1, version, 7);
     assert_eq!(p.pending(false).collect::<Vec<_>>(), [0]);
 }
 
