--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -166,8 +166,8 @@
         Err(error) => {
             fleet.note_unreadable(record, key, &error);
             match (record, slot.parse()) {
-                (UnreadableRecord::Machines, Ok(slot)) => fleet.machine_records.keep_unreadable(slot),
-                (UnreadableRecord::StartMarks, Ok(slot)) => fleet.start_marks.keep_unreadable(slot),
+                (UnreadableRecord::Machines, Ok(slot)) => fleet.machine_records.mark_unreadable(slot),
+                (UnreadableRecord::StartMarks, Ok(slot)) => fleet.start_marks.mark_unreadable(slot),
                 _ => {}
             }
             None
--- a/src/packed_records.rs
+++ b/src/packed_records.rs
@@ -220,7 +220,7 @@
     }
 
     /// Notes that a slot's stored value cannot be read: it is never written.
-    pub fn keep_unreadable(&mut self, slot: u32) {
+    pub fn mark_unreadable(&mut self, slot: u32) {
         if let Some(slot) = self.slot_mut(slot) {
             slot.unreadable = true;
         }
--- a/tests/packed_records.rs
+++ b/tests/packed_records.rs
@@ -105,8 +105,8 @@
 #[test]
 fn unreadable_slots_are_never_written() {
     let mut p: PackedRecords<u32> = PackedRecords::new(1024);
-    p.keep_unreadable(0);
-    p.keep_unreadable(3);
+    p.mark_unreadable(0);
+    p.mark_unreadable(3);
     p.load(1, 5, many(60), u32::max);
     p.empty_oversized();
     for round in 0..20_u32 {
@@ -122,10 +122,10 @@
     q.load(0, 5, many(3), u32::max);
     q.remove("wk-000001");
     assert_eq!(q.pending(false).collect::<Vec<_>>(), [0]);
-    q.keep_unreadable(0);
+    q.mark_unreadable(0);
     assert_eq!(q.pending(false).count(), 0);
     // A number that no leader can have written makes no slots.
-    p.keep_unreadable(u32::MAX);
+    p.mark_unreadable(u32::MAX);
     assert!(slots(&p) < 1000);
 }
 
