--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -68,11 +68,11 @@
         // A single controller is followed by no other while it lives.
         if renewed || self.config.controller_count() == 1 {
             leadership.fleet.confirm_lease(begun);
-            leadership.store_contact.note_renewal(begun);
+            leadership.store_contact.record_renewal(begun);
         }
         match renewal {
             Ok(()) => {}
-            Err(StateStoreError::NoLease) => self.step_down(&mut shared, StepDownReason::LeaseExpired),
+            Err(StateStoreError::LeaseNotFound) => self.step_down(&mut shared, StepDownReason::LeaseExpired),
             Err(error) => tracing::info!(%error, "leader lease renewal failed"),
         }
         if renewed && self.is_isolated(&shared) {
--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -58,7 +58,11 @@
             Ok(TxnOutcome::Committed(revision)) => self.loan_written(fencing_token, &write, revision),
             Ok(TxnOutcome::Conflict(keys)) => self.loan_conflict(fencing_token, write, &keys),
             // Refused without having been executed.
-            Err(StateStoreError::Refused(_) | StateStoreError::Budget | StateStoreError::Rejected(_)) => {
+            Err(
+                StateStoreError::Refused(_)
+                | StateStoreError::RateBudgetExceeded
+                | StateStoreError::Rejected(_),
+            ) => {
                 if let Some(leadership) = self.lock().leadership_with(fencing_token) {
                     leadership.fleet.discard_loan_write(&write);
                 }
@@ -111,7 +115,7 @@
         let job = write.job();
         let is_borrowing = matches!(write, LoanWrite::Borrower { .. });
         if !is_borrowing {
-            leadership::note_refused_finals(fleet, keys);
+            leadership::mark_unreadable_finals(fleet, keys);
         }
         if is_borrowing && keys.iter().any(|key| *key == job_key(job) || *key == final_key(job)) {
             fleet.record_own_job_id(job);
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -43,7 +43,7 @@
     /// Writes pending records until the controller ends.
     pub(super) fn write(&self) {
         while !self.stopping() {
-            drop(self.wake.wait_timeout(self.lock(), WRITE_INTERVAL.std()));
+            drop(self.wake.wait_timeout(self.lock(), WRITE_INTERVAL.to_duration()));
             if !self.write_once() {
                 self.sleep(WRITE_RETRY_DELAY);
             }
@@ -80,7 +80,8 @@
         let max_changes = fleet.max_txn_changes();
         let pending = pending(fleet);
         let term = leadership.term;
-        let batches = leadership::batches(fleet, term.shard_revision, pending, max_changes, now, wall());
+        let batches =
+            leadership::compose_batches(fleet, term.shard_revision, pending, max_changes, now, wall());
         Some(PendingBatches { term, batches })
     }
 
@@ -95,11 +96,11 @@
                     return false;
                 }
                 if let Some(leadership) = self.lock().leadership_with(term.fencing_token) {
-                    leadership::note_refused_finals(&mut leadership.fleet, &keys);
+                    leadership::mark_unreadable_finals(&mut leadership.fleet, &keys);
                 }
                 self.read_back(term, &keys)
             }
-            Err(StateStoreError::Unknown(error)) => {
+            Err(StateStoreError::NoAnswer(error)) => {
                 tracing::info!(%error, "write outcome unknown, reading back");
                 self.read_back(term, &guarded_keys(&batch))
             }
--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -151,7 +151,7 @@
         let done = TaskRanges::parse(text, self.spec.tasks)?;
         self.add_done(done.iter());
         self.copy.is_kept = true;
-        self.copy.note_done_chunk(chunk, &done, mod_revision);
+        self.copy.record_done_chunk(chunk, &done, mod_revision);
         Ok(())
     }
 
@@ -160,7 +160,7 @@
     fn add_start_mark_copy(&mut self, mark: u32, mod_revision: u64) {
         self.copy.is_kept = true;
         self.copy.start_mark_revision = mod_revision;
-        self.copy.note_start_mark(mark);
+        self.copy.record_start_mark(mark);
         self.wanted_start_mark = self.wanted_start_mark.max(mark);
         self.inherited_start_mark = self.inherited_start_mark.max(mark);
     }
--- a/src/live_jobs.rs
+++ b/src/live_jobs.rs
@@ -158,7 +158,7 @@
     }
 
     fn wait<'a>(&self, state: MutexGuard<'a, ReadState>, timeout: Micros) -> MutexGuard<'a, ReadState> {
-        match self.read_ended.wait_timeout(state, timeout.std()) {
+        match self.read_ended.wait_timeout(state, timeout.to_duration()) {
             Ok((state, _)) => state,
             Err(poisoned) => poisoned.into_inner().0,
         }
@@ -167,7 +167,7 @@
     /// Whether a job is live, by a read that begins after this call.
     ///
     /// # Errors
-    /// That of the read; [`StateStoreError::Budget`] if none ended in time.
+    /// That of the read; [`StateStoreError::RateBudgetExceeded`] if none ended in time.
     pub fn presence(&self, id: &str, store: &StateStoreClient) -> Result<Presence, StateStoreError> {
         let deadline = steady() + REQUEST_PATIENCE;
         let mut state = self.lock();
@@ -179,7 +179,7 @@
             }
             let left = deadline - steady();
             if left.0 <= 0 {
-                return Err(StateStoreError::Budget);
+                return Err(StateStoreError::RateBudgetExceeded);
             }
             state =
                 if state.read_in_progress { self.wait(state, left) } else { self.read_once(state, store) };
@@ -226,7 +226,7 @@
 fn read(store: &StateStoreClient, from: Option<u64>) -> Result<ReadResult, StateStoreError> {
     match from.map(|from| store.changes(JOBS_PREFIX, from, RequestPriority::User)) {
         // Too much has changed since: everything is read again.
-        None | Some(Err(StateStoreError::TooOld)) => {}
+        None | Some(Err(StateStoreError::RevisionCompacted)) => {}
         Some(result) => return result.map(ReadResult::Changes),
     }
     let KeyList { rows, revision } = store.list(JOBS_PREFIX)?;
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -11,16 +11,16 @@
     Refused(u16),
     /// Over this controller's own share of the rate limits: nothing was sent.
     #[error("over this node's share of the state store's rate limits")]
-    Budget,
+    RateBudgetExceeded,
     /// No answer: the request may have been executed, or may yet be.
     #[error("the state store did not answer: {0}")]
-    Unknown(String),
+    NoAnswer(String),
     /// The lease is gone (lease expiry, or it was ended).
     #[error("the lease is gone")]
-    NoLease,
+    LeaseNotFound,
     /// The watch's revision is older than the store keeps.
     #[error("the watch revision is compacted away")]
-    TooOld,
+    RevisionCompacted,
     /// The store takes no such request: a value or a transaction is too large. Never to be sent
     /// again as it is.
     #[error("the state store rejected the request: {0}")]
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -88,16 +88,16 @@
         patience: Micros,
     ) -> Result<(), StateStoreError> {
         let deadline = steady() + patience;
-        let Ok(mut budget) = self.budget.lock() else { return Err(StateStoreError::Budget) };
+        let Ok(mut budget) = self.budget.lock() else { return Err(StateStoreError::RateBudgetExceeded) };
         loop {
             let now = steady();
             let Err(wait) = budget.try_take(now, writes, priority) else { return Ok(()) };
             if now + wait > deadline {
-                return Err(StateStoreError::Budget);
+                return Err(StateStoreError::RateBudgetExceeded);
             }
-            match self.budget_changed.wait_timeout(budget, wait.std()) {
+            match self.budget_changed.wait_timeout(budget, wait.to_duration()) {
                 Ok((guard, _)) => budget = guard,
-                Err(_) => return Err(StateStoreError::Budget),
+                Err(_) => return Err(StateStoreError::RateBudgetExceeded),
             }
         }
     }
@@ -126,7 +126,7 @@
             }
             Ok(response) => Ok(response),
             Err(CallError::NotSent(_)) => Err(StateStoreError::NotSent),
-            Err(CallError::NoAnswer(cause)) => Err(StateStoreError::Unknown(cause)),
+            Err(CallError::NoAnswer(cause)) => Err(StateStoreError::NoAnswer(cause)),
         }
     }
 
@@ -187,7 +187,7 @@
     /// Executes a compare-and-swap transaction.
     ///
     /// # Errors
-    /// [`StateStoreError::NoLease`] if a put names a lease that is gone; [`StateStoreError::Rejected`] if
+    /// [`StateStoreError::LeaseNotFound`] if a put names a lease that is gone; [`StateStoreError::Rejected`] if
     /// the store takes no such transaction (too large); otherwise as any call.
     pub fn txn(&self, txn: &Txn, priority: RequestPriority) -> Result<TxnOutcome, StateStoreError> {
         let response = self.send_txn(txn, priority)?;
@@ -222,7 +222,7 @@
     fn txn_rejected(&self, body: &[u8]) -> StateStoreError {
         let text = String::from_utf8_lossy(body).into_owned();
         if text.contains("no such lease") {
-            return StateStoreError::NoLease;
+            return StateStoreError::LeaseNotFound;
         }
         if let Ok(mut budget) = self.budget.lock() {
             budget.write_rejected();
@@ -247,14 +247,14 @@
     /// Renews a lease.
     ///
     /// # Errors
-    /// [`StateStoreError::NoLease`] if it is gone (lease expiry); otherwise as any call.
+    /// [`StateStoreError::LeaseNotFound`] if it is gone (lease expiry); otherwise as any call.
     pub fn renew_lease(&self, lease: u64) -> Result<(), StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let path = format!("/leases/{lease}/renew");
         let response = self.call(&self.calls, "POST", &path, Some(&json!({})), LEASE_CALL_TIMEOUT)?;
         match response.status {
             status::OK => Ok(()),
-            status::NOT_FOUND => Err(StateStoreError::NoLease),
+            status::NOT_FOUND => Err(StateStoreError::LeaseNotFound),
             other => Err(StateStoreError::Refused(other)),
         }
     }
@@ -271,7 +271,7 @@
     /// What has changed under a prefix since a revision, by a read that does not block.
     ///
     /// # Errors
-    /// [`StateStoreError::TooOld`] if the revision is compacted away; otherwise as any call.
+    /// [`StateStoreError::RevisionCompacted`] if the revision is compacted away; otherwise as any call.
     pub fn changes(
         &self,
         prefix: &str,
@@ -285,7 +285,7 @@
     /// Waits up to `block` for changes under a prefix since a revision.
     ///
     /// # Errors
-    /// [`StateStoreError::TooOld`] if the revision is compacted away; otherwise as any call.
+    /// [`StateStoreError::RevisionCompacted`] if the revision is compacted away; otherwise as any call.
     pub fn watch(&self, prefix: &str, from: u64, block: Micros) -> Result<WatchEvents, StateStoreError> {
         self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         self.read_events(&self.watches, prefix, from, block)
@@ -302,7 +302,7 @@
         let response = self.call(client, "GET", &path, None, block + CALL_TIMEOUT)?;
         match response.status {
             status::OK => parse(&response.body),
-            status::GONE => Err(StateStoreError::TooOld),
+            status::GONE => Err(StateStoreError::RevisionCompacted),
             other => Err(StateStoreError::Refused(other)),
         }
     }
--- a/src/time.rs
+++ b/src/time.rs
@@ -52,7 +52,7 @@
     }
 
     /// The span for the standard library; negative spans are empty.
-    pub fn std(self) -> Duration {
+    pub fn to_duration(self) -> Duration {
         Duration::from_micros(self.0.max(0) as u64)
     }
 
@@ -124,7 +124,7 @@
 pub enum Clock {
     /// The machine's.
     #[default]
-    Machine,
+    System,
     /// Stands still until it is set, in microseconds.
     Manual(Arc<AtomicI64>),
 }
@@ -133,7 +133,7 @@
     /// The present moment.
     pub fn now(&self) -> Steady {
         match self {
-            Clock::Machine => steady(),
+            Clock::System => steady(),
             Clock::Manual(micros) => Steady(micros.load(Ordering::SeqCst)),
         }
     }
--- a/tests/failover/simulation/leaders.rs
+++ b/tests/failover/simulation/leaders.rs
@@ -105,7 +105,7 @@
             o.controller.read_changes(&self.store, self.now);
             o.controller.fleet.advance_jobs_revision(o.controller.watched);
             o.last_read = self.now;
-            o.store_contact.note_read(self.now);
+            o.store_contact.record_read(self.now);
         }
     }
 
@@ -147,7 +147,7 @@
         let o = &mut self.leaders[i];
         if renewed {
             o.controller.fleet.confirm_lease(now);
-            o.store_contact.note_renewal(now);
+            o.store_contact.record_renewal(now);
         }
         o.controller.fleet.tick(now, wall_at(now));
         if self.is_partitioned(i) || store_lost {
