--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -49,7 +49,7 @@
 use self::latency::Latencies;
 pub use self::lending::LendingPolicy;
 pub use self::progress_keeper::ProgressKeeper;
-pub use self::scaling::ScalingRounds;
+pub use self::scaling::ScalingState;
 use self::shared_state::{Leadership, SharedState};
 use self::state_budget::{allowed_rates, ControllerRole};
 pub use self::status::STATUS_PATH;
--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -30,7 +30,7 @@
 
 /// What the duty keeps from round to round.
 #[derive(Default)]
-pub struct ScalingRounds {
+pub struct ScalingState {
     /// Number of the last scale-out request of this process: its requests' names must never repeat.
     last_request_number: u64,
     /// The fencing token of the last round.
@@ -42,7 +42,7 @@
 impl Controller {
     /// Scales out and in until the controller ends.
     pub(super) fn scale_out_and_in(&self) {
-        let mut rounds = ScalingRounds::default();
+        let mut rounds = ScalingState::default();
         while !self.stopping() {
             self.sleep(SCALING_INTERVAL);
             self.scale_once(&mut rounds);
@@ -52,7 +52,7 @@
     /// Scales in and out once, if this controller leads for certain. One whose lease may have ended may have
     /// been replaced: what it takes for idle may run another leader's tasks, and its requests may be held up
     /// in the network until they meet them.
-    pub fn scale_once(&self, rounds: &mut ScalingRounds) {
+    pub fn scale_once(&self, rounds: &mut ScalingState) {
         let Some(LeadershipTerm { fencing_token, is_first, .. }) = self.confirmed_term() else { return };
         if rounds.fencing_token != fencing_token {
             rounds.fencing_token = fencing_token;
--- a/tests/cancellation_in_outage/simulation.rs
+++ b/tests/cancellation_in_outage/simulation.rs
@@ -6,7 +6,7 @@
 
 use milletlock::api::RequestOrigin;
 use milletlock::config::{Config, OperatorConfig, PlatformConfig};
-use milletlock::controller::{Controller, ScalingRounds};
+use milletlock::controller::{Controller, ScalingState};
 use milletlock::http::Request;
 use milletlock::peer::{OutboundMessage, PeerError, PeerHub};
 use milletlock::time::{Clock, Micros, Steady};
@@ -253,7 +253,7 @@
 
     /// So many seconds pass, in which a controller scales out and in twice a second.
     pub fn run_scaling(&mut self, controller: usize, seconds: f64) {
-        let mut rounds = ScalingRounds::default();
+        let mut rounds = ScalingState::default();
         for _ in 0..(seconds * 2.0) as usize {
             self.run(0.5);
             self.controllers()[controller].scale_once(&mut rounds);
