--- a/tests/common/simulated_controller.rs
+++ b/tests/common/simulated_controller.rs
@@ -70,7 +70,7 @@
     }
 
     /// Learns the result of a transaction (none: no reply). The error names the keys to read back.
-    pub fn acknowledge(
+    pub fn apply_txn_result(
         &mut self,
         batch: &Batch,
         result: Option<Result<u64, Vec<String>>>,
--- a/tests/failover/simulation/leaders.rs
+++ b/tests/failover/simulation/leaders.rs
@@ -182,7 +182,7 @@
             result = Some(self.store.txn(&b.txn));
         }
         let (now, controller) = (self.now, &mut self.leaders[i].controller);
-        match controller.acknowledge(b, result.filter(|_| known), now) {
+        match controller.apply_txn_result(b, result.filter(|_| known), now) {
             Ok(()) => true,
             Err(keys) => {
                 controller.read_back(&keys, &self.store, now);
--- a/tests/fault_combinations/scenario/leaders.rs
+++ b/tests/fault_combinations/scenario/leaders.rs
@@ -121,7 +121,7 @@
         applied: Option<Result<u64, Vec<String>>>,
     ) -> bool {
         let (now, o) = (at(self.seconds), &mut self.leaders[leader]);
-        let Err(keys) = o.controller.acknowledge(b, applied, now) else { return true };
+        let Err(keys) = o.controller.apply_txn_result(b, applied, now) else { return true };
         if keys.iter().any(|k| k == leadership::SHARD_KEY) && !o.controller.holds_shard(&self.store) {
             o.alive = false;
             return false;
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -109,7 +109,7 @@
             }
             for batch in batches {
                 let result = self.store.txn(&batch.txn);
-                self.leader.acknowledge(&batch, Some(result), self.now).expect("written");
+                self.leader.apply_txn_result(&batch, Some(result), self.now).expect("written");
             }
         }
     }
