--- a/tests/common/simulated_controller.rs
+++ b/tests/common/simulated_controller.rs
@@ -25,7 +25,7 @@
     /// The revision of the shard's record as it claimed it.
     pub shard_revision: u64,
     /// The revision up to which it has read the jobs' changes.
-    pub watched: u64,
+    pub watched_revision: u64,
 }
 
 impl SimulatedController {
@@ -40,7 +40,7 @@
         let mut fleet = Fleet::new(cfg.clone(), types(), fencing_token, now);
         let rows = RECORDS.iter().flat_map(|prefix| store.rows(prefix)).collect();
         leadership::load_records(&mut fleet, rows, now, wall_at(now));
-        SimulatedController { fleet, shard_revision, watched: store.revision }
+        SimulatedController { fleet, shard_revision, watched_revision: store.revision }
     }
 
     /// Whether it still holds the shard, as far as the state store knows.
@@ -50,7 +50,7 @@
 
     /// Reads the jobs' changes since the last time.
     pub fn read_changes(&mut self, store: &Store, now: Steady) {
-        for (revision, key, value) in store.changes_since(self.watched) {
+        for (revision, key, value) in store.changes_since(self.watched_revision) {
             let Some(id) = key.strip_prefix("job/") else { continue };
             match value {
                 Some(v) => {
@@ -60,7 +60,7 @@
                 None => self.fleet.job_ended(id, *revision),
             }
         }
-        self.watched = store.revision;
+        self.watched_revision = store.revision;
     }
 
     /// The transactions that it would write now; done ranges may wait for a while.
--- a/tests/failover/simulation/leaders.rs
+++ b/tests/failover/simulation/leaders.rs
@@ -14,7 +14,7 @@
     /// Another controller becomes leader. The earlier ones do not know yet; more than three are too many.
     pub(super) fn fail_over(&mut self) {
         let mut controller = SimulatedController::claim(&mut self.store, &self.cfg, self.now);
-        controller.fleet.advance_jobs_revision(controller.watched);
+        controller.fleet.advance_jobs_revision(controller.watched_revision);
         let store_contact = StoreContact::new(self.now, self.bound);
         self.leaders.push(SimulatedLeader {
             controller,
@@ -103,7 +103,7 @@
                 continue;
             }
             o.controller.read_changes(&self.store, self.now);
-            o.controller.fleet.advance_jobs_revision(o.controller.watched);
+            o.controller.fleet.advance_jobs_revision(o.controller.watched_revision);
             o.last_read = self.now;
             o.store_contact.note_read(self.now);
         }
