--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -108,7 +108,7 @@
             "failover: state rebuilt"
         );
         end_cancelled_jobs(&mut fleet, shared);
-        for (job, results) in shared.heard_results.iter() {
+        for (job, results) in shared.reported_results.iter() {
             fleet.heard_results(job, results);
         }
         shared.leader = Some(LeaderRecord {
--- a/src/controller/heard_results.rs
+++ b/src/controller/heard_results.rs
@@ -18,14 +18,14 @@
 struct JobResults {
     tasks: TaskSet,
     heard_at: Steady,
-    /// Its key in `HeardResults::by_age`.
+    /// Its key in `ReportedResults::by_age`.
     order: u64,
 }
 
 /// Results of tasks by job, bounded in number and time: beyond the bound those go that were heard longest ago. A
 /// task that is done stays done, so that none of them is ever wrong, however late it is used.
 #[derive(Debug, Default)]
-pub(super) struct HeardResults {
+pub(super) struct ReportedResults {
     jobs: BTreeMap<String, JobResults>,
     /// The jobs in the order in which results of them were last heard of.
     by_age: BTreeMap<u64, String>,
@@ -35,7 +35,7 @@
     count: u64,
 }
 
-impl HeardResults {
+impl ReportedResults {
     /// Notes the results that a worker's heartbeat lists.
     pub(super) fn note_heartbeat(&mut self, heartbeat: &Heartbeat, now: Steady) {
         let mut by_job: BTreeMap<&str, TaskSet> = BTreeMap::new();
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -67,7 +67,7 @@
             return self.answer_as_leader(&mut shared, heartbeat, reply);
         }
         if self.config.operator.cells.is_some() {
-            shared.heard_results.note_heartbeat(&heartbeat, self.now());
+            shared.reported_results.note_heartbeat(&heartbeat, self.now());
         }
         if reply.is_none() {
             return HeartbeatHandling::Answer(not_the_leader(), None);
--- a/src/controller/progress_keeper.rs
+++ b/src/controller/progress_keeper.rs
@@ -94,7 +94,7 @@
     /// One round, if it is due and this controller follows a leader without copies.
     pub fn keep_progress_once(&self, keeper: &mut ProgressKeeper) {
         let begun = self.now();
-        self.lock().heard_results.drop_expired(begun);
+        self.lock().reported_results.drop_expired(begun);
         if !self.follows_leader_without_copies() {
             keeper.copied.clear();
             self.lock().lent_progress = None;
@@ -146,10 +146,10 @@
         if jobs.is_empty() {
             return Ok(());
         }
-        let heard = self.lock().heard_results.iter().map(|(job, _)| job.to_string()).collect();
+        let heard = self.lock().reported_results.iter().map(|(job, _)| job.to_string()).collect();
         let start_marks = leadership::read_start_marks(&self.state)?;
         for job in keeper.next_jobs(jobs, &heard) {
-            let results = self.lock().heard_results.of(&job.id);
+            let results = self.lock().reported_results.of(&job.id);
             match job.read_progress(&self.state, &start_marks) {
                 Ok(progress) => {
                     let txns = progress.missing_copies(&results, self.config.value_bytes());
--- a/src/controller/shared_state.rs
+++ b/src/controller/shared_state.rs
@@ -4,7 +4,7 @@
 
 use super::deferred_replies::DeferredHeartbeatReply;
 use super::final_records::FinalRecordCache;
-use super::heard_results::HeardResults;
+use super::heard_results::ReportedResults;
 use super::other_cells::OtherCellState;
 use super::UNREPORTED_VERSION;
 use crate::fleet::{Fleet, JobProgress};
@@ -55,7 +55,7 @@
     /// When each worker was last redirected to the leader.
     pub(super) redirected: BTreeMap<String, Steady>,
     /// Results that workers have reported and that this controller has not recorded as the leader.
-    pub(super) heard_results: HeardResults,
+    pub(super) reported_results: ReportedResults,
     /// Copies of the progress of lent jobs, as the latest round beside a leader without copies found them.
     pub(super) lent_progress: Option<LentProgressStatus>,
     /// Until then users' requests are not relayed to other controllers.
--- a/src/controller/step_down.rs
+++ b/src/controller/step_down.rs
@@ -72,7 +72,7 @@
         shared.highest_fencing_token = shared.highest_fencing_token.max(higher);
         if let Some(leadership) = shared.leadership.take() {
             for results in leadership.fleet.results_of_loans() {
-                shared.heard_results.note(&results.job, &results.tasks, self.now());
+                shared.reported_results.note(&results.job, &results.tasks, self.now());
             }
             self.state.set_allowed_rates(allowed_rates(&self.config, ControllerRole::Follower));
             tracing::info!(
