--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -1,5 +1,5 @@
-//! The announcing duty: notifies the other controllers of the leader, and of cancellations that were
-//! confirmed to users.
+//! The announcing duty: announces the leader to the other controllers, and sends them notices of
+//! cancellations that were confirmed to users.
 
 use super::{lock_ignoring_poison, Controller, Leadership, VERSION};
 use crate::cancellation_notices::{Cancellation, NoticeBatch};
@@ -8,26 +8,27 @@
 use crate::peer::{self, JobCounts, PeerMessage, PeerReply, Summary};
 use crate::time::{Micros, Steady};
 
-/// How often the leader announces itself.
+/// Interval at which the leader announces itself.
 const ANNOUNCE_INTERVAL: Micros = Micros::from_millis(1000);
-/// When cancellations are sent again to a controller that did not answer.
+/// Pause before cancellations are sent again to a controller that did not answer.
 const NOTICE_RETRY_DELAY: Micros = Micros::from_millis(300);
-/// A follower to which no other controller has sent anything for this long probes them all.
+/// A follower that has received nothing from any other controller for this long probes all of them.
 const PEER_PROBE_AFTER: Micros = Micros::from_millis(1500);
-/// How long another controller has to answer an announcement or a notice.
+/// How long this controller waits for an answer to an announcement or a notice.
 const MESSAGE_TIMEOUT: Micros = Micros::from_millis(900);
-/// Most jobs whose task counts are announced.
+/// Largest number of jobs whose task counts are announced.
 const MAX_ANNOUNCED_JOBS: usize = 2000;
 
 impl Controller {
-    /// Announces the leader about once a second, and cancellations at once, repeated until each of the
-    /// others has acknowledged them.
+    /// Announces the leader at intervals of [`ANNOUNCE_INTERVAL`] until the controller stops. Sends
+    /// cancellations at once, and repeats them until each of the other controllers has acknowledged them.
     pub(super) fn announce(&self) {
         let mut last_announced = Steady(0);
         let mut all_acknowledged = true;
         while !self.stopping() {
-            let since = self.now() - last_announced;
-            let timeout = if all_acknowledged { ANNOUNCE_INTERVAL - since } else { NOTICE_RETRY_DELAY };
+            let since_announced = self.now() - last_announced;
+            let timeout =
+                if all_acknowledged { ANNOUNCE_INTERVAL - since_announced } else { NOTICE_RETRY_DELAY };
             self.await_notices(timeout, all_acknowledged);
             all_acknowledged = self.send_cancellations_once();
             if self.now() - last_announced >= ANNOUNCE_INTERVAL {
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Waits for a new notice, no longer than `timeout`, unless a new one is there already.
+    /// Waits for a new notice, no longer than `timeout`. Returns at once if there are notices that have not
+    /// been sent yet.
     fn await_notices(&self, timeout: Micros, all_acknowledged: bool) {
         let notices = lock_ignoring_poison(&self.notices);
         if timeout.0 > 0 && (notices.is_empty() || !all_acknowledged) {
@@ -45,8 +47,8 @@
         }
     }
 
-    /// Announces this leader to the others; on any other controller probes them if no message
-    /// came lately.
+    /// Announces this controller to the others if it leads. A follower probes the others if it has received
+    /// nothing from them for a while.
     pub fn announce_once(&self) {
         let Some(summary) = self.due_summary() else { return };
         let sent: Vec<_> = (0..self.peers.count())
@@ -58,12 +60,12 @@
         for (peer, waiting) in sent {
             if let Ok(PeerReply::Ack(ack)) = waiting.wait() {
                 self.on_peer_answer(ack.token);
-                self.note_peer_version(peer, ack.version);
+                self.record_peer_version(peer, ack.version);
             }
         }
     }
 
-    /// What to send to the others: the leader's announcement, or a follower's probe if it is due.
+    /// The message to send to the others: the leader's announcement, or a follower's probe if one is due.
     fn due_summary(&self) -> Option<Summary> {
         let shared = self.lock();
         if let Some(leadership) = &shared.leadership {
@@ -75,10 +77,10 @@
         None
     }
 
-    /// Keeps the version of another controller, and logs it when it changes.
-    fn note_peer_version(&self, peer: usize, version: String) {
+    /// Records the version that another controller of this cell reports.
+    fn record_peer_version(&self, peer: usize, version: String) {
         let Some(member) = self.config.platform.members.get(peer) else { return };
-        self.lock().note_version(&member.label, version);
+        self.lock().update_peer_version(&member.label, version);
     }
 
     /// The leader's announcement.
@@ -96,8 +98,8 @@
         }
     }
 
-    /// Sends each of the others the cancellations that it has not acknowledged; false if one did not
-    /// acknowledge them.
+    /// Sends each of the other controllers the cancellations that it has not acknowledged yet. Returns false
+    /// if one of them did not acknowledge them.
     pub fn send_cancellations_once(&self) -> bool {
         let due = lock_ignoring_poison(&self.notices).due(self.now());
         let sent: Vec<_> = due
--- a/src/controller/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -1,4 +1,4 @@
-//! The borrowing side of loans between cells: answers the messages of lending cells.
+//! The borrower's side of loans between cells: answers the messages of lenders.
 
 use milletlock_cells::LoanSyncRequest;
 
@@ -10,16 +10,18 @@
 use crate::peer::{LoanReply, LoanRequest, PeerReply};
 use crate::time::{wall, Micros};
 
-/// Most changes that one message leads to; the rest follow with the next.
-const MAX_CHANGES: usize = 32;
-/// No change is begun this long after the message came: its sender no longer waits for the answer.
-const ANSWER_TIMEOUT: Micros = Micros::from_millis(600);
-/// Most senders of refused messages that are remembered.
+/// Largest number of changes that are made for one message. The remaining changes are made for the next
+/// message.
+const MAX_CHANGES_PER_MESSAGE: usize = 32;
+/// No further change is started_at this long after the message arrived, since its sender soon stops waiting
+/// for the answer.
+const CHANGE_TIMEOUT: Micros = Micros::from_millis(600);
+/// Largest number of senders for which the reason of a refused message is remembered.
 const MAX_REFUSED_CELLS: usize = 100;
 
 impl Controller {
-    /// Answers another cell's message about its loans.
-    pub(super) fn on_loans(&self, message: &LoanRequest) -> PeerReply {
+    /// Answers a lender's message about its loans.
+    pub(super) fn on_loan_request(&self, message: &LoanRequest) -> PeerReply {
         let Some(cells) = &self.config.operator.cells else { return PeerReply::Loans(LoanReply::default()) };
         let request = match checked_request(cells, message) {
             Ok(request) => request,
@@ -28,34 +30,35 @@
                 return PeerReply::Loans(LoanReply { from: cells.name.clone(), ..LoanReply::default() });
             }
         };
-        let readable = self.decidable(&request);
+        let readable = self.decidable_part(&request);
         if let Some((fencing_token, request)) = &readable {
-            // One message at a time: each change rests on the records as the one before left them.
+            // Messages are processed one at a time: each change is based on the records that the previous
+            // change has written.
             let _guard = lock_ignoring_poison(&self.loan_changes);
             self.apply_loan_request(*fencing_token, request);
         }
         let shared = self.lock();
         PeerReply::Loans(match &shared.leadership {
             Some(leadership) => loan_reply(cells, leadership, readable.as_ref().map(|(_, request)| request)),
-            None => self.not_leading(cells, &shared),
+            None => self.not_leading_reply(cells, &shared),
         })
     }
 
-    /// The part of a message that this leader can decide on, with its fencing token; none if it does not lead, or
-    /// cannot read its records about the sender.
-    fn decidable(&self, request: &LoanSyncRequest) -> Option<(u64, LoanSyncRequest)> {
+    /// The part of a message that this leader can decide on, with the leader's fencing token. None if this
+    /// controller does not lead, or cannot read its records about the sender.
+    fn decidable_part(&self, request: &LoanSyncRequest) -> Option<(u64, LoanSyncRequest)> {
         let shared = self.lock();
         let leadership = shared.leadership.as_ref()?;
         let request = leadership.fleet.without_unreadable(request)?;
         Some((leadership.term.fencing_token, request))
     }
 
-    /// Makes the changes that a message requests.
+    /// Makes the changes that a message requests, within the bounds for one message.
     fn apply_loan_request(&self, fencing_token: u64, request: &LoanSyncRequest) {
-        let begun = self.now();
+        let started_at = self.now();
         self.retry_loan_writes(fencing_token);
-        for _ in 0..MAX_CHANGES {
-            if self.now() - begun > ANSWER_TIMEOUT {
+        for _ in 0..MAX_CHANGES_PER_MESSAGE {
+            if self.now() - started_at > CHANGE_TIMEOUT {
                 return;
             }
             let Some(write) = self.begin_next_change(fencing_token, request) else { return };
@@ -66,7 +69,8 @@
         }
     }
 
-    /// The write of the next change that a message requests; none if there is none, or it has to wait.
+    /// The write of the next change that a message requests. None if there is no further change, or if the
+    /// next one has to wait until an earlier write about the job has a known outcome.
     fn begin_next_change(&self, fencing_token: u64, request: &LoanSyncRequest) -> Option<LoanWrite> {
         let mut shared = self.lock();
         let fleet = &mut shared.leadership_with(fencing_token)?.fleet;
@@ -80,7 +84,7 @@
         Some(fleet.begin_borrower_change(change))
     }
 
-    /// Logs why a message is refused, once for each sender and reason: it is sent again and again.
+    /// Logs why a message is refused, once for each sender and reason, because senders repeat their messages.
     fn log_refused_message(&self, from: &str, why: String) {
         let mut shared = self.lock();
         if shared.refused_cells.len() >= MAX_REFUSED_CELLS {
@@ -92,8 +96,8 @@
         }
     }
 
-    /// The answer of a controller that does not lead: who does.
-    fn not_leading(&self, cells: &CellsSettings, shared: &SharedState) -> LoanReply {
+    /// The answer of a controller that does not lead. It names the leader's address, if known.
+    fn not_leading_reply(&self, cells: &CellsSettings, shared: &SharedState) -> LoanReply {
         let leader = shared.leader.as_ref().and_then(|leader| {
             let member = self.config.platform.members.iter().find(|member| member.label == leader.label)?;
             Some(member.addr.to_string())
@@ -102,7 +106,7 @@
     }
 }
 
-/// The message, if it can be decoded and is from a cell that the settings name.
+/// Decodes a message, after checking that it is for this cell and from a cell that the settings name.
 fn checked_request(
     cells: &CellsSettings,
     message: &LoanRequest,
@@ -116,7 +120,7 @@
     request_from_proto(message)
 }
 
-/// The leader's answer: how the loans stand whose records it can read, and this cell's summary.
+/// The leader's answer: this cell's summary, and reports on the loans whose records the leader can read.
 fn loan_reply(
     cells: &CellsSettings,
     leadership: &Leadership,
--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -1,4 +1,4 @@
-//! The operators' view of loans, and their decision to write off the loans of a lost cell.
+//! The operators' view of loans, and the request by which an operator writes off the loans of a lost cell.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,8 @@
 };
 
 impl Controller {
-    /// Loans in both directions; none where cells are not in use.
+    /// Status of the other cells and of the loans in both directions; none if the settings have no `cells`
+    /// block.
     pub(super) fn cells_status(&self, shared: &SharedState, leadership: &Leadership) -> Option<CellsStatus> {
         let cells = self.config.operator.cells.as_ref()?;
         let others = cells.others.iter().map(|cell| {
@@ -32,14 +33,15 @@
         Some(CellsStatus {
             name: cells.name.clone(),
             others: others.collect(),
-            lent: lent(fleet),
-            borrowed: borrowed(fleet),
+            lent: lent_status(fleet),
+            borrowed: borrowed_status(fleet),
             unrecorded_results: fleet.unrecorded_results_of_loans(),
-            finished_for: finished_for(fleet),
+            finished_for: finished_by_lender(fleet),
         })
     }
 
-    /// How many jobs with loans this leader has not copied whole yet; none where cells are not in use.
+    /// How many jobs with loans lack complete copies of their progress at this leader; none if the settings
+    /// have no `cells` block.
     pub(super) fn lent_progress_of_leader(&self, leadership: &Leadership) -> Option<LentProgressStatus> {
         self.config.operator.cells.as_ref()?;
         let jobs = || leadership.fleet.jobs.values().filter(|job| !job.ended && job.has_loans());
@@ -51,16 +53,16 @@
         })
     }
 
-    /// Writes off all loans with a cell that is lost for good, as an operator decided: tasks that are not
-    /// known to be done there run here again. If the cell is alive after all, tasks may run twice until it
-    /// is reached.
+    /// Writes off all loans to a cell that an operator has declared lost for good: lent tasks that are not
+    /// known to be done run in this cell again. If the other cell still runs after all, tasks may run twice
+    /// until this cell reaches it again.
     pub(super) fn write_off(&self, request: &Request) -> Response {
         let cell = request.path.strip_prefix(WRITE_OFF_PATH).unwrap_or("");
         if request.method != "POST" {
-            return Response::error(status::METHOD_NOT_ALLOWED, "only POST");
+            return Response::error(status::METHOD_NOT_ALLOWED, "a write-off must be a POST request");
         }
         if self.config.operator.cells.as_ref().is_none_or(|cells| cells.other(cell).is_none()) {
-            return Response::error(status::NOT_FOUND, "no such cell in the settings");
+            return Response::error(status::NOT_FOUND, "the settings name no such cell");
         }
         let (fencing_token, jobs) = {
             let shared = self.lock();
@@ -82,7 +84,7 @@
         Response::json(if result.left.is_empty() { status::OK } else { status::SERVICE_UNAVAILABLE }, &result)
     }
 
-    /// Writes off a job's loans with a cell; whether that is recorded.
+    /// Writes off a job's loans to a cell. Returns whether the write-off is recorded.
     fn write_off_job(&self, fencing_token: u64, cell: &str, job: &str) -> bool {
         let write = {
             let mut shared = self.lock();
@@ -96,7 +98,7 @@
     }
 }
 
-/// Numbers of lent tasks that are not known to be done, by job, of the loans with a cell.
+/// For each job with loans to a cell, the number of lent tasks that are not known to be done.
 fn unfinished_loans(fleet: &Fleet, cell: &str) -> BTreeMap<String, u32> {
     let mut unfinished: BTreeMap<String, u32> = BTreeMap::new();
     for (job, loan) in fleet.loans.lender_ledger.loans_with(cell) {
@@ -106,8 +108,8 @@
     unfinished
 }
 
-/// The open loans that this cell has made.
-fn lent(fleet: &Fleet) -> Vec<LentStatus> {
+/// The status of the open loans that this cell has made.
+fn lent_status(fleet: &Fleet) -> Vec<LentStatus> {
     let of_job = |(job, lending): (&String, &Lending)| {
         let done = fleet.done_tasks(job);
         let loan = |loan: &Loan| LentStatus {
@@ -123,8 +125,8 @@
     fleet.loans.lender_ledger.jobs().flat_map(of_job).collect()
 }
 
-/// The jobs of which this cell has borrowed tasks.
-fn borrowed(fleet: &Fleet) -> Vec<BorrowedStatus> {
+/// The status of the jobs of which this cell has borrowed tasks.
+fn borrowed_status(fleet: &Fleet) -> Vec<BorrowedStatus> {
     let of_job = |(job, record): (&String, &BorrowedJob)| {
         let tasks = record.tasks();
         BorrowedStatus {
@@ -137,12 +139,12 @@
     fleet.loans.borrower_ledger.jobs().map(of_job).collect()
 }
 
-/// Numbers of tasks finished for each cell: those of closed loans are recorded with the cell, those of
-/// open loans with their jobs.
-fn finished_for(fleet: &Fleet) -> BTreeMap<String, u64> {
+/// For each lender, the number of its tasks that this cell has finished. Tasks of closed loans are counted in
+/// the record about the lender, tasks of open loans in the records of the borrowed jobs.
+fn finished_by_lender(fleet: &Fleet) -> BTreeMap<String, u64> {
     let closed = fleet.loans.lenders().map(|(cell, record)| (cell.clone(), record.finished));
     let mut finished: BTreeMap<String, u64> = closed.collect();
-    for job in borrowed(fleet) {
+    for job in borrowed_status(fleet) {
         *finished.entry(job.home).or_default() += u64::from(job.done);
     }
     finished
--- a/src/controller/deferred_replies.rs
+++ b/src/controller/deferred_replies.rs
@@ -1,5 +1,5 @@
-//! Deferred replies to the heartbeats of idle workers: each is sent as soon as there is a task to start on
-//! its machine, and at the latest at its deadline.
+//! Deferred replies to the heartbeats of idle workers. A reply is sent as soon as there is a task to start on
+//! the machine, at the latest at its deadline.
 
 use std::collections::BTreeMap;
 
@@ -13,21 +13,22 @@
 /// A heartbeat whose reply is deferred until there is a task to start on its machine.
 pub(super) struct DeferredHeartbeatReply {
     pub(super) heartbeat: Heartbeat,
-    /// The leader's fencing token when the heartbeat came.
+    /// The leader's fencing token when the heartbeat arrived.
     pub(super) fencing_token: u64,
-    /// When it is answered at the latest.
+    /// The latest time at which the reply is sent.
     pub(super) deadline: Steady,
     pub(super) reply: Reply,
 }
 
-/// A reply with the response to send through it.
+/// A reply that is due, with the response to send through it.
 struct DueReply {
     reply: Reply,
     response: Response,
 }
 
 impl Controller {
-    /// Sends the deferred replies for which there is a start now, and those whose deadline has passed.
+    /// Sends the deferred replies that are due: there is a task to start on the machine, the deadline has
+    /// passed, or the term in which the heartbeat arrived has ended.
     pub(super) fn send_deferred_replies(&self) {
         let due_replies = take_due_replies(&mut self.lock(), self.now());
         for due in due_replies {
@@ -36,7 +37,7 @@
     }
 }
 
-/// Removes the deferred replies that are to be sent now.
+/// Removes the deferred replies that are due, and returns them with their responses.
 fn take_due_replies(shared: &mut SharedState, now: Steady) -> Vec<DueReply> {
     let SharedState { leadership, deferred_replies, .. } = shared;
     let mut leadership = leadership.as_mut().filter(|leadership| leadership.store_contact.may_act(now));
@@ -61,8 +62,8 @@
     due_replies
 }
 
-/// Removes the deferred reply of a machine, if it is of this term and there are commands for the machine or
-/// its deadline has passed.
+/// Removes and returns the deferred reply for a machine if its heartbeat arrived in this term and there are
+/// commands for the machine or the deadline has passed.
 fn take_reply(
     leadership: &mut Leadership,
     deferred_replies: &mut BTreeMap<MachineId, DeferredHeartbeatReply>,
@@ -81,8 +82,9 @@
     Some(DueReply { reply: deferred.reply, response })
 }
 
-/// Removes the deferred reply of a machine, if it is of an earlier term, or of any while this controller
-/// may not act as the leader (`fencing_token` is then none): the worker is to find the leader anew.
+/// Removes and returns the deferred reply for a machine if its heartbeat arrived in another term than that of
+/// `fencing_token`. `fencing_token` is none while this controller may not act as the leader; then every
+/// deferred reply is removed. The response makes the worker look for the leader again.
 fn take_stale_reply(
     deferred_replies: &mut BTreeMap<MachineId, DeferredHeartbeatReply>,
     machine: &MachineId,
--- a/src/controller/duties.rs
+++ b/src/controller/duties.rs
@@ -1,4 +1,4 @@
-//! Starts and ends a controller: its listeners, the threads of its duties and its HTTP server.
+//! Starts and stops a controller: its listeners, the threads of its duties and its HTTP server.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,19 +12,20 @@
 use crate::peer::{InboundMessage, PeerHub};
 use crate::time::Clock;
 
-/// Number of threads that answer the other controllers.
+/// Number of threads that answer messages of other controllers.
 const PEER_THREADS: usize = 3;
 /// Stack size of a duty's thread in bytes.
 const DUTY_STACK_BYTES: usize = 512 * 1024;
 
-/// A duty that every controller has a thread for.
+/// A duty that has a thread of its own in every controller.
 struct Duty {
     thread_name: &'static str,
-    /// Runs until the controller ends.
+    /// Runs until the controller stops.
     main: fn(&Controller),
 }
 
-/// The duties of every controller; lending has a thread only where cells are in use.
+/// The duties of every controller. The lending duty is not among them: it runs only if the settings have a
+/// `cells` block.
 const DUTIES: [Duty; 9] = [
     Duty { thread_name: "leadership", main: Controller::maintain_leadership },
     Duty { thread_name: "watcher", main: Controller::watch },
@@ -38,7 +39,7 @@
 ];
 
 impl Controller {
-    /// Listens on the addresses of the settings and runs until `stop` is set.
+    /// Listens on the addresses given in the settings and runs until `stop` is set.
     ///
     /// # Errors
     /// [`ControllerError::Listen`], and those of [`Controller::run_on`].
@@ -71,7 +72,7 @@
         );
         let duties = controller.start_duties(inbound).map_err(ControllerError::Thread)?;
         let served = controller.serve_http(listener);
-        // Without its HTTP server the controller is of no use: all else ends as well.
+        // A controller cannot do its work without its HTTP server, so the duties are stopped as well.
         controller.stop.store(true, Ordering::Relaxed);
         controller.resign();
         controller.wake.notify_all();
@@ -81,7 +82,7 @@
         served.map_err(ControllerError::Serve)
     }
 
-    /// Serves users, workers and the load balancer until the controller ends.
+    /// Serves users, workers and the load balancer until the controller stops.
     fn serve_http(self: &Arc<Controller>, listener: TcpListener) -> std::io::Result<()> {
         let limits = self.config.server_limits();
         tracing::info!(
@@ -93,7 +94,7 @@
         http::serve(listener, limits, self.stop.clone(), self.service())
     }
 
-    /// Starts a thread for each duty.
+    /// Starts the threads of all duties, and those that answer the messages in `inbound`.
     fn start_duties(
         self: &Arc<Controller>,
         inbound: Receiver<InboundMessage>,
@@ -117,7 +118,7 @@
     }
 }
 
-/// Binds a listener to an address of the settings.
+/// Binds a listener to an address that the settings give.
 fn bind(addr: SocketAddr) -> Result<TcpListener, ControllerError> {
     TcpListener::bind(addr).map_err(|source| ControllerError::Listen { addr, source })
 }
--- a/src/controller/error.rs
+++ b/src/controller/error.rs
@@ -1,4 +1,4 @@
-//! Errors with which a controller ends: it could not start, or stopped serving.
+//! Errors that end a controller process: it could not start, or its HTTP server failed.
 
 use std::net::SocketAddr;
 
@@ -6,10 +6,10 @@
 /// Each is fatal for the process: the program reports it and exits.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
-    /// An address of the settings could not be bound.
+    /// An address given in the settings could not be bound.
     #[error("cannot listen on {addr}: {source}")]
     Listen {
-        /// The address of the settings.
+        /// The address given in the settings.
         addr: SocketAddr,
         /// The operating system's error.
         source: std::io::Error,
@@ -18,12 +18,12 @@
     #[error("cannot start the connections to the other controllers: {0}")]
     Peers(#[source] std::io::Error),
     /// The histograms of response latencies could not be created.
-    #[error("cannot make the latency histograms: {0}")]
+    #[error("cannot create the histograms of response latencies: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
     /// A thread for one of the controller's duties could not be started.
-    #[error("cannot start a duty's thread: {0}")]
+    #[error("cannot start the thread of a duty: {0}")]
     Thread(#[source] std::io::Error),
-    /// The server for users, workers and the load balancer ended with an error.
-    #[error("serving ended: {0}")]
+    /// The HTTP server for users, workers and the load balancer ended with an error.
+    #[error("the HTTP server failed: {0}")]
     Serve(#[source] std::io::Error),
 }
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -11,37 +11,37 @@
 use crate::store_contact::StoreContact;
 use crate::time::{Micros, Steady};
 
-/// A controller that has run no longer than this stands in an election sooner than the others.
-const RECENT_START: Micros = Micros::from_millis(120_000);
-/// Least delay between the end of the leader's lease and an election, in milliseconds.
-const ELECTION_DELAY_MS: i64 = 60;
-/// The same for a controller that was started recently.
-const ELECTION_DELAY_RECENT_MS: i64 = 5;
-/// Random part of that delay, in milliseconds.
+/// A controller that was started no longer ago than this waits less before it stands in an election.
+const RECENT_START_WINDOW: Micros = Micros::from_millis(120_000);
+/// Shortest delay between the end of the leader's lease and an election, in milliseconds.
+const MIN_ELECTION_DELAY_MS: i64 = 60;
+/// Shortest delay for a controller that was started recently, in milliseconds.
+const MIN_ELECTION_DELAY_RECENT_MS: i64 = 5;
+/// Upper bound of the random part of the delay, in milliseconds.
 const ELECTION_JITTER_MS: i64 = 50;
-/// How long this controller stands in no election after it found records of a later format.
+/// How long this controller stands in no election after it has found records of a later format.
 const NEWER_RECORDS_PAUSE: Micros = Micros::from_millis(10_000);
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: i64 = 1000;
 
 impl Controller {
-    /// How long to wait between the end of the leader's lease and an election. Most of the time one of
-    /// the others is a little faster, and the guards decide. One that was started recently goes first: in
-    /// a rolling restart the others are still to be restarted, and each would win the leadership only to
-    /// lose it again.
+    /// How long to wait between the end of the leader's lease and an election. The delay is partly random;
+    /// if several controllers stand at once, the guards of the election's transaction let only one win.
+    /// A controller that was started recently waits less: in a rolling restart the others are still to be
+    /// restarted, and each of them would soon lose the leadership again.
     pub(super) fn election_delay(&self) -> Micros {
-        let is_recent = self.now() - self.started <= RECENT_START;
-        let least_ms = if is_recent { ELECTION_DELAY_RECENT_MS } else { ELECTION_DELAY_MS };
-        Micros::from_millis(rand::rng().random_range(least_ms..least_ms + ELECTION_JITTER_MS))
+        let is_recent = self.now() - self.started <= RECENT_START_WINDOW;
+        let min_delay_ms = if is_recent { MIN_ELECTION_DELAY_RECENT_MS } else { MIN_ELECTION_DELAY_MS };
+        Micros::from_millis(rand::rng().random_range(min_delay_ms..min_delay_ms + ELECTION_JITTER_MS))
     }
 
-    /// Stands in an election and, if it is won, rebuilds the fleet. `replaced_revision` is that of the
-    /// leader's record that is replaced, 0 for none.
+    /// Stands in an election and, if it is won, rebuilds the fleet. `replaced_revision` is the revision of
+    /// the leader's record that is replaced, or 0 if there is no record.
     pub(super) fn fail_over(&self, ttl: Micros, replaced_revision: u64) -> Result<(), StateStoreError> {
         if self.now() < self.lock().no_election_until {
             return Ok(());
         }
-        let begun = self.now();
+        let started_at = self.now();
         let label = &self.config.platform.label;
         let election =
             leadership::try_become_leader(&self.state, label, self.incarnation, ttl, replaced_revision);
@@ -61,12 +61,12 @@
             shared.is_rebuilding = true;
             shared.highest_fencing_token = shared.highest_fencing_token.max(term.fencing_token);
         }
-        self.rebuild(term, begun)
+        self.rebuild(term, started_at)
     }
 
-    /// Rebuilds the fleet from the records after a won election, and leads with it unless a higher fencing
-    /// token has been seen meanwhile. `begun` is when the election began.
-    fn rebuild(&self, term: LeadershipTerm, begun: Steady) -> Result<(), StateStoreError> {
+    /// Rebuilds the fleet from the records after a won election, and begins to lead unless a higher fencing
+    /// token has been seen meanwhile. `started_at` is when the election began.
+    fn rebuild(&self, term: LeadershipTerm, started_at: Steady) -> Result<(), StateStoreError> {
         let types = self.machine_types().unwrap_or_default();
         let rebuilt =
             leadership::rebuild(&self.state, self.config.clone(), types, term.fencing_token, self.now());
@@ -74,7 +74,7 @@
         shared.is_rebuilding = false;
         match rebuilt {
             Ok(fleet) if shared.highest_fencing_token == term.fencing_token => {
-                self.begin_leadership(&mut shared, term, fleet, begun);
+                self.begin_leadership(&mut shared, term, fleet, started_at);
                 Ok(())
             }
             Ok(_) => Ok(()),
@@ -87,13 +87,13 @@
         }
     }
 
-    /// Begins to lead with a rebuilt fleet.
+    /// Begins to lead with a rebuilt fleet. `started_at` is when the election began.
     fn begin_leadership(
         &self,
         shared: &mut SharedState,
         term: LeadershipTerm,
         mut fleet: Fleet,
-        begun: Steady,
+        started_at: Steady,
     ) {
         if let Some(types) = &shared.machine_types {
             fleet.set_types(types.clone());
@@ -104,7 +104,7 @@
             fencing_token = term.fencing_token,
             jobs = fleet.jobs.len(),
             machines = fleet.machines.len(),
-            duration_ms = (now - begun).0 / MICROS_PER_MILLI,
+            duration_ms = (now - started_at).0 / MICROS_PER_MILLI,
             "failover: state rebuilt"
         );
         end_cancelled_jobs(&mut fleet, shared);
@@ -118,8 +118,9 @@
             lease: term.lease,
         });
         shared.last_peer_contact = now;
-        // As old as the election: cancellations since then may not have been read.
-        let store_contact = StoreContact::new(begun, self.config.max_staleness());
+        // Contact with the state store counts from the start of the election: cancellations that were written
+        // after it may not have been read.
+        let store_contact = StoreContact::new(started_at, self.config.max_staleness());
         shared.leadership = Some(Leadership { fleet, term, store_contact, last_heartbeat: now });
         self.wake.notify_all();
     }
--- a/src/controller/final_records.rs
+++ b/src/controller/final_records.rs
@@ -1,11 +1,11 @@
-//! Final records of jobs that are known to be written, so that status requests for ended jobs need no
-//! read of the state store.
+//! A cache of the final records of jobs that are known to be written, so that status requests for ended jobs
+//! need no read of the state store.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::StoredFinal;
 
-/// Most final records that are kept; the oldest are dropped first.
+/// Largest number of final records in the cache. Those that were inserted first are dropped first.
 const MAX_FINAL_RECORDS: usize = 20_000;
 
 /// A bounded cache of final records, by job id.
@@ -17,12 +17,12 @@
 }
 
 impl FinalRecordCache {
-    /// A job's final record, if it is kept here.
+    /// A job's final record, if it is in the cache.
     pub(super) fn get(&self, id: &str) -> Option<StoredFinal> {
         self.by_id.get(id).copied()
     }
 
-    /// Keeps a job's final record, unless one is kept already: final records never change.
+    /// Inserts a job's final record, unless the cache has it already: final records never change.
     pub(super) fn insert(&mut self, id: &str, stored: StoredFinal) {
         if self.by_id.contains_key(id) {
             return;
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -14,31 +14,33 @@
 use crate::time::{wall, Micros, Steady};
 use crate::wire::{Heartbeat, HeartbeatReply};
 
-/// How long the reply to an idle worker's heartbeat is deferred at the most; the worker gives up
-/// after four seconds.
+/// Longest time for which the reply to an idle worker's heartbeat is deferred. The worker stops waiting after
+/// four seconds.
 const MAX_REPLY_DELAY: Micros = Micros::from_millis(2900);
-/// How long a heartbeat waits until this controller has rebuilt its fleet after a won election.
+/// Longest time for which a heartbeat waits while this controller rebuilds the fleet after a won election.
 const REBUILD_TIMEOUT: Micros = Micros::from_millis(1500);
 /// How often a waiting heartbeat checks whether the rebuild has ended.
 const REBUILD_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long it is remembered that a worker was redirected to the leader.
+/// How long a worker's redirection to the leader is remembered.
 const REDIRECT_RETENTION: Micros = Micros::from_millis(30_000);
-/// A worker that is back within this time cannot reach the leader.
+/// A redirected worker that sends its next heartbeat to this controller within this time cannot reach the
+/// leader.
 const REDIRECT_RETRY_WINDOW: Micros = Micros::from_millis(12_000);
-/// How long the leader has to answer a relayed heartbeat.
+/// How long this controller waits for the leader's answer to a relayed heartbeat.
 const RELAY_HEARTBEAT_TIMEOUT: Micros = Micros::from_millis(2500);
 
-/// What becomes of a heartbeat.
+/// How a heartbeat is handled.
 enum HeartbeatHandling {
-    /// It is answered now, through the reply where there is one.
+    /// The heartbeat is answered now: with this response, sent through the [`Reply`] if there is one.
     Answer(Response, Option<Reply>),
-    /// Its reply is deferred.
+    /// The reply to the heartbeat is deferred.
     Deferred,
 }
 
 impl Controller {
-    /// Handles a heartbeat. With a `reply` it is answered through that, now or later; without one, as for
-    /// a heartbeat that another controller relayed, the answer is returned.
+    /// Handles a heartbeat. If there is a `reply`, the response is sent through it, now or later, and none is
+    /// returned. A heartbeat that another controller relayed comes without a `reply`; its response is
+    /// returned.
     pub(super) fn handle_heartbeat(&self, request: &Request, reply: Option<Reply>) -> Option<Response> {
         match self.receive_heartbeat(request, reply) {
             HeartbeatHandling::Answer(answer, Some(reply)) => {
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Decides on the answer to a heartbeat.
+    /// Decides how to answer a heartbeat: as the leader, or by redirecting or relaying it to the leader.
     fn receive_heartbeat(&self, request: &Request, reply: Option<Reply>) -> HeartbeatHandling {
         let heartbeat: Heartbeat = match serde_json::from_slice(&request.body) {
             Ok(heartbeat) => heartbeat,
@@ -67,7 +69,7 @@
             return self.answer_as_leader(&mut shared, heartbeat, reply);
         }
         if self.config.operator.cells.is_some() {
-            shared.reported_results.note_heartbeat(&heartbeat, self.now());
+            shared.reported_results.record_heartbeat(&heartbeat, self.now());
         }
         if reply.is_none() {
             return HeartbeatHandling::Answer(not_the_leader(), None);
@@ -75,7 +77,8 @@
         HeartbeatHandling::Answer(self.redirect_or_relay(shared, &heartbeat.machine, request), reply)
     }
 
-    /// Takes the lock, and while the fleet is being rebuilt waits a moment for the end of that.
+    /// Locks the shared state. While the fleet is being rebuilt, first waits up to [`REBUILD_TIMEOUT`] for
+    /// the rebuild to end.
     fn await_rebuild(&self) -> MutexGuard<'_, SharedState> {
         let since = self.now();
         let mut shared = self.lock();
@@ -88,7 +91,7 @@
         shared
     }
 
-    /// Answers a heartbeat as the leader, or defers the reply.
+    /// Handles a heartbeat as the leader: answers it or defers the reply.
     fn answer_as_leader(
         &self,
         shared: &mut SharedState,
@@ -100,9 +103,9 @@
             return HeartbeatHandling::Answer(not_the_leader(), reply);
         };
         if !leadership.store_contact.may_act(now) {
-            // Cancellations cannot be seen any more: the workers' leases must be left to expire.
+            // This leader can no longer see cancellations, so it must let the workers' leases expire.
             leadership.fleet.heartbeat_unanswered(&heartbeat.machine, now);
-            let refused = unavailable("out of touch with the state service");
+            let refused = unavailable("the leader has had no contact with the state store for too long");
             return HeartbeatHandling::Answer(refused, reply);
         }
         leadership.last_heartbeat = now;
@@ -114,7 +117,7 @@
             HeartbeatOutcome::Reply(heartbeat_reply) => {
                 reply_or_defer(shared, heartbeat, &heartbeat_reply, reply, now)
             }
-            HeartbeatOutcome::Refuse => HeartbeatHandling::Answer(unavailable("not now"), reply),
+            HeartbeatOutcome::Refuse => HeartbeatHandling::Answer(unavailable("heartbeat refused"), reply),
             HeartbeatOutcome::Superseded(fencing_token) => {
                 self.step_down(shared, StepDownReason::HigherTokenAtWorker(fencing_token));
                 HeartbeatHandling::Answer(not_the_leader(), reply)
@@ -122,7 +125,8 @@
         }
     }
 
-    /// Redirects a worker to the leader; if it is back soon after, relays its heartbeat to the leader.
+    /// Redirects a worker to the leader. If the worker was redirected a short time ago, relays its heartbeat
+    /// to the leader instead.
     fn redirect_or_relay(
         &self,
         mut shared: MutexGuard<'_, SharedState>,
@@ -132,23 +136,24 @@
         let now = self.now();
         let own_label = &self.config.platform.label;
         let Some(leader) = shared.leader.clone().filter(|leader| leader.label != *own_label) else {
-            return unavailable("no owner known");
+            return unavailable("no leader is known");
         };
         shared.redirected.retain(|_, at| now - *at < REDIRECT_RETENTION);
-        let is_back = shared.redirected.get(machine).is_some_and(|at| now - *at < REDIRECT_RETRY_WINDOW);
-        if !is_back {
+        let was_redirected =
+            shared.redirected.get(machine).is_some_and(|at| now - *at < REDIRECT_RETRY_WINDOW);
+        if !was_redirected {
             shared.redirected.insert(machine.to_string(), now);
             return redirect(leader.label);
         }
         drop(shared);
-        // It was redirected and is back: it cannot reach the leader, so its heartbeat is relayed.
+        // The worker was redirected and has come back: it cannot reach the leader.
         self.peer_index(&leader.label)
             .and_then(|peer| self.relay(peer, request, RELAY_HEARTBEAT_TIMEOUT))
-            .unwrap_or_else(|| unavailable("the owner does not answer"))
+            .unwrap_or_else(|| unavailable("the leader did not answer the relayed heartbeat"))
     }
 }
 
-/// Answers a heartbeat with the fleet's reply, or defers it while there is nothing to do on the machine.
+/// Answers a heartbeat with the fleet's reply, or defers the reply if the machine is idle.
 fn reply_or_defer(
     shared: &mut SharedState,
     heartbeat: Heartbeat,
@@ -159,14 +164,15 @@
     let Some(leadership) = shared.leadership.as_mut() else {
         return HeartbeatHandling::Answer(not_the_leader(), reply);
     };
-    // Other workers send a heartbeat when something changes, and must not be kept from it.
+    // Only replies to idle workers may be deferred. Others send a heartbeat whenever something changes, and a
+    // deferred reply would keep them from sending the next one.
     let machine: MachineId = heartbeat.machine.as_str().into();
     if heartbeat_reply.commands.is_empty() && leadership.fleet.may_defer_reply(&machine, now) {
         if let Some(reply) = reply {
             let fencing_token = leadership.term.fencing_token;
             let deadline = now + MAX_REPLY_DELAY;
             leadership.fleet.defer_reply(&machine, deadline);
-            // A second heartbeat replaces the first: its worker gave up.
+            // A second heartbeat of a machine replaces the first: the worker no longer waits for that reply.
             let deferred = DeferredHeartbeatReply { heartbeat, fencing_token, deadline, reply };
             shared.deferred_replies.insert(machine, deferred);
             return HeartbeatHandling::Deferred;
--- a/src/controller/latency.rs
+++ b/src/controller/latency.rs
@@ -6,14 +6,14 @@
 use crate::time::{Micros, Steady};
 use crate::wire::HEARTBEAT_PATH;
 
-/// Longest latency that is recorded as it is, in microseconds; longer ones count as this.
+/// Largest latency in the histograms, in microseconds. Longer latencies are recorded as this one.
 const MAX_LATENCY_US: u64 = 60_000_000;
 /// Significant decimal digits of the recorded latencies.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// How often the latencies are logged.
+/// Interval at which the latencies are logged.
 const LOG_INTERVAL: Micros = Micros::from_millis(60_000);
 
-/// Latencies since they were last logged, in microseconds.
+/// Histograms of the latencies since the last log messages, in microseconds.
 pub(super) struct Latencies {
     users: Histogram<u64>,
     workers: Histogram<u64>,
@@ -21,7 +21,7 @@
 }
 
 impl Latencies {
-    /// Empty histograms, to be logged a while after `now`.
+    /// Empty histograms, to be logged [`LOG_INTERVAL`] after `now`.
     pub(super) fn new(now: Steady) -> Result<Latencies, CreationError> {
         Ok(Latencies { users: empty_histogram()?, workers: empty_histogram()?, logged_at: now })
     }
@@ -45,12 +45,12 @@
 }
 
 impl Controller {
-    /// Records how long a request took; logs the histograms when they are due.
+    /// Records how long a request to `path` took that began at `since`. Logs the histograms if they are due.
     pub(super) fn record_latency(&self, path: &str, since: Steady) {
         let latency_us = (self.now() - since).0.clamp(1, MAX_LATENCY_US as i64) as u64;
         let mut latencies = super::lock_ignoring_poison(&self.latencies);
         let histogram = if path == HEARTBEAT_PATH { &mut latencies.workers } else { &mut latencies.users };
-        // Within the bounds by the clamp above.
+        // The clamped latency is within the histogram's bounds, so recording cannot fail.
         let _ = histogram.record(latency_us);
         if self.now() - latencies.logged_at < LOG_INTERVAL {
             return;
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -6,25 +6,29 @@
 use crate::state::{KeyList, StateStoreError};
 use crate::time::Micros;
 
-/// Renewals of the lease begin no closer together than this.
+/// Shortest pause between two renewals of the lease.
 const MIN_RENEWAL_INTERVAL: Micros = Micros::from_millis(100);
-/// The lease is renewed after this part of its duration.
+/// The pause between renewals is at most this share of the lease's duration.
 const RENEWAL_SHARE_OF_LEASE: f64 = 0.3;
-/// The lease is renewed after this part of the time that a leader may act without the state store.
+/// The pause between renewals is at most this share of the time for which a leader may act without contact
+/// with the state store.
 const RENEWAL_SHARE_OF_STALENESS: f64 = 0.4;
-/// Pause before the leader's record is read again, after a failure or while others go first.
+/// Pause before the leader's record is read again, after a failure or while this controller stands in no
+/// election.
 const FOLLOW_RETRY_DELAY: Micros = Micros::from_millis(300);
-/// How long one watch of the leader's record lasts.
+/// Longest duration of one watch of the leader's record.
 const LEADER_WATCH_TIMEOUT: Micros = Micros::from_millis(3_000);
-/// A leader that no heartbeats reach resigns if no other controller has been in contact for this long.
+/// A leader that receives no heartbeats gives up the leadership if no message or answer of another
+/// controller has arrived for this long.
 const PEER_SILENCE_TIMEOUT: Micros = Micros::from_millis(3_000);
-/// No heartbeats reach a leader if none came for so many heartbeat intervals.
+/// A leader counts as receiving no heartbeats once none has arrived for this many heartbeat intervals.
 const SILENT_HEARTBEAT_INTERVALS: f64 = 2.5;
-/// How long a leader that resigned stands in no election.
+/// How long a leader that gave up the leadership because it was isolated stands in no election.
 const RESIGNATION_PAUSE: Micros = Micros::from_millis(8_000);
 
 impl Controller {
-    /// Renews the leader's lease, or waits for its end and fails over, until the controller ends.
+    /// Renews the lease while this controller leads; otherwise waits for the end of the leader's lease and
+    /// fails over. Runs until the controller stops.
     pub(super) fn maintain_leadership(&self) {
         self.load_machine_types();
         let ttl = Micros::from_secs(self.config.operator.leader_ttl_s);
@@ -34,8 +38,8 @@
         }
     }
 
-    /// Renews the leader's lease, or waits a while for its end and fails over; returns how long to
-    /// pause. `ttl` is the duration of the lease.
+    /// Renews the lease once if this controller leads. Otherwise waits a while for the end of the leader's
+    /// lease, and fails over if it has ended. Returns how long to pause. `ttl` is the duration of the lease.
     pub fn maintain_leadership_once(&self, ttl: Micros) -> Micros {
         let term = self.lock().leadership.as_ref().map(|leadership| leadership.term);
         if let Some(term) = term {
@@ -45,30 +49,31 @@
         match self.follow_leader(ttl) {
             Ok(()) => Micros::ZERO,
             Err(error) => {
-                tracing::debug!(%error, "leader record unreadable");
+                tracing::debug!(%error, "cannot read the leader record or fail over");
                 FOLLOW_RETRY_DELAY
             }
         }
     }
 
-    /// How long to wait between renewals. Renewals also count as contact with the state store, which must
-    /// not grow too old where the settings leave little time.
+    /// Pause between two renewals. A renewal also counts as contact with the state store, so renewals must be
+    /// frequent enough for the maximum staleness that the settings allow.
     fn renewal_interval(&self, ttl: Micros) -> Micros {
         let by_staleness = self.config.max_staleness().scale(RENEWAL_SHARE_OF_STALENESS);
         ttl.scale(RENEWAL_SHARE_OF_LEASE).min(by_staleness).max(MIN_RENEWAL_INTERVAL)
     }
 
-    /// Renews the lease of a term; steps down if it has expired, or if this leader is isolated.
+    /// Renews the lease of a term. Steps down if the lease has expired, or if this leader is isolated.
     fn renew_lease(&self, term: LeadershipTerm) {
-        let begun = self.now();
+        let sent_at = self.now();
         let renewal = self.state.renew_lease(term.lease);
         let renewed = renewal.is_ok();
         let mut shared = self.lock();
         let Some(leadership) = shared.leadership_with(term.fencing_token) else { return };
-        // A single controller is followed by no other while it lives.
+        // A single controller cannot be replaced while it runs: its lease counts as renewed even if the
+        // renewal failed.
         if renewed || self.config.controller_count() == 1 {
-            leadership.fleet.confirm_lease(begun);
-            leadership.store_contact.note_renewal(begun);
+            leadership.fleet.confirm_lease(sent_at);
+            leadership.store_contact.note_renewal(sent_at);
         }
         match renewal {
             Ok(()) => {}
@@ -83,8 +88,10 @@
         }
     }
 
-    /// Whether this leader is cut off from workers and controllers alike. While the state store
-    /// answers, others can serve the workers before their leases expire, this one cannot.
+    /// Whether this leader has contact with neither workers nor other controllers. It is called while the
+    /// state store answers: another controller can then become the leader and reach the workers before
+    /// their leases expire, which this one cannot. A leader without other controllers, or with at most one
+    /// machine, is never isolated.
     fn is_isolated(&self, shared: &SharedState) -> bool {
         let heartbeat_interval_s = self.config.platform.settings.workers.report_s;
         let worker_silence_timeout = Micros::from_secs(heartbeat_interval_s * SILENT_HEARTBEAT_INTERVALS);
@@ -98,8 +105,8 @@
         })
     }
 
-    /// Reads the leader's record. While another controller leads, waits for the end of its lease; then, or
-    /// if no controller leads, fails over.
+    /// Reads the leader's record. If another controller leads, waits a while for the end of its lease, and
+    /// fails over if the lease has ended. Fails over at once if no other controller leads.
     fn follow_leader(&self, ttl: Micros) -> Result<(), StateStoreError> {
         let KeyList { rows, revision } = self.state.list(LEADER_KEY)?;
         let row = rows.into_iter().find(|row| row.key == LEADER_KEY);
@@ -112,7 +119,7 @@
             }
             return Ok(());
         }
-        // No controller leads, or an earlier run of this very process does.
+        // No controller leads, or the record is that of an earlier run of this controller.
         if self.now() < self.lock().no_election_until {
             self.sleep(FOLLOW_RETRY_DELAY);
             return Ok(());
@@ -120,7 +127,7 @@
         self.fail_over(ttl, row.map_or(0, |row| row.mod_revision))
     }
 
-    /// Waits a while for the end of another leader's lease; whether it ended.
+    /// Waits a while for the end of another leader's lease; returns whether it has ended.
     fn await_lease_expiry(&self, leader: &LeaderRecord, revision: u64) -> Result<bool, StateStoreError> {
         {
             let mut shared = self.lock();
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -1,5 +1,5 @@
-//! The lending duty: sends other cells the loans that they hold, processes their loan reports, and lends
-//! them tasks that this cell cannot run in time.
+//! The lending duty: sends the other cells messages about their open loans, processes their loan reports, and
+//! lends them tasks that this cell cannot run in time.
 
 use milletlock_cells::{BacklogThreshold, LendingScript, Loan, LoanAction, LoanReport};
 
@@ -14,34 +14,35 @@
 use crate::peer::{LoanReply, PeerError, PeerMessage, PeerReply, PendingReply};
 use crate::time::{wall, Micros};
 
-/// How often messages are sent to a cell while it holds loans, or some are to be made.
+/// Pause between two rounds of messages to the other cells while there are open loans or loans are to be
+/// made.
 const ACTIVE_INTERVAL: Micros = Micros::from_millis(400);
-/// How often they are sent otherwise, to learn of the cell's spare capacity.
+/// Pause between two rounds otherwise. The messages then serve to obtain the cells' spare capacity.
 const IDLE_INTERVAL: Micros = Micros::from_millis(1_000);
-/// How long another cell has to answer.
+/// How long this controller waits for another cell's answer.
 const CELL_TIMEOUT: Micros = Micros::from_millis(900);
-/// With a smaller backlog than this, in seconds, loans are recalled that this cell can run itself.
+/// Backlog of this cell in seconds, below which it recalls loans whose tasks it can soon run itself.
 const RECALL_BACKLOG_S: f64 = 0.5;
-/// Most open loans with one cell: half of what a message may name.
+/// Largest number of open loans with one cell: half of the loans that a message may list.
 const MAX_OPEN_LOANS: usize = MAX_LOANS / 2;
-/// Most records that a round rewrites, two changes each.
-const MAX_HOLDS_PER_ROUND: usize = 8;
+/// Largest number of hidden records that a round rewrites in the held form, with two changes each.
+const MAX_REWRITES_PER_ROUND: usize = 8;
 
-/// A message that was sent to another cell.
+/// A message that was sent to another cell and whose answer is awaited.
 struct CellExchange<'a> {
     cell: &'a OtherCell,
-    /// The answer to come, or why there is none.
-    waiting: Result<PendingReply, PeerError>,
+    /// The pending answer, or the error with which sending failed.
+    pending_reply: Result<PendingReply, PeerError>,
 }
 
-/// Decides whether to lend, and how much.
+/// Decides whether to lend tasks, and how many.
 pub struct LendingPolicy {
     threshold: BacklogThreshold,
     script: Option<LendingScript>,
 }
 
 impl LendingPolicy {
-    /// The policy by the settings, which were checked when they were read.
+    /// The policy that the settings describe. The settings were checked when they were read.
     pub fn new(cells: &CellsSettings) -> LendingPolicy {
         let script = cells.script.as_deref().and_then(|text| LendingScript::parse(text).ok());
         LendingPolicy { threshold: BacklogThreshold::default(), script }
@@ -49,7 +50,7 @@
 }
 
 impl Controller {
-    /// Lends until the controller ends.
+    /// Exchanges messages with the other cells at regular intervals until the controller stops.
     pub(super) fn lend(&self) {
         let Some(cells) = &self.config.operator.cells else { return };
         let mut policy = LendingPolicy::new(cells);
@@ -61,7 +62,8 @@
         }
     }
 
-    /// One round of messages with all other cells; whether there are loans or some are to be made.
+    /// Performs one round of messages with all other cells. Returns whether there are open loans or loans are
+    /// to be made.
     pub fn lend_once(&self, policy: &mut LendingPolicy) -> bool {
         let Some(cells) = &self.config.operator.cells else { return false };
         let (fencing_token, backlog_s) = match &self.lock().leadership {
@@ -70,13 +72,13 @@
         };
         let wants_to_lend = policy.threshold.update(backlog_s, self.config.operator.drain_s);
         self.retry_loan_writes(fencing_token);
-        self.hold_hidden_records(fencing_token);
+        self.rewrite_hidden_records(fencing_token);
         for exchange in self.send_loan_requests(cells, fencing_token, backlog_s) {
             let cell = exchange.cell;
-            match exchange.waiting.and_then(PendingReply::wait) {
+            match exchange.pending_reply.and_then(PendingReply::wait) {
                 Ok(PeerReply::Loans(reply)) => self.on_loan_reply(fencing_token, cell, &reply, policy),
-                Ok(_) => self.cell_unreachable(cell, &CellExchangeError::WrongAnswer),
-                Err(error) => self.cell_unreachable(cell, &error.into()),
+                Ok(_) => self.mark_cell_unreachable(cell, &CellExchangeError::WrongAnswer),
+                Err(error) => self.mark_cell_unreachable(cell, &error.into()),
             }
         }
         let has_loans = match &self.lock().leadership {
@@ -86,7 +88,7 @@
         has_loans || wants_to_lend
     }
 
-    /// Sends each cell the loans that it holds, without waiting for the answers.
+    /// Sends each cell a message about its open loans, without waiting for the answers.
     fn send_loan_requests<'a>(
         &self,
         cells: &'a CellsSettings,
@@ -107,20 +109,20 @@
             request.horizon = fleet.horizon_if_known(request.horizon);
             drop(shared);
             let message = PeerMessage::Lend(request_to_proto(&request));
-            let waiting = self.peers.send(first_address + controller, message, CELL_TIMEOUT);
-            exchanges.push(CellExchange { cell, waiting });
+            let pending_reply = self.peers.send(first_address + controller, message, CELL_TIMEOUT);
+            exchanges.push(CellExchange { cell, pending_reply });
             first_address += cell.controllers.len();
         }
         exchanges
     }
 
-    /// Processes another cell's answer.
+    /// Processes a cell's answer.
     fn on_loan_reply(&self, fencing_token: u64, cell: &OtherCell, reply: &LoanReply, policy: &LendingPolicy) {
         if reply.from != cell.name {
-            self.cell_unreachable(cell, &CellExchangeError::WrongCell);
+            self.mark_cell_unreachable(cell, &CellExchangeError::WrongCell);
             return;
         }
-        if !self.note_cell(cell, reply) {
+        if !self.update_cell_state(cell, reply) {
             return;
         }
         for report in &reply.reports {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Writes a settled loan.
+    /// Writes the record of the job to which a settled loan belongs.
     fn settle_loan(&self, fencing_token: u64, cell: &OtherCell, write: LoanWrite) {
         let job = write.job().to_string();
         let ends_job = matches!(&write, LoanWrite::Lender { record, .. } if record.lending.is_cancelled());
@@ -157,8 +159,9 @@
         }
     }
 
-    /// Lends tasks to a cell if this one's arrays do not drain in time and that one has spare capacity. One
-    /// loan at a time: the next waits until the borrower has decided, so that its spare capacity is known.
+    /// Lends tasks to a cell if the job arrays of this cell do not drain in time and the other cell has spare
+    /// capacity. Loans are made one at a time: a new loan waits until the borrower has decided on the
+    /// previous one, so that its spare capacity is known.
     fn make_loan(&self, fencing_token: u64, cell: &OtherCell, policy: &LendingPolicy) {
         if !policy.threshold.is_exceeded() {
             return;
@@ -170,14 +173,14 @@
         }
     }
 
-    /// The write of a new loan to a cell; none if none is to be made now.
+    /// The write of a new loan to a cell; none if no loan is to be made now.
     fn begin_loan(&self, fencing_token: u64, cell: &OtherCell, policy: &LendingPolicy) -> Option<LoanWrite> {
         let mut shared = self.lock();
-        let all_read_held_records = self.all_read_held_records(&shared);
+        let all_controllers_read_held_records = self.all_controllers_read_held_records(&shared);
         let summary = shared.other_cells.get(&cell.name).and_then(|state| state.summary().cloned())?;
         let leadership = shared.leadership_with(fencing_token)?;
         let may_act = leadership.store_contact.may_act(self.now());
-        if !all_read_held_records || !may_act || has_undecided(leadership, &cell.name) {
+        if !all_controllers_read_held_records || !may_act || must_wait_for_borrower(leadership, &cell.name) {
             return None;
         }
         let fleet = &mut leadership.fleet;
@@ -189,8 +192,9 @@
         fleet.begin_loan(&candidate, count, &cell.name)
     }
 
-    /// Rewrites records of lent jobs that 0.3.0 to 0.3.2 wrote, so that versions before 0.3 find the jobs.
-    fn hold_hidden_records(&self, fencing_token: u64) {
+    /// Rewrites hidden records of lent jobs ([`crate::records::LentForm::Hidden`]), as 0.3.0 to 0.3.2 wrote
+    /// them, so that they have the held form. Versions before 0.3 can then read the records.
+    fn rewrite_hidden_records(&self, fencing_token: u64) {
         for write in self.begin_holds(fencing_token) {
             let job = write.job().to_string();
             if self.write_loan(fencing_token, write) == LoanOutcome::Written {
@@ -199,19 +203,20 @@
         }
     }
 
-    /// The writes of [`Controller::hold_hidden_records`]; none if some controller could not read the records then.
+    /// The writes of [`Controller::rewrite_hidden_records`]; none if some controller of this cell cannot read
+    /// records in the held form.
     fn begin_holds(&self, fencing_token: u64) -> Vec<LoanWrite> {
         let mut shared = self.lock();
-        let all_read_held_records = self.all_read_held_records(&shared);
+        let all_controllers_read_held_records = self.all_controllers_read_held_records(&shared);
         let Some(leadership) = shared.leadership_with(fencing_token) else { return Vec::new() };
-        if !all_read_held_records || !leadership.store_contact.may_act(self.now()) {
+        if !all_controllers_read_held_records || !leadership.store_contact.may_act(self.now()) {
             return Vec::new();
         }
-        leadership.fleet.begin_holds(MAX_HOLDS_PER_ROUND)
+        leadership.fleet.begin_holds(MAX_REWRITES_PER_ROUND)
     }
 
-    /// Whether all controllers of this cell read the records of lent jobs.
-    fn all_read_held_records(&self, shared: &SharedState) -> bool {
+    /// Whether all controllers of this cell read records in the held form.
+    fn all_controllers_read_held_records(&self, shared: &SharedState) -> bool {
         self.config.platform.members.iter().all(|member| {
             let version = shared.peer_versions.get(&member.label);
             version.is_some_and(|version| reads_held_records(version))
@@ -219,8 +224,8 @@
     }
 }
 
-/// Applies a borrower's report on a loan to the fleet; returns the write that settles the loan, if it is to
-/// be settled.
+/// Applies a borrower's report on a loan to the fleet. Returns the write that settles the loan, or none if
+/// the loan is not to be settled now.
 fn apply_loan_report(fleet: &mut Fleet, cell: &OtherCell, report: &LoanReport) -> Option<LoanWrite> {
     let change =
         fleet.loans.lender_ledger.change_for_report(&cell.name, report, |job| fleet.recorded_done(job));
@@ -238,14 +243,15 @@
     }
 }
 
-/// Whether a borrower has not decided on a loan yet, or holds as many as it may.
-fn has_undecided(leadership: &Leadership, cell: &str) -> bool {
+/// Whether no further loan may be made to a cell now: it has not decided on an earlier loan yet, or it has
+/// the largest allowed number of open loans.
+fn must_wait_for_borrower(leadership: &Leadership, cell: &str) -> bool {
     let loans = &leadership.fleet.loans;
     let open: Vec<_> = loans.lender_ledger.loans_with(cell).collect();
     open.len() >= MAX_OPEN_LOANS || open.iter().any(|(job, loan)| loans.offer(job, loan.number).is_some())
 }
 
-/// The action for a loan: it is recalled once this cell has next to no backlog and can run the loan's tasks
+/// The action for a loan: it is recalled once this cell has hardly any backlog and can run the loan's tasks
 /// soon.
 fn recall_or_run(fleet: &Fleet, job: &str, loan: &Loan, backlog_s: f64) -> LoanAction {
     if backlog_s < RECALL_BACKLOG_S && fleet.could_run_soon(job, &loan.tasks) {
--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -1,4 +1,4 @@
-//! Writes the records of loans between cells, for the lending and the borrowing side alike.
+//! Writes the records of loans between cells, both for the lender and for the borrower.
 
 use super::step_down::StepDownReason;
 use super::Controller;
@@ -8,19 +8,20 @@
 use crate::state::{RequestPriority, StateStoreError, TxnOutcome};
 use crate::time::wall;
 
-/// Outcome of a write of loans.
+/// Outcome of a write of loan records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LoanOutcome {
-    /// It is durable.
+    /// The write was committed.
     Written,
-    /// It was not applied and never will be; the records have been read back.
+    /// The write was not executed and never will be. After a conflict the records have been read back.
     NotWritten,
-    /// Not known yet, or this controller no longer leads.
+    /// The outcome is not known yet, or this controller no longer leads.
     Unknown,
 }
 
 impl Controller {
-    /// Sends writes again that had no answer. Until they have one, a late copy of them may be carried out.
+    /// Sends the writes with unknown outcome again. Until a write has a known outcome, the state store may
+    /// still execute a delayed copy of it.
     pub(super) fn retry_loan_writes(&self, fencing_token: u64) {
         let unresolved = match self.lock().leadership_with(fencing_token) {
             Some(leadership) => leadership.fleet.loans.take_unresolved(),
@@ -31,15 +32,16 @@
         }
     }
 
-    /// Writes the records of held jobs that 0.3.0 to 0.3.2 wrote back and that were restored, in the form which
-    /// those versions write: all controllers read it.
+    /// Writes the restored records of held jobs. Versions 0.3.0 to 0.3.2 had written these records back
+    /// without their placeholders. The restored records are written in the form of those versions, which all
+    /// controllers of this cell read.
     pub(super) fn write_restored_records(&self) {
         let (fencing_token, writes) = match self.lock().leadership.as_mut() {
             Some(leadership) => (leadership.term.fencing_token, leadership.fleet.begin_restores()),
             None => return,
         };
         if self.config.operator.cells.is_none() {
-            // No lending duty sends those again that had no answer.
+            // Without a `cells` block no lending duty sends the writes with unknown outcome again.
             self.retry_loan_writes(fencing_token);
         }
         for write in writes {
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Carries out a write of loans.
+    /// Sends a write of loan records to the state store and records its outcome.
     pub(super) fn write_loan(&self, fencing_token: u64, write: LoanWrite) -> LoanOutcome {
         let shard_revision = match self.lock().leadership_with(fencing_token) {
             Some(leadership) => leadership.term.shard_revision,
@@ -55,9 +57,9 @@
         };
         let txn = leadership::loan_txn(&write, shard_revision);
         match self.state.txn(&txn, RequestPriority::Leader) {
-            Ok(TxnOutcome::Committed(revision)) => self.loan_written(fencing_token, &write, revision),
-            Ok(TxnOutcome::Conflict(keys)) => self.loan_conflict(fencing_token, write, &keys),
-            // Refused without having been executed.
+            Ok(TxnOutcome::Committed(revision)) => self.apply_written_loan(fencing_token, &write, revision),
+            Ok(TxnOutcome::Conflict(keys)) => self.handle_loan_conflict(fencing_token, write, &keys),
+            // The write was refused before it was executed.
             Err(StateStoreError::Refused(_) | StateStoreError::Budget | StateStoreError::Rejected(_)) => {
                 if let Some(leadership) = self.lock().leadership_with(fencing_token) {
                     leadership.fleet.loan_not_written(&write);
@@ -66,13 +68,13 @@
             }
             Err(error) => {
                 tracing::info!(job = write.job(), %error, "loan write outcome unknown");
-                self.loan_unresolved(fencing_token, write)
+                self.keep_unresolved_loan(fencing_token, write)
             }
         }
     }
 
-    /// Records a committed write in the fleet.
-    fn loan_written(&self, fencing_token: u64, write: &LoanWrite, revision: u64) -> LoanOutcome {
+    /// Applies a committed write to the fleet.
+    fn apply_written_loan(&self, fencing_token: u64, write: &LoanWrite, revision: u64) -> LoanOutcome {
         let mut shared = self.lock();
         let Some(leadership) = shared.leadership_with(fencing_token) else { return LoanOutcome::Unknown };
         leadership.fleet.loan_written(write, revision, self.now(), wall());
@@ -80,17 +82,18 @@
         LoanOutcome::Written
     }
 
-    /// Keeps a write whose outcome is unknown, to be sent again.
-    fn loan_unresolved(&self, fencing_token: u64, write: LoanWrite) -> LoanOutcome {
+    /// Keeps a write with unknown outcome in the fleet, to be sent again.
+    fn keep_unresolved_loan(&self, fencing_token: u64, write: LoanWrite) -> LoanOutcome {
         if let Some(leadership) = self.lock().leadership_with(fencing_token) {
             leadership.fleet.loan_unresolved(write);
         }
         LoanOutcome::Unknown
     }
 
-    /// Some record has changed: by another's write, or by an earlier copy of this one. Either way no copy
-    /// of it can be committed any more, and the records are read back.
-    fn loan_conflict(&self, fencing_token: u64, write: LoanWrite, keys: &[String]) -> LoanOutcome {
+    /// Handles a conflict: a record has changed, by a write of another controller or by an earlier copy of
+    /// this write. In both cases no other copy of this write can be committed any more, and the records are
+    /// read back.
+    fn handle_loan_conflict(&self, fencing_token: u64, write: LoanWrite, keys: &[String]) -> LoanOutcome {
         if keys.iter().any(|key| key == SHARD_KEY) {
             self.step_down_from(fencing_token, StepDownReason::ShardTaken);
             return LoanOutcome::Unknown;
@@ -99,7 +102,7 @@
             Ok(records) => records,
             Err(error) => {
                 tracing::debug!(job = write.job(), %error, "loan record read-back failed");
-                return self.loan_unresolved(fencing_token, write);
+                return self.keep_unresolved_loan(fencing_token, write);
             }
         };
         let mut shared = self.lock();
--- a/src/controller/machine_list.rs
+++ b/src/controller/machine_list.rs
@@ -6,18 +6,18 @@
 
 /// Pause between rounds.
 const REFRESH_INTERVAL: Micros = Micros::from_millis(500);
-/// How often the cloud's list is read at the most.
+/// Shortest interval between two reads of the cloud's machine list.
 const MIN_LIST_INTERVAL: Micros = Micros::from_millis(2_000);
-/// The list is read after this part of the time by which the cloud's list lags behind.
+/// Interval between two reads of the list, as a share of the time by which the list lags behind.
 const LIST_INTERVAL_SHARE_OF_LAG: f64 = 0.75;
-/// The share of the cloud's allowed requests that may be spent on its list.
+/// The share of the cloud's rate limit that reads of the list may take.
 const MAX_LIST_SHARE: f64 = 0.25;
-/// How often the prices are read.
+/// Interval between two reads of the prices.
 const PRICES_INTERVAL: Micros = Micros::from_millis(45_000);
 
 impl Controller {
-    /// Reads the cloud's list and prices until the controller ends. A long list takes several
-    /// requests, which must not delay scaling out.
+    /// Reads the cloud's machine list and prices until the controller stops. This duty has a thread of its
+    /// own, because a long list takes several requests, which must not delay scaling out.
     pub(super) fn refresh_cloud(&self) {
         let mut list_interval = self.list_interval();
         let mut listed_at = Steady(0);
@@ -43,21 +43,22 @@
         }
     }
 
-    /// How far apart the list is read, whatever its length.
+    /// Interval between two reads of the list by its lag, whatever its length.
     fn list_interval(&self) -> Micros {
         let lag = Micros::from_secs(self.config.platform.settings.cloud.list_lag_s);
         lag.scale(LIST_INTERVAL_SHARE_OF_LAG).max(MIN_LIST_INTERVAL)
     }
 
-    /// How far apart lists of so many machines are read at least, so that they take no more than
-    /// their share of the requests: a long list takes many, which scaling out and in would wait for.
+    /// Shortest interval between two reads of a list of this many machines. A long list takes many requests,
+    /// for which scaling out and in would have to wait, so reads of it are limited to a share of all
+    /// requests.
     fn min_list_interval(&self, machines: usize) -> Micros {
         let requests = machines.div_ceil(MACHINES_PER_LIST_PAGE).max(1) as f64;
         let requests_per_s = self.config.platform.settings.cloud.rps;
         Micros::from_secs(requests / (requests_per_s * MAX_LIST_SHARE))
     }
 
-    /// Reads the machine types with their prices; false if the cloud did not answer.
+    /// Reads the machine types with their prices. Returns false if the cloud did not answer.
     fn refresh_prices(&self) -> bool {
         let Ok(types) = self.cloud.catalog() else { return false };
         let mut shared = self.lock();
@@ -68,7 +69,7 @@
         true
     }
 
-    /// Reads the cloud's list and returns its length; none if the cloud did not answer.
+    /// Reads the cloud's machine list and returns its length; none if the cloud did not answer.
     fn refresh_list(&self, fencing_token: u64) -> Option<usize> {
         let list = self.cloud.list().ok()?;
         if let Some(leadership) = self.lock().leadership_with(fencing_token) {
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -1,4 +1,4 @@
-//! Loads the machine types at the start, from the state store or the cloud.
+//! Loads the machine types when the controller starts, from the state store or from the cloud.
 
 use serde_json::json;
 
@@ -8,18 +8,19 @@
 use crate::time::Micros;
 use crate::wire::{Change, Guard, MachineType, Txn};
 
-/// How long to wait before the machine types are requested again.
+/// Pause before the machine types are requested again.
 const RETRY_DELAY: Micros = Micros::from_millis(500);
 
 impl Controller {
-    /// Requests the machine types until they are known.
+    /// Requests the machine types until they are known or the controller stops.
     pub(super) fn load_machine_types(&self) {
         while !self.stopping() && !self.load_machine_types_once() {
             self.sleep(RETRY_DELAY);
         }
     }
 
-    /// Requests the machine types; false if neither the state store nor the cloud has answered with them.
+    /// Requests the machine types from the state store, and from the cloud if the state store has none.
+    /// Returns false if neither has answered with them.
     pub fn load_machine_types_once(&self) -> bool {
         let found = match leadership::read_machine_types(&self.state) {
             Ok(Some(types)) => Some(types),
@@ -30,7 +31,8 @@
         true
     }
 
-    /// Writes the machine types for controllers that start while the cloud cannot be reached.
+    /// Writes the machine types to the state store, for controllers that start while the cloud cannot be
+    /// reached. Does nothing if they do not fit a value.
     fn write_machine_types(&self, types: &[MachineType]) {
         let value = json!(types);
         if value.to_string().len() > self.config.value_bytes() {
@@ -40,7 +42,7 @@
             guards: vec![Guard::must_not_exist(MACHINE_TYPES_KEY.into())],
             then: vec![Change::put(MACHINE_TYPES_KEY, value)],
         };
-        // Without it they are read from the cloud the next time.
+        // If the write fails, a controller that starts later reads the machine types from the cloud.
         let _ = self.state.txn(&txn, RequestPriority::Background);
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -62,56 +62,56 @@
 use crate::state::{AllowedRates, StateStoreClient};
 use crate::time::{Clock, Micros, Steady};
 
-/// Reads of the live jobs begin no closer together than this.
+/// Shortest interval between the starts of two reads of the live jobs.
 const MIN_LIVE_READ_INTERVAL: Micros = Micros::from_millis(20);
-/// Reads of the live jobs may always begin this far apart.
+/// Longest interval between the starts of two reads of the live jobs that the rate limit may impose.
 const MAX_LIVE_READ_INTERVAL: Micros = Micros::from_millis(250);
-/// Reads of the live jobs take at most one in so many of the requests that the state store allows.
+/// At most one in this many of the requests that the state store allows is a read of the live jobs.
 const REQUESTS_PER_LIVE_READ: f64 = 2.0;
-/// Least rate of requests, per second, that the interval of those reads is computed from.
+/// Lower bound on the rate, in requests per second, from which the interval between these reads is computed.
 const MIN_REQUEST_RATE: f64 = 0.1;
-/// The share of the cloud's allowed requests that a controller uses.
+/// The share of the cloud's rate limit that a controller uses.
 const CLOUD_REQUEST_SHARE: f64 = 0.8;
-/// Largest random number of a run of the process; JSON numbers hold it exactly.
+/// Largest random number that identifies a run of the process; JSON numbers represent it exactly.
 const MAX_INCARNATION: u64 = u64::MAX >> 12;
 
 /// This program's version, reported to the other controllers.
 const VERSION: &str = env!("CARGO_PKG_VERSION");
-/// The version of a controller that reports none.
+/// The version that is recorded for a controller that reports none.
 const UNREPORTED_VERSION: &str = "before 0.2";
 
-/// A controller process: its settings, clients and the state that its duties share.
+/// A controller process: its settings, its clients and the state that its duties share.
 pub struct Controller {
     config: Arc<Config>,
     /// The client of the state store.
     state: StateStoreClient,
-    /// The live jobs, for status requests.
+    /// The ids of the live jobs, for status requests.
     live: LiveJobs,
     cloud: CloudClient,
     /// Connections to the other controllers.
     peers: PeerHub,
     /// See [`Controller::lock`].
     shared: Mutex<SharedState>,
-    /// Notified when there is something to write, and when the leadership changes.
+    /// Notified when records are to be written, and when the leadership changes.
     wake: Condvar,
     /// Cancellations that other controllers have not acknowledged yet.
     notices: Mutex<CancellationNotices>,
     /// Notified when a cancellation was added to `notices`.
     notices_added: Condvar,
-    /// Held while another cell's message changes what is borrowed.
+    /// Locked while a message of another cell changes the borrowed tasks, so that only one does at a time.
     loan_changes: Mutex<()>,
     latencies: Mutex<Latencies>,
-    /// Set when the controller is to end.
+    /// Set when the controller is to stop.
     stop: Arc<AtomicBool>,
     clock: Clock,
-    /// Random number of this run of the process.
+    /// Random number that identifies this run of the process.
     incarnation: u64,
     /// When this run began.
     started: Steady,
 }
 
 impl Controller {
-    /// A controller whose duties are not started: the `*_once` methods each do one round of a duty.
+    /// Creates a controller without starting its duties: each `*_once` method performs one round of a duty.
     ///
     /// # Errors
     /// [`ControllerError::Histogram`].
@@ -151,7 +151,7 @@
         }))
     }
 
-    /// The present moment, as this controller's clock reads it.
+    /// The current time by this controller's clock.
     pub fn now(&self) -> Steady {
         self.clock.now()
     }
@@ -161,31 +161,31 @@
         lock_ignoring_poison(&self.shared)
     }
 
-    /// Whether the controller is to end.
+    /// Whether the controller is to stop.
     fn stopping(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Sleeps, unless the controller is to end.
+    /// Sleeps, unless the controller is to stop.
     fn sleep(&self, pause: Micros) {
         if !self.stopping() {
             std::thread::sleep(pause.std());
         }
     }
 
-    /// The number of another controller of this cell among the peers, by its label.
+    /// The index in [`PeerHub`] of another controller of this cell, given its label.
     fn peer_index(&self, label: &str) -> Option<usize> {
         self.config.platform.members.iter().position(|member| member.label == label)
     }
 }
 
-/// Locks a mutex even if a thread panicked while it held it: one thread's panic must not take the other
-/// duties along.
+/// Locks a mutex even if a thread panicked while it held the lock: a panic in one duty must not stop the
+/// other duties.
 fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// How far apart reads of the live jobs begin at least.
+/// Shortest interval between the starts of two reads of the live jobs under the allowed request rate.
 fn live_read_interval(allowed: AllowedRates) -> Micros {
     Micros::from_secs(REQUESTS_PER_LIVE_READ / allowed.requests_per_s.max(MIN_REQUEST_RATE))
         .clamp(MIN_LIVE_READ_INTERVAL, MAX_LIVE_READ_INTERVAL)
--- a/src/controller/other_cells.rs
+++ b/src/controller/other_cells.rs
@@ -1,4 +1,5 @@
-//! What a leader knows of the other cells: which of their controllers leads, and the cells' summaries.
+//! The state that a leader keeps of each other cell: the controller to which it sends messages, and the
+//! cell's latest summary.
 
 use milletlock_cells::CellSummary;
 
@@ -8,7 +9,7 @@
 use crate::peer::{LoanReply, PeerError};
 use crate::time::wall;
 
-/// A summary that is older is not used, in microseconds.
+/// Largest age of a summary that is used, in microseconds.
 const MAX_SUMMARY_AGE_US: i64 = 3_000_000;
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1000.0;
@@ -16,13 +17,13 @@
 /// Why an exchange with another cell failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CellExchangeError {
-    /// The answer is one to another kind of message.
-    #[error("a wrong answer")]
+    /// The answer is not a loan reply.
+    #[error("the answer is not a loan reply")]
     WrongAnswer,
-    /// The controller at the address belongs to another cell, or to none.
-    #[error("a controller of another name, or without a cells block, answers")]
+    /// The answering controller belongs to another cell, or its settings have no `cells` block.
+    #[error("the answering controller belongs to another cell or has no `cells` block in its settings")]
     WrongCell,
-    /// There is no answer.
+    /// There was no answer.
     #[error(transparent)]
     Peer(#[from] PeerError),
 }
@@ -30,37 +31,37 @@
 /// State of the exchange with another cell.
 #[derive(Debug, Default)]
 pub(super) struct OtherCellState {
-    /// Which of its controllers messages are sent to, by number.
+    /// Index, among the cell's controllers, of the one to which messages are sent.
     controller: usize,
-    /// The highest term of its leader that has been seen.
+    /// The highest term of the cell's leader that has been seen.
     term: u64,
-    /// Its latest summary.
+    /// The cell's latest summary.
     summary: Option<CellSummary>,
-    /// Whether its leader answered the last message.
+    /// Whether the cell's leader answered the last message.
     reachable: bool,
-    /// How many messages this controller has sent to it.
+    /// Number of messages that this controller has sent to the cell.
     messages: u64,
 }
 
 impl OtherCellState {
-    /// Its latest summary, if its leader answered the last message.
+    /// The cell's latest summary, if the cell's leader answered the last message.
     pub(super) fn summary(&self) -> Option<&CellSummary> {
         self.summary.as_ref().filter(|_| self.reachable)
     }
 
-    /// How many messages this controller has sent to it.
+    /// Number of messages that this controller has sent to the cell.
     pub(super) fn messages(&self) -> u64 {
         self.messages
     }
 
-    /// Counts a message to the cell; returns the number of the controller that it is for.
+    /// Counts a message to the cell. Returns the index of the controller to which the message is to be sent.
     pub(super) fn count_message(&mut self) -> usize {
         self.messages += 1;
         self.controller
     }
 
-    /// Sends the next messages to the controller with the address `leader`, or to the cell's next one if
-    /// it has none of that address.
+    /// Selects the controller with the address `leader` for the next messages, or the cell's next controller
+    /// if none has this address.
     fn switch_controller(&mut self, cell: &OtherCell, leader: &str) {
         self.reachable = false;
         let leads = cell.controllers.iter().position(|addr| addr.to_string() == leader);
@@ -69,8 +70,8 @@
 }
 
 impl Controller {
-    /// Notes that the leader of a cell could not be reached.
-    pub(super) fn cell_unreachable(&self, cell: &OtherCell, error: &CellExchangeError) {
+    /// Marks a cell as unreachable, and selects the cell's next controller for the next message.
+    pub(super) fn mark_cell_unreachable(&self, cell: &OtherCell, error: &CellExchangeError) {
         let mut shared = self.lock();
         let state = shared.other_cells.entry(cell.name.clone()).or_default();
         if state.reachable {
@@ -79,8 +80,9 @@
         state.switch_controller(cell, "");
     }
 
-    /// Records the state of a cell by its answer; returns whether the loan reports in it are to be used.
-    pub(super) fn note_cell(&self, cell: &OtherCell, reply: &LoanReply) -> bool {
+    /// Updates the state of a cell from its answer. Returns whether the loan reports in the answer are to be
+    /// used.
+    pub(super) fn update_cell_state(&self, cell: &OtherCell, reply: &LoanReply) -> bool {
         let mut shared = self.lock();
         let state = shared.other_cells.entry(cell.name.clone()).or_default();
         if !reply.leads {
@@ -101,7 +103,7 @@
         true
     }
 
-    /// The summary in an answer, if it is plausible and recent.
+    /// The summary in an answer; none if the answer has none, or if the summary is implausible or too old.
     fn checked_summary(&self, cell: &OtherCell, reply: &LoanReply) -> Option<CellSummary> {
         let summary = summary_from_proto(reply.summary.as_ref()?);
         let skew_us = (self.config.platform.settings.skew_ms * MICROS_PER_MILLI) as i64;
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -1,4 +1,4 @@
-//! Messages from the other controllers, and requests that are relayed to them.
+//! Handles the messages of other controllers, and relays requests to them.
 
 use std::collections::BTreeMap;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
@@ -18,11 +18,11 @@
 use crate::time::Micros;
 use crate::wire::{is_job_id, Stage};
 
-/// How long to wait for a message before checking whether the controller is to end.
+/// How long to wait for a message before checking whether the controller is to stop.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Controller {
-    /// Relays a request to another controller; none if it does not answer.
+    /// Relays a request to another controller and returns its response; none if it does not answer in time.
     pub(super) fn relay(&self, peer: usize, request: &Request, timeout: Micros) -> Option<Response> {
         let call =
             Call { method: request.method.clone(), path: request.path.clone(), body: request.body.clone() };
@@ -36,7 +36,8 @@
         })
     }
 
-    /// Notes that another controller answered; steps down if it knows a higher fencing token.
+    /// Records that another controller answered. Steps down if that controller has seen a higher fencing
+    /// token.
     pub(super) fn on_peer_answer(&self, fencing_token: u64) {
         let mut shared = self.lock();
         shared.last_peer_contact = self.now();
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Answers the messages of other controllers until the controller ends.
+    /// Answers the messages of other controllers until this controller stops.
     pub(super) fn answer_peers(&self, inbound: &Mutex<Receiver<InboundMessage>>) {
         while !self.stopping() {
             let received = lock_ignoring_poison(inbound).recv_timeout(RECEIVE_TIMEOUT);
@@ -61,12 +62,12 @@
 
     /// Answers a message of another controller.
     pub fn handle_peer_message(&self, message: &PeerMessage) -> PeerReply {
-        // A message of another cell does not show that this cell's own controllers can be reached.
+        // Only messages of this cell's own controllers show that they can be reached.
         if !matches!(message, PeerMessage::Lend(_)) {
             self.lock().last_peer_contact = self.now();
         }
         match message {
-            PeerMessage::Lend(request) => self.on_loans(request),
+            PeerMessage::Lend(request) => self.on_loan_request(request),
             PeerMessage::Announce(summary) => self.on_announcement(summary),
             PeerMessage::Notify(news) => self.on_job_news(news),
             PeerMessage::Cancelled(cancellations) => self.on_cancellations(cancellations),
@@ -90,8 +91,8 @@
         })
     }
 
-    /// Another controller has confirmed cancellations: what is left of the jobs is stopped, whether
-    /// this leader can read their records or not.
+    /// Handles the notice that another controller has confirmed cancellations: a leader stops the remaining
+    /// tasks of the jobs, even if it cannot read their records.
     fn on_cancellations(&self, cancellations: &peer::Cancellations) -> PeerReply {
         for cancellation in &cancellations.jobs {
             let id = &cancellation.id;
@@ -105,11 +106,11 @@
         acknowledgement(self.lock().highest_fencing_token)
     }
 
-    /// Another controller leads: its task counts of live jobs are kept for status requests.
+    /// Handles the announcement of the leader: keeps its task counts of live jobs for status requests.
     fn on_announcement(&self, summary: &Summary) -> PeerReply {
         let mut shared = self.lock();
         if summary.token > shared.highest_fencing_token {
-            self.step_down(&mut shared, StepDownReason::HigherTokenLeads(summary.token));
+            self.step_down(&mut shared, StepDownReason::HigherTokenAnnounced(summary.token));
         }
         let is_latest_leader = summary.token > 0 && summary.token == shared.highest_fencing_token;
         if is_latest_leader && shared.leadership.is_none() {
@@ -121,13 +122,14 @@
             });
             shared.announced_counts = announced_counts(summary);
             if self.peer_index(&summary.leader).is_some() {
-                shared.note_version(&summary.leader, summary.version.clone());
+                shared.update_peer_version(&summary.leader, summary.version.clone());
             }
         }
         acknowledgement(shared.highest_fencing_token)
     }
 
-    /// Another controller has written or ended a job.
+    /// Handles the message that another controller has written or ended a job. A message without a record
+    /// means that the job has ended.
     fn on_job_news(&self, news: &JobNews) -> PeerReply {
         let mut shared = self.lock();
         if let Some(leadership) = shared.leadership.as_mut() {
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -1,4 +1,4 @@
-//! The planning duty: advances the leader's clock and keeps its plan up to date.
+//! The planning duty: advances the leader's fleet to the current time and keeps its plan up to date.
 
 use super::step_down::StepDownReason;
 use super::Controller;
@@ -8,7 +8,7 @@
 const PLAN_INTERVAL: Micros = Micros::from_millis(40);
 
 impl Controller {
-    /// Plans again and again until the controller ends.
+    /// Plans at regular intervals until the controller stops.
     pub(super) fn plan(&self) {
         while !self.stopping() {
             self.sleep(PLAN_INTERVAL);
@@ -16,7 +16,8 @@
         }
     }
 
-    /// Advances the fleet to the present, plans, and sends the deferred replies that are due.
+    /// Advances the fleet to the current time, plans, and sends the deferred replies that are due. Steps down
+    /// if hardly any attempt numbers of the fencing token are left.
     pub fn plan_once(&self) {
         let mut shared = self.lock();
         let has_writes = shared.leadership.as_mut().is_some_and(|leadership| {
--- a/src/controller/progress_keeper.rs
+++ b/src/controller/progress_keeper.rs
@@ -1,8 +1,8 @@
-//! Keeping the progress of jobs with loans while a leader leads that keeps no copies of it.
+//! Keeps the progress of jobs with loans while the leader is of a version that keeps no copies of it.
 //!
-//! A leader of a version before copies removes the progress of lent jobs, or writes it without copies, and forgets
-//! the results of their tasks (docs/cells.md). A follower of this version beside it adds to the copies what is
-//! still stored, and what workers have reported to it.
+//! Such a leader removes the progress of lent jobs, or writes it without copies, and forgets the results of
+//! their tasks (docs/cells.md). A follower of this version adds to the copies the progress that is still
+//! stored and the results that workers have reported to the follower.
 
 use std::collections::BTreeSet;
 
@@ -15,30 +15,32 @@
 use crate::time::{Micros, Steady};
 use crate::wire::{LentProgressStatus, Txn};
 
-/// Most jobs that one round reads, three requests each: users' requests need the rest of the allowed rate.
+/// Largest number of jobs that one round reads, with three requests each. The rest of the allowed request
+/// rate is left to users' requests.
 const MAX_JOBS_PER_ROUND: usize = 8;
-/// Pause between two rounds, and the multiple of a round's duration that it lasts at least.
+/// Shortest pause between two rounds.
 const MIN_PAUSE: Micros = Micros::from_millis(1_000);
-const PAUSE_PER_ROUND: f64 = 20.0;
+/// Shortest pause after a round, as a multiple of the round's duration.
+const PAUSE_PER_ROUND_DURATION: f64 = 20.0;
 
-/// Where the rounds stand.
+/// State of the rounds in which a follower copies the progress of jobs with loans.
 #[derive(Debug, Default)]
 pub struct ProgressKeeper {
-    /// The next round begins no sooner.
-    next_round: Steady,
-    /// Turns of the jobs with results that were heard of.
+    /// The earliest time at which the next round may begin.
+    next_round_at: Steady,
+    /// The rotation among jobs with reported results.
     with_results: Rotation,
-    /// Turns of the others.
+    /// The rotation among the other jobs.
     without_results: Rotation,
-    /// Jobs whose progress was copied whole when they were last read.
+    /// Ids of the jobs whose copies were complete after they were last read.
     copied: BTreeSet<String>,
-    /// Errors of rows that cannot be read, which are logged once.
+    /// Texts of the errors of unreadable records; each is logged once.
     unreadable: BTreeSet<String>,
 }
 
 impl ProgressKeeper {
-    /// Logs that a row cannot be read, once.
-    fn note_error(&mut self, error: &ProgressError) {
+    /// Logs a failed read; an unreadable record is logged once.
+    fn log_error(&mut self, error: &ProgressError) {
         let text = error.to_string();
         match error {
             ProgressError::Store(_) => tracing::debug!(error = text, "progress of lent jobs not read"),
@@ -49,37 +51,37 @@
         }
     }
 
-    /// Notes whether a job's progress is copied whole.
-    fn note_copied(&mut self, job: &JobWithLoans, is_whole: bool) {
-        if is_whole {
+    /// Records whether the copies of a job's progress are complete.
+    fn record_copy(&mut self, job: &JobWithLoans, is_complete: bool) {
+        if is_complete {
             self.copied.insert(job.id.to_string());
         } else {
             self.copied.remove(&*job.id);
         }
     }
 
-    /// The jobs of the next round: first those with results that were heard of, then others, at least one if
-    /// there is any. Of either those that were not read for the longest time.
-    fn next_jobs(&mut self, jobs: Vec<JobWithLoans>, heard: &BTreeSet<String>) -> Vec<JobWithLoans> {
+    /// The jobs that the next round reads: first jobs with reported results, then others, and at least one of
+    /// the others if there are any. Both groups take turns.
+    fn next_jobs(&mut self, jobs: Vec<JobWithLoans>, reported: &BTreeSet<String>) -> Vec<JobWithLoans> {
         let (with_results, others): (Vec<_>, Vec<_>) =
-            jobs.into_iter().partition(|job| heard.contains(&*job.id));
-        let kept_for_others = usize::from(!others.is_empty());
-        let mut next = self.with_results.take(with_results, MAX_JOBS_PER_ROUND - kept_for_others);
-        let room = MAX_JOBS_PER_ROUND - next.len();
-        next.extend(self.without_results.take(others, room));
+            jobs.into_iter().partition(|job| reported.contains(&*job.id));
+        let reserved_for_others = usize::from(!others.is_empty());
+        let mut next = self.with_results.take(with_results, MAX_JOBS_PER_ROUND - reserved_for_others);
+        let remaining = MAX_JOBS_PER_ROUND - next.len();
+        next.extend(self.without_results.take(others, remaining));
         next
     }
 }
 
-/// Takes turns among jobs, in the order of their ids.
+/// Lets jobs take turns, in the order of their ids.
 #[derive(Debug, Default)]
 struct Rotation {
-    /// The job that was taken last.
+    /// The id of the job that was taken last.
     last: String,
 }
 
 impl Rotation {
-    /// The next jobs, `count` at the most.
+    /// Takes the next jobs, at most `count`.
     fn take(&mut self, mut jobs: Vec<JobWithLoans>, count: usize) -> Vec<JobWithLoans> {
         jobs.sort_by_key(|job| (*job.id <= *self.last, job.id.clone()));
         jobs.truncate(count);
@@ -91,25 +93,27 @@
 }
 
 impl Controller {
-    /// One round, if it is due and this controller follows a leader without copies.
+    /// Performs one round if it is due and the leader, another controller, is of a version that keeps no
+    /// copies.
     pub fn keep_progress_once(&self, keeper: &mut ProgressKeeper) {
-        let begun = self.now();
-        self.lock().reported_results.drop_expired(begun);
+        let started_at = self.now();
+        self.lock().reported_results.drop_expired(started_at);
         if !self.follows_leader_without_copies() {
             keeper.copied.clear();
             self.lock().lent_progress = None;
             return;
         }
-        if begun < keeper.next_round {
+        if started_at < keeper.next_round_at {
             return;
         }
         if let Err(error) = self.copy_progress(keeper) {
-            keeper.note_error(&error);
+            keeper.log_error(&error);
         }
-        let duration = self.now() - begun;
-        keeper.next_round = self.now() + duration.scale(PAUSE_PER_ROUND).max(MIN_PAUSE);
+        let duration = self.now() - started_at;
+        keeper.next_round_at = self.now() + duration.scale(PAUSE_PER_ROUND_DURATION).max(MIN_PAUSE);
     }
 
+    /// Whether another controller leads whose version keeps no copies of the progress of lent jobs.
     fn follows_leader_without_copies(&self) -> bool {
         let shared = self.lock();
         let leader = shared.leader.as_ref().filter(|_| shared.leadership.is_none());
@@ -117,12 +121,12 @@
         version.is_some_and(|version| !keeps_progress_copies(version))
     }
 
-    /// Adds to the copies of some jobs what they lack.
+    /// Completes the copies of some jobs, and counts the jobs with and without complete copies.
     fn copy_progress(&self, keeper: &mut ProgressKeeper) -> Result<(), ProgressError> {
         let mut unreadable = 0;
         let jobs = leadership::read_jobs_with_loans(&self.state, |error| {
             unreadable += 1;
-            keeper.note_error(error);
+            keeper.log_error(error);
         })?;
         keeper.copied.retain(|copied| jobs.iter().any(|job| *job.id == **copied));
         let job_count = jobs.len() + unreadable;
@@ -137,7 +141,7 @@
         copied
     }
 
-    /// Adds to the copies of those jobs whose turn it is.
+    /// Completes the copies of those of `jobs` whose turn it is.
     fn copy_progress_of(
         &self,
         jobs: Vec<JobWithLoans>,
@@ -146,34 +150,35 @@
         if jobs.is_empty() {
             return Ok(());
         }
-        let heard = self.lock().reported_results.iter().map(|(job, _)| job.to_string()).collect();
+        let reported = self.lock().reported_results.iter().map(|(job, _)| job.to_string()).collect();
         let start_marks = leadership::read_start_marks(&self.state)?;
-        for job in keeper.next_jobs(jobs, &heard) {
-            let results = self.lock().reported_results.of(&job.id);
+        for job in keeper.next_jobs(jobs, &reported) {
+            let results = self.lock().reported_results.tasks_of(&job.id);
             match job.read_progress(&self.state, &start_marks) {
                 Ok(progress) => {
                     let txns = progress.missing_copies(&results, self.config.value_bytes());
                     let written = txns.iter().filter(|txn| self.write_copy(&job, &results, txn)).count();
-                    keeper.note_copied(&job, written == txns.len());
+                    keeper.record_copy(&job, written == txns.len());
                 }
                 Err(error) => {
-                    keeper.note_copied(&job, false);
-                    keeper.note_error(&error);
+                    keeper.record_copy(&job, false);
+                    keeper.log_error(&error);
                 }
             }
         }
         Ok(())
     }
 
-    /// Writes a copy; whether it is stored. After a conflict or an unknown outcome the next round reads anew.
-    fn write_copy(&self, job: &JobWithLoans, heard: &TaskSet, txn: &Txn) -> bool {
+    /// Writes a copy; returns whether it is stored. After a conflict or an unknown outcome the next round
+    /// reads the job's progress again.
+    fn write_copy(&self, job: &JobWithLoans, reported: &TaskSet, txn: &Txn) -> bool {
         match self.state.txn(txn, RequestPriority::Background) {
             Ok(TxnOutcome::Committed(_)) => {
-                tracing::info!(job = %job.id, heard = heard.len(), "progress of lent job copied");
+                tracing::info!(job = %job.id, heard = reported.len(), "progress of lent job copied");
                 return true;
             }
             Ok(TxnOutcome::Conflict(keys)) => {
-                tracing::debug!(job = %job.id, ?keys, "progress of lent job changed meanwhile");
+                tracing::debug!(job = %job.id, ?keys, "progress of lent job changed while it was copied");
             }
             Err(error) => tracing::info!(job = %job.id, %error, "progress of lent job not copied"),
         }
--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -13,61 +13,63 @@
 const SCALING_INTERVAL: Micros = Micros::from_millis(500);
 /// Most machines in one scale-in request.
 const MAX_MACHINES_PER_SCALE_IN: usize = 100;
-/// How often a scale-out request is repeated when its outcome is not known.
+/// How many times a scale-out request is repeated while its outcome is unknown.
 const SCALE_OUT_RETRIES: usize = 2;
-/// How long an offer that the cloud could not meet in full is not requested.
+/// How long an offer is not requested again after the cloud granted fewer machines than requested.
 const NO_CAPACITY_BACKOFF: Micros = Micros::from_millis(10_000);
-/// The same after the cloud answered with an error, or not at all.
+/// How long an offer is not requested again after the cloud answered with another error, or not at all.
 const CLOUD_ERROR_BACKOFF: Micros = Micros::from_millis(2_000);
-/// A new leader scales out once this many times the lag of the cloud's list have passed.
+/// A new leader scales out only after the lag of the cloud's machine list, multiplied by this factor, has
+/// passed. The first leader of all scales out at once.
 const FIRST_SCALE_OUT_DELAY_IN_LAGS: f64 = 1.2;
 
-/// A scale-out request with the offer that it makes use of.
+/// A scale-out request, with the offer of which it requests machines.
 struct OfferRequest {
     offer: MachineOffer,
     request: ScaleOutRequest,
 }
 
-/// What the duty keeps from round to round.
+/// State that the scaling duty keeps between its rounds.
 #[derive(Default)]
 pub struct ScalingState {
-    /// Number of the last scale-out request of this process: its requests' names must never repeat.
+    /// Number of the last scale-out request of this process. It is part of the request's name, and names must
+    /// never repeat.
     last_request_number: u64,
-    /// The fencing token of the last round.
+    /// The fencing token of the leader in the last round.
     fencing_token: u64,
-    /// When this controller was first seen to lead with that token.
+    /// When the first round with this fencing token began.
     leader_since: Steady,
 }
 
 impl Controller {
-    /// Scales out and in until the controller ends.
+    /// Scales out and in at regular intervals until the controller stops.
     pub(super) fn scale_out_and_in(&self) {
-        let mut rounds = ScalingState::default();
+        let mut scaling = ScalingState::default();
         while !self.stopping() {
             self.sleep(SCALING_INTERVAL);
-            self.scale_once(&mut rounds);
+            self.scale_once(&mut scaling);
         }
     }
 
-    /// Scales in and out once, if this controller leads for certain. One whose lease may have ended may have
-    /// been replaced: what it takes for idle may run another leader's tasks, and its requests may be held up
-    /// in the network until they meet them.
-    pub fn scale_once(&self, rounds: &mut ScalingState) {
+    /// Scales in and out once, if this controller leads and its lease is known to be valid. A leader whose
+    /// lease may have ended may have been replaced. Machines that it considers idle may then run tasks of the
+    /// next leader, and a scale-in request that is delayed in the network may end those machines.
+    pub fn scale_once(&self, scaling: &mut ScalingState) {
         let Some(LeadershipTerm { fencing_token, is_first, .. }) = self.confirmed_term() else { return };
-        if rounds.fencing_token != fencing_token {
-            rounds.fencing_token = fencing_token;
-            rounds.leader_since = self.now();
+        if scaling.fencing_token != fencing_token {
+            scaling.fencing_token = fencing_token;
+            scaling.leader_since = self.now();
         }
         self.scale_in(fencing_token);
-        // What the last leader requested shows in the list only after a while.
+        // Machines that the previous leader requested appear in the cloud's list only after its lag.
         let lag = Micros::from_secs(self.config.platform.settings.cloud.list_lag_s);
         let first_scale_out_delay = lag.scale(FIRST_SCALE_OUT_DELAY_IN_LAGS);
-        if is_first || self.now() - rounds.leader_since > first_scale_out_delay {
-            self.scale_out(fencing_token, &mut rounds.last_request_number);
+        if is_first || self.now() - scaling.leader_since > first_scale_out_delay {
+            self.scale_out(fencing_token, &mut scaling.last_request_number);
         }
     }
 
-    /// The term of this leader, if its lease is known to be valid.
+    /// The term in which this controller leads, if its lease is known to be valid.
     fn confirmed_term(&self) -> Option<LeadershipTerm> {
         let ttl = Micros::from_secs(self.config.operator.leader_ttl_s);
         let shared = self.lock();
@@ -76,7 +78,7 @@
     }
 
     /// Whether this controller still leads with a fencing token, and its lease is known to be valid.
-    fn leads_for_certain(&self, fencing_token: u64) -> bool {
+    fn has_valid_lease(&self, fencing_token: u64) -> bool {
         self.confirmed_term().is_some_and(|term| term.fencing_token == fencing_token)
     }
 
@@ -89,10 +91,10 @@
         if ids.is_empty() {
             return;
         }
-        // Each answer is recorded at once: a delay of the next request must not hold up tasks that can
-        // start elsewhere.
+        // Each answer is recorded at once: a slow next request must not delay tasks of the returned machines
+        // that can start on others.
         for batch in ids.chunks(MAX_MACHINES_PER_SCALE_IN) {
-            if !self.leads_for_certain(fencing_token) {
+            if !self.has_valid_lease(fencing_token) {
                 return;
             }
             match self.cloud.return_machines(batch) {
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Scales out by what the leader lacks; `last_request_number` counts the requests, whose names must
-    /// never repeat.
+    /// Requests the machines that the leader lacks. `last_request_number` counts the requests, whose names
+    /// must never repeat.
     fn scale_out(&self, fencing_token: u64, last_request_number: &mut u64) {
         let Some(wanted) = self.scale_out_requests(fencing_token) else { return };
         let mut refused = Vec::new();
@@ -119,7 +121,7 @@
             if refused.contains(&offer) {
                 continue;
             }
-            if !self.leads_for_certain(fencing_token) {
+            if !self.has_valid_lease(fencing_token) {
                 return;
             }
             *last_request_number += 1;
@@ -141,8 +143,8 @@
         }
     }
 
-    /// Requests for the machines that the leader lacks, still without names; `None` if this controller is
-    /// no longer the leader.
+    /// The requests for the machines that the leader lacks, without names yet. None if this controller no
+    /// longer leads in the term with this fencing token.
     fn scale_out_requests(&self, fencing_token: u64) -> Option<Vec<OfferRequest>> {
         let mut shared = self.lock();
         let leadership = shared.leadership_with(fencing_token)?;
@@ -167,8 +169,8 @@
         Some(requests)
     }
 
-    /// Sends a scale-out request, again if its outcome is not known: requests are idempotent by their
-    /// name.
+    /// Sends a scale-out request, and repeats it if the outcome is unknown. Requests are idempotent: the
+    /// cloud recognizes a repeated request by its name.
     fn send_scale_out_request(&self, request: &ScaleOutRequest) -> Result<Vec<String>, CloudError> {
         let mut outcome = self.cloud.scale_out(request);
         for _ in 0..SCALE_OUT_RETRIES {
@@ -183,11 +185,11 @@
 
 /// Outcome of one scale-out request.
 enum ScaleOutOutcome {
-    /// All machines that were requested.
+    /// The cloud granted all requested machines.
     Filled,
-    /// Fewer, or none: no more of this offer are requested in this round.
+    /// The cloud granted fewer machines, or none: no more of this offer are requested in this round.
     Partial,
-    /// The cloud cannot be used now.
+    /// The request failed for another reason: no more requests are sent in this round.
     Failed,
 }
 
--- a/src/controller/state_budget.rs
+++ b/src/controller/state_budget.rs
@@ -3,9 +3,10 @@
 use crate::config::Config;
 use crate::state::{AllowedRates, RateShares};
 
-/// The share of the limits that all controllers together plan to use.
+/// The share of the state store's request limit that all controllers together plan to use. A single
+/// controller uses the same share of the write limit.
 const PLANNED_SHARE: f64 = 0.9;
-/// How many followers' requests the leader is allowed.
+/// The leader's share of the requests, as a multiple of a follower's share.
 const LEADER_REQUEST_WEIGHT: f64 = 2.0;
 /// The leader's share of the writes.
 const LEADER_WRITE_SHARE: f64 = 0.6;
@@ -14,18 +15,19 @@
 /// The largest share of the writes that one follower is allowed.
 const MAX_FOLLOWER_WRITE_SHARE: f64 = 0.4;
 
-/// What a controller does among the controllers of its cell.
+/// The role of a controller among the controllers of its cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ControllerRole {
-    /// It leads.
+    /// This controller leads.
     Leader,
     /// Another controller leads, or none does.
     Follower,
 }
 
-/// The rates that a controller is allowed, by its role. The leader writes for all, so it is allowed more of
-/// the writes than the others. Those only accept and cancel, in bursts: their shares add up to more than
-/// there is, and what the state store refuses then is tried again at once.
+/// The rates that a controller is allowed, by its role. The leader writes most records, so its share of the
+/// writes is larger than a follower's. Followers only write accepted and cancelled jobs, in bursts. Therefore
+/// all shares of the writes together may exceed the limit; writes that the state store then refuses are
+/// retried at once.
 pub(super) fn allowed_rates(config: &Config, role: ControllerRole) -> AllowedRates {
     let limits = &config.platform.settings.state;
     let shares = shares(config.controller_count(), role);
@@ -35,9 +37,9 @@
     }
 }
 
-/// One controller's share of the limits, by its role among so many controllers.
+/// One controller's share of the limits, by its role and the number of controllers.
 fn shares(controllers: usize, role: ControllerRole) -> RateShares {
-    // The leader counts as two controllers.
+    // The leader counts as two followers.
     let weights = controllers as f64 + 1.0;
     match (controllers, role) {
         (1, _) => RateShares { requests: PLANNED_SHARE, writes: PLANNED_SHARE },
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -8,20 +8,20 @@
 use crate::time::{wall, Micros};
 use crate::wire::{ControllerStatus, Health, ShardStatus};
 
-/// Path of the status view between controllers; a team's name may follow.
+/// Path of the status view on the interface between the controllers. A team's name may follow.
 pub const STATUS_PATH: &str = "/status";
-/// After this without any message or answer the other controllers count as unreachable.
+/// The other controllers count as unreachable after this long without any message or answer from them.
 const PEER_TIMEOUT: Micros = Micros::from_millis(4500);
-/// After this without an answer the state store counts as unreachable.
+/// The state store counts as unreachable after this long without an answer.
 const STATE_TIMEOUT: Micros = Micros::from_millis(1500);
 /// Number of the only shard.
 const ONLY_SHARD: u32 = 0;
 
 impl Controller {
-    /// Whether users are well served here. A controller that reaches neither the state store nor any other
-    /// controller can answer nothing but 503, while the others may serve. An outage of the state store for
-    /// all does not make the controllers unhealthy: they would be out of the load balancer for longer than
-    /// the outage.
+    /// Whether this controller can serve users. A controller that reaches neither the state store nor any
+    /// other controller can answer only with 503, while the other controllers may be able to serve. An outage
+    /// of the state store for all controllers does not make them unhealthy: the load balancer would then
+    /// leave them out for longer than the outage lasts.
     pub(super) fn health(&self) -> Response {
         let shared = self.lock();
         if shared.machine_types.is_none() {
@@ -35,7 +35,7 @@
         Response::json(status::OK, &Health { healthy: true })
     }
 
-    /// The status, whole or for the team that the path names.
+    /// The status of this controller, restricted to one team if the path names one.
     pub(super) fn status(&self, request: &Request) -> Response {
         let team = request.path.strip_prefix(STATUS_PATH).and_then(|rest| rest.strip_prefix('/'));
         let shared = self.lock();
@@ -58,7 +58,7 @@
         Response::json(status::OK, &status)
     }
 
-    /// The status of the only shard, which this leader has.
+    /// The status of the only shard, which belongs to the leader.
     fn shard_status(&self, leadership: &Leadership) -> ShardStatus {
         ShardStatus {
             leader: self.config.platform.label.clone(),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Versions of all controllers, by label: none for those that have not reported theirs.
+    /// Versions of all controllers, by label; none for a controller that has not reported its version.
     fn versions(&self, shared: &SharedState) -> BTreeMap<String, Option<String>> {
         let members = self.config.platform.members.iter();
         let peers =
--- a/src/controller/step_down.rs
+++ b/src/controller/step_down.rs
@@ -1,4 +1,4 @@
-//! Stepping down: how a leader gives up its leadership, and why.
+//! Stepping down: gives up the leadership, with the reason.
 
 use std::fmt;
 
@@ -9,33 +9,34 @@
 pub(super) enum StepDownReason {
     /// A worker has seen this higher fencing token.
     HigherTokenAtWorker(u64),
-    /// Another controller answered with this higher fencing token.
+    /// Another controller has seen this higher fencing token and named it in an answer.
     HigherTokenAtPeer(u64),
     /// Another controller announced that it leads with this higher fencing token.
-    HigherTokenLeads(u64),
-    /// The leader's lease expired, or was ended.
+    HigherTokenAnnounced(u64),
+    /// The leader's lease has expired or was ended.
     LeaseExpired,
-    /// Neither workers nor other controllers reach this leader.
+    /// Messages of neither workers nor other controllers reach this leader.
     Isolated,
-    /// Another leader has taken the shard: a guard of a write did not hold.
+    /// Another leader has taken the shard: the state store refused a write because the revision of the
+    /// shard's record had changed.
     ShardTaken,
-    /// All attempt numbers of the fencing token are used.
+    /// Hardly any attempt numbers of this fencing token are left.
     AttemptsExhausted,
-    /// The state store no longer keeps the revision from which changes are watched.
+    /// The state store has compacted the revision from which this leader watches changes.
     WatchCompacted,
-    /// The record of a job can be read that this leader could not read.
+    /// The record of a job, which this leader could not read before, can now be read.
     RecordReadable,
-    /// The process is asked to end.
+    /// The process was asked to end.
     AskedToEnd,
 }
 
 impl StepDownReason {
-    /// The higher fencing token that was seen; 0 if the reason is another.
+    /// The higher fencing token that was seen; 0 for the reasons without one.
     fn higher_fencing_token(self) -> u64 {
         match self {
             StepDownReason::HigherTokenAtWorker(fencing_token)
             | StepDownReason::HigherTokenAtPeer(fencing_token)
-            | StepDownReason::HigherTokenLeads(fencing_token) => fencing_token,
+            | StepDownReason::HigherTokenAnnounced(fencing_token) => fencing_token,
             StepDownReason::LeaseExpired
             | StepDownReason::Isolated
             | StepDownReason::ShardTaken
@@ -52,7 +53,7 @@
         f.write_str(match self {
             StepDownReason::HigherTokenAtWorker(_) => "a worker has seen a higher fencing token",
             StepDownReason::HigherTokenAtPeer(_) => "another controller knows a higher fencing token",
-            StepDownReason::HigherTokenLeads(_) => "another controller leads with a higher fencing token",
+            StepDownReason::HigherTokenAnnounced(_) => "another controller leads with a higher fencing token",
             StepDownReason::LeaseExpired => "leader lease expired",
             StepDownReason::Isolated => "hears neither workers nor controllers",
             StepDownReason::ShardTaken => "another leader has taken the shard",
@@ -65,14 +66,14 @@
 }
 
 impl Controller {
-    /// Gives up the leadership, if this controller has it, and notes the higher fencing token that the
-    /// reason names.
+    /// Records the higher fencing token that the reason names, if any. If this controller leads, gives up
+    /// the leadership, and keeps the results of jobs with loans that are not recorded yet.
     pub(super) fn step_down(&self, shared: &mut SharedState, reason: StepDownReason) {
         let higher = reason.higher_fencing_token();
         shared.highest_fencing_token = shared.highest_fencing_token.max(higher);
         if let Some(leadership) = shared.leadership.take() {
             for results in leadership.fleet.results_of_loans() {
-                shared.reported_results.note(&results.job, &results.tasks, self.now());
+                shared.reported_results.record(&results.job, &results.tasks, self.now());
             }
             self.state.set_allowed_rates(allowed_rates(&self.config, ControllerRole::Follower));
             tracing::info!(
@@ -82,13 +83,13 @@
                 "stepped down"
             );
             shared.leader = None;
-            // Any of the others may be replaced by an older one before this controller leads again.
+            // Any other controller may be replaced by one of an earlier version before this one leads again.
             shared.peer_versions.clear();
             self.wake.notify_all();
         }
     }
 
-    /// Gives up the leadership of the term with this fencing token, if that has not ended yet.
+    /// Gives up the leadership if this controller still leads in the term with this fencing token.
     pub(super) fn step_down_from(&self, fencing_token: u64, reason: StepDownReason) {
         let mut shared = self.lock();
         if shared.leadership_with(fencing_token).is_some() {
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -1,6 +1,6 @@
-//! The controller's side of the users' interface: implements [`JobsBackend`] for [`crate::api`], which
-//! covers the final stages and task counts that this controller knows, and notices of written and cancelled
-//! jobs to the other controllers.
+//! Implements [`JobsBackend`], through which the users' interface ([`crate::api`]) reads the final records
+//! and task counts that this controller knows, and notifies the other controllers of written and cancelled
+//! jobs.
 
 use std::fmt::Display;
 
@@ -17,11 +17,11 @@
 use crate::time::Micros;
 use crate::wire::MachineType;
 
-/// How long another controller has to answer a user's request.
+/// How long this controller waits for another one's answer to a relayed user request.
 const RELAY_TIMEOUT: Micros = Micros::from_millis(900);
-/// How long no request is relayed after one that no other controller could answer either.
+/// How long no request is relayed after one that no other controller could answer.
 const RELAY_PAUSE: Micros = Micros::from_millis(2_000);
-/// How long the leader has to acknowledge a new job.
+/// How long the leader has to acknowledge the message about a new job.
 const JOB_NEWS_TIMEOUT: Micros = Micros::from_millis(1000);
 
 impl JobsBackend for Controller {
@@ -37,7 +37,7 @@
         &self.live
     }
 
-    /// Relays a user's request to the other controllers until one can answer it.
+    /// Relays a user's request to the other controllers, one after another, until one can answer it.
     fn relay_to_any(&self, request: &Request) -> Option<Response> {
         if self.now() < self.lock().no_relay_until {
             return None;
@@ -49,7 +49,7 @@
                 return Some(response);
             }
         }
-        // Most likely no controller reaches the state store: relaying each request would help nobody.
+        // Most likely no controller reaches the state store, so relaying further requests would be useless.
         self.lock().no_relay_until = self.now() + RELAY_PAUSE;
         None
     }
@@ -73,7 +73,7 @@
         self.lock().machine_types.clone()
     }
 
-    /// The leader's own counts, or on another controller those that the leader announced.
+    /// The fleet's counts if this controller leads, otherwise the counts that the leader announced.
     fn counts(&self, id: &str) -> JobProgress {
         let shared = self.lock();
         match &shared.leadership {
@@ -96,12 +96,13 @@
         let Some(leader) = leader else { return };
         let record = serde_json::to_vec(&record).unwrap_or_default();
         let news = PeerMessage::Notify(JobNews { id: id.to_string(), record, revision });
-        // Not waited for: the leader's watch sees the job in any case, a little later.
+        // The answer is not awaited: if the message is lost, the leader's watch delivers the job a little
+        // later.
         let _ = self.peers.send(leader, news, JOB_NEWS_TIMEOUT);
     }
 
-    /// This controller confirms to a user that a job is cancelled: its tasks are stopped here, and
-    /// all others are notified, whichever of them leads.
+    /// Called when this controller confirms to a user that a job is cancelled. Stops the job's tasks if this
+    /// controller leads, and notifies all others, whichever of them leads.
     fn cancellation_confirmed(&self, id: &str, cancelled: StoredFinal) {
         if self.peers.count() > 0 {
             let since = self.now();
@@ -115,7 +116,7 @@
 }
 
 impl Controller {
-    /// Records a confirmed cancellation and, on the leader, stops what is left of the job.
+    /// Records a confirmed cancellation. If this controller leads, stops the job's remaining tasks.
     pub(super) fn apply_cancellation(&self, id: &str, cancelled: StoredFinal) {
         self.learn_final(id, cancelled);
         if let Some(leadership) = self.lock().leadership.as_mut() {
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -14,14 +14,15 @@
 const WATCH_PAUSE: Micros = Micros::from_millis(100);
 /// Pause after a read that failed.
 const WATCH_RETRY_DELAY: Micros = Micros::from_millis(250);
-/// Complete reads begin no closer together than this.
+/// Shortest interval between the starts of two complete reads.
 const MIN_READ_INTERVAL: Micros = Micros::from_millis(100);
-/// Complete reads begin no further apart than this.
+/// Longest interval between the starts of two complete reads.
 const MAX_READ_INTERVAL: Micros = Micros::from_millis(1_000);
-/// Complete reads begin this part of the time apart that a leader may act without the state store.
+/// Interval between the starts of two complete reads, as a share of the time for which a leader may act
+/// without contact with the state store.
 const READ_SHARE_OF_STALENESS: f64 = 0.4;
 
-/// Where a leader's watch stands.
+/// The state of a leader's watch of the jobs' records.
 struct WatchPosition {
     fencing_token: u64,
     /// The revision up to which changes have been read.
@@ -40,7 +41,7 @@
 }
 
 impl Controller {
-    /// Follows the changes of jobs until the controller ends.
+    /// Follows the changes to jobs' records until the controller stops.
     pub(super) fn watch(&self) {
         while !self.stopping() {
             let pause = self.watch_once();
@@ -48,10 +49,12 @@
         }
     }
 
-    /// Fetches changes of jobs; returns how long to pause. Only complete reads, which are answered at
-    /// once, count as contact with the state store; between them a watch brings changes as they come. A
-    /// watch that stays silent, or is answered late, proves nothing: it may have waited for a store that
-    /// refuses this controller.
+    /// Fetches the changes to jobs' records once; returns how long to pause.
+    ///
+    /// Complete reads, which the state store answers at once, alternate with watches, which deliver changes
+    /// as they are made. Only a complete read counts as contact with the state store. A watch without events
+    /// or with a late answer does not: the state store may have refused this controller while the watch was
+    /// open.
     pub fn watch_once(&self) -> Micros {
         let position = self.lock().leadership.as_ref().map(WatchPosition::of);
         let Some(position) = position else { return WATCH_PAUSE };
@@ -88,15 +91,15 @@
         }
     }
 
-    /// How far apart complete reads begin. Contact with the state store must not grow too old where the
-    /// settings leave little time.
+    /// Interval between the starts of two complete reads. The reads must be frequent enough for the maximum
+    /// staleness that the settings allow.
     fn read_interval(&self) -> Micros {
         let by_staleness = self.config.max_staleness().scale(READ_SHARE_OF_STALENESS);
         by_staleness.clamp(MIN_READ_INTERVAL, MAX_READ_INTERVAL)
     }
 
-    /// Applies changes; `read_at` is when they were requested if they are a complete read, none if a watch
-    /// brought them. Returns whether everything has to be read anew.
+    /// Applies changes to the fleet. For a complete read, `read_at` is when it was requested; for a watch it
+    /// is none. Returns whether the fleet has to be rebuilt from all records.
     fn apply_changes(
         &self,
         leadership: &mut Leadership,
@@ -104,7 +107,7 @@
         read_at: Option<Steady>,
     ) -> bool {
         let mut is_rebuild_due = false;
-        // The latest record of a job counts, whatever order the events come in.
+        // The latest record of a job must win, in whatever order the events arrive.
         changes.events.sort_by_key(|event| event.mod_revision);
         let latest = changes.events.iter().map(|event| event.mod_revision).max().unwrap_or(0);
         for event in changes.events {
@@ -118,8 +121,8 @@
     }
 }
 
-/// Applies a change under the jobs' prefix; returns whether everything has to be read anew, since the record of a
-/// job can be read that could not be read before.
+/// Applies a change to a key with the jobs' prefix. Returns whether the fleet has to be rebuilt from all
+/// records: a job's record can now be read that this leader could not read before.
 fn apply_change(fleet: &mut Fleet, event: WatchEvent, now: Steady) -> bool {
     let job_id = |key: &Option<String>| key.as_deref()?.strip_prefix(JOBS_PREFIX).map(str::to_string);
     if let Some(id) = job_id(&event.drop) {
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -1,5 +1,5 @@
-//! The writing duty: writes the leader's records in batches, and reads records back after a conflict or an
-//! unknown outcome.
+//! The writing duty: writes the leader's records in batches. After a conflict or a write with unknown outcome
+//! it reads the records back.
 
 use super::step_down::StepDownReason;
 use super::Controller;
@@ -13,20 +13,22 @@
 use crate::time::{wall, Micros};
 use crate::wire::Stage;
 
-/// Longest interval between writes of the done ranges of an unfinished job. Its workers keep the results;
-/// tasks whose results are lost with a machine until then run again.
+/// Longest interval between two writes of the done ranges of an unfinished job. Until a write the workers
+/// keep the results; a task whose result is lost with a machine before it is written runs again.
 const MAX_DONE_WRITE_INTERVAL: Micros = Micros::from_millis(12_000);
-/// Shortest interval between these writes: a short job is finished before they matter.
+/// Shortest interval between two such writes. A job that takes less time than this is finished before its
+/// done ranges would matter.
 const MIN_DONE_WRITE_INTERVAL: Micros = Micros::from_millis(2_000);
-/// The share of the state store's allowed changes that done ranges of unfinished jobs may take.
+/// The share of the allowed changes to the state store that the done ranges of unfinished jobs may take.
 const DONE_WRITE_SHARE: f64 = 0.2;
-/// How long the writer waits to be notified.
+/// Longest time for which the writer waits to be notified of pending records.
 const WRITE_INTERVAL: Micros = Micros::from_millis(150);
 /// Pause after a write that did not succeed.
 const WRITE_RETRY_DELAY: Micros = Micros::from_millis(150);
 
-/// How far apart the done ranges of each of `jobs` jobs are written, so that those of all take no more than
-/// their share of the allowed changes; `write_rps` is the number of changes allowed per second.
+/// The interval at which the done ranges of each of `jobs` unfinished jobs are written, so that all of them
+/// together take no more than their share of the allowed changes. `write_rps` is the number of changes
+/// allowed per second.
 pub fn done_write_interval(jobs: usize, write_rps: f64) -> Micros {
     let interval = Micros::from_secs(jobs as f64 / (write_rps * DONE_WRITE_SHARE));
     interval.clamp(MIN_DONE_WRITE_INTERVAL, MAX_DONE_WRITE_INTERVAL)
@@ -34,13 +36,13 @@
 
 /// The pending writes of a leader, composed into batches.
 struct PendingBatches {
-    /// The term in which they may be written.
+    /// The term in which the batches may be written.
     term: LeadershipTerm,
     batches: Vec<Batch>,
 }
 
 impl Controller {
-    /// Writes pending records until the controller ends.
+    /// Writes pending records until the controller stops.
     pub(super) fn write(&self) {
         while !self.stopping() {
             drop(self.wake.wait_timeout(self.lock(), WRITE_INTERVAL.std()));
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Writes all records that are pending now; false if writing should pause.
+    /// Writes all records that are pending now. Returns false if writing should pause.
     pub fn write_once(&self) -> bool {
         self.write_restored_records();
         self.write_pending(|fleet| {
@@ -60,18 +62,19 @@
         })
     }
 
-    /// Writes the results of jobs with loans that are not recorded; false if writing should pause.
+    /// Writes the results of jobs with loans that are not recorded yet. Returns false if writing should
+    /// pause.
     pub(super) fn write_results_of_loans(&self) -> bool {
         self.write_pending(|fleet| fleet.pending_results_of_loans(chunk_tasks(fleet.max_value_bytes())))
     }
 
-    /// Writes records of the fleet; false if writing should pause.
+    /// Writes the records that `pending` returns. Returns false if writing should pause.
     fn write_pending(&self, pending: impl FnOnce(&mut Fleet) -> Vec<PendingWrite>) -> bool {
         let Some(composed) = self.compose(pending) else { return true };
         composed.batches.into_iter().all(|batch| self.write_batch(&composed.term, batch))
     }
 
-    /// Composes records of the fleet; none if this controller does not lead.
+    /// Composes the records that `pending` returns into batches; none if this controller does not lead.
     fn compose(&self, pending: impl FnOnce(&mut Fleet) -> Vec<PendingWrite>) -> Option<PendingBatches> {
         let now = self.now();
         let mut shared = self.lock();
@@ -84,11 +87,11 @@
         Some(PendingBatches { term, batches })
     }
 
-    /// Writes a batch; false if writing should pause.
+    /// Writes a batch. Returns false if writing should pause.
     fn write_batch(&self, term: &LeadershipTerm, batch: Batch) -> bool {
         let priority = if batch.urgent { RequestPriority::Leader } else { RequestPriority::Background };
         match self.state.txn(&batch.txn, priority) {
-            Ok(TxnOutcome::Committed(revision)) => self.batch_written(term, &batch, revision),
+            Ok(TxnOutcome::Committed(revision)) => self.apply_written_batch(term, &batch, revision),
             Ok(TxnOutcome::Conflict(keys)) => {
                 if keys.iter().any(|key| key == SHARD_KEY) {
                     self.step_down_from(term.fencing_token, StepDownReason::ShardTaken);
@@ -117,9 +120,9 @@
         }
     }
 
-    /// Records in the fleet what a batch has written; false if this controller no longer leads in the
-    /// batch's term.
-    fn batch_written(&self, term: &LeadershipTerm, batch: &Batch, revision: u64) -> bool {
+    /// Records in the fleet that a batch has been written at `revision`. Returns false if this controller no
+    /// longer leads in the batch's term.
+    fn apply_written_batch(&self, term: &LeadershipTerm, batch: &Batch, revision: u64) -> bool {
         let mut finished: Vec<(JobId, u32)> = Vec::new();
         {
             let mut shared = self.lock();
@@ -137,15 +140,15 @@
             }
         }
         for (id, tasks) in finished {
-            tracing::debug!(job = %id, "job done recorded");
+            tracing::debug!(job = %id, "final record of finished job written");
             let record = FinalRecord { stage: Stage::Done, tasks };
             self.learn_final(&id, StoredFinal { record, revision });
         }
         true
     }
 
-    /// Reads keys back after a conflict or an unknown outcome; false if one could not be read, or this
-    /// controller no longer leads in the term.
+    /// Reads keys back after a conflict or an unknown outcome. Returns false if one could not be read, or if
+    /// this controller no longer leads in the term.
     fn read_back(&self, term: &LeadershipTerm, keys: &[String]) -> bool {
         for key in keys {
             let Ok(row) = self.state.get(key, RequestPriority::User) else { return false };
@@ -159,7 +162,7 @@
     }
 }
 
-/// The keys that a batch guards, without the shard's.
+/// The keys that a batch guards, without the shard's key.
 fn guarded_keys(batch: &Batch) -> Vec<String> {
     let keys = batch.txn.guards.iter().map(|guard| guard.key.clone());
     keys.filter(|key| key != SHARD_KEY).collect()
