--- a/tests/failover/simulation/leaders.rs
+++ b/tests/failover/simulation/leaders.rs
@@ -14,7 +14,7 @@
     /// Another controller becomes leader. The earlier ones do not know yet; more than three are too many.
     pub(super) fn fail_over(&mut self) {
         let mut controller = SimulatedController::claim(&mut self.store, &self.cfg, self.now);
-        controller.fleet.advance_jobs_revision(controller.watched);
+        controller.fleet.advance_jobs_revision(controller.watched_revision);
         let store_contact = StoreContact::new(self.now, self.bound);
         self.leaders.push(SimulatedLeader {
             controller,
@@ -103,7 +103,7 @@
                 continue;
             }
             o.controller.read_changes(&self.store, self.now);
-            o.controller.fleet.advance_jobs_revision(o.controller.watched);
+            o.controller.fleet.advance_jobs_revision(o.controller.watched_revision);
             o.last_read = self.now;
             o.store_contact.record_read(self.now);
         }
@@ -182,7 +182,7 @@
             result = Some(self.store.txn(&b.txn));
         }
         let (now, controller) = (self.now, &mut self.leaders[i].controller);
-        match controller.acknowledge(b, result.filter(|_| known), now) {
+        match controller.apply_txn_result(b, result.filter(|_| known), now) {
             Ok(()) => true,
             Err(keys) => {
                 controller.read_back(&keys, &self.store, now);
