--- a/src/sched/plan_state.rs
+++ b/src/sched/plan_state.rs
@@ -45,7 +45,7 @@
     /// By team: whether a gang of it is held back by its quota, whether it finds capacity or not.
     pub(super) gang_blocked_by_quota: Vec<bool>,
     /// By team: the first group of the queue that its quota holds back.
-    pub(super) first_held_by_quota: Vec<Option<HeldGroup>>,
+    pub(super) first_held_by_quota: Vec<Option<QuotaBlockedGroup>>,
     /// By team: when the tasks that this plan starts give their quota back.
     pub(super) planned_releases: Vec<Vec<QuotaRelease>>,
 }
@@ -63,7 +63,7 @@
 }
 
 /// A group of the queue that a team's quota holds back.
-pub(super) struct HeldGroup {
+pub(super) struct QuotaBlockedGroup {
     /// The group.
     pub(super) group: QueueGroup,
     /// Whether its first class is a service.
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -1,7 +1,7 @@
 //! Team quotas: how many tasks of a class they let start, when, and what is preempted for that.
 
 use super::decisions::{PlacedTaskIndex, Plan, Start};
-use super::plan_state::{HeldGroup, PlanState, QuotaRelease};
+use super::plan_state::{PlanState, QuotaBlockedGroup, QuotaRelease};
 use super::preemption_rule::may_preempt;
 use super::queue::QueueGroup;
 use super::resources::Resources;
@@ -47,7 +47,8 @@
         let Some(first) = self.first_held_by_quota.get_mut(class.team).filter(|_| held > 0) else { return };
         let group = QueueGroup::of(class);
         let is_service = class.replica_machines.is_some();
-        let first = first.get_or_insert_with(|| HeldGroup { group: QueueGroup::of(class), is_service });
+        let first =
+            first.get_or_insert_with(|| QuotaBlockedGroup { group: QueueGroup::of(class), is_service });
         if !first.is_service && !is_service && first.group == group {
             plan.blocked_by_quota.push((class_index, held));
         }
