--- a/src/sched/plan_state.rs
+++ b/src/sched/plan_state.rs
@@ -45,7 +45,7 @@
     /// By team: whether a gang of it is held back by its quota, whether it finds capacity or not.
     pub(super) gang_blocked_by_quota: Vec<bool>,
     /// By team: the first group of the queue that its quota holds back.
-    pub(super) first_held_by_quota: Vec<Option<QuotaBlockedGroup>>,
+    pub(super) first_blocked_by_quota: Vec<Option<QuotaBlockedGroup>>,
     /// By team: when the tasks that this plan starts give their quota back.
     pub(super) planned_releases: Vec<Vec<QuotaRelease>>,
 }
@@ -101,7 +101,7 @@
             given_to_replicas: vec![Resources::default(); machine_count],
             quota_reservations: vec![None; team_count],
             gang_blocked_by_quota: vec![false; team_count],
-            first_held_by_quota: (0..team_count).map(|_| None).collect(),
+            first_blocked_by_quota: (0..team_count).map(|_| None).collect(),
             planned_releases: vec![Vec::new(); team_count],
         }
     }
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -44,7 +44,9 @@
     pub(super) fn note_held_by_quota(&mut self, class_index: usize, within_quota: u32, plan: &mut Plan) {
         let class = &self.snapshot.classes[class_index];
         let held = class.startable_tasks.saturating_sub(within_quota);
-        let Some(first) = self.first_held_by_quota.get_mut(class.team).filter(|_| held > 0) else { return };
+        let Some(first) = self.first_blocked_by_quota.get_mut(class.team).filter(|_| held > 0) else {
+            return;
+        };
         let group = QueueGroup::of(class);
         let is_service = class.replica_machines.is_some();
         let first =
@@ -56,10 +58,10 @@
 
     /// By team: what starts take of its quota that are not of the group which the quota holds back.
     pub(super) fn quota_of_other_starts(&self, starts: &[Start]) -> Vec<Resources> {
-        let mut taken = vec![Resources::default(); self.first_held_by_quota.len()];
+        let mut taken = vec![Resources::default(); self.first_blocked_by_quota.len()];
         for start in starts {
             let class = &self.snapshot.classes[start.class];
-            let Some(Some(held)) = self.first_held_by_quota.get(class.team) else { continue };
+            let Some(Some(held)) = self.first_blocked_by_quota.get(class.team) else { continue };
             if class.replica_machines.is_some() || class.gang || held.group != QueueGroup::of(class) {
                 taken[class.team] = taken[class.team].plus(&class.need, start.count);
             }
