--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -89,11 +89,11 @@
                 GangOutcome::AwaitsQuota => return,
             }
         } else if class.replica_machines.is_some() {
-            self.note_held_by_quota(class_index, self.tasks_within_quota(class_index), plan);
+            self.record_blocked_by_quota(class_index, self.tasks_within_quota(class_index), plan);
             self.start_service(class_index, plan)
         } else {
             let within_quota = self.tasks_within_quota(class_index);
-            self.note_held_by_quota(class_index, within_quota, plan);
+            self.record_blocked_by_quota(class_index, within_quota, plan);
             self.start_array(class_index, within_quota, &mut plan.starts)
         };
         if unmet == 0 {
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -41,7 +41,7 @@
 
     /// Lists the tasks of an array that its team's quota holds back, unless other work of the team goes first:
     /// what comes free of the quota is left to that.
-    pub(super) fn note_held_by_quota(&mut self, class_index: usize, within_quota: u32, plan: &mut Plan) {
+    pub(super) fn record_blocked_by_quota(&mut self, class_index: usize, within_quota: u32, plan: &mut Plan) {
         let class = &self.snapshot.classes[class_index];
         let held = class.startable_tasks.saturating_sub(within_quota);
         let Some(first) = self.first_blocked_by_quota.get_mut(class.team).filter(|_| held > 0) else {
