--- a/src/sched/gangs.rs
+++ b/src/sched/gangs.rs
@@ -11,7 +11,7 @@
     /// It finds no free capacity.
     NoCapacity,
     /// Its team's quota holds it back: either alone, or another gang of the team is held back before it.
-    AwaitsQuota,
+    BlockedByQuota,
 }
 
 impl PlanState<'_> {
@@ -22,12 +22,12 @@
             return self.start_gang(class_index, &mut plan.starts);
         }
         if self.gang_blocked_by_quota[class.team] {
-            return GangOutcome::AwaitsQuota;
+            return GangOutcome::BlockedByQuota;
         }
         self.gang_blocked_by_quota[class.team] = true;
         let Some(places) = self.place_gang_now(class_index) else { return GangOutcome::NoCapacity };
         self.reserve_quota(class_index, places, plan);
-        GangOutcome::AwaitsQuota
+        GangOutcome::BlockedByQuota
     }
 
     /// Starts a gang whole, if it finds free capacity now.
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -86,7 +86,7 @@
             match self.plan_gang(class_index, plan) {
                 GangOutcome::Started => 0,
                 GangOutcome::NoCapacity => class.startable_tasks,
-                GangOutcome::AwaitsQuota => return,
+                GangOutcome::BlockedByQuota => return,
             }
         } else if class.replica_machines.is_some() {
             self.record_blocked_by_quota(class_index, self.tasks_within_quota(class_index), plan);
