--- a/src/sched/plan_state.rs
+++ b/src/sched/plan_state.rs
@@ -35,7 +35,7 @@
     /// start there now.
     pub(super) contended_types: Vec<bool>,
     /// By machine: whether this plan preempts tasks on it for a class.
-    pub(super) being_preempted_for: Vec<bool>,
+    pub(super) has_preemptions: Vec<bool>,
     /// Tasks that this plan preempts for replicas.
     pub(super) preempted_for_replicas: BTreeSet<PlacedTaskIndex>,
     /// By machine: what this plan has given to replicas, which do not end.
@@ -96,7 +96,7 @@
             reserved_at: Micros::ZERO,
             tasks_by_zone: snapshot.classes.iter().map(|class| class.tasks_by_zone.clone()).collect(),
             contended_types: vec![false; snapshot.reserved_headroom.len()],
-            being_preempted_for: vec![false; machine_count],
+            has_preemptions: vec![false; machine_count],
             preempted_for_replicas: BTreeSet::new(),
             given_to_replicas: vec![Resources::default(); machine_count],
             quota_reservations: vec![None; team_count],
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -42,7 +42,7 @@
         let places = self.place_blocked(class_index, &machines, &fits);
         let mut preempted = Vec::new();
         for (machine, _) in places.unwrap_or_default() {
-            self.being_preempted_for[machine] = true;
+            self.has_preemptions[machine] = true;
             let victims = by_machine[machine].iter().flat_map(|option| &option.victims);
             preempted.extend(victims.map(|&task| (machine, task)));
         }
@@ -52,10 +52,7 @@
     /// What is preempted on a machine for at least one task of the class to fit; none if it cannot.
     fn preemption_option(&self, class: &JobClass, machine_index: usize) -> Option<PreemptionOption> {
         let machine = &self.snapshot.machines[machine_index];
-        if !machine.accepts_starts
-            || machine.reclaimed_in.is_some()
-            || self.being_preempted_for[machine_index]
-        {
+        if !machine.accepts_starts || machine.reclaimed_in.is_some() || self.has_preemptions[machine_index] {
             return None;
         }
         if !may_use(class, machine) || lacks_awaited_image(class, machine) {
--- a/src/sched/replica_preemption.rs
+++ b/src/sched/replica_preemption.rs
@@ -48,7 +48,7 @@
             return Some(ReplicaPreemption::none(PREEMPTED_WITHIN));
         }
         let is_preempted_for_replicas = (0..machine.placed.len()).any(is_preempted);
-        if self.being_preempted_for[machine_index] && !is_preempted_for_replicas {
+        if self.has_preemptions[machine_index] && !is_preempted_for_replicas {
             return None;
         }
         let (mut victims, mut lost_work) = (Vec::new(), Micros::ZERO);
--- a/src/sched/service_placement.rs
+++ b/src/sched/service_placement.rs
@@ -86,7 +86,7 @@
     fn start_replica(&mut self, class_index: usize, chosen: &ReplicaCandidate, plan: &mut Plan) {
         let machine = chosen.machine;
         self.allocate(class_index, machine, 1);
-        self.being_preempted_for[machine] |= !chosen.victims.is_empty();
+        self.has_preemptions[machine] |= !chosen.victims.is_empty();
         let victims = || chosen.victims.iter().map(|&task| (machine, task));
         plan.preempt.extend(victims());
         self.preempted_for_replicas.extend(victims());
