--- a/src/sched/plan_state.rs
+++ b/src/sched/plan_state.rs
@@ -39,7 +39,7 @@
     /// Tasks that this plan preempts for replicas.
     pub(super) preempted_for_replicas: BTreeSet<PlacedTaskIndex>,
     /// By machine: what this plan has given to replicas, which do not end.
-    pub(super) given_to_replicas: Vec<Resources>,
+    pub(super) started_replica_use: Vec<Resources>,
     /// By team: the part of its quota that is reserved for its first gang that the quota holds back.
     pub(super) quota_reservations: Vec<Option<QuotaReservation>>,
     /// By team: whether a gang of it is held back by its quota, whether it finds capacity or not.
@@ -98,7 +98,7 @@
             contended_types: vec![false; snapshot.reserved_headroom.len()],
             has_preemptions: vec![false; machine_count],
             preempted_for_replicas: BTreeSet::new(),
-            given_to_replicas: vec![Resources::default(); machine_count],
+            started_replica_use: vec![Resources::default(); machine_count],
             quota_reservations: vec![None; team_count],
             gang_blocked_by_quota: vec![false; team_count],
             first_blocked_by_quota: (0..team_count).map(|_| None).collect(),
@@ -151,7 +151,7 @@
             self.planned_releases[class.team].push(release);
         }
         if class.replica_machines.is_some() {
-            let given = &mut self.given_to_replicas[machine_index];
+            let given = &mut self.started_replica_use[machine_index];
             *given = given.plus(&class.need, count);
         }
         self.tasks_by_zone[class_index][machine.zone] += count;
--- a/src/sched/service_placement.rs
+++ b/src/sched/service_placement.rs
@@ -157,7 +157,7 @@
         if is_as_large {
             return Micros::ZERO;
         }
-        let beside = capacity_beside_replicas(machine).minus(&self.given_to_replicas[machine_index], 1);
+        let beside = capacity_beside_replicas(machine).minus(&self.started_replica_use[machine_index], 1);
         if beside.minus(&class.need, 1).fits(&headroom.need) > 0 {
             RESERVED_TYPE_COST
         } else {
