--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -9,7 +9,7 @@
 use crate::time::Micros;
 
 /// Later than anything that is planned.
-const BEYOND_PLANNING: Micros = Micros::from_millis(86_400_000);
+const PLANNING_HORIZON: Micros = Micros::from_millis(86_400_000);
 
 /// A placed task that may be preempted. Tasks compare by their fields in this order, and the least is
 /// preempted first.
@@ -79,7 +79,7 @@
                 return at;
             }
         }
-        BEYOND_PLANNING
+        PLANNING_HORIZON
     }
 
     /// When the team's tasks, placed and planned, give their quota back, soonest first.
