--- a/src/sched/gangs.rs
+++ b/src/sched/gangs.rs
@@ -55,7 +55,7 @@
     fn reserve_quota(&mut self, class_index: usize, places: Vec<TasksOnMachine>, plan: &mut Plan) {
         let class = &self.snapshot.classes[class_index];
         let preempted = self.preempt_within_quota(class_index);
-        let at = if preempted.is_empty() { self.quota_allows_at(class_index) } else { Micros::ZERO };
+        let at = if preempted.is_empty() { self.quota_available_at(class_index) } else { Micros::ZERO };
         plan.preempt.extend(preempted);
         self.quota_reservations[class.team] =
             Some(QuotaReservation { need: class.need, count: class.startable_tasks, at });
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -70,7 +70,7 @@
     }
 
     /// Time until the team's quota lets the class start whole, as the team's tasks end.
-    pub(super) fn quota_allows_at(&self, class_index: usize) -> Micros {
+    pub(super) fn quota_available_at(&self, class_index: usize) -> Micros {
         let class = &self.snapshot.classes[class_index];
         let Some(mut team_use) = self.team_uses.get(class.team).copied() else { return Micros::ZERO };
         for QuotaRelease { at, need, count } in self.quota_releases(class.team) {
--- a/tests/planner/model.rs
+++ b/tests/planner/model.rs
@@ -114,7 +114,7 @@
         self.quota_reservations.push(QuotaReservation {
             team: class.team,
             cpus: f64::from(class.startable_tasks) * class.need.cpus,
-            from: self.quota_allows_at(index),
+            from: self.quota_available_at(index),
         });
     }
 
@@ -345,7 +345,7 @@
     }
 
     /// The first stated end after which the quota lets the whole gang start.
-    fn quota_allows_at(&self, index: usize) -> Micros {
+    fn quota_available_at(&self, index: usize) -> Micros {
         let class = &self.snapshot.classes[index];
         let releases = self.quota_releases(class.team);
         let used: f64 = releases.iter().map(|release| release.cpus).sum::<f64>();
