--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -1,14 +1,14 @@
 //! The planner's output: what starts, what is reserved and what is preempted.
 //!
-//! Indices are those of the [`super::Snapshot`] that the plan was made for.
+//! Indices refer to the [`super::Snapshot`] that the plan was made for.
 
 use super::resources::Resources;
 use crate::time::Micros;
 
-/// Tasks of one class on one machine: index into `Snapshot::machines`, number of tasks.
+/// A number of tasks of one class on one machine: index into `Snapshot::machines`, number of tasks.
 pub type TasksOnMachine = (usize, u32);
 
-/// Tasks of one class that could not be placed: index into `Snapshot::classes`, number of tasks.
+/// A number of tasks of one class: index into `Snapshot::classes`, number of tasks.
 pub type TasksOfClass = (usize, u32);
 
 /// A placed task: index into `Snapshot::machines`, index into that machine's `placed`.
@@ -25,18 +25,18 @@
     pub count: u32,
 }
 
-/// The reservation of the first blocked job: jobs behind it in the queue may not delay it.
+/// The reservation of the first blocked job. Jobs behind it in the queue may not delay it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reservation {
     /// Index into `Snapshot::classes`.
     pub class: usize,
-    /// Time until its machines are free, by the stated ends of the tasks on them.
+    /// Time until the reserved machines are free, by the stated ends of the tasks on them.
     pub at: Micros,
-    /// The machines, each with the number of the class's tasks it is reserved for.
+    /// The reserved machines, each with the number of the class's tasks that it is reserved for.
     pub machines: Vec<TasksOnMachine>,
 }
 
-/// The planner's decisions: its only output.
+/// The planner's decisions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     /// Tasks to start now.
@@ -45,16 +45,19 @@
     pub reservation: Option<Reservation>,
     /// Tasks to preempt.
     pub preempt: Vec<PlacedTaskIndex>,
-    /// Tasks that found no capacity, in the queue's order.
+    /// Tasks that found no capacity, in the order of the queue. For services, replicas that the quota blocks
+    /// are included.
     pub unplaced: Vec<TasksOfClass>,
-    /// Tasks of job arrays that their team's quota holds back, in the queue's order: of each team only the first
-    /// group of the queue that it holds back, and none if a service or a gang goes first.
+    /// Tasks of job arrays that their team's quota blocks, in the order of the queue. For each team only the
+    /// first blocked group of the queue is listed, and nothing if the first blocked class is a service. The
+    /// tasks of a team in `gang_blocked_by_quota` may be listed, but do not start before the next plan.
     pub blocked_by_quota: Vec<TasksOfClass>,
-    /// By team: what the plan's starts of all other work take of its quota, which is left to them.
+    /// By team: the quota taken by this plan's starts outside the group in `blocked_by_quota`. It must be
+    /// counted as used when tasks of that group start before the next plan.
     pub quota_of_other_starts: Vec<Resources>,
-    /// By machine type: whether tasks wait that headroom on it is reserved for. Lower priorities do not
-    /// start there meanwhile.
+    /// By machine type: whether tasks are waiting for which headroom on this type is reserved. Lower
+    /// priorities do not start on such machines until the next plan.
     pub contended_types: Vec<bool>,
-    /// By team: whether a gang of it is held back by its quota. Quota that comes free is left to that gang.
+    /// By team: whether the quota blocks a gang of the team. Quota that is released is left to that gang.
     pub gang_blocked_by_quota: Vec<bool>,
 }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -1,31 +1,35 @@
-//! The planner: a snapshot of the fleet goes in, decisions come out. No clock, no I/O, no lock.
+//! The planner: computes a [`Plan`] (what to start, reserve and preempt) from a [`Snapshot`] of machines,
+//! jobs and teams. It is pure code: it reads no clock, does no I/O and takes no lock.
 //!
 //! It follows "Job scheduling with adjusted runtime estimates on production supercomputers" (Tang, Desai,
-//! Buettner, Lan, 2013); sections below are those of the paper, and docs/design.md says what was added.
+//! Buettner, Lan, 2013). Section and equation numbers in this module are those of the paper; docs/design.md
+//! describes what was added to it.
 //!
-//! [`plan()`] takes the job classes one after the other, and each sees what those before it have taken:
+//! [`plan()`] plans the job classes one after the other in the order of the queue. Each class sees the
+//! capacity and quota that the classes before it have left:
 //!
-//! 1. **Queue** (`queue`): by fair share, priority and missed objectives, then by the score of Eq. 5,
-//!    (wait / adjusted run time)^3 x size. The run time of a waiting job is adjusted by its team's history
-//!    (4.2.3, `history::History::factor`).
-//! 2. **Quota** (`quota`): a team's quota bounds how many tasks of a class may start. The first gang of a
-//!    team that its quota alone holds back reserves what comes free of it.
-//! 3. **Placement**: arrays start as many tasks as fit (`arrays`), gangs start whole or not at all
-//!    (`gangs`, `gang_placement`), services place each replica where it runs soonest
+//! 1. **Queue** (`queue`): classes are ordered by fair share, priority and number of missed objectives, then
+//!    by the score of Eq. 5, (wait / adjusted run time)^3 x size. The run time of a waiting job is adjusted
+//!    by its team's history (4.2.3, `history::History::factor`).
+//! 2. **Quota** (`quota`): a team's quota limits how many tasks of a class may start. For the first gang of a
+//!    team that only the quota blocks, the quota that the team's tasks release is reserved.
+//! 3. **Placement**: job arrays start as many tasks as fit (`arrays`), gangs start all their tasks or none
+//!    (`gangs`, `gang_placement`), and services place each replica on the machine where it runs soonest
 //!    (`service_placement`, `replica_preemption`). `candidates` orders the machines (bin packing);
-//!    `eligibility`, `zone_limits` and `headroom` say which may be used.
+//!    `eligibility`, `zone_limits` and `headroom` decide which machines may be used.
 //! 4. **Reservation** (5.1, `reservation`, `availability`): the first blocked class reserves the machines
-//!    that come free first, by the *stated* ends of running tasks (selective adjustment, 5.2).
-//! 5. **Backfilling** (5.1, `PlanState::fits_now`): classes behind it start now only where, by their
-//!    *adjusted* run times, they end before the reservation or fit beside it.
-//! 6. **Preemption** (`blocked`, `preemption`): a blocked class that cannot wait for its reservation has
-//!    tasks of lower priority preempted (`preemption_rule`).
+//!    that become free first, by the *stated* ends of the running tasks (selective adjustment, 5.2).
+//! 5. **Backfill** (5.1, `PlanState::fits_now`): classes behind the reservation start now only on machines
+//!    where, by their *adjusted* run times, they end before the reservation begins or fit beside the reserved
+//!    tasks.
+//! 6. **Preemption** (`blocked`, `preemption`): if a blocked class cannot wait for its reservation, tasks of
+//!    lower priority are preempted for it (`preemption_rule`).
 //!
-//! Between two plans, `incremental_backfill` and `replica_starts` start waiting tasks on a machine that
-//! has just sent a heartbeat.
+//! Between two plans, `incremental_backfill` and `replica_starts` start waiting tasks on a machine that has
+//! just sent a heartbeat.
 //!
-//! `snapshot` and `decisions` are the planner's input and output, `resources` their amounts; `plan_state`
-//! is what is left of the snapshot while a plan is made.
+//! `snapshot` and `decisions` define the planner's input and output, and `resources` the amounts in them.
+//! `plan_state` tracks what is left of the snapshot's capacity and quotas while a plan is made.
 
 mod arrays;
 mod availability;
@@ -62,7 +66,8 @@
 use gangs::GangOutcome;
 use plan_state::PlanState;
 
-/// Decides what starts, what is reserved and what is preempted, class by class in the queue's order.
+/// Makes a plan: decides which tasks start, what is reserved and what is preempted, class by class in the
+/// order of the queue.
 pub fn plan(snapshot: &Snapshot) -> Plan {
     let mut plan = Plan::default();
     let mut state = PlanState::new(snapshot);
@@ -78,11 +83,11 @@
 }
 
 impl PlanState<'_> {
-    /// Plans one class. A class that its team's quota holds back gets no reservation here and preempts
-    /// nobody outside its team.
+    /// Plans one class. A class that only its team's quota blocks is not passed to `reserve_or_preempt`: it
+    /// preempts only tasks of its own team, and for a gang `reserve_quota` makes the reservation.
     fn plan_class(&mut self, class_index: usize, plan: &mut Plan) {
         let class = &self.snapshot.classes[class_index];
-        let unmet = if class.gang {
+        let unplaced = if class.gang {
             match self.plan_gang(class_index, plan) {
                 GangOutcome::Started => 0,
                 GangOutcome::NoCapacity => class.startable_tasks,
@@ -96,18 +101,19 @@
             self.record_blocked_by_quota(class_index, within_quota, plan);
             self.start_array(class_index, within_quota, &mut plan.starts)
         };
-        if unmet == 0 {
+        if unplaced == 0 {
             return;
         }
-        plan.unplaced.push((class_index, unmet));
+        plan.unplaced.push((class_index, unplaced));
         self.mark_contended_types(class);
-        // All that can be preempted for a service is by now; what it lacks beyond that has to be rented.
+        // `start_service` has already preempted all tasks that may be preempted for a service. The replicas
+        // that still have no machine need new machines.
         if class.replica_machines.is_none() {
             self.reserve_or_preempt(class_index, plan);
         }
     }
 
-    /// Marks the machine types on which tasks of this class wait for the headroom reserved for them.
+    /// Marks the machine types that reserve headroom for tasks like those of this class, which are waiting.
     fn mark_contended_types(&mut self, class: &JobClass) {
         for &machine_type in &class.machine_types {
             let headroom = self.snapshot.headroom_for(machine_type, false);
--- a/src/sched/plan_state.rs
+++ b/src/sched/plan_state.rs
@@ -1,5 +1,5 @@
-//! The state of planning: the snapshot, and what is left of free capacity, quotas and zones while the
-//! plan is made.
+//! The state of planning: the snapshot, and the free capacity, quotas and zone allowances that are left while
+//! the plan is made.
 
 use std::collections::BTreeSet;
 
@@ -12,69 +12,72 @@
 use super::zone_limits;
 use crate::time::Micros;
 
-/// The state of planning. Classes are planned one after the other; each sees what those before it in the
-/// queue have taken.
+/// The state of planning. Classes are planned one after the other; each sees what the classes before it in
+/// the queue have left.
 pub(super) struct PlanState<'a> {
-    /// What is planned for.
+    /// The snapshot that the plan is made for.
     pub(super) snapshot: &'a Snapshot,
-    /// By machine: free resources.
+    /// By machine: free resources, without those that this plan's starts take.
     pub(super) free: Vec<Resources>,
-    /// By machine: resources that lower priorities may still take beside the headroom reserved there;
-    /// none where no headroom is kept free.
+    /// By machine: resources that lower priorities may still take without using the headroom reserved there;
+    /// `None` where no headroom is kept free.
     pub(super) free_beside_headroom: Vec<Option<Resources>>,
-    /// By team: its use, including what this plan starts.
+    /// By team: its resource use and quota, including what this plan starts.
     pub(super) team_uses: Vec<TeamUse>,
-    /// By machine of the reservation: what is free when the reservation begins, besides what the reserved
-    /// class takes. None for all other machines.
+    /// By machine of the reservation: what is free when the reservation begins, beyond what the reserved
+    /// tasks take. `None` for all other machines.
     pub(super) free_at_reservation: Vec<Option<Resources>>,
-    /// When the reservation begins.
+    /// Time until the reservation begins.
     pub(super) reserved_at: Micros,
-    /// By class: its tasks in each zone, including what this plan starts.
+    /// By class: number of its tasks in each zone, including those that this plan starts.
     pub(super) tasks_by_zone: Vec<Vec<u32>>,
-    /// By machine type: whether tasks wait that headroom on it is reserved for. Lower priorities do not
-    /// start there now.
+    /// By machine type: whether tasks are waiting for which headroom on this type is reserved. Lower
+    /// priorities do not start on such machines now.
     pub(super) contended_types: Vec<bool>,
-    /// By machine: whether this plan preempts tasks on it for a class.
+    /// By machine: whether this plan preempts tasks on it to make room for a class.
     pub(super) has_preemptions: Vec<bool>,
     /// Tasks that this plan preempts for replicas.
     pub(super) preempted_for_replicas: BTreeSet<PlacedTaskIndex>,
-    /// By machine: what this plan has given to replicas, which do not end.
+    /// By machine: resources of the replicas that this plan starts. Unlike other tasks, replicas do not end
+    /// by themselves.
     pub(super) started_replica_use: Vec<Resources>,
-    /// By team: the part of its quota that is reserved for its first gang that the quota holds back.
+    /// By team: the part of its quota that is reserved for its first gang blocked by the quota, if that gang
+    /// finds capacity.
     pub(super) quota_reservations: Vec<Option<QuotaReservation>>,
-    /// By team: whether a gang of it is held back by its quota, whether it finds capacity or not.
+    /// By team: whether the quota blocks a gang of the team. It does not matter whether the gang would find
+    /// capacity.
     pub(super) gang_blocked_by_quota: Vec<bool>,
-    /// By team: the first group of the queue that its quota holds back.
+    /// By team: the first group of the queue that the team's quota blocks.
     pub(super) first_blocked_by_quota: Vec<Option<QuotaBlockedGroup>>,
-    /// By team: when the tasks that this plan starts give their quota back.
+    /// By team: when the tasks that this plan starts will end and release their quota.
     pub(super) planned_releases: Vec<Vec<QuotaRelease>>,
 }
 
-/// What a gang that is held back by its team's quota alone reserves of that quota, so that the
-/// team's lower jobs do not take what comes free of it first.
+/// The part of a team's quota reserved for a gang that is blocked by this quota alone. Without the
+/// reservation, jobs of the team that are later in the queue would take any quota that is released.
 #[derive(Clone, Copy)]
 pub(super) struct QuotaReservation {
     /// Resources that each of the gang's tasks takes.
     pub(super) need: Resources,
     /// Number of the gang's tasks.
     pub(super) count: u32,
-    /// Time until the quota lets the gang start, by the ends of the team's tasks.
+    /// Time until enough tasks of the team have ended for the quota to let the gang start.
     pub(super) at: Micros,
 }
 
-/// A group of the queue that a team's quota holds back.
+/// A group of the queue that a team's quota blocks.
 pub(super) struct QuotaBlockedGroup {
     /// The group.
     pub(super) group: QueueGroup,
-    /// Whether its first class is a service.
+    /// Whether the first blocked class of the group is a service.
     pub(super) is_service: bool,
 }
 
-/// Tasks whose end gives quota back: placed ones end by their stated run time, those that this plan starts
-/// by their adjusted one.
+/// Tasks that release quota when they end. For tasks that are already placed the stated end counts, for tasks
+/// that this plan starts the end by their adjusted run time.
 #[derive(Clone, Copy)]
 pub(super) struct QuotaRelease {
-    /// Time until then.
+    /// Time until the tasks end.
     pub(super) at: Micros,
     /// Resources that each of the tasks takes.
     pub(super) need: Resources,
@@ -83,7 +86,7 @@
 }
 
 impl<'a> PlanState<'a> {
-    /// Nothing planned yet.
+    /// The state before any class is planned.
     pub(super) fn new(snapshot: &'a Snapshot) -> PlanState<'a> {
         let machine_count = snapshot.machines.len();
         let team_count = snapshot.teams.len();
@@ -106,7 +109,7 @@
         }
     }
 
-    /// How many tasks of the class could start on the machine now.
+    /// How many tasks of the class could start on the machine now. Quotas and zone limits are not considered.
     pub(super) fn fits_now(&self, class: &JobClass, machine_index: usize) -> u32 {
         let machine = &self.snapshot.machines[machine_index];
         if !machine.accepts_starts || !may_use(class, machine) || lacks_awaited_image(class, machine) {
@@ -125,13 +128,14 @@
             return 0;
         }
         match &self.free_at_reservation[machine_index] {
-            // It would still run when the reserved job starts: it may take only what that job leaves.
+            // The tasks would still run when the reserved class starts, so they may take only what that class
+            // leaves.
             Some(free) if ends_in > self.reserved_at => count.min(free.fits(&class.need)),
             _ => count,
         }
     }
 
-    /// Takes capacity of the machine and quota of the team for tasks of the class.
+    /// Takes capacity on the machine and quota of the team for `count` tasks of the class.
     pub(super) fn allocate(&mut self, class_index: usize, machine_index: usize, count: u32) {
         let class = &self.snapshot.classes[class_index];
         let machine = &self.snapshot.machines[machine_index];
@@ -151,13 +155,13 @@
             self.planned_releases[class.team].push(release);
         }
         if class.replica_machines.is_some() {
-            let given = &mut self.started_replica_use[machine_index];
-            *given = given.plus(&class.need, count);
+            let replica_use = &mut self.started_replica_use[machine_index];
+            *replica_use = replica_use.plus(&class.need, count);
         }
         self.tasks_by_zone[class_index][machine.zone] += count;
     }
 
-    /// How many more tasks of the class may go to the machine's zone.
+    /// How many more tasks of the class may be placed in the machine's zone.
     pub(super) fn zone_allowance(&self, class_index: usize, machine_index: usize) -> u32 {
         let class = &self.snapshot.classes[class_index];
         let zone = self.snapshot.machines[machine_index].zone;
