--- a/src/sched/arrays.rs
+++ b/src/sched/arrays.rs
@@ -1,10 +1,10 @@
-//! Job arrays: independent tasks, of which as many start as there is free capacity for.
+//! Job arrays: independent tasks, of which as many start as fit the free capacity.
 
 use super::decisions::Start;
 use super::plan_state::PlanState;
 
 impl PlanState<'_> {
-    /// Starts as many of so many tasks of an array as possible; returns how many found no capacity.
+    /// Starts up to `tasks` tasks of an array, as far as capacity allows; returns how many found no capacity.
     pub(super) fn start_array(&mut self, class_index: usize, tasks: u32, starts: &mut Vec<Start>) -> u32 {
         let class = &self.snapshot.classes[class_index];
         let mut waiting = tasks;
--- a/src/sched/candidates.rs
+++ b/src/sched/candidates.rs
@@ -1,4 +1,4 @@
-//! Bin packing: which of the machines that have free capacity a class takes first.
+//! Bin packing: the order in which a class uses the machines that have free capacity.
 
 use super::eligibility::start_delay;
 use super::plan_state::PlanState;
@@ -7,20 +7,21 @@
 use crate::time::Micros;
 use crate::wire::Priority;
 
-/// A machine that could take tasks of a class. Candidates compare by their fields in this order, and the
-/// least is the best. Within a step of delay, cheap machines go before expensive ones, small ones before
-/// large ones and full ones before empty ones, so that machines become empty and can be returned.
+/// A machine on which tasks of a class fit. Candidates compare by their fields in the order of declaration,
+/// and the smallest one is the best. If start delays are equal, cheap machines go before expensive ones,
+/// small before large, and those with little free capacity before those with much. So machines become empty
+/// and can be returned to the cloud.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MachineCandidate {
-    /// Whether headroom on it is reserved for tasks of a higher priority.
-    reserved_for_others: bool,
-    /// Time until a task would run there, in steps within which delays count as alike.
+    /// Whether headroom on the machine is reserved for tasks of a higher priority.
+    reserved_for_higher_priority: bool,
+    /// Start delay in whole steps; delays within the same step count as equal.
     delay_steps: i64,
-    /// Its price per processor.
+    /// Price per processor and hour, in thousandths of the currency unit.
     cpu_price: i64,
-    /// All its processors, in tenths.
+    /// All processors of the machine, in tenths.
     total_tenths: i64,
-    /// Its free processors, in tenths.
+    /// Free processors of the machine, in tenths.
     free_tenths: i64,
     /// Index into `Snapshot::machines`.
     machine: usize,
@@ -38,7 +39,8 @@
         candidates.into_iter().map(|candidate| candidate.machine).collect()
     }
 
-    /// The step within which delays count as alike: heartbeats come every few seconds anyway.
+    /// The step in which start delays are compared. Smaller differences do not matter, since heartbeats are
+    /// seconds apart.
     fn delay_step(&self, priority: Priority) -> Micros {
         match priority {
             Priority::Idle => self.snapshot.low_priority_delay_step,
@@ -46,10 +48,11 @@
         }
     }
 
+    /// The machine as a candidate for the class, with delays in units of `step`.
     fn candidate(&self, class: &JobClass, machine_index: usize, step: Micros) -> MachineCandidate {
         let machine = &self.snapshot.machines[machine_index];
         MachineCandidate {
-            reserved_for_others: self.snapshot.is_below_reserved_priority(class, machine),
+            reserved_for_higher_priority: self.snapshot.is_below_reserved_priority(class, machine),
             delay_steps: start_delay(class, machine).0 / step.0.max(1),
             cpu_price: machine.cpu_price,
             total_tenths: cpu_tenths(machine.total.cpus),
--- a/src/sched/gang_placement.rs
+++ b/src/sched/gang_placement.rs
@@ -1,13 +1,13 @@
-//! Gang scheduling: where all tasks of a gang go together.
+//! Gang scheduling: choosing the machines on which all tasks of a gang start together.
 
 use super::decisions::TasksOnMachine;
 use super::plan_state::PlanState;
 use super::zone_limits::zone_allowance;
 
 impl PlanState<'_> {
-    /// Places what a blocked class waits for: the whole gang, or one task of an array. `machines` are the
-    /// indices of the machines to use, best first; `fits` says how many tasks a machine takes. None if
-    /// it does not fit.
+    /// Places what a blocked class needs in order to start: the whole gang, or one task of an array.
+    /// `machines` are the indices of the machines to use, best first; `fits` returns how many tasks fit on a
+    /// machine. `None` if the tasks do not fit.
     pub(super) fn place_blocked(
         &self,
         class_index: usize,
@@ -17,12 +17,13 @@
         if self.snapshot.classes[class_index].gang {
             return self.place_gang(class_index, machines, fits);
         }
-        let takes_one = |machine: usize| fits(machine) > 0 && self.zone_allowance(class_index, machine) > 0;
-        let first = machines.iter().copied().find(|&machine| takes_one(machine))?;
+        let fits_one = |machine: usize| fits(machine) > 0 && self.zone_allowance(class_index, machine) > 0;
+        let first = machines.iter().copied().find(|&machine| fits_one(machine))?;
         Some(vec![(first, 1)])
     }
 
-    /// Places a whole gang, or nothing; see `place_blocked`.
+    /// Places all tasks of a gang or none, with the arguments of `place_blocked`. A gang that must be in one
+    /// zone is placed in the first zone that all its tasks fit into.
     pub(super) fn place_gang(
         &self,
         class_index: usize,
@@ -36,7 +37,7 @@
         zones.find_map(|zone| self.place_gang_in(class_index, Some(zone), machines, fits))
     }
 
-    /// Places a whole gang in one zone, or in any if `only_zone` is none.
+    /// Places all tasks of a gang or none, in the zone `only_zone`, or in any zones if it is `None`.
     fn place_gang_in(
         &self,
         class_index: usize,
--- a/src/sched/reservation.rs
+++ b/src/sched/reservation.rs
@@ -1,5 +1,5 @@
-//! The reservation of backfilling (paper, 5.1): when and where the first blocked job starts, by the
-//! stated ends of the tasks that run.
+//! The reservation of backfill scheduling (paper, 5.1): when and on which machines the first blocked job
+//! starts, by the stated ends of the running tasks.
 
 use super::decisions::{Reservation, TasksOnMachine};
 use super::eligibility::may_use;
@@ -7,7 +7,7 @@
 use crate::time::Micros;
 
 impl PlanState<'_> {
-    /// Reserves the machines where the class can start first; none if it can start nowhere.
+    /// Reserves the machines on which the class can start first; `None` if it cannot start on any.
     pub(super) fn reserve(&mut self, class_index: usize) -> Option<Reservation> {
         let class = &self.snapshot.classes[class_index];
         let machines = self.reservable_machines(class_index);
@@ -17,7 +17,8 @@
         Some(self.reserve_machines(class_index, at, places))
     }
 
-    /// The machines that last and on which a task of the class would fit if they were empty.
+    /// The machines that may be reserved for the class: those that a task would fit if they were empty and
+    /// that have no interruption notice.
     fn reservable_machines(&self, class_index: usize) -> Vec<usize> {
         let class = &self.snapshot.classes[class_index];
         let is_reservable = |machine_index: &usize| {
@@ -28,7 +29,7 @@
         (0..self.snapshot.machines.len()).filter(is_reservable).collect()
     }
 
-    /// Reserves machines for the class from a time on.
+    /// Reserves machines for the class from the time `at`.
     pub(super) fn reserve_machines(
         &mut self,
         class_index: usize,
