--- a/src/sched/blocked.rs
+++ b/src/sched/blocked.rs
@@ -1,15 +1,17 @@
-//! What a blocked class gets: the reservation, or capacity that others are preempted from.
+//! Blocked classes: a class that does not find enough capacity gets the reservation, or tasks are preempted
+//! for it.
 
 use super::decisions::Plan;
 use super::plan_state::PlanState;
 
 impl PlanState<'_> {
-    /// Reserves machines for a blocked class if no class has a reservation yet, and preempts others for it
-    /// if it cannot wait that long.
+    /// Reserves machines for a blocked class if no class has a reservation yet. If the class cannot wait
+    /// until the reservation begins, or gets none, preempts tasks for it.
     pub(super) fn reserve_or_preempt(&mut self, class_index: usize, plan: &mut Plan) {
         let class = &self.snapshot.classes[class_index];
         if plan.reservation.is_some() || !self.snapshot.reserve {
-            // Not the first blocked class, but it cannot wait either: each finds machines of its own.
+            // Another class has the reservation, or reservations are turned off. If this class cannot wait,
+            // tasks are preempted for it on machines where this plan preempts none yet.
             if class.preempt_after.0 <= 0 {
                 plan.preempt.extend(self.preempt(class_index));
             }
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -8,25 +8,26 @@
 use super::snapshot::{JobClass, MachineSnapshot};
 use crate::time::Micros;
 
-/// Lower bound of the processors of a task when the time to fetch its image is counted as lost work.
-const LEAST_COUNTED_CPUS: f64 = 0.1;
+/// Lower bound of the processors of a task where the time to fetch its image is counted as lost work.
+const MIN_COUNTED_CPUS: f64 = 0.1;
 
-/// A machine that the class can have, and what is preempted for that. Options compare by their fields in
-/// this order, and the least is the best.
+/// A machine on which tasks of the class fit after preemption. Options compare by their fields in the order
+/// of declaration, and the smallest one is the best.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionOption {
-    /// Work lost, in processor time, including the time to fetch the class's image.
+    /// Lost work in processor time: that of the preempted tasks, and the time to fetch the class's image.
     lost_work: Micros,
     /// Index into `Snapshot::machines`.
     machine: usize,
     /// Tasks to preempt, as indices into the machine's `placed`.
     victims: Vec<usize>,
-    /// How many tasks of the class fit afterwards.
+    /// How many tasks of the class fit after the preemption.
     fits: u32,
 }
 
 impl PlanState<'_> {
-    /// Tasks to preempt so that the class can start, where the least work is lost.
+    /// The tasks to preempt so that the class can start, chosen where the least work is lost. Empty if
+    /// preemption does not make enough room.
     pub(super) fn preempt(&mut self, class_index: usize) -> Vec<PlacedTaskIndex> {
         let class = &self.snapshot.classes[class_index];
         let machine_count = self.snapshot.machines.len();
@@ -49,7 +50,8 @@
         preempted
     }
 
-    /// What is preempted on a machine for at least one task of the class to fit; none if it cannot.
+    /// What has to be preempted on a machine so that at least one task of the class fits. `None` if no task
+    /// would fit.
     fn preemption_option(&self, class: &JobClass, machine_index: usize) -> Option<PreemptionOption> {
         let machine = &self.snapshot.machines[machine_index];
         if !machine.accepts_starts || machine.reclaimed_in.is_some() || self.has_preemptions[machine_index] {
@@ -58,8 +60,8 @@
         if !may_use(class, machine) || lacks_awaited_image(class, machine) {
             return None;
         }
-        let mut free = with_stopping_ended(machine, self.free[machine_index]);
-        let counted_cpus = class.need.cpus.max(LEAST_COUNTED_CPUS);
+        let mut free = free_without_stopping(machine, self.free[machine_index]);
+        let counted_cpus = class.need.cpus.max(MIN_COUNTED_CPUS);
         let mut lost_work = Micros::from_secs(fetch_seconds(class, machine) * counted_cpus);
         let mut victims = Vec::new();
         if free.fits(&class.need) == 0 {
@@ -78,7 +80,7 @@
 }
 
 /// What is free on the machine once the tasks that are being stopped have ended.
-fn with_stopping_ended(machine: &MachineSnapshot, free: Resources) -> Resources {
+fn free_without_stopping(machine: &MachineSnapshot, free: Resources) -> Resources {
     let stopping = machine.placed.iter().filter(|task| task.stopping);
     stopping.fold(free, |free, task| free.plus(&task.need, 1))
 }
--- a/src/sched/resources.rs
+++ b/src/sched/resources.rs
@@ -1,10 +1,10 @@
 //! Amounts of processors, GPUs and memory, and how many tasks fit into them.
 
-/// Amounts below this count as nothing. Sums of floating-point amounts are off by less.
+/// Amounts below this count as zero. Rounding errors in sums of floating-point amounts are smaller.
 pub(super) const NEGLIGIBLE: f64 = 1e-6;
 
-/// Upper bound of a count of tasks that is computed from amounts.
-const MOST_TASKS: f64 = 1e9;
+/// Upper bound of a number of tasks computed from amounts.
+const MAX_TASKS: f64 = 1e9;
 
 /// Resources that a task takes or a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -18,14 +18,14 @@
 }
 
 impl Resources {
-    /// How many tasks that each take `task` fit into this.
+    /// How many tasks that each take the resources `task` fit into these resources.
     pub fn fits(&self, task: &Resources) -> u32 {
         count_within(self.cpus, task.cpus)
             .min(count_within(self.gpus, task.gpus))
             .min(count_within(self.memory, task.memory))
     }
 
-    /// This minus `count` tasks that each take `task`.
+    /// These resources without those of `count` tasks that each take `task`.
     pub fn minus(&self, task: &Resources, count: u32) -> Resources {
         let count = f64::from(count);
         Resources {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// This plus `count` tasks that each take `task`.
+    /// These resources and those of `count` tasks that each take `task`.
     pub fn plus(&self, task: &Resources, count: u32) -> Resources {
         let count = f64::from(count);
         Resources {
@@ -46,17 +46,17 @@
     }
 }
 
-/// How many tasks that each take `per_task` fit into the amount `available`; without limit if a task
-/// takes nothing.
+/// How many tasks that each take `per_task` fit into the amount `available`; `u32::MAX` if a task takes
+/// nothing.
 pub(super) fn count_within(available: f64, per_task: f64) -> u32 {
     if per_task <= NEGLIGIBLE {
         return u32::MAX;
     }
-    ((available + NEGLIGIBLE) / per_task).floor().clamp(0.0, MOST_TASKS) as u32
+    ((available + NEGLIGIBLE) / per_task).floor().clamp(0.0, MAX_TASKS) as u32
 }
 
-/// Processors in whole tenths, truncated: machines are ordered by this, so that tiny differences of
-/// free capacity do not decide.
+/// Processors in whole tenths, truncated. Machines are compared by these, so that tiny differences in free
+/// capacity do not decide.
 pub(super) fn cpu_tenths(cpus: f64) -> i64 {
     (cpus * 10.0) as i64
 }
--- a/src/sched/zone_limits.rs
+++ b/src/sched/zone_limits.rs
@@ -1,10 +1,11 @@
-//! How many tasks of a class may go to a zone.
+//! Zone limits: how many tasks of a class may be placed in a zone.
 
 use super::snapshot::JobClass;
 
-/// How many more tasks of the class may be placed in the zone, when `tasks_by_zone` are placed already.
+/// How many more tasks of the class may be placed in the zone, given the number of its tasks already placed
+/// in each zone (`tasks_by_zone`). `u32::MAX` if the zone is not limited.
 pub(super) fn zone_allowance(class: &JobClass, tasks_by_zone: &[u32], zone: usize) -> u32 {
-    if class.one_zone && has_tasks_elsewhere(tasks_by_zone, zone) {
+    if class.one_zone && has_tasks_in_other_zones(tasks_by_zone, zone) {
         return 0;
     }
     if class.spread {
@@ -14,12 +15,12 @@
     u32::MAX
 }
 
-/// Half of the tasks of the class, rounded up: the most of a spread job in one zone.
+/// Half of the class's tasks, rounded up: the most tasks that a job with `spread` may have in one zone.
 pub(super) fn half_of_tasks(class: &JobClass) -> u32 {
     class.tasks.div_ceil(2)
 }
 
-/// Whether any zone but this one has tasks.
-fn has_tasks_elsewhere(tasks_by_zone: &[u32], zone: usize) -> bool {
+/// Whether any other zone has tasks.
+fn has_tasks_in_other_zones(tasks_by_zone: &[u32], zone: usize) -> bool {
     tasks_by_zone.iter().enumerate().any(|(other, &count)| other != zone && count > 0)
 }
