--- a/src/capacity/gangs.rs
+++ b/src/capacity/gangs.rs
@@ -1,49 +1,51 @@
-//! Scale out for gangs: machines for the tasks of gangs that find no place soon.
+//! Scale out for gangs: adds machines for tasks of gangs that will not find capacity soon.
 
 use super::offers::scale_out_for_tasks;
 use super::{Autoscaler, ScaleOutItem};
 use crate::sched::{may_use, JobClass, MachineSnapshot};
 use crate::time::Micros;
 
-/// When a machine has capacity for one more task of a gang. Slots compare by their fields in this order.
+/// Capacity on a machine for one more task of a gang. Slots compare by their fields in the order of
+/// declaration.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct GangSlot {
-    /// Time from now until the capacity is free.
+    /// Time until the capacity is free.
     at: Micros,
     /// Index into `Snapshot::machines`.
     machine: usize,
 }
 
 impl Autoscaler<'_> {
-    /// Scales out for the tasks of gangs that find no machine soon, by the stated ends of the running
-    /// tasks.
+    /// Adds machines for the tasks of gangs that will not find capacity on existing machines soon, by the
+    /// stated ends of the running tasks.
     pub(super) fn scale_out_for_gangs(&self, scale_out: &mut Vec<ScaleOutItem>) {
         let mut used_slots = vec![0u32; self.snapshot.machines.len()];
-        for &(class_index, unmet) in &self.plan.unplaced {
+        for &(class_index, unplaced) in &self.plan.unplaced {
             let class = &self.snapshot.classes[class_index];
             if !class.gang {
                 continue;
             }
             let offers = self.fitting_offers(class);
             let boot_s = offers.first().map(|best| self.types[best.offer.type_index].boot_s);
-            let boot = boot_s.map_or(Micros::ZERO, Micros::from_secs);
-            let mut found = 0u32;
-            for GangSlot { at, machine } in self.gang_slots(class, &used_slots, unmet) {
-                // That a slot frees soon, by stated ends, counts only while the gang can still wait:
-                // stated times may be too short.
-                let is_free_soon = at <= boot && class.preempt_after.0 > 0;
-                if found < unmet && (is_free_soon || self.machine_status[machine].booting) {
+            let boot_time = boot_s.map_or(Micros::ZERO, Micros::from_secs);
+            let mut covered = 0u32;
+            for GangSlot { at, machine } in self.gang_slots(class, &used_slots, unplaced) {
+                // A slot that will be free before a new machine has booted counts only while the gang can
+                // still wait, because stated run times may be too short.
+                let is_free_soon = at <= boot_time && class.preempt_after.0 > 0;
+                if covered < unplaced && (is_free_soon || self.machine_status[machine].booting) {
                     used_slots[machine] += 1;
-                    found += 1;
+                    covered += 1;
                 }
             }
-            // Machines that this round adds for an earlier class do not count: that class will use them.
-            scale_out_for_tasks(scale_out, unmet - found, offers.first());
+            // Machines added in this round for an earlier class are not counted, since that class will use
+            // them.
+            scale_out_for_tasks(scale_out, unplaced - covered, offers.first());
         }
     }
 
-    /// When each machine has capacity for tasks of a gang, soonest first: one slot for each task beyond
-    /// those in `used_slots`, at most `max_slots` to a machine.
+    /// The slots for tasks of a gang on each machine, soonest first. The slots counted in `used_slots` are
+    /// left out, and each machine has at most `max_slots` others.
     fn gang_slots(&self, class: &JobClass, used_slots: &[u32], max_slots: u32) -> Vec<GangSlot> {
         let mut slots = Vec::new();
         for (index, machine) in self.snapshot.machines.iter().enumerate() {
@@ -60,8 +62,8 @@
     }
 }
 
-/// When a machine has capacity for its slots from `used` to before `last`, by the stated ends of the
-/// tasks on it.
+/// Times until a machine's slots with numbers from `used` up to, but not including, `last` are free, by the
+/// stated ends of the tasks on it.
 fn slot_times(class: &JobClass, machine: &MachineSnapshot, used: u32, last: u32) -> Vec<Micros> {
     if used >= last {
         return Vec::new();
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -1,6 +1,6 @@
-//! Autoscaling: which machines to add (scale out) and which idle ones to remove (scale in). Pure, like
-//! the planner: it reads the plan's unmet tasks and the state of the machines and returns a decision;
-//! others send it to the cloud.
+//! Autoscaling: which machines to add (scale out) and which idle machines to remove (scale in). It is pure
+//! code like the planner: it reads the plan's unplaced tasks and the state of the machines, and returns a
+//! decision. The caller sends the requests to the cloud.
 //!
 //! - `offers`: which cloud offers fit a class, cheapest per task first.
 //! - `gangs`, `arrays`, `services`: scale out for each kind of waiting work.
@@ -16,98 +16,101 @@
 use crate::time::Micros;
 use crate::wire::MachineType;
 
-/// What scaling needs to know of a machine beyond the planner's snapshot. Indexed like
-/// `Snapshot::machines`.
+/// What autoscaling needs to know about a machine beyond the planner's snapshot. Slices of it are indexed
+/// like `Snapshot::machines`.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineStatus {
-    /// Time since the machine was requested from the cloud, as far as known.
+    /// Time since the machine was requested from the cloud, as far as this is known.
     pub age: Micros,
-    /// How long it has had no task; `None` while it has one or is booting.
+    /// How long the machine has had no task; `None` while it has one or is booting.
     pub idle: Option<Micros>,
-    /// Whether it is still booting.
+    /// Whether the machine is still booting.
     pub booting: bool,
 }
 
-/// A cloud offer: a machine type in a zone, on demand or spot.
+/// A cloud offer: machines of one type in one zone, either on demand or spot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineOffer {
     /// Index into the machine types.
     pub type_index: usize,
     /// Index into the zones.
     pub zone: usize,
-    /// Whether the machine is a spot (preemptible) instance.
+    /// Whether the machines are spot instances.
     pub spot: bool,
 }
 
 /// Machines of one offer to add.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScaleOutItem {
-    /// The offer to take them from.
+    /// The offer of the machines.
     pub offer: MachineOffer,
-    /// How many machines.
+    /// Number of machines.
     pub count: u32,
 }
 
 /// Settings of scale out and scale in.
 #[derive(Clone, Copy, Debug)]
 pub struct ScalingPolicy {
-    /// Waiting array work should drain within this time once new machines are up.
+    /// Time within which waiting array work should be done once new machines are up.
     pub drain_time: Micros,
     /// Idle time after which a machine is removed.
     pub idle_timeout: Micros,
-    /// The idle timeout of machine types that have a warm pool.
+    /// Idle timeout for machine types that have a warm pool.
     pub warm_idle_timeout: Micros,
-    /// The idle timeout of machine types on which more jobs with deadlines are expected.
+    /// Idle timeout for machine types on which more jobs with deadlines are expected.
     pub deadline_idle_timeout: Micros,
-    /// A machine that boots for longer than this many times its type's nominal boot time is no
-    /// longer counted on.
+    /// A machine that has been booting for longer than this factor times its type's nominal boot time is no
+    /// longer counted as capacity.
     pub max_boot_factor: f64,
 }
 
-/// Machines of a type that stay up though idle, so that urgent work need not wait for a boot.
+/// Machines of a type that are kept although they are idle, so that urgent work need not wait for a boot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WarmPool {
-    /// How many machines stay.
+    /// Number of machines to keep.
     pub count: usize,
-    /// Whether the jobs they stay for may use spot machines; if not, spot machines do not count.
+    /// Whether the jobs that the machines are kept for may use spot instances. If not, spot instances do not
+    /// count towards the pool.
     pub spot: bool,
 }
 
-/// Everything scale out and scale in decide from. Slices by machine are indexed like
-/// `Snapshot::machines`, slices by type like `types`.
+/// All inputs of scale out and scale in. Slices by machine are indexed like `Snapshot::machines`, slices by
+/// type like `types`.
 pub struct Autoscaler<'a> {
     /// The planner's snapshot.
     pub snapshot: &'a Snapshot,
-    /// The plan made from it; its unmet tasks are what scale out is for.
+    /// The plan made from the snapshot. Scale out adds machines for its unplaced tasks.
     pub plan: &'a Plan,
-    /// By machine: its age and use.
+    /// By machine: its age and idle time.
     pub machine_status: &'a [MachineStatus],
     /// The machine types.
     pub types: &'a [MachineType],
     /// By type: indices of the zones that offer it.
     pub zones: &'a [Vec<usize>],
-    /// Offers that the cloud refused recently; they are not requested again yet.
+    /// Offers from which no machines are requested for now, because the cloud refused them recently or
+    /// because their zone is partitioned.
     pub refused: &'a [MachineOffer],
     /// By type: the warm pool.
     pub warm_pools: &'a [WarmPool],
     /// By type: whether more jobs with deadlines are expected on it.
     pub deadline_jobs_expected: &'a [bool],
-    /// Settings.
+    /// Settings of scale out and scale in.
     pub policy: ScalingPolicy,
 }
 
 /// Which machines to add and which to remove.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ScalingDecision {
-    /// Machines to add, at most one entry per offer.
+    /// Machines to add, at most one item for each offer.
     pub scale_out: Vec<ScaleOutItem>,
-    /// Indices into `Snapshot::machines` of the machines to remove, most expensive first.
+    /// Indices into `Snapshot::machines` of the machines to remove, those with the highest price per
+    /// processor first.
     pub scale_in: Vec<usize>,
 }
 
 impl Autoscaler<'_> {
-    /// Which machines to add and which to remove. Gangs go first, then arrays, then services: the
-    /// order in which their scale-outs are merged into one list.
+    /// Decides which machines to add and which to remove. In the scale-out list, machines for gangs come
+    /// first, then those for arrays, then those for services.
     pub fn decide(&self) -> ScalingDecision {
         let mut scale_out = Vec::new();
         self.scale_out_for_gangs(&mut scale_out);
@@ -116,7 +119,8 @@
         ScalingDecision { scale_out, scale_in: self.scale_in() }
     }
 
-    /// Whether a machine can be counted on: it is up, or it boots no longer than the policy allows.
+    /// Whether a machine counts as capacity: it is up, or it has not been booting for longer than the policy
+    /// allows.
     fn is_reliable(&self, machine: usize) -> bool {
         let nominal_boot_s = self.types[self.snapshot.machines[machine].machine_type].boot_s;
         let status = &self.machine_status[machine];
--- a/src/capacity/offers.rs
+++ b/src/capacity/offers.rs
@@ -1,20 +1,20 @@
-//! Cloud offers on whose machines tasks of a class fit, and adding machines to the scale-out list.
+//! Cloud offers whose machines fit tasks of a class, and adding machines to the scale-out list.
 
 use super::{Autoscaler, MachineOffer, ScaleOutItem};
 use crate::sched::{JobClass, Resources};
 
-/// An offer on whose machines tasks of a class fit.
+/// An offer whose machines fit tasks of a class.
 pub(super) struct FittingOffer {
     /// The offer.
     pub(super) offer: MachineOffer,
-    /// Price an hour for each task that fits.
+    /// Price per hour of a machine, divided by the number of tasks that fit on it.
     pub(super) task_price: f64,
-    /// How many tasks fit on a machine.
+    /// How many tasks of the class fit on one machine.
     pub(super) tasks_per_machine: u32,
 }
 
 impl Autoscaler<'_> {
-    /// Offers for a class, cheapest per task first.
+    /// The offers that fit a class, cheapest per task first.
     pub(super) fn fitting_offers(&self, class: &JobClass) -> Vec<FittingOffer> {
         let mut offers: Vec<FittingOffer> = Vec::new();
         for &type_index in &class.machine_types {
@@ -52,7 +52,8 @@
     }
 }
 
-/// Adds machines to the scale-out list, merged with an entry of the same offer.
+/// Adds machines to the scale-out list. If the list already has an item of the same offer, increases its
+/// count.
 pub(super) fn add_scale_out(scale_out: &mut Vec<ScaleOutItem>, item: ScaleOutItem) {
     match scale_out.iter_mut().find(|other| other.offer == item.offer) {
         Some(other) => other.count += item.count,
@@ -60,7 +61,7 @@
     }
 }
 
-/// Adds as many machines of the best offer as `tasks` tasks need; nothing without an offer.
+/// Adds as many machines of the offer `best` as `tasks` tasks need; does nothing without an offer.
 pub(super) fn scale_out_for_tasks(
     scale_out: &mut Vec<ScaleOutItem>,
     tasks: u32,
--- a/src/capacity/services.rs
+++ b/src/capacity/services.rs
@@ -1,20 +1,20 @@
-//! Scale out for services: whole machines for replicas that found no place.
+//! Scale out for services: adds whole machines for replicas that no machine has capacity for.
 
 use super::offers::scale_out_for_tasks;
 use super::{Autoscaler, ScaleOutItem};
 use crate::sched::{may_use, Resources};
 
 impl Autoscaler<'_> {
-    /// Scales out for replicas that found no place: whole machines, on-demand ones if they are offered,
-    /// since a replica outlives most spot machines.
+    /// Adds whole machines for unplaced replicas. On-demand machines are preferred if they are offered, since
+    /// a replica runs longer than most spot instances last.
     pub(super) fn scale_out_for_services(&self, scale_out: &mut Vec<ScaleOutItem>) {
         let mut booting_capacity = self.booting_capacity();
-        for &(class_index, unmet) in &self.plan.unplaced {
+        for &(class_index, unplaced) in &self.plan.unplaced {
             let class = &self.snapshot.classes[class_index];
             if class.replica_machines.is_none() {
                 continue;
             }
-            let mut missing = unmet;
+            let mut missing = unplaced;
             for (index, machine) in self.snapshot.machines.iter().enumerate() {
                 if !may_use(class, machine) {
                     continue;
@@ -30,8 +30,8 @@
         }
     }
 
-    /// By machine: its free capacity if it is booting and can be counted on, else nothing. What is up
-    /// the planner has filled already.
+    /// By machine: its free capacity if it is booting and counts as capacity, otherwise nothing. The planner
+    /// has already filled the machines that are up.
     fn booting_capacity(&self) -> Vec<Resources> {
         let machines = self.snapshot.machines.iter().enumerate();
         machines
