--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -71,7 +71,7 @@
     lease: Micros,
     /// Time after the failover by which every lease that an earlier leader granted has expired.
     earlier_leases_end_after: Micros,
-    /// This long after the failover unacknowledged machines are scaled in.
+    /// Time after the failover at which unacknowledged machines are scaled in.
     unacknowledged_timeout: Micros,
     heartbeat_interval: Micros,
     /// By zone, whether few machines are silent, so that neither the zone nor this leader is partitioned.
@@ -156,8 +156,8 @@
         machine.scaling_in = true;
     }
 
-    /// Marks a machine for scale in that reported to an earlier leader, but has sent this leader no heartbeat
-    /// although it has long been known.
+    /// Marks a machine for scale in that has replied to a direct command, and so should have sent a heartbeat
+    /// soon afterwards, but has sent none for too long.
     fn scale_in_without_heartbeat(&self, machine: &mut Machine) {
         if self.now - machine.known_since > self.lease + PARTITION_GRACE {
             tracing::info!(machine = %machine.id, reason = "no heartbeat", "scale in");
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery after a failover: the workers' first heartbeats are compared with the records, and what has
-//! to wait until the earlier leader's machines can have sent theirs.
+//! Recovery after a failover: compares each machine's first heartbeat with the records, and tells whether
+//! first heartbeats of an earlier leader's machines are still to be expected.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 use crate::time::{Micros, Steady};
 use crate::wire::{ExitReason, Heartbeat, TaskStage, TaskStatus, WorkerCommand};
 
-/// Heartbeat intervals after a failover until every worker that reaches the new leader has sent a
-/// heartbeat: at most one and a quarter lie between two.
+/// Number of heartbeat intervals after a failover by which every worker that can reach the new leader has
+/// sent a heartbeat. The time between two heartbeats of a worker is at most one and a quarter intervals.
 const INTERVALS_UNTIL_ALL_HEARTBEATS: f64 = 1.25;
 
-/// Time between two log lines of a recovery's progress.
+/// Minimum time between two log lines about the progress of a recovery.
 const PROGRESS_LOG_INTERVAL: Micros = Micros(500_000);
 
-/// How long after a failover progress is logged, and commands are counted.
+/// How long after a failover the progress of the recovery is logged and commands are counted.
 const RECOVERY_LOGGED_FOR: Micros = Micros(60_000_000);
 
-/// A read-only view of this leader's jobs for the recovery tracker: the jobs as the records had them
-/// at the failover, and as they stand now.
+/// A read-only view of this leader's jobs for the recovery tracker. It shows the jobs that were recorded at
+/// the failover in their current state.
 struct JobRecordsView<'a> {
     jobs: &'a BTreeMap<JobId, Job>,
 }
@@ -45,9 +45,9 @@
 }
 
 impl Fleet {
-    /// Whether first heartbeats from an earlier leader's machines are about to come. Until then nothing is
-    /// preempted for work that may fit on those machines: after a failover the first urgent job would
-    /// otherwise preempt tasks on the machines that happen to send a heartbeat first.
+    /// Whether first heartbeats from machines of an earlier leader are still to be expected. As long as
+    /// they are, no task is preempted for work that may fit on these machines. Otherwise, the first urgent
+    /// job after a failover would preempt tasks on the machines whose heartbeats happen to come first.
     pub(super) fn awaits_heartbeats(&self, now: Steady) -> bool {
         let heartbeat_interval = self.heartbeat_interval();
         self.recovery.is_awaiting_reports(
@@ -65,8 +65,8 @@
         (now - self.failover_at).max(Micros::ZERO).std()
     }
 
-    /// Compares a machine's first heartbeat after the failover with the records, before it is applied to
-    /// the jobs.
+    /// Compares a machine's first heartbeat after the failover with the records and logs the discrepancies.
+    /// To be called before the heartbeat is applied to the jobs.
     pub(super) fn compare_with_records(&mut self, id: &MachineId, heartbeat: &Heartbeat) {
         let tasks: Vec<ReportedTask<'_>> = heartbeat.tasks.iter().filter_map(reported_task).collect();
         let records = JobRecordsView { jobs: &self.jobs };
@@ -76,17 +76,18 @@
         }
     }
 
-    /// A machine has acknowledged this leader's fencing token.
+    /// Tells the recovery tracker that a machine has acknowledged this leader's fencing token.
     pub(super) fn mark_machine_acknowledged(&mut self, id: &str, now: Steady) {
         self.recovery.mark_reported(id, self.since_failover(now));
     }
 
-    /// No task can be running any more on a machine that may not have acknowledged the fencing token.
+    /// Tells the recovery tracker that no task can be running on a machine any more. Has no effect if the
+    /// machine has acknowledged this leader's fencing token before.
     pub(super) fn mark_machine_lost(&mut self, id: &str, now: Steady) {
         self.recovery.mark_lost(id, self.since_failover(now));
     }
 
-    /// Counts commands that are sent while the recovery's progress is logged.
+    /// Counts commands to workers, as long as the progress of the recovery is logged.
     pub(super) fn count_commands<'a>(
         &mut self,
         commands: impl IntoIterator<Item = &'a WorkerCommand>,
@@ -104,7 +105,8 @@
         }
     }
 
-    /// Logs the progress of the recovery, at most every `PROGRESS_LOG_INTERVAL`.
+    /// Logs the progress of the recovery, at most once in `PROGRESS_LOG_INTERVAL`, during
+    /// `RECOVERY_LOGGED_FOR`.
     pub(super) fn log_recovery(&mut self, now: Steady) {
         let is_too_soon = now - self.log_state.recovery_at < PROGRESS_LOG_INTERVAL;
         if is_too_soon || now - self.failover_at > RECOVERY_LOGGED_FOR {
@@ -139,7 +141,7 @@
     }
 }
 
-/// A task of a heartbeat as the recovery tracker takes it; `None` if its name is malformed.
+/// Converts a task in a heartbeat for the recovery tracker; `None` if the task's name is malformed.
 fn reported_task(task: &TaskStatus) -> Option<ReportedTask<'_>> {
     let (job, number) = split_task(&task.task)?;
     let state = match (task.stage, task.exit_reason) {
