--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -1,4 +1,4 @@
-//! A machine and the tasks that are running on it, or may be.
+//! A machine and the tasks that are running on it or may be running on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
@@ -21,7 +21,7 @@
 }
 
 impl TaskKey {
-    /// All attempts of all tasks of a job.
+    /// The range that contains all attempts of all tasks of a job.
     pub(super) fn all_of_job(job: &JobId) -> RangeInclusive<TaskKey> {
         TaskKey { job: job.clone(), number: 0, attempt: 0 }..=TaskKey {
             job: job.clone(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// All attempts of one task.
+    /// The range that contains all attempts of one task.
     pub(super) fn all_of_task(job: &JobId, number: u32) -> RangeInclusive<TaskKey> {
         TaskKey { job: job.clone(), number, attempt: 0 }..=TaskKey {
             job: job.clone(),
@@ -40,28 +40,29 @@
     }
 }
 
-/// A task that is running on a machine, or may be.
+/// A task that is running on a machine or may be running there, or whose exit is not yet fully recorded.
 #[derive(Clone, Debug)]
 pub struct TaskEntry {
-    /// The stage in the latest heartbeat; `None` while a start was sent and no newer heartbeat has
-    /// come.
+    /// The stage in the machine's latest heartbeat; `None` from the moment a start is sent until a heartbeat
+    /// lists the task.
     pub stage: Option<TaskStage>,
-    /// The resources it takes; `None` if its job is not known.
+    /// The resources that the task takes; `None` if its job is not known.
     pub need: Option<Resources>,
-    /// When its start was sent, or a heartbeat first listed it.
+    /// When this leader sent the start, or when a heartbeat first listed the task.
     pub since: Steady,
-    /// When it was first seen running, if the start was sent by this leader.
+    /// When a heartbeat first showed the task as running; `None` before that, and if the first heartbeat that
+    /// listed a task of an earlier leader already showed it as running.
     pub running_since: Option<Steady>,
-    /// Seconds of grace with which it is to be stopped; `None` if it is not.
+    /// Grace period in seconds with which the task is to be stopped; `None` if it is not to be stopped.
     pub stop_grace_s: Option<f64>,
-    /// Whether the halt is to be sent by direct command, ahead of the next heartbeat's reply.
+    /// Whether the halt is to be sent by direct command, without waiting for the next heartbeat.
     pub stop_directly: bool,
-    /// Why it exited, if it did.
+    /// Why the task exited; `None` if it has not exited.
     pub exit_reason: Option<ExitReason>,
 }
 
 impl TaskEntry {
-    /// A task whose start is sent now, or that a heartbeat lists for the first time.
+    /// The entry of a task whose start is sent now, or that a heartbeat lists for the first time.
     pub(super) fn new(need: Option<Resources>, now: Steady) -> TaskEntry {
         TaskEntry {
             stage: None,
@@ -74,13 +75,13 @@
         }
     }
 
-    /// Whether the task has not exited: it is running, or may be.
+    /// Whether the task has not exited, so that it is running or may be running.
     pub(super) fn is_live(&self) -> bool {
         self.exit_reason.is_none()
     }
 }
 
-/// Where a heartbeat stands among those of its machine: of two, the greater is the newer.
+/// The position of a heartbeat among the heartbeats of its machine. Newer heartbeats have greater positions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatPosition {
     /// The agent epoch; 0 before the first heartbeat.
@@ -105,86 +106,89 @@
     pub size_gb: f64,
 }
 
-/// How long a worker is waited for before the fencing token of a new leader is sent to it.
+/// How long a new leader waits for a worker's heartbeat before it sends the worker its fencing token.
 pub(super) const FENCING_TOKEN_DELAY: Micros = Micros(1_500_000);
 
 /// A cloud machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// The cloud's id.
+    /// The machine's id in the cloud.
     pub id: MachineId,
-    /// Address of the worker, as `HOST:PORT`; empty until it is known.
+    /// Address at which the worker takes direct commands, as `HOST:PORT`; empty until it is known.
     pub address: String,
-    /// Index of the machine type in the catalog, if it is there.
+    /// Index of the machine type in the catalog; `None` if the catalog does not have it.
     pub type_index: Option<usize>,
     /// Name of the machine type; empty until it is known.
     pub type_name: String,
     /// Index of the zone.
     pub zone: usize,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Whether its record is in the state store.
+    /// Whether the machine's record is in the state store. Tasks are started only on registered machines.
     pub registered: bool,
-    /// Version of a record of its own, as earlier versions of the program wrote it; 0 if there is
+    /// Revision of the machine's separate record, which earlier versions of the program wrote; 0 if there is
     /// none.
     pub mod_revision: u64,
-    /// Registered by an earlier leader, whose commands may still reach it until it has acknowledged
-    /// this leader's fencing token.
+    /// Whether an earlier leader registered the machine. Commands of earlier leaders may reach it until it
+    /// has acknowledged this leader's fencing token.
     pub inherited: bool,
-    /// A heartbeat has carried this leader's fencing token, or no earlier leader can have used the
-    /// machine.
+    /// Whether no command or reply of an earlier leader can take effect on the machine any more: a
+    /// heartbeat has carried this leader's fencing token, every lease of an earlier leader has expired, or
+    /// no earlier leader can have used the machine.
     pub acknowledged: bool,
-    /// A heartbeat has come.
+    /// Whether the machine has sent a heartbeat, or the reply to a direct command, to this leader.
     pub up: bool,
     /// Position of the newest heartbeat.
     pub latest_heartbeat: HeartbeatPosition,
-    /// When a heartbeat was last answered with 200.
+    /// When this leader last answered a heartbeat with 200.
     pub answered_at: Option<Steady>,
-    /// When it showed this leader's fencing token in reply to a direct command: from then on no
+    /// When the machine showed this leader's fencing token in reply to a direct command. From then on no
     /// earlier leader renews its lease.
     pub acknowledged_since: Option<Steady>,
-    /// When a direct command was last composed for it.
+    /// When a direct command with halts was last composed for the machine.
     pub commanded_at: Steady,
-    /// When a heartbeat last came that this leader might not answer.
+    /// When a heartbeat last came that this leader was not allowed to answer, because its own lease was not
+    /// confirmed.
     pub unanswered_heartbeat_at: Steady,
-    /// When this leader first knew of it.
+    /// When this leader first knew of the machine.
     pub known_since: Steady,
-    /// Its age at `known_since`.
+    /// The machine's age at `known_since`.
     pub age_when_known: Micros,
-    /// When the cloud reclaims it, if a spot interruption notice has come.
+    /// When the cloud reclaims the machine; `None` without a spot interruption notice.
     pub interruption_at: Option<Steady>,
-    /// It is to be scaled in, or is being scaled in.
+    /// Whether the machine is marked for scale in or is being scaled in.
     pub scaling_in: bool,
-    /// The cloud has listed it.
+    /// Whether the machine was in a list of the cloud.
     pub listed: bool,
-    /// Missing from a newer list of the cloud, or listed as failed.
+    /// Whether the machine was missing from a later list of the cloud, or was listed as failed.
     pub missing: bool,
-    /// Its lease expired by this leader's clock.
+    /// Whether the machine's lease has expired by this leader's clock, with no heartbeat answered since.
     pub lease_expired: bool,
-    /// The tasks that are running on it, or may be, and those whose end is not recorded yet.
+    /// The tasks that are running on the machine or may be running on it, and exited tasks that its
+    /// heartbeats still list.
     pub tasks: BTreeMap<TaskKey, TaskEntry>,
-    /// Cached images, the most recently used last.
+    /// Images in the machine's cache, the most recently used one last.
     pub images: Vec<CachedImage>,
-    /// Since when it has had no task.
+    /// Since when the machine has had no task.
     pub idle_since: Steady,
-    /// Nothing is placed on it before this.
+    /// No task is started on the machine before this moment.
     pub not_before: Steady,
-    /// Jobs whose tasks failed here with no success since.
+    /// Jobs of which tasks have failed on the machine, with no successful task on it since.
     pub failed_jobs: BTreeSet<JobId>,
-    /// When a task last failed here.
+    /// When a task last failed on the machine.
     pub failed_at: Steady,
-    /// When the newest heartbeat came.
+    /// When the newest answered heartbeat came.
     pub heartbeat_at: Steady,
-    /// Starts in the last reply: the next newer heartbeat should list them.
+    /// The starts in the last reply. The next newer heartbeat should list these tasks.
     pub sent_starts: Vec<TaskKey>,
-    /// Replies in a row that, by the next heartbeat, were not delivered.
+    /// Number of consecutive replies that were not delivered, according to the heartbeats that followed.
     pub undelivered_replies: u32,
-    /// Until when the reply to its newest heartbeat is deferred.
+    /// Until when the reply to the machine's newest heartbeat is deferred.
     pub reply_deferred_until: Steady,
 }
 
 impl Machine {
-    /// A machine of which only the id is known, not used by any earlier leader.
+    /// A machine of which only the id is known, and which no earlier leader has used.
     pub(super) fn new(id: &str, now: Steady) -> Machine {
         Machine {
             id: id.into(),
@@ -223,35 +227,36 @@
         }
     }
 
-    /// Whether a task of an unknown job is on it, which takes an unknown share of the machine.
+    /// Whether a live task of an unknown job is on the machine, which takes an unknown share of its capacity.
     pub(super) fn has_unknown_use(&self) -> bool {
         self.tasks.values().any(|task| task.is_live() && task.need.is_none())
     }
 
-    /// What the tasks that are running, or may be, leave free of `total`.
+    /// The resources of `total` that are left free by the tasks that are running or may be running.
     pub(super) fn free(&self, total: Resources) -> Resources {
         let live = self.tasks.values().filter(|task| task.is_live());
         live.filter_map(|task| task.need).fold(total, |free, need| free.minus(&need, 1))
     }
 
-    /// The time since it was scaled out.
+    /// The time since the machine was scaled out.
     pub(super) fn age(&self, now: Steady) -> Micros {
         self.age_when_known + (now - self.known_since)
     }
 
-    /// The last moment at which its lease may have been renewed, if this leader can know that.
+    /// The last moment at which the machine's lease may have been renewed; `None` if this leader cannot
+    /// know it.
     pub(super) fn lease_renewed_at(&self) -> Option<Steady> {
         self.answered_at.max(self.acknowledged_since)
     }
 
-    /// Whether this leader's fencing token has to be sent to it, since no reply to a heartbeat has
-    /// carried it recently.
+    /// Whether this leader's fencing token has to be sent to the machine by direct command, since no reply
+    /// to a heartbeat has carried the token recently.
     pub fn needs_fencing_token(&self, now: Steady) -> bool {
         let last_contact = self.answered_at.unwrap_or(self.known_since);
         !self.acknowledged && !self.scaling_in && last_contact + FENCING_TOKEN_DELAY < now
     }
 
-    /// A command to be sent straight to its worker.
+    /// A direct command to the machine's worker.
     pub(super) fn direct_command(&self, commands: Vec<WorkerCommand>) -> DirectCommand {
         DirectCommand {
             machine: self.id.clone(),
@@ -261,7 +266,7 @@
         }
     }
 
-    /// Whether tasks may be started on it.
+    /// Whether tasks may be started on the machine.
     pub(super) fn is_usable(&self, now: Steady) -> bool {
         self.up
             && self.registered
--- a/src/fleet/machines.rs
+++ b/src/fleet/machines.rs
@@ -1,4 +1,5 @@
-//! Machines as they are scaled out, listed by the cloud and scaled in.
+//! Adds machines that are scaled out, applies the cloud's list of machines, and removes machines that are
+//! scaled in.
 
 use std::collections::BTreeSet;
 
@@ -9,25 +10,25 @@
 use crate::time::{Micros, Steady};
 use crate::wire::ListedMachine;
 
-/// Stage in the cloud's list of a machine that failed to start.
+/// The stage of a machine that failed to start, in the cloud's list of machines.
 const FAILED_STAGE: &str = "failed";
 
-/// Heartbeat intervals without a heartbeat after which a machine counts as silent.
+/// Number of heartbeat intervals without a heartbeat after which a machine counts as silent.
 const SILENT_INTERVALS: f64 = 3.0;
 
 impl Fleet {
-    /// Whether no heartbeat of a machine has come of late.
+    /// Whether no heartbeat of a machine was answered during the last `SILENT_INTERVALS` heartbeat intervals.
     pub(super) fn is_silent(&self, machine: &Machine, now: Steady) -> bool {
         now - machine.heartbeat_at > self.heartbeat_interval().scale(SILENT_INTERVALS)
     }
 
-    /// How many machines have not acknowledged this leader's fencing token: commands of an earlier
-    /// leader may still reach them.
+    /// Number of machines that have not acknowledged this leader's fencing token, so that commands of an
+    /// earlier leader may still reach them.
     pub fn unacknowledged_machines(&self) -> usize {
         self.unacknowledged_machines
     }
 
-    /// Adds machines that the cloud granted to this leader.
+    /// Adds the machines that the cloud granted to this leader for an offer.
     pub fn add_scaled_out_machines(&mut self, ids: &[String], offer: MachineOffer, now: Steady) {
         let machine_type = self.catalog.types.get(offer.ty);
         let type_name = machine_type.map(|machine_type| machine_type.name.clone()).unwrap_or_default();
@@ -42,11 +43,13 @@
         self.dirty = true;
     }
 
-    /// Applies the cloud's list of machines; it may be late, and older than the one before.
+    /// Applies a list of machines from the cloud, which may be late and even older than the list applied
+    /// before.
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Steady) {
         let listed_ids: BTreeSet<&str> = list.iter().map(|listed| listed.id.as_str()).collect();
         for machine in self.machines.values_mut() {
-            // One that was registered by an earlier leader was up then, and so has been listed.
+            // A machine that an earlier leader registered was up at that time, so the cloud must have
+            // listed it.
             let was_listed = machine.listed || (machine.inherited && !machine.acknowledged);
             if was_listed && !listed_ids.contains(&*machine.id) {
                 machine.missing = true;
@@ -58,7 +61,7 @@
         self.dirty = true;
     }
 
-    /// Applies one entry of the cloud's list.
+    /// Applies one entry of the cloud's list of machines.
     fn apply_listed_machine(&mut self, listed: &ListedMachine, now: Steady) {
         let id: MachineId = listed.id.as_str().into();
         if self.removed_machines.contains_key(&id) {
@@ -79,19 +82,21 @@
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.listed = true;
             machine.missing = has_failed;
-            // An earlier leader scaled it out: it is older than this one's knowledge of it, and may be
-            // scaled in as soon as it is idle. Without this no machine was for a minute.
+            // A machine that an earlier leader scaled out is older than this leader's knowledge of it. With
+            // its true age it can be scaled in as soon as it is idle; otherwise no machine could be scaled
+            // in for a minute after a failover.
             machine.age_when_known = machine.age_when_known.max(age - (now - machine.known_since));
         }
     }
 
-    /// Machines that are to be scaled in now.
+    /// Ids of the machines that are to be scaled in now.
     pub fn machines_to_scale_in(&self) -> Vec<String> {
         let scaling_in = self.machines.values().filter(|machine| machine.scaling_in);
         scaling_in.map(|machine| machine.id.to_string()).collect()
     }
 
-    /// The cloud confirmed that these machines have ended: nothing runs on them any more.
+    /// Removes machines after the cloud has confirmed that they have ended, so that nothing runs on them
+    /// any more.
     pub fn remove_scaled_in_machines(&mut self, ids: &[String], now: Steady) {
         for id in ids {
             let id: MachineId = id.as_str().into();
@@ -112,7 +117,7 @@
         self.dirty = true;
     }
 
-    /// No task can be running on the machine any more: its entries are dropped.
+    /// Removes all tasks of a machine on which no task can be running any more.
     pub(super) fn remove_all_tasks(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.sent_starts.clear();
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -56,11 +56,12 @@
         )
     }
 
-    /// Progress of the recovery.
+    /// Progress of the recovery, for the status and the log.
     pub fn recovery_progress(&self, now: Steady) -> RecoveryProgress {
         self.recovery.progress(self.since_failover(now))
     }
 
+    /// Time since the failover; zero if `now` is earlier.
     fn since_failover(&self, now: Steady) -> Duration {
         (now - self.failover_at).max(Micros::ZERO).std()
     }
