--- a/src/fleet/machine_snapshots.rs
+++ b/src/fleet/machine_snapshots.rs
@@ -19,7 +19,7 @@
 const EXPECTED_BOOT_FACTOR: f64 = 1.1;
 
 /// The least time until a booting machine is expected to be up.
-const MIN_BOOT_LEFT: Micros = Micros(2_000_000);
+const MIN_REMAINING_BOOT_TIME: Micros = Micros(2_000_000);
 
 /// Added to a machine's delay for each job that failed there, in seconds.
 const PENALTY_PER_FAILED_JOB_S: f64 = 10.0;
@@ -28,13 +28,13 @@
 const UNKNOWN_RUN_TIME_S: f64 = 60.0;
 
 /// The time added for a task that has not fetched its image yet, in seconds.
-const FETCH_ALLOWANCE_S: f64 = 5.0;
+const IMAGE_FETCH_TIME_S: f64 = 5.0;
 
 /// The part of its stated run time that a task which exceeds it is expected to run on.
-const OVERRUN_SHARE: f64 = 0.1;
+const OVERRUN_REMAINING_SHARE: f64 = 0.1;
 
 /// The least time that any task is expected to run on, in seconds.
-const MIN_TIME_LEFT_S: f64 = 1.0;
+const MIN_REMAINING_RUN_TIME_S: f64 = 1.0;
 
 /// Processors that a price or lost work is counted for at least.
 const MIN_CPUS: f64 = 0.1;
@@ -62,7 +62,7 @@
                 continue;
             }
             let places = reserved.get(&machine.id).copied().unwrap_or_default();
-            if let Some(snapshot) = self.snapshot_without(places, machine, now) {
+            if let Some(snapshot) = self.snapshot_without_reserved(places, machine, now) {
                 snapshots.push(snapshot);
                 ids.push(machine.id.clone());
             }
@@ -86,11 +86,11 @@
 
     /// A machine as the planner sees it, if no place on it is reserved; none if its type is not known.
     pub(super) fn machine_snapshot(&self, machine: &Machine, now: Steady) -> Option<MachineSnapshot> {
-        self.snapshot_without(ReservedPlaces::default(), machine, now)
+        self.snapshot_without_reserved(ReservedPlaces::default(), machine, now)
     }
 
     /// A machine as the planner sees it, without the places reserved on it.
-    fn snapshot_without(
+    fn snapshot_without_reserved(
         &self,
         reserved: ReservedPlaces,
         machine: &Machine,
@@ -127,7 +127,8 @@
     fn accepts_starts_in(&self, machine: &Machine, machine_type: &MachineType, now: Steady) -> Micros {
         if !machine.up {
             let boot = Micros::from_secs(machine_type.boot_s).scale(EXPECTED_BOOT_FACTOR);
-            return (boot - (machine.age_when_known + (now - machine.known_since))).max(MIN_BOOT_LEFT);
+            return (boot - (machine.age_when_known + (now - machine.known_since)))
+                .max(MIN_REMAINING_BOOT_TIME);
         }
         let heartbeat_interval = self.heartbeat_interval();
         let silent = now - machine.heartbeat_at;
@@ -163,9 +164,9 @@
     pub(super) fn remaining_run_time(&self, task: &TaskEntry, spec: Option<&JobSpec>, now: Steady) -> Micros {
         let stated = spec.map_or(Micros::from_secs(UNKNOWN_RUN_TIME_S), stated_run_time);
         let may_fetch = matches!(task.stage, None | Some(TaskStage::Fetching | TaskStage::Waiting));
-        let fetch = Micros::from_secs(if may_fetch { FETCH_ALLOWANCE_S } else { 0.0 });
+        let fetch = Micros::from_secs(if may_fetch { IMAGE_FETCH_TIME_S } else { 0.0 });
         let left = stated - (now - task.running_since.unwrap_or(task.since)) + fetch;
-        left.max(stated.scale(OVERRUN_SHARE)).max(Micros::from_secs(MIN_TIME_LEFT_S))
+        left.max(stated.scale(OVERRUN_REMAINING_SHARE)).max(Micros::from_secs(MIN_REMAINING_RUN_TIME_S))
     }
 }
 
