--- a/src/fleet/eviction.rs
+++ b/src/fleet/eviction.rs
@@ -8,10 +8,10 @@
 
 /// A task that can save a checkpoint is stopped this many heartbeat intervals, and its grace period, before
 /// its spot machine is reclaimed.
-const SAVE_LEAD_INTERVALS: f64 = 2.5;
+const CHECKPOINT_LEAD_INTERVALS: f64 = 2.5;
 
 /// Seconds added to the time that a job states for saving a checkpoint.
-const SAVE_MARGIN_S: f64 = 0.5;
+const CHECKPOINT_MARGIN_S: f64 = 0.5;
 
 /// When the command to stop a task leaves.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     /// machine is reclaimed, and replicas that move.
     pub(super) fn evict_tasks(&mut self, plan: &Plan, machines: &[MachineId], now: Steady) {
         let mut evictions = self.preempted_tasks(plan, machines);
-        evictions.extend(self.tasks_to_save(now));
+        evictions.extend(self.tasks_to_checkpoint(now));
         evictions.extend(self.replica_evictions(now));
         for eviction in &evictions {
             self.evict(eviction);
@@ -70,8 +70,8 @@
 
     /// Tasks that can save a checkpoint and have to begin with it now, before their spot machine is
     /// reclaimed.
-    fn tasks_to_save(&self, now: Steady) -> Vec<Eviction> {
-        let lead_s = SAVE_LEAD_INTERVALS * self.config.platform.settings.workers.report_s;
+    fn tasks_to_checkpoint(&self, now: Steady) -> Vec<Eviction> {
+        let lead_s = CHECKPOINT_LEAD_INTERVALS * self.config.platform.settings.workers.report_s;
         let mut evictions = Vec::new();
         for machine in self.machines.values() {
             let Some(notice) = machine.interruption_at else { continue };
@@ -129,6 +129,6 @@
     /// Seconds that a job's tasks are given to save a checkpoint when they are stopped.
     pub(super) fn checkpoint_grace_s(&self, job: &JobId) -> f64 {
         let saving_job = self.jobs.get(job).filter(|job| job.spec.checkpoint_s > 0.0);
-        saving_job.map_or(0.0, |job| job.spec.save_s + SAVE_MARGIN_S)
+        saving_job.map_or(0.0, |job| job.spec.save_s + CHECKPOINT_MARGIN_S)
     }
 }
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -10,7 +10,7 @@
 use crate::wire::{ExitReason, WorkerCommand};
 
 /// A replica that lived for less than this counts as a failure of its service.
-const MIN_HEALTHY_LIFE: Micros = Micros::from_millis(30_000);
+const MIN_HEALTHY_LIFETIME: Micros = Micros::from_millis(30_000);
 /// A machine that a replica has left by itself is avoided by its service for this long.
 const AVOID_MACHINE_FOR: Micros = Micros::from_millis(60_000);
 /// Preempting a replica costs its users as much as this much lost work of its size.
@@ -44,7 +44,7 @@
             return;
         }
         job.vacated.insert(machine.clone(), now);
-        if lifetime >= MIN_HEALTHY_LIFE {
+        if lifetime >= MIN_HEALTHY_LIFETIME {
             job.record_success();
             return;
         }
