--- a/src/fleet/eviction.rs
+++ b/src/fleet/eviction.rs
@@ -1,19 +1,19 @@
-//! Eviction of tasks: preempted for other work, checkpointed before their spot machine is reclaimed, or
-//! service replicas that move.
+//! Eviction of tasks from their machines: tasks that are preempted, tasks that save a checkpoint before their
+//! spot machine is reclaimed, and service replicas that move to another machine.
 
 use super::{Fleet, TaskKey};
 use crate::jobs::{JobId, MachineId};
 use crate::sched::Plan;
 use crate::time::Steady;
 
-/// A task that can save a checkpoint is stopped this many heartbeat intervals, and its grace period, before
+/// A task that can save a checkpoint is stopped by its grace period plus this many heartbeat intervals before
 /// its spot machine is reclaimed.
 const CHECKPOINT_LEAD_INTERVALS: f64 = 2.5;
 
-/// Seconds added to the time that a job states for saving a checkpoint.
+/// Seconds that are added to the time that a job states for saving a checkpoint.
 const CHECKPOINT_MARGIN_S: f64 = 0.5;
 
-/// When the command to stop a task leaves.
+/// When the command that stops a task is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Delivery {
     /// At once, by direct command.
@@ -24,19 +24,20 @@
 
 /// A task to be evicted from its machine.
 struct Eviction {
-    /// The machine the task is on.
+    /// The machine that the task is on.
     machine: MachineId,
-    /// The task, by job, number and attempt.
+    /// The attempt to be stopped.
     task: TaskKey,
-    /// Seconds it is given to save a checkpoint.
+    /// Seconds that the task is given to save a checkpoint.
     grace_s: f64,
-    /// When the command leaves.
+    /// When the command is sent.
     delivery: Delivery,
 }
 
 impl Fleet {
-    /// Stops the tasks that the plan preempts, those that have just time to save before their spot
-    /// machine is reclaimed, and replicas that move.
+    /// Marks tasks to be stopped: the tasks that the plan preempts, tasks that have to begin saving a
+    /// checkpoint now because their spot machine will be reclaimed, and replicas that move. `machines` are
+    /// the ids of the plan's machines, by index.
     pub(super) fn evict_tasks(&mut self, plan: &Plan, machines: &[MachineId], now: Steady) {
         let mut evictions = self.preempted_tasks(plan, machines);
         evictions.extend(self.tasks_to_checkpoint(now));
@@ -52,13 +53,14 @@
         }
     }
 
-    /// The tasks that the plan preempts.
+    /// Evictions of the tasks that the plan preempts.
     fn preempted_tasks(&self, plan: &Plan, machines: &[MachineId]) -> Vec<Eviction> {
         let mut evictions = Vec::new();
         for &(machine, placed_task) in &plan.preempt {
             let id = &machines[machine];
             let Some(machine) = self.machines.get(id) else { continue };
-            // The snapshot lists the live tasks of a machine in this very order.
+            // `placed_task` is an index into the snapshot's tasks of the machine, which are its live tasks in
+            // this order.
             let mut live_tasks = machine.tasks.iter().filter(|(_, task)| task.is_live());
             if let Some((task, _)) = live_tasks.nth(placed_task) {
                 tracing::info!(machine = %id, job = %task.job, task = task.number, "preempted");
@@ -68,8 +70,8 @@
         evictions
     }
 
-    /// Tasks that can save a checkpoint and have to begin with it now, before their spot machine is
-    /// reclaimed.
+    /// Evictions of tasks that can save a checkpoint and have to begin now to finish it before their spot
+    /// machine is reclaimed.
     fn tasks_to_checkpoint(&self, now: Steady) -> Vec<Eviction> {
         let lead_s = CHECKPOINT_LEAD_INTERVALS * self.config.platform.settings.workers.report_s;
         let mut evictions = Vec::new();
@@ -93,7 +95,7 @@
         evictions
     }
 
-    /// Replicas that leave a spot machine before it is reclaimed.
+    /// Evictions of replicas that have to leave a spot machine before it is reclaimed.
     fn replica_evictions(&self, now: Steady) -> Vec<Eviction> {
         let mut evictions = Vec::new();
         for (machine, task) in self.replicas_to_move(now) {
@@ -109,7 +111,7 @@
         Eviction { machine, task, grace_s, delivery: Delivery::Direct }
     }
 
-    /// Marks a task as to be stopped, and with a gang's task its whole attempt.
+    /// Marks a task to be stopped. For a task of a gang, marks all tasks of its attempt.
     fn evict(&mut self, eviction: &Eviction) {
         let TaskKey { job, attempt, .. } = &eviction.task;
         if self.jobs.get(job).is_some_and(|job| job.spec.is_gang()) {
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Seconds that a job's tasks are given to save a checkpoint when they are stopped.
+    /// Seconds that a job's tasks are given to save a checkpoint when they are stopped; 0 if they save none.
     pub(super) fn checkpoint_grace_s(&self, job: &JobId) -> f64 {
         let saving_job = self.jobs.get(job).filter(|job| job.spec.checkpoint_s > 0.0);
         saving_job.map_or(0.0, |job| job.spec.save_s + CHECKPOINT_MARGIN_S)
--- a/src/fleet/gang_placement.rs
+++ b/src/fleet/gang_placement.rs
@@ -1,4 +1,5 @@
-//! Gang scheduling: the machines given to the tasks of a gang's attempt, until all its starts are sent.
+//! Gang scheduling: the machines that are assigned to the tasks of a gang's attempt, until all starts of the
+//! attempt are sent.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +9,15 @@
 use crate::task_ranges::TaskRanges;
 use crate::time::{Micros, Steady};
 
-/// After this many heartbeat intervals a gang none of whose starts has been sent is planned anew.
+/// A gang is planned anew if none of its starts has been sent this many heartbeat intervals after it was
+/// placed.
 const MAX_UNSENT_INTERVALS: f64 = 1.5;
 
 impl Fleet {
-    /// Ends attempts of gangs that cannot start as placed. A gang keeps the places it was given, so that
-    /// their workers can be commanded to send a heartbeat for it. One none of whose starts has been sent is
-    /// planned anew when a place is lost or it takes too long; one whose starts have been sent is stopped
-    /// then.
+    /// Ends attempts of gangs that cannot start on the machines assigned to them; other gangs keep their
+    /// machines, whose workers may have deferred replies that wait for the starts. If a machine is lost or
+    /// starting takes too long, a gang of which no start has been sent is planned anew, and a gang of which
+    /// some starts have been sent is stopped.
     pub(super) fn end_unstartable_gang_attempts(&mut self, now: Steady) {
         let max_wait = Micros::from_secs(self.config.platform.settings.workers.gang_wait_s);
         let max_unsent = self.heartbeat_interval().scale(MAX_UNSENT_INTERVALS);
@@ -41,7 +43,8 @@
         }
     }
 
-    /// Begins an attempt of a gang on the machines given, one for each task.
+    /// Begins an attempt of a gang on `machines`, one for each waiting task. `waited` is the time that the
+    /// gang has waited, for the log.
     pub(super) fn place_gang(&mut self, job: &JobId, machines: Vec<MachineId>, waited: Micros, now: Steady) {
         let attempt = self.next_attempt();
         let Some(job) = self.jobs.get_mut(job) else { return };
@@ -59,8 +62,8 @@
         });
     }
 
-    /// Collects by machine the places of gangs whose starts have not been sent: nothing else starts on
-    /// those machines first.
+    /// Collects by machine the places of gang tasks whose starts have not been sent. No other task starts on
+    /// these machines before them.
     pub(super) fn reserve_gang_places(&mut self) {
         self.reserved_gang_places.clear();
         for job in self.jobs.values() {
@@ -75,7 +78,8 @@
     }
 }
 
-/// Whether a machine can no longer take the start of a gang's task that was placed on it.
+/// Whether some task of a gang whose start has not been sent was placed on a machine that can no longer
+/// take it.
 fn has_lost_place(gang: &GangAttempt, machines: &BTreeMap<MachineId, Machine>, now: Steady) -> bool {
     gang.unsent_places().any(|(_, machine)| {
         machines.get(machine).is_none_or(|machine| {
--- a/src/fleet/machine_snapshots.rs
+++ b/src/fleet/machine_snapshots.rs
@@ -1,4 +1,4 @@
-//! Machines and the tasks on them as the planner sees them.
+//! Snapshots of the machines and of the tasks on them, which are the planner's input.
 
 use std::collections::BTreeMap;
 
@@ -9,50 +9,50 @@
 use crate::time::{Micros, Steady};
 use crate::wire::{JobSpec, MachineType, Priority, TaskStage};
 
-/// After this many heartbeat intervals of silence nothing is started on a machine.
+/// After this many heartbeat intervals without a heartbeat a machine does not accept starts.
 const MAX_SILENT_INTERVALS: f64 = 2.5;
 
-/// A silent machine is expected to accept starts only after this many heartbeat intervals.
+/// A silent machine is expected to accept starts again this many heartbeat intervals from now.
 const SILENT_ACCEPTS_IN_INTERVALS: f64 = 3.0;
 
-/// A machine is expected to be up after this many times its type's boot time.
+/// A machine is expected to be up after this many times the boot time of its type.
 const EXPECTED_BOOT_FACTOR: f64 = 1.1;
 
-/// The least time until a booting machine is expected to be up.
+/// Minimum time until a booting machine is expected to be up.
 const MIN_REMAINING_BOOT_TIME: Micros = Micros(2_000_000);
 
-/// Added to a machine's delay for each job that failed there, in seconds.
+/// Seconds that the planner adds to a machine's start delay for each job of which a task failed there.
 const PENALTY_PER_FAILED_JOB_S: f64 = 10.0;
 
-/// The run time assumed of a task whose job is not known, in seconds.
+/// Run time that is assumed for a task whose job is not known, in seconds.
 const UNKNOWN_RUN_TIME_S: f64 = 60.0;
 
-/// The time added for a task that has not fetched its image yet, in seconds.
+/// Time that is added to the remaining run time of a task that may still be fetching its image, in seconds.
 const IMAGE_FETCH_TIME_S: f64 = 5.0;
 
-/// The part of its stated run time that a task which exceeds it is expected to run on.
+/// A task is expected to run on for at least this share of its stated run time, also when it has exceeded it.
 const OVERRUN_REMAINING_SHARE: f64 = 0.1;
 
-/// The least time that any task is expected to run on, in seconds.
+/// Minimum time that any task is expected to run on, in seconds.
 const MIN_REMAINING_RUN_TIME_S: f64 = 1.0;
 
-/// Processors that a price or lost work is counted for at least.
+/// Minimum number of processors in computations of prices per processor and of lost work.
 const MIN_CPUS: f64 = 0.1;
 
-/// Prices of a processor are compared in thousandths.
+/// Prices per processor are compared as integers, in thousandths of the catalog's unit.
 const CPU_PRICE_SCALE: f64 = 1e3;
 
-/// Capacity of a machine that is reserved for gang tasks whose starts have not been sent yet.
+/// Capacity of a machine that is reserved for gang tasks whose starts have not been sent.
 #[derive(Clone, Copy, Default)]
 struct ReservedPlaces {
-    /// How many tasks.
+    /// Number of these tasks.
     tasks: u32,
-    /// What they take together.
+    /// Resources that these tasks take together.
     need: Resources,
 }
 
 impl Fleet {
-    /// The machines that can be planned on, and their identities in the same order.
+    /// Snapshots of the machines that the planner may use, and the machines' ids in the same order.
     pub(super) fn machine_snapshots(&self, now: Steady) -> (Vec<MachineSnapshot>, Vec<MachineId>) {
         let reserved = self.reserved_gang_places();
         let (mut snapshots, mut ids) = (Vec::new(), Vec::new());
@@ -70,7 +70,7 @@
         (snapshots, ids)
     }
 
-    /// By machine: places reserved for gang tasks whose starts have not been sent yet.
+    /// By machine: the capacity that is reserved for gang tasks whose starts have not been sent.
     fn reserved_gang_places(&self) -> BTreeMap<&MachineId, ReservedPlaces> {
         let mut reserved: BTreeMap<&MachineId, ReservedPlaces> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -84,12 +84,13 @@
         reserved
     }
 
-    /// A machine as the planner sees it, if no place on it is reserved; none if its type is not known.
+    /// The planner's snapshot of a machine on which no capacity is reserved; `None` if its type is not known.
     pub(super) fn machine_snapshot(&self, machine: &Machine, now: Steady) -> Option<MachineSnapshot> {
         self.snapshot_without_reserved(ReservedPlaces::default(), machine, now)
     }
 
-    /// A machine as the planner sees it, without the places reserved on it.
+    /// The planner's snapshot of a machine, without the capacity `reserved` on it; `None` if the machine's
+    /// type is not known.
     fn snapshot_without_reserved(
         &self,
         reserved: ReservedPlaces,
@@ -123,7 +124,8 @@
         })
     }
 
-    /// How long until a start can reach a machine: with its next heartbeat, or once it has booted.
+    /// Expected time until a machine accepts starts: until its next heartbeat, or until it has booted. Zero
+    /// while the reply to a heartbeat is deferred, since a start can then be sent at once.
     fn accepts_starts_in(&self, machine: &Machine, machine_type: &MachineType, now: Steady) -> Micros {
         if !machine.up {
             let boot = Micros::from_secs(machine_type.boot_s).scale(EXPECTED_BOOT_FACTOR);
@@ -141,7 +143,7 @@
         }
     }
 
-    /// A task on a machine as the planner sees it.
+    /// The planner's view of a task on a machine.
     fn placed_task(&self, key: &TaskKey, task: &TaskEntry, now: Steady) -> PlacedTask {
         let spec = self.jobs.get(&key.job).map(|job| &job.spec);
         let is_service = spec.is_some_and(|spec| spec.is_service());
@@ -159,8 +161,8 @@
         }
     }
 
-    /// Run time left of a task by its stated run time. One that exceeds its stated time has a tenth of it left, and
-    /// any at least a second.
+    /// Expected remaining run time of a task, from its stated run time. At least a tenth of the stated run
+    /// time is expected to remain, also when the task has exceeded it, and at least a second.
     pub(super) fn remaining_run_time(&self, task: &TaskEntry, spec: Option<&JobSpec>, now: Steady) -> Micros {
         let stated = spec.map_or(Micros::from_secs(UNKNOWN_RUN_TIME_S), stated_run_time);
         let may_fetch = matches!(task.stage, None | Some(TaskStage::Fetching | TaskStage::Waiting));
@@ -170,13 +172,13 @@
     }
 }
 
-/// Work lost if a task is preempted now, in processor time: none if it saves checkpoints.
+/// Work that is lost if a task is preempted now, in processor time; none if the task saves checkpoints.
 fn lost_work(task: &TaskEntry, spec: Option<&JobSpec>, now: Steady) -> Micros {
     if spec.is_some_and(|spec| spec.checkpoint_s > 0.0) {
         return Micros::ZERO;
     }
-    // The fetch of its image counts as well: preempted as soon as it was placed, a wide job would never
-    // get beyond it.
+    // The time that the task has spent fetching its image counts as well. Otherwise the tasks of a wide job
+    // might always be preempted soon after they were placed, and the job would never get beyond fetching.
     let since_start = now - task.since;
     let is_service = spec.is_some_and(|spec| spec.is_service());
     let lost = if is_service { PREEMPTED_REPLICA_COST } else { since_start };
--- a/src/fleet/maintenance.rs
+++ b/src/fleet/maintenance.rs
@@ -1,5 +1,5 @@
-//! Periodic maintenance of the fleet: lease expiry, forgetting what is out of date, progress and
-//! utilization in the log, and a new plan if one is due.
+//! Periodic maintenance of the fleet: lease expiry, removal of outdated entries, log lines about recovery and
+//! utilization, and a new plan if one is due.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +7,33 @@
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::TaskStage;
 
-/// Time between two log lines of machine utilization.
+/// Minimum time between two logs of machine utilization, the queue and wait reasons.
 const UTILIZATION_LOG_INTERVAL: Micros = Micros(15_000_000);
 
-/// How long a removed machine is remembered, so that late heartbeats from it are refused.
+/// How long the id of a removed machine is kept, so that late heartbeats from it are refused.
 const REMOVED_MACHINE_RETENTION: Micros = Micros(900_000_000);
 
-/// Least processors that a share is taken of, so that a type without any does not divide by zero.
+/// Minimum number of processors to divide by, so that a machine type without processors causes no division by
+/// zero.
 const MIN_CPUS: f64 = 0.1;
 
-/// How the machines of a type and kind are used.
+/// Use of all machines of one type and kind (spot or on-demand).
 #[derive(Default)]
 struct Utilization {
     machines: u32,
     booting: u32,
     idle: u32,
     cpus: f64,
-    /// Processors of tasks that are or may be on the machines.
+    /// Processors of the tasks that are running on the machines or may be running on them.
     placed_cpus: f64,
-    /// Processors of tasks that run.
+    /// Processors of the tasks that the latest heartbeats show as running.
     running_cpus: f64,
 }
 
 impl Fleet {
-    /// Does what is due at a moment: expires leases, removes machines that stay silent or never come
-    /// up, and plans anew if something changed.
+    /// Does the work that is due at `now`: expires leases, marks machines for scale in that stay silent or
+    /// never come up, writes the periodic log lines, removes outdated entries, and plans anew if something
+    /// changed.
     pub fn tick(&mut self, now: Steady, wall: Wall) {
         self.check_leases(now);
         self.log_failover_progress(now);
@@ -47,31 +49,44 @@
         self.replan(now, wall);
     }
 
-    /// Logs when all machines of the earlier leader have acknowledged this one or have expired, and when that
-    /// is no longer so.
+    /// Logs when every machine of earlier leaders has acknowledged this leader's fencing token, has expired
+    /// leases or was removed, and when that ceases to be so.
     fn log_failover_progress(&mut self, now: Steady) {
         if (self.unacknowledged_machines == 0) != self.log_state.all_acknowledged {
             self.log_state.all_acknowledged = self.unacknowledged_machines == 0;
             let after_s = (now - self.failover_at).secs();
-            let unheard = self.unacknowledged_machines;
-            tracing::info!(after_s, unheard, "all machines of the earlier leader heard or expired");
+            let unacknowledged = self.unacknowledged_machines;
+            tracing::info!(
+                after_s,
+                unheard = unacknowledged,
+                "all machines of the earlier leader heard or expired"
+            );
         }
     }
 
-    /// Logs by type and kind how many machines there are and what share of them is used, and the
-    /// length of the queue.
+    /// Logs the number of machines and the share of their processors that is used, by type and kind, and the
+    /// number of jobs and waiting tasks.
     fn log_utilization(&self) {
-        for ((ty, spot), used) in self.utilization() {
+        for ((type_name, spot), used) in self.utilization() {
             let (machines, booting, idle) = (used.machines, used.booting, used.idle);
             let placed = used.placed_cpus / used.cpus.max(MIN_CPUS);
             let running = used.running_cpus / used.cpus.max(MIN_CPUS);
-            tracing::info!(ty, spot, machines, booting, idle, placed, running, "machine utilization");
+            tracing::info!(
+                ty = type_name,
+                spot,
+                machines,
+                booting,
+                idle,
+                placed,
+                running,
+                "machine utilization"
+            );
         }
         let waiting: u32 = self.plan.unmet.iter().map(|(_, tasks)| tasks).sum();
         tracing::info!(jobs = self.jobs.len(), waiting, "queue");
     }
 
-    /// How the machines are used, by type name and whether they are spot instances.
+    /// The use of the machines, by type name and by whether they are spot instances.
     fn utilization(&self) -> BTreeMap<(&str, bool), Utilization> {
         let mut by_kind: BTreeMap<(&str, bool), Utilization> = BTreeMap::new();
         for machine in self.machines.values() {
--- a/src/fleet/replica_moves.rs
+++ b/src/fleet/replica_moves.rs
@@ -54,7 +54,7 @@
             let free =
                 type_index.map(|index| reservations.free(machine, machine.free(self.type_capacity(index))));
             let has_image =
-                spec.image.is_none() || machine.images.iter().any(|held| Some(&held.image) == image);
+                spec.image.is_none() || machine.images.iter().any(|cached| Some(&cached.image) == image);
             let has_replica = job.placements.values().flatten().any(|at| *at == machine.id)
                 || reservations.has(&machine.id, &job.id);
             free.is_some_and(|free| free.fits(&need) > 0)
