--- a/src/direct_command.rs
+++ b/src/direct_command.rs
@@ -1,17 +1,18 @@
-//! Commands that the leader sends straight to a worker, instead of in the reply to its heartbeat.
+//! Commands that the leader sends directly to a worker instead of in the reply to a heartbeat.
 
 use crate::jobs::MachineId;
 use crate::wire::WorkerCommand;
 
-/// Commands to send straight to a worker.
+/// Commands to be sent directly to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectCommand {
     /// The machine on which the worker runs.
     pub machine: MachineId,
-    /// Address at which the worker takes commands, `ip:port`.
+    /// Address at which the worker accepts direct commands, as `HOST:PORT`.
     pub address: String,
-    /// The worker's agent epoch that is meant; a worker in another epoch refuses the commands.
+    /// The agent epoch that the commands are for. A worker in another agent epoch refuses them.
     pub agent_epoch: u64,
-    /// The commands, in order. Without any, the message only raises the worker's fencing token.
+    /// The commands, in the order in which the worker executes them. If there are none, the message only
+    /// brings the leader's fencing token to the worker.
     pub commands: Vec<WorkerCommand>,
 }
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -1,4 +1,4 @@
-//! Machine types, zones and images, each under the number that the model uses for it.
+//! Machine types, zones and images, and the indices by which the model refers to them.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,17 @@
 use crate::time::Steady;
 use crate::wire::{JobSpec, MachineType};
 
-/// Boot time in seconds of a machine whose type is not known.
+/// Boot time that is assumed for a machine whose type is not known, in seconds.
 const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
 
-/// Machine types, zones and images.
+/// The machine types, zones and images that this leader knows.
 pub(super) struct Catalog {
     /// Machine types, as the cloud's catalog lists them; empty until it has been read.
     pub(super) types: Vec<MachineType>,
-    /// Names of the zones: those of the settings, then others as machines show them.
+    /// Names of the zones: first the zones in the settings, then zones that records, heartbeats or the
+    /// cloud's list of machines have named.
     pub(super) zones: Vec<String>,
-    /// Numbers of images by name.
+    /// Indices of images by name.
     pub(super) images: BTreeMap<String, u32>,
 }
 
@@ -28,7 +29,7 @@
         Catalog { types, zones, images: BTreeMap::new() }
     }
 
-    /// Index of a zone, which is added if it is not known.
+    /// Index of a zone; a zone that is not known yet is added.
     pub(super) fn zone_index(&mut self, name: &str) -> usize {
         self.zones.iter().position(|zone| zone == name).unwrap_or_else(|| {
             self.zones.push(name.to_string());
@@ -36,7 +37,7 @@
         })
     }
 
-    /// Nominal boot time in seconds of a machine type.
+    /// Nominal boot time of a machine type, in seconds.
     pub(super) fn boot_s(&self, type_index: Option<usize>) -> f64 {
         let machine_type = type_index.and_then(|index| self.types.get(index));
         machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |known| known.boot_s)
@@ -44,7 +45,8 @@
 }
 
 impl Fleet {
-    /// Replaces the machine types, for new prices or when they are first read.
+    /// Replaces the machine types after the cloud's catalog was read, for example because prices have
+    /// changed.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
         self.catalog.types = types;
         let types = self.catalog.types.iter().enumerate();
@@ -54,7 +56,7 @@
             machine.type_index = index_by_name.get(machine.type_name.as_str()).copied();
         }
         if self.recent_jobs.is_empty() {
-            // Jobs that were submitted before the types were known.
+            // Jobs that were submitted before the types were known are added to the recent jobs now.
             let specs: Vec<(Steady, JobSpec)> =
                 self.jobs.values().map(|job| (job.known_since, job.spec.clone())).collect();
             specs.iter().for_each(|(known_since, spec)| self.note_submitted(spec, *known_since));
@@ -67,30 +69,31 @@
         &self.catalog.types
     }
 
-    /// Types, by index, that a job allows and its tasks fit.
+    /// Indices of the types that a job allows and on which its tasks fit.
     pub fn allowed_types(&self, spec: &JobSpec) -> Vec<usize> {
         allowed_types(&self.catalog.types, spec)
     }
 
-    /// Name of a zone; empty if there is none of this index.
+    /// Name of a zone; empty if there is no zone with this index.
     pub fn zone_name(&self, zone: usize) -> &str {
         self.catalog.zones.get(zone).map_or("", String::as_str)
     }
 
-    /// The number of an image.
+    /// Index of an image; an image that is not known yet is added.
     pub(super) fn image_index(&mut self, name: &str) -> u32 {
         let images = &mut self.catalog.images;
         let next = images.len() as u32;
         *images.entry(name.to_string()).or_insert(next)
     }
 
-    /// Resources of an empty machine of a type.
+    /// Resources of an empty machine of a type; none if the type is not known.
     pub(super) fn type_capacity(&self, type_index: usize) -> Resources {
         self.catalog.types.get(type_index).map(type_resources).unwrap_or_default()
     }
 
-    /// Fills in a machine's description from a record, a heartbeat or the cloud's list; empty strings are
-    /// unknown. The address may change; type, zone and kind are set once, when the type is first known.
+    /// Fills in the description of a machine from a record, a heartbeat or the cloud's list; an empty
+    /// string means that the value is not known. The address may change later. Type, zone and kind (spot or
+    /// on-demand) are set only once, when the type is first known.
     pub(super) fn describe_machine(
         &mut self,
         id: &MachineId,
--- a/src/fleet/gang_placement.rs
+++ b/src/fleet/gang_placement.rs
@@ -14,10 +14,10 @@
 const MAX_UNSENT_INTERVALS: f64 = 1.5;
 
 impl Fleet {
-    /// Ends attempts of gangs that cannot start on the machines assigned to them; other gangs keep their
-    /// machines, whose workers may have deferred replies that wait for the starts. If a machine is lost or
-    /// starting takes too long, a gang of which no start has been sent is planned anew, and a gang of which
-    /// some starts have been sent is stopped.
+    /// Ends attempts of gangs that cannot start on the machines assigned to them. Other gangs keep their
+    /// machines across plans, so that their starts can go into the replies, deferred ones included, to
+    /// these machines' heartbeats. If a machine is lost or starting takes too long, a gang of which no
+    /// start has been sent is planned anew, and a gang of which some starts have been sent is stopped.
     pub(super) fn end_unstartable_gang_attempts(&mut self, now: Steady) {
         let max_wait = Micros::from_secs(self.config.platform.settings.workers.gang_wait_s);
         let max_unsent = self.heartbeat_interval().scale(MAX_UNSENT_INTERVALS);
--- a/src/fleet/headroom.rs
+++ b/src/fleet/headroom.rs
@@ -1,5 +1,5 @@
-//! Capacity kept ready for the next jobs like the recent ones: warm pools of idle machines, and headroom
-//! that lower priorities leave free.
+//! Capacity that is kept ready for further jobs like the recent ones: warm pools of idle machines, and
+//! headroom that jobs of lower priorities leave free.
 
 use super::recent_jobs::{arrival_span_s, RecentJob};
 use super::Fleet;
@@ -8,16 +8,18 @@
 use crate::time::Steady;
 use crate::wire::{MachineType, Priority};
 
-/// Warm pools stay for at least this many seconds without a job for them: where such jobs come every
-/// ten seconds, a chance gap of forty would have the whole pool removed.
+/// Warm pools are kept for at least this many seconds after the last job that would use them. Without a
+/// minimum, a chance gap of forty seconds between jobs that usually come every ten seconds would have the
+/// whole pool removed.
 const MIN_WARM_POOL_GAP_S: f64 = 60.0;
 
-/// How many processors a GPU counts for where machine types are compared by size.
+/// Number of processors that a GPU counts for when machine types are compared by size.
 const CPUS_PER_GPU: f64 = 8.0;
 
 impl Fleet {
-    /// By type: how many machines stay up though idle. As many as the recent jobs that start before a
-    /// machine boots kept busy, with some to spare: a new machine would come too late for the next one.
+    /// By machine type: how many machines stay up even when idle. The number follows the load of the recent
+    /// jobs that should start sooner than a new machine boots, plus a reserve: a new machine would come too
+    /// late for the next such job.
     pub(super) fn warm_pools(&self, now: Steady) -> Vec<WarmPool> {
         let recent = || self.recent_jobs.iter().filter(|job| job.starts_before_boot);
         if !self.more_expected(recent, MIN_WARM_POOL_GAP_S, now) {
@@ -27,7 +29,8 @@
         (0..self.catalog.types.len()).map(|type_index| self.warm_pool(type_index, span_s)).collect()
     }
 
-    /// The warm pool of a type, from the jobs of the last `span_s` seconds that prefer it.
+    /// The warm pool of a machine type, from the recent jobs that prefer the type and that arrived during
+    /// the last `span_s` seconds.
     fn warm_pool(&self, type_index: usize, span_s: f64) -> WarmPool {
         let prefers_type =
             |job: &&RecentJob| job.starts_before_boot && job.types.first() == Some(&type_index);
@@ -43,13 +46,14 @@
         if !has_jobs {
             return WarmPool::default();
         }
-        // Square-root staffing: the mean number in use, and its spread on top.
+        // Square-root staffing: the mean number of machines in use plus the square root of that mean.
         let load = machine_seconds / span_s;
         WarmPool { count: (load + load.sqrt()).round().max(1.0) as usize, spot }
     }
 
-    /// How many machines of a large type low priorities leave free: the operator's setting, or as many
-    /// as the widest recent gang that should start at once takes.
+    /// Number of machines of a large type that jobs of low priorities leave free: the operator's setting,
+    /// or the number of machines that the widest recent gang that should start at once takes, whichever is
+    /// greater.
     pub(super) fn headroom_machines(&self) -> usize {
         let urgent_gangs =
             self.recent_jobs.iter().filter(|job| job.starts_before_boot && job.extra_machines > 0);
@@ -57,13 +61,14 @@
         widest.unwrap_or(0).max(self.config.operator.keep_clear)
     }
 
-    /// By type: the headroom that lower priorities leave free, if any. It is for the largest recent task
-    /// of a higher priority that fills a machine and that no smaller type takes.
+    /// By machine type: the headroom that jobs of lower priorities leave free, if any. The headroom is for
+    /// the largest recent task of a higher priority that takes a whole machine of the type and does not fit
+    /// a smaller type.
     pub(super) fn reserved_headroom(&self) -> Vec<Option<ReservedHeadroom>> {
         (0..self.catalog.types.len()).map(|type_index| self.headroom_on_type(type_index)).collect()
     }
 
-    /// The headroom that lower priorities leave free on one type, if any.
+    /// The headroom that jobs of lower priorities leave free on machines of one type, if any.
     fn headroom_on_type(&self, type_index: usize) -> Option<ReservedHeadroom> {
         let size = |machine_type: &MachineType| machine_type.cpus + CPUS_PER_GPU * machine_type.gpus;
         let types = &self.catalog.types;
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -23,8 +23,8 @@
 /// How long after a failover the progress of the recovery is logged and commands are counted.
 const RECOVERY_LOGGED_FOR: Micros = Micros(60_000_000);
 
-/// A read-only view of this leader's jobs for the recovery tracker. It shows the jobs that were recorded at
-/// the failover in their current state.
+/// A read-only view of this leader's jobs for the recovery tracker: the jobs that were loaded from the
+/// records at the failover, in their current state.
 struct JobRecordsView<'a> {
     jobs: &'a BTreeMap<JobId, Job>,
 }
--- a/src/fleet/replica_moves.rs
+++ b/src/fleet/replica_moves.rs
@@ -1,4 +1,4 @@
-//! Replicas that leave a spot machine before it is reclaimed, and the machines they move to.
+//! Replicas that leave a spot machine before it is reclaimed, and the machines that they can move to.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,14 @@
 use crate::sched::Resources;
 use crate::time::{Micros, Steady};
 
-/// Before a spot machine is reclaimed its replicas are stopped at the latest this many heartbeat
-/// intervals ahead.
+/// Replicas on a spot machine are stopped at the latest this many heartbeat intervals before the machine is
+/// reclaimed.
 const MOVE_LEAD_INTERVALS: f64 = 1.5;
 
 impl Fleet {
-    /// Replicas to stop since their spot machine is about to be reclaimed: as soon as another machine has
-    /// capacity and their image, or at the last moment.
+    /// Replicas that are to be stopped now because their spot machine is about to be reclaimed. A replica
+    /// is stopped as soon as another machine has capacity for it and its image in the cache, and otherwise
+    /// at the last moment.
     pub(super) fn replicas_to_move(&self, now: Steady) -> Vec<(MachineId, TaskKey)> {
         let last_moment =
             Micros::from_secs(self.config.platform.settings.workers.report_s * MOVE_LEAD_INTERVALS);
@@ -42,8 +43,9 @@
         moves
     }
 
-    /// A machine with capacity for a replica and its image and none of its service's replicas, beyond
-    /// what is reserved for other replicas.
+    /// A machine that can take over a replica: besides the capacity that is reserved for other replicas, it
+    /// has the capacity, it has the image in its cache, and no replica of the same service is or will be
+    /// there.
     fn replacement(&self, job: &Job, reservations: &ReplicaReservations, now: Steady) -> Option<MachineId> {
         let spec = &job.spec;
         let types = self.allowed_types(spec);
@@ -68,8 +70,8 @@
     }
 }
 
-/// Capacity that replicas about to move are to take, by machine, with their services, so that two
-/// moves do not count on the same free capacity.
+/// By machine: the services and resources of replicas that are about to move there, so that two moves do not
+/// count on the same free capacity.
 #[derive(Default)]
 struct ReplicaReservations(BTreeMap<MachineId, Vec<(JobId, Resources)>>);
 
@@ -78,13 +80,13 @@
         self.0.entry(machine.clone()).or_default().push((job.clone(), need));
     }
 
-    /// What remains of a machine's free capacity.
+    /// The part of a machine's free capacity that is not reserved.
     fn free(&self, machine: &Machine, free: Resources) -> Resources {
         let reserved = self.0.get(&machine.id).into_iter().flatten();
         reserved.fold(free, |free, (_, need)| free.minus(need, 1))
     }
 
-    /// Whether a replica of the service is to go to the machine.
+    /// Whether a replica of the service is about to move to the machine.
     fn has(&self, machine: &MachineId, job: &JobId) -> bool {
         self.0.get(machine).into_iter().flatten().any(|(reserved_for, _)| reserved_for == job)
     }
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -1,4 +1,5 @@
-//! Replicas of services: what happens when one ends or waits for a start.
+//! Replicas of services: backoff after a replica has ended, the machines that new replicas avoid, and
+//! starts of waiting replicas.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +10,28 @@
 use crate::time::{Micros, Steady};
 use crate::wire::{ExitReason, WorkerCommand};
 
-/// A replica that lived for less than this counts as a failure of its service.
+/// A replica that ends by itself after less than this time counts as a failure of its service.
 const MIN_HEALTHY_LIFETIME: Micros = Micros::from_millis(30_000);
-/// A machine that a replica has left by itself is avoided by its service for this long.
+/// How long a service avoids a machine on which one of its replicas has ended by itself.
 const AVOID_MACHINE_FOR: Micros = Micros::from_millis(60_000);
-/// Preempting a replica costs its users as much as this much lost work of its size.
+/// The work that counts as lost when a replica is preempted, as run time on its processors: it stands for the
+/// cost of the interruption to the service's users.
 pub(super) const PREEMPTED_REPLICA_COST: Micros = Micros::from_millis(60_000);
 
 /// A service with replicas that wait for a start.
 #[derive(Debug)]
 pub(super) struct WaitingService {
-    /// Its class in the latest plan.
+    /// Index of the service's class in the latest plan.
     class: usize,
-    /// How long after that plan its replicas would run by it, if it has a place for them.
+    /// How long after the plan was made its replicas are expected to run by that plan; `None` if the plan has
+    /// no machine for one of them.
     planned: Option<Micros>,
 }
 
 impl Fleet {
-    /// A replica has ended, for whatever reason: it runs again elsewhere. A service whose replicas
-    /// end soon after they began is backed off, so that a faulty one does not hold capacity.
+    /// Applies the end of a replica to its service. If the replica ended by itself, the service avoids the
+    /// machine for some time, and it is backed off if the replica lived only shortly, so that a faulty
+    /// service does not occupy capacity.
     pub(super) fn replica_ended(
         &mut self,
         job: &JobId,
@@ -51,8 +55,8 @@
         job.back_off(machine, now);
     }
 
-    /// Machines, by their index in the snapshot, that a service's next replica should avoid: those
-    /// with a replica and those that one has left recently.
+    /// Machines, by their index in the snapshot, that a service's next replica should avoid: machines that
+    /// have a replica of the service, and machines on which one has recently ended by itself.
     pub(super) fn machines_to_avoid(
         &self,
         job: &Job,
@@ -63,14 +67,15 @@
         avoided.filter_map(|id| machine_index.get(id).copied()).collect()
     }
 
-    /// Forgets which machines replicas have left long ago.
+    /// Lets services use machines again on which their replicas ended more than `AVOID_MACHINE_FOR` ago.
     pub(super) fn forget_old_vacated_machines(&mut self, now: Steady) {
         for job in self.jobs.values_mut() {
             job.vacated.retain(|_, left_at| now - *left_at < AVOID_MACHINE_FOR);
         }
     }
 
-    /// Notes which services have replicas waiting, and when they would run by the plan.
+    /// Records which services have replicas that wait for a start, and when these are expected to run by
+    /// the plan.
     pub(super) fn update_waiting_services(&mut self, snapshot: &Snapshot, plan: &Plan) {
         let mut waiting: BTreeMap<usize, Option<Micros>> = BTreeMap::new();
         for start in &plan.starts {
@@ -87,8 +92,8 @@
         self.waiting_services = services.map(|(class, planned)| WaitingService { class, planned }).collect();
     }
 
-    /// Starts waiting replicas on a machine that has just sent a heartbeat, if they run sooner here than
-    /// where the plan has them.
+    /// Starts waiting replicas on a machine whose heartbeat is being answered, if they run sooner there
+    /// than on the machines that the plan has chosen for them.
     pub(super) fn start_replicas(&mut self, id: &MachineId, now: Steady, commands: &mut Vec<WorkerCommand>) {
         if self.waiting_services.is_empty() {
             return;
@@ -108,7 +113,7 @@
         }
     }
 
-    /// The job of a waiting service if its next replica runs sooner on this machine than by the plan.
+    /// The job of a waiting service, if its next replica runs sooner on this machine than by the plan.
     fn service_that_runs_sooner(
         &self,
         service: &WaitingService,
--- a/src/fleet/scaling.rs
+++ b/src/fleet/scaling.rs
@@ -1,5 +1,5 @@
-//! Scale out and scale in of the fleet: the autoscaler's inputs, and the machines that its decision
-//! removes.
+//! Scale out and scale in of the fleet: collects the autoscaler's inputs and marks machines for scale in as
+//! it decides.
 
 use super::{Fleet, Machine};
 use crate::capacity::{Autoscaler, MachineOffer, MachineStatus, ScaleOutItem, ScalingPolicy};
@@ -11,10 +11,10 @@
 const MIN_SILENT_IN_PARTITIONED_ZONE: usize = 2;
 
 impl Fleet {
-    /// Plans and decides on scaling: returns the machines to add, at most one item for each offer, and
-    /// marks idle machines for scale in.
+    /// Makes a plan and decides on scaling: returns the machines to request, at most one item for each
+    /// offer, and marks idle machines for scale in.
     pub fn decide_scaling(&mut self, now: Steady, wall: Wall) -> Vec<ScaleOutItem> {
-        // Always on a plan of this very moment: its indices are the snapshot's.
+        // The autoscaler needs a plan made from the same snapshot, because the plan's indices refer to it.
         let (snapshot, machines) = self.plan_now(now, wall);
         let zones = self.zones_by_type();
         let autoscaler = Autoscaler {
@@ -35,7 +35,7 @@
         decision.scale_out
     }
 
-    /// Age and use of the machines of a snapshot, in its order.
+    /// Age and use of the snapshot's machines, in the snapshot's order.
     fn machine_status(&self, machines: &[MachineId], now: Steady) -> Vec<MachineStatus> {
         let known = machines.iter().filter_map(|id| self.machines.get(id));
         let status = |machine: &Machine| MachineStatus {
@@ -46,7 +46,7 @@
         known.map(status).collect()
     }
 
-    /// By type: indices of the zones that it is offered in.
+    /// By machine type: indices of the zones in which the type is offered.
     fn zones_by_type(&mut self) -> Vec<Vec<usize>> {
         let types = self.catalog.types.clone();
         let zones_of = |machine_type: &MachineType| {
@@ -55,7 +55,7 @@
         types.iter().map(zones_of).collect()
     }
 
-    /// By type: whether more jobs with a deadline that may use it are expected.
+    /// By machine type: whether more jobs with a deadline are expected that may use the type.
     fn deadline_jobs_expected(&self, now: Steady) -> Vec<bool> {
         let expected = |type_index: usize| {
             let recent = || {
@@ -66,8 +66,8 @@
         (0..self.catalog.types.len()).map(expected).collect()
     }
 
-    /// Offers that the cloud refused recently, and all of partitioned zones: new machines there
-    /// could not send heartbeats either.
+    /// Offers that the cloud refused recently, and all offers in partitioned zones, since new machines
+    /// there could not send heartbeats either.
     fn offers_to_avoid(&self, now: Steady) -> Vec<MachineOffer> {
         let mut offers: Vec<MachineOffer> = self.refused_offers.keys().copied().collect();
         for zone in (0..self.catalog.zones.len()).filter(|zone| self.is_partitioned(*zone, now)) {
@@ -77,14 +77,14 @@
         offers
     }
 
-    /// Whether a zone is cut off by a network partition, most likely: most of its machines are silent.
+    /// Whether a zone is most likely cut off by a network partition: most of its machines are silent.
     fn is_partitioned(&self, zone: usize, now: Steady) -> bool {
         let is_silent = |machine: &&Machine| self.is_silent(machine, now);
         let silent = self.machines_up_in(zone).filter(is_silent).count();
         silent >= MIN_SILENT_IN_PARTITIONED_ZONE && silent * 2 > self.machines_up_in(zone).count()
     }
 
-    /// The operator's settings for scaling.
+    /// The scaling policy from the operator's settings.
     fn scaling_policy(&self) -> ScalingPolicy {
         let operator = &self.config.operator;
         ScalingPolicy {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Records that the cloud refused an offer, which is not requested again before `until`.
+    /// Records that the cloud refused an offer, so that it is not requested again before `until`.
     pub fn record_refused_offer(&mut self, offer: MachineOffer, until: Steady) {
         self.refused_offers.insert(offer, until);
     }
