--- a/crates/recovery/src/discrepancy.rs
+++ b/crates/recovery/src/discrepancy.rs
@@ -1,36 +1,38 @@
-//! Discrepancies between what a machine's worker reports and what is recorded.
+//! Discrepancies between the report of a machine's worker and the records.
 
 use serde::{Deserialize, Serialize};
 
-/// A kind of discrepancy. The status and the log name the kinds as they are called here.
+/// A kind of discrepancy. The status and the log use the names of the variants, in snake case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Discrepancy {
-    /// Done at the worker but not in the records. It is recorded, then dropped from the worker's
-    /// reports, and never runs again.
+    /// The task is done according to the worker but not in the records. It is recorded as done, then
+    /// dropped from the worker's reports, and never runs again.
     Finished,
-    /// On the machine, though its job has ended or was never accepted here. It is halted.
+    /// The task is on the machine although its job has ended or was never submitted. The task is halted.
     JobOver,
-    /// On the machine, though done in the records. It runs to its end, and its result is dropped.
+    /// The task is on the machine although it is done in the records. It runs to its end, and its result is
+    /// dropped.
     DoneBefore,
-    /// Reported by two machines. It counts as possibly on both until one reports without it.
+    /// Two machines report the task. It counts as possibly running on both until one of them reports
+    /// without it.
     PlacedTwice,
-    /// It ended without success while there was no leader. It runs again.
+    /// The task ended without success while there was no leader. It runs again.
     Failed,
-    /// A gang of which not all tasks were reported once every machine has reported or is lost.
+    /// Some tasks of a gang were not reported although every machine has reported or is lost.
     PartialGang,
-    /// The machine was given up, with all that may have been on it.
+    /// The machine is lost before it has reported, with all tasks that may have been on it.
     MachineLost,
 }
 
 /// The state of a task in a worker's report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedTaskState {
-    /// On the machine: fetching its inputs, waiting, running or saving a checkpoint.
+    /// The task is on the machine: fetching its inputs, waiting, running or saving a checkpoint.
     Present,
-    /// It has exited with success.
+    /// The task has exited with success.
     Done,
-    /// It has exited for another reason.
+    /// The task has exited for another reason.
     Failed,
 }
 
@@ -41,7 +43,7 @@
     pub job: &'a str,
     /// The task's number within the job.
     pub task: u32,
-    /// The attempt.
+    /// The attempt number.
     pub attempt: u64,
     /// The task's state.
     pub state: ReportedTaskState,
@@ -50,18 +52,18 @@
 /// The state of a job in the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobRecordState {
-    /// There is no live job of this id: it has ended, or was never accepted.
+    /// There is no live job with this id: it has ended or was never submitted.
     Ended,
-    /// Live, with independent tasks.
+    /// The job is live and has independent tasks.
     Live,
-    /// Live, a gang.
+    /// The job is live and is a gang.
     LiveGang {
         /// Number of tasks of the gang.
         tasks: u32,
     },
 }
 
-/// The records, as far as the comparison needs them.
+/// The parts of the records that the comparison needs.
 pub trait RecordedJobs {
     /// The state of a job.
     fn job(&self, job: &str) -> JobRecordState;
@@ -70,20 +72,20 @@
     fn is_done(&self, job: &str, task: u32) -> bool;
 }
 
-/// A discrepancy that a machine's first report shows.
+/// A discrepancy of one task that was found in a machine's first report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskDiscrepancy {
     /// The job's id.
     pub job: String,
     /// The task's number within the job.
     pub task: u32,
-    /// The kind.
+    /// The kind of discrepancy.
     pub discrepancy: Discrepancy,
 }
 
 impl Discrepancy {
-    /// The discrepancy between a reported task and the records, whatever other machines report; `None`
-    /// if they agree.
+    /// The discrepancy between a reported task and the records, without regard to other machines' reports;
+    /// `None` if the task agrees with the records.
     pub(crate) fn between(task: &ReportedTask<'_>, records: &impl RecordedJobs) -> Option<Discrepancy> {
         let is_present = task.state == ReportedTaskState::Present;
         if records.job(task.job) == JobRecordState::Ended {
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,10 +1,10 @@
 //! Recovery after a failover.
 //!
-//! A new leader reads the records and then receives heartbeats from the machines that earlier leaders
-//! left, one after the other. This package tracks which machines have reported, compares each machine's
-//! first report with the records, and says what may not be decided yet. It is a pure state machine:
-//! moments are durations since the failover, and reports and records are passed in. `docs/recovery.md`
-//! explains why decisions wait for what they wait for.
+//! A new leader reads the records and then receives heartbeats, one after the other, from the machines that
+//! earlier leaders registered. This package tracks which machines have reported, compares each machine's
+//! first report with the records, and tells whether decisions that depend on further reports should wait.
+//! It is a pure state machine: times are durations since the failover, and reports and records are passed
+//! in. `docs/recovery.md` gives the reasons for which decisions wait.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -1,4 +1,4 @@
-//! What is counted during a recovery. The serialized names are part of the status.
+//! Counters and the progress of a recovery. The serialized names are part of the status.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +6,25 @@
 
 use crate::discrepancy::Discrepancy;
 
-/// Kinds of commands to workers.
+/// The kinds of commands to workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CommandKind {
-    /// A task is started.
+    /// Start a task.
     Start,
-    /// A task is stopped.
+    /// Stop a task.
     Halt,
-    /// An exited task is dropped from the worker's reports.
+    /// Drop an exited task from the worker's reports.
     Forget,
 }
 
-/// Commands since the failover, by kind.
+/// Numbers of commands to workers since the failover, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandCounts {
-    /// Commands to start a task.
+    /// Number of commands to start a task.
     pub starts: u64,
-    /// Commands to stop a task, repeated ones included.
+    /// Number of commands to stop a task, including repeated ones.
     pub halts: u64,
-    /// Commands to drop an exited task from the reports, repeated ones included.
+    /// Number of commands to drop an exited task from the reports, including repeated ones.
     pub forgets: u64,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Numbers of discrepancies by kind; a kind without any has no entry.
+/// Numbers of discrepancies by kind. A kind of which none was found has no entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DiscrepancyCounts(BTreeMap<Discrepancy, u64>);
@@ -67,27 +67,27 @@
     }
 }
 
-/// How far a recovery has come.
+/// The progress of a recovery.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecoveryProgress {
     /// Seconds since the failover.
     pub after_s: f64,
-    /// Machines that earlier leaders left.
+    /// Number of machines that earlier leaders registered.
     pub machines: u64,
-    /// Those of them that have neither reported nor been given up.
+    /// Number of these machines that have not reported and are not lost.
     #[serde(rename = "unheard")]
     pub not_reported: u64,
-    /// Those of them that were given up.
+    /// Number of these machines that were lost before they reported.
     pub lost: u64,
-    /// Tasks that were found on a machine and agree with the records.
+    /// Number of tasks that were found on a machine and agree with the records.
     pub adopted: u64,
-    /// Discrepancies found so far.
+    /// Discrepancies that were found so far.
     #[serde(rename = "differences")]
     pub discrepancies: DiscrepancyCounts,
-    /// Commands sent so far.
+    /// Commands that were sent to workers so far.
     #[serde(rename = "orders")]
     pub commands: CommandCounts,
-    /// Seconds from the failover until every machine had reported or was lost; `None` before that.
+    /// Seconds from the failover until every machine had reported or was lost; `None` until then.
     #[serde(rename = "settled_s")]
     pub completed_after_s: Option<f64>,
 }
--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -1,4 +1,4 @@
-//! Tracks which machines have reported since a failover, and what their reports add up to.
+//! Tracks which machines have reported since a failover, and collects what their reports show.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,14 +8,15 @@
 };
 use crate::progress::{CommandCounts, CommandKind, DiscrepancyCounts, RecoveryProgress};
 
-/// What is known of a machine that the records name.
+/// The state of a machine that the records name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineStatus {
-    /// It has not reported: whatever may be on it is neither started elsewhere nor taken for missing.
+    /// The machine has not reported with this leader's fencing token. Tasks that may be on it are not started
+    /// elsewhere, and do not count as missing.
     NotReported,
-    /// It has reported with this leader's fencing token.
+    /// The machine has reported with this leader's fencing token.
     Reported,
-    /// It is gone, or its lease has certainly expired.
+    /// The machine is gone, or its lease has certainly expired, before it reported.
     Lost,
 }
 
@@ -33,11 +34,12 @@
     attempt: u64,
 }
 
-/// The tasks of an attempt of a gang that were reported.
+/// The tasks of a gang's attempt that were reported.
 #[derive(Clone, Debug, Default)]
 struct ReportedGang {
     /// Number of tasks of the whole gang.
     size: u32,
+    /// Numbers of the tasks that are present on a machine.
     present: BTreeSet<u32>,
 }
 
@@ -47,48 +49,56 @@
     }
 }
 
-/// Tracks a recovery, from a failover until some time after every machine has reported or is lost.
+/// Tracks the recovery after a failover. The comparison is complete once every machine that the records
+/// name has reported or is lost.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveryTracker {
+    /// The machines that the records name.
     machines: BTreeMap<String, MachineStatus>,
     /// Machines whose first report has been compared with the records.
     compared: BTreeSet<String>,
+    /// Number of machines with status `NotReported`.
     not_reported: u64,
-    /// Reported tasks that are present; dropped once every machine has reported or is lost.
+    /// Reported tasks that are present on a machine; cleared once every machine has reported or is lost.
     present: BTreeSet<TaskKey>,
-    /// Reported gangs; dropped at the same time.
+    /// Reported attempts of gangs; cleared once every machine has reported or is lost.
     gangs: BTreeMap<GangAttempt, ReportedGang>,
+    /// Number of tasks that were found on a machine and agree with the records.
     adopted: u64,
+    /// Number of machines with status `Lost`.
     lost: u64,
     discrepancies: DiscrepancyCounts,
     commands: CommandCounts,
+    /// Time from the failover until every machine had reported or was lost; `None` until then.
     completed_after: Option<Duration>,
 }
 
 impl RecoveryTracker {
-    /// Adds a machine that the records name. Nothing is known of it yet.
+    /// Adds a machine that the records name, as one that has not reported.
     pub fn expect_machine(&mut self, machine: &str) {
         if self.machines.insert(machine.to_string(), MachineStatus::NotReported).is_none() {
             self.not_reported += 1;
         }
     }
 
-    /// What is known of a machine; `None` if the records do not name it.
+    /// The status of a machine; `None` if the records do not name it.
     pub fn machine_status(&self, machine: &str) -> Option<MachineStatus> {
         self.machines.get(machine).copied()
     }
 
-    /// Whether some machines have not reported and, this long after the failover, may still do so within
-    /// `window`. What depends on how they are used, and can wait, is not decided before.
+    /// Whether some machines have not reported and may still be expected to: `after`, the time since the
+    /// failover, is less than `window`. Decisions that depend on the use of these machines, and that can
+    /// wait, should be made only when this is false.
     pub fn is_awaiting_reports(&self, after: Duration, window: Duration) -> bool {
         self.not_reported > 0 && after < window
     }
 
     /// Compares a machine's first report with the records and returns the discrepancies.
     ///
-    /// The first report counts whatever fencing token it shows, since it has what was there before the
-    /// failover: by the next one, what it reported may already be recorded. Later reports and machines
-    /// that the records do not name show none.
+    /// The first report is compared whatever fencing token it carries, since it shows the machine's state
+    /// at the failover: when the next report comes, results in the first one may already be recorded. Later
+    /// reports, and reports of machines that the records do not name, are not compared and yield no
+    /// discrepancies.
     pub fn compare_first_report(
         &mut self,
         machine: &str,
@@ -110,7 +120,8 @@
         found
     }
 
-    /// Notes a task that agrees with the records; returns a discrepancy if another machine has it too.
+    /// Counts a present task that agrees with the records as adopted; returns a discrepancy instead if
+    /// another machine has reported the task too.
     fn adopt(&mut self, task: &ReportedTask<'_>, records: &impl RecordedJobs) -> Option<Discrepancy> {
         if task.state != ReportedTaskState::Present {
             return None;
@@ -129,18 +140,18 @@
         None
     }
 
-    /// A machine has reported with this leader's fencing token: no command of an earlier leader can reach
-    /// it any more.
+    /// Marks a machine as reported: it has shown this leader's fencing token, so that no command of an
+    /// earlier leader takes effect on it any more. Has no effect unless the machine has not reported.
     pub fn mark_reported(&mut self, machine: &str, after: Duration) {
         self.resolve_machine(machine, MachineStatus::Reported, after);
     }
 
-    /// A machine that has not reported is given up.
+    /// Marks a machine as lost. Has no effect unless the machine has not reported.
     pub fn mark_lost(&mut self, machine: &str, after: Duration) {
         self.resolve_machine(machine, MachineStatus::Lost, after);
     }
 
-    /// Changes the status of a machine that is unheard; has no effect on any other.
+    /// Changes the status of a machine that has not reported; has no effect on other machines.
     fn resolve_machine(&mut self, machine: &str, status: MachineStatus, after: Duration) {
         if self.machine_status(machine) != Some(MachineStatus::NotReported) {
             return;
@@ -156,7 +167,8 @@
         }
     }
 
-    /// Every machine has reported or is lost, so a gang of which tasks are missing is a partial one.
+    /// Completes the comparison once every machine has reported or is lost: gangs with missing tasks are now
+    /// known to be partial.
     fn finish_comparison(&mut self, after: Duration) {
         if self.completed_after.is_some() {
             return;
@@ -181,7 +193,7 @@
         self.not_reported == 0
     }
 
-    /// How far the recovery has come, this long after the failover.
+    /// The progress of the recovery at the time `after` since the failover.
     pub fn progress(&self, after: Duration) -> RecoveryProgress {
         RecoveryProgress {
             after_s: after.as_secs_f64(),
