--- a/crates/recovery/tests/discrepancies.rs
+++ b/crates/recovery/tests/discrepancies.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn each_discrepancy_alone() {
+fn each_kind_of_discrepancy_is_found_in_a_report() {
     use Discrepancy::{DoneBefore, Failed, Finished, JobOver};
     assert_eq!(found(&[]), []);
     assert_eq!(found(&[task("array", 1, ReportedTaskState::Present)]), [], "adopted where it is");
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_task_on_two_machines_is_seen_by_the_second_report() {
+fn a_task_on_two_machines_is_found_with_the_second_report() {
     let mut recovery = recovery(&["a", "b"]);
     let tasks = [task("array", 1, ReportedTaskState::Present)];
     assert!(report(&mut recovery, "a", &tasks).is_empty());
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_gang_is_in_part_only_once_all_machines_are_heard_or_lost() {
+fn a_gang_is_partial_only_once_every_machine_has_reported_or_is_lost() {
     let mut recovery = recovery(&["a", "b"]);
     report(
         &mut recovery,
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn what_depends_on_unheard_machines_waits_for_a_while_only() {
+fn decisions_wait_for_reports_only_within_the_window() {
     let window = 4 * SECOND;
     let mut recovery = recovery(&["a", "b"]);
     assert!(recovery.is_awaiting_reports(SECOND, window));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn only_a_machines_first_report_counts() {
+fn only_the_first_report_of_a_machine_is_compared() {
     let mut recovery = recovery(&["a"]);
     report(&mut recovery, "a", &[]);
     assert!(report(&mut recovery, "a", &[task("array", 1, ReportedTaskState::Done)]).is_empty());
@@ -138,7 +138,7 @@
 
 /// Random machines that report in random order, some twice, some never.
 #[test]
-fn random_mixtures_count_as_a_plain_model_does() {
+fn random_reports_are_counted_as_by_a_simple_model() {
     for seed in 0..500 {
         let mut rng = StdRng::seed_from_u64(seed);
         let (records, names) = (records(), ["array", "over"]);
--- a/tests/faulty_machines.rs
+++ b/tests/faulty_machines.rs
@@ -46,7 +46,7 @@
 
 /// A machine that failed sixteen tasks of an urgent job at once put the job off for a minute on all others.
 #[test]
-fn many_failures_on_one_machine_count_as_one() {
+fn several_failures_on_one_machine_count_as_one_failure_of_the_job() {
     let mut s = Scenario::new(2, false);
     s.submit(spec(1, 8, "batch"));
     (0..3).for_each(|_| s.step(&[]));
@@ -62,7 +62,7 @@
 
 /// Tasks that began before the fault go on to succeed: they say nothing of what begins after it.
 #[test]
-fn a_machine_is_returned_though_what_it_began_before_its_fault_succeeds() {
+fn successes_of_tasks_started_before_a_failure_do_not_keep_a_machine_from_scale_in() {
     let mut s = Scenario::new(1, false);
     s.submit(spec(1, 2, "batch"));
     (0..3).for_each(|_| s.step(&[]));
@@ -85,7 +85,7 @@
 
 /// A job that succeeds elsewhere is not mistaken: the first failure is the machine's.
 #[test]
-fn a_machine_that_fails_what_succeeds_elsewhere_is_returned_at_once() {
+fn a_machine_on_which_a_job_fails_that_succeeds_elsewhere_is_scaled_in_at_once() {
     let mut s = Scenario::new(2, false);
     s.submit(JobSpec { estimate_s: 60.0, ..spec(1, 8, "batch") });
     (0..3).for_each(|_| s.step(&[]));
@@ -99,7 +99,7 @@
 
 /// With a single machine a mistaken job is still tried ever more seldom.
 #[test]
-fn a_job_that_fails_again_and_again_on_one_machine_backs_off() {
+fn a_job_that_fails_repeatedly_on_the_only_machine_is_backed_off() {
     let mut s = Scenario::new(1, false);
     s.submit(spec(1, 4, "batch"));
     for _ in 0..40 {
--- a/tests/halt_commands.rs
+++ b/tests/halt_commands.rs
@@ -11,7 +11,7 @@
 /// Behind a cut each machine is waited for in vain: with halts to hundreds of them sent in one go, those for
 /// tasks in whose place others wait came minutes late.
 #[test]
-fn machines_whose_heartbeat_is_overdue_are_halted_few_at_a_time_and_all_in_turn() {
+fn halts_are_sent_to_few_machines_with_overdue_heartbeats_at_a_time_and_to_all_in_turn() {
     let mut s = Scenario::new(20, false);
     s.submit(spec(1, 80, "batch"));
     (0..4).for_each(|_| s.step(&[]));
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -77,7 +77,7 @@
 
 /// A plan that looks at the heard machines only would stop tasks for work that has capacity elsewhere.
 #[test]
-fn nothing_is_preempted_while_heartbeats_of_machines_are_outstanding() {
+fn no_task_is_preempted_while_first_heartbeats_are_still_expected() {
     let mut fleet = fleet_with_urgent_job();
     let mut now = FIRST_HEARTBEAT_AT;
     for sequence in 2..=4 {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_machine_that_stays_unheard_does_not_keep_urgent_work_waiting() {
+fn a_machine_that_does_not_report_does_not_delay_an_urgent_job_for_long() {
     let mut fleet = fleet_with_urgent_job();
     // A heartbeat every 3 s in these settings, a quarter more at the most.
     let now = FAILOVER_AT + Micros::from_millis(3_800);
--- a/tests/safety/ended_jobs.rs
+++ b/tests/safety/ended_jobs.rs
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn tasks_of_a_job_that_is_over_are_halted_and_hold_their_machine() {
+fn tasks_of_an_ended_job_are_halted_and_occupy_their_machine_until_they_exit() {
     let mut fleet = new_fleet(7);
     fleet.apply_job_record(record(spec(2, 4, "batch")), 1, START);
     let there = [("wk-000001/0", 3, TaskStage::Running, None)];
@@ -31,7 +31,7 @@
 /// Halts go by direct command to machines whose heartbeat is overdue, and to no others; nothing else is
 /// commanded that way.
 #[test]
-fn what_is_left_of_cancelled_jobs_on_silent_machines_is_halted_by_command() {
+fn tasks_of_cancelled_jobs_on_machines_with_overdue_heartbeats_are_halted_by_direct_command() {
     let (mut fleet, task) = fleet_with_a_running_task();
     fleet.job_ended("wk-000001", 5);
     assert!(fleet.halt_commands(at(3.0)).is_empty(), "the answer to its next report will tell it");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_teams_status_shows_only_what_is_its_own() {
+fn a_teams_status_shows_only_its_own_jobs_and_no_machines() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
     let mut other = spec(2, 1, "batch");
     other.team = "tight".into();
--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn after_a_failover_only_what_cannot_be_elsewhere_starts() {
+fn after_a_failover_only_tasks_that_cannot_be_running_elsewhere_start() {
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 5, START);
     fleet.inherit_machine("i-2", &machine_record("small"), 5, START);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_limited_team_counts_unheard_machines_as_its_own() {
+fn the_capacity_of_unacknowledged_machines_counts_towards_a_teams_quota() {
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 5, START);
     let mut s = spec(1, 8, "batch");
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_new_leader_knows_what_large_machines_are_kept_for() {
+fn a_new_leader_loads_the_recent_jobs_that_large_machines_are_kept_for() {
     // Without it, each failover returned the idle machines that the next urgent job needed.
     let mut hasty = spec(1, 1, "gang");
     hasty.class = Some("quick".into());
@@ -84,7 +84,7 @@
 
 /// After each failover nothing idle was returned for a minute, since every machine seemed new.
 #[test]
-fn a_new_leader_knows_the_age_of_machines_that_others_scaled_out() {
+fn a_new_leader_takes_the_age_of_machines_from_the_clouds_list() {
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
     reply_commands(&mut fleet, 0.5, &heartbeat("i-1", 9, 9, &[]));
@@ -114,7 +114,7 @@
 
 /// A thousand and more machines, all heard within a moment of a failover, each with what it runs.
 #[test]
-fn a_failover_with_all_heartbeats_at_once_starts_nothing_that_runs() {
+fn when_all_machines_report_at_once_after_a_failover_no_running_task_starts_again() {
     const MACHINES: u32 = 1500;
     let mut fleet = new_fleet(9);
     let id = |m: u32| format!("i-{m:06}");
@@ -150,7 +150,7 @@
 /// The notice of another controller may be held up on the way for a minute. The leader that it reaches
 /// then may never have known the job, which was cancelled before it came.
 #[test]
-fn a_delayed_notice_to_a_new_leader_starts_nothing() {
+fn a_delayed_job_message_does_not_restore_an_ended_job_at_a_new_leader() {
     let mut fleet = new_fleet(8);
     fleet.advance_jobs_revision(50);
     fleet.apply_job_record(record(spec(1, 1, "batch")), 40, at(1.0));
--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn a_late_copy_does_not_bring_a_job_back() {
+fn a_late_job_record_does_not_restore_an_ended_job() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
     fleet.job_ended("wk-000001", 1000);
     fleet.apply_job_record(record(spec(1, 1, "batch")), 999, at(1.0));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn late_copies_of_heartbeats_renew_nothing_and_bring_nothing_back() {
+fn late_heartbeats_renew_no_lease_and_restore_no_task() {
     let (mut fleet, (task, attempt)) = fleet_with_a_running_task();
     let running = [(task.as_str(), attempt, TaskStage::Running, None)];
     // Sent before the machine was partitioned, this one arrives when its lease has run out.
@@ -56,7 +56,7 @@
 
 /// Copies of heartbeats come by the thousand, from seconds to well over a lease late.
 #[test]
-fn late_copies_by_the_thousand_change_nothing_and_are_not_remembered() {
+fn thousands_of_late_heartbeats_change_nothing_in_the_model() {
     const MACHINES: u32 = 400;
     let mut fleet = new_fleet(7);
     fleet.apply_job_record(record(spec(1, 100, "batch")), 1, START);
--- a/tests/safety/leases.rs
+++ b/tests/safety/leases.rs
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn a_silent_machine_keeps_its_tasks_until_its_lease_has_surely_expired() {
+fn tasks_of_a_silent_machine_start_elsewhere_only_after_its_lease_has_certainly_expired() {
     let (mut fleet, _) = fleet_with_a_running_task();
     reply_commands(&mut fleet, 2.0, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 2.0);
@@ -37,7 +37,7 @@
 /// controllers, went on placing there what it took for ended on machines outside, whose leases the
 /// next leader was renewing.
 #[test]
-fn a_leader_that_may_have_been_replaced_counts_no_lease() {
+fn a_leader_that_may_have_been_replaced_expires_no_lease() {
     let (mut fleet, _) = fleet_with_a_running_task();
     reply_commands(&mut fleet, 2.0, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 2.0);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_lease_of_a_machine_that_is_not_heard_is_not_counted() {
+fn the_lease_of_an_unacknowledged_machine_does_not_expire_by_its_heartbeats() {
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 5, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 6, START);
@@ -77,7 +77,7 @@
 /// A worker that reaches no controller: a new leader hears it by direct command alone. What it runs is
 /// started nowhere else before its lease has surely run out, and no later than that.
 #[test]
-fn a_machine_heard_by_command_only_has_an_end_of_its_lease() {
+fn the_lease_of_a_machine_that_replies_only_to_direct_commands_expires() {
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 1, START);
@@ -95,7 +95,7 @@
 /// With the cloud out nothing is returned, and a machine that replies to nobody would hold up work for as
 /// long. An earlier leader can have replied to it until 23 s after the claim at the most.
 #[test]
-fn unheard_machines_delay_work_no_longer_than_an_earlier_leader_can_reply_to_them() {
+fn unacknowledged_machines_delay_tasks_no_longer_than_a_lease_of_an_earlier_leader_can_last() {
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 1, START);
@@ -115,7 +115,7 @@
 /// lease. Brought the new fencing token later, the machine counted as having had that first reply, and its
 /// task began elsewhere.
 #[test]
-fn a_reply_before_the_fencing_token_arrived_starts_no_lease() {
+fn a_reply_sent_before_the_fencing_token_was_delivered_does_not_date_the_lease() {
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 1, START);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn the_time_without_store_contact_ends_early_enough_for_cancellations() {
+fn maximum_staleness_and_lease_together_are_shorter_than_the_cancellation_time() {
     let c = config();
     let w = &c.platform.settings.workers;
     assert!(c.max_staleness().secs() + w.lease_s * 1.001 < w.cancel_s);
@@ -141,7 +141,7 @@
 /// The next leader counts on it that this one replies no longer than its view allows, though it may see all
 /// cancellations; a cancellation is seen by reads alone, though the lease may be renewed.
 #[test]
-fn store_contact_rests_on_reads_and_on_renewals() {
+fn a_leader_may_act_only_for_a_limited_time_after_reads_and_renewals() {
     let bound = Micros::from_secs(10.0);
     let (mut reads, mut renewals) = (StoreContact::new(START, bound), StoreContact::new(START, bound));
     reads.note_read(at(9.0));
--- a/tests/safety/machines.rs
+++ b/tests/safety/machines.rs
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn unknown_machines_are_enrolled_and_returned_ones_stay_gone() {
+fn unknown_machines_are_registered_and_heartbeats_of_removed_machines_are_refused() {
     let mut fleet = new_fleet(7);
     reply_commands(&mut fleet, 0.0, &heartbeat("i-5", 1, 0, &[]));
     assert_eq!(fleet.pending_writes(START, Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_failing_job_is_backed_off_and_a_failing_machine_returned() {
+fn a_failing_job_is_backed_off_and_a_failing_machine_scaled_in() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
     let mut sequence = 2;
     let mut tries = 0;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_machine_that_replies_do_not_reach_gets_nothing_more_and_is_returned() {
+fn a_machine_to_which_replies_are_not_delivered_is_paused_and_scaled_in() {
     let mut fleet = fleet_with(spec(1, 400, "batch"));
     let (mut sequence, mut offered, mut t) = (2, Vec::new(), 1.0);
     while fleet.machines_to_scale_in().is_empty() && t < 120.0 {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_machine_whose_lease_ends_although_it_is_replied_to_is_returned_too() {
+fn a_machine_whose_lease_expires_although_its_heartbeats_are_answered_is_scaled_in() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
     for agent_epoch in 1..=3u64 {
         for k in 0..8u64 {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn few_silent_machines_are_fenced_soon_and_many_are_waited_for() {
+fn after_a_failover_few_silent_machines_are_scaled_in_sooner_than_many() {
     let after = |silent: usize, t: f64| {
         let mut fleet = new_fleet(9);
         for n in 0..20 {
@@ -119,7 +119,7 @@
 /// Machines that could not be reached while the leader changed, and went on within their lease, were scaled in
 /// after 25 s with all that ran on them, failover after failover.
 #[test]
-fn machines_that_are_back_within_their_lease_keep_their_tasks() {
+fn machines_that_report_again_within_their_lease_keep_their_tasks() {
     let mut fleet = silent_fleet_with_long_leases();
     for s in 1..LONG_LEASE_S as u32 {
         fleet.tick(at(f64::from(s)), wall(f64::from(s)));
@@ -138,7 +138,7 @@
 
 /// No longer than that: a task on a machine that stays away waits for the machine's end.
 #[test]
-fn machines_that_stay_silent_are_returned_when_their_lease_has_expired() {
+fn machines_that_stay_silent_after_a_failover_are_scaled_in_when_their_lease_has_expired() {
     let mut fleet = silent_fleet_with_long_leases();
     let expired = LONG_LEASE_S + 2.0;
     fleet.tick(at(expired), wall(expired));
@@ -177,7 +177,7 @@
 /// With a zone cut off while its machines booted, all of them were returned at the end of the boot time that is
 /// allowed, in the second in which the partition ended.
 #[test]
-fn machines_that_boot_in_a_partitioned_zone_are_waited_for() {
+fn machines_that_boot_in_a_partitioned_zone_get_more_time() {
     let offer = |zone| MachineOffer { ty: 0, zone, spot: false };
     let ids = |zone: &str| (0..6).map(|n| format!("{zone}-{n}")).collect::<Vec<String>>();
     let mut fleet = new_fleet(9);
@@ -201,7 +201,7 @@
 /// In a long outage the leader may reply to nobody. The machines go on sending heartbeats, and do not count
 /// as silent, or as unreachable, when it is over.
 #[test]
-fn machines_without_replies_count_neither_as_silent_nor_as_unreachable() {
+fn machines_whose_heartbeats_the_leader_may_not_answer_are_not_scaled_in() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
     let s = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).remove(0);
     reply_commands(
--- a/tests/safety/starts.rs
+++ b/tests/safety/starts.rs
@@ -9,7 +9,7 @@
 use crate::fixtures::{fleet_with, fleet_with_a_running_task, new_fleet, reply_commands, starts, write_all};
 
 #[test]
-fn a_start_that_a_newer_heartbeat_lacks_is_started_again() {
+fn a_started_task_that_the_next_heartbeat_does_not_list_is_started_again() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
     let first = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
     assert_eq!(first.len(), 1);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn attempts_of_a_later_fencing_token_are_greater() {
+fn attempt_numbers_of_a_higher_fencing_token_are_greater() {
     let mut early = fleet_with(spec(1, 4, "batch"));
     let a = starts(&reply_commands(&mut early, 1.0, &heartbeat("i-1", 2, 7, &[])));
     let mut late = new_fleet(8);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn nothing_starts_before_its_mark_and_its_machine_are_written() {
+fn no_task_starts_before_its_start_mark_and_machine_record_are_written() {
     let mut fleet = new_fleet(7);
     fleet.apply_job_record(record(spec(1, 1, "batch")), 1, START);
     assert!(
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn forget_follows_the_written_done_range() {
+fn an_exited_task_is_forgotten_only_after_its_done_range_is_written() {
     let mut fleet = fleet_with(spec(1, 3, "batch"));
     let s = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
     assert_eq!(s.len(), 3);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_start_leaves_with_a_reply_that_waited_unless_a_newer_heartbeat_has_come() {
+fn a_deferred_reply_carries_starts_unless_a_newer_heartbeat_has_come() {
     let (mut fleet, (task, attempt)) = fleet_with_a_running_task();
     assert!(!fleet.may_defer_reply("i-1", at(2.0)), "what changes on a busy machine must be heard at once");
     let done = [(task.as_str(), attempt, TaskStage::Exited, Some(ExitReason::Done))];
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn placement_is_checked_at_the_start_with_all_that_is_possibly_there() {
+fn zone_rules_and_spot_setting_are_checked_at_the_start() {
     let mut one_zone = spec(1, 6, "batch");
     one_zone.one_zone = true;
     let mut fleet = fleet_with(one_zone);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_limit_holds_across_jobs_and_machines() {
+fn a_quota_applies_across_jobs_and_machines() {
     let mut fleet = new_fleet(7);
     for n in 1..=2 {
         let mut s = spec(n, 4, "batch");
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_gang_does_not_starve_behind_small_tasks_of_its_own_limited_team() {
+fn a_gang_does_not_starve_behind_small_tasks_of_its_own_team_with_a_quota() {
     let mut small = spec(1, 30, "batch");
     small.team = "tight".into();
     let mut fleet = fleet_with(small);
@@ -209,7 +209,7 @@
 /// the machines that the plan chose, beside others with room that had sent theirs: a team with waiting tasks stayed
 /// below its quota for good.
 #[test]
-fn quota_that_comes_free_is_used_by_the_next_heartbeat_with_room() {
+fn freed_quota_is_used_by_the_next_heartbeat_of_a_machine_with_capacity() {
     const MACHINES: u32 = 50;
     const OTHER_JOBS: u32 = 100;
     let id = |n: u32| format!("i-{n:03}");
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_cheapest_offer_is_taken_and_a_refused_one_passed_over() {
+fn the_cheapest_offer_that_was_not_refused_is_requested() {
     let all = decide(vec![], vec![class(16, 40, 0)], None, &[], false);
     assert_eq!(all.0, [(true, 2)]);
     let refused = MachineOffer { ty: 0, zone: 0, spot: true };
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn work_that_drains_in_time_does_not_scale_out_until_it_has_waited_for_long() {
+fn tasks_expected_to_drain_in_time_cause_a_scale_out_only_after_a_long_wait() {
     // Eight tasks of 20 s behind a machine that says it is free in a second: no need.
     assert!(decide(vec![machine(8, 1)], vec![class(8, 20, 1)], None, &[], false).0.is_empty());
     // They still wait after 100 s: the estimates are wrong, whatever they say.
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn idle_machines_are_returned_except_the_warm_pool() {
+fn idle_machines_are_scaled_in_except_for_the_warm_pool() {
     assert_eq!(decide(vec![machine(0, 0), machine(0, 0), machine(0, 0)], vec![], Some(31), &[], false).1, 2);
     assert_eq!(decide(vec![machine(0, 0), machine(0, 0)], vec![], Some(10), &[], false).1, 0);
     // Where deadlines are to be kept they stay longer.
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn no_headroom_is_reserved_on_machines_that_its_jobs_may_not_use() {
+fn no_headroom_is_reserved_on_machines_that_the_jobs_it_is_for_may_not_use() {
     let spot = || MachineSnapshot { spot: true, ..machine(0, 0) };
     // The warm one is an ordinary machine; spot machines neither stay for it nor count as it.
     assert_eq!(decide(vec![spot(), spot(), machine(0, 0)], vec![], Some(31), &[], false).1, 2);
@@ -157,7 +157,7 @@
 /// For a single task that had waited for minutes a machine was scaled out in each round until the first was
 /// up: thirty of them.
 #[test]
-fn no_more_machines_are_scaled_out_than_waiting_work_can_fill() {
+fn no_more_machines_are_scaled_out_than_waiting_tasks_can_fill() {
     let booting = MachineSnapshot { accepts_starts: false, accepts_starts_in: secs(20), ..machine(0, 0) };
     let machine_status = MachineStatus { age: secs(10), idle: None, booting: true };
     let scaled_out = |rooms: Vec<MachineSnapshot>, tasks: u32| {
@@ -171,7 +171,7 @@
 
 /// The whole fleet stayed for a minute after the last job, for deadlines that no more jobs had.
 #[test]
-fn machines_stay_for_deadlines_only_while_more_such_jobs_are_expected() {
+fn machines_stay_for_jobs_with_deadlines_only_while_more_are_expected() {
     let returned_after = |deadline_s: Option<f64>, class: &str| {
         let mut s = Scenario::new(1, false);
         s.submit(spec(1, 4, "batch"));
--- a/tests/services/backoff.rs
+++ b/tests/services/backoff.rs
@@ -8,7 +8,7 @@
 
 /// Guards against a mistaken service that takes room from others over and over, or is given up.
 #[test]
-fn a_service_that_fails_everywhere_is_backed_off_up_to_a_minute() {
+fn a_service_that_fails_on_all_machines_is_retried_once_a_minute() {
     let mut cluster = SimulatedCluster::new(&["a", "b", "c", "d"]);
     cluster.failures = vec![InjectedFailure { machine: None, job: SERVICE, why: ExitReason::Error }];
     cluster.submit(array(2, 16));
@@ -35,7 +35,7 @@
 
 /// Guards against backing off a service whose replicas run well and end now and then.
 #[test]
-fn replicas_that_lived_long_are_not_backed_off() {
+fn a_service_whose_replicas_end_after_a_long_run_is_not_backed_off() {
     let mut cluster = SimulatedCluster::new(&["a", "b"]);
     cluster.submit(service(1, 1));
     for _ in 0..8 {
@@ -49,7 +49,7 @@
 
 /// Guards against a machine at fault that keeps the whole service from running.
 #[test]
-fn one_failing_machine_does_not_hold_up_replicas_elsewhere() {
+fn one_faulty_machine_does_not_delay_replicas_on_other_machines() {
     let mut cluster = SimulatedCluster::new(&["a", "b", "c", "d"]);
     cluster.failures = vec![InjectedFailure { machine: Some("a"), job: SERVICE, why: ExitReason::Error }];
     cluster.submit(service(1, 3));
--- a/tests/services/placement.rs
+++ b/tests/services/placement.rs
@@ -18,7 +18,7 @@
 
 /// Guards against a replica that waits for the planned machine while another sends one sooner.
 #[test]
-fn a_waiting_replica_starts_on_a_machine_whose_heartbeat_comes_before_the_planned_ones() {
+fn a_waiting_replica_starts_on_a_machine_that_reports_before_the_planned_machine() {
     let mut cluster = planned_on_a(1);
     cluster.advance(Micros::from_millis(300));
     assert_eq!(starts(&cluster.exchange_heartbeat("b")), ["wk-000001/0"]);
@@ -28,7 +28,7 @@
 
 /// Guards against two replicas on a machine while another machine has capacity.
 #[test]
-fn no_replica_starts_early_beside_another_of_its_service() {
+fn a_replica_does_not_start_sooner_on_a_machine_with_a_replica_of_the_same_service() {
     let mut cluster = planned_on_a(2);
     cluster.advance(Micros::from_millis(300));
     assert_eq!(starts(&cluster.exchange_heartbeat("b")).len(), 1);
@@ -41,7 +41,7 @@
 /// Guards against a second replica on a machine that sends a heartbeat again before the next plan, as workers
 /// do as soon as a start has reached them.
 #[test]
-fn a_machine_whose_heartbeat_comes_again_before_the_next_plan_gets_no_second_replica() {
+fn a_machine_that_reports_twice_before_the_next_plan_gets_only_one_replica() {
     let mut cluster = SimulatedCluster::new(&["a", "b"]);
     cluster.submit(service(1, 2));
     cluster.advance(STEP);
@@ -55,7 +55,7 @@
 /// Guards against a service of which most replicas are in one zone, since those that run are not
 /// counted when places for the others are chosen.
 #[test]
-fn running_replicas_count_where_zones_are_chosen() {
+fn running_replicas_count_when_zones_for_further_replicas_are_chosen() {
     let north = ["n1", "n2", "n3", "n4"];
     let south = ["s1", "s2", "s3", "s4"];
     let mut cluster = SimulatedCluster::new(&north);
@@ -79,7 +79,7 @@
 
 /// Guards against a start that waits for a heartbeat, and against holding back news of other tasks.
 #[test]
-fn only_heartbeats_of_nothing_but_running_replicas_may_be_replied_to_late() {
+fn a_reply_is_deferred_only_for_a_machine_with_nothing_but_running_replicas() {
     let mut cluster = SimulatedCluster::new(&["a"]);
     cluster.submit(service(1, 1));
     cluster.run_until(SERVICE, 1, secs(10.0));
--- a/tests/services/preemption.rs
+++ b/tests/services/preemption.rs
@@ -10,7 +10,7 @@
 
 /// Guards against a replica that waits for two heartbeats: one to carry the halt, one the start.
 #[test]
-fn a_task_of_lower_priority_is_halted_at_once_and_its_end_is_replied_to_with_the_start() {
+fn a_task_preempted_for_a_replica_is_halted_directly_and_the_reply_to_its_exit_carries_the_start() {
     let mut cluster = SimulatedCluster::new(&["a"]);
     cluster.submit(array(2, 4));
     cluster.run_until(ARRAY, 4, secs(10.0));
@@ -41,7 +41,7 @@
 
 /// Guards against a service that waits behind lower tasks of its own team.
 #[test]
-fn within_its_teams_limit_a_service_preempts_tasks_of_lower_priority() {
+fn a_service_preempts_tasks_of_lower_priority_of_its_own_team_at_its_quota() {
     let mut cluster = service_of_a_team_at_its_limit();
     cluster.run_until(SERVICE, 2, HEARTBEAT_INTERVAL.scale(2.0) + STEP);
     assert_eq!(cluster.running_tasks(ARRAY).len(), 4);
@@ -49,7 +49,7 @@
 
 /// Guards against a replica that waits for a heartbeat of each of its team's lower tasks.
 #[test]
-fn preemptions_within_a_teams_limit_are_direct_commands_too() {
+fn preemptions_within_a_teams_quota_are_sent_by_direct_command() {
     let mut cluster = service_of_a_team_at_its_limit();
     assert_eq!(halts(&cluster.deliver_commands()).len(), 2);
 }
--- a/tests/services/random_faults.rs
+++ b/tests/services/random_faults.rs
@@ -71,7 +71,7 @@
 
 /// Guards against any order of faults that puts a replica on two machines, or on none for good.
 #[test]
-fn under_random_faults_no_replica_runs_twice_and_afterwards_all_run() {
+fn under_random_faults_no_replica_runs_twice_and_afterwards_all_replicas_run() {
     for seed in 1..=12u64 {
         let mut random = Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut cluster = SimulatedCluster::new(&["a", "b", "c", "d", "e", "f"]);
--- a/tests/services/records.rs
+++ b/tests/services/records.rs
@@ -11,7 +11,7 @@
 
 /// Guards against replicas that an earlier version took for done and that would never run again.
 #[test]
-fn done_ranges_of_a_service_are_not_believed_and_are_removed() {
+fn stored_done_ranges_of_a_service_are_ignored_and_removed() {
     let mut fleet = Fleet::new(config(), types(), FENCING_TOKEN, START);
     fleet.apply_job_record(record(service(1, 3)), 1, START);
     fleet.inherit_done(SERVICE, 0, "0-2", 5);
@@ -27,7 +27,7 @@
 
 /// Guards against a new leader that starts replicas which may run on a machine it has not heard.
 #[test]
-fn after_a_failover_started_replicas_wait_for_the_machines_that_may_run_them() {
+fn after_a_failover_started_replicas_are_not_restarted_until_all_machines_have_acknowledged() {
     let mut fleet = Fleet::new(config(), types(), FENCING_TOKEN, START);
     let machine = MachineRecord {
         fencing_token: 1,
@@ -91,7 +91,7 @@
 
 /// Guards against refusing services for their run time, and against accepting any other field's fault.
 #[test]
-fn a_service_is_accepted_with_any_run_time_and_checked_like_any_job() {
+fn a_service_may_have_any_run_time_and_its_other_fields_are_validated() {
     for seconds in [0.0, 20.0] {
         let mut service = submission("daemon");
         service["expectS"] = json!(seconds);
@@ -112,7 +112,7 @@
 
 /// Guards against a service that would never run whole.
 #[test]
-fn a_service_whose_replicas_together_exceed_the_teams_limit_never_runs() {
+fn a_service_whose_replicas_exceed_the_teams_quota_is_not_runnable() {
     let with = |shape: &str, replicas: u32| {
         let mut submission = submission(shape);
         (submission["kernels"], submission["expectS"]) = (json!(replicas), json!(20.0));
--- a/tests/services/relocation.rs
+++ b/tests/services/relocation.rs
@@ -15,7 +15,7 @@
 
 /// Guards against a replica that is stopped before it can run elsewhere.
 #[test]
-fn after_a_spot_notice_a_replica_stays_until_another_machine_has_capacity_and_image() {
+fn after_a_spot_notice_a_replica_moves_once_another_machine_has_capacity_and_its_image() {
     let mut cluster = SimulatedCluster::new(&["a"]);
     cluster.submit(service(1, 4));
     cluster.run_until(SERVICE, 4, secs(10.0));
@@ -40,7 +40,7 @@
 
 /// Guards against a replica that is lost with its machine without having been told to stop.
 #[test]
-fn at_the_last_moment_of_a_notice_replicas_are_halted_anyway() {
+fn shortly_before_a_spot_machine_is_reclaimed_replicas_are_halted_without_a_replacement() {
     let mut cluster = SimulatedCluster::new(&["a"]);
     cluster.submit(service(1, 1));
     cluster.run_until(SERVICE, 1, secs(10.0));
@@ -59,7 +59,7 @@
 
 /// Guards against stopping all replicas of a machine that is to go where there is capacity for one.
 #[test]
-fn no_more_replicas_move_than_other_machines_have_capacity_for() {
+fn after_a_spot_notice_no_more_replicas_move_than_other_machines_have_capacity_for() {
     let mut cluster = SimulatedCluster::new(&["a"]);
     cluster.submit(service(1, 4));
     cluster.run_until(SERVICE, 4, secs(10.0));
--- a/tests/services/restarts.rs
+++ b/tests/services/restarts.rs
@@ -9,7 +9,7 @@
 
 /// Guards against a replica that is taken for done, or is left ended, for some reason of its end.
 #[test]
-fn a_replica_that_exits_runs_again_elsewhere_whatever_the_reason() {
+fn a_replica_that_exits_for_any_reason_runs_again_on_another_machine() {
     for why in [ExitReason::Done, ExitReason::Error, ExitReason::UnknownTask, ExitReason::Other] {
         let mut cluster = cluster_with_a_replica_on_a();
         cluster.end_task("a", SERVICE, why);
@@ -27,7 +27,7 @@
 
 /// Guards against a replica that is lost with its only machine being given up.
 #[test]
-fn a_replica_without_another_machine_runs_again_on_the_same() {
+fn a_replica_runs_again_on_the_same_machine_if_there_is_no_other() {
     let mut cluster = SimulatedCluster::new(&["a"]);
     cluster.submit(service(1, 1));
     cluster.run_until(SERVICE, 1, secs(10.0));
@@ -55,7 +55,7 @@
 
 /// Guards against a refused or lost start that is taken for a running replica.
 #[test]
-fn a_start_that_is_refused_or_lost_is_made_again() {
+fn a_start_that_is_refused_or_lost_is_repeated() {
     for why in [ExitReason::NoRoom, ExitReason::AttemptInUse, ExitReason::UnknownTask, ExitReason::Stopped] {
         let mut cluster = SimulatedCluster::new(&["a", "b"]);
         cluster.failures = vec![InjectedFailure { machine: Some("a"), job: SERVICE, why }];
@@ -74,7 +74,7 @@
 
 /// Guards against a second replica beside one on a machine that is only partitioned.
 #[test]
-fn a_replica_on_a_partitioned_machine_starts_elsewhere_only_after_its_lease() {
+fn a_replica_on_a_partitioned_machine_starts_elsewhere_only_after_the_lease() {
     let mut cluster = cluster_with_a_replica_on_a();
     cluster.exchange_heartbeat("a");
     let last_reply = cluster.now;
--- a/tests/spot_machines.rs
+++ b/tests/spot_machines.rs
@@ -18,7 +18,7 @@
 /// Tasks of 15 s that ran on with a notice of 15 s were lost with the machine, and began again up to a
 /// lease later: of the jobs that missed their deadline on a quiet day nearly all had lost a few so.
 #[test]
-fn what_cannot_end_before_the_cloud_takes_its_machine_is_stopped_at_the_notice() {
+fn tasks_that_cannot_end_before_their_spot_machine_is_reclaimed_are_stopped_at_the_notice() {
     let mut s = Scenario::new(1, true);
     s.submit(JobSpec { estimate_s: 40.0, ..spec(1, 2, "batch") });
     s.submit(JobSpec { estimate_s: 10.0, ..spec(2, 2, "batch") });
@@ -38,7 +38,7 @@
 
 /// Tasks that save are left to save, and a gang's are not stopped one by one.
 #[test]
-fn a_notice_stops_neither_what_saves_nor_gangs() {
+fn a_spot_notice_stops_neither_tasks_that_save_checkpoints_nor_gangs() {
     let mut s = Scenario::new(1, true);
     s.submit(JobSpec { estimate_s: 200.0, checkpoint_s: 30.0, save_s: 2.0, ..spec(1, 2, "batch") });
     s.submit(JobSpec { estimate_s: 200.0, ..spec(2, 2, "gang") });
@@ -51,7 +51,7 @@
 /// A spot machine that falls silent among many that send heartbeats is returned well before its lease ends:
 /// the cloud's reply is what lets its tasks begin elsewhere.
 #[test]
-fn a_silent_spot_machine_is_returned_before_its_lease_ends() {
+fn a_silent_spot_machine_is_scaled_in_before_its_lease_expires() {
     let silent = ["i-003"];
     let mut s = Scenario::new(20, true);
     s.step(&[]);
@@ -69,7 +69,7 @@
 
 /// After a notice silence is the end of the machine.
 #[test]
-fn a_spot_machine_that_falls_silent_after_a_notice_is_returned_sooner() {
+fn a_spot_machine_that_is_silent_after_a_notice_is_scaled_in_sooner() {
     let silent = ["i-003"];
     let mut s = Scenario::new(20, true);
     s.step(&[]);
@@ -81,7 +81,7 @@
 
 /// Where many are silent it is the network: they are waited for.
 #[test]
-fn many_silent_spot_machines_are_not_taken_for_gone() {
+fn many_silent_spot_machines_do_not_count_as_reclaimed() {
     let mut s = Scenario::new(20, true);
     s.step(&[]);
     assert!(s.steps_until_returned(&["i-003", "i-004", "i-005"], 12).is_none());
@@ -90,7 +90,7 @@
 /// The cloud took most spot machines at once, without notice, and their tasks waited for the leases: the
 /// ordinary machines of the zone go on sending heartbeats, so the network is not cut.
 #[test]
-fn many_silent_spot_machines_are_returned_where_ordinary_ones_send_heartbeats() {
+fn many_silent_spot_machines_are_scaled_in_if_on_demand_machines_of_the_zone_send_heartbeats() {
     let silent = ["i-001", "i-002", "i-003"];
     let mut s = Scenario::new(4, true);
     s.add_ordinary(24, 0);
@@ -106,7 +106,7 @@
 /// In a burst the tasks lost with a machine waited behind all newer jobs, since theirs had waited for longer
 /// than its aim for the start allows, though it had begun in time.
 #[test]
-fn lost_tasks_of_an_array_that_began_in_time_do_not_wait_behind_newer_ones() {
+fn lost_tasks_of_an_array_that_started_in_time_do_not_wait_behind_newer_jobs() {
     let quick = |n: u32| JobSpec { class: Some("quick".into()), estimate_s: 60.0, ..spec(n, 4, "batch") };
     let mut s = Scenario::new(1, true);
     s.submit(quick(1));
