--- a/crates/recovery/tests/discrepancies.rs
+++ b/crates/recovery/tests/discrepancies.rs
@@ -1,4 +1,5 @@
-//! Each kind of discrepancy alone, and random mixtures of them against a plain model.
+//! Tests of the recovery tracker: each kind of discrepancy alone, and random reports compared with a simple
+//! model.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,7 +13,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Records of jobs by their tasks that are done; a name that begins with `gang` is one of three tasks.
+/// Records of live jobs: the done tasks by job id. A job whose id begins with `gang` is a gang of three
+/// tasks.
 #[derive(Default)]
 struct Records(BTreeMap<String, BTreeSet<u32>>);
 
@@ -45,14 +47,14 @@
     ReportedTask { job, task, attempt: 1, state }
 }
 
-/// A machine's first report, which shows the leader's fencing token as well.
+/// Applies a machine's first report, which also acknowledges the leader's fencing token.
 fn report(recovery: &mut RecoveryTracker, machine: &str, tasks: &[ReportedTask<'_>]) -> Vec<TaskDiscrepancy> {
     let found = recovery.compare_first_report(machine, tasks, &records());
     recovery.mark_reported(machine, SECOND);
     found
 }
 
-/// The discrepancies of one machine that reports these tasks.
+/// The discrepancies that are found if the only machine reports these tasks.
 fn found(tasks: &[ReportedTask<'_>]) -> Vec<Discrepancy> {
     let mut recovery = recovery(&["m"]);
     report(&mut recovery, "m", tasks).into_iter().map(|found| found.discrepancy).collect()
@@ -62,17 +64,13 @@
 fn each_kind_of_discrepancy_is_found_in_a_report() {
     use Discrepancy::{DoneBefore, Failed, Finished, JobOver};
     assert_eq!(found(&[]), []);
-    assert_eq!(found(&[task("array", 1, ReportedTaskState::Present)]), [], "adopted where it is");
+    assert_eq!(found(&[task("array", 1, ReportedTaskState::Present)]), [], "the task is adopted");
     assert_eq!(found(&[task("array", 1, ReportedTaskState::Done)]), [Finished]);
     assert_eq!(found(&[task("array", 1, ReportedTaskState::Failed)]), [Failed]);
     assert_eq!(found(&[task("array", 7, ReportedTaskState::Present)]), [DoneBefore]);
-    assert_eq!(
-        found(&[task("array", 7, ReportedTaskState::Done)]),
-        [],
-        "recorded, it only remains to be forgotten"
-    );
+    assert_eq!(found(&[task("array", 7, ReportedTaskState::Done)]), [], "the result is recorded already");
     assert_eq!(found(&[task("unknown", 1, ReportedTaskState::Present)]), [JobOver]);
-    assert_eq!(found(&[task("unknown", 1, ReportedTaskState::Done)]), [], "nobody waits for it");
+    assert_eq!(found(&[task("unknown", 1, ReportedTaskState::Done)]), [], "the job has ended");
 }
 
 #[test]
@@ -94,7 +92,11 @@
         "a",
         &[task("gang", 0, ReportedTaskState::Present), task("gang", 1, ReportedTaskState::Present)],
     );
-    assert_eq!(recovery.progress(SECOND).discrepancies.total(), 0, "the third may be on the other machine");
+    assert_eq!(
+        recovery.progress(SECOND).discrepancies.total(),
+        0,
+        "the third task may be on the other machine"
+    );
     recovery.mark_lost("b", 2 * SECOND);
     let discrepancies = recovery.progress(2 * SECOND).discrepancies;
     assert_eq!(discrepancies.count(Discrepancy::PartialGang), 1);
@@ -108,11 +110,14 @@
     assert!(recovery.is_awaiting_reports(SECOND, window));
     report(&mut recovery, "a", &[]);
     assert!(recovery.is_awaiting_reports(SECOND, window));
-    assert!(!recovery.is_awaiting_reports(window, window), "one that stays away does not hold up the others");
+    assert!(
+        !recovery.is_awaiting_reports(window, window),
+        "a machine that does not report delays decisions only within the window"
+    );
     report(&mut recovery, "b", &[]);
     assert!(!recovery.is_awaiting_reports(SECOND, window));
     assert_eq!(recovery.progress(9 * SECOND).completed_after_s, Some(1.0));
-    assert!(!RecoveryTracker::default().is_awaiting_reports(SECOND, window), "nothing to recover");
+    assert!(!RecoveryTracker::default().is_awaiting_reports(SECOND, window), "no machine to wait for");
 }
 
 #[test]
@@ -123,7 +128,7 @@
     recovery.mark_lost("a", SECOND);
     assert_eq!(recovery.machine_status("a"), Some(MachineStatus::Reported));
     assert!(report(&mut recovery, "new", &[task("array", 1, ReportedTaskState::Done)]).is_empty());
-    assert_eq!(recovery.machine_status("new"), None, "rented since, it has nothing from before");
+    assert_eq!(recovery.machine_status("new"), None, "a machine that the records do not name is not tracked");
 }
 
 #[test]
@@ -136,7 +141,7 @@
     assert_eq!((commands.starts, commands.halts, commands.forgets, commands.total()), (2, 1, 1, 4));
 }
 
-/// Random machines that report in random order, some twice, some never.
+/// Random reports of up to eleven machines, some of which are lost before they report.
 #[test]
 fn random_reports_are_counted_as_by_a_simple_model() {
     for seed in 0..500 {
@@ -170,7 +175,7 @@
             assert_eq!(recovery.progress(SECOND).discrepancies.total(), count + found, "seed {seed}");
             assert!(
                 recovery.compare_first_report(machine, &tasks, &records).is_empty(),
-                "the first report only"
+                "a second report was compared, seed {seed}"
             );
             recovery.mark_reported(machine, SECOND);
         }
@@ -182,7 +187,7 @@
     }
 }
 
-/// Status pages and scripts of operators read these names.
+/// Operators' scripts and status pages read these names.
 #[test]
 fn progress_keeps_its_serialized_names() {
     let mut recovery = recovery(&["a", "b"]);
--- a/tests/safety/ended_jobs.rs
+++ b/tests/safety/ended_jobs.rs
@@ -1,4 +1,4 @@
-//! Tasks of jobs that are over or cancelled, and the status of jobs.
+//! Tasks of jobs that have ended or were cancelled, and a team's status.
 
 use milletlock::wire::{ExitReason, TaskStage, WorkerCommand};
 
@@ -12,29 +12,29 @@
 fn tasks_of_an_ended_job_are_halted_and_occupy_their_machine_until_they_exit() {
     let mut fleet = new_fleet(7);
     fleet.apply_job_record(record(spec(2, 4, "batch")), 1, START);
-    let there = [("wk-000001/0", 3, TaskStage::Running, None)];
+    let running = [("wk-000001/0", 3, TaskStage::Running, None)];
     fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
-    reply_commands(&mut fleet, 0.0, &heartbeat("i-1", 1, 7, &there));
+    reply_commands(&mut fleet, 0.0, &heartbeat("i-1", 1, 7, &running));
     write_all(&mut fleet, 0.0);
     fleet.tick(at(0.1), wall(0.1));
     write_all(&mut fleet, 0.1);
-    let o = reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &there));
-    assert_eq!(o, [WorkerCommand::Halt { task: "wk-000001/0".into(), attempt: 3, grace_s: 0.0 }]);
+    let commands = reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &running));
+    assert_eq!(commands, [WorkerCommand::Halt { task: "wk-000001/0".into(), attempt: 3, grace_s: 0.0 }]);
     let ended = [("wk-000001/0", 3, TaskStage::Exited, Some(ExitReason::Stopped))];
-    let o = reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &ended));
-    assert_eq!(o[0], WorkerCommand::Forget { task: "wk-000001/0".into(), attempt: 3 });
+    let commands = reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &ended));
+    assert_eq!(commands[0], WorkerCommand::Forget { task: "wk-000001/0".into(), attempt: 3 });
     fleet.tick(at(2.1), wall(2.1));
     write_all(&mut fleet, 2.1);
     assert_eq!(starts(&reply_commands(&mut fleet, 3.0, &heartbeat("i-1", 4, 7, &[]))).len(), 4);
 }
 
-/// Halts go by direct command to machines whose heartbeat is overdue, and to no others; nothing else is
-/// commanded that way.
+/// Halts are sent by direct command only to machines whose heartbeat is overdue, and only for tasks of ended
+/// jobs.
 #[test]
 fn tasks_of_cancelled_jobs_on_machines_with_overdue_heartbeats_are_halted_by_direct_command() {
     let (mut fleet, task) = fleet_with_a_running_task();
     fleet.job_ended("wk-000001", 5);
-    assert!(fleet.halt_commands(at(3.0)).is_empty(), "the answer to its next report will tell it");
+    assert!(fleet.halt_commands(at(3.0)).is_empty(), "the reply to the next heartbeat will carry the halt");
     let due = fleet.halt_commands(at(7.0));
     assert_eq!(due.len(), 1);
     assert_eq!((&*due[0].machine, due[0].agent_epoch), ("i-1", 1));
@@ -42,9 +42,9 @@
         due[0].commands,
         [WorkerCommand::Halt { task: task.0.clone(), attempt: task.1, grace_s: 0.0 }]
     );
-    assert!(fleet.halt_commands(at(8.0)).is_empty(), "said a moment ago");
+    assert!(fleet.halt_commands(at(8.0)).is_empty(), "the halt was sent a moment ago");
     assert_eq!(fleet.halt_commands(at(12.0)).len(), 1);
-    // A task that may run is not stopped for silence.
+    // A task of a live job is not halted because its machine is silent.
     let (mut fleet, _) = fleet_with_a_running_task();
     assert!(fleet.halt_commands(at(20.0)).is_empty());
 }
--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -1,4 +1,4 @@
-//! What a new leader knows, and what ends an old one.
+//! What a new leader loads and starts after a failover, and what ends the leadership of an old leader.
 
 use milletlock::fleet::{Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::time::Micros;
@@ -23,12 +23,12 @@
     let s = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-2", 10, 9, &[])));
     let names: Vec<&str> = s.iter().map(|x| x.0.as_str()).collect();
     assert_eq!(names, ["wk-000001/6", "wk-000001/7"]);
-    // The missing machine shows our fencing token and holds one of the tasks: the others may start.
-    let there = [("wk-000001/0", 77, TaskStage::Running, None)];
-    reply_commands(&mut fleet, 1.5, &heartbeat("i-1", 40, 9, &there));
+    // The other machine acknowledges the fencing token and runs one of the tasks: the other tasks may start.
+    let running_tasks = [("wk-000001/0", 77, TaskStage::Running, None)];
+    reply_commands(&mut fleet, 1.5, &heartbeat("i-1", 40, 9, &running_tasks));
     fleet.tick(at(1.6), wall(1.6));
     write_all(&mut fleet, 1.6);
-    let rest = starts(&reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 41, 9, &there)));
+    let rest = starts(&reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 41, 9, &running_tasks)));
     assert!(!rest.is_empty() && rest.iter().all(|x| x.0 != "wk-000001/0"));
 }
 
@@ -43,7 +43,7 @@
     write_all(&mut fleet, 0.5);
     fleet.tick(at(0.6), wall(0.6));
     write_all(&mut fleet, 0.6);
-    // The limit is 6 and the unheard machine has 4 processors: two are left.
+    // The quota is 6 processors and the unacknowledged machine has 4, so 2 are left.
     assert_eq!(starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-2", 2, 9, &[]))).len(), 2);
 }
 
@@ -59,13 +59,13 @@
 
 #[test]
 fn a_new_leader_loads_the_recent_jobs_that_large_machines_are_kept_for() {
-    // Without it, each failover returned the idle machines that the next urgent job needed.
-    let mut hasty = spec(1, 1, "gang");
-    hasty.class = Some("quick".into());
-    hasty.image_gb = 5.0;
-    hasty.cpus = 15.0;
+    // Without the recent jobs, each failover scaled in the idle machines that the next urgent job needed.
+    let mut urgent = spec(1, 1, "gang");
+    urgent.class = Some("quick".into());
+    urgent.image_gb = 5.0;
+    urgent.cpus = 15.0;
     let mut fleet = new_fleet(7);
-    fleet.apply_job_record(record(hasty), 1, START);
+    fleet.apply_job_record(record(urgent), 1, START);
     assert!(fleet.pending_writes(at(20.0), Micros::ZERO, 1000).contains(&PendingWrite::RecentJobs));
     let list = fleet.recent_job_records(at(20.0), wall(20.0), 4000);
     assert_eq!(list.len(), 1);
@@ -78,11 +78,12 @@
     );
     assert!(
         fleet.recent_job_records(at(20.0), wall(20.0), 50).is_empty(),
-        "a list that does not fit a value"
+        "a list that does not fit the value is empty"
     );
 }
 
-/// After each failover nothing idle was returned for a minute, since every machine seemed new.
+/// Guards against a fault by which no idle machine was scaled in for a minute after each failover, because
+/// every machine counted as new.
 #[test]
 fn a_new_leader_takes_the_age_of_machines_from_the_clouds_list() {
     let mut fleet = new_fleet(9);
@@ -93,7 +94,7 @@
         let _ = fleet.decide_scaling(at(s), wall(s));
         fleet.machines_to_scale_in().len()
     };
-    assert_eq!(idle(&mut fleet, 20.0), 0, "as far as is known it has just been scaled out");
+    assert_eq!(idle(&mut fleet, 20.0), 0, "the machine counts as just scaled out");
     let listed = ListedMachine {
         id: "i-1".into(),
         address: None,
@@ -103,7 +104,7 @@
         stage: "running".into(),
         age_s: 300.0,
     };
-    // One that has only replied to a direct command so far is no boot that never ended.
+    // A machine that has replied only to a direct command so far does not count as one that never came up.
     fleet.inherit_machine("i-2", &machine_record("small"), 0, at(19.0));
     fleet.apply_direct_command_reply(&heartbeat("i-2", 9, 9, &[]), at(20.5));
     fleet.apply_machine_list(&[listed.clone(), ListedMachine { id: "i-2".into(), ..listed }], at(21.0));
@@ -112,7 +113,7 @@
     assert_eq!(idle(&mut fleet, 22.0), 1);
 }
 
-/// A thousand and more machines, all heard within a moment of a failover, each with what it runs.
+/// 1,500 machines send their heartbeats, each with its two running tasks, within seconds after a failover.
 #[test]
 fn when_all_machines_report_at_once_after_a_failover_no_running_task_starts_again() {
     const MACHINES: u32 = 1500;
@@ -122,20 +123,20 @@
     for n in 1..=100 {
         fleet.apply_job_record(started_job(spec(n, 60, "batch"), 40), u64::from(n), START);
     }
-    // The first 3,000 tasks run, two on a machine; of each job ten more may have been started.
+    // 3,000 tasks are running, two on each machine; of each job ten more tasks may have been started.
     let task = |k: u32| format!("wk-{:06}/{}", k % 100 + 1, k / 100);
     let runs = |m: u32| [task(2 * m), task(2 * m + 1)];
     let report_of = |m: u32, sequence: u64| {
         let [a, b] = runs(m);
-        let there = [(&*a, 5, TaskStage::Running, None), (&*b, 6, TaskStage::Running, None)];
-        heartbeat(&id(m), sequence, 9, &there)
+        let running_tasks = [(&*a, 5, TaskStage::Running, None), (&*b, 6, TaskStage::Running, None)];
+        heartbeat(&id(m), sequence, 9, &running_tasks)
     };
-    let mut given: Vec<String> = Vec::new();
+    let mut started: Vec<String> = Vec::new();
     for round in 0..4u64 {
         for m in 0..MACHINES {
             let s = 1.0 + round as f64 * 3.0 + f64::from(m) * 1e-3;
             let r = report_of(m, 100 + round);
-            given.extend(starts(&reply_commands(&mut fleet, s, &r)).into_iter().map(|x| x.0));
+            started.extend(starts(&reply_commands(&mut fleet, s, &r)).into_iter().map(|x| x.0));
         }
         assert_eq!(fleet.unacknowledged_machines(), 0);
         let s = 3.0 + round as f64 * 3.0;
@@ -143,22 +144,22 @@
         write_all(&mut fleet, s);
     }
     let running: std::collections::BTreeSet<String> = (0..MACHINES).flat_map(runs).collect();
-    assert!(given.len() > 1000, "only {} starts", given.len());
-    assert!(given.iter().all(|t| !running.contains(t)), "a running task was started again");
+    assert!(started.len() > 1000, "only {} starts", started.len());
+    assert!(started.iter().all(|t| !running.contains(t)), "a running task was started again");
 }
 
-/// The notice of another controller may be held up on the way for a minute. The leader that it reaches
-/// then may never have known the job, which was cancelled before it came.
+/// A message from another controller about a job may be delayed by a minute. A new leader that receives it
+/// then may never have known the job, because it was cancelled before the failover.
 #[test]
 fn a_delayed_job_message_does_not_restore_an_ended_job_at_a_new_leader() {
     let mut fleet = new_fleet(8);
     fleet.advance_jobs_revision(50);
     fleet.apply_job_record(record(spec(1, 1, "batch")), 40, at(1.0));
-    assert!(fleet.jobs.is_empty(), "its record was gone when all was read");
-    // One that is newer than the read is news.
+    assert!(fleet.jobs.is_empty(), "the job's record was removed before the records were read");
+    // A record that is newer than the records that were read belongs to a new job.
     fleet.apply_job_record(record(spec(2, 1, "batch")), 51, at(1.0));
     assert_eq!(fleet.jobs.len(), 1);
-    // Told of its end before the read shows it, and of its beginning once more after that.
+    // A message about the job's end comes before its record, and the record comes a second time after that.
     fleet.job_ended("wk-000003", 55);
     fleet.apply_job_record(record(spec(3, 1, "batch")), 53, at(2.0));
     fleet.advance_jobs_revision(60);
--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -1,4 +1,4 @@
-//! Messages that arrive late or twice.
+//! Heartbeats and job records that arrive late or twice.
 
 use milletlock::fleet::HeartbeatOutcome;
 use milletlock::wire::TaskStage;
@@ -22,39 +22,39 @@
 fn late_heartbeats_renew_no_lease_and_restore_no_task() {
     let (mut fleet, (task, attempt)) = fleet_with_a_running_task();
     let running = [(task.as_str(), attempt, TaskStage::Running, None)];
-    // Sent before the machine was partitioned, this one arrives when its lease has run out.
-    let held = heartbeat("i-1", 4, 7, &running);
-    // A copy within the lease does not put off its end.
+    // This heartbeat was sent before the machine was partitioned and arrives when its lease has expired.
+    let delayed = heartbeat("i-1", 4, 7, &running);
+    // A duplicate that arrives within the lease does not renew it.
     assert_eq!(
         fleet.apply_heartbeat(&heartbeat("i-1", 3, 7, &running), at(20.0), wall(20.0)),
         HeartbeatOutcome::Refuse
     );
     fleet.confirm_lease(at(25.9));
     fleet.tick(at(26.0), wall(26.0));
-    assert!(fleet.jobs["wk-000001"].waiting.contains(0), "the lease has surely run out");
-    assert_eq!(fleet.apply_heartbeat(&held, at(27.0), wall(27.0)), HeartbeatOutcome::Refuse);
-    assert!(fleet.jobs["wk-000001"].waiting.contains(0), "a late report brought back what has ended");
-    // The machine itself is back in its next session.
+    assert!(fleet.jobs["wk-000001"].waiting.contains(0), "the lease has certainly expired");
+    assert_eq!(fleet.apply_heartbeat(&delayed, at(27.0), wall(27.0)), HeartbeatOutcome::Refuse);
+    assert!(fleet.jobs["wk-000001"].waiting.contains(0), "a late heartbeat restored a task that has ended");
+    // Heartbeats of the machine's next agent epoch are accepted.
     let mut back = heartbeat("i-1", 1, 7, &[]);
     back.agent_epoch = 2;
     assert!(matches!(fleet.apply_heartbeat(&back, at(30.0), wall(30.0)), HeartbeatOutcome::Reply(_)));
-    // From before this leader came, of a machine that has no record any more.
-    let mut g = new_fleet(9);
+    // A heartbeat from before the failover, from a machine that has no record any more, is refused.
+    let mut new_leader = new_fleet(9);
     assert_eq!(
-        g.apply_heartbeat(&heartbeat("i-7", 40, 8, &running), at(1.0), wall(1.0)),
+        new_leader.apply_heartbeat(&heartbeat("i-7", 40, 8, &running), at(1.0), wall(1.0)),
         HeartbeatOutcome::Refuse
     );
-    assert!(g.machines.is_empty());
-    // A copy that shows an older fencing token ends nobody's leadership, and does not count as heard.
-    g.inherit_machine("i-8", &machine_record("small"), 0, START);
+    assert!(new_leader.machines.is_empty());
+    // A heartbeat with an older fencing token does not end the leadership and acknowledges nothing.
+    new_leader.inherit_machine("i-8", &machine_record("small"), 0, START);
     assert!(matches!(
-        g.apply_heartbeat(&heartbeat("i-8", 40, 8, &[]), at(1.0), wall(1.0)),
+        new_leader.apply_heartbeat(&heartbeat("i-8", 40, 8, &[]), at(1.0), wall(1.0)),
         HeartbeatOutcome::Reply(_)
     ));
-    assert_eq!(g.unacknowledged_machines(), 1);
+    assert_eq!(new_leader.unacknowledged_machines(), 1);
 }
 
-/// Copies of heartbeats come by the thousand, from seconds to well over a lease late.
+/// Thousands of duplicate heartbeats arrive, from seconds to several lease times late.
 #[test]
 fn thousands_of_late_heartbeats_change_nothing_in_the_model() {
     const MACHINES: u32 = 400;
@@ -72,7 +72,7 @@
         }
         write_all(&mut fleet, sequence as f64);
     }
-    // Half of them go.
+    // Half of the machines are removed.
     let gone: Vec<String> = (0..MACHINES / 2).map(id).collect();
     fleet.remove_scaled_in_machines(&gone, at(4.0));
     let (machines, before) = (fleet.machines.len(), format!("{:?}", fleet.machines));
@@ -86,7 +86,8 @@
         }
     }
     assert_eq!((fleet.machines.len(), format!("{:?}", fleet.machines)), (machines, before));
-    // What is remembered of those that are gone ends as well: long after, a name is only a name.
+    // The ids of removed machines are kept only for some time: later, a heartbeat with such an id is
+    // accepted.
     fleet.tick(at(1000.0), wall(1000.0));
     assert!(matches!(
         fleet.apply_heartbeat(&heartbeat(&id(0), 4, 7, &[]), at(1000.0), wall(1000.0)),
--- a/tests/safety/leases.rs
+++ b/tests/safety/leases.rs
@@ -115,7 +115,7 @@
 /// lease. Brought the new fencing token later, the machine counted as having had that first reply, and its
 /// task began elsewhere.
 #[test]
-fn a_reply_sent_before_the_fencing_token_was_delivered_does_not_date_the_lease() {
+fn a_reply_sent_before_the_fencing_token_was_delivered_starts_no_lease() {
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 1, START);
--- a/tests/safety/main.rs
+++ b/tests/safety/main.rs
@@ -1,5 +1,5 @@
-//! One test or more for each numbered point of docs/safety.md that the leader's `Fleet` decides. There is no
-//! state store here: [`fixtures::write_all`] acknowledges what waits to be written.
+//! Tests for the numbered points of docs/safety.md that the leader's `Fleet` decides, at least one for each.
+//! They use no state store: [`fixtures::write_all`] acknowledges all pending writes.
 
 #[path = "../common/mod.rs"]
 mod common;
