--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -20,8 +20,8 @@
     reply_commands(&mut fleet, 0.5, &heartbeat("i-2", 9, 9, &[]));
     fleet.tick(at(0.6), wall(0.6));
     write_all(&mut fleet, 0.6);
-    let s = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-2", 10, 9, &[])));
-    let names: Vec<&str> = s.iter().map(|x| x.0.as_str()).collect();
+    let first_starts = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-2", 10, 9, &[])));
+    let names: Vec<&str> = first_starts.iter().map(|start| start.0.as_str()).collect();
     assert_eq!(names, ["wk-000001/6", "wk-000001/7"]);
     // The other machine acknowledges the fencing token and runs one of the tasks: the other tasks may start.
     let running_tasks = [("wk-000001/0", 77, TaskStage::Running, None)];
@@ -29,16 +29,16 @@
     fleet.tick(at(1.6), wall(1.6));
     write_all(&mut fleet, 1.6);
     let rest = starts(&reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 41, 9, &running_tasks)));
-    assert!(!rest.is_empty() && rest.iter().all(|x| x.0 != "wk-000001/0"));
+    assert!(!rest.is_empty() && rest.iter().all(|start| start.0 != "wk-000001/0"));
 }
 
 #[test]
 fn the_capacity_of_unacknowledged_machines_counts_towards_a_teams_quota() {
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 5, START);
-    let mut s = spec(1, 8, "batch");
-    s.team = "tight".into();
-    fleet.apply_job_record(record(s), 6, START);
+    let mut job = spec(1, 8, "batch");
+    job.team = "tight".into();
+    fleet.apply_job_record(record(job), 6, START);
     reply_commands(&mut fleet, 0.5, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 0.5);
     fleet.tick(at(0.6), wall(0.6));
@@ -67,13 +67,13 @@
     let mut fleet = new_fleet(7);
     fleet.apply_job_record(record(urgent), 1, START);
     assert!(fleet.pending_writes(at(20.0), Micros::ZERO, 1000).contains(&PendingWrite::RecentJobs));
-    let list = fleet.recent_job_records(at(20.0), wall(20.0), 4000);
-    assert_eq!(list.len(), 1);
-    let mut next = new_fleet(8);
-    next.inherit_recent_jobs(list, at(30.0), wall(30.0));
-    let again = next.recent_job_records(at(30.0), wall(30.0), 4000);
+    let records = fleet.recent_job_records(at(20.0), wall(20.0), 4000);
+    assert_eq!(records.len(), 1);
+    let mut next_leader = new_fleet(8);
+    next_leader.inherit_recent_jobs(records, at(30.0), wall(30.0));
+    let reloaded = next_leader.recent_job_records(at(30.0), wall(30.0), 4000);
     assert_eq!(
-        (again[0].submitted_us, again[0].starts_before_boot, &again[0].types[..]),
+        (reloaded[0].submitted_us, reloaded[0].starts_before_boot, &reloaded[0].types[..]),
         (wall(0.0).0, true, &["large".to_string()][..])
     );
     assert!(
@@ -89,9 +89,9 @@
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
     reply_commands(&mut fleet, 0.5, &heartbeat("i-1", 9, 9, &[]));
-    let idle = |fleet: &mut Fleet, s: f64| {
-        reply_commands(fleet, s, &heartbeat("i-1", 10 + s as u64, 9, &[]));
-        let _ = fleet.decide_scaling(at(s), wall(s));
+    let idle = |fleet: &mut Fleet, second: f64| {
+        reply_commands(fleet, second, &heartbeat("i-1", 10 + second as u64, 9, &[]));
+        let _ = fleet.decide_scaling(at(second), wall(second));
         fleet.machines_to_scale_in().len()
     };
     assert_eq!(idle(&mut fleet, 20.0), 0, "the machine counts as just scaled out");
@@ -118,34 +118,36 @@
 fn when_all_machines_report_at_once_after_a_failover_no_running_task_starts_again() {
     const MACHINES: u32 = 1500;
     let mut fleet = new_fleet(9);
-    let id = |m: u32| format!("i-{m:06}");
-    (0..MACHINES).for_each(|m| fleet.inherit_machine(&id(m), &machine_record("small"), 0, START));
-    for n in 1..=100 {
-        fleet.apply_job_record(started_job(spec(n, 60, "batch"), 40), u64::from(n), START);
+    let id = |machine: u32| format!("i-{machine:06}");
+    (0..MACHINES).for_each(|machine| fleet.inherit_machine(&id(machine), &machine_record("small"), 0, START));
+    for job in 1..=100 {
+        fleet.apply_job_record(started_job(spec(job, 60, "batch"), 40), u64::from(job), START);
     }
     // 3,000 tasks are running, two on each machine; of each job ten more tasks may have been started.
-    let task = |k: u32| format!("wk-{:06}/{}", k % 100 + 1, k / 100);
-    let runs = |m: u32| [task(2 * m), task(2 * m + 1)];
-    let report_of = |m: u32, sequence: u64| {
-        let [a, b] = runs(m);
+    let task = |number: u32| format!("wk-{:06}/{}", number % 100 + 1, number / 100);
+    let runs = |machine: u32| [task(2 * machine), task(2 * machine + 1)];
+    let report_of = |machine: u32, sequence: u64| {
+        let [a, b] = runs(machine);
         let running_tasks = [(&*a, 5, TaskStage::Running, None), (&*b, 6, TaskStage::Running, None)];
-        heartbeat(&id(m), sequence, 9, &running_tasks)
+        heartbeat(&id(machine), sequence, 9, &running_tasks)
     };
     let mut started: Vec<String> = Vec::new();
     for round in 0..4u64 {
-        for m in 0..MACHINES {
-            let s = 1.0 + round as f64 * 3.0 + f64::from(m) * 1e-3;
-            let r = report_of(m, 100 + round);
-            started.extend(starts(&reply_commands(&mut fleet, s, &r)).into_iter().map(|x| x.0));
+        for machine in 0..MACHINES {
+            let second = 1.0 + round as f64 * 3.0 + f64::from(machine) * 1e-3;
+            let message = report_of(machine, 100 + round);
+            started.extend(
+                starts(&reply_commands(&mut fleet, second, &message)).into_iter().map(|start| start.0),
+            );
         }
         assert_eq!(fleet.unacknowledged_machines(), 0);
-        let s = 3.0 + round as f64 * 3.0;
-        fleet.tick(at(s), wall(s));
-        write_all(&mut fleet, s);
+        let second = 3.0 + round as f64 * 3.0;
+        fleet.tick(at(second), wall(second));
+        write_all(&mut fleet, second);
     }
     let running: std::collections::BTreeSet<String> = (0..MACHINES).flat_map(runs).collect();
     assert!(started.len() > 1000, "only {} starts", started.len());
-    assert!(started.iter().all(|t| !running.contains(t)), "a running task was started again");
+    assert!(started.iter().all(|task| !running.contains(task)), "a running task was started again");
 }
 
 /// A message from another controller about a job may be delayed by a minute. A new leader that receives it
--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -60,12 +60,12 @@
     const MACHINES: u32 = 400;
     let mut fleet = new_fleet(7);
     fleet.apply_job_record(record(spec(1, 100, "batch")), 1, START);
-    let id = |m: u32| format!("i-{m:06}");
+    let id = |machine: u32| format!("i-{machine:06}");
     for sequence in 1..=3 {
-        for m in 0..MACHINES {
+        for machine in 0..MACHINES {
             let fencing_token = if sequence > 1 { 7 } else { 0 };
             fleet.apply_heartbeat(
-                &heartbeat(&id(m), sequence, fencing_token, &[]),
+                &heartbeat(&id(machine), sequence, fencing_token, &[]),
                 at(sequence as f64),
                 wall(sequence as f64),
             );
@@ -78,10 +78,10 @@
     let (machines, before) = (fleet.machines.len(), format!("{:?}", fleet.machines));
     let stale = [("wk-000001/3", 99, TaskStage::Running, None)];
     for late in [5.0, 12.0, 23.0, 60.0, 300.0] {
-        for m in 0..MACHINES {
+        for machine in 0..MACHINES {
             for (sequence, tasks) in [(1, &stale[..]), (3, &[][..])] {
-                let r = heartbeat(&id(m), sequence, if sequence > 1 { 7 } else { 0 }, tasks);
-                assert_eq!(fleet.apply_heartbeat(&r, at(late), wall(late)), HeartbeatOutcome::Refuse);
+                let message = heartbeat(&id(machine), sequence, if sequence > 1 { 7 } else { 0 }, tasks);
+                assert_eq!(fleet.apply_heartbeat(&message, at(late), wall(late)), HeartbeatOutcome::Refuse);
             }
         }
     }
--- a/tests/safety/leases.rs
+++ b/tests/safety/leases.rs
@@ -1,4 +1,5 @@
-//! The leases of machines: what runs on a silent one starts elsewhere only once its lease has expired.
+//! Leases of machines: the tasks of a silent machine start elsewhere only once its lease has certainly
+//! expired.
 
 use milletlock::store_contact::StoreContact;
 use milletlock::time::Micros;
@@ -16,39 +17,41 @@
     let (mut fleet, _) = fleet_with_a_running_task();
     reply_commands(&mut fleet, 2.0, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 2.0);
-    for (k, t) in (3..23).enumerate() {
-        fleet.tick(at(t as f64), wall(t as f64));
-        let o = reply_commands(&mut fleet, t as f64, &heartbeat("i-2", k as u64 + 2, 7, &[]));
-        assert!(starts(&o).is_empty(), "started elsewhere after {t} s");
+    for (count, second) in (3..23).enumerate() {
+        fleet.tick(at(second as f64), wall(second as f64));
+        let commands = reply_commands(&mut fleet, second as f64, &heartbeat("i-2", count as u64 + 2, 7, &[]));
+        assert!(starts(&commands).is_empty(), "started elsewhere after {second} s");
     }
-    // Lease 22 s from the last reply at 2 s, and the margin.
+    // The lease lasts 22 s from the last reply at 2 s, and the leader adds a margin.
     fleet.confirm_lease(at(25.9));
     fleet.tick(at(26.0), wall(26.0));
     assert_eq!(starts(&reply_commands(&mut fleet, 26.0, &heartbeat("i-2", 50, 7, &[]))).len(), 1);
-    assert!(fleet.machines_to_scale_in().is_empty(), "a machine that may only be partitioned is waited for");
-    for t in [45, 60, 70] {
-        reply_commands(&mut fleet, t as f64, &heartbeat("i-2", 100 + t, 7, &[]));
-        fleet.tick(at(t as f64), wall(t as f64));
+    assert!(fleet.machines_to_scale_in().is_empty(), "the machine may only be partitioned");
+    for second in [45, 60, 70] {
+        reply_commands(&mut fleet, second as f64, &heartbeat("i-2", 100 + second, 7, &[]));
+        fleet.tick(at(second as f64), wall(second as f64));
     }
     assert_eq!(fleet.machines_to_scale_in(), ["i-1"]);
 }
 
-/// What a day with a zone partitioned showed: the leader inside, without the state store and the other
-/// controllers, went on placing there what it took for ended on machines outside, whose leases the
-/// next leader was renewing.
+/// Guards against a fault seen with a partitioned zone: the leader inside the zone, cut off from the state
+/// store and the other controllers, expired the leases of machines outside and started their tasks again
+/// inside, while the next leader was renewing these leases.
 #[test]
 fn a_leader_that_may_have_been_replaced_expires_no_lease() {
     let (mut fleet, _) = fleet_with_a_running_task();
     reply_commands(&mut fleet, 2.0, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 2.0);
-    // Its own lease was last renewed before the machine's had run out.
+    // The leader's own lease was last confirmed before the machine's lease had expired.
     fleet.confirm_lease(at(25.0));
-    for t in 26..60u32 {
-        fleet.tick(at(f64::from(t)), wall(f64::from(t)));
-        let o = reply_commands(&mut fleet, f64::from(t), &heartbeat("i-2", u64::from(t), 7, &[]));
-        assert!(starts(&o).is_empty(), "started elsewhere after {t} s");
+    for second in 26..60u32 {
+        fleet.tick(at(f64::from(second)), wall(f64::from(second)));
+        let commands =
+            reply_commands(&mut fleet, f64::from(second), &heartbeat("i-2", u64::from(second), 7, &[]));
+        assert!(starts(&commands).is_empty(), "started elsewhere after {second} s");
     }
-    // Once it knows that nobody had followed it by then, the task may start again.
+    // Once its own lease is confirmed for a later moment, no other leader can have renewed the machine's
+    // lease, and the task may start again.
     fleet.confirm_lease(at(60.0));
     fleet.tick(at(60.1), wall(60.1));
     assert_eq!(starts(&reply_commands(&mut fleet, 61.0, &heartbeat("i-2", 99, 7, &[]))).len(), 1);
@@ -59,23 +62,26 @@
     let mut fleet = new_fleet(9);
     fleet.inherit_machine("i-1", &machine_record("small"), 5, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 6, START);
-    // It sends one heartbeat, still with the old leader's fencing token: that leader may yet renew its lease.
+    // The machine sends one heartbeat, with the old leader's fencing token: that leader may still renew the
+    // lease.
     reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 5, 8, &[]));
     reply_commands(&mut fleet, 1.0, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 1.0);
-    for t in [10.0, 14.0, 30.0, 45.0, 60.0] {
-        fleet.tick(at(t), wall(t));
-        assert!(starts(&reply_commands(&mut fleet, t, &heartbeat("i-2", t as u64, 9, &[]))).is_empty());
+    for second in [10.0, 14.0, 30.0, 45.0, 60.0] {
+        fleet.tick(at(second), wall(second));
+        assert!(
+            starts(&reply_commands(&mut fleet, second, &heartbeat("i-2", second as u64, 9, &[]))).is_empty()
+        );
     }
-    // Only its return ends the doubt.
+    // Only the machine's removal makes certain that the task is not running.
     assert_eq!(fleet.machines_to_scale_in(), ["i-1"]);
     fleet.remove_scaled_in_machines(&["i-1".into()], at(61.0));
     fleet.tick(at(61.1), wall(61.1));
     assert_eq!(starts(&reply_commands(&mut fleet, 62.0, &heartbeat("i-2", 99, 9, &[]))).len(), 1);
 }
 
-/// A worker that reaches no controller: a new leader hears it by direct command alone. What it runs is
-/// started nowhere else before its lease has surely run out, and no later than that.
+/// A worker that cannot reach a controller replies only to the new leader's direct commands. Its tasks start
+/// elsewhere as soon as its lease has certainly expired, and not before.
 #[test]
 fn the_lease_of_a_machine_that_replies_only_to_direct_commands_expires() {
     let mut fleet = new_fleet(9);
@@ -92,8 +98,9 @@
     assert_eq!(starts(&reply_commands(&mut fleet, 27.5, &heartbeat("i-2", sequence, 9, &[]))).len(), 1);
 }
 
-/// With the cloud out nothing is returned, and a machine that replies to nobody would hold up work for as
-/// long. An earlier leader can have replied to it until 23 s after the claim at the most.
+/// During an outage of the cloud no machine can be scaled in, and a machine that does not reply would delay
+/// tasks until the end of the outage. An earlier leader can have answered the machine's heartbeats until at
+/// most 23 s after the failover.
 #[test]
 fn unacknowledged_machines_delay_tasks_no_longer_than_a_lease_of_an_earlier_leader_can_last() {
     let mut fleet = new_fleet(9);
@@ -102,7 +109,7 @@
     reply_commands(&mut fleet, 0.0, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 0.0);
     let sequence = assert_second_machine_starts_nothing(&mut fleet, 1..46);
-    // Asked to be returned, but the cloud has not replied.
+    // The machine is to be scaled in, but the cloud has not confirmed it.
     assert_eq!((fleet.unacknowledged_machines(), fleet.machines_to_scale_in().len()), (1, 1));
     fleet.confirm_lease(at(47.0));
     fleet.tick(at(47.0), wall(47.0));
@@ -110,10 +117,10 @@
     assert_eq!(starts(&reply_commands(&mut fleet, 47.0, &heartbeat("i-2", sequence, 9, &[]))).len(), 1);
 }
 
-/// Found by a random simulation: a leader replied to a heartbeat of a machine that had not seen its fencing
-/// token, and the reply was lost; an earlier leader, partitioned with the machine, went on renewing its
-/// lease. Brought the new fencing token later, the machine counted as having had that first reply, and its
-/// task began elsewhere.
+/// Guards against a fault found by a random simulation: a leader answered a heartbeat of a machine that had
+/// not seen its fencing token, and the reply was lost. An earlier leader, partitioned together with the
+/// machine, went on renewing the lease. When the new fencing token was delivered later by direct command,
+/// the lease counted from that first reply, and the machine's task started elsewhere too early.
 #[test]
 fn a_reply_sent_before_the_fencing_token_was_delivered_starts_no_lease() {
     let mut fleet = new_fleet(9);
@@ -132,26 +139,26 @@
 
 #[test]
 fn maximum_staleness_and_lease_together_are_shorter_than_the_cancellation_time() {
-    let c = config();
-    let w = &c.platform.settings.workers;
-    assert!(c.max_staleness().secs() + w.lease_s * 1.001 < w.cancel_s);
-    assert!(c.max_staleness().secs() > 0.0);
+    let config = config();
+    let workers = &config.platform.settings.workers;
+    assert!(config.max_staleness().secs() + workers.lease_s * 1.001 < workers.cancel_s);
+    assert!(config.max_staleness().secs() > 0.0);
 }
 
-/// The next leader counts on it that this one replies no longer than its view allows, though it may see all
-/// cancellations; a cancellation is seen by reads alone, though the lease may be renewed.
+/// Recent reads and recent renewals of the lease each allow a leader to act, for a limited time. The next
+/// leader relies on this limit for the last reply of this leader.
 #[test]
 fn a_leader_may_act_only_for_a_limited_time_after_reads_and_renewals() {
     let bound = Micros::from_secs(10.0);
     let (mut reads, mut renewals) = (StoreContact::new(START, bound), StoreContact::new(START, bound));
     reads.note_read(at(9.0));
     renewals.note_renewal(at(9.0));
-    for v in [reads, renewals] {
-        assert!(v.may_act(at(10.0)) && !v.may_act(at(10.1)));
+    for contact in [reads, renewals] {
+        assert!(contact.may_act(at(10.0)) && !contact.may_act(at(10.1)));
     }
     reads.note_renewal(at(8.0));
     assert!(reads.may_act(at(18.0)) && !reads.may_act(at(18.1)));
-    // A reply that was overtaken by a later one moves nothing back.
+    // A response that was overtaken by a later one does not move the limit back.
     reads.note_renewal(at(7.0));
     reads.note_read(at(1.0));
     assert!(reads.may_act(at(18.0)));
--- a/tests/safety/starts.rs
+++ b/tests/safety/starts.rs
@@ -13,29 +13,29 @@
     let mut fleet = fleet_with(spec(1, 1, "batch"));
     let first = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
     assert_eq!(first.len(), 1);
-    // The same heartbeat once more decides nothing.
+    // A duplicate of the heartbeat is refused.
     assert_eq!(
         fleet.apply_heartbeat(&heartbeat("i-1", 2, 7, &[]), at(1.5), wall(1.5)),
         HeartbeatOutcome::Refuse
     );
     let second = starts(&reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &[])));
     assert_eq!(second.len(), 1);
-    assert_ne!(first[0].1, second[0].1, "an attempt number is used twice");
+    assert_ne!(first[0].1, second[0].1, "an attempt number was used twice");
 }
 
 #[test]
 fn attempt_numbers_of_a_higher_fencing_token_are_greater() {
     let mut early = fleet_with(spec(1, 4, "batch"));
-    let a = starts(&reply_commands(&mut early, 1.0, &heartbeat("i-1", 2, 7, &[])));
+    let early_starts = starts(&reply_commands(&mut early, 1.0, &heartbeat("i-1", 2, 7, &[])));
     let mut late = new_fleet(8);
     late.apply_job_record(record(spec(2, 4, "batch")), 1, START);
     reply_commands(&mut late, 0.0, &heartbeat("i-9", 1, 0, &[]));
     write_all(&mut late, 0.0);
     late.tick(at(0.1), wall(0.1));
     write_all(&mut late, 0.1);
-    let b = starts(&reply_commands(&mut late, 1.0, &heartbeat("i-9", 2, 8, &[])));
-    assert_eq!((a.len(), b.len()), (4, 4));
-    assert!(a.iter().all(|x| b.iter().all(|y| x.1 < y.1)));
+    let late_starts = starts(&reply_commands(&mut late, 1.0, &heartbeat("i-9", 2, 8, &[])));
+    assert_eq!((early_starts.len(), late_starts.len()), (4, 4));
+    assert!(early_starts.iter().all(|earlier| late_starts.iter().all(|later| earlier.1 < later.1)));
 }
 
 #[test]
@@ -44,18 +44,18 @@
     fleet.apply_job_record(record(spec(1, 1, "batch")), 1, START);
     assert!(
         starts(&reply_commands(&mut fleet, 0.0, &heartbeat("i-1", 1, 0, &[]))).is_empty(),
-        "not enrolled"
+        "the machine's record is not written"
     );
     assert_eq!(fleet.pending_writes(at(0.0), Micros::ZERO, 1000), [PendingWrite::Machines(0)]);
     write_all(&mut fleet, 0.0);
     assert!(
         starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).is_empty(),
-        "not marked as started"
+        "the start mark is not written"
     );
     assert!(fleet
         .pending_writes(at(1.0), Micros::ZERO, 1000)
         .iter()
-        .any(|p| matches!(p, PendingWrite::StartMarks(_))));
+        .any(|write| matches!(write, PendingWrite::StartMarks(_))));
     write_all(&mut fleet, 1.0);
     assert_eq!(starts(&reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &[]))).len(), 1);
 }
@@ -63,25 +63,32 @@
 #[test]
 fn an_exited_task_is_forgotten_only_after_its_done_range_is_written() {
     let mut fleet = fleet_with(spec(1, 3, "batch"));
-    let s = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
-    assert_eq!(s.len(), 3);
+    let started = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
+    assert_eq!(started.len(), 3);
     let done = [
-        (s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Done)),
-        (s[1].0.as_str(), s[1].1, TaskStage::Exited, Some(ExitReason::Done)),
-        (s[2].0.as_str(), s[2].1, TaskStage::Running, None),
+        (started[0].0.as_str(), started[0].1, TaskStage::Exited, Some(ExitReason::Done)),
+        (started[1].0.as_str(), started[1].1, TaskStage::Exited, Some(ExitReason::Done)),
+        (started[2].0.as_str(), started[2].1, TaskStage::Running, None),
     ];
-    let o = reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &done));
-    assert!(!o.iter().any(|o| matches!(o, WorkerCommand::Forget { .. })), "forgotten before it is written");
+    let commands = reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &done));
+    assert!(
+        !commands.iter().any(|command| matches!(command, WorkerCommand::Forget { .. })),
+        "a task was forgotten before its done range was written"
+    );
     write_all(&mut fleet, 3.0);
-    let o = reply_commands(&mut fleet, 4.0, &heartbeat("i-1", 4, 7, &done));
-    let forget = |s: &(String, u64)| WorkerCommand::Forget { task: s.0.clone(), attempt: s.1 };
-    assert_eq!(o, [forget(&s[0]), forget(&s[1])]);
+    let commands = reply_commands(&mut fleet, 4.0, &heartbeat("i-1", 4, 7, &done));
+    let forget =
+        |started: &(String, u64)| WorkerCommand::Forget { task: started.0.clone(), attempt: started.1 };
+    assert_eq!(commands, [forget(&started[0]), forget(&started[1])]);
 }
 
 #[test]
 fn a_deferred_reply_carries_starts_unless_a_newer_heartbeat_has_come() {
     let (mut fleet, (task, attempt)) = fleet_with_a_running_task();
-    assert!(!fleet.may_defer_reply("i-1", at(2.0)), "what changes on a busy machine must be heard at once");
+    assert!(
+        !fleet.may_defer_reply("i-1", at(2.0)),
+        "a machine with a running task must get its reply at once"
+    );
     let done = [(task.as_str(), attempt, TaskStage::Exited, Some(ExitReason::Done))];
     reply_commands(&mut fleet, 3.0, &heartbeat("i-1", 4, 7, &done));
     write_all(&mut fleet, 3.1);
@@ -90,14 +97,17 @@
     assert!(reply_commands(&mut fleet, 4.0, &idle).is_empty() && fleet.may_defer_reply("i-1", at(4.0)));
     fleet.apply_job_record(record(spec(2, 2, "gang")), 2000, at(4.2));
     fleet.tick(at(4.3), wall(4.3));
-    assert!(!fleet.has_ready_start("i-1"), "its mark is not written");
+    assert!(!fleet.has_ready_start("i-1"), "the start mark is not written");
     write_all(&mut fleet, 4.4);
     assert!(fleet.has_ready_start("i-1"));
-    // A newer heartbeat has come in between: its reply carries the starts, this one nothing.
-    let mut g = fleet_with(spec(1, 2, "batch"));
-    assert!(g.deferred_commands(&heartbeat("i-1", 0, 7, &[]), at(4.5), wall(4.5)).is_empty());
+    // A newer heartbeat has come in between: the deferred reply to the older one carries no starts.
+    let mut other_fleet = fleet_with(spec(1, 2, "batch"));
+    assert!(other_fleet.deferred_commands(&heartbeat("i-1", 0, 7, &[]), at(4.5), wall(4.5)).is_empty());
     assert_eq!(starts(&fleet.deferred_commands(&idle, at(4.5), wall(4.5))).len(), 2);
-    assert!(starts(&fleet.deferred_commands(&idle, at(4.6), wall(4.6))).is_empty(), "once");
+    assert!(
+        starts(&fleet.deferred_commands(&idle, at(4.6), wall(4.6))).is_empty(),
+        "the starts were sent twice"
+    );
 }
 
 #[test]
@@ -115,7 +125,7 @@
     write_all(&mut fleet, 1.1);
     assert!(
         starts(&reply_commands(&mut fleet, 1.2, &south)).is_empty(),
-        "a second zone beside starts on their way"
+        "a task started in a second zone although starts were sent to the first"
     );
 
     let mut spread = spec(2, 3, "batch");
@@ -127,32 +137,32 @@
     no_spot.spot = false;
     let mut fleet = new_fleet(7);
     fleet.apply_job_record(record(no_spot), 1, START);
-    let mut r = heartbeat("i-1", 1, 0, &[]);
-    r.spot = true;
-    reply_commands(&mut fleet, 0.0, &r);
+    let mut message = heartbeat("i-1", 1, 0, &[]);
+    message.spot = true;
+    reply_commands(&mut fleet, 0.0, &message);
     write_all(&mut fleet, 0.0);
-    r.sequence = 2;
-    r.fencing_token = 7;
-    assert!(starts(&reply_commands(&mut fleet, 1.0, &r)).is_empty());
+    message.sequence = 2;
+    message.fencing_token = 7;
+    assert!(starts(&reply_commands(&mut fleet, 1.0, &message)).is_empty());
 }
 
 #[test]
 fn a_quota_applies_across_jobs_and_machines() {
     let mut fleet = new_fleet(7);
-    for n in 1..=2 {
-        let mut s = spec(n, 4, "batch");
-        s.team = "tight".into();
-        fleet.apply_job_record(record(s), u64::from(n), START);
+    for number in 1..=2 {
+        let mut job = spec(number, 4, "batch");
+        job.team = "tight".into();
+        fleet.apply_job_record(record(job), u64::from(number), START);
     }
-    for m in ["i-1", "i-2"] {
-        reply_commands(&mut fleet, 0.0, &heartbeat(m, 1, 0, &[]));
+    for machine in ["i-1", "i-2"] {
+        reply_commands(&mut fleet, 0.0, &heartbeat(machine, 1, 0, &[]));
     }
     write_all(&mut fleet, 0.0);
     fleet.tick(at(0.1), wall(0.1));
     write_all(&mut fleet, 0.1);
-    let a = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).len();
-    let b = starts(&reply_commands(&mut fleet, 1.1, &heartbeat("i-2", 2, 7, &[]))).len();
-    assert_eq!(a + b, 6);
+    let on_first = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).len();
+    let on_second = starts(&reply_commands(&mut fleet, 1.1, &heartbeat("i-2", 2, 7, &[]))).len();
+    assert_eq!(on_first + on_second, 6);
 }
 
 #[test]
@@ -165,19 +175,19 @@
     let mut gang = spec(2, 3, "gang");
     gang.team = "tight".into();
     gang.priority = Priority::Urgent;
-    let held = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
-    let more = starts(&reply_commands(&mut fleet, 1.1, &heartbeat("i-2", 2, 7, &[])));
-    assert_eq!((held.len(), more.len()), (4, 2), "the limit of 6 is used up");
+    let first = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
+    let second = starts(&reply_commands(&mut fleet, 1.1, &heartbeat("i-2", 2, 7, &[])));
+    assert_eq!((first.len(), second.len()), (4, 2), "the quota of 6 is used up");
     fleet.apply_job_record(record(gang), 9, at(1.2));
-    // Two end; four are in use and the gang needs three of six: the small ones may not refill.
-    let mut there: Vec<_> =
-        more.iter().map(|s| (s.0.as_str(), s.1, TaskStage::Exited, Some(ExitReason::Done))).collect();
-    let o = reply_commands(&mut fleet, 2.0, &heartbeat("i-2", 3, 7, &there));
-    assert!(starts(&o).is_empty());
-    there.clear();
-    let left = [(held[0].0.as_str(), held[0].1, TaskStage::Exited, Some(ExitReason::Done))];
-    let running: Vec<_> = held[1..].iter().map(|s| (s.0.as_str(), s.1, TaskStage::Running, None)).collect();
-    reply_commands(&mut fleet, 3.0, &heartbeat("i-1", 3, 7, &[&left[..], &running[..]].concat()));
+    // Two tasks end, so that 4 of 6 processors are in use. The gang needs 3, so no small task may start.
+    let mut listed: Vec<_> =
+        second.iter().map(|s| (s.0.as_str(), s.1, TaskStage::Exited, Some(ExitReason::Done))).collect();
+    let commands = reply_commands(&mut fleet, 2.0, &heartbeat("i-2", 3, 7, &listed));
+    assert!(starts(&commands).is_empty());
+    listed.clear();
+    let ended = [(first[0].0.as_str(), first[0].1, TaskStage::Exited, Some(ExitReason::Done))];
+    let running: Vec<_> = first[1..].iter().map(|s| (s.0.as_str(), s.1, TaskStage::Running, None)).collect();
+    reply_commands(&mut fleet, 3.0, &heartbeat("i-1", 3, 7, &[&ended[..], &running[..]].concat()));
     fleet.tick(at(3.1), wall(3.1));
     write_all(&mut fleet, 3.1);
     let mut s = starts(&reply_commands(&mut fleet, 4.0, &heartbeat("i-2", 4, 7, &[])));
@@ -188,26 +198,28 @@
 #[test]
 fn a_gang_that_lost_a_task_is_stopped_before_it_starts_again() {
     let mut fleet = fleet_with(spec(1, 2, "gang"));
-    let s = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
-    assert_eq!(s.len(), 2);
-    assert_eq!(s[0].1, s[1].1, "the tasks of a gang share their attempt");
-    let half = [
-        (s[0].0.as_str(), s[0].1, TaskStage::Running, None),
-        (s[1].0.as_str(), s[1].1, TaskStage::Exited, Some(ExitReason::Error)),
+    let started = starts(&reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[])));
+    assert_eq!(started.len(), 2);
+    assert_eq!(started[0].1, started[1].1, "the tasks of a gang share their attempt");
+    let one_failed = [
+        (started[0].0.as_str(), started[0].1, TaskStage::Running, None),
+        (started[1].0.as_str(), started[1].1, TaskStage::Exited, Some(ExitReason::Error)),
     ];
-    let o = reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &half));
-    assert!(o.iter().any(|o| matches!(o, WorkerCommand::Halt { task, .. } if *task == s[0].0)));
-    assert!(starts(&o).is_empty());
-    let gone = [(s[0].0.as_str(), s[0].1, TaskStage::Exited, Some(ExitReason::Stopped))];
-    reply_commands(&mut fleet, 5.0, &heartbeat("i-1", 4, 7, &gone));
+    let commands = reply_commands(&mut fleet, 2.0, &heartbeat("i-1", 3, 7, &one_failed));
+    assert!(commands
+        .iter()
+        .any(|command| matches!(command, WorkerCommand::Halt { task, .. } if *task == started[0].0)));
+    assert!(starts(&commands).is_empty());
+    let stopped = [(started[0].0.as_str(), started[0].1, TaskStage::Exited, Some(ExitReason::Stopped))];
+    reply_commands(&mut fleet, 5.0, &heartbeat("i-1", 4, 7, &stopped));
     let again = starts(&reply_commands(&mut fleet, 6.0, &heartbeat("i-1", 5, 7, &[])));
     assert_eq!(again.len(), 2);
-    assert_ne!(again[0].1, s[0].1);
+    assert_ne!(again[0].1, started[0].1);
 }
 
-/// In a large fleet, where no plan is made for each heartbeat, quota that came free waited for the heartbeats of
-/// the machines that the plan chose, beside others with room that had sent theirs: a team with waiting tasks stayed
-/// below its quota for good.
+/// Guards against a fault in a large fleet, where plans are not made for each heartbeat: freed quota was
+/// used only when the machines that the plan had chosen sent their heartbeats, although other machines with
+/// free capacity sent theirs sooner. A team with waiting tasks permanently stayed below its quota.
 #[test]
 fn freed_quota_is_used_by_the_next_heartbeat_of_a_machine_with_capacity() {
     const MACHINES: u32 = 50;
@@ -217,7 +229,7 @@
     let limited = JobSpec { team: "tight".into(), ..spec(1, 40, "batch") };
     fleet.apply_job_record(record(limited), 1, START);
     for n in 0..OTHER_JOBS {
-        // They fit no machine here, and make plans expensive.
+        // These jobs fit no machine of this test. They make the fleet too large to plan for each heartbeat.
         let large = JobSpec { cpus: 16.0, ..spec(2 + n, 1, "batch") };
         fleet.apply_job_record(record(large), u64::from(2 + n), START);
     }
@@ -232,9 +244,10 @@
     }
     assert_eq!(running.len(), TIGHT_LIMIT);
     let machine = running[0].0;
-    let there: Vec<&(String, u64)> = running.iter().filter(|(n, _)| *n == machine).map(|(_, t)| t).collect();
+    let on_machine: Vec<&(String, u64)> =
+        running.iter().filter(|(n, _)| *n == machine).map(|(_, t)| t).collect();
     let report = |sequence: u64, stage: TaskStage, reason: Option<ExitReason>| {
-        let listed: Vec<_> = there.iter().map(|(task, n)| (task.as_str(), *n, stage, reason)).collect();
+        let listed: Vec<_> = on_machine.iter().map(|(task, n)| (task.as_str(), *n, stage, reason)).collect();
         heartbeat(&id(machine), sequence, 7, &listed)
     };
     reply_commands(&mut fleet, 2.0, &report(3, TaskStage::Running, None));
@@ -243,7 +256,7 @@
     fleet.tick(at(3.0), wall(3.0));
     write_all(&mut fleet, 3.0);
     let again = starts(&reply_commands(&mut fleet, 3.1, &heartbeat(&id(machine), 5, 7, &[])));
-    assert_eq!(again.len(), there.len(), "as many as have ended");
+    assert_eq!(again.len(), on_machine.len(), "as many tasks start as have ended");
     let elsewhere = (machine + 1) % MACHINES;
     let beyond = starts(&reply_commands(&mut fleet, 3.2, &heartbeat(&id(elsewhere), 5, 7, &[])));
     assert!(beyond.is_empty(), "the quota is used up: {beyond:?}");
