--- a/tests/services/backoff.rs
+++ b/tests/services/backoff.rs
@@ -1,4 +1,4 @@
-//! Replicas that fail are backed off, their service and others are not given up.
+//! Backoff of services whose replicas fail.
 
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::ExitReason;
@@ -6,7 +6,8 @@
 use crate::cluster::{array, secs, service, InjectedFailure, SimulatedCluster, ARRAY, SERVICE};
 use crate::common::worker::job_of;
 
-/// Guards against a mistaken service that takes room from others over and over, or is given up.
+/// Guards against a faulty service that takes capacity from other jobs again and again, or is never started
+/// again.
 #[test]
 fn a_service_that_fails_on_all_machines_is_retried_once_a_minute() {
     let mut cluster = SimulatedCluster::new(&["a", "b", "c", "d"]);
@@ -15,25 +16,28 @@
     cluster.run_until(ARRAY, 16, secs(30.0));
     cluster.submit(service(1, 1));
     cluster.run(secs(200.0));
-    let mut full = 0;
+    let mut steps_with_full_array = 0;
     let before = cluster.started.len();
     for _ in 0..600 {
         cluster.step();
-        full += usize::from(cluster.running_tasks(ARRAY).len() == 16);
+        steps_with_full_array += usize::from(cluster.running_tasks(ARRAY).len() == 16);
     }
     let starts: Vec<Steady> =
         cluster.started[before..].iter().filter(|s| job_of(&s.task) == SERVICE).map(|s| s.at).collect();
     assert!((4..=5).contains(&starts.len()), "{} starts within 300 s", starts.len());
     let gaps: Vec<Micros> = starts.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(gaps.iter().all(|gap| *gap >= secs(60.0) && *gap <= secs(70.0)), "{gaps:?}");
-    assert!(full >= 480, "the array had its room in {full} of 600 steps");
+    assert!(
+        steps_with_full_array >= 480,
+        "all tasks of the array ran in only {steps_with_full_array} of 600 steps"
+    );
     assert!(
         cluster.fleet.machines_to_scale_in().is_empty(),
-        "one mistaken service does not condemn a machine"
+        "failures of a single service do not show that a machine is faulty"
     );
 }
 
-/// Guards against backing off a service whose replicas run well and end now and then.
+/// Guards against backing off a service whose replicas end occasionally after running well.
 #[test]
 fn a_service_whose_replicas_end_after_a_long_run_is_not_backed_off() {
     let mut cluster = SimulatedCluster::new(&["a", "b"]);
@@ -47,7 +51,7 @@
     }
 }
 
-/// Guards against a machine at fault that keeps the whole service from running.
+/// Guards against a faulty machine that prevents the whole service from running.
 #[test]
 fn one_faulty_machine_does_not_delay_replicas_on_other_machines() {
     let mut cluster = SimulatedCluster::new(&["a", "b", "c", "d"]);
@@ -59,11 +63,11 @@
     cluster.remove_machine("b");
     cluster.run_until(SERVICE, 3, secs(12.0));
     let on_a = cluster.started.iter().filter(|start| start.machine == "a").count();
-    assert!(on_a <= 2, "{on_a} starts on the machine at fault");
+    assert!(on_a <= 2, "{on_a} starts on the faulty machine");
 }
 
-/// Guards against a service that, after some days, waits a minute for every replica that it lost,
-/// since each start that failed in all that time still counts.
+/// Guards against counting failed starts without limit: after some days every lost replica of a service would
+/// wait a minute before it starts again.
 #[test]
 fn failures_that_are_far_apart_do_not_add_up() {
     let mut cluster = SimulatedCluster::new(&["a", "b", "c"]);
@@ -72,7 +76,7 @@
     let mut waits = Vec::new();
     for _ in 0..8 {
         cluster.run(secs(600.0));
-        // A replica is stopped, fails when it starts again, and runs well from then on.
+        // A replica is stopped, fails once when it starts again, and then runs well.
         let machine = cluster.machines_of(SERVICE)[0].clone();
         cluster.failures = vec![InjectedFailure { machine: None, job: SERVICE, why: ExitReason::Error }];
         let before = cluster.started.len();
--- a/tests/services/cluster/mod.rs
+++ b/tests/services/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated leader and its workers, in steps of simulated time.
+//! A simulation of a leader and its workers, in steps of simulated time.
 
 mod simulated_worker;
 
@@ -15,30 +15,30 @@
 
 use crate::common::{config, heartbeat, record, spec, types};
 
-/// When a simulation begins.
+/// Time at which each simulation begins.
 pub const START: Steady = Steady(1_000_000_000);
 
 /// The fencing token of the only leader.
 pub const FENCING_TOKEN: u64 = 7;
 
-/// Simulated time goes on by this much.
+/// Length of one step of simulated time.
 pub const STEP: Micros = Micros::from_millis(500);
 
-/// Workers send heartbeats this often.
+/// Time between two heartbeats of a worker.
 pub const HEARTBEAT_INTERVAL: Micros = Micros::from_millis(3_000);
 
 /// The service's id in most tests.
 pub const SERVICE: &str = "wk-000001";
 
-/// The id of an array beside it.
+/// The id of the array in most tests.
 pub const ARRAY: &str = "wk-000002";
 
-/// So many seconds.
+/// A duration in seconds.
 pub fn secs(seconds: f64) -> Micros {
     Micros::from_secs(seconds)
 }
 
-/// A service of one-processor replicas, above all other priorities here.
+/// A service of one-processor replicas, with a higher priority than the arrays.
 pub fn service(number: u32, replicas: u32) -> JobSpec {
     JobSpec { priority: Priority::Critical, ..spec(number, replicas, "daemon") }
 }
@@ -48,7 +48,7 @@
     spec(number, tasks, "batch")
 }
 
-/// The tasks that commands start.
+/// The names of the tasks that the commands start.
 pub fn starts(commands: &[WorkerCommand]) -> Vec<&str> {
     commands
         .iter()
@@ -59,7 +59,7 @@
         .collect()
 }
 
-/// The tasks that commands halt.
+/// The names of the tasks that the commands halt.
 pub fn halts(commands: &[WorkerCommand]) -> Vec<&str> {
     commands
         .iter()
@@ -70,7 +70,7 @@
         .collect()
 }
 
-/// The leader and its workers, in steps of simulated time.
+/// A leader and its workers. All writes of the leader succeed.
 pub struct SimulatedCluster {
     pub fleet: Fleet,
     pub now: Steady,
@@ -78,13 +78,13 @@
     pub workers: BTreeMap<String, Worker>,
     pub services: BTreeSet<String>,
     pub failures: Vec<InjectedFailure>,
-    /// Arrays whose tasks are done after this time; those of others run on.
+    /// By id of an array: the run time after which its tasks are done. Tasks of other arrays run without end.
     pub runs_for: BTreeMap<String, Micros>,
     pub started: Vec<Started>,
 }
 
 impl SimulatedCluster {
-    /// Machines of four processors in the north, enrolled.
+    /// A cluster with registered machines of four processors in the zone `north`.
     pub fn new(machines: &[&str]) -> SimulatedCluster {
         let mut cluster = SimulatedCluster {
             fleet: Fleet::new(config(), types(), FENCING_TOKEN, START),
@@ -102,19 +102,19 @@
         cluster
     }
 
-    /// The time of day.
+    /// The current wall-clock time.
     pub fn wall(&self) -> Wall {
         Wall(self.now.0)
     }
 
-    /// A machine is up, sends its first heartbeat and is enrolled.
+    /// Adds a machine: it sends its first heartbeat, and its record is written.
     pub fn add_machine(&mut self, machine: &str, zone: &'static str) {
         self.workers.insert(machine.into(), Worker::new(zone, self.now));
         self.exchange_heartbeat(machine);
         self.write_records();
     }
 
-    /// A user submits a job.
+    /// Submits a job.
     pub fn submit(&mut self, spec: JobSpec) {
         if spec.shape == Shape::Service {
             self.services.insert(spec.id.clone());
@@ -125,18 +125,19 @@
         self.write_records();
     }
 
-    /// A user cancels a job.
+    /// Cancels a job.
     pub fn cancel(&mut self, job: &str) {
         self.revision += 1;
         self.fleet.job_ended(job, self.revision);
     }
 
-    /// Writes all that waits to be written. Nothing ever says that a service is done.
+    /// Acknowledges all pending writes of the leader. Asserts that none of them records tasks of a service
+    /// as done.
     pub fn write_records(&mut self) {
         let pending = self.fleet.pending_writes(self.now, Micros::ZERO, 1000);
         for write in &pending {
             if let PendingWrite::Final(job) | PendingWrite::Done(job, _) = write {
-                assert!(!self.services.contains(&**job), "a service is said to be done: {write:?}");
+                assert!(!self.services.contains(&**job), "a service is recorded as done: {write:?}");
             }
         }
         let (now, wall) = (self.now, self.wall());
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Time passes for the leader, which knows that it is one; no worker sends a heartbeat.
+    /// Advances the time for the leader, whose lease is confirmed. No worker sends a heartbeat.
     pub fn advance(&mut self, time: Micros) {
         self.now = self.now + time;
         self.fleet.confirm_lease(self.now);
@@ -156,7 +157,7 @@
         self.write_records();
     }
 
-    /// The workers' lists of tasks as they change by themselves.
+    /// Updates the workers' tasks: expires leases and ends tasks whose run time is over.
     pub fn run_workers(&mut self) {
         for worker in self.workers.values_mut() {
             worker.expire_lease(self.now);
@@ -170,7 +171,8 @@
         }
     }
 
-    /// The leader's direct commands reach their workers at once, but for those that are partitioned.
+    /// Delivers the leader's direct commands to all workers that are not partitioned; returns the commands
+    /// delivered.
     pub fn deliver_commands(&mut self) -> Vec<WorkerCommand> {
         let mut delivered = Vec::new();
         for message in self.fleet.halt_commands(self.now) {
@@ -183,7 +185,7 @@
         delivered
     }
 
-    /// A worker executes commands.
+    /// Executes commands on a worker.
     pub fn execute_commands(&mut self, machine: &str, commands: &[WorkerCommand]) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(machine) else { return };
@@ -212,7 +214,8 @@
         }
     }
 
-    /// The leader's reply to a heartbeat of a machine as it is now.
+    /// Sends a heartbeat with the machine's current tasks and returns the commands in the leader's reply,
+    /// which are not executed; `None` if the heartbeat is refused.
     pub fn send_heartbeat(&mut self, machine: &str) -> Option<Vec<WorkerCommand>> {
         let now = self.now;
         let worker = self.workers.get_mut(machine).expect("a machine");
@@ -228,15 +231,17 @@
         let mut message = heartbeat(machine, worker.sequence, worker.fencing_token, &tasks);
         message.agent_epoch = worker.agent_epoch;
         message.zone = worker.zone.into();
-        message.interruption_notice_s = worker.preempted_at.map(|at| (at - now).secs());
+        message.interruption_notice_s = worker.reclaimed_at.map(|at| (at - now).secs());
         match self.fleet.apply_heartbeat(&message, now, Wall(now.0)) {
             HeartbeatOutcome::Reply(reply) => Some(reply.commands),
             HeartbeatOutcome::Refuse => None,
-            HeartbeatOutcome::Superseded(fencing_token) => panic!("replaced by {fencing_token}"),
+            HeartbeatOutcome::Superseded(fencing_token) => {
+                panic!("the leader was superseded by fencing token {fencing_token}")
+            }
         }
     }
 
-    /// A machine sends a heartbeat and carries out the commands of the reply.
+    /// Sends a heartbeat of a machine and executes the commands in the reply, which are returned.
     pub fn exchange_heartbeat(&mut self, machine: &str) -> Vec<WorkerCommand> {
         let Some(commands) = self.send_heartbeat(machine) else { return Vec::new() };
         let now = self.now;
@@ -248,7 +253,7 @@
         commands
     }
 
-    /// Time goes on by a step for all.
+    /// Advances the time by one step for the leader and all workers.
     pub fn step(&mut self) {
         self.advance(STEP);
         self.run_workers();
@@ -262,7 +267,7 @@
         self.assert_nothing_runs_twice();
     }
 
-    /// Time goes on for so long.
+    /// Advances the time by `time`, step by step.
     pub fn run(&mut self, time: Micros) {
         let until = self.now + time;
         while self.now < until {
@@ -270,17 +275,19 @@
         }
     }
 
-    /// Steps until so many tasks of a job run; returns how long that took.
-    pub fn run_until(&mut self, job: &str, count: usize, most: Micros) -> Micros {
+    /// Advances the time until exactly `count` tasks of a job are running, for less than `max`; returns how
+    /// long that took.
+    pub fn run_until(&mut self, job: &str, count: usize, max: Micros) -> Micros {
         let from = self.now;
         while self.running_tasks(job).len() != count {
-            assert!(self.now - from < most, "{job} runs on {:?} after {most:?}", self.running_tasks(job));
+            assert!(self.now - from < max, "{job} runs on {:?} after {max:?}", self.running_tasks(job));
             self.step();
         }
         self.now - from
     }
 
-    /// Tasks of a job that really run, with their machines.
+    /// Names and machines of a job's tasks that are running on the workers, whatever the leader knows of
+    /// them.
     pub fn running_tasks(&self, job: &str) -> Vec<(String, String)> {
         let all = self
             .workers
@@ -290,7 +297,7 @@
         running.map(|(machine, (key, _))| (key.0.clone(), machine.clone())).collect()
     }
 
-    /// The machines on which tasks of a job run, once for each task.
+    /// The machines on which tasks of a job are running, one entry for each task.
     pub fn machines_of(&self, job: &str) -> Vec<String> {
         let mut machines: Vec<String> =
             self.running_tasks(job).into_iter().map(|(_, machine)| machine).collect();
@@ -298,7 +305,7 @@
         machines
     }
 
-    /// No task runs on two machines.
+    /// Asserts that no task is running on two machines.
     pub fn assert_nothing_runs_twice(&self) {
         let mut seen: BTreeMap<&str, &str> = BTreeMap::new();
         for (machine, worker) in &self.workers {
@@ -319,34 +326,35 @@
         worker.next_heartbeat = self.now;
     }
 
-    /// The machine is gone and the cloud has said so.
+    /// Removes a machine, which the cloud confirms to the leader.
     pub fn remove_machine(&mut self, machine: &str) {
         self.workers.remove(machine);
         self.fleet.remove_scaled_in_machines(&[machine.into()], self.now);
     }
 
-    /// Cuts a machine off from the leader for a time.
+    /// Partitions a machine from the leader for the given time.
     pub fn partition(&mut self, machine: &str, time: Micros) {
         let until = self.now + time;
         self.workers.get_mut(machine).expect("a machine").partitioned_until = until;
     }
 
-    /// The cloud gives notice that it takes a machine after a time.
+    /// Gives a machine a spot interruption notice: the cloud reclaims the machine after the given time.
     pub fn send_spot_notice(&mut self, machine: &str, time: Micros) {
         let at = self.now + time;
         let worker = self.workers.get_mut(machine).expect("a machine");
-        worker.preempted_at = Some(at);
+        worker.reclaimed_at = Some(at);
         worker.next_heartbeat = self.now;
     }
 }
 
-/// A service of one replica, which runs on `a`, and a second machine that has capacity.
+/// A cluster with a service whose only replica runs on machine `a`, and with a second machine `b` that has
+/// capacity.
 pub fn cluster_with_a_replica_on_a() -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(&["a"]);
     cluster.submit(service(1, 1));
     cluster.run_until(SERVICE, 1, secs(10.0));
     cluster.add_machine("b", "north");
-    // It has lived long enough not to count as a failure.
+    // The replica has run long enough that its end does not count as a failure.
     cluster.run(secs(40.0));
     assert_eq!(cluster.machines_of(SERVICE), ["a"]);
     cluster
--- a/tests/services/cluster/simulated_worker.rs
+++ b/tests/services/cluster/simulated_worker.rs
@@ -1,4 +1,4 @@
-//! A worker as it really is, and what a simulation does to it.
+//! Simulated workers, and the faults that tests inject.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use super::START;
 
-/// Workers end all tasks so long after the last heartbeat that had a reply.
+/// The lease of a worker: it ends all its tasks this long after the last heartbeat that was answered.
 pub const LEASE: Micros = Micros::from_millis(22_000);
 
 /// A task on a worker.
@@ -17,7 +17,7 @@
     pub ended: Option<ExitReason>,
 }
 
-/// A machine as it really is, whatever the leader knows of it.
+/// The true state of a machine's worker, whatever the leader knows of it.
 #[derive(Debug)]
 pub struct Worker {
     pub zone: &'static str,
@@ -26,14 +26,15 @@
     pub fencing_token: u64,
     pub last_reply: Steady,
     pub next_heartbeat: Steady,
-    /// Partitioned from the leader until then.
+    /// Until when the worker is partitioned from the leader.
     pub partitioned_until: Steady,
-    /// When the cloud takes it.
-    pub preempted_at: Option<Steady>,
+    /// When the cloud reclaims the machine; `None` without a spot interruption notice.
+    pub reclaimed_at: Option<Steady>,
     pub tasks: BTreeMap<(String, u64), Task>,
 }
 
-/// Tasks of a job end so as soon as they have started, on one machine or on all.
+/// An injected failure: tasks of a job end with the reason `why` as soon as they are started, on one machine
+/// or (with `None`) on all.
 pub struct InjectedFailure {
     pub machine: Option<&'static str>,
     pub job: &'static str,
@@ -41,7 +42,7 @@
 }
 
 impl Worker {
-    /// A worker without tasks, which sends its first heartbeat now.
+    /// A worker without tasks whose first heartbeat is due now.
     pub fn new(zone: &'static str, now: Steady) -> Worker {
         Worker {
             zone,
@@ -51,17 +52,17 @@
             last_reply: now,
             next_heartbeat: now,
             partitioned_until: START,
-            preempted_at: None,
+            reclaimed_at: None,
             tasks: BTreeMap::new(),
         }
     }
 
-    /// Whether messages pass between the worker and the leader.
+    /// Whether the worker and the leader can reach each other.
     pub fn is_reachable(&self, now: Steady) -> bool {
         self.partitioned_until <= now
     }
 
-    /// Ends all tasks if the last reply is too old, and goes on as a new agent.
+    /// Ends all tasks and begins the next agent epoch if the worker's lease has expired.
     pub fn expire_lease(&mut self, now: Steady) {
         if now - self.last_reply > LEASE {
             self.tasks.clear();
@@ -72,7 +73,7 @@
     }
 }
 
-/// A start that has reached a worker.
+/// A start that a worker has executed.
 pub struct Started {
     pub at: Steady,
     pub machine: String,
--- a/tests/services/main.rs
+++ b/tests/services/main.rs
@@ -1,5 +1,5 @@
-//! Services at the leader: replicas run until their job is cancelled, run again elsewhere whatever ends them,
-//! and are never on two machines.
+//! Services in the leader's model: replicas run until their job is cancelled, run again if they end for any
+//! reason, and never run on two machines.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/services/preemption.rs
+++ b/tests/services/preemption.rs
@@ -1,4 +1,4 @@
-//! Services stop tasks of lower priority.
+//! Services preempt tasks of lower priority.
 
 use milletlock::time::Micros;
 use milletlock::wire::JobSpec;
@@ -8,7 +8,8 @@
 };
 use crate::common::worker::job_of;
 
-/// Guards against a replica that waits for two heartbeats: one to carry the halt, one the start.
+/// Guards against a replica that waits for two heartbeats of a machine: one whose reply carries the halt,
+/// and one whose reply carries the start.
 #[test]
 fn a_task_preempted_for_a_replica_is_halted_directly_and_the_reply_to_its_exit_carries_the_start() {
     let mut cluster = SimulatedCluster::new(&["a"]);
@@ -20,7 +21,7 @@
     let direct = cluster.deliver_commands();
     assert_eq!(halts(&direct).len(), 1);
     assert_eq!(job_of(halts(&direct)[0]), ARRAY);
-    assert!(cluster.deliver_commands().is_empty(), "once");
+    assert!(cluster.deliver_commands().is_empty(), "the halt was sent twice");
     cluster.advance(Micros::from_millis(50));
     let commands = cluster.exchange_heartbeat("a");
     assert_eq!(starts(&commands), ["wk-000001/0"]);
@@ -28,7 +29,8 @@
     assert_eq!(cluster.running_tasks(ARRAY).len(), 3);
 }
 
-/// A team at its limit of 6 with lower tasks, and a service of it that has just come.
+/// A cluster in which the tasks of an array use up their team's quota of 6 processors, and in which the team
+/// has just submitted a service of a higher priority.
 fn service_of_a_team_at_its_limit() -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(&["a", "b"]);
     cluster.submit(JobSpec { team: "tight".into(), ..array(2, 6) });
@@ -39,7 +41,7 @@
     cluster
 }
 
-/// Guards against a service that waits behind lower tasks of its own team.
+/// Guards against a service that waits behind tasks of lower priority of its own team.
 #[test]
 fn a_service_preempts_tasks_of_lower_priority_of_its_own_team_at_its_quota() {
     let mut cluster = service_of_a_team_at_its_limit();
@@ -47,7 +49,8 @@
     assert_eq!(cluster.running_tasks(ARRAY).len(), 4);
 }
 
-/// Guards against a replica that waits for a heartbeat of each of its team's lower tasks.
+/// Guards against a replica that waits for the heartbeats of the machines with the preempted tasks of its
+/// team.
 #[test]
 fn preemptions_within_a_teams_quota_are_sent_by_direct_command() {
     let mut cluster = service_of_a_team_at_its_limit();
--- a/tests/services/random_faults.rs
+++ b/tests/services/random_faults.rs
@@ -1,10 +1,10 @@
-//! Services under random faults: no replica runs twice, and afterwards all run.
+//! Services under random faults: no replica runs twice, and after the faults all replicas run.
 
 use milletlock::wire::ExitReason;
 
 use crate::cluster::{array, secs, service, SimulatedCluster, START};
 
-/// A small generator of pseudo-random numbers.
+/// A small pseudo-random number generator (xorshift).
 struct Random(u64);
 
 impl Random {
@@ -42,7 +42,7 @@
             }
         }
         2 => {
-            // A reply with whatever it starts is lost.
+            // The reply to the heartbeat is lost, with all its commands.
             cluster.send_heartbeat(&machine);
         }
         3 => {
@@ -57,19 +57,21 @@
     }
 }
 
-/// Machines that the cloud has taken or that the leader returns go, and others come.
+/// Removes the machines that the cloud has reclaimed or that the leader scales in, and adds a new machine
+/// for each.
 fn replace_machines(cluster: &mut SimulatedCluster, next: &mut u32) {
-    let taken = cluster.workers.iter().filter(|x| x.1.preempted_at.is_some_and(|at| at <= cluster.now));
-    let mut lost: Vec<String> = taken.map(|x| x.0.clone()).collect();
-    lost.extend(cluster.fleet.machines_to_scale_in());
-    for machine in lost {
+    let reclaimed =
+        cluster.workers.iter().filter(|entry| entry.1.reclaimed_at.is_some_and(|at| at <= cluster.now));
+    let mut removed: Vec<String> = reclaimed.map(|entry| entry.0.clone()).collect();
+    removed.extend(cluster.fleet.machines_to_scale_in());
+    for machine in removed {
         cluster.remove_machine(&machine);
         *next += 1;
         cluster.add_machine(&format!("new-{next:03}"), "south");
     }
 }
 
-/// Guards against any order of faults that puts a replica on two machines, or on none for good.
+/// Guards against sequences of faults after which a replica runs on two machines, or never again on any.
 #[test]
 fn under_random_faults_no_replica_runs_twice_and_afterwards_all_replicas_run() {
     for seed in 1..=12u64 {
@@ -95,7 +97,7 @@
             cluster.step();
         }
         for worker in cluster.workers.values_mut() {
-            (worker.preempted_at, worker.partitioned_until) = (None, START);
+            (worker.reclaimed_at, worker.partitioned_until) = (None, START);
         }
         for _ in 0..300 {
             replace_machines(&mut cluster, &mut machines_added);
--- a/tests/services/records.rs
+++ b/tests/services/records.rs
@@ -1,4 +1,4 @@
-//! Records, status and submissions of services.
+//! Records, status and validation of services.
 
 use milletlock::fleet::{check_runnable, Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::records::{JobRecord, MachineRecord};
@@ -9,7 +9,8 @@
 use crate::cluster::{secs, service, starts, SimulatedCluster, FENCING_TOKEN, SERVICE, START};
 use crate::common::{config, heartbeat, record, types};
 
-/// Guards against replicas that an earlier version took for done and that would never run again.
+/// Guards against replicas that an earlier version of the program recorded as done, and that would never run
+/// again.
 #[test]
 fn stored_done_ranges_of_a_service_are_ignored_and_removed() {
     let mut fleet = Fleet::new(config(), types(), FENCING_TOKEN, START);
@@ -25,7 +26,7 @@
     assert!(pending.contains(&PendingWrite::OrphanedRow("done/wk-000001/0".into(), 5)), "{pending:?}");
 }
 
-/// Guards against a new leader that starts replicas which may run on a machine it has not heard.
+/// Guards against a new leader that starts replicas which may be running on an unacknowledged machine.
 #[test]
 fn after_a_failover_started_replicas_are_not_restarted_until_all_machines_have_acknowledged() {
     let mut fleet = Fleet::new(config(), types(), FENCING_TOKEN, START);
@@ -61,7 +62,7 @@
     assert_eq!(starts(&reply.commands), ["wk-000001/1"]);
 }
 
-/// Guards against a service whose missing replicas nobody sees.
+/// Guards against a status in which missing replicas of a service do not show.
 #[test]
 fn the_status_counts_wanted_and_running_replicas() {
     let mut cluster = SimulatedCluster::new(&["a"]);
@@ -75,7 +76,7 @@
     assert_eq!(cluster.fleet.progress(SERVICE).map(|c| (c.done, c.running)), Some((0, 3)));
 }
 
-/// A submission of a team with a limit, as a user sends it.
+/// A submission of a team with a quota, as a user sends it.
 fn submission(shape: &str) -> Value {
     json!({
         "nameId": "wk-000001", "grain": "feed", "owner": "tight", "shape": shape, "rank": "critical",
@@ -89,7 +90,7 @@
     JobSpec::parse(submission.to_string().as_bytes()).map_err(|e| e.to_string())
 }
 
-/// Guards against refusing services for their run time, and against accepting any other field's fault.
+/// Guards against rejecting services because of their run time, and against accepting other invalid fields.
 #[test]
 fn a_service_may_have_any_run_time_and_its_other_fields_are_validated() {
     for seconds in [0.0, 20.0] {
@@ -110,7 +111,7 @@
     }
 }
 
-/// Guards against a service that would never run whole.
+/// Guards against accepting a service of which some replicas could never run.
 #[test]
 fn a_service_whose_replicas_exceed_the_teams_quota_is_not_runnable() {
     let with = |shape: &str, replicas: u32| {
@@ -120,5 +121,5 @@
     };
     assert_eq!(with("daemon", 6), Ok(()));
     assert!(with("daemon", 7).is_err_and(|reason| reason.to_string().contains("limit")));
-    assert_eq!(with("batch", 7), Ok(()), "an array gets on with one task at a time");
+    assert_eq!(with("batch", 7), Ok(()), "an array can run one task at a time");
 }
--- a/tests/services/restarts.rs
+++ b/tests/services/restarts.rs
@@ -1,4 +1,4 @@
-//! Replicas that end are started again elsewhere, and never run on two machines.
+//! Replicas that end or are lost are started again, and never run on two machines.
 
 use milletlock::wire::{ExitReason, WorkerCommand};
 
@@ -7,7 +7,7 @@
     HEARTBEAT_INTERVAL, LEASE, SERVICE, STEP,
 };
 
-/// Guards against a replica that is taken for done, or is left ended, for some reason of its end.
+/// Guards against exit reasons after which a replica counts as done or is not started again.
 #[test]
 fn a_replica_that_exits_for_any_reason_runs_again_on_another_machine() {
     for why in [ExitReason::Done, ExitReason::Error, ExitReason::UnknownTask, ExitReason::Other] {
@@ -15,17 +15,17 @@
         cluster.end_task("a", SERVICE, why);
         let commands = cluster.exchange_heartbeat("a");
         assert!(matches!(commands.first(), Some(WorkerCommand::Forget { .. })), "{why:?}: {commands:?}");
-        assert!(starts(&commands).is_empty(), "{why:?}: started where it ended");
+        assert!(starts(&commands).is_empty(), "{why:?}: started on the machine where it ended");
         cluster.run_until(SERVICE, 1, secs(6.0));
         assert_eq!(cluster.machines_of(SERVICE), ["b"], "{why:?}");
         cluster.run(secs(30.0));
         assert_eq!(cluster.fleet.progress(SERVICE).map(|c| (c.done, c.running)), Some((0, 1)), "{why:?}");
         assert!(!cluster.fleet.jobs[SERVICE].is_complete(), "{why:?}");
-        assert_eq!(cluster.fleet.history.dirty().count(), 0, "{why:?}: in the history");
+        assert_eq!(cluster.fleet.history.dirty().count(), 0, "{why:?}: recorded in the history of run times");
     }
 }
 
-/// Guards against a replica that is lost with its only machine being given up.
+/// Guards against a replica that is not started again because its own machine is the only one.
 #[test]
 fn a_replica_runs_again_on_the_same_machine_if_there_is_no_other() {
     let mut cluster = SimulatedCluster::new(&["a"]);
@@ -37,7 +37,8 @@
     assert_eq!(cluster.machines_of(SERVICE), ["a"]);
 }
 
-/// Guards against a replica that is forgotten when its machine goes or its lease runs out.
+/// Guards against a replica that is not started again after its machine is removed or the machine's lease
+/// expires.
 #[test]
 fn a_replica_runs_again_when_its_machine_is_lost() {
     let mut returned = cluster_with_a_replica_on_a();
@@ -53,7 +54,7 @@
     assert_eq!(restarted.machines_of(SERVICE), ["b"]);
 }
 
-/// Guards against a refused or lost start that is taken for a running replica.
+/// Guards against a refused or lost start that counts as a running replica.
 #[test]
 fn a_start_that_is_refused_or_lost_is_repeated() {
     for why in [ExitReason::NoRoom, ExitReason::AttemptInUse, ExitReason::UnknownTask, ExitReason::Stopped] {
@@ -72,7 +73,7 @@
     cluster.run_until(SERVICE, 1, secs(10.0));
 }
 
-/// Guards against a second replica beside one on a machine that is only partitioned.
+/// Guards against starting a replica again while it still runs on a partitioned machine.
 #[test]
 fn a_replica_on_a_partitioned_machine_starts_elsewhere_only_after_the_lease() {
     let mut cluster = cluster_with_a_replica_on_a();
@@ -88,16 +89,16 @@
     assert_eq!(start.machine, "b");
     assert!(start.at - last_reply > LEASE.scale(1.001), "started after {:?}", start.at - last_reply);
 
-    // A leader that may have been replaced meanwhile counts no lease.
-    let mut unsure = cluster_with_a_replica_on_a();
-    unsure.exchange_heartbeat("a");
+    // A leader that may have been replaced meanwhile does not count the lease as expired.
+    let mut unconfirmed = cluster_with_a_replica_on_a();
+    unconfirmed.exchange_heartbeat("a");
     for second in 1..60u32 {
-        unsure.now = unsure.now + secs(1.0);
-        unsure.fleet.tick(unsure.now, unsure.wall());
-        assert!(unsure.exchange_heartbeat("b").is_empty(), "after {second} s");
+        unconfirmed.now = unconfirmed.now + secs(1.0);
+        unconfirmed.fleet.tick(unconfirmed.now, unconfirmed.wall());
+        assert!(unconfirmed.exchange_heartbeat("b").is_empty(), "after {second} s");
     }
 
-    // The reply to its return ends the doubt sooner.
+    // Once the cloud has confirmed the machine's removal, the replica starts before the end of the lease.
     let mut returned = cluster_with_a_replica_on_a();
     returned.exchange_heartbeat("a");
     returned.advance(secs(3.0));
