--- a/tests/common/fleet_scenario.rs
+++ b/tests/common/fleet_scenario.rs
@@ -1,4 +1,5 @@
-//! A leader with a few machines that send heartbeats in step, and run whatever is started on them.
+//! A leader with a few machines that all send heartbeats at the same time and run every task that is started
+//! on them.
 
 use std::sync::Arc;
 
@@ -11,10 +12,10 @@
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{Heartbeat, JobSpec, TaskStage, WorkerCommand};
 
-/// Reports come this far apart in these settings.
+/// Time between two heartbeats of a machine in the test settings.
 const HEARTBEAT_INTERVAL: Micros = Micros(3_000_000);
 
-/// A leader with small spot machines, all of which send a heartbeat every three seconds.
+/// A leader with machines of the type `small`, all of which send a heartbeat every three seconds.
 pub struct Scenario {
     pub fleet: Fleet,
     pub now: Steady,
@@ -27,19 +28,19 @@
         Scenario::with_config(config(), machines, spot)
     }
 
-    /// The same with other settings.
+    /// A scenario with other settings.
     pub fn with_config(config: Arc<Config>, machines: usize, spot: bool) -> Scenario {
         let now = Steady(1_000_000_000);
         let mut fleet = Fleet::new(config, types(), 7, now);
         let machines: Vec<String> = (0..machines).map(|n| format!("i-{n:03}")).collect();
         fleet.add_scaled_out_machines(&machines, MachineOffer { ty: 0, zone: 0, spot }, now);
-        let mut s = Scenario { fleet, now, sequence: 0, machines };
-        s.step(&[]);
-        s
+        let mut scenario = Scenario { fleet, now, sequence: 0, machines };
+        scenario.step(&[]);
+        scenario
     }
 
-    /// Adds ordinary machines in a zone.
-    pub fn add_ordinary(&mut self, machines: usize, zone: usize) {
+    /// Adds on-demand machines in a zone.
+    pub fn add_on_demand(&mut self, machines: usize, zone: usize) {
         let added: Vec<String> = (0..machines).map(|n| format!("j-{n:03}")).collect();
         self.fleet.add_scaled_out_machines(&added, MachineOffer { ty: 0, zone, spot: false }, self.now);
         self.machines.extend(added);
@@ -51,7 +52,8 @@
         self.fleet.apply_job_record(record, self.fleet.jobs.len() as u64 + 1, self.now);
     }
 
-    /// Lets a heartbeat's interval pass; all machines but the silent ones send what they run.
+    /// Advances the time by one heartbeat interval. All machines except the silent ones send a heartbeat
+    /// that lists their tasks as running.
     pub fn step(&mut self, silent: &[&str]) {
         self.now = self.now + HEARTBEAT_INTERVAL;
         self.fleet.tick(self.now, Wall(self.now.0));
@@ -64,12 +66,14 @@
         }
     }
 
-    /// The next heartbeat of a machine on which all that was started runs.
+    /// The next heartbeat of a machine, on which all started tasks are running.
     pub fn running_heartbeat(&mut self, id: &str) -> Heartbeat {
         self.sequence += 1;
-        let there: Vec<(String, u64)> = self.tasks(id);
-        let tasks: Vec<_> =
-            there.iter().map(|(task, attempt)| (task.as_str(), *attempt, TaskStage::Running, None)).collect();
+        let started: Vec<(String, u64)> = self.tasks(id);
+        let tasks: Vec<_> = started
+            .iter()
+            .map(|(task, attempt)| (task.as_str(), *attempt, TaskStage::Running, None))
+            .collect();
         Heartbeat { spot: true, ..heartbeat(id, self.sequence, 7, &tasks) }
     }
 
@@ -86,9 +90,10 @@
         }
     }
 
-    /// Steps until the machine is to be returned; how many.
-    pub fn steps_until_returned(&mut self, silent: &[&str], most: usize) -> Option<usize> {
-        (1..=most).find(|_| {
+    /// Advances the time until one of the silent machines is to be scaled in, by at most `max` heartbeat
+    /// intervals; returns after how many intervals that was.
+    pub fn steps_until_scaled_in(&mut self, silent: &[&str], max: usize) -> Option<usize> {
+        (1..=max).find(|_| {
             self.step(silent);
             self.fleet.machines_to_scale_in().iter().any(|id| silent.contains(&id.as_str()))
         })
--- a/tests/common/fleet_writes.rs
+++ b/tests/common/fleet_writes.rs
@@ -1,4 +1,4 @@
-//! What a state store does with the writes of a fleet, where a test has no store.
+//! Acknowledges the writes of a fleet in tests without a state store.
 
 use milletlock::fleet::Fleet;
 use milletlock::leadership;
@@ -6,7 +6,8 @@
 
 use super::clock::wall_at;
 
-/// Acknowledges all writes that a fleet has pending, in transactions of so many changes, at one revision.
+/// Acknowledges all pending writes of a fleet, in transactions of up to `txn_ops` changes, all at the same
+/// revision.
 pub fn acknowledge_writes(fleet: &mut Fleet, txn_ops: usize, revision: u64, now: Steady) {
     let pending = fleet.pending_writes(now, Micros::ZERO, 1000);
     for batch in leadership::batches(fleet, 1, pending, txn_ops, now, wall_at(now)) {
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What a leader does after a failover while it has not heard all machines.
+//! Preemption after a failover while some machines have not reported to the new leader.
 
 mod common;
 
@@ -22,7 +22,7 @@
     Wall(now.0)
 }
 
-/// A leader that has loaded the records of two small machines, one of them full of a job's tasks.
+/// A leader that has loaded the records of two small machines and of a job whose four tasks may be running.
 fn fleet_after_failover() -> Fleet {
     let machine = |id: &str| json!({ id: {"p": 0, "n": 6, "a": "127.0.0.1:9", "t": "small", "z": "north", "s": false} });
     let row = |key: &str, mod_revision, value| Row { key: key.into(), value, mod_revision };
@@ -38,8 +38,8 @@
     fleet
 }
 
-/// The commands of the reply to a machine's heartbeat.
-fn apply_heartbeat(
+/// The commands in the reply to a heartbeat of a machine on which `tasks` are running.
+fn reply_commands(
     fleet: &mut Fleet,
     machine: &str,
     sequence: u64,
@@ -61,11 +61,12 @@
     serde_json::from_value(job).expect("a job")
 }
 
-/// A new leader that has heard the full machine only, and to which an urgent job was submitted.
+/// A new leader to which only the machine with the running tasks has reported, and to which an urgent job was
+/// submitted.
 fn fleet_with_urgent_job() -> Fleet {
     let mut fleet = fleet_after_failover();
     let now = FIRST_HEARTBEAT_AT;
-    apply_heartbeat(&mut fleet, "i-1", 1, &RUNNING_TASKS, now);
+    reply_commands(&mut fleet, "i-1", 1, &RUNNING_TASKS, now);
     let submitted = JobRecord { submitted_us: now.0, ..record(urgent_job()) };
     fleet.apply_job_record(submitted, 10, now);
     fleet
@@ -75,7 +76,8 @@
     commands.iter().any(|command| matches!(command, WorkerCommand::Halt { .. }))
 }
 
-/// A plan that looks at the heard machines only would stop tasks for work that has capacity elsewhere.
+/// Guards against preempting tasks on the machines that have reported, although the urgent job may fit on
+/// machines that have not reported yet.
 #[test]
 fn no_task_is_preempted_while_first_heartbeats_are_still_expected() {
     let mut fleet = fleet_with_urgent_job();
@@ -83,7 +85,7 @@
     for sequence in 2..=4 {
         now = now + Micros::from_millis(700);
         fleet.tick(now, wall(now));
-        let commands = apply_heartbeat(&mut fleet, "i-1", sequence, &RUNNING_TASKS, now);
+        let commands = reply_commands(&mut fleet, "i-1", sequence, &RUNNING_TASKS, now);
         assert!(!has_halt(&commands), "{commands:?}");
         assert!(fleet.halt_commands(now).is_empty());
     }
@@ -92,9 +94,9 @@
 #[test]
 fn a_machine_that_does_not_report_does_not_delay_an_urgent_job_for_long() {
     let mut fleet = fleet_with_urgent_job();
-    // A heartbeat every 3 s in these settings, a quarter more at the most.
+    // In these settings the time between two heartbeats of a machine is 3 s, and at most a quarter more.
     let now = FAILOVER_AT + Micros::from_millis(3_800);
     fleet.tick(now, wall(now));
-    let commands = apply_heartbeat(&mut fleet, "i-1", 2, &RUNNING_TASKS, now);
+    let commands = reply_commands(&mut fleet, "i-1", 2, &RUNNING_TASKS, now);
     assert!(has_halt(&commands), "{commands:?}");
 }
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -1,4 +1,4 @@
-//! Scaling out and in: what a wrong estimate, a refused offer and an idle machine lead to.
+//! Scale out and scale in: refused offers, wrong run time estimates, idle machines, warm pools and headroom.
 
 mod common;
 
@@ -10,14 +10,15 @@
 use milletlock::time::{Micros, Wall};
 use milletlock::wire::{JobSpec, Priority};
 
-/// A machine of eight processors with this many one-processor tasks.
-fn machine(held: usize, left: i64) -> MachineSnapshot {
+/// A machine of eight processors with `placed` one-processor tasks, each with `remaining_s` seconds of
+/// expected run time.
+fn machine(placed: usize, remaining_s: i64) -> MachineSnapshot {
     let one = PlacedTask {
         need: need(1.0),
         priority: Priority::Normal,
         within_fair_share: false,
         team: 0,
-        remaining: secs(left),
+        remaining: secs(remaining_s),
         lost_work: secs(1),
         preemptible: true,
         stopping: false,
@@ -28,7 +29,7 @@
         zone: 0,
         spot: false,
         total: need(8.0),
-        free: need(8.0 - held as f64),
+        free: need(8.0 - placed as f64),
         accepts_starts: true,
         accepts_starts_in: Micros::ZERO,
         images: vec![],
@@ -36,38 +37,42 @@
         cpu_price: 100,
         failure_penalty: Micros::ZERO,
         reclaimed_in: None,
-        placed: vec![one; held],
+        placed: vec![one; placed],
     }
 }
 
+/// The autoscaler's decision for these machines, all idle for `idle` seconds or (with `None`) in use, and
+/// for these waiting jobs. Returns for each scale-out item whether it is for spot machines and how many, and
+/// the number of machines to scale in.
 fn decide(
-    rooms: Vec<MachineSnapshot>,
+    machines: Vec<MachineSnapshot>,
     classes: Vec<JobClass>,
     idle: Option<i64>,
     refused: &[MachineOffer],
     deadline_jobs_expected: bool,
 ) -> (Vec<(bool, u32)>, usize) {
     let machine_status = MachineStatus { age: secs(100), idle: idle.map(secs), booting: false };
-    decide_with(rooms, classes, machine_status, refused, deadline_jobs_expected)
+    decide_with(machines, classes, machine_status, refused, deadline_jobs_expected)
 }
 
+/// Decides like [`decide`], with `machine_status` for each machine.
 fn decide_with(
-    rooms: Vec<MachineSnapshot>,
+    machines: Vec<MachineSnapshot>,
     classes: Vec<JobClass>,
     machine_status: MachineStatus,
     refused: &[MachineOffer],
     deadline_jobs_expected: bool,
 ) -> (Vec<(bool, u32)>, usize) {
-    let s = Snapshot {
+    let snapshot = Snapshot {
         zone_count: 1,
-        machines: rooms,
+        machines,
         classes,
         reserve: true,
         low_priority_delay_step: secs(4),
         reserved_headroom: vec![None],
         ..Snapshot::default()
     };
-    let machine_status = vec![machine_status; s.machines.len()];
+    let machine_status = vec![machine_status; snapshot.machines.len()];
     let policy = ScalingPolicy {
         drain_time: secs(40),
         idle_timeout: secs(20),
@@ -75,11 +80,11 @@
         warm_idle_timeout: secs(30),
         max_boot_factor: 1.6,
     };
-    let p = plan(&s);
+    let current_plan = plan(&snapshot);
     let types = one_small_type();
-    let view = Autoscaler {
-        snapshot: &s,
-        plan: &p,
+    let autoscaler = Autoscaler {
+        snapshot: &snapshot,
+        plan: &current_plan,
         machine_status: &machine_status,
         types: &types,
         zones: &[vec![0]],
@@ -88,8 +93,8 @@
         deadline_jobs_expected: &[deadline_jobs_expected],
         policy,
     };
-    let d = view.decide();
-    (d.scale_out.iter().map(|r| (r.offer.spot, r.count)).collect(), d.scale_in.len())
+    let decision = autoscaler.decide();
+    (decision.scale_out.iter().map(|item| (item.offer.spot, item.count)).collect(), decision.scale_in.len())
 }
 
 #[test]
@@ -102,9 +107,9 @@
 
 #[test]
 fn tasks_expected_to_drain_in_time_cause_a_scale_out_only_after_a_long_wait() {
-    // Eight tasks of 20 s behind a machine that says it is free in a second: no need.
+    // Eight tasks of 20 s wait for a machine that is expected to be free in a second: no scale out is needed.
     assert!(decide(vec![machine(8, 1)], vec![class(8, 20, 1)], None, &[], false).0.is_empty());
-    // They still wait after 100 s: the estimates are wrong, whatever they say.
+    // The tasks still wait after 100 s: the estimates must be wrong, so they are ignored.
     assert!(!decide(vec![machine(8, 1)], vec![class(8, 20, 100)], None, &[], false).0.is_empty());
 }
 
@@ -112,7 +117,7 @@
 fn idle_machines_are_scaled_in_except_for_the_warm_pool() {
     assert_eq!(decide(vec![machine(0, 0), machine(0, 0), machine(0, 0)], vec![], Some(31), &[], false).1, 2);
     assert_eq!(decide(vec![machine(0, 0), machine(0, 0)], vec![], Some(10), &[], false).1, 0);
-    // Where deadlines are to be kept they stay longer.
+    // Where jobs with deadlines are expected, idle machines stay longer.
     assert_eq!(decide(vec![machine(0, 0), machine(0, 0)], vec![], Some(31), &[], true).1, 0);
     assert_eq!(decide(vec![machine(0, 0), machine(0, 0)], vec![], Some(61), &[], true).1, 1);
 }
@@ -120,25 +125,25 @@
 #[test]
 fn no_headroom_is_reserved_on_machines_that_the_jobs_it_is_for_may_not_use() {
     let spot = || MachineSnapshot { spot: true, ..machine(0, 0) };
-    // The warm one is an ordinary machine; spot machines neither stay for it nor count as it.
+    // The warm pool is of on-demand machines: spot machines are not kept for it and do not count towards it.
     assert_eq!(decide(vec![spot(), spot(), machine(0, 0)], vec![], Some(31), &[], false).1, 2);
     assert_eq!(decide(vec![spot(), spot()], vec![], Some(31), &[], false).1, 2);
-    // Low priorities count on spot machines of a type of which ordinary ones are kept for others.
-    let low = JobClass { priority: Priority::Idle, ..class(8, 20, 1) };
-    let unmet = |r: MachineSnapshot| {
-        let keep = ReservedHeadroom { need: need(8.0), priority: Priority::Urgent, spot: false };
-        let s = Snapshot {
+    // Jobs of low priority may use spot machines of a type whose on-demand machines are reserved as headroom.
+    let low_priority = JobClass { priority: Priority::Idle, ..class(8, 20, 1) };
+    let unmet = |machine: MachineSnapshot| {
+        let headroom = ReservedHeadroom { need: need(8.0), priority: Priority::Urgent, spot: false };
+        let snapshot = Snapshot {
             zone_count: 1,
-            machines: vec![r],
-            classes: vec![low.clone()],
-            reserved_headroom: vec![Some(keep)],
+            machines: vec![machine],
+            classes: vec![low_priority.clone()],
+            reserved_headroom: vec![Some(headroom)],
             ..Snapshot::default()
         };
-        plan(&s).unmet.len()
+        plan(&snapshot).unmet.len()
     };
     let full = |spot: bool| MachineSnapshot { spot, ..machine(8, 1) };
     assert_eq!((unmet(spot()), unmet(full(true))), (0, 1));
-    let s = Snapshot {
+    let snapshot = Snapshot {
         zone_count: 1,
         machines: vec![spot(), machine(0, 0)],
         headroom_machines: 1,
@@ -150,18 +155,21 @@
         classes: vec![JobClass { priority: Priority::Idle, ..class(16, 20, 1) }],
         ..Snapshot::default()
     };
-    // All of the spot machine, and none of the one that is kept clear.
-    assert_eq!(plan(&s).starts.iter().map(|x| (x.machine, x.count)).collect::<Vec<_>>(), [(0, 8)]);
+    // The tasks take the whole spot machine and nothing of the machine that is reserved as headroom.
+    assert_eq!(
+        plan(&snapshot).starts.iter().map(|start| (start.machine, start.count)).collect::<Vec<_>>(),
+        [(0, 8)]
+    );
 }
 
-/// For a single task that had waited for minutes a machine was scaled out in each round until the first was
-/// up: thirty of them.
+/// Guards against a fault by which a machine was scaled out for a single long-waiting task in each round
+/// until the first machine was up, thirty machines in all.
 #[test]
 fn no_more_machines_are_scaled_out_than_waiting_tasks_can_fill() {
     let booting = MachineSnapshot { accepts_starts: false, accepts_starts_in: secs(20), ..machine(0, 0) };
     let machine_status = MachineStatus { age: secs(10), idle: None, booting: true };
-    let scaled_out = |rooms: Vec<MachineSnapshot>, tasks: u32| {
-        decide_with(rooms, vec![class(tasks, 150, 400)], machine_status, &[], false).0
+    let scaled_out = |machines: Vec<MachineSnapshot>, tasks: u32| {
+        decide_with(machines, vec![class(tasks, 150, 400)], machine_status, &[], false).0
     };
     assert_eq!(scaled_out(vec![], 1), [(true, 1)]);
     assert_eq!(scaled_out(vec![booting.clone()], 1), []);
@@ -169,31 +177,34 @@
     assert_eq!(scaled_out(vec![booting; 3], 24), []);
 }
 
-/// The whole fleet stayed for a minute after the last job, for deadlines that no more jobs had.
+/// Guards against a fault by which the whole fleet stayed for a minute after the last job, kept for jobs with
+/// deadlines that were no longer to be expected.
 #[test]
 fn machines_stay_for_jobs_with_deadlines_only_while_more_are_expected() {
-    let returned_after = |deadline_s: Option<f64>, class: &str| {
-        let mut s = Scenario::new(1, false);
-        s.submit(spec(1, 4, "batch"));
-        (0..22).for_each(|_| s.step(&[]));
-        s.fleet.job_ended("wk-000001", 1000);
-        s.sequence += 1;
-        let empty = heartbeat("i-000", s.sequence, 7, &[]);
-        s.send_heartbeat(&empty);
-        // One a second, usually: none for as long as a machine boots is the end of them.
+    let scaled_in_after = |deadline_s: Option<f64>, class: &str| {
+        let mut scenario = Scenario::new(1, false);
+        scenario.submit(spec(1, 4, "batch"));
+        (0..22).for_each(|_| scenario.step(&[]));
+        scenario.fleet.job_ended("wk-000001", 1000);
+        scenario.sequence += 1;
+        let empty = heartbeat("i-000", scenario.sequence, 7, &[]);
+        scenario.send_heartbeat(&empty);
+        // Such jobs usually came once a second. If none comes during the boot time of a machine, no more are
+        // expected.
         for n in 2..22 {
-            s.submit(JobSpec { deadline_s, class: Some(class.into()), ..spec(n, 1, "batch") });
-            s.fleet.job_ended(&format!("wk-{n:06}"), 1000 + u64::from(n));
+            scenario.submit(JobSpec { deadline_s, class: Some(class.into()), ..spec(n, 1, "batch") });
+            scenario.fleet.job_ended(&format!("wk-{n:06}"), 1000 + u64::from(n));
         }
-        let is_returned = |_: &usize| {
-            s.step(&[]);
-            s.fleet.decide_scaling(s.now, Wall(s.now.0));
-            !s.fleet.machines_to_scale_in().is_empty()
+        let is_scaled_in = |_: &usize| {
+            scenario.step(&[]);
+            scenario.fleet.decide_scaling(scenario.now, Wall(scenario.now.0));
+            !scenario.fleet.machines_to_scale_in().is_empty()
         };
-        (1..=30).find(is_returned)
+        (1..=30).find(is_scaled_in)
     };
-    assert_eq!(returned_after(None, "any"), Some(3), "after eight seconds");
-    assert_eq!(returned_after(Some(100.0), "any"), Some(7), "after twenty");
-    // Of a class that should start before a machine boots the lull has to last a minute.
-    assert_eq!(returned_after(None, "quick"), Some(21), "after sixty");
+    assert_eq!(scaled_in_after(None, "any"), Some(3), "after eight seconds");
+    assert_eq!(scaled_in_after(Some(100.0), "any"), Some(7), "after twenty");
+    // For jobs that should start sooner than a machine boots, machines are kept for a minute without such
+    // jobs.
+    assert_eq!(scaled_in_after(None, "quick"), Some(21), "after sixty");
 }
--- a/tests/spot_machines.rs
+++ b/tests/spot_machines.rs
@@ -1,5 +1,6 @@
-//! Spot machines that the cloud takes, with and without notice: what cannot end in time begins again at
-//! once, and what was on a machine that is gone begins again before its lease would have run out.
+//! Spot machines that the cloud reclaims with or without notice. Tasks that cannot end in time start
+//! elsewhere at once, and tasks on a reclaimed machine start elsewhere before the machine's lease would have
+//! expired.
 
 mod common;
 
@@ -11,114 +12,121 @@
 use milletlock::time::Micros;
 use milletlock::wire::{Heartbeat, JobSpec, WorkerCommand};
 
-fn stopped(commands: &[WorkerCommand]) -> usize {
-    commands.iter().filter(|o| matches!(o, WorkerCommand::Halt { .. })).count()
+fn halt_count(commands: &[WorkerCommand]) -> usize {
+    commands.iter().filter(|command| matches!(command, WorkerCommand::Halt { .. })).count()
 }
 
-/// Tasks of 15 s that ran on with a notice of 15 s were lost with the machine, and began again up to a
-/// lease later: of the jobs that missed their deadline on a quiet day nearly all had lost a few so.
+/// Guards against a fault by which tasks that could not end before their machine was reclaimed ran on (tasks
+/// of 15 s with a notice of 15 s). They were lost with the machine and started again up to a lease later. On
+/// a day with little load nearly all jobs that missed their deadline had lost tasks in this way.
 #[test]
 fn tasks_that_cannot_end_before_their_spot_machine_is_reclaimed_are_stopped_at_the_notice() {
-    let mut s = Scenario::new(1, true);
-    s.submit(JobSpec { estimate_s: 40.0, ..spec(1, 2, "batch") });
-    s.submit(JobSpec { estimate_s: 10.0, ..spec(2, 2, "batch") });
-    (0..3).for_each(|_| s.step(&[]));
-    assert_eq!(s.tasks("i-000").len(), 4);
-    let notice = Heartbeat { interruption_notice_s: Some(15.0), ..s.running_heartbeat("i-000") };
-    let commands = s.send_heartbeat(&notice);
-    assert_eq!(stopped(&commands), 2, "{commands:?}");
-    assert!(commands
-        .iter()
-        .all(|o| !matches!(o, WorkerCommand::Halt { task, .. } if !task.starts_with("wk-000001"))));
-    // Near its end what overruns its estimate is left to end.
-    s.now = s.now + Micros::from_secs(12.0);
-    let notice = Heartbeat { interruption_notice_s: Some(0.5), ..s.running_heartbeat("i-000") };
-    assert_eq!(stopped(&s.send_heartbeat(&notice)), 2, "the same two, again");
+    let mut scenario = Scenario::new(1, true);
+    scenario.submit(JobSpec { estimate_s: 40.0, ..spec(1, 2, "batch") });
+    scenario.submit(JobSpec { estimate_s: 10.0, ..spec(2, 2, "batch") });
+    (0..3).for_each(|_| scenario.step(&[]));
+    assert_eq!(scenario.tasks("i-000").len(), 4);
+    let notice = Heartbeat { interruption_notice_s: Some(15.0), ..scenario.running_heartbeat("i-000") };
+    let commands = scenario.send_heartbeat(&notice);
+    assert_eq!(halt_count(&commands), 2, "{commands:?}");
+    assert!(commands.iter().all(
+        |command| !matches!(command, WorkerCommand::Halt { task, .. } if !task.starts_with("wk-000001"))
+    ));
+    // Tasks that exceed their estimate shortly before the machine is reclaimed are not stopped.
+    scenario.now = scenario.now + Micros::from_secs(12.0);
+    let notice = Heartbeat { interruption_notice_s: Some(0.5), ..scenario.running_heartbeat("i-000") };
+    assert_eq!(
+        halt_count(&scenario.send_heartbeat(&notice)),
+        2,
+        "the halts of the same two tasks are repeated"
+    );
 }
 
-/// Tasks that save are left to save, and a gang's are not stopped one by one.
+/// Tasks that save checkpoints are stopped later, in time to save one, and tasks of a gang are not stopped
+/// separately.
 #[test]
 fn a_spot_notice_stops_neither_tasks_that_save_checkpoints_nor_gangs() {
-    let mut s = Scenario::new(1, true);
-    s.submit(JobSpec { estimate_s: 200.0, checkpoint_s: 30.0, save_s: 2.0, ..spec(1, 2, "batch") });
-    s.submit(JobSpec { estimate_s: 200.0, ..spec(2, 2, "gang") });
-    (0..3).for_each(|_| s.step(&[]));
-    assert_eq!(s.tasks("i-000").len(), 4);
-    let notice = Heartbeat { interruption_notice_s: Some(100.0), ..s.running_heartbeat("i-000") };
-    assert_eq!(stopped(&s.send_heartbeat(&notice)), 0);
+    let mut scenario = Scenario::new(1, true);
+    scenario.submit(JobSpec { estimate_s: 200.0, checkpoint_s: 30.0, save_s: 2.0, ..spec(1, 2, "batch") });
+    scenario.submit(JobSpec { estimate_s: 200.0, ..spec(2, 2, "gang") });
+    (0..3).for_each(|_| scenario.step(&[]));
+    assert_eq!(scenario.tasks("i-000").len(), 4);
+    let notice = Heartbeat { interruption_notice_s: Some(100.0), ..scenario.running_heartbeat("i-000") };
+    assert_eq!(halt_count(&scenario.send_heartbeat(&notice)), 0);
 }
 
-/// A spot machine that falls silent among many that send heartbeats is returned well before its lease ends:
-/// the cloud's reply is what lets its tasks begin elsewhere.
+/// A silent spot machine is scaled in well before its lease expires if many other machines send heartbeats.
+/// Its tasks can start elsewhere as soon as the cloud has confirmed the scale in.
 #[test]
 fn a_silent_spot_machine_is_scaled_in_before_its_lease_expires() {
     let silent = ["i-003"];
-    let mut s = Scenario::new(20, true);
-    s.step(&[]);
-    let steps = s.steps_until_returned(&silent, 20).expect("returned");
-    assert!((3..=4).contains(&steps), "after {steps} reports");
-    // An ordinary machine is waited for beyond its lease of seven heartbeats.
-    let mut s = Scenario::new(20, false);
-    s.machines.iter().for_each(|id| {
+    let mut scenario = Scenario::new(20, true);
+    scenario.step(&[]);
+    let steps = scenario.steps_until_scaled_in(&silent, 20).expect("the machine is scaled in");
+    assert!((3..=4).contains(&steps), "after {steps} heartbeat intervals");
+    // An on-demand machine is kept for longer than its lease of about seven heartbeat intervals.
+    let mut scenario = Scenario::new(20, false);
+    scenario.machines.iter().for_each(|id| {
         let id: MachineId = Arc::from(id.as_str());
-        assert!(!s.fleet.machines[&id].spot);
+        assert!(!scenario.fleet.machines[&id].spot);
     });
-    s.step(&[]);
-    assert!(s.steps_until_returned(&silent, 12).is_none());
+    scenario.step(&[]);
+    assert!(scenario.steps_until_scaled_in(&silent, 12).is_none());
 }
 
-/// After a notice silence is the end of the machine.
+/// A machine that is silent after an interruption notice counts as reclaimed sooner.
 #[test]
 fn a_spot_machine_that_is_silent_after_a_notice_is_scaled_in_sooner() {
     let silent = ["i-003"];
-    let mut s = Scenario::new(20, true);
-    s.step(&[]);
-    let notice = Heartbeat { interruption_notice_s: Some(15.0), ..s.running_heartbeat("i-003") };
-    s.send_heartbeat(&notice);
-    let steps = s.steps_until_returned(&silent, 20).expect("returned");
+    let mut scenario = Scenario::new(20, true);
+    scenario.step(&[]);
+    let notice = Heartbeat { interruption_notice_s: Some(15.0), ..scenario.running_heartbeat("i-003") };
+    scenario.send_heartbeat(&notice);
+    let steps = scenario.steps_until_scaled_in(&silent, 20).expect("the machine is scaled in");
     assert_eq!(steps, 3);
 }
 
-/// Where many are silent it is the network: they are waited for.
+/// If many machines of a zone are silent, the network is most likely partitioned, and they are not scaled in.
 #[test]
 fn many_silent_spot_machines_do_not_count_as_reclaimed() {
-    let mut s = Scenario::new(20, true);
-    s.step(&[]);
-    assert!(s.steps_until_returned(&["i-003", "i-004", "i-005"], 12).is_none());
+    let mut scenario = Scenario::new(20, true);
+    scenario.step(&[]);
+    assert!(scenario.steps_until_scaled_in(&["i-003", "i-004", "i-005"], 12).is_none());
 }
 
-/// The cloud took most spot machines at once, without notice, and their tasks waited for the leases: the
-/// ordinary machines of the zone go on sending heartbeats, so the network is not cut.
+/// Guards against a fault by which the tasks of many spot machines, reclaimed at once without notice,
+/// started again only when the leases had expired. If on-demand machines of the zone send heartbeats, the
+/// network is not partitioned.
 #[test]
 fn many_silent_spot_machines_are_scaled_in_if_on_demand_machines_of_the_zone_send_heartbeats() {
     let silent = ["i-001", "i-002", "i-003"];
-    let mut s = Scenario::new(4, true);
-    s.add_ordinary(24, 0);
-    s.step(&[]);
-    assert_eq!(s.steps_until_returned(&silent, 20), Some(4));
-    // In the other zone they show nothing of this one.
-    let mut s = Scenario::new(4, true);
-    s.add_ordinary(24, 1);
-    s.step(&[]);
-    assert!(s.steps_until_returned(&silent, 12).is_none());
+    let mut scenario = Scenario::new(4, true);
+    scenario.add_on_demand(24, 0);
+    scenario.step(&[]);
+    assert_eq!(scenario.steps_until_scaled_in(&silent, 20), Some(4));
+    // On-demand machines in another zone do not show whether the network of this zone is partitioned.
+    let mut scenario = Scenario::new(4, true);
+    scenario.add_on_demand(24, 1);
+    scenario.step(&[]);
+    assert!(scenario.steps_until_scaled_in(&silent, 12).is_none());
 }
 
-/// In a burst the tasks lost with a machine waited behind all newer jobs, since theirs had waited for longer
-/// than its aim for the start allows, though it had begun in time.
+/// Guards against a fault during bursts: tasks that were lost with a machine waited behind all newer jobs,
+/// since their job was older than its objective for the start allows, although the job had started in time.
 #[test]
 fn lost_tasks_of_an_array_that_started_in_time_do_not_wait_behind_newer_jobs() {
     let quick = |n: u32| JobSpec { class: Some("quick".into()), estimate_s: 60.0, ..spec(n, 4, "batch") };
-    let mut s = Scenario::new(1, true);
-    s.submit(quick(1));
-    // Beyond the 20 s within which its class should start.
-    (0..10).for_each(|_| s.step(&[]));
-    assert_eq!(s.tasks("i-000").len(), 4);
-    s.fleet.remove_scaled_in_machines(&["i-000".into()], s.now);
-    s.machines.clear();
-    s.submit(quick(2));
-    s.add_ordinary(1, 0);
-    (0..3).for_each(|_| s.step(&[]));
-    let started = s.tasks("j-000");
+    let mut scenario = Scenario::new(1, true);
+    scenario.submit(quick(1));
+    // This is longer than the 20 s within which jobs of the class should start.
+    (0..10).for_each(|_| scenario.step(&[]));
+    assert_eq!(scenario.tasks("i-000").len(), 4);
+    scenario.fleet.remove_scaled_in_machines(&["i-000".into()], scenario.now);
+    scenario.machines.clear();
+    scenario.submit(quick(2));
+    scenario.add_on_demand(1, 0);
+    (0..3).for_each(|_| scenario.step(&[]));
+    let started = scenario.tasks("j-000");
     assert_eq!(started.len(), 4);
     assert!(started.iter().all(|(task, _)| task.starts_with("wk-000001")), "{started:?}");
 }
