--- a/crates/recovery/src/discrepancy.rs
+++ b/crates/recovery/src/discrepancy.rs
@@ -9,7 +9,7 @@
     /// The task is done according to the worker but not in the records. It is recorded as done, then
     /// dropped from the worker's reports, and never runs again.
     Finished,
-    /// The task is on the machine although its job has ended or was never submitted. The task is halted.
+    /// The task is on the machine although its job has ended or was never recorded. The task is halted.
     JobOver,
     /// The task is on the machine although it is done in the records. It runs to its end, and its result is
     /// dropped.
@@ -21,7 +21,7 @@
     Failed,
     /// Some tasks of a gang were not reported although every machine has reported or is lost.
     PartialGang,
-    /// The machine is lost before it has reported, with all tasks that may have been on it.
+    /// The machine was lost before it reported, with all tasks that may have been on it.
     MachineLost,
 }
 
@@ -52,7 +52,7 @@
 /// The state of a job in the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobRecordState {
-    /// There is no live job with this id: it has ended or was never submitted.
+    /// There is no live job with this id: it has ended or was never recorded.
     Ended,
     /// The job is live and has independent tasks.
     Live,
--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -16,7 +16,7 @@
     NotReported,
     /// The machine has reported with this leader's fencing token.
     Reported,
-    /// The machine is gone, or its lease has certainly expired, before it reported.
+    /// The machine did not report before it was gone or its lease had certainly expired.
     Lost,
 }
 
--- a/src/direct_command.rs
+++ b/src/direct_command.rs
@@ -8,7 +8,7 @@
 pub struct DirectCommand {
     /// The machine on which the worker runs.
     pub machine: MachineId,
-    /// Address at which the worker accepts direct commands, as `HOST:PORT`.
+    /// Address at which the worker accepts direct commands, as `IP:PORT`.
     pub address: String,
     /// The agent epoch that the commands are for. A worker in another agent epoch refuses them.
     pub agent_epoch: u64,
--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -107,7 +107,7 @@
         true
     }
 
-    /// Applies the heartbeat that a worker returned in reply to a direct command. It serves to find out
+    /// Applies the heartbeat that a worker returned in reply to a direct command. The heartbeat shows
     /// whether this leader's fencing token was delivered. Once the machine has acknowledged the token, the
     /// heartbeat is ignored, since its task list may be older than a start that is being delivered. Returns
     /// the heartbeat's fencing token if it is higher than this leader's, so that another leader has taken
@@ -167,7 +167,7 @@
     }
 
     /// The remaining tasks of ended jobs on machines whose heartbeat is overdue, by machine. At most
-    /// `MAX_OVERDUE_HALTS` machines are returned, those first whose last direct command is longest ago.
+    /// `MAX_OVERDUE_HALTS` machines are returned: the machines whose last direct command is longest ago.
     fn ended_job_tasks_on_overdue_machines(&self, now: Steady) -> BTreeMap<MachineId, BTreeSet<TaskKey>> {
         let interval_s = self.config.platform.settings.workers.report_s;
         let overdue = Micros::from_secs(interval_s * OVERDUE_INTERVALS);
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -109,12 +109,12 @@
 
     /// Marks a machine's lease as expired once that is certain; returns whether it did so now.
     fn expire(&self, machine: &mut Machine) -> bool {
-        // Two conditions have to hold. First, this leader was the last to renew the lease: it answered a
-        // heartbeat, or the machine has acknowledged its fencing token; otherwise an earlier leader might
-        // still be renewing the lease. Second, this leader's own lease was confirmed later than the end of
-        // the machine's lease; otherwise a newer leader might have renewed the machine's lease. Without the
-        // second condition, a leader cut off from the state store and this machine, but not from other
-        // machines, would start the machine's tasks a second time.
+        // Two conditions have to hold. First, the machine has acknowledged this leader's fencing token, and
+        // this leader knows when it last renewed the lease. Otherwise an earlier leader might still be
+        // renewing the lease. Second, this leader's own lease was confirmed at a moment after the end of the
+        // machine's lease. Otherwise a newer leader might have renewed the machine's lease: a leader cut off
+        // from the state store and from this machine, but not from other machines, would start the machine's
+        // tasks there a second time.
         let Some(renewed) = machine.lease_renewed_at() else { return false };
         let is_valid =
             self.now - renewed <= self.lease || self.leader_lease_confirmed_at - renewed <= self.lease;
--- a/src/fleet/recovery.rs
+++ b/src/fleet/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery after a failover: compares each machine's first heartbeat with the records, and tells whether
-//! first heartbeats of an earlier leader's machines are still to be expected.
+//! Recovery after a failover: compares each machine's first heartbeat with the records, and determines
+//! whether first heartbeats of an earlier leader's machines are still to be expected.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -204,7 +204,7 @@
     }
 
     /// Starts one task on the machine whose heartbeat is being answered, if it may start there and the
-    /// reply has room for the command; returns whether it was started.
+    /// reply is not full; returns whether the task was started.
     pub(super) fn start_task(
         &mut self,
         id: &JobId,
--- a/tests/common/production_leader.rs
+++ b/tests/common/production_leader.rs
@@ -221,7 +221,7 @@
         }
     }
 
-    /// A heartbeat and its reply, if it gives one (`apply_heartbeat`, src/fleet.rs:837).
+    /// A heartbeat and its reply, if it gives one (`check_in`, src/fleet.rs:837).
     pub fn heartbeat(&mut self, machine: &mut Machine) -> bool {
         let message = machine.state.heartbeat();
         if message.fencing_token > self.owner.token {
--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -73,8 +73,8 @@
         write_all(&mut fleet, sequence as f64);
     }
     // Half of the machines are removed.
-    let gone: Vec<String> = (0..MACHINES / 2).map(id).collect();
-    fleet.remove_scaled_in_machines(&gone, at(4.0));
+    let removed: Vec<String> = (0..MACHINES / 2).map(id).collect();
+    fleet.remove_scaled_in_machines(&removed, at(4.0));
     let (machines, before) = (fleet.machines.len(), format!("{:?}", fleet.machines));
     let stale = [("wk-000001/3", 99, TaskStage::Running, None)];
     for late in [5.0, 12.0, 23.0, 60.0, 300.0] {
--- a/tests/services/placement.rs
+++ b/tests/services/placement.rs
@@ -80,7 +80,7 @@
 }
 
 /// Guards against starts that wait for the next heartbeat of an idle machine, and against deferred replies
-/// that delay news about other tasks.
+/// that delay commands for other tasks.
 #[test]
 fn a_reply_is_deferred_only_for_a_machine_with_nothing_but_running_replicas() {
     let mut cluster = SimulatedCluster::new(&["a"]);
--- a/tests/services/records.rs
+++ b/tests/services/records.rs
@@ -50,8 +50,8 @@
     assert!(commands_to_b(1, secs(0.5)).is_empty());
     assert!(commands_to_b(2, secs(2.0)).is_empty());
     let now = START + secs(2.5);
-    let there = [("wk-000001/0", 3, TaskStage::Running, None)];
-    fleet.apply_heartbeat(&heartbeat("a", 1, FENCING_TOKEN, &there), now, Wall(now.0));
+    let running = [("wk-000001/0", 3, TaskStage::Running, None)];
+    fleet.apply_heartbeat(&heartbeat("a", 1, FENCING_TOKEN, &running), now, Wall(now.0));
     let now = START + secs(3.0);
     fleet.tick(now, Wall(now.0));
     let HeartbeatOutcome::Reply(reply) =
--- a/tests/services/restarts.rs
+++ b/tests/services/restarts.rs
@@ -41,10 +41,10 @@
 /// expires.
 #[test]
 fn a_replica_runs_again_when_its_machine_is_lost() {
-    let mut returned = cluster_with_a_replica_on_a();
-    returned.remove_machine("a");
-    assert!(returned.run_until(SERVICE, 1, secs(10.0)) <= HEARTBEAT_INTERVAL + STEP);
-    assert_eq!(returned.machines_of(SERVICE), ["b"]);
+    let mut removed = cluster_with_a_replica_on_a();
+    removed.remove_machine("a");
+    assert!(removed.run_until(SERVICE, 1, secs(10.0)) <= HEARTBEAT_INTERVAL + STEP);
+    assert_eq!(removed.machines_of(SERVICE), ["b"]);
 
     let mut restarted = cluster_with_a_replica_on_a();
     restarted.partition("a", secs(60.0));
@@ -99,11 +99,11 @@
     }
 
     // Once the cloud has confirmed the machine's removal, the replica starts before the end of the lease.
-    let mut returned = cluster_with_a_replica_on_a();
-    returned.exchange_heartbeat("a");
-    returned.advance(secs(3.0));
-    assert!(returned.exchange_heartbeat("b").is_empty());
-    returned.remove_machine("a");
-    returned.advance(STEP);
-    assert_eq!(starts(&returned.exchange_heartbeat("b")), ["wk-000001/0"]);
+    let mut removed = cluster_with_a_replica_on_a();
+    removed.exchange_heartbeat("a");
+    removed.advance(secs(3.0));
+    assert!(removed.exchange_heartbeat("b").is_empty());
+    removed.remove_machine("a");
+    removed.advance(STEP);
+    assert_eq!(starts(&removed.exchange_heartbeat("b")), ["wk-000001/0"]);
 }
