--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -1,4 +1,4 @@
-//! Messages that arrive late or twice.
+//! Heartbeats and job records that arrive late or twice.
 
 use milletlock::fleet::HeartbeatOutcome;
 use milletlock::wire::TaskStage;
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn a_late_copy_does_not_bring_a_job_back() {
+fn a_late_job_record_does_not_restore_an_ended_job() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
     fleet.job_ended("wk-000001", 1000);
     fleet.apply_job_record(record(spec(1, 1, "batch")), 999, at(1.0));
@@ -19,74 +19,75 @@
 }
 
 #[test]
-fn late_copies_of_heartbeats_renew_nothing_and_bring_nothing_back() {
+fn late_heartbeats_renew_no_lease_and_restore_no_task() {
     let (mut fleet, (task, attempt)) = fleet_with_a_running_task();
     let running = [(task.as_str(), attempt, TaskStage::Running, None)];
-    // Sent before the machine was partitioned, this one arrives when its lease has run out.
-    let held = heartbeat("i-1", 4, 7, &running);
-    // A copy within the lease does not put off its end.
+    // This heartbeat was sent before the machine was partitioned and arrives when its lease has expired.
+    let delayed = heartbeat("i-1", 4, 7, &running);
+    // A duplicate that arrives within the lease does not renew it.
     assert_eq!(
         fleet.apply_heartbeat(&heartbeat("i-1", 3, 7, &running), at(20.0), wall(20.0)),
         HeartbeatOutcome::Refuse
     );
     fleet.confirm_lease(at(25.9));
     fleet.tick(at(26.0), wall(26.0));
-    assert!(fleet.jobs["wk-000001"].waiting.contains(0), "the lease has surely run out");
-    assert_eq!(fleet.apply_heartbeat(&held, at(27.0), wall(27.0)), HeartbeatOutcome::Refuse);
-    assert!(fleet.jobs["wk-000001"].waiting.contains(0), "a late report brought back what has ended");
-    // The machine itself is back in its next session.
+    assert!(fleet.jobs["wk-000001"].waiting.contains(0), "the lease has certainly expired");
+    assert_eq!(fleet.apply_heartbeat(&delayed, at(27.0), wall(27.0)), HeartbeatOutcome::Refuse);
+    assert!(fleet.jobs["wk-000001"].waiting.contains(0), "a late heartbeat restored a task that has ended");
+    // Heartbeats of the machine's next agent epoch are accepted.
     let mut back = heartbeat("i-1", 1, 7, &[]);
     back.agent_epoch = 2;
     assert!(matches!(fleet.apply_heartbeat(&back, at(30.0), wall(30.0)), HeartbeatOutcome::Reply(_)));
-    // From before this leader came, of a machine that has no record any more.
-    let mut g = new_fleet(9);
+    // A heartbeat from before the failover, from a machine that has no record any more, is refused.
+    let mut new_leader = new_fleet(9);
     assert_eq!(
-        g.apply_heartbeat(&heartbeat("i-7", 40, 8, &running), at(1.0), wall(1.0)),
+        new_leader.apply_heartbeat(&heartbeat("i-7", 40, 8, &running), at(1.0), wall(1.0)),
         HeartbeatOutcome::Refuse
     );
-    assert!(g.machines.is_empty());
-    // A copy that shows an older fencing token ends nobody's leadership, and does not count as heard.
-    g.inherit_machine("i-8", &machine_record("small"), 0, START);
+    assert!(new_leader.machines.is_empty());
+    // A heartbeat with an older fencing token does not end the leadership and acknowledges nothing.
+    new_leader.inherit_machine("i-8", &machine_record("small"), 0, START);
     assert!(matches!(
-        g.apply_heartbeat(&heartbeat("i-8", 40, 8, &[]), at(1.0), wall(1.0)),
+        new_leader.apply_heartbeat(&heartbeat("i-8", 40, 8, &[]), at(1.0), wall(1.0)),
         HeartbeatOutcome::Reply(_)
     ));
-    assert_eq!(g.unacknowledged_machines(), 1);
+    assert_eq!(new_leader.unacknowledged_machines(), 1);
 }
 
-/// Copies of heartbeats come by the thousand, from seconds to well over a lease late.
+/// Thousands of duplicate heartbeats arrive, from seconds to several lease times late.
 #[test]
-fn late_copies_by_the_thousand_change_nothing_and_are_not_remembered() {
+fn thousands_of_late_heartbeats_change_nothing_in_the_model() {
     const MACHINES: u32 = 400;
     let mut fleet = new_fleet(7);
     fleet.apply_job_record(record(spec(1, 100, "batch")), 1, START);
-    let id = |m: u32| format!("i-{m:06}");
+    let id = |machine: u32| format!("i-{machine:06}");
     for sequence in 1..=3 {
-        for m in 0..MACHINES {
+        for machine in 0..MACHINES {
             let fencing_token = if sequence > 1 { 7 } else { 0 };
             fleet.apply_heartbeat(
-                &heartbeat(&id(m), sequence, fencing_token, &[]),
+                &heartbeat(&id(machine), sequence, fencing_token, &[]),
                 at(sequence as f64),
                 wall(sequence as f64),
             );
         }
         write_all(&mut fleet, sequence as f64);
     }
-    // Half of them go.
-    let gone: Vec<String> = (0..MACHINES / 2).map(id).collect();
-    fleet.remove_scaled_in_machines(&gone, at(4.0));
+    // Half of the machines are removed.
+    let removed: Vec<String> = (0..MACHINES / 2).map(id).collect();
+    fleet.remove_scaled_in_machines(&removed, at(4.0));
     let (machines, before) = (fleet.machines.len(), format!("{:?}", fleet.machines));
     let stale = [("wk-000001/3", 99, TaskStage::Running, None)];
     for late in [5.0, 12.0, 23.0, 60.0, 300.0] {
-        for m in 0..MACHINES {
+        for machine in 0..MACHINES {
             for (sequence, tasks) in [(1, &stale[..]), (3, &[][..])] {
-                let r = heartbeat(&id(m), sequence, if sequence > 1 { 7 } else { 0 }, tasks);
-                assert_eq!(fleet.apply_heartbeat(&r, at(late), wall(late)), HeartbeatOutcome::Refuse);
+                let message = heartbeat(&id(machine), sequence, if sequence > 1 { 7 } else { 0 }, tasks);
+                assert_eq!(fleet.apply_heartbeat(&message, at(late), wall(late)), HeartbeatOutcome::Refuse);
             }
         }
     }
     assert_eq!((fleet.machines.len(), format!("{:?}", fleet.machines)), (machines, before));
-    // What is remembered of those that are gone ends as well: long after, a name is only a name.
+    // The ids of removed machines are kept only for some time: later, a heartbeat with such an id is
+    // accepted.
     fleet.tick(at(1000.0), wall(1000.0));
     assert!(matches!(
         fleet.apply_heartbeat(&heartbeat(&id(0), 4, 7, &[]), at(1000.0), wall(1000.0)),
--- a/tests/services/records.rs
+++ b/tests/services/records.rs
@@ -1,4 +1,4 @@
-//! Records, status and submissions of services.
+//! Records, status and validation of services.
 
 use milletlock::fleet::{check_runnable, Fleet, HeartbeatOutcome, PendingWrite};
 use milletlock::records::{JobRecord, MachineRecord};
@@ -9,9 +9,10 @@
 use crate::cluster::{secs, service, starts, SimulatedCluster, FENCING_TOKEN, SERVICE, START};
 use crate::common::{config, heartbeat, record, types};
 
-/// Guards against replicas that an earlier version took for done and that would never run again.
+/// Guards against replicas that an earlier version of the program recorded as done, and that would never run
+/// again.
 #[test]
-fn done_ranges_of_a_service_are_not_believed_and_are_removed() {
+fn stored_done_ranges_of_a_service_are_ignored_and_removed() {
     let mut fleet = Fleet::new(config(), types(), FENCING_TOKEN, START);
     fleet.apply_job_record(record(service(1, 3)), 1, START);
     fleet.inherit_done(SERVICE, 0, "0-2", 5);
@@ -25,9 +26,9 @@
     assert!(pending.contains(&PendingWrite::OrphanedRow("done/wk-000001/0".into(), 5)), "{pending:?}");
 }
 
-/// Guards against a new leader that starts replicas which may run on a machine it has not heard.
+/// Guards against a new leader that starts replicas which may be running on an unacknowledged machine.
 #[test]
-fn after_a_failover_started_replicas_wait_for_the_machines_that_may_run_them() {
+fn after_a_failover_started_replicas_are_not_restarted_until_all_machines_have_acknowledged() {
     let mut fleet = Fleet::new(config(), types(), FENCING_TOKEN, START);
     let machine = MachineRecord {
         fencing_token: 1,
@@ -49,8 +50,8 @@
     assert!(commands_to_b(1, secs(0.5)).is_empty());
     assert!(commands_to_b(2, secs(2.0)).is_empty());
     let now = START + secs(2.5);
-    let there = [("wk-000001/0", 3, TaskStage::Running, None)];
-    fleet.apply_heartbeat(&heartbeat("a", 1, FENCING_TOKEN, &there), now, Wall(now.0));
+    let running = [("wk-000001/0", 3, TaskStage::Running, None)];
+    fleet.apply_heartbeat(&heartbeat("a", 1, FENCING_TOKEN, &running), now, Wall(now.0));
     let now = START + secs(3.0);
     fleet.tick(now, Wall(now.0));
     let HeartbeatOutcome::Reply(reply) =
@@ -61,7 +62,7 @@
     assert_eq!(starts(&reply.commands), ["wk-000001/1"]);
 }
 
-/// Guards against a service whose missing replicas nobody sees.
+/// Guards against a status in which missing replicas of a service do not show.
 #[test]
 fn the_status_counts_wanted_and_running_replicas() {
     let mut cluster = SimulatedCluster::new(&["a"]);
@@ -75,7 +76,7 @@
     assert_eq!(cluster.fleet.progress(SERVICE).map(|c| (c.done, c.running)), Some((0, 3)));
 }
 
-/// A submission of a team with a limit, as a user sends it.
+/// A submission of a team with a quota, as a user sends it.
 fn submission(shape: &str) -> Value {
     json!({
         "nameId": "wk-000001", "grain": "feed", "owner": "tight", "shape": shape, "rank": "critical",
@@ -89,9 +90,9 @@
     JobSpec::parse(submission.to_string().as_bytes()).map_err(|e| e.to_string())
 }
 
-/// Guards against refusing services for their run time, and against accepting any other field's fault.
+/// Guards against rejecting services because of their run time, and against accepting other invalid fields.
 #[test]
-fn a_service_is_accepted_with_any_run_time_and_checked_like_any_job() {
+fn a_service_may_have_any_run_time_and_its_other_fields_are_validated() {
     for seconds in [0.0, 20.0] {
         let mut service = submission("daemon");
         service["expectS"] = json!(seconds);
@@ -110,9 +111,9 @@
     }
 }
 
-/// Guards against a service that would never run whole.
+/// Guards against accepting a service of which some replicas could never run.
 #[test]
-fn a_service_whose_replicas_together_exceed_the_teams_limit_never_runs() {
+fn a_service_whose_replicas_exceed_the_teams_quota_is_not_runnable() {
     let with = |shape: &str, replicas: u32| {
         let mut submission = submission(shape);
         (submission["kernels"], submission["expectS"]) = (json!(replicas), json!(20.0));
@@ -120,5 +121,5 @@
     };
     assert_eq!(with("daemon", 6), Ok(()));
     assert!(with("daemon", 7).is_err_and(|reason| reason.to_string().contains("limit")));
-    assert_eq!(with("batch", 7), Ok(()), "an array gets on with one task at a time");
+    assert_eq!(with("batch", 7), Ok(()), "an array can run one task at a time");
 }
