--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -128,7 +128,7 @@
     }
     let Some(id) = job_id(&event.put) else { return false };
     match serde_json::from_value::<JobRecord>(event.value) {
-        Ok(_) if fleet.is_unread_job(&id) => return true,
+        Ok(_) if fleet.is_unreadable_job(&id) => return true,
         Ok(record) => fleet.apply_job_record(record, event.mod_revision, now),
         Err(error) => fleet.mark_unreadable(UnreadableRecord::Job(&id), &job_key(&id), &error),
     }
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -67,7 +67,7 @@
     pub fn apply_job_record(&mut self, record: JobRecord, mod_revision: u64, now: Steady) {
         let id: JobId = record.spec.id.as_str().into();
         let is_late = mod_revision <= self.jobs_revision && !self.jobs.contains_key(&id);
-        if self.is_unread_job(&id) {
+        if self.is_unreadable_job(&id) {
             // What is done of it is not known here: only a leader that reads everything anew may begin.
             return;
         }
--- a/src/fleet/unreadable.rs
+++ b/src/fleet/unreadable.rs
@@ -137,7 +137,7 @@
     }
 
     /// Whether the record of an own job could not be read, and the job is not known.
-    pub fn is_unread_job(&self, id: &str) -> bool {
+    pub fn is_unreadable_job(&self, id: &str) -> bool {
         self.unreadable.jobs.contains(id) && !self.jobs.contains_key(id)
     }
 
