--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -321,7 +321,7 @@
                     job.run_times.add(run_time);
                 }
             }
-            ExitReason::Error | ExitReason::UnknownTask => job.back_off(id, now),
+            ExitReason::Error | ExitReason::UnknownTask => job.record_failure(id, now),
             _ => {}
         }
     }
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -48,7 +48,7 @@
             job.record_success();
             return;
         }
-        job.back_off(machine, now);
+        job.record_failure(machine, now);
     }
 
     /// Machines, by their index in the snapshot, that a service's next replica should avoid: those
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -305,7 +305,7 @@
     /// not hold capacity. While it waits, further failures on the same machine are of starts that were sent
     /// before and are not counted: a faulty machine fails many tasks at once, and would delay
     /// the job by a minute.
-    pub fn back_off(&mut self, machine: &MachineId, now: Steady) {
+    pub fn record_failure(&mut self, machine: &MachineId, now: Steady) {
         if now - self.failed_at > FAILURES_APART {
             // Replicas of a service may fail hours apart, with no success that would end the row.
             self.record_success();
