--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -104,7 +104,7 @@
             let offer = |job: &str, number| fleet.loans.offer(job, number);
             let mut request =
                 fleet.loans.lender_ledger.request(&cells.name, &cell.name, fencing_token, action, offer);
-            request.horizon = fleet.horizon_if_known(request.horizon);
+            request.horizon = fleet.horizon_unless_unreadable(request.horizon);
             drop(shared);
             let message = PeerMessage::Lend(request_to_proto(&request));
             let waiting = self.peers.send(first_address + controller, message, CELL_TIMEOUT);
--- a/src/fleet/unreadable.rs
+++ b/src/fleet/unreadable.rs
@@ -174,7 +174,7 @@
     }
 
     /// The horizon of messages to borrowers: a job whose record cannot be read may have any loan.
-    pub fn horizon_if_known(&self, horizon: LoanNumber) -> LoanNumber {
+    pub fn horizon_unless_unreadable(&self, horizon: LoanNumber) -> LoanNumber {
         if self.unreadable.jobs.is_empty() {
             horizon
         } else {
