--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -126,7 +126,7 @@
     }
 
     /// Ends a borrowed job whose record is gone, as read back.
-    pub fn forget_borrowed(&mut self, id: &str) {
+    pub fn end_deleted_borrowed_job(&mut self, id: &str) {
         if let Some(lender) = self.loans.borrower_ledger.job(id).map(|record| record.lender.clone()) {
             self.end_borrowing(id, &lender);
         }
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -161,7 +161,7 @@
                 fleet.inherit_borrowed_done(job, chunk, text, mod_revision);
             }
         }
-        (BorrowedKey::Job(id), None) => fleet.forget_borrowed(id),
+        (BorrowedKey::Job(id), None) => fleet.end_deleted_borrowed_job(id),
         (borrowed, Some(row)) => {
             load_borrowed(fleet, borrowed, &row.key, row.value, mod_revision, now, wall);
         }
