--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -248,7 +248,7 @@
 /// The action for a loan: it is recalled once this cell has next to no backlog and can run the loan's tasks
 /// soon.
 fn recall_or_run(fleet: &Fleet, job: &str, loan: &Loan, backlog_s: f64) -> LoanAction {
-    if backlog_s < RECALL_BACKLOG_S && fleet.could_run_soon(job, &loan.tasks) {
+    if backlog_s < RECALL_BACKLOG_S && fleet.could_finish_soon(job, &loan.tasks) {
         LoanAction::Recall
     } else {
         LoanAction::Run
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -60,7 +60,7 @@
     }
 
     /// Whether this cell would finish these tasks of a job well within the drain time.
-    pub fn could_run_soon(&self, id: &str, tasks: &TaskSet) -> bool {
+    pub fn could_finish_soon(&self, id: &str, tasks: &TaskSet) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let left = tasks.difference(&job.done.task_set()).len();
         let work_s = f64::from(left) * job.spec.cpus * job.spec.estimate_s;
