--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -106,7 +106,7 @@
             Err(StateStoreError::Rejected(error)) => {
                 tracing::error!(%error, "write rejected by state store");
                 if let Some(leadership) = self.lock().leadership_with(term.fencing_token) {
-                    leadership.fleet.write_rejected();
+                    leadership.fleet.reduce_write_limits();
                 }
                 false
             }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -117,19 +117,19 @@
 pub(super) const RECENT_JOBS_INTERVAL: Micros = Micros(10_000_000);
 
 impl Fleet {
-    /// Bytes that a state-store value may hold; halved by `write_rejected`.
+    /// Bytes that a state-store value may hold; halved by `reduce_write_limits`.
     pub fn max_value_bytes(&self) -> usize {
         self.write_limits.value_bytes
     }
 
-    /// Changes that a state-store transaction may hold; halved by `write_rejected`.
+    /// Changes that a state-store transaction may hold; halved by `reduce_write_limits`.
     pub fn max_txn_changes(&self) -> usize {
         self.write_limits.txn_changes
     }
 
     /// The state store rejected a write as too large, under limits smaller than any that were announced:
     /// from now on values and transactions are half as large, so that no write is sent again unchanged.
-    pub fn write_rejected(&mut self) {
+    pub fn reduce_write_limits(&mut self) {
         let limits = &mut self.write_limits;
         limits.value_bytes = (limits.value_bytes / 2).max(MIN_VALUE_BYTES);
         limits.txn_changes = (limits.txn_changes / 2).max(MIN_TXN_CHANGES);
--- a/tests/upgrade_failovers/simulation/writes.rs
+++ b/tests/upgrade_failovers/simulation/writes.rs
@@ -79,7 +79,7 @@
             TxnOutcome::TooLarge => {
                 self.rejected += 1;
                 let SimulatedLeader::Current(fleet) = &mut self.leader else { return false };
-                fleet.write_rejected();
+                fleet.reduce_write_limits();
                 false
             }
         }
