--- a/tests/common/lending_scenario.rs
+++ b/tests/common/lending_scenario.rs
@@ -26,7 +26,7 @@
 }
 
 /// A guest with capacity for so many processors.
-pub fn guest(spare_cpus: f64) -> CellSummary {
+pub fn borrower_summary(spare_cpus: f64) -> CellSummary {
     CellSummary { format: SUMMARY_FORMAT, spare_cpus, ..CellSummary::default() }
 }
 
@@ -37,7 +37,8 @@
 
 /// Has the fleet lend the last tasks of its only job.
 pub fn lend(s: &mut Scenario, count: u32) -> LoanWrite {
-    let candidate = s.fleet.lending_candidate(&guest(1000.0), wall(s)).expect("a job to lend from");
+    let candidate =
+        s.fleet.lending_candidate(&borrower_summary(1000.0), wall(s)).expect("a job to lend from");
     s.fleet.begin_loan(&candidate, count, "there").expect("a loan")
 }
 
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -4,7 +4,9 @@
 mod common;
 
 use common::fleet_scenario::Scenario;
-use common::lending_scenario::{guest, lend, lending_config, lending_scenario, run_to_rest, tasks, wall};
+use common::lending_scenario::{
+    borrower_summary, lend, lending_config, lending_scenario, run_to_rest, tasks, wall,
+};
 use common::store::Store;
 use common::{production, record, spec, types};
 use milletlock::fleet::{Fleet, LendingCandidate, LoanWrite, PendingWrite};
@@ -19,7 +21,7 @@
 
 /// What the cell would lend to one with so many spare processors.
 fn lending_candidate(scenario: &Scenario, spare_cpus: f64) -> Option<LendingCandidate> {
-    scenario.fleet.lending_candidate(&guest(spare_cpus), wall(scenario))
+    scenario.fleet.lending_candidate(&borrower_summary(spare_cpus), wall(scenario))
 }
 
 fn put(key: &str, value: serde_json::Value) -> Change {
--- a/tests/withheld_writes.rs
+++ b/tests/withheld_writes.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::fleet_scenario::Scenario;
-use common::lending_scenario::{guest, lend, lending_config, lending_scenario, tasks, wall};
+use common::lending_scenario::{borrower_summary, lend, lending_config, lending_scenario, tasks, wall};
 use common::store::Store;
 use common::{heartbeat, record, spec, types};
 use milletlock::fleet::{Fleet, LoanWrite, PendingWrite};
@@ -109,8 +109,10 @@
     let job = &scenario.fleet.jobs[JOB];
     let wanted = job.wanted_start_mark;
     assert!(wanted > job.start_mark && wanted > job.copy.start_mark, "a write of the mark has no answer");
-    let candidate =
-        scenario.fleet.lending_candidate(&guest(1000.0), wall(&scenario)).expect("a job to lend from");
+    let candidate = scenario
+        .fleet
+        .lending_candidate(&borrower_summary(1000.0), wall(&scenario))
+        .expect("a job to lend from");
     let write = scenario.fleet.begin_loan(&candidate, 10, "there");
     let Some(LoanWrite::Lender { record, .. }) = write else { panic!("no loan: {write:?}") };
     assert!(record.start_mark >= wanted, "{} of {wanted}", record.start_mark);
