--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -180,7 +180,7 @@
             self.loans.lender_ledger.write_resolved(number);
             return None;
         }
-        self.note_mark_of_first_loan(write.as_ref());
+        self.record_start_mark_of_first_loan(write.as_ref());
         self.loans.lending_in_flight.insert(candidate.job.clone(), tasks);
         self.update_withheld(&candidate.job);
         write
@@ -188,7 +188,7 @@
 
     /// From the first loan on the job's record carries the start mark, which outlasts a leader that cannot read it:
     /// tasks below it may be started whether or not the write is applied.
-    fn note_mark_of_first_loan(&mut self, write: Option<&LoanWrite>) {
+    fn record_start_mark_of_first_loan(&mut self, write: Option<&LoanWrite>) {
         let Some(LoanWrite::Lender { job, record, .. }) = write else { return };
         if self.loans.lent.contains_key(job) {
             return;
