--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -79,9 +79,9 @@
         match own.filter(|job| !job.spec.is_service()) {
             Some(job) => {
                 let added = job.add_done_chunk(chunk, text, mod_revision);
-                self.note_added(id, &done_key(id, chunk), added);
+                self.mark_unreadable_on_error(id, &done_key(id, chunk), added);
             }
-            None => self.note_orphan(id, done_key(id, chunk), mod_revision),
+            None => self.queue_orphan_removal(id, done_key(id, chunk), mod_revision),
         }
     }
 
@@ -90,9 +90,9 @@
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) {
             Some(job) => {
                 let added = job.add_done_copy(chunk, text, mod_revision);
-                self.note_added(id, &lent_done_key(id, chunk), added);
+                self.mark_unreadable_on_error(id, &lent_done_key(id, chunk), added);
             }
-            None => self.note_orphan(id, lent_done_key(id, chunk), mod_revision),
+            None => self.queue_orphan_removal(id, lent_done_key(id, chunk), mod_revision),
         }
     }
 
@@ -100,7 +100,7 @@
     pub fn inherit_lent_start_mark(&mut self, id: &str, mark: u32, mod_revision: u64) {
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) {
             Some(job) => job.add_start_mark_copy(mark, mod_revision),
-            None => self.note_orphan(id, lent_start_mark_key(id), mod_revision),
+            None => self.queue_orphan_removal(id, lent_start_mark_key(id), mod_revision),
         }
     }
 
@@ -110,16 +110,16 @@
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_some()) {
             Some(job) => {
                 let added = job.add_done_chunk(chunk, text, mod_revision);
-                self.note_added(id, &borrowed_done_key(id, chunk), added);
+                self.mark_unreadable_on_error(id, &borrowed_done_key(id, chunk), added);
             }
             None if self.loans.borrower_ledger.job(id).is_some() => {}
-            None => self.note_orphan(id, borrowed_done_key(id, chunk), mod_revision),
+            None => self.queue_orphan_removal(id, borrowed_done_key(id, chunk), mod_revision),
         }
     }
 
     /// Notes what a job that has ended has left behind, which is to be deleted; `mod_revision` is 0 if there is no
     /// such row.
-    fn note_orphan(&mut self, id: &str, key: String, mod_revision: u64) {
+    fn queue_orphan_removal(&mut self, id: &str, key: String, mod_revision: u64) {
         if mod_revision > 0 && !self.is_blocked_by_unreadable_record(id) {
             tracing::info!(key, "row of a job that has no record, to be removed");
             self.cleanup.rows.insert(key, mod_revision);
@@ -127,7 +127,7 @@
     }
 
     /// Notes whether done ranges of a job could be read and were added.
-    fn note_added(&mut self, id: &str, key: &str, added: Result<(), TaskRangeError>) {
+    fn mark_unreadable_on_error(&mut self, id: &str, key: &str, added: Result<(), TaskRangeError>) {
         if let Err(error) = added {
             self.mark_unreadable(UnreadableRecord::OfJob(id), key, &error);
         }
