--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -71,7 +71,7 @@
 impl Fleet {
     /// The planner's input.
     pub(super) fn planner_input(&mut self, now: Steady, wall: Wall) -> PlannerInput {
-        self.forget_old_jobs(now);
+        self.drop_old_recent_jobs(now);
         self.within_fair_share = self.jobs_within_fair_share();
         let heartbeat_s = self.config.platform.settings.workers.report_s;
         let (machine_snapshots, machines) = self.machine_snapshots(now);
--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -136,11 +136,11 @@
                 spot: record.spot,
             });
         }
-        self.forget_old_jobs(now);
+        self.drop_old_recent_jobs(now);
     }
 
     /// Drops jobs from the list that are no longer recent.
-    pub(super) fn forget_old_jobs(&mut self, now: Steady) {
+    pub(super) fn drop_old_recent_jobs(&mut self, now: Steady) {
         self.recent_jobs.retain(|job| now - job.submitted_at < RECENT_JOBS_WINDOW);
     }
 
