--- a/src/fleet/objectives.rs
+++ b/src/fleet/objectives.rs
@@ -25,7 +25,7 @@
 const MAX_MISSED: usize = 200;
 
 /// Heartbeat intervals until others are preempted for a job that has no objective on its start.
-const DEFAULT_PATIENCE_INTERVALS: f64 = 2.0;
+const DEFAULT_PREEMPTION_WAIT_INTERVALS: f64 = 2.0;
 
 /// Heartbeat intervals that the commands to preempt tasks and to start others take.
 const PREEMPTION_INTERVALS: f64 = 1.5;
@@ -126,14 +126,14 @@
 
     /// How long a job may wait before others are preempted for it: what its class's objective allows, less
     /// the heartbeats that carry the commands and the fetch of its image.
-    pub(super) fn patience(&self, spec: &JobSpec) -> Micros {
+    pub(super) fn preemption_wait(&self, spec: &JobSpec) -> Micros {
         let heartbeat_s = self.config.platform.settings.workers.report_s;
         if spec.is_service() {
             // Its users miss a replica at once.
             return Micros::ZERO;
         }
         let Some(within_s) = self.start_objective_s(spec) else {
-            return Micros::from_secs(DEFAULT_PATIENCE_INTERVALS * heartbeat_s);
+            return Micros::from_secs(DEFAULT_PREEMPTION_WAIT_INTERVALS * heartbeat_s);
         };
         let fetch_s = self.min_fetch_s(spec);
         // Where the fetch alone takes longer than the objective allows, only machines that have the image
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -172,7 +172,7 @@
             tasks_by_zone: self.tasks_by_zone(job),
             deadline_slack: spec.deadline_s.map(|due_s| Micros::from_secs(due_s) - waited - adjusted),
             missed_objectives: self.missed_objectives(job, waited, adjusted, widest),
-            preempt_after: self.patience(spec) - waited,
+            preempt_after: self.preemption_wait(spec) - waited,
             replica_machines: spec.is_service().then(|| self.machines_to_avoid(job, &inputs.machine_index)),
         }
     }
