--- a/src/fleet/objectives.rs
+++ b/src/fleet/objectives.rs
@@ -33,7 +33,7 @@
 impl Fleet {
     /// The run time expected of a waiting job's tasks: the stated one, scaled by its team's history of
     /// actual to stated run times when the operator setting `adjust` is on.
-    pub fn adjusted(&self, spec: &JobSpec, wall: Wall) -> Micros {
+    pub fn adjusted_run_time(&self, spec: &JobSpec, wall: Wall) -> Micros {
         let stated = stated_run_time(spec);
         if !self.config.operator.adjust {
             return stated;
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -148,7 +148,7 @@
     fn job_class(&self, job: &Job, inputs: &ClassInputs) -> JobClass {
         let spec = &job.spec;
         let waited = inputs.wall - job.submitted;
-        let adjusted = self.adjusted(spec, inputs.wall);
+        let adjusted = self.adjusted_run_time(spec, inputs.wall);
         let widest = inputs.widest.of_shape(spec.shape);
         JobClass {
             priority: spec.priority,
