--- a/src/fleet/headroom.rs
+++ b/src/fleet/headroom.rs
@@ -20,7 +20,7 @@
     /// machine boots kept busy, with some to spare: a new machine would come too late for the next one.
     pub(super) fn warm_pools(&self, now: Steady) -> Vec<WarmPool> {
         let recent = || self.recent_jobs.iter().filter(|job| job.starts_before_boot);
-        if !self.more_expected(recent, MIN_WARM_LULL_S, now) {
+        if !self.expects_more_jobs(recent, MIN_WARM_LULL_S, now) {
             return vec![WarmPool::default(); self.catalog.types.len()];
         }
         let span_s = arrival_span_s(recent(), now);
--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -146,7 +146,12 @@
 
     /// Whether more jobs like some recent ones are expected: not if none has come for much longer than
     /// usual, and for at least `min_lull_s` seconds.
-    pub(super) fn more_expected<'a, I>(&self, recent: impl Fn() -> I, min_lull_s: f64, now: Steady) -> bool
+    pub(super) fn expects_more_jobs<'a, I>(
+        &self,
+        recent: impl Fn() -> I,
+        min_lull_s: f64,
+        now: Steady,
+    ) -> bool
     where
         I: Iterator<Item = &'a RecentJob>,
     {
--- a/src/fleet/scaling.rs
+++ b/src/fleet/scaling.rs
@@ -61,7 +61,7 @@
             let recent = || {
                 self.recent_jobs.iter().filter(move |job| job.has_deadline && job.types.contains(&type_index))
             };
-            self.more_expected(recent, self.slowest_boot_s(), now)
+            self.expects_more_jobs(recent, self.slowest_boot_s(), now)
         };
         (0..self.catalog.types.len()).map(expected).collect()
     }
