--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -12,7 +12,7 @@
 
 impl Fleet {
     /// Loads the record of a cell from which tasks are borrowed.
-    pub fn inherit_lender(&mut self, cell: &str, record: LenderRecord, mod_revision: u64) {
+    pub fn load_lender(&mut self, cell: &str, record: LenderRecord, mod_revision: u64) {
         self.loans.borrower_ledger.load_high_water(cell, record.high_water);
         self.loans.lenders.insert(cell.to_string(), KnownLender { record, mod_revision });
     }
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -250,7 +250,7 @@
                 }
             }
             LoanWrite::Borrower { change, lender, .. } => {
-                self.inherit_lender(&change.lender, *lender, revision);
+                self.load_lender(&change.lender, *lender, revision);
                 match &change.record {
                     Some(record) => {
                         self.apply_borrowed_record(&change.job, record.clone(), revision, now, wall);
--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -119,7 +119,7 @@
 
     /// Loads the stored list of recent jobs. It has to be loaded before the jobs themselves: those that
     /// are still live would be in it twice otherwise.
-    pub fn inherit_recent_jobs(&mut self, records: Vec<DemandRecord>, now: Steady, wall: Wall) {
+    pub fn load_recent_jobs(&mut self, records: Vec<DemandRecord>, now: Steady, wall: Wall) {
         for record in records {
             let age = (wall - Wall(record.submitted_us)).max(Micros::ZERO);
             let type_index = |name: &String| self.catalog.types.iter().position(|known| known.name == *name);
--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -15,7 +15,7 @@
     /// Loads a machine's record: tasks may be running on it until it has acknowledged this leader's
     /// fencing token. `mod_revision` is the version of a record of its own, as earlier versions of the
     /// program wrote it, or 0.
-    pub fn inherit_machine(&mut self, id: &str, record: &MachineRecord, mod_revision: u64, now: Steady) {
+    pub fn load_machine(&mut self, id: &str, record: &MachineRecord, mod_revision: u64, now: Steady) {
         let mut machine = Machine::new(id, now);
         machine.registered = true;
         machine.mod_revision = mod_revision;
@@ -35,7 +35,7 @@
     }
 
     /// Loads a value of machine records.
-    pub fn inherit_machines(
+    pub fn load_machines(
         &mut self,
         slot: u32,
         records: BTreeMap<MachineId, MachineRecord>,
@@ -43,14 +43,14 @@
         now: Steady,
     ) {
         for (id, record) in &records {
-            self.inherit_machine(id, record, 0, now);
+            self.load_machine(id, record, 0, now);
         }
         // The copies of a moved record are the same.
         self.machine_records.load(slot, mod_revision, records, |_, stored| stored);
     }
 
     /// Loads a value of start marks. Those of jobs that have ended are dropped.
-    pub fn inherit_start_marks(&mut self, slot: u32, marks: BTreeMap<JobId, u32>, mod_revision: u64) {
+    pub fn load_start_marks(&mut self, slot: u32, marks: BTreeMap<JobId, u32>, mod_revision: u64) {
         let has_ended =
             |id: &&JobId| !self.jobs.contains_key(*id) && !self.is_blocked_by_unreadable_record(id);
         let ended: Vec<JobId> = marks.keys().filter(has_ended).cloned().collect();
@@ -73,7 +73,7 @@
     }
 
     /// Loads a chunk of done ranges. That of a job that has ended is to be deleted.
-    pub fn inherit_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
+    pub fn load_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         let own = self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none());
         // An earlier version of the program counted a replica that ended as done; a service never is.
         match own.filter(|job| !job.spec.is_service()) {
@@ -86,7 +86,7 @@
     }
 
     /// Loads the copy of a chunk of a lent job's done ranges. That of a job that has ended is to be deleted.
-    pub fn inherit_lent_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
+    pub fn load_lent_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) {
             Some(job) => {
                 let added = job.add_done_copy(chunk, text, mod_revision);
@@ -97,7 +97,7 @@
     }
 
     /// Loads the copy of a lent job's start mark. That of a job that has ended is to be deleted.
-    pub fn inherit_lent_start_mark(&mut self, id: &str, mark: u32, mod_revision: u64) {
+    pub fn load_lent_start_mark(&mut self, id: &str, mark: u32, mod_revision: u64) {
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) {
             Some(job) => job.add_start_mark_copy(mark, mod_revision),
             None => self.queue_orphan_removal(id, lent_start_mark_key(id), mod_revision),
@@ -106,7 +106,7 @@
 
     /// Loads a chunk of done ranges of borrowed tasks. That of a job that is not held any more is to be
     /// deleted; one of a loan that is open beside an own job of its id stays for a later leader.
-    pub fn inherit_borrowed_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
+    pub fn load_borrowed_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_some()) {
             Some(job) => {
                 let added = job.add_done_chunk(chunk, text, mod_revision);
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -100,11 +100,11 @@
         }
         BorrowedKey::Lender(cell) => {
             if let Some(record) = decode::<LenderRecord>(fleet, UnreadableRecord::Lender(cell), key, value) {
-                fleet.inherit_lender(cell, record, mod_revision);
+                fleet.load_lender(cell, record, mod_revision);
             }
         }
         BorrowedKey::DoneChunk { job, chunk } => match (chunk.parse(), value.as_str()) {
-            (Ok(chunk), Some(text)) => fleet.inherit_borrowed_done(job, chunk, text, mod_revision),
+            (Ok(chunk), Some(text)) => fleet.load_borrowed_done(job, chunk, text, mod_revision),
             _ => note_no_done_ranges(fleet, job, key),
         },
         BorrowedKey::Other => {}
@@ -115,12 +115,12 @@
 pub(super) fn load_lent(fleet: &mut Fleet, lent: LentKey, key: &str, value: Value, mod_revision: u64) {
     match lent {
         LentKey::DoneChunk { job, chunk } => match (chunk.parse(), value.as_str()) {
-            (Ok(chunk), Some(text)) => fleet.inherit_lent_done(job, chunk, text, mod_revision),
+            (Ok(chunk), Some(text)) => fleet.load_lent_done(job, chunk, text, mod_revision),
             _ => note_no_done_ranges(fleet, job, key),
         },
         LentKey::StartMark(job) => {
             if let Some(mark) = decode::<u32>(fleet, UnreadableRecord::OfJob(job), key, value) {
-                fleet.inherit_lent_start_mark(job, mark, mod_revision);
+                fleet.load_lent_start_mark(job, mark, mod_revision);
             }
         }
         LentKey::Other => {}
@@ -135,10 +135,10 @@
         (lent, Some(row)) => load_lent(fleet, lent, key, row.value, mod_revision),
         (LentKey::DoneChunk { job, chunk }, None) => {
             if let Ok(chunk) = chunk.parse() {
-                fleet.inherit_lent_done(job, chunk, "", 0);
+                fleet.load_lent_done(job, chunk, "", 0);
             }
         }
-        (LentKey::StartMark(job), None) => fleet.inherit_lent_start_mark(job, 0, 0),
+        (LentKey::StartMark(job), None) => fleet.load_lent_start_mark(job, 0, 0),
         (LentKey::Other, None) => {}
     }
 }
@@ -158,7 +158,7 @@
             fleet.orphan_read_back(key, mod_revision);
             let text = row.as_ref().map_or(Some(""), |row| row.value.as_str());
             if let (Ok(chunk), Some(text)) = (chunk.parse(), text) {
-                fleet.inherit_borrowed_done(job, chunk, text, mod_revision);
+                fleet.load_borrowed_done(job, chunk, text, mod_revision);
             }
         }
         (BorrowedKey::Job(id), None) => fleet.end_deleted_borrowed_job(id),
--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -88,20 +88,20 @@
             // a heartbeat or is scaled in.
             let machine =
                 decode::<MachineRecord>(fleet, UnreadableRecord::Other, &key, value).unwrap_or_default();
-            fleet.inherit_machine(id, &machine, mod_revision, now);
+            fleet.load_machine(id, &machine, mod_revision, now);
         }
         RecordKey::PackedMachines(slot) => {
             if let Some((slot, machines)) =
                 decode_packed(fleet, UnreadableRecord::Machines, &key, slot, value)
             {
-                fleet.inherit_machines(slot, machines, mod_revision, now);
+                fleet.load_machines(slot, machines, mod_revision, now);
             }
         }
         RecordKey::PackedStartMarks(slot) => {
             if let Some((slot, start_marks)) =
                 decode_packed(fleet, UnreadableRecord::StartMarks, &key, slot, value)
             {
-                fleet.inherit_start_marks(slot, start_marks, mod_revision);
+                fleet.load_start_marks(slot, start_marks, mod_revision);
             }
         }
         RecordKey::Borrowed(borrowed) => {
@@ -113,7 +113,7 @@
         }
         RecordKey::Recent => {
             if let Some(list) = decode(fleet, UnreadableRecord::Other, &key, value) {
-                fleet.inherit_recent_jobs(list, now, wall);
+                fleet.load_recent_jobs(list, now, wall);
             }
         }
         RecordKey::HistoryBucket(bucket) => load_history_bucket(fleet, bucket, &key, value, mod_revision),
@@ -195,7 +195,7 @@
     mod_revision: u64,
 ) {
     match (chunk.parse(), value.as_str()) {
-        (Ok(chunk), Some(text)) => fleet.inherit_done(job, chunk, text, mod_revision),
+        (Ok(chunk), Some(text)) => fleet.load_done(job, chunk, text, mod_revision),
         _ => note_no_done_ranges(fleet, job, key),
     }
 }
--- a/tests/safety/ended_jobs.rs
+++ b/tests/safety/ended_jobs.rs
@@ -13,7 +13,7 @@
     let mut fleet = new_fleet(7);
     fleet.apply_job_record(record(spec(2, 4, "batch")), 1, START);
     let there = [("wk-000001/0", 3, TaskStage::Running, None)];
-    fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
+    fleet.load_machine("i-1", &machine_record("small"), 0, START);
     orders(&mut fleet, 0.0, &heartbeat("i-1", 1, 7, &there));
     write_all(&mut fleet, 0.0);
     fleet.tick(at(0.1), wall(0.1));
--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -11,8 +11,8 @@
 #[test]
 fn after_a_failover_only_what_cannot_be_elsewhere_starts() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 5, START);
-    fleet.inherit_machine("i-2", &machine_record("small"), 5, START);
+    fleet.load_machine("i-1", &machine_record("small"), 5, START);
+    fleet.load_machine("i-2", &machine_record("small"), 5, START);
     fleet.apply_job_record(started_job(spec(1, 8, "batch"), 6), 6, START);
     fleet.apply_job_record(started_job(spec(2, 2, "gang"), 2), 7, START);
     orders(&mut fleet, 0.5, &heartbeat("i-2", 9, 9, &[]));
@@ -33,7 +33,7 @@
 #[test]
 fn a_limited_team_counts_unheard_machines_as_its_own() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 5, START);
+    fleet.load_machine("i-1", &machine_record("small"), 5, START);
     let mut s = spec(1, 8, "batch");
     s.team = "tight".into();
     fleet.apply_job_record(record(s), 6, START);
@@ -68,7 +68,7 @@
     let list = fleet.recent_job_records(at(20.0), wall(20.0), 4000);
     assert_eq!(list.len(), 1);
     let mut next = new_fleet(8);
-    next.inherit_recent_jobs(list, at(30.0), wall(30.0));
+    next.load_recent_jobs(list, at(30.0), wall(30.0));
     let again = next.recent_job_records(at(30.0), wall(30.0), 4000);
     assert_eq!(
         (again[0].submitted_us, again[0].starts_before_boot, &again[0].types[..]),
@@ -84,7 +84,7 @@
 #[test]
 fn a_new_leader_knows_the_age_of_machines_that_others_scaled_out() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
+    fleet.load_machine("i-1", &machine_record("small"), 0, START);
     orders(&mut fleet, 0.5, &heartbeat("i-1", 9, 9, &[]));
     let idle = |fleet: &mut Fleet, s: f64| {
         orders(fleet, s, &heartbeat("i-1", 10 + s as u64, 9, &[]));
@@ -102,7 +102,7 @@
         age_s: 300.0,
     };
     // One that has only replied to a direct command so far is no boot that never ended.
-    fleet.inherit_machine("i-2", &machine_record("small"), 0, at(19.0));
+    fleet.load_machine("i-2", &machine_record("small"), 0, at(19.0));
     fleet.direct_command_answered(&heartbeat("i-2", 9, 9, &[]), at(20.5));
     fleet.machines_listed(&[listed.clone(), ListedMachine { id: "i-2".into(), ..listed }], at(21.0));
     fleet.tick(at(21.5), wall(21.5));
@@ -116,7 +116,7 @@
     const MACHINES: u32 = 1500;
     let mut fleet = new_fleet(9);
     let id = |m: u32| format!("i-{m:06}");
-    (0..MACHINES).for_each(|m| fleet.inherit_machine(&id(m), &machine_record("small"), 0, START));
+    (0..MACHINES).for_each(|m| fleet.load_machine(&id(m), &machine_record("small"), 0, START));
     for n in 1..=100 {
         fleet.apply_job_record(started_job(spec(n, 60, "batch"), 40), u64::from(n), START);
     }
--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -43,7 +43,7 @@
     assert_eq!(g.check_in(&heartbeat("i-7", 40, 8, &running), at(1.0), wall(1.0)), HeartbeatOutcome::Refuse);
     assert!(g.machines.is_empty());
     // A copy that shows an older fencing token ends nobody's leadership, and does not count as heard.
-    g.inherit_machine("i-8", &machine_record("small"), 0, START);
+    g.load_machine("i-8", &machine_record("small"), 0, START);
     assert!(matches!(
         g.check_in(&heartbeat("i-8", 40, 8, &[]), at(1.0), wall(1.0)),
         HeartbeatOutcome::Reply(_)
--- a/tests/safety/leases.rs
+++ b/tests/safety/leases.rs
@@ -57,7 +57,7 @@
 #[test]
 fn the_lease_of_a_machine_that_is_not_heard_is_not_counted() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 5, START);
+    fleet.load_machine("i-1", &machine_record("small"), 5, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 6, START);
     // It sends one heartbeat, still with the old leader's fencing token: that leader may yet renew its lease.
     orders(&mut fleet, 1.0, &heartbeat("i-1", 5, 8, &[]));
@@ -79,7 +79,7 @@
 #[test]
 fn a_machine_heard_by_command_only_has_an_end_of_its_lease() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
+    fleet.load_machine("i-1", &machine_record("small"), 0, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 1, START);
     let running = [("wk-000001/0", 5, TaskStage::Running, None)];
     assert_eq!(fleet.direct_command_answered(&heartbeat("i-1", 9, 9, &running), at(3.0)), None);
@@ -97,7 +97,7 @@
 #[test]
 fn unheard_machines_delay_work_no_longer_than_an_earlier_leader_can_reply_to_them() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
+    fleet.load_machine("i-1", &machine_record("small"), 0, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 1, START);
     orders(&mut fleet, 0.0, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 0.0);
@@ -117,7 +117,7 @@
 #[test]
 fn a_reply_before_the_fencing_token_arrived_starts_no_lease() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
+    fleet.load_machine("i-1", &machine_record("small"), 0, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 1, START);
     let running = [("wk-000001/0", 5, TaskStage::Running, None)];
     orders(&mut fleet, 1.0, &heartbeat("i-1", 8, 5, &running));
--- a/tests/safety/machines.rs
+++ b/tests/safety/machines.rs
@@ -84,7 +84,7 @@
     let after = |silent: usize, t: f64| {
         let mut fleet = new_fleet(9);
         for n in 0..20 {
-            fleet.inherit_machine(&format!("i-{n}"), &machine_record("small"), 0, START);
+            fleet.load_machine(&format!("i-{n}"), &machine_record("small"), 0, START);
         }
         for n in silent..20 {
             orders(&mut fleet, 1.0, &heartbeat(&format!("i-{n}"), 9, 9, &[]));
@@ -105,7 +105,7 @@
     });
     let mut fleet = Fleet::new(config, types(), 9, START);
     fleet.apply_job_record(started_job(spec(1, 10, "batch"), 10), 1, START);
-    (0..10).for_each(|n| fleet.inherit_machine(&format!("i-{n}"), &machine_record("small"), 0, START));
+    (0..10).for_each(|n| fleet.load_machine(&format!("i-{n}"), &machine_record("small"), 0, START));
     fleet
 }
 
--- a/tests/services/records.rs
+++ b/tests/services/records.rs
@@ -14,7 +14,7 @@
 fn done_ranges_of_a_service_are_not_believed_and_are_removed() {
     let mut fleet = Fleet::new(config(), types(), FENCING_TOKEN, START);
     fleet.apply_job_record(record(service(1, 3)), 1, START);
-    fleet.inherit_done(SERVICE, 0, "0-2", 5);
+    fleet.load_done(SERVICE, 0, "0-2", 5);
     assert_eq!(fleet.progress(SERVICE).map(|c| c.done), Some(0));
     assert_eq!(fleet.jobs[SERVICE].waiting.len(), 3);
     let pending = fleet.pending_writes(START, Micros::ZERO, 1000);
@@ -35,8 +35,8 @@
         zone: "north".into(),
         ..MachineRecord::default()
     };
-    fleet.inherit_machine("a", &machine, 0, START);
-    fleet.inherit_machine("b", &machine, 0, START);
+    fleet.load_machine("a", &machine, 0, START);
+    fleet.load_machine("b", &machine, 0, START);
     fleet.apply_job_record(JobRecord { start_mark: 2, ..record(service(1, 2)) }, 1, START);
     let mut orders_to_b = |sequence: u64, after: Micros| {
         let now = START + after;
--- a/tests/wait_reasons.rs
+++ b/tests/wait_reasons.rs
@@ -86,8 +86,8 @@
         zone: "north".into(),
         ..MachineRecord::default()
     };
-    fleet.inherit_machine("i-8", &machine, 5, START);
-    fleet.inherit_machine("i-9", &machine, 5, START);
+    fleet.load_machine("i-8", &machine, 5, START);
+    fleet.load_machine("i-9", &machine, 5, START);
     fleet.tick(at(2.7), wall(2.7));
     let expected = [(WaitReason::UnacknowledgedMachines, 6), (WaitReason::Quota, 2)];
     assert_eq!(reasons(&fleet, 3.0, "wk-000001"), WaitReasons::from(expected));
