--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -1,21 +1,22 @@
-//! Which jobs can run in this cluster at all.
+//! The check that a submitted job can ever run in this cluster.
 
 use super::tasks::{task_resources, type_resources};
 use crate::config::Config;
 use crate::sched::TeamUse;
 use crate::wire::{JobSpec, MachineType};
 
-/// Why a job can never run in this cluster. The display is the reason that its user reads; it names the
-/// fields as the wire does.
+/// Why a job can never run in this cluster. The display text is the reason that the job's user reads. It
+/// names the fields of the submission as they are on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotRunnable {
     /// The settings have no team of this name.
     #[error("owner: no team {0}")]
     UnknownTeam(String),
-    /// The settings list zones, and none of this name.
+    /// The settings list zones, but none of this name.
     #[error("field: no zone {0}")]
     UnknownZone(String),
-    /// One task alone needs more than a machine of any type and zone that the job allows has.
+    /// A single task needs more resources than any machine type has that the job allows, in the zones that it
+    /// allows.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
     /// The tasks that must run at once exceed the quota of this team.
@@ -23,13 +24,13 @@
     OverTeamQuota(String),
 }
 
-/// Checks by the settings and the catalog that a job can ever run. Whether the cloud has capacity of a
-/// type they do not show: that is known only when a scale-out is refused, and capacity may be back at any
-/// time.
+/// Checks by the settings and the catalog that a job can ever run. The check does not consider whether the
+/// cloud has capacity of a type: the leader learns that only when a scale-out is refused, and the capacity
+/// may be available again at any time.
 ///
 /// # Errors
 ///
-/// [`NotRunnable`] if it never can.
+/// [`NotRunnable`] if the job can never run.
 pub fn check_runnable(spec: &JobSpec, config: &Config, types: &[MachineType]) -> Result<(), NotRunnable> {
     let Some(team) = config.team(&spec.team) else {
         return Err(NotRunnable::UnknownTeam(spec.team.clone()));
@@ -52,7 +53,7 @@
     Ok(())
 }
 
-/// Types, by index, that a job allows and its tasks fit.
+/// The indices of the machine types that a job allows and that its tasks fit on.
 pub(super) fn allowed_types(types: &[MachineType], spec: &JobSpec) -> Vec<usize> {
     let need = task_resources(spec);
     let is_allowed = |machine_type: &MachineType| {
