--- a/src/fleet/borrow_admission.rs
+++ b/src/fleet/borrow_admission.rs
@@ -1,5 +1,5 @@
-//! Admission of borrowed tasks: the capacity that this cell announces to other cells, and which of the
-//! tasks that they offer it admits.
+//! Admission of borrowed tasks: the capacity that this cell announces to other cells, and the check of the
+//! loans that they offer.
 
 use std::collections::BTreeMap;
 
@@ -12,11 +12,11 @@
 use crate::time::Wall;
 use crate::wire::JobSpec;
 
-/// A cell with more of its own array work waiting than this borrows nothing, in seconds of its machines.
+/// The largest backlog of its own arrays, in seconds of its machines' time, with which a cell borrows tasks.
 const MAX_BACKLOG_S: f64 = 1.0;
 
 impl Fleet {
-    /// The summary of this cell's capacity for the other cells.
+    /// The summary of this cell's capacity that is sent to the other cells.
     pub fn cell_summary(&self, wall: Wall) -> CellSummary {
         let backlog_s = self.array_backlog_s();
         let mut free_cpus: BTreeMap<String, f64> =
@@ -35,31 +35,32 @@
         }
     }
 
-    /// Processors that further borrowed tasks may take.
+    /// The number of processors that further borrowed tasks may take: the operator setting `borrow_cpus`,
+    /// less those of the borrowed tasks that are not done.
     fn spare_cpus(&self) -> f64 {
         let Some(cells) = &self.config.operator.cells else { return 0.0 };
-        let held_cpus = |(id, record): (&String, &BorrowedJob)| {
+        let borrowed_cpus = |(id, record): (&String, &BorrowedJob)| {
             let Some(job) = self.jobs.get(id.as_str()) else { return 0.0 };
             f64::from(record.tasks().difference(&job.done.task_set()).len()) * job.spec.cpus
         };
-        let held: f64 = self.loans.borrower_ledger.jobs().map(held_cpus).sum();
-        (cells.borrow_cpus - held).max(0.0)
+        let borrowed: f64 = self.loans.borrower_ledger.jobs().map(borrowed_cpus).sum();
+        (cells.borrow_cpus - borrowed).max(0.0)
     }
 
-    /// This cell's tasks as its borrower ledger asks for them.
+    /// The view of this cell's borrowed tasks that its borrower ledger needs.
     pub fn local_tasks(&self) -> BorrowedTasks<'_> {
         BorrowedTasks { fleet: self, backlog_s: self.array_backlog_s() }
     }
 }
 
-/// The borrowed tasks of a cell, for its borrower ledger.
+/// A view of the borrowed tasks and the capacity of this cell, for its borrower ledger.
 pub struct BorrowedTasks<'a> {
     fleet: &'a Fleet,
     backlog_s: f64,
 }
 
 impl BorrowedTasks<'_> {
-    /// The job that an offer describes.
+    /// Parses the description of the job in an offer.
     fn parse(item: &LoanItem, offer: &LoanOffer) -> Result<JobSpec, BorrowRefusal> {
         let spec = JobSpec::parse(offer.description.to_string().as_bytes())
             .map_err(|e| BorrowRefusal::MalformedDescription(e.to_string()))?;
@@ -69,14 +70,14 @@
         Ok(spec)
     }
 
-    /// Whether a job of this id was accepted in this cell.
+    /// Whether a job with this id was accepted in this cell.
     fn is_own_job(&self, id: &str) -> bool {
         let loans = &self.fleet.loans;
         let is_live = self.fleet.jobs.get(id).is_some_and(|job| job.borrowed_from.is_none());
         is_live || loans.own_job_ids.contains(id) || loans.lent.contains_key(id)
     }
 
-    /// Whether this cell may ever run tasks of a job for another cell.
+    /// Checks that this cell may run tasks of a job for another cell at all.
     fn check_job(&self, spec: &JobSpec) -> Result<(), BorrowRefusal> {
         let fleet = self.fleet;
         if !is_array_without_rules(spec) {
@@ -90,14 +91,15 @@
             .map_err(|reason| BorrowRefusal::NotRunnable(reason.to_string()))
     }
 
-    /// Whether this cell has capacity now for the tasks of a loan, and their record fits a value.
+    /// Checks that this cell has capacity for the tasks of a loan now, and that the job's record with the
+    /// loan fits a state-store value.
     fn check_capacity(&self, item: &LoanItem, spec: &JobSpec) -> Result<(), BorrowRefusal> {
         let fleet = self.fleet;
         let cpus = f64::from(item.tasks.len()) * spec.cpus;
         let record = fleet.loans.borrower_ledger.job(&item.job);
         let loans = record.map(|record| record.loans.as_slice()).unwrap_or_default();
-        let held = loans.iter().map(|loan| loan.tasks.len());
-        let fits_record = item.tasks.len() <= fleet.tasks_that_fit(spec, held);
+        let borrowed = loans.iter().map(|loan| loan.tasks.len());
+        let fits_record = item.tasks.len() <= fleet.tasks_that_fit(spec, borrowed);
         if !fits_record || self.backlog_s > MAX_BACKLOG_S || cpus > fleet.spare_cpus() {
             return Err(BorrowRefusal::NoCapacity(item.tasks.len()));
         }
@@ -106,16 +108,16 @@
 }
 
 impl LocalTasks for BorrowedTasks<'_> {
-    /// A waiting task may have been started by an earlier leader and stopped since, unless it is at or above
-    /// the start mark that this leader found: a task below it counts as started.
+    /// A waiting task below the start mark that this leader loaded counts as started: an earlier leader may
+    /// have started it, and it may have been stopped since.
     fn unstarted(&self, job: &str, tasks: &TaskSet) -> TaskSet {
         let Some(job) = self.fleet.jobs.get(job).filter(|job| job.borrowed_from.is_some()) else {
             return TaskSet::new();
         };
-        let has_not_begun = |task: &u32| {
+        let has_never_started = |task: &u32| {
             *task >= job.inherited_start_mark && job.waiting.contains(*task) && !job.started.contains(*task)
         };
-        tasks.iter().filter(has_not_begun).collect()
+        tasks.iter().filter(has_never_started).collect()
     }
 
     fn admit(&self, item: &LoanItem, offer: &LoanOffer) -> Result<(), BorrowRefusal> {
