--- a/src/fleet/borrowing.rs
+++ b/src/fleet/borrowing.rs
@@ -1,4 +1,4 @@
-//! The borrowing side of loans: the borrowed jobs in this cell, and the writes that change them.
+//! The borrower's side of loans: the borrowed jobs in this cell, and the writes that change their records.
 
 use milletlock_cells::{BorrowedJob, BorrowerChange, TaskSet};
 
@@ -17,7 +17,7 @@
         self.loans.lenders.insert(cell.to_string(), KnownLender { record, mod_revision });
     }
 
-    /// Applies the record of a borrowed job.
+    /// Applies a new or changed record of a borrowed job.
     pub fn apply_borrowed_record(
         &mut self,
         id: &str,
@@ -34,7 +34,7 @@
             if job.borrowed_from.is_some() {
                 job.mod_revision = mod_revision;
             } else {
-                tracing::error!(job = id, %lender, "borrowed job has the id of a job accepted here");
+                tracing::error!(job = id, %lender, "borrowed job has the id of a job accepted in this cell");
             }
             self.update_withheld(id);
             return;
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Adds a borrowed job. Its priority and objectives hold only in the cell that accepted it: here it has
-    /// the lowest priority and no objectives.
+    /// Adds a borrowed job. Its priority and objectives apply only in the lender's cell. In this cell the job
+    /// has the lowest priority and no objectives.
     fn add_borrowed_job(
         &mut self,
         spec: JobSpec,
@@ -63,7 +63,7 @@
         job.borrowed_from = Some(lender);
         let need = task_resources(&job.spec);
         let id = job.id.clone();
-        job.done_chunks.extend(self.take_orphans_of(&id));
+        job.done_chunks.extend(self.take_orphaned_chunks(&id));
         for machine in self.machines.values_mut() {
             for (_, task) in machine.tasks.range_mut(TaskKey::all_of_job(&id)) {
                 task.need = Some(need);
@@ -76,9 +76,9 @@
         }
     }
 
-    /// Takes the chunks of done ranges, by number with their revisions, that remain of an earlier loan
-    /// of the job and are about to be deleted.
-    fn take_orphans_of(&mut self, id: &JobId) -> Vec<(u32, u64)> {
+    /// Takes the chunks of done ranges that remain of an earlier loan of the job out of the queue of
+    /// deletions. Returns their chunk numbers and revisions.
+    fn take_orphaned_chunks(&mut self, id: &JobId) -> Vec<(u32, u64)> {
         let prefix = borrowed_done_prefix(id);
         let mut taken = Vec::new();
         self.cleanup.rows.retain(|key, mod_revision| {
@@ -89,7 +89,7 @@
         taken
     }
 
-    /// Ends a borrowed job that is no longer held from a lender: its remaining tasks are stopped.
+    /// Ends the loans of a job from a lender. If the job has no other loan, its remaining tasks are stopped.
     pub(super) fn end_borrowing(&mut self, id: &str, lender: &str) {
         self.loans.borrower_ledger.remove(lender, id);
         if self.loans.borrower_ledger.job(id).is_some() {
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Begins a change of what is held here: from now on none of the tasks it withdraws may start.
+    /// Begins a change of the borrowed tasks. From now on none of the tasks that the change withdraws may
+    /// start.
     pub fn begin_borrower_change(&mut self, change: BorrowerChange) -> LoanWrite {
         let id: JobId = change.job.as_str().into();
         let KnownLender { record: mut lender, mod_revision: lender_revision } =
@@ -109,30 +110,31 @@
         lender.high_water = lender.high_water.max(change.high_water.unwrap_or_default());
         let done = self.recorded_done_of_borrowed(&id);
         lender.finished += u64::from(change.withdrawn.intersection(&done).len());
-        let is_held = self.loans.borrower_ledger.job(&id).is_some_and(|job| job.lender == change.lender);
-        let job_revision = self.loans.borrowed.get(&change.job).filter(|_| is_held).copied().unwrap_or(0);
+        let has_record = self.loans.borrower_ledger.job(&id).is_some_and(|job| job.lender == change.lender);
+        let job_revision = self.loans.borrowed.get(&change.job).filter(|_| has_record).copied().unwrap_or(0);
         self.loans.returning_in_flight.insert(id.clone(), change.withdrawn.clone());
         self.update_withheld(&id);
         LoanWrite::Borrower { change: Box::new(change), job_revision, lender, lender_revision }
     }
 
-    /// Notes that a job of this id was accepted here, as a failed write showed: nothing of it is borrowed.
+    /// Records that a job with this id was accepted in this cell, as a failed write has shown. Tasks of a job
+    /// with this id are then not borrowed.
     pub fn record_own_job_id(&mut self, id: &str) {
         if self.loans.own_job_ids.len() > MAX_REMEMBERED {
-            // The next failed write shows an id that was forgotten again.
+            // If one of the removed ids is needed again, the next failed write records it again.
             self.loans.own_job_ids.clear();
         }
         self.loans.own_job_ids.insert(id.to_string());
     }
 
-    /// Ends a borrowed job whose record is gone, as read back.
+    /// Ends a borrowed job whose record was found deleted when it was read back.
     pub fn end_deleted_borrowed_job(&mut self, id: &str) {
         if let Some(lender) = self.loans.borrower_ledger.job(id).map(|record| record.lender.clone()) {
             self.end_borrowing(id, &lender);
         }
     }
 
-    /// Stops tasks that are no longer held here.
+    /// Stops tasks of a job that this cell no longer has on loan.
     pub(super) fn stop_withdrawn(&mut self, id: &str, withdrawn: &TaskSet) {
         let id: JobId = id.into();
         for machine in self.machines.values_mut() {
@@ -144,8 +146,8 @@
     }
 }
 
-/// Whether a job is an array without placement rules: its tasks may run in any zone, independently of each
-/// other.
+/// Whether a job is an array without placement rules, whose tasks may run in any zone and independently of
+/// each other.
 pub(super) fn is_array_without_rules(spec: &JobSpec) -> bool {
     spec.is_array() && !spec.one_zone && !spec.spread && spec.zone.is_none()
 }
