--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -1,4 +1,4 @@
-//! The lending side of loans: which tasks may be lent, and the writes that lend and settle.
+//! The lender's side of loans: which tasks may be lent, and the writes that make and settle loans.
 
 use milletlock_cells::{CellSummary, Lending, LendingInputs, Loan, LoanNumber, TaskSet, MAX_TASKS_PER_LOAN};
 
@@ -9,29 +9,29 @@
 use crate::time::Wall;
 use crate::wire::JobSpec;
 
-/// Lent tasks are recalled only if they take no more than this part of the drain time: with more they would
-/// be lent again at once.
+/// The share of the drain time that lent tasks may take in this cell if they are to be recalled. Tasks that
+/// take longer would be lent again at once.
 const RECALLED_SHARE: f64 = 0.5;
-/// Bytes of a record that are left for all but the description and the loans.
+/// Bytes of a record that are reserved for everything except the description and the loans.
 const RECORD_SLACK: usize = 192;
-/// Most bytes that a loan takes in a record, without its tasks: its number and a cell's name.
+/// The maximum size in bytes of a loan in a record without its tasks: the loan number and a cell's name.
 const BYTES_PER_LOAN: usize = 110;
-/// Most bytes that a lent task takes in a record: five digits and a comma.
+/// The maximum size in bytes of a lent task in a record: five digits and a comma.
 const BYTES_PER_LENT_TASK: usize = 6;
 
-/// Tasks of a job that could be lent.
+/// A job with tasks that could be lent.
 #[derive(Clone, Debug)]
 pub struct LendingCandidate {
-    /// The job.
+    /// The id of the job.
     pub job: JobId,
-    /// Its tasks that have not begun.
+    /// The waiting tasks of the job that have never been started.
     pub tasks: TaskSet,
-    /// What the number of tasks to lend is decided from.
+    /// The inputs from which the number of tasks to lend is decided.
     pub inputs: LendingInputs,
 }
 
 impl Fleet {
-    /// Records tasks of a lent job as done that are done in the borrowing cell.
+    /// Marks tasks of an own job as done that a borrower has reported as done.
     pub fn mark_lent_tasks_done(&mut self, id: &str, tasks: &TaskSet) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) else { return };
         let count = job.spec.tasks;
@@ -39,7 +39,8 @@
         self.dirty = true;
     }
 
-    /// Notes results that this controller heard of before it led, of a job with loans.
+    /// Adds results of a job with loans that this controller received in heartbeats before it became the
+    /// leader. Of a borrowed job, only the tasks that this cell has borrowed count.
     pub fn add_results_received_as_follower(&mut self, id: &str, tasks: &TaskSet) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.has_loans()) else { return };
         let in_this_cell = match self.loans.borrower_ledger.job(id) {
@@ -50,8 +51,8 @@
         self.dirty = true;
     }
 
-    /// Seconds for which this cell's own waiting arrays keep its machines busy. Without a machine there is
-    /// nothing to measure by: one processor is assumed.
+    /// The backlog of job arrays: the seconds for which the waiting tasks of this cell's own arrays would
+    /// keep its machines busy. One processor is assumed if the cell has no machine.
     pub fn array_backlog_s(&self) -> f64 {
         let is_own_array = |job: &&Job| !job.ended && job.borrowed_from.is_none() && job.spec.is_array();
         let cpu_seconds = |job: &Job| f64::from(job.waiting.len()) * job.spec.cpus * job.spec.estimate_s;
@@ -59,7 +60,8 @@
         work / self.array_cpus().max(1.0)
     }
 
-    /// Whether this cell would finish these tasks of a job well within the drain time.
+    /// Whether this cell could finish the given tasks of a job within `RECALLED_SHARE` of the drain time.
+    /// `false` if none of them is left.
     pub fn could_finish_soon(&self, id: &str, tasks: &TaskSet) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let left = tasks.difference(&job.done.task_set()).len();
@@ -67,7 +69,7 @@
         left > 0 && work_s / self.array_cpus().max(1.0) <= self.config.operator.drain_s * RECALLED_SHARE
     }
 
-    /// Processors of the machines that arrays can run on.
+    /// The total number of processors of the machines that tasks of arrays run on.
     fn array_cpus(&self) -> f64 {
         self.machines_in_use()
             .filter_map(|machine| machine.type_index)
@@ -75,21 +77,23 @@
             .sum()
     }
 
-    /// The machines that tasks of arrays run on: up, with a valid lease, and not about to be removed.
+    /// The machines that tasks of arrays run on. They are up, their leases are valid, and they are not being
+    /// scaled in.
     pub(super) fn machines_in_use(&self) -> impl Iterator<Item = &Machine> {
         self.machines.values().filter(|machine| machine.up && !machine.scaling_in && !machine.lease_expired)
     }
 
-    /// How many more tasks of a job can be lent so that the records of its loans fit a value on both sides,
-    /// however the sets of tasks are split as some are returned. `lent`: the sizes of its open loans.
+    /// How many more tasks of a job can be lent. The records of its loans have to fit a state-store value in
+    /// both cells, however the sets of tasks are split when some tasks are returned. `lent` gives the number
+    /// of tasks of each open loan.
     pub(super) fn tasks_that_fit(&self, spec: &JobSpec, lent: impl Iterator<Item = u32>) -> u32 {
         let taken = Self::record_bytes(spec, lent).saturating_add(BYTES_PER_LOAN);
         let left = self.write_limits.value_bytes.saturating_sub(taken);
         u32::try_from(left / BYTES_PER_LENT_TASK).unwrap_or(u32::MAX)
     }
 
-    /// Most bytes that the record of a job with loans takes, however the sets of tasks are split. `lent`: the
-    /// sizes of the loans.
+    /// The maximum size in bytes of the record of a job with loans, however the sets of tasks are split.
+    /// `lent` gives the number of tasks of each loan.
     fn record_bytes(spec: &JobSpec, lent: impl Iterator<Item = u32>) -> usize {
         let description = serde_json::to_string(spec).map_or(usize::MAX, |text| text.len());
         lent.fold(description.saturating_add(RECORD_SLACK), |bytes, tasks| {
@@ -97,8 +101,8 @@
         })
     }
 
-    /// The job to lend from to a borrower with this summary: the youngest that waits long enough, since the
-    /// older ones are served first here.
+    /// The job whose tasks are to be lent to a borrower with this summary. It is the most recently submitted
+    /// job that has waited long enough, since this cell starts the tasks of older jobs first.
     pub fn lending_candidate(&self, borrower: &CellSummary, now: Wall) -> Option<LendingCandidate> {
         let min_wait_s = self.config.operator.cells.as_ref()?.lend_after_s;
         let backlog_s = self.array_backlog_s();
@@ -108,8 +112,8 @@
         candidates.find(|candidate| candidate.inputs.waited_s >= min_wait_s && candidate.inputs.lendable > 0)
     }
 
-    /// The tasks of a job that could be lent: only those from its start mark on, which have never been
-    /// started.
+    /// The tasks of a job that could be lent. These are the waiting tasks from the job's start mark on, which
+    /// have never been started.
     fn candidate_from(
         &self,
         job: &Job,
@@ -135,8 +139,8 @@
         LendingCandidate { job: job.id.clone(), tasks, inputs }
     }
 
-    /// Whether tasks of a job may be lent to a borrower at all: only those of arrays without a rule over
-    /// all their tasks, and never what is borrowed itself.
+    /// Whether tasks of a job may be lent to a borrower at all. Only tasks of arrays without placement rules
+    /// are lent, and never borrowed tasks.
     fn is_lendable(&self, job: &Job, borrower: &CellSummary) -> bool {
         let spec = &job.spec;
         let cells = self.config.operator.cells.as_ref();
@@ -154,7 +158,8 @@
             && !self.loans.is_lending(&job.id)
     }
 
-    /// Begins to lend the last `count` of a candidate's tasks: from now on none of them may start here.
+    /// Begins to lend the last `count` of a candidate's tasks. From now on none of them may start in this
+    /// cell. `None` if no write can be made now.
     pub fn begin_loan(
         &mut self,
         candidate: &LendingCandidate,
@@ -166,7 +171,8 @@
         if tasks.is_empty() {
             return None;
         }
-        // The earlier versions' rows alone do not outlast a leader that cannot read the job's record.
+        // Versions that cannot read the record of a job with loans delete its done ranges. A loan is
+        // therefore made only once copies of them are stored.
         let job = self.jobs.get_mut(&candidate.job)?;
         job.copy.is_kept = true;
         if !job.is_copy_complete() {
@@ -186,8 +192,9 @@
         write
     }
 
-    /// From the first loan on the job's record carries the start mark, which outlasts a leader that cannot read it:
-    /// tasks below it may be started whether or not the write is applied.
+    /// Records the start mark that a job's record contains from the first loan on. A leader that cannot read
+    /// the record does not delete it, so the start mark counts as copied: tasks below it may be started
+    /// whether or not the write is applied.
     fn record_start_mark_of_first_loan(&mut self, write: Option<&LoanWrite>) {
         let Some(LoanWrite::Lender { job, record, .. }) = write else { return };
         if self.loans.lent.contains_key(job) {
@@ -198,9 +205,10 @@
         }
     }
 
-    /// The write by which a settlement with a borrower takes effect; none while another write about the
-    /// job is in flight, or if the record would be one that earlier versions read before all that they have
-    /// removed of the job is written again.
+    /// Begins the write that stores the loans of a job after a settlement with a borrower. `None` while
+    /// another loan write for the job is in flight. `None` also if the job has no loans left but some of its
+    /// copied results are missing from its stored done ranges: earlier versions, which may have deleted these
+    /// ranges, read the record of a job without loans, so the ranges have to be stored again first.
     pub fn settle_loan(&mut self, job: &str, lending: Lending) -> Option<LoanWrite> {
         let lacks_rows = |job: &Job| !job.has_written_all_copies();
         if lending.is_empty() && self.jobs.get(job).is_some_and(lacks_rows) {
@@ -211,8 +219,9 @@
         Some(write)
     }
 
-    /// Writes that store records in the held form which were read in the hidden one, `count` at the most. Those
-    /// that would not fit a value, however their loans are split, stay as they are.
+    /// Begins at most `count` writes that store job records in the held form that were read in the hidden
+    /// form. Records that might not fit a value, depending on how their loans are split, stay in the hidden
+    /// form.
     pub fn begin_held_form_rewrites(&mut self, count: usize) -> Vec<LoanWrite> {
         let hidden = self.loans.lent.iter().filter(|(_, lent)| lent.record.lent_form == LentForm::Hidden);
         let writes =
@@ -229,7 +238,7 @@
         writes
     }
 
-    /// The write that stores a job's record as it is known here.
+    /// Begins the write that stores a job's record with the loans in this cell's ledger, without a change.
     pub(super) fn rewrite_record(&mut self, job: &str) -> Option<LoanWrite> {
         let lending = self.loans.lender_ledger.lending(job).cloned().unwrap_or_default();
         let write = self.lender_write(job, lending, None)?;
@@ -237,19 +246,20 @@
         Some(write)
     }
 
-    /// Whether a record with its loans fits a value in the held form, however the loans are split.
+    /// Whether a record in the held form fits a value, however its loans are split.
     fn fits_held_form(&self, record: &JobRecord) -> bool {
         let lent = record.lending.loans.iter().map(|loan| loan.tasks.len());
         Self::record_bytes(&record.spec, lent) <= self.write_limits.value_bytes
     }
 
-    /// How many records of lent jobs are stored in the form of 0.3.0 to 0.3.2.
+    /// The number of job records with loans that are stored in the hidden form of versions 0.3.0 to 0.3.2.
     pub fn hidden_records(&self) -> usize {
         self.loans.lent.values().filter(|lent| lent.record.lent_form == LentForm::Hidden).count()
     }
 
-    /// The write that replaces the loans in a job's record; none while another is in flight, or if it would be
-    /// refused for what stands under the key of the job's final record.
+    /// The write that replaces the loans in a job's record. `None` while another loan write for the job is in
+    /// flight, or if the state store would refuse the write because of the value under the key of the job's
+    /// final record.
     fn lender_write(&self, job: &str, lending: Lending, new_loan: Option<LoanNumber>) -> Option<LoanWrite> {
         if self.loans.is_lending(job) || self.unreadable.cannot_end(job) {
             return None;
@@ -264,7 +274,7 @@
         let placeholder_revision = self.placeholder_revision(job);
         record.lending = lending;
         if new_loan.is_some() {
-            // All controllers of the cell read that form, or nothing would be lent.
+            // All controllers of this cell can read the held form. Otherwise no tasks would be lent.
             record.lent_form = LentForm::Held;
         }
         if let Some(job) = self.jobs.get(job) {
@@ -280,8 +290,8 @@
     }
 }
 
-/// The record of a job of which nothing is lent.
+/// The record of a job without loans.
 fn unlent_record(job: &Job) -> JobRecord {
-    // Early versions store the start mark in this record; it must not fall.
+    // Early versions store the start mark in the job's record. It must not become lower.
     JobRecord { start_mark: job.start_mark, ..JobRecord::new(job.spec.clone(), job.submitted.0) }
 }
