--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -106,7 +106,7 @@
             let offer = |job: &str, number| fleet.loans.offer(job, number);
             let mut request =
                 fleet.loans.lender_ledger.request(&cells.name, &cell.name, fencing_token, action, offer);
-            request.horizon = fleet.horizon_if_known(request.horizon);
+            request.horizon = fleet.horizon_unless_unreadable(request.horizon);
             drop(shared);
             let message = PeerMessage::Lend(request_to_proto(&request));
             let pending_reply = self.peers.send(first_address + controller, message, CELL_TIMEOUT);
@@ -254,7 +254,7 @@
 /// The action for a loan: it is recalled once this cell has hardly any backlog and can run the loan's tasks
 /// soon.
 fn recall_or_run(fleet: &Fleet, job: &str, loan: &Loan, backlog_s: f64) -> LoanAction {
-    if backlog_s < RECALL_BACKLOG_S && fleet.could_run_soon(job, &loan.tasks) {
+    if backlog_s < RECALL_BACKLOG_S && fleet.could_finish_soon(job, &loan.tasks) {
         LoanAction::Recall
     } else {
         LoanAction::Run
--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -71,7 +71,7 @@
 impl Fleet {
     /// The planner's input.
     pub(super) fn planner_input(&mut self, now: Steady, wall: Wall) -> PlannerInput {
-        self.forget_old_jobs(now);
+        self.drop_old_recent_jobs(now);
         self.within_fair_share = self.jobs_within_fair_share();
         let heartbeat_s = self.config.platform.settings.workers.report_s;
         let (machine_snapshots, machines) = self.machine_snapshots(now);
@@ -148,7 +148,7 @@
     fn job_class(&self, job: &Job, inputs: &ClassInputs) -> JobClass {
         let spec = &job.spec;
         let waited = inputs.wall - job.submitted;
-        let adjusted = self.adjusted(spec, inputs.wall);
+        let adjusted = self.adjusted_run_time(spec, inputs.wall);
         let widest = inputs.widest.of_shape(spec.shape);
         JobClass {
             priority: spec.priority,
@@ -172,7 +172,7 @@
             tasks_by_zone: self.tasks_by_zone(job),
             deadline_slack: spec.deadline_s.map(|due_s| Micros::from_secs(due_s) - waited - adjusted),
             missed_objectives: self.missed_objectives(job, waited, adjusted, widest),
-            preempt_after: self.patience(spec) - waited,
+            preempt_after: self.preemption_wait(spec) - waited,
             replica_machines: spec.is_service().then(|| self.machines_to_avoid(job, &inputs.machine_index)),
         }
     }
--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -119,7 +119,7 @@
 
     /// Loads the stored list of recent jobs. It has to be loaded before the jobs themselves: those that
     /// are still live would be in it twice otherwise.
-    pub fn inherit_recent_jobs(&mut self, records: Vec<DemandRecord>, now: Steady, wall: Wall) {
+    pub fn load_recent_jobs(&mut self, records: Vec<DemandRecord>, now: Steady, wall: Wall) {
         for record in records {
             let age = (wall - Wall(record.submitted_us)).max(Micros::ZERO);
             let type_index = |name: &String| self.catalog.types.iter().position(|known| known.name == *name);
@@ -136,17 +136,22 @@
                 spot: record.spot,
             });
         }
-        self.forget_old_jobs(now);
+        self.drop_old_recent_jobs(now);
     }
 
     /// Drops jobs from the list that are no longer recent.
-    pub(super) fn forget_old_jobs(&mut self, now: Steady) {
+    pub(super) fn drop_old_recent_jobs(&mut self, now: Steady) {
         self.recent_jobs.retain(|job| now - job.submitted_at < RECENT_JOBS_WINDOW);
     }
 
     /// Whether more jobs like some recent ones are expected: not if none has come for much longer than
     /// usual, and for at least `min_lull_s` seconds.
-    pub(super) fn more_expected<'a, I>(&self, recent: impl Fn() -> I, min_lull_s: f64, now: Steady) -> bool
+    pub(super) fn expects_more_jobs<'a, I>(
+        &self,
+        recent: impl Fn() -> I,
+        min_lull_s: f64,
+        now: Steady,
+    ) -> bool
     where
         I: Iterator<Item = &'a RecentJob>,
     {
--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -15,7 +15,7 @@
     /// Loads a machine's record: tasks may be running on it until it has acknowledged this leader's
     /// fencing token. `mod_revision` is the version of a record of its own, as earlier versions of the
     /// program wrote it, or 0.
-    pub fn inherit_machine(&mut self, id: &str, record: &MachineRecord, mod_revision: u64, now: Steady) {
+    pub fn load_machine(&mut self, id: &str, record: &MachineRecord, mod_revision: u64, now: Steady) {
         let mut machine = Machine::new(id, now);
         machine.registered = true;
         machine.mod_revision = mod_revision;
@@ -35,7 +35,7 @@
     }
 
     /// Loads a value of machine records.
-    pub fn inherit_machines(
+    pub fn load_machines(
         &mut self,
         slot: u32,
         records: BTreeMap<MachineId, MachineRecord>,
@@ -43,14 +43,14 @@
         now: Steady,
     ) {
         for (id, record) in &records {
-            self.inherit_machine(id, record, 0, now);
+            self.load_machine(id, record, 0, now);
         }
         // The copies of a moved record are the same.
         self.machine_records.load(slot, mod_revision, records, |_, stored| stored);
     }
 
     /// Loads a value of start marks. Those of jobs that have ended are dropped.
-    pub fn inherit_start_marks(&mut self, slot: u32, marks: BTreeMap<JobId, u32>, mod_revision: u64) {
+    pub fn load_start_marks(&mut self, slot: u32, marks: BTreeMap<JobId, u32>, mod_revision: u64) {
         let has_ended =
             |id: &&JobId| !self.jobs.contains_key(*id) && !self.is_blocked_by_unreadable_record(id);
         let ended: Vec<JobId> = marks.keys().filter(has_ended).cloned().collect();
@@ -73,53 +73,53 @@
     }
 
     /// Loads a chunk of done ranges. That of a job that has ended is to be deleted.
-    pub fn inherit_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
+    pub fn load_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         let own = self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none());
         // An earlier version of the program counted a replica that ended as done; a service never is.
         match own.filter(|job| !job.spec.is_service()) {
             Some(job) => {
                 let added = job.add_done_chunk(chunk, text, mod_revision);
-                self.note_added(id, &done_key(id, chunk), added);
+                self.mark_unreadable_on_error(id, &done_key(id, chunk), added);
             }
-            None => self.note_orphan(id, done_key(id, chunk), mod_revision),
+            None => self.queue_orphan_removal(id, done_key(id, chunk), mod_revision),
         }
     }
 
     /// Loads the copy of a chunk of a lent job's done ranges. That of a job that has ended is to be deleted.
-    pub fn inherit_lent_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
+    pub fn load_lent_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) {
             Some(job) => {
                 let added = job.add_done_copy(chunk, text, mod_revision);
-                self.note_added(id, &lent_done_key(id, chunk), added);
+                self.mark_unreadable_on_error(id, &lent_done_key(id, chunk), added);
             }
-            None => self.note_orphan(id, lent_done_key(id, chunk), mod_revision),
+            None => self.queue_orphan_removal(id, lent_done_key(id, chunk), mod_revision),
         }
     }
 
     /// Loads the copy of a lent job's start mark. That of a job that has ended is to be deleted.
-    pub fn inherit_lent_start_mark(&mut self, id: &str, mark: u32, mod_revision: u64) {
+    pub fn load_lent_start_mark(&mut self, id: &str, mark: u32, mod_revision: u64) {
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) {
             Some(job) => job.add_start_mark_copy(mark, mod_revision),
-            None => self.note_orphan(id, lent_start_mark_key(id), mod_revision),
+            None => self.queue_orphan_removal(id, lent_start_mark_key(id), mod_revision),
         }
     }
 
     /// Loads a chunk of done ranges of borrowed tasks. That of a job that is not held any more is to be
     /// deleted; one of a loan that is open beside an own job of its id stays for a later leader.
-    pub fn inherit_borrowed_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
+    pub fn load_borrowed_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_some()) {
             Some(job) => {
                 let added = job.add_done_chunk(chunk, text, mod_revision);
-                self.note_added(id, &borrowed_done_key(id, chunk), added);
+                self.mark_unreadable_on_error(id, &borrowed_done_key(id, chunk), added);
             }
             None if self.loans.borrower_ledger.job(id).is_some() => {}
-            None => self.note_orphan(id, borrowed_done_key(id, chunk), mod_revision),
+            None => self.queue_orphan_removal(id, borrowed_done_key(id, chunk), mod_revision),
         }
     }
 
     /// Notes what a job that has ended has left behind, which is to be deleted; `mod_revision` is 0 if there is no
     /// such row.
-    fn note_orphan(&mut self, id: &str, key: String, mod_revision: u64) {
+    fn queue_orphan_removal(&mut self, id: &str, key: String, mod_revision: u64) {
         if mod_revision > 0 && !self.is_blocked_by_unreadable_record(id) {
             tracing::info!(key, "row of a job that has no record, to be removed");
             self.cleanup.rows.insert(key, mod_revision);
@@ -127,7 +127,7 @@
     }
 
     /// Notes whether done ranges of a job could be read and were added.
-    fn note_added(&mut self, id: &str, key: &str, added: Result<(), TaskRangeError>) {
+    fn mark_unreadable_on_error(&mut self, id: &str, key: &str, added: Result<(), TaskRangeError>) {
         if let Err(error) = added {
             self.mark_unreadable(UnreadableRecord::OfJob(id), key, &error);
         }
--- a/src/fleet/unreadable.rs
+++ b/src/fleet/unreadable.rs
@@ -137,7 +137,7 @@
     }
 
     /// Whether the record of an own job could not be read, and the job is not known.
-    pub fn is_unread_job(&self, id: &str) -> bool {
+    pub fn is_unreadable_job(&self, id: &str) -> bool {
         self.unreadable.jobs.contains(id) && !self.jobs.contains_key(id)
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// The horizon of messages to borrowers: a job whose record cannot be read may have any loan.
-    pub fn horizon_if_known(&self, horizon: LoanNumber) -> LoanNumber {
+    pub fn horizon_unless_unreadable(&self, horizon: LoanNumber) -> LoanNumber {
         if self.unreadable.jobs.is_empty() {
             horizon
         } else {
--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -13,8 +13,8 @@
 #[test]
 fn after_a_failover_only_tasks_that_cannot_be_running_elsewhere_start() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 5, START);
-    fleet.inherit_machine("i-2", &machine_record("small"), 5, START);
+    fleet.load_machine("i-1", &machine_record("small"), 5, START);
+    fleet.load_machine("i-2", &machine_record("small"), 5, START);
     fleet.apply_job_record(started_job(spec(1, 8, "batch"), 6), 6, START);
     fleet.apply_job_record(started_job(spec(2, 2, "gang"), 2), 7, START);
     reply_commands(&mut fleet, 0.5, &heartbeat("i-2", 9, 9, &[]));
@@ -35,7 +35,7 @@
 #[test]
 fn the_capacity_of_unacknowledged_machines_counts_towards_a_teams_quota() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 5, START);
+    fleet.load_machine("i-1", &machine_record("small"), 5, START);
     let mut job = spec(1, 8, "batch");
     job.team = "tight".into();
     fleet.apply_job_record(record(job), 6, START);
@@ -70,7 +70,7 @@
     let records = fleet.recent_job_records(at(20.0), wall(20.0), 4000);
     assert_eq!(records.len(), 1);
     let mut next_leader = new_fleet(8);
-    next_leader.inherit_recent_jobs(records, at(30.0), wall(30.0));
+    next_leader.load_recent_jobs(records, at(30.0), wall(30.0));
     let reloaded = next_leader.recent_job_records(at(30.0), wall(30.0), 4000);
     assert_eq!(
         (reloaded[0].submitted_us, reloaded[0].starts_before_boot, &reloaded[0].types[..]),
@@ -87,7 +87,7 @@
 #[test]
 fn a_new_leader_takes_the_age_of_machines_from_the_clouds_list() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
+    fleet.load_machine("i-1", &machine_record("small"), 0, START);
     reply_commands(&mut fleet, 0.5, &heartbeat("i-1", 9, 9, &[]));
     let idle = |fleet: &mut Fleet, second: f64| {
         reply_commands(fleet, second, &heartbeat("i-1", 10 + second as u64, 9, &[]));
@@ -105,7 +105,7 @@
         age_s: 300.0,
     };
     // A machine that has replied only to a direct command so far does not count as one that never came up.
-    fleet.inherit_machine("i-2", &machine_record("small"), 0, at(19.0));
+    fleet.load_machine("i-2", &machine_record("small"), 0, at(19.0));
     fleet.apply_direct_command_reply(&heartbeat("i-2", 9, 9, &[]), at(20.5));
     fleet.apply_machine_list(&[listed.clone(), ListedMachine { id: "i-2".into(), ..listed }], at(21.0));
     fleet.tick(at(21.5), wall(21.5));
@@ -119,7 +119,7 @@
     const MACHINES: u32 = 1500;
     let mut fleet = new_fleet(9);
     let id = |machine: u32| format!("i-{machine:06}");
-    (0..MACHINES).for_each(|machine| fleet.inherit_machine(&id(machine), &machine_record("small"), 0, START));
+    (0..MACHINES).for_each(|machine| fleet.load_machine(&id(machine), &machine_record("small"), 0, START));
     for job in 1..=100 {
         fleet.apply_job_record(started_job(spec(job, 60, "batch"), 40), u64::from(job), START);
     }
--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -46,7 +46,7 @@
     );
     assert!(new_leader.machines.is_empty());
     // A heartbeat with an older fencing token does not end the leadership and acknowledges nothing.
-    new_leader.inherit_machine("i-8", &machine_record("small"), 0, START);
+    new_leader.load_machine("i-8", &machine_record("small"), 0, START);
     assert!(matches!(
         new_leader.apply_heartbeat(&heartbeat("i-8", 40, 8, &[]), at(1.0), wall(1.0)),
         HeartbeatOutcome::Reply(_)
--- a/tests/safety/leases.rs
+++ b/tests/safety/leases.rs
@@ -60,7 +60,7 @@
 #[test]
 fn the_lease_of_an_unacknowledged_machine_does_not_expire_by_its_heartbeats() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 5, START);
+    fleet.load_machine("i-1", &machine_record("small"), 5, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 6, START);
     // The machine sends one heartbeat, with the old leader's fencing token: that leader may still renew the
     // lease.
@@ -85,7 +85,7 @@
 #[test]
 fn the_lease_of_a_machine_that_replies_only_to_direct_commands_expires() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
+    fleet.load_machine("i-1", &machine_record("small"), 0, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 1, START);
     let running = [("wk-000001/0", 5, TaskStage::Running, None)];
     assert_eq!(fleet.apply_direct_command_reply(&heartbeat("i-1", 9, 9, &running), at(3.0)), None);
@@ -104,7 +104,7 @@
 #[test]
 fn unacknowledged_machines_delay_tasks_no_longer_than_a_lease_of_an_earlier_leader_can_last() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
+    fleet.load_machine("i-1", &machine_record("small"), 0, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 1, START);
     reply_commands(&mut fleet, 0.0, &heartbeat("i-2", 1, 0, &[]));
     write_all(&mut fleet, 0.0);
@@ -124,7 +124,7 @@
 #[test]
 fn a_reply_sent_before_the_fencing_token_was_delivered_starts_no_lease() {
     let mut fleet = new_fleet(9);
-    fleet.inherit_machine("i-1", &machine_record("small"), 0, START);
+    fleet.load_machine("i-1", &machine_record("small"), 0, START);
     fleet.apply_job_record(started_job(spec(1, 1, "batch"), 1), 1, START);
     let running = [("wk-000001/0", 5, TaskStage::Running, None)];
     reply_commands(&mut fleet, 1.0, &heartbeat("i-1", 8, 5, &running));
