--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -171,7 +171,7 @@
     pub(super) fn rate_refused(&mut self) {
         self.pause_until = steady() + PAUSE_AFTER_RATE_REFUSAL;
         self.requests.level = self.requests.level.min(0.0);
-        if self.next.refused(steady()) {
+        if self.next.record_refusal(steady()) {
             tracing::info!(
                 requests_share = self.next.shares.requests,
                 writes_share = self.next.shares.writes,
@@ -228,7 +228,7 @@
 
     /// Counts a refusal for the rate. Returns whether this one shows that the next limits are in
     /// force, which is true at most once, and never if they do not differ from the present ones.
-    pub fn refused(&mut self, now: Steady) -> bool {
+    pub fn record_refusal(&mut self, now: Steady) -> bool {
         self.refusals.push_back(now);
         while self.refusals.len() > DECISIVE_REFUSALS {
             self.refusals.pop_front();
--- a/tests/store_client.rs
+++ b/tests/store_client.rs
@@ -43,7 +43,7 @@
 /// Whether refusals at these seconds show the change of limits, and the rates that are kept to then.
 fn after_refusals(seconds: &[f64], shares: RateShares) -> (bool, RateShares) {
     let mut rates = NextRates::new(shares);
-    let shows: Vec<bool> = seconds.iter().map(|&s| rates.refused(at(s))).collect();
+    let shows: Vec<bool> = seconds.iter().map(|&s| rates.record_refusal(at(s))).collect();
     // Only one refusal, the last that was needed, shows it.
     assert!(shows.iter().filter(|s| **s).count() <= 1, "{shows:?}");
     (shows.contains(&true), rates.in_force())
