--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -183,7 +183,7 @@
 
     /// A write was rejected as too large: the next limits are in force.
     pub(super) fn write_rejected(&mut self) {
-        self.next.rejected();
+        self.next.mark_in_force();
         self.set_rates();
     }
 }
@@ -241,7 +241,7 @@
     }
 
     /// A write was rejected as too large: the next limits are in force.
-    pub fn rejected(&mut self) {
+    pub fn mark_in_force(&mut self) {
         self.in_force = true;
     }
 
--- a/tests/store_client.rs
+++ b/tests/store_client.rs
@@ -61,7 +61,7 @@
     assert_eq!(after_refusals(&[0.0, 9.0, 10.5, 11.0, 12.0, 12.5], coming), (true, coming));
     assert_eq!(after_refusals(&[0.0; 30], coming), (true, coming), "it holds for good");
     let mut rates = NextRates::new(coming);
-    rates.rejected();
+    rates.mark_in_force();
     assert_eq!(rates.in_force(), coming, "a write that is rejected as too large shows it as well");
     assert_eq!(after_refusals(&[0.0, 0.1, 0.2, 0.3], coming), (false, present), "fewer");
     let spread: Vec<f64> = (0..40).map(|n| f64::from(n) * 3.0).collect();
