--- a/src/cancellation_notices.rs
+++ b/src/cancellation_notices.rs
@@ -78,7 +78,7 @@
     }
 
     /// Removes notices that a controller has acknowledged.
-    pub fn acknowledged(&mut self, by: usize, acknowledged: &[Cancellation]) {
+    pub fn remove_acknowledged(&mut self, by: usize, acknowledged: &[Cancellation]) {
         if let Some(queue) = self.waiting.get_mut(by) {
             queue.retain(|waiting| !acknowledged.iter().any(|known| known.id == waiting.id));
         }
--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -111,7 +111,7 @@
         for (peer, waiting, batch) in sent {
             match waiting.and_then(|waiting| waiting.wait()) {
                 Ok(PeerReply::Ack(ack)) => {
-                    lock_ignoring_poison(&self.notices).acknowledged(peer, &batch);
+                    lock_ignoring_poison(&self.notices).remove_acknowledged(peer, &batch);
                     self.on_peer_answer(ack.token);
                 }
                 Ok(_) => all_acknowledged = false,
