--- a/src/cancellation_notices.rs
+++ b/src/cancellation_notices.rs
@@ -19,7 +19,7 @@
     /// The revision at which its live record was removed.
     pub revision: u64,
     /// When it was confirmed by this controller.
-    pub since: Steady,
+    pub confirmed_at: Steady,
 }
 
 /// Most notices that wait for one controller; beyond it the oldest are dropped.
@@ -68,7 +68,7 @@
     pub fn due(&mut self, now: Steady) -> Vec<NoticeBatch> {
         let mut batches = Vec::new();
         for (to, queue) in self.waiting.iter_mut().enumerate() {
-            queue.retain(|cancellation| now - cancellation.since <= self.max_age);
+            queue.retain(|cancellation| now - cancellation.confirmed_at <= self.max_age);
             if !queue.is_empty() {
                 batches
                     .push(NoticeBatch { to, cancellations: queue.iter().take(MAX_BATCH).cloned().collect() });
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -106,7 +106,8 @@
         if self.peers.count() > 0 {
             let since = self.now();
             let StoredFinal { record, revision } = cancelled;
-            let cancellation = Cancellation { id: id.to_string(), tasks: record.tasks, revision, since };
+            let cancellation =
+                Cancellation { id: id.to_string(), tasks: record.tasks, revision, confirmed_at: since };
             lock_ignoring_poison(&self.notices).add(&cancellation);
             self.notices_added.notify_one();
         }
