--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,5 +1,5 @@
-//! Leader election. A candidate opens a lease and commits one compare-and-swap transaction that raises
-//! the term (the source of fencing tokens), puts the leader's record on the lease and takes the shard.
+//! Leader election. A candidate takes a lease and commits one compare-and-swap transaction that raises
+//! the term (the source of fencing tokens), attaches the leader's record to the lease and takes the shard.
 
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -9,22 +9,24 @@
 use crate::time::Micros;
 use crate::wire::{Change, Guard, Row, Txn};
 
-/// Fencing token of the first leader there ever was.
+/// Fencing token of the first leader of an installation.
 const FIRST_FENCING_TOKEN: u64 = 1;
 
-/// The leader's record (under [`LEADER_KEY`]), and the shard's (under [`SHARD_KEY`]).
+/// The record that identifies the leader. It is stored both under [`LEADER_KEY`] and under [`SHARD_KEY`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The controller's label.
     pub label: String,
-    /// Its incarnation: a process may be back under the same label with an empty memory.
+    /// The incarnation of the controller process. It distinguishes a restarted process, which has lost
+    /// its memory, from the earlier one under the same label.
     pub incarnation: u64,
-    /// Its fencing token.
+    /// The leader's fencing token.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// The lease to which the leader's record is attached. It distinguishes two elections of one process:
-    /// if an unanswered transaction were carried out late, the process would mistake it for its next one,
-    /// renew the other lease and never learn from that that it had been replaced.
+    /// The lease to which the leader's record is attached. It distinguishes two elections of one process.
+    /// Without it, the process could mistake the late commit of an unanswered election transaction for
+    /// its next one. It would then renew the wrong lease, and the renewals would not show when it had been
+    /// replaced.
     #[serde(default)]
     pub lease: u64,
 }
@@ -32,7 +34,7 @@
 /// The format record (under [`FORMAT_KEY`]).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FormatRecord {
-    /// A version reads the records if it knows this format or a later one.
+    /// The oldest format version that a program must support to read the records.
     pub reader: u32,
 }
 
@@ -44,21 +46,21 @@
     number: u64,
 }
 
-/// A won election: what the new leader acts under.
+/// The term of a leader, which begins with a won election.
 #[derive(Clone, Copy, Debug)]
 pub struct LeadershipTerm {
-    /// The fencing token.
+    /// The leader's fencing token.
     pub fencing_token: u64,
     /// The lease to which the leader's record is attached.
     pub lease: u64,
-    /// The shard's revision: the guard of every write of this leader.
+    /// The shard's revision, by which every write of this leader is guarded.
     pub shard_revision: u64,
-    /// Whether no controller has led before.
+    /// Whether this is the first term of the installation: no controller has led before.
     pub is_first: bool,
 }
 
 impl LeadershipTerm {
-    /// The term that begins with the leader's record, written at `shard_revision`.
+    /// Creates the term of `leader`, whose record was committed at `shard_revision`.
     fn new(leader: &LeaderRecord, shard_revision: u64) -> LeadershipTerm {
         LeadershipTerm {
             fencing_token: leader.fencing_token,
@@ -69,19 +71,22 @@
     }
 }
 
-/// Revisions of the records that an election replaces, as they were read; 0 where there is none.
+/// The `mod_revision`s of the records that an election replaces, as they were read; 0 if a record does not
+/// exist.
 struct ReplacedRevisions {
     leader: u64,
     term: u64,
     shard: u64,
 }
 
-/// Tries to become the leader, given the revision of the leader's record that is to be replaced
-/// (0: there is none), with a lease that lasts for `ttl`. `Ok(None)`: another controller was faster.
+/// Tries to become the leader with a lease that lasts for `ttl`. `replaced_revision` is the `mod_revision`
+/// of the leader's record that is to be replaced (0: there is none). Returns `Ok(None)` if another
+/// controller has won the election.
 ///
 /// # Errors
-/// [`StateStoreError::NewerRecords`] if the records are of a later format; otherwise as any call to the
-/// state store. The lease is ended if the transaction failed for certain; in other cases it expires.
+/// [`StateStoreError::NewerRecords`] if the records have a later format; otherwise as any call to the
+/// state store. The lease is ended if the transaction is known to have failed. Otherwise the lease is left
+/// to expire.
 pub fn try_become_leader(
     state: &StateStoreClient,
     label: &str,
@@ -114,7 +119,8 @@
     }
 }
 
-/// Finds out whether an election without an answer was committed: the shard then holds its record.
+/// Finds out whether an election transaction without an answer was committed. If it was, the shard holds
+/// the record `leader`.
 fn resolve_unknown_election(
     state: &StateStoreClient,
     leader: &LeaderRecord,
@@ -124,12 +130,13 @@
             return Ok(Some(LeadershipTerm::new(leader, shard.mod_revision)));
         }
     }
-    // Without its lease the transaction fails if it is carried out late, whether or not its guards still hold.
+    // The transaction may still be executed late, and its guards may still match. Once the lease has ended,
+    // the transaction fails in any case.
     let _ = state.end_lease(leader.lease);
     Ok(None)
 }
 
-/// The number of the latest term (0: there is none).
+/// The number of the latest term; 0 if there has been none.
 fn latest_term(row: Option<&Row>) -> Result<u64, StateStoreError> {
     let Some(row) = row else { return Ok(0) };
     let term: TermRecord = serde_json::from_value(row.value.clone())
@@ -137,9 +144,9 @@
     Ok(term.number)
 }
 
-/// The election's compare-and-swap: guarded by the revisions of the leader's record, the term and the
-/// shard as they were read, it raises the term, puts the leader's record on its lease and takes the
-/// shard.
+/// The election's compare-and-swap transaction. It raises the term, attaches the leader's record to its
+/// lease and takes the shard. Its guards are the revisions at which the leader's record, the term and the
+/// shard were read.
 fn election_txn(leader: &LeaderRecord, replaced: &ReplacedRevisions) -> Txn {
     let value = json!(leader);
     let guard = |key: &str, mod_revision: u64| Guard { key: key.into(), mod_revision };
@@ -157,8 +164,8 @@
     }
 }
 
-/// Refuses records of a later format: an old process that is back after all others have moved on must
-/// neither misread nor overwrite them.
+/// Checks that this version can read the stored records. An old process that starts again after the other
+/// controllers have been upgraded must neither misread nor overwrite records of a later format.
 fn check_format(state: &StateStoreClient) -> Result<(), StateStoreError> {
     let Some(row) = state.get(FORMAT_KEY, RequestPriority::Leadership)? else { return Ok(()) };
     match serde_json::from_value::<FormatRecord>(row.value.clone()) {
--- a/src/leadership/keys.rs
+++ b/src/leadership/keys.rs
@@ -1,15 +1,17 @@
-//! Keys of the single records that leadership rests on, and the version of the records' format.
+//! Keys of the records that exist once per installation and are used for election and startup, and the
+//! version of the record format.
 
 /// Key of the leader's record, which is attached to the leader's lease.
 pub const LEADER_KEY: &str = "leader";
-/// Key of the term, whose number is the latest fencing token.
+/// Key of the term record, whose number is the latest fencing token.
 pub const TERM_KEY: &str = "term";
-/// Key of the one shard there is; its revision guards every write of the leader.
+/// Key of the only shard; its revision guards every write of the leader.
 pub const SHARD_KEY: &str = "part/0";
-/// Key that names the oldest format of the records that still reads them. No version has written it
-/// so far: a later one will, before it writes anything that this one would misread.
+/// Key of the format record, which names the oldest format version that a program must support to read
+/// the records. No version has written it so far. A later version will do so before it writes anything
+/// that this version would misread.
 pub const FORMAT_KEY: &str = "format";
-/// The format of the records that this version reads and writes.
+/// The version of the record format that this program reads and writes.
 pub const FORMAT_VERSION: u32 = 1;
-/// Key of the machine types, for controllers that start while the cloud cannot be reached.
+/// Key of the list of machine types, for controllers that start while the cloud cannot be reached.
 pub const MACHINE_TYPES_KEY: &str = "catalog";
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -1,10 +1,10 @@
-//! The records of loans between cells: the transactions that write them, and how they are read.
+//! Records of loans between cells: the transactions that write them, and reading them into the fleet.
 
 use milletlock_cells::{BorrowedJob, BorrowerChange};
 use serde_json::{json, Value};
 
 use super::keys::SHARD_KEY;
-use super::rebuild::{decode, note_no_done_ranges};
+use super::rebuild::{decode, mark_unreadable_done_chunk};
 use super::record_keys::{BorrowedKey, LentKey};
 use crate::fleet::{Fleet, LoanWrite, UnreadableRecord};
 use crate::job_changes::StoredJob;
@@ -14,12 +14,12 @@
 use crate::time::{Steady, Wall};
 use crate::wire::{Change, Guard, Row, Stage, Txn};
 
-/// A guard that a key still has this `mod_revision`; 0: that there is no such key.
+/// Creates a guard that a key still has this `mod_revision`, or with 0 that the key does not exist.
 fn guard(key: String, mod_revision: u64) -> Guard {
     Guard { key, mod_revision }
 }
 
-/// The transaction that carries out a write of loans, guarded by the shard's revision.
+/// Composes the transaction for a write of loans, guarded by the shard's revision.
 pub fn loan_txn(write: &LoanWrite, shard_revision: u64) -> Txn {
     let mut txn = match write {
         LoanWrite::Lender { record, mod_revision, placeholder_revision, .. } => {
@@ -33,8 +33,8 @@
     txn
 }
 
-/// Writes the loans of one of this cell's own jobs. A job that is being cancelled and has no open loan
-/// any more is over.
+/// Composes the lender's write of the loans of one of its own jobs. A job that is being cancelled and has no
+/// open loan any more ends as cancelled.
 fn lender_txn(record: &JobRecord, mod_revision: u64, placeholder_revision: u64) -> Txn {
     let stored = StoredJob { id: &record.spec.id, mod_revision, placeholder_revision };
     if record.lending.is_cancelled() {
@@ -44,8 +44,8 @@
     }
 }
 
-/// Writes a borrowed job and the record of its lender. A job of which tasks are borrowed must not have
-/// been accepted by this cell.
+/// Composes the borrower's write of a borrowed job and of the record of its lender. The transaction fails if
+/// this cell itself has accepted a job with the same id.
 fn borrower_txn(
     change: &BorrowerChange,
     job_revision: u64,
@@ -74,7 +74,7 @@
     Txn { guards, then }
 }
 
-/// Reads all records of borrowed tasks, jobs before the done ranges that belong to them.
+/// Reads all records of borrowed tasks. Jobs come before the done ranges that belong to them.
 pub(super) fn borrowed_rows(state: &StateStoreClient) -> Result<Vec<Row>, StateStoreError> {
     let mut rows = state.list(&format!("{BORROWED_PREFIX}/"))?.rows;
     rows.sort_by_key(|row| !row.key.starts_with(&borrowed_key("")));
@@ -105,7 +105,7 @@
         }
         BorrowedKey::DoneChunk { job, chunk } => match (chunk.parse(), value.as_str()) {
             (Ok(chunk), Some(text)) => fleet.inherit_borrowed_done(job, chunk, text, mod_revision),
-            _ => note_no_done_ranges(fleet, job, key),
+            _ => mark_unreadable_done_chunk(fleet, job, key),
         },
         BorrowedKey::Other => {}
     }
@@ -116,7 +116,7 @@
     match lent {
         LentKey::DoneChunk { job, chunk } => match (chunk.parse(), value.as_str()) {
             (Ok(chunk), Some(text)) => fleet.inherit_lent_done(job, chunk, text, mod_revision),
-            _ => note_no_done_ranges(fleet, job, key),
+            _ => mark_unreadable_done_chunk(fleet, job, key),
         },
         LentKey::StartMark(job) => {
             if let Some(mark) = decode::<u32>(fleet, UnreadableRecord::OfJob(job), key, value) {
@@ -127,7 +127,8 @@
     }
 }
 
-/// Updates a copy of a lent job's progress as it stands after a conflict or an unknown outcome.
+/// Updates the fleet with a copy of a lent job's progress that was read back; `row` is `None` if the key does
+/// not exist.
 pub(super) fn update_lent(fleet: &mut Fleet, lent: LentKey, key: &str, row: Option<Row>) {
     let mod_revision = row.as_ref().map_or(0, |row| row.mod_revision);
     fleet.orphan_read_back(key, mod_revision);
@@ -143,7 +144,8 @@
     }
 }
 
-/// Updates a record of borrowed tasks as it stands after a conflict or an unknown outcome.
+/// Updates the fleet with a record of borrowed tasks that was read back; `row` is `None` if the key does not
+/// exist.
 pub(super) fn update_borrowed(
     fleet: &mut Fleet,
     borrowed: BorrowedKey,
@@ -169,15 +171,15 @@
     }
 }
 
-/// A key that was read back.
+/// A key that was read back, with its row.
 pub struct KeyState {
     /// The key.
     pub key: String,
-    /// Its row; none if there is no such key.
+    /// The row; `None` if the key does not exist.
     pub row: Option<Row>,
 }
 
-/// Reads back the records that a write of loans guards, after a conflict.
+/// Reads back the records that guard a write of loans, after the write met a conflict.
 ///
 /// # Errors
 /// As any read from the state store; the first error ends the read.
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,16 +1,17 @@
-//! What a controller does with the state store as the leader: it wins an election, rebuilds the
-//! fleet from the stored records, and writes records that only the leader may write.
+//! The leader's use of the state store: winning an election, rebuilding the fleet from the stored
+//! records, and composing the transactions that only the leader may commit.
 //!
 //! - [`election`](try_become_leader): leader election by a lease and one compare-and-swap
 //!   transaction, which yields the fencing token;
 //! - [`rebuild`](rebuild()): reads all records after a won election;
-//! - [`update_from_store`]: updates the fleet with one key as it stands after a conflict or an unknown outcome;
-//! - [`read_jobs_with_loans`]: what is stored of their progress, and the copies that a follower adds while a leader
-//!   without copies leads;
+//! - [`update_from_store`]: updates the fleet with one key that was read back after a conflict or after a
+//!   write whose outcome is unknown;
+//! - [`read_jobs_with_loans`]: reads the stored progress of jobs with loans. A follower uses it to copy that
+//!   progress while the leader runs a version that writes no copies;
 //! - [`compose_batches`] and [`loan_txn`]: put pending writes into transactions.
 //!
-//! The records form one shard, which a leader takes as a whole. Every write of a leader is guarded
-//! by the shard's revision, so that a leader that was replaced cannot write any more.
+//! All records form one shard, which an elected leader takes over as a whole. Every write of a leader is
+//! guarded by the shard's revision, so that a leader that has been replaced cannot write any more.
 
 mod election;
 mod keys;
--- a/src/leadership/read_back.rs
+++ b/src/leadership/read_back.rs
@@ -1,5 +1,5 @@
-//! Updates the fleet with single keys that were read back, after a write that met a conflict or whose
-//! outcome is unknown.
+//! Updates the fleet with single keys that were read back after a conflict, or after a write whose outcome
+//! is unknown.
 
 use serde_json::json;
 
@@ -11,7 +11,8 @@
 use crate::time::{wall, Steady};
 use crate::wire::Row;
 
-/// Updates the fleet with a key as it stands in the state store; `row` is none if there is no such key.
+/// Updates the fleet with the present state of a key in the state store; `row` is `None` if the key does not
+/// exist.
 pub fn update_from_store(fleet: &mut Fleet, key: &str, row: Option<Row>, now: Steady) {
     let mod_revision = row.as_ref().map_or(0, |row| row.mod_revision);
     match RecordKey::parse(key) {
@@ -40,7 +41,7 @@
             fleet.orphan_read_back(key, mod_revision);
             if fleet.jobs.contains_key(job) {
                 let value = row.map_or_else(|| json!(""), |row| row.value);
-                rebuild::load_done(fleet, job, chunk, key, &value, mod_revision);
+                rebuild::load_done_chunk(fleet, job, chunk, key, &value, mod_revision);
             }
         }
         RecordKey::Final(_) | RecordKey::Recent | RecordKey::SingleHistory | RecordKey::Other => {}
@@ -49,21 +50,24 @@
 
 /// Why a live job cannot be ended.
 #[derive(Debug, thiserror::Error)]
-#[error("not the placeholder of the live job's record, or missing")]
-struct NoPlaceholder;
+#[error("expected the placeholder that was written with the live job's record, found another value or none")]
+struct PlaceholderMismatch;
 
-/// Notes the live jobs that cannot be ended: a write was refused for the key of their final record alone, so that
-/// their own record is as it is known here. `failed`: the keys for which it was refused.
+/// Marks live jobs that cannot be ended, because the key of their final record does not have the expected
+/// value. `failed` are the keys whose guards did not hold when a write was refused. A job is marked if its
+/// final key is among them but the key of its live record is not: the live record is then as it is known
+/// here, so that reading it back would not resolve the conflict.
 pub fn mark_unreadable_finals(fleet: &mut Fleet, failed: &[String]) {
     for key in failed {
         let RecordKey::Final(id) = RecordKey::parse(key) else { continue };
         if !failed.contains(&job_key(id)) {
-            fleet.note_unreadable(UnreadableRecord::Final(id), key, &NoPlaceholder);
+            fleet.note_unreadable(UnreadableRecord::Final(id), key, &PlaceholderMismatch);
         }
     }
 }
 
-/// Updates a job. Only one without a record has ended: a record that cannot be decoded holds the job.
+/// Updates a job with its record as it was read back. A job has ended only if it has no record. A job whose
+/// record cannot be decoded is live, but blocked by the unreadable record.
 fn update_job(fleet: &mut Fleet, id: &str, row: Option<Row>, now: Steady) {
     let Some(row) = row else {
         let known = fleet.jobs.get(id).map_or(0, |job| job.mod_revision);
--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -20,8 +20,8 @@
 use crate::time::{wall, Steady, Wall};
 use crate::wire::{MachineType, Row};
 
-/// Machine types as last written (under [`MACHINE_TYPES_KEY`]); `None` if there are none or they cannot
-/// be decoded.
+/// Reads the list of machine types (under [`MACHINE_TYPES_KEY`]); `None` if there is none or it cannot be
+/// decoded.
 ///
 /// # Errors
 /// As any read from the state store.
@@ -30,11 +30,12 @@
     Ok(row.and_then(|row| serde_json::from_value(row.value).ok()))
 }
 
-/// Reads all records after a won election into a new fleet under the leader's `fencing_token`; `now` is a
-/// moment after the election was answered.
+/// Reads all records after a won election into a new fleet of the leader with this `fencing_token`. `now`
+/// has to be after the election was answered.
 ///
 /// # Errors
-/// As any read from the state store. Records that cannot be decoded are logged and left out.
+/// As any read from the state store. A record that cannot be decoded is no error: it is logged, marked as
+/// unreadable in the fleet and not loaded.
 pub fn rebuild(
     state: &StateStoreClient,
     config: Arc<Config>,
@@ -44,29 +45,30 @@
 ) -> Result<Fleet, StateStoreError> {
     let mut fleet = Fleet::new(config, types, fencing_token, now);
     let KeyList { rows: mut jobs, revision } = state.list(JOBS_PREFIX)?;
-    let left_placeholders = restored_records::restore_records(state, &mut jobs)?;
+    let retained_placeholders = restored_records::restore_records(state, &mut jobs)?;
     let machines = state.list(ALL_MACHINES_PREFIX)?.rows;
     let start_marks = state.list(&format!("{START_MARKS_PREFIX}/"))?.rows;
     let done = state.list(DONE_PREFIX)?.rows;
     let history = state.list(ALL_HISTORY_PREFIX)?.rows;
     let recent = state.list(RECENT_KEY)?.rows;
-    // Whatever the settings say now: what is done of loans of before is not forgotten.
+    // Read even if the settings no longer allow loans, so that the progress of earlier loans is kept.
     let borrowed = loan_records::borrowed_rows(state)?;
     let lent = state.list(&format!("{LENT_PREFIX}/"))?.rows;
-    // Jobs come before the records that belong to them.
+    // Jobs are loaded before the records that belong to them.
     let rows = [recent, jobs, borrowed, machines, start_marks, done, lent, history].concat();
     load_records(&mut fleet, rows, now, wall());
-    for left in left_placeholders {
-        tracing::info!(job = %left.job, "record of held job restored");
-        fleet.note_left_placeholder(left.job, left.mod_revision);
+    for placeholder in retained_placeholders {
+        tracing::info!(job = %placeholder.job, "record of held job restored");
+        fleet.note_left_placeholder(placeholder.job, placeholder.mod_revision);
     }
     fleet.advance_jobs_revision(revision);
     Ok(fleet)
 }
 
-/// Loads records into a new leader's fleet.
+/// Loads records into a new leader's fleet. Rows of jobs have to precede the rows that belong to them.
 pub fn load_records(fleet: &mut Fleet, mut rows: Vec<Row>, now: Steady, wall: Wall) {
-    // Packed values go first, so that single records of earlier versions fill them up.
+    // Packed machine records are loaded first, so that the single records of earlier versions are placed
+    // into the slots that exist already.
     rows.sort_by_key(|row| !row.key.starts_with(PACKED_MACHINES_PREFIX));
     for row in rows {
         load_record(fleet, row, now, wall);
@@ -74,7 +76,7 @@
     fleet.records_loaded();
 }
 
-/// Loads one record, by the form of its key.
+/// Loads one record according to its key.
 fn load_record(fleet: &mut Fleet, row: Row, now: Steady, wall: Wall) {
     let Row { key, value, mod_revision } = row;
     match RecordKey::parse(&key) {
@@ -84,8 +86,8 @@
             }
         }
         RecordKey::Machine(id) => {
-            // One that cannot be decoded may hold tasks all the same: it stays unheard until it sends
-            // a heartbeat or is scaled in.
+            // A machine whose record cannot be decoded may still run tasks. It is loaded with an empty
+            // record and counts as not reported until it sends a heartbeat or is scaled in.
             let machine =
                 decode::<MachineRecord>(fleet, UnreadableRecord::Other, &key, value).unwrap_or_default();
             fleet.inherit_machine(id, &machine, mod_revision, now);
@@ -109,7 +111,7 @@
         }
         RecordKey::Lent(lent) => loan_records::load_lent(fleet, lent, &key, value, mod_revision),
         RecordKey::DoneChunk { job, chunk } => {
-            load_done(fleet, job, chunk, &key, &value, mod_revision);
+            load_done_chunk(fleet, job, chunk, &key, &value, mod_revision);
         }
         RecordKey::Recent => {
             if let Some(list) = decode(fleet, UnreadableRecord::Other, &key, value) {
@@ -126,7 +128,7 @@
     }
 }
 
-/// Loads a packed bucket of history records.
+/// Loads a packed bucket of history records. A bucket that cannot be decoded is never overwritten.
 fn load_history_bucket(fleet: &mut Fleet, bucket: &str, key: &str, value: Value, mod_revision: u64) {
     let decoded = decode_packed::<Vec<HistoryRecord>>(fleet, UnreadableRecord::Other, key, bucket, value);
     let Some((bucket, records)) = decoded else {
@@ -144,16 +146,16 @@
 /// Why a packed value cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 enum PackedValueError {
-    /// Its key does not end with a number.
+    /// The last part of the key is not a slot number.
     #[error(transparent)]
     Slot(#[from] std::num::ParseIntError),
-    /// It cannot be decoded.
+    /// The value cannot be decoded.
     #[error(transparent)]
     Value(#[from] serde_json::Error),
 }
 
-/// A packed value with its slot number, or none if it cannot be decoded: that is noted, and the slot is never
-/// overwritten.
+/// Decodes a packed value and its slot number. Returns `None` if either cannot be decoded; the record is
+/// then marked as unreadable, and a slot of machine records or start marks is never overwritten.
 fn decode_packed<T: DeserializeOwned>(
     fleet: &mut Fleet,
     record: UnreadableRecord<'_>,
@@ -175,18 +177,18 @@
     }
 }
 
-/// A packed value with its slot number, as stored under `<prefix>/<slot>`.
+/// Decodes the value and the slot number of a row with the key `<prefix>/<slot>`.
 fn try_decode_packed<T: DeserializeOwned>(slot: &str, value: Value) -> Result<(u32, T), PackedValueError> {
     Ok((slot.parse()?, serde_json::from_value(value)?))
 }
 
-/// Why a row of done ranges cannot be read.
+/// A chunk of done ranges that cannot be read.
 #[derive(Debug, thiserror::Error)]
-#[error("no text of done ranges under the number of a chunk")]
-struct NoDoneRanges;
+#[error("the key does not end with a chunk number, or the value is not a string of done ranges")]
+struct InvalidDoneChunk;
 
-/// Loads a chunk of an own job's done ranges.
-pub(super) fn load_done(
+/// Loads a chunk of the done ranges of one of this cell's own jobs.
+pub(super) fn load_done_chunk(
     fleet: &mut Fleet,
     job: &str,
     chunk: &str,
@@ -196,16 +198,17 @@
 ) {
     match (chunk.parse(), value.as_str()) {
         (Ok(chunk), Some(text)) => fleet.inherit_done(job, chunk, text, mod_revision),
-        _ => note_no_done_ranges(fleet, job, key),
+        _ => mark_unreadable_done_chunk(fleet, job, key),
     }
 }
 
-/// Notes that a row is no text of done ranges.
-pub(super) fn note_no_done_ranges(fleet: &mut Fleet, job: &str, key: &str) {
-    fleet.note_unreadable(UnreadableRecord::OfJob(job), key, &NoDoneRanges);
+/// Marks a chunk of a job's done ranges as unreadable.
+pub(super) fn mark_unreadable_done_chunk(fleet: &mut Fleet, job: &str, key: &str) {
+    fleet.note_unreadable(UnreadableRecord::OfJob(job), key, &InvalidDoneChunk);
 }
 
-/// A record's value, or none if it cannot be decoded: that is noted, and the load goes on without it.
+/// Decodes a record's value. Returns `None` if it cannot be decoded; the record is then marked as
+/// unreadable.
 pub(super) fn decode<T: DeserializeOwned>(
     fleet: &mut Fleet,
     record: UnreadableRecord<'_>,
--- a/src/leadership/record_keys.rs
+++ b/src/leadership/record_keys.rs
@@ -1,31 +1,31 @@
-//! The keys of the leader's records, parsed.
+//! Parsing of the keys under which the leader's records are stored.
 
 use crate::keys::{
     BORROWED_PREFIX, HISTORY_PREFIX, LENT_PREFIX, MACHINES_PREFIX, RECENT_KEY, START_MARKS_PREFIX,
 };
 
-/// Prefix of the machines' records in both forms, `machine/<id>` and `machines/<slot>`.
+/// Prefix of machine records in both forms, `machine/<id>` and `machines/<slot>`.
 pub(super) const ALL_MACHINES_PREFIX: &str = "machine";
 /// Prefix of the packed machine records.
 pub(super) const PACKED_MACHINES_PREFIX: &str = "machines/";
 /// Prefix of the chunks of done ranges.
 pub(super) const DONE_PREFIX: &str = "done/";
-/// Prefix of the history's keys.
+/// Prefix of the history records.
 pub(super) const ALL_HISTORY_PREFIX: &str = "hist/";
 
-/// What a key of the leader's records stands for. Numbers are kept as text: whether they can be read
-/// is for the record's reader to handle.
+/// The kind of record that a key stands for. Slot, chunk and bucket numbers are kept as text; the code
+/// that reads the record parses them and handles those that are not valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordKey<'a> {
-    /// A live job, by id.
+    /// The record of the live job with this id.
     Job(&'a str),
-    /// The final record of a job, by id.
+    /// The final record of the job with this id.
     Final(&'a str),
-    /// A single machine's record, by machine id, as versions before packed records wrote it.
+    /// The record of the single machine with this id, as versions before packed records wrote it.
     Machine(&'a str),
-    /// A value of packed machine records, by slot.
+    /// The packed machine records in the slot with this number.
     PackedMachines(&'a str),
-    /// A value of packed start marks, by slot.
+    /// The packed start marks in the slot with this number.
     PackedStartMarks(&'a str),
     /// A chunk of a job's done ranges.
     DoneChunk {
@@ -36,24 +36,24 @@
     },
     /// The list of recent jobs.
     Recent,
-    /// A packed bucket of history records, by number.
+    /// The packed history records in the bucket with this number.
     HistoryBucket(&'a str),
-    /// A single history record, as earlier versions wrote it.
+    /// A single history record, as versions before packed buckets wrote it.
     SingleHistory,
     /// A record of borrowed tasks.
     Borrowed(BorrowedKey<'a>),
     /// A copy of a lent job's progress.
     Lent(LentKey<'a>),
-    /// None of these.
+    /// A key of another kind.
     Other,
 }
 
-/// What a key under the prefix of borrowed tasks stands for.
+/// The kind of record that a key under [`BORROWED_PREFIX`] stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BorrowedKey<'a> {
-    /// A borrowed job, by id.
+    /// The record of the borrowed job with this id.
     Job(&'a str),
-    /// A cell from which tasks are borrowed, by name.
+    /// The record of the lender cell with this name.
     Lender(&'a str),
     /// A chunk of a borrowed job's done ranges.
     DoneChunk {
@@ -62,11 +62,11 @@
         /// The chunk's number.
         chunk: &'a str,
     },
-    /// None of these.
+    /// A key of another kind.
     Other,
 }
 
-/// What a key under the prefix of lent jobs' progress stands for.
+/// The kind of record that a key under [`LENT_PREFIX`] stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LentKey<'a> {
     /// The copy of a chunk of a job's done ranges.
@@ -76,19 +76,19 @@
         /// The chunk's number.
         chunk: &'a str,
     },
-    /// The copy of a job's start mark, by the job's id.
+    /// The copy of the start mark of the job with this id.
     StartMark(&'a str),
-    /// None of these.
+    /// A key of another kind.
     Other,
 }
 
-/// Key of a single machine's record.
+/// Key of the record of a single machine, as versions before packed records wrote it.
 pub(super) fn single_machine_key(id: &str) -> String {
     format!("machine/{id}")
 }
 
 impl<'a> RecordKey<'a> {
-    /// What a key stands for, by its form.
+    /// Parses a key; keys that this version does not know are [`RecordKey::Other`].
     pub(super) fn parse(key: &'a str) -> RecordKey<'a> {
         let mut parts = key.split('/');
         match (parts.next(), parts.next(), parts.next()) {
@@ -111,7 +111,7 @@
 }
 
 impl<'a> LentKey<'a> {
-    /// What a key stands for, by its parts after the prefix of lent jobs' progress.
+    /// Creates the key from its parts after [`LENT_PREFIX`].
     fn new(kind: Option<&'a str>, id: Option<&'a str>, chunk: Option<&'a str>) -> LentKey<'a> {
         match (kind, id, chunk) {
             (Some("done"), Some(job), Some(chunk)) => LentKey::DoneChunk { job, chunk },
@@ -122,7 +122,7 @@
 }
 
 impl<'a> BorrowedKey<'a> {
-    /// What a key stands for, by its parts after the prefix of borrowed tasks.
+    /// Creates the key from its parts after [`BORROWED_PREFIX`].
     fn new(kind: Option<&'a str>, id: Option<&'a str>, chunk: Option<&'a str>) -> BorrowedKey<'a> {
         match (kind, id, chunk) {
             (Some("job"), Some(id), None) => BorrowedKey::Job(id),
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -1,4 +1,4 @@
-//! Puts the leader's pending writes into transactions, several to one where they fit.
+//! Composes the leader's pending writes and packs several of them into one transaction where they fit.
 
 use serde_json::json;
 
@@ -18,46 +18,48 @@
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::{Change, Guard, Stage, Txn};
 
-/// Most transactions that are composed at once: a write that has newly become urgent waits for no more.
+/// Maximum number of transactions composed in one call. It bounds how many transactions a write that has
+/// just become urgent has to wait for.
 const MAX_BATCHES: usize = 4;
-/// Most bytes of the changes in a transaction, which may take 64 KiB with its guards.
+/// Maximum size of a transaction's changes in bytes. The state store accepts 64 KiB for a transaction with
+/// its guards.
 const MAX_BATCH_BYTES: usize = 40_000;
-/// Guards for each change that a transaction may hold.
+/// Maximum number of guards in a transaction, as a multiple of the number of changes that it may hold.
 const GUARDS_PER_CHANGE: usize = 4;
-/// Bytes of a value that are left free.
+/// Bytes below the state store's value limit that are left unused.
 const VALUE_SLACK_BYTES: usize = 64;
-/// Least estimate, in seconds, that a run time is divided by.
+/// Minimum estimate in seconds by which a run time is divided.
 const MIN_ESTIMATE_S: f64 = 0.001;
 
 /// A pending write as it was composed for a transaction.
 pub struct ComposedWrite {
-    /// Which of the fleet's pending writes it is.
+    /// The pending write.
     pub write: PendingWrite,
-    /// What it holds.
+    /// The contents that were composed for it, which the fleet records once they are committed.
     pub contents: WriteContents,
 }
 
-/// A transaction and what it writes.
+/// A transaction and the pending writes that it carries out.
 pub struct Batch {
     /// The transaction.
     pub txn: Txn,
-    /// The pending writes in it.
+    /// The pending writes in the transaction.
     pub writes: Vec<ComposedWrite>,
-    /// Whether a start or a user waits for it.
+    /// Whether the start of a task or a user waits for the transaction.
     pub urgent: bool,
-    /// Size of the changes in bytes.
+    /// Size of the changes as JSON, in bytes.
     bytes: usize,
 }
 
 impl Batch {
-    /// A batch without changes yet, guarded by the shard's revision.
+    /// Creates a batch without changes that is guarded by the shard's revision.
     fn new(shard_revision: u64, urgent: bool) -> Batch {
         let guards = vec![Guard { key: SHARD_KEY.into(), mod_revision: shard_revision }];
         Batch { txn: Txn { guards, then: Vec::new() }, writes: Vec::new(), urgent, bytes: 0 }
     }
 
-    /// Whether a write fits into the batch, which may hold `max_changes`. Urgent writes never share a
-    /// transaction with others, which are sent with a lower priority.
+    /// Whether a write fits into the batch, which may hold `max_changes` changes. Urgent writes never share
+    /// a transaction with other writes, because transactions of other writes have a lower priority.
     fn fits(&self, write: &Write, max_changes: usize) -> bool {
         self.urgent == write.pending.urgent()
             && self.txn.then.len() + write.changes.len() <= max_changes
@@ -65,7 +67,7 @@
             && self.bytes + write.bytes() <= MAX_BATCH_BYTES
     }
 
-    /// Adds a write. Guards that it shares with others are sent once.
+    /// Adds a write. A guard that several writes have in common is sent once.
     fn add(&mut self, write: Write) {
         self.bytes += write.bytes();
         for guard in write.guards {
@@ -87,12 +89,12 @@
 }
 
 impl Write {
-    /// A write of which nothing has to be remembered.
+    /// Creates a write whose contents the fleet does not need once it is committed.
     fn new(pending: &PendingWrite, guards: Vec<Guard>, changes: Vec<Change>) -> Write {
         Write { pending: pending.clone(), guards, changes, contents: WriteContents::Nothing }
     }
 
-    /// The same with the contents that the fleet compares once it is committed.
+    /// Adds the contents that the fleet needs once the write is committed.
     fn with_contents(self, contents: WriteContents) -> Write {
         Write { contents, ..self }
     }
@@ -104,8 +106,9 @@
     }
 }
 
-/// Puts pending writes into transactions of at most `max_changes` changes, each guarded by the shard's
-/// revision. Writes beyond the limits stay pending for the next call.
+/// Packs pending writes, in their order, into transactions of at most `max_changes` changes, each guarded by
+/// the shard's revision. Writes that do not fit into the allowed number of transactions stay pending for the
+/// next call.
 pub fn compose_batches(
     fleet: &mut Fleet,
     shard_revision: u64,
@@ -130,7 +133,7 @@
     batches
 }
 
-/// Composes a pending write; none if there is nothing to write any more.
+/// Composes a pending write; `None` if there is nothing to write any more.
 fn compose(
     fleet: &mut Fleet,
     pending: &PendingWrite,
@@ -151,20 +154,20 @@
         PendingWrite::Done(id, chunk) => compose_done(fleet, pending, id, *chunk),
         PendingWrite::RecentJobs => Some(compose_recent(fleet, pending, now, wall)),
         PendingWrite::OrphanedRow(key, mod_revision) => {
-            Some(compose_orphan_drop(fleet, pending, key, *mod_revision))
+            Some(compose_orphan_deletion(fleet, pending, key, *mod_revision))
         }
         PendingWrite::ObsoleteMachineRecord(id, mod_revision) => {
-            Some(compose_drop(pending, single_machine_key(id), *mod_revision))
+            Some(compose_deletion(pending, single_machine_key(id), *mod_revision))
         }
     }
 }
 
-/// A value's size limit in bytes, less the slack.
+/// Maximum size in bytes of the values that are composed: the state store's limit less the slack.
 fn max_value_bytes(fleet: &Fleet) -> usize {
     fleet.max_value_bytes().saturating_sub(VALUE_SLACK_BYTES)
 }
 
-/// A bucket of the history.
+/// Composes the write of a history bucket.
 fn compose_history(fleet: &mut Fleet, pending: &PendingWrite, bucket: u32) -> Write {
     let value = fleet.history.value(bucket, max_value_bytes(fleet));
     let key = slot_key(HISTORY_PREFIX, bucket);
@@ -172,20 +175,21 @@
     Write::new(pending, vec![guard], vec![Change::put(key, json!(value))])
 }
 
-/// The list of recent jobs; it has no guard besides the shard's revision.
+/// Composes the write of the list of recent jobs, which has no guard besides the shard's revision.
 fn compose_recent(fleet: &Fleet, pending: &PendingWrite, now: Steady, wall: Wall) -> Write {
     let list = fleet.recent_job_records(now, wall, max_value_bytes(fleet));
     Write::new(pending, Vec::new(), vec![Change::put(RECENT_KEY, json!(list))])
 }
 
-/// The removal of a key that nothing belongs to any more.
-fn compose_drop(pending: &PendingWrite, key: String, mod_revision: u64) -> Write {
+/// Composes the deletion of a record that is no longer needed.
+fn compose_deletion(pending: &PendingWrite, key: String, mod_revision: u64) -> Write {
     Write::new(pending, vec![Guard { key: key.clone(), mod_revision }], vec![Change::drop(key)])
 }
 
-/// The removal of what a job has left behind, which fails if the job has another record than is known here.
-fn compose_orphan_drop(fleet: &Fleet, pending: &PendingWrite, key: &str, mod_revision: u64) -> Write {
-    let mut write = compose_drop(pending, key.to_string(), mod_revision);
+/// Composes the deletion of a row that an ended job has left behind. The deletion is also guarded by the
+/// revision of the job's record, so that it fails if that record is not as it is known here.
+fn compose_orphan_deletion(fleet: &Fleet, pending: &PendingWrite, key: &str, mod_revision: u64) -> Write {
+    let mut write = compose_deletion(pending, key.to_string(), mod_revision);
     write.guards.extend(match RecordKey::parse(key) {
         RecordKey::DoneChunk { job, .. }
         | RecordKey::Lent(LentKey::DoneChunk { job, .. } | LentKey::StartMark(job)) => {
@@ -199,8 +203,8 @@
     write
 }
 
-/// The end of a job: its final record replaces the live one, and as many of its chunks of done ranges are
-/// removed as the transaction may still hold.
+/// Composes the end of a job. The final record replaces the live one, and the chunks of done ranges are
+/// deleted, as many as the transaction may still hold.
 fn compose_final(
     fleet: &mut Fleet,
     pending: &PendingWrite,
@@ -210,18 +214,19 @@
 ) -> Option<Write> {
     add_to_history(fleet, id, wall);
     let job = fleet.jobs.get(id)?;
-    // All tasks may be done while a loan is still in the record.
+    // The record may still contain a loan although all tasks are done. It then has a placeholder.
     let placeholder_revision = fleet.placeholder_revision(id);
     let stored = StoredJob { id, mod_revision: job.mod_revision, placeholder_revision };
     let Txn { guards, then: mut changes } =
         stored.end(FinalRecord { stage: Stage::Done, tasks: job.spec.tasks });
     let free_changes = max_changes.saturating_sub(changes.len());
-    let dropped: Vec<u32> = job.done_chunks.keys().take(free_changes).copied().collect();
-    changes.extend(dropped.iter().map(|chunk| Change::drop(done_key(id, *chunk))));
-    Some(Write::new(pending, guards, changes).with_contents(WriteContents::RemovedDoneChunks(dropped)))
+    let deleted: Vec<u32> = job.done_chunks.keys().take(free_changes).copied().collect();
+    changes.extend(deleted.iter().map(|chunk| Change::drop(done_key(id, *chunk))));
+    Some(Write::new(pending, guards, changes).with_contents(WriteContents::RemovedDoneChunks(deleted)))
 }
 
-/// Adds the run times of a finished job to the history, once, even if its end has to be written again.
+/// Adds the run times of a finished job to the history. They are added only once, even if the job's end has
+/// to be written again.
 fn add_to_history(fleet: &mut Fleet, id: &JobId, wall: Wall) {
     let Some(job) = fleet.jobs.get_mut(id) else { return };
     let RunTimes { total, count } = job.run_times;
@@ -235,7 +240,7 @@
     fleet.history.add(&key, wall, ratio);
 }
 
-/// A value of packed machine records.
+/// Composes the write of a slot of packed machine records.
 fn compose_machines(fleet: &Fleet, pending: &PendingWrite, slot: u32) -> Option<Write> {
     let SlotContents { mod_revision, version, records } = fleet.machine_records.slot(slot)?;
     let key = slot_key(MACHINES_PREFIX, slot);
@@ -244,7 +249,7 @@
     Some(Write::new(pending, vec![Guard { key, mod_revision }], vec![change]).with_contents(contents))
 }
 
-/// A value of packed start marks.
+/// Composes the write of a slot of packed start marks.
 fn compose_start_marks(fleet: &Fleet, pending: &PendingWrite, slot: u32) -> Option<Write> {
     let SlotContents { mod_revision, version, records } = fleet.start_marks.slot(slot)?;
     let key = slot_key(START_MARKS_PREFIX, slot);
@@ -254,7 +259,7 @@
     Some(write.with_contents(WriteContents::StartMarks(start_marks, version)))
 }
 
-/// A chunk of a job's done ranges.
+/// Composes the write of a chunk of a job's done ranges, with its copy if copies are kept for the job.
 fn compose_done(fleet: &Fleet, pending: &PendingWrite, id: &JobId, chunk: u32) -> Option<Write> {
     let job = fleet.jobs.get(id)?;
     let span = chunk_span(chunk);
@@ -277,7 +282,7 @@
     Some(Write::new(pending, guards, changes).with_contents(WriteContents::Done { tasks, is_copied }))
 }
 
-/// The copy of a lent job's start mark.
+/// Composes the write of the copy of a lent job's start mark.
 fn compose_lent_start_mark(fleet: &Fleet, pending: &PendingWrite, id: &JobId) -> Option<Write> {
     let job = fleet.jobs.get(id)?;
     let mark = job.wanted_start_mark;
