--- a/src/live_jobs.rs
+++ b/src/live_jobs.rs
@@ -1,9 +1,9 @@
-//! The live jobs as this controller knows them, for status requests.
+//! The live jobs as this controller has read them from the state store, for status requests.
 //!
-//! The answer to a status request has to rest on a read of the state store that began after the
-//! request came. One read of what changed under `job/` since the last one serves all requests that
-//! wait at that moment: users poll each unfinished job every few seconds, and with a read for each
-//! poll a busy minute alone would use up this controller's share of the store's rate limits.
+//! The answer to a status request must be based on a read of the state store that began after the request
+//! arrived. One read of the changes under `job/` since the last read serves all requests that are waiting at
+//! that moment. Users poll each unfinished job every few seconds. With one read for each poll, a busy minute
+//! alone would use up this controller's share of the state store's rate limits.
 
 use std::collections::BTreeSet;
 use std::sync::{Condvar, Mutex, MutexGuard};
@@ -17,25 +17,26 @@
 use crate::time::{steady, Micros, Steady};
 use crate::wire::{WatchEvent, WatchEvents};
 
-/// How long a status request waits for a read; its user gives up after two seconds.
-const REQUEST_PATIENCE: Micros = Micros::from_millis(1900);
+/// How long a status request waits for a read; the user's client gives up after two seconds.
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(1900);
 
-/// Ids of the live jobs at a revision.
+/// Ids of the live jobs at a revision of the state store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LiveIds {
-    /// The ids.
+    /// Ids of the live jobs.
     pub ids: BTreeSet<String>,
-    /// The revision; `None` until all live jobs have been read.
+    /// The state store's revision; `None` until all live jobs have been read.
     pub revision: Option<u64>,
 }
 
 impl LiveIds {
-    /// Applies changes since the revision.
+    /// Applies the changes since [`LiveIds::revision`].
     pub fn apply(&mut self, changes: &WatchEvents) {
         let job_id =
             |key: Option<&String>| key.and_then(|key| key.strip_prefix(JOBS_PREFIX)).map(str::to_string);
         self.ids.extend(changes.events.iter().filter_map(|event| job_id(event.put.as_ref())));
-        // Removals last, whatever order the events come in: a job that has ended never lives again.
+        // Events may come in any order. Removals are applied last, because a job that has ended never becomes
+        // live again.
         for ended in changes.events.iter().filter_map(|event| job_id(event.drop.as_ref())) {
             self.ids.remove(&ended);
         }
@@ -43,30 +44,31 @@
     }
 }
 
-/// The live jobs, and which of their records this version cannot read.
+/// The live jobs, and those of them whose record this version cannot read.
 #[derive(Default)]
 struct LiveRecords {
     live: LiveIds,
+    /// Ids of the live jobs whose record this version cannot read.
     unreadable: BTreeSet<String>,
 }
 
 impl LiveRecords {
-    /// Applies changes since the revision.
+    /// Applies the changes since [`LiveIds::revision`].
     fn apply(&mut self, changes: &WatchEvents) {
-        // The latest record of a job counts, whatever order the events come in.
+        // Events may come in any order. Of several records of a job, the latest one counts.
         let mut events: Vec<&WatchEvent> = changes.events.iter().collect();
         events.sort_by_key(|event| event.mod_revision);
         for event in events {
             if let Some(id) = event.put.as_deref().and_then(|key| key.strip_prefix(JOBS_PREFIX)) {
-                self.note_record(id, &event.value);
+                self.update_readability(id, &event.value);
             }
         }
         self.live.apply(changes);
         self.unreadable.retain(|id| self.live.ids.contains(id));
     }
 
-    /// Notes whether a job's record can be read.
-    fn note_record(&mut self, id: &str, record: &Value) {
+    /// Records whether this version can read a job's record.
+    fn update_readability(&mut self, id: &str, record: &Value) {
         if JobRecord::deserialize(record).is_ok() {
             self.unreadable.remove(id);
         } else {
@@ -83,40 +85,40 @@
     }
 }
 
-/// Whether a job is live.
+/// Whether a job has a live record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It is live.
+    /// The job has a live record.
     Live,
-    /// It has a record that this version cannot read.
+    /// The job has a live record that this version cannot read.
     Unreadable,
-    /// It has no record: it has ended, or was never accepted.
+    /// The job has no live record: it has ended, or was never accepted.
     Absent,
 }
 
-/// A read that failed.
+/// A read that failed, by its number.
 struct FailedRead {
     number: u64,
     error: StateStoreError,
 }
 
-/// The live jobs as last read, and which reads have begun and ended. Reads are numbered from 1.
+/// The live jobs as they were last read, and the state of the reads. Reads are numbered from 1.
 #[derive(Default)]
 struct ReadState {
     records: LiveRecords,
     /// Number of the last read that has begun.
     last_begun: u64,
-    /// Number of the last read that succeeded; 0: none.
+    /// Number of the last read that succeeded; 0 if none has.
     last_succeeded: u64,
     last_failed: Option<FailedRead>,
-    /// A read is under way, or its turn is awaited.
+    /// Whether a thread makes a read, or waits until the next read may begin.
     read_in_progress: bool,
-    /// When the last read began.
+    /// When the last read began; used to keep the minimum interval between reads.
     last_begun_at: Steady,
 }
 
 impl ReadState {
-    /// The answer for a job by a read of at least this number; `None` if none has ended yet.
+    /// The result for a job, from a read with at least this number; `None` if no such read has ended yet.
     fn result_since(&self, number: u64, id: &str) -> Option<Result<Presence, StateStoreError>> {
         if self.last_succeeded >= number {
             return Some(Ok(self.records.presence(id)));
@@ -125,7 +127,7 @@
         Some(Err(failed.error.clone()))
     }
 
-    /// Records the result of a read.
+    /// Records the result of the read with this number.
     fn finish(&mut self, number: u64, result: Result<ReadResult, StateStoreError>) {
         self.read_in_progress = false;
         match result {
@@ -140,7 +142,8 @@
     }
 }
 
-/// The live jobs.
+/// The live jobs as this controller reads them for status requests. Threads that wait for the same read share
+/// it.
 pub struct LiveJobs {
     state: Mutex<ReadState>,
     read_ended: Condvar,
@@ -148,7 +151,7 @@
 }
 
 impl LiveJobs {
-    /// Knows no job yet. Reads begin at least `min_read_interval` apart.
+    /// Creates the state before the first read. Reads begin at least `min_read_interval` apart.
     pub fn new(min_read_interval: Micros) -> LiveJobs {
         LiveJobs { state: Mutex::default(), read_ended: Condvar::new(), min_read_interval }
     }
@@ -157,6 +160,7 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
+    /// Waits up to `timeout` until a read has ended.
     fn wait<'a>(&self, state: MutexGuard<'a, ReadState>, timeout: Micros) -> MutexGuard<'a, ReadState> {
         match self.read_ended.wait_timeout(state, timeout.to_duration()) {
             Ok((state, _)) => state,
@@ -164,14 +168,15 @@
         }
     }
 
-    /// Whether a job is live, by a read that begins after this call.
+    /// Whether a job is live, according to a read that begins after this call.
     ///
     /// # Errors
-    /// That of the read; [`StateStoreError::RateBudgetExceeded`] if none ended in time.
+    /// The error of the read; [`StateStoreError::RateBudgetExceeded`] if no read ended in time.
     pub fn presence(&self, id: &str, store: &StateStoreClient) -> Result<Presence, StateStoreError> {
-        let deadline = steady() + REQUEST_PATIENCE;
+        let deadline = steady() + REQUEST_TIMEOUT;
         let mut state = self.lock();
-        // The store may have executed a read that has begun already before this call.
+        // A read that has begun already does not count: the state store may have executed it before this
+        // call.
         let needed = state.last_begun + 1;
         loop {
             if let Some(result) = state.result_since(needed, id) {
@@ -186,15 +191,15 @@
         }
     }
 
-    /// Makes a read, as soon as the minimum interval since the last one has passed, and wakes all
-    /// requests that wait for it.
+    /// Makes a read once the minimum interval since the last read has passed, and wakes all requests that
+    /// wait for it.
     fn read_once<'a>(
         &'a self,
         mut state: MutexGuard<'a, ReadState>,
         store: &StateStoreClient,
     ) -> MutexGuard<'a, ReadState> {
         state.read_in_progress = true;
-        // Requests that come within the interval are served by the same read.
+        // Requests that arrive during this wait are served by the same read.
         loop {
             let left = state.last_begun_at + self.min_read_interval - steady();
             if left.0 <= 0 {
@@ -214,18 +219,18 @@
     }
 }
 
-/// What a read of the live jobs gives.
+/// The result of a read of the live jobs.
 enum ReadResult {
-    /// All of them.
+    /// All live jobs.
     All(LiveRecords),
-    /// What has changed since the last read.
+    /// The changes since the last read.
     Changes(WatchEvents),
 }
 
-/// Reads what changed since a revision, or everything.
+/// Reads the changes since the revision `from`, or all live jobs if `from` is `None` or has been compacted.
 fn read(store: &StateStoreClient, from: Option<u64>) -> Result<ReadResult, StateStoreError> {
     match from.map(|from| store.changes(JOBS_PREFIX, from, RequestPriority::User)) {
-        // Too much has changed since: everything is read again.
+        // All live jobs are read.
         None | Some(Err(StateStoreError::RevisionCompacted)) => {}
         Some(result) => return result.map(ReadResult::Changes),
     }
@@ -235,10 +240,11 @@
     for row in &rows {
         if let Some(id) = row.key.strip_prefix(JOBS_PREFIX) {
             records.live.ids.insert(id.to_string());
-            records.note_record(id, &row.value);
+            records.update_readability(id, &row.value);
         }
     }
-    // The pages of a list are not read at one moment: what changed meanwhile is read as well.
+    // The pages of a list are read one after the other. The changes since the first page are therefore read
+    // as well.
     let changes = store.changes(JOBS_PREFIX, revision, RequestPriority::User)?;
     records.apply(&changes);
     Ok(ReadResult::All(records))
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -1,26 +1,27 @@
-//! This controller's rate budget for the state store: token buckets for requests and for changes, a
-//! priority per call, and the lower rate limits that are announced to come into force later.
+//! The rate budget of this controller for calls to the state store: token buckets for requests and for
+//! changes, a priority for each call, and the lower rate limits that are announced to come into force later.
 
 use std::collections::VecDeque;
 
 use crate::time::{steady, Micros, Steady};
 
-/// How much a call matters when the budget is short.
+/// Priority of a call to the state store when the rate budget is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPriority {
-    /// Leadership (election, lease renewal, reads after a failover): never waits for the budget.
+    /// Calls for leadership (election, lease renewal, reads after a failover). They never wait for the
+    /// budget.
     Leadership,
-    /// Acceptance, cancellation and status of jobs: a user waits for the answer.
+    /// Acceptance, cancellation and status of jobs, for which a user waits.
     User,
-    /// Writes of the leader that the start or the end of a job waits for.
+    /// Writes of the leader for which the start or the end of a job waits.
     Leader,
-    /// Everything else.
+    /// All other calls.
     Background,
 }
 
 impl RequestPriority {
-    /// The share of each bucket's rate kept back for calls of higher priority; `None` for
-    /// leadership calls, which never wait.
+    /// Tokens that a call of this priority leaves in a bucket for calls of higher priority, as a fraction of
+    /// the bucket's rate; `None` for leadership calls, which never wait.
     fn reserve(self) -> Option<f64> {
         match self {
             RequestPriority::Leadership => None,
@@ -31,23 +32,23 @@
     }
 }
 
-/// Tokens that a bucket holds at least when it is full, however low its rate.
+/// Minimum capacity of a bucket in tokens, however low its rate is.
 const MIN_CAPACITY: f64 = 1.0;
-/// Shortest and longest wait, in seconds, that a short bucket asks for.
+/// Minimum and maximum wait, in seconds, that is returned if a bucket has too few tokens.
 const MIN_WAIT_S: f64 = 0.002;
 const MAX_WAIT_S: f64 = 1.0;
 
-/// A token bucket that holds a second's worth of its rate (at least one token).
+/// A token bucket whose capacity is the tokens of one second (at least one token).
 pub struct TokenBucket {
-    /// Tokens a second.
+    /// Tokens added per second.
     rate: f64,
-    /// Tokens in the bucket at `refilled_at`; below zero after forced calls.
+    /// Tokens in the bucket at `refilled_at`; below zero after calls that did not wait for tokens.
     level: f64,
     refilled_at: Steady,
 }
 
 impl TokenBucket {
-    /// A full bucket of `rate` tokens a second.
+    /// Creates a full bucket of `rate` tokens per second.
     pub fn new(rate: f64, now: Steady) -> TokenBucket {
         TokenBucket { rate, level: rate, refilled_at: now }
     }
@@ -62,13 +63,15 @@
         self.refilled_at = now;
     }
 
-    /// Takes `tokens` tokens, keeping `reserve` tokens back for calls of higher priority.
+    /// Takes `tokens` tokens if at least `reserve` tokens remain for calls of higher priority. A request for
+    /// more than the capacity needs a full bucket.
     ///
     /// # Errors
-    /// How long to wait before there are enough (between 2 ms and 1 s); nothing is taken.
+    /// If there are too few tokens, none is taken. The error is the time until there are enough, limited to
+    /// between 2 ms and 1 s.
     pub fn take(&mut self, now: Steady, tokens: f64, reserve: f64) -> Result<(), Micros> {
         self.refill(now);
-        // A request larger than the whole bucket passes when the bucket is full.
+        // A request for more tokens than the capacity is admitted when the bucket is full.
         let needed = (tokens + reserve).min(self.capacity());
         if self.level >= needed {
             self.level -= tokens;
@@ -78,29 +81,30 @@
         Err(Micros::from_secs(wait_s.clamp(MIN_WAIT_S, MAX_WAIT_S)))
     }
 
-    /// Takes `tokens` tokens whatever the level, which may go below zero.
-    fn force(&mut self, now: Steady, tokens: f64) {
+    /// Takes `tokens` tokens at any level, which may fall below zero.
+    fn take_unconditionally(&mut self, now: Steady, tokens: f64) {
         self.refill(now);
         self.level -= tokens;
     }
 }
 
-/// Stands for no reserve at all: with it [`TokenBucket::take`] passes whatever the level.
+/// A reserve with which [`TokenBucket::take`] succeeds at any level.
 const IGNORE_LEVEL: f64 = -1e9;
 
-/// How long all calls pause after a refusal for the rate (429).
+/// How long all calls but leadership calls pause after the state store has refused a request because of its
+/// rate limits (status 429).
 const PAUSE_AFTER_RATE_REFUSAL: Micros = Micros::from_millis(60);
 
 /// Rates that one controller may use: its share of the state store's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AllowedRates {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Changes (puts and deletes) a second.
+    /// Changes (puts and deletes) per second.
     pub writes_per_s: f64,
 }
 
-/// The rate budget of one client: requests and changes, by this controller's share of the limits.
+/// The rate budget of one client for requests and for changes.
 pub(super) struct RateBudget {
     requests: TokenBucket,
     writes: TokenBucket,
@@ -111,7 +115,7 @@
 }
 
 impl RateBudget {
-    /// A full budget; `next` are the limits to come.
+    /// Creates a budget with full buckets; `next` are the announced lower limits.
     pub(super) fn new(allowed: AllowedRates, next: NextRates, now: Steady) -> RateBudget {
         RateBudget {
             requests: TokenBucket::new(allowed.requests_per_s, now),
@@ -122,23 +126,25 @@
         }
     }
 
-    /// Changes this controller's share of the limits.
-    pub(super) fn set_allowed(&mut self, allowed: AllowedRates) {
+    /// Sets this controller's share of the present limits.
+    pub(super) fn set_allowed_rates(&mut self, allowed: AllowedRates) {
         self.allowed = allowed;
-        self.set_rates();
+        self.update_rates();
     }
 
-    /// Sets the rates by this controller's share and, once they are in force, by the next limits.
-    fn set_rates(&mut self) {
+    /// Sets the buckets' rates to this controller's share of the present limits or, once they are in force,
+    /// of the next limits.
+    fn update_rates(&mut self) {
         let shares = self.next.in_force();
         self.requests.rate = self.allowed.requests_per_s * shares.requests;
         self.writes.rate = self.allowed.writes_per_s * shares.writes;
     }
 
-    /// Takes one request and `writes` changes at `priority`.
+    /// Takes the tokens for one request with `writes` changes at `priority`.
     ///
     /// # Errors
-    /// How long to wait before trying again; nothing is taken.
+    /// If there are too few tokens or all calls are paused, none is taken. The error is the time to wait
+    /// before the next try.
     pub(super) fn try_take(
         &mut self,
         now: Steady,
@@ -146,8 +152,8 @@
         priority: RequestPriority,
     ) -> Result<(), Micros> {
         let Some(reserve) = priority.reserve() else {
-            self.requests.force(now, 1.0);
-            self.writes.force(now, writes as f64);
+            self.requests.take_unconditionally(now, 1.0);
+            self.writes.take_unconditionally(now, writes as f64);
             return Ok(());
         };
         if now < self.pause_until {
@@ -159,16 +165,17 @@
         self.writes.take(now, writes as f64, reserved_writes)?;
         let taken = self.requests.take(now, 1.0, reserved_requests);
         if taken.is_err() {
-            // Nothing is taken when the request bucket is short.
+            // The request bucket has too few tokens: the tokens for changes are put back.
             self.writes.level += writes as f64;
         }
         taken
     }
 
-    /// A refusal for the rate (429): pauses all calls briefly and empties the request bucket;
-    /// once such refusals show that the next limits are in force, the rates follow them. The
-    /// log line's message is the one that docs/operations.md quotes.
-    pub(super) fn rate_refused(&mut self) {
+    /// Records that the state store has refused a request because of its rate limits (status 429). All calls
+    /// but leadership calls are paused briefly, and the request bucket is emptied. If the refusals show that
+    /// the next limits are in force, the rates are reduced to them. docs/operations.md quotes the log
+    /// message.
+    pub(super) fn record_rate_refusal(&mut self) {
         self.pause_until = steady() + PAUSE_AFTER_RATE_REFUSAL;
         self.requests.level = self.requests.level.min(0.0);
         if self.next.record_refusal(steady()) {
@@ -177,24 +184,25 @@
                 writes_share = self.next.shares.writes,
                 "next limits of the state store in force"
             );
-            self.set_rates();
+            self.update_rates();
         }
     }
 
-    /// A write was rejected as too large: the next limits are in force.
-    pub(super) fn write_rejected(&mut self) {
+    /// Applies the next limits, after the state store has rejected a write as too large.
+    pub(super) fn apply_next_rates(&mut self) {
         self.next.mark_in_force();
-        self.set_rates();
+        self.update_rates();
     }
 }
 
-/// Rate refusals within this time are counted together.
+/// Window within which rate refusals are counted together.
 const REFUSAL_WINDOW: Micros = Micros::from_millis(10_000);
-/// So many of them show that the next limits are in force. Fewer do not: simultaneous bursts of
-/// several controllers are refused now and then under any limits.
+/// Number of rate refusals within [`REFUSAL_WINDOW`] which show that the next limits are in force. Fewer
+/// refusals do not show that: simultaneous bursts of several controllers are occasionally refused under any
+/// limits.
 const DECISIVE_REFUSALS: usize = 5;
 
-/// Parts of rate limits, as fractions: 1 is the whole limit.
+/// Fractions of rate limits; 1 is the whole limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateShares {
     /// Fraction of the limit of requests.
@@ -208,26 +216,28 @@
     pub const FULL: RateShares = RateShares { requests: 1.0, writes: 1.0 };
 }
 
-/// Rate limits that come into force at some moment, without notice. The present ones are kept to
-/// until refusals for the rate (429) or of a write that is too large (400) show the change. An
-/// outage, or a store that refuses this controller alone, answers 503 and shows nothing.
+/// The state store's announced lower limits, which come into force at an unknown moment. This controller
+/// uses the present limits until the state store refuses requests because of its rate limits (status 429)
+/// or rejects a write as too large (status 400). Status 503 does not show that the limits have changed: it is
+/// also answered in an outage, and by a state store that refuses this controller alone.
 #[derive(Clone, Debug)]
 pub struct NextRates {
     /// The next limits as fractions of the present ones.
     shares: RateShares,
-    /// The latest refusals for the rate, at most [`DECISIVE_REFUSALS`].
+    /// Times of the latest rate refusals, at most [`DECISIVE_REFUSALS`].
     refusals: VecDeque<Steady>,
     in_force: bool,
 }
 
 impl NextRates {
-    /// The next limits as fractions of the present ones, each at most 1.
+    /// Creates next limits that are not yet in force. `shares` are fractions of the present limits, each at
+    /// most 1.
     pub fn new(shares: RateShares) -> NextRates {
         NextRates { shares, refusals: VecDeque::new(), in_force: false }
     }
 
-    /// Counts a refusal for the rate. Returns whether this one shows that the next limits are in
-    /// force, which is true at most once, and never if they do not differ from the present ones.
+    /// Records a rate refusal. Returns whether this refusal shows that the next limits are in force. It
+    /// returns true at most once, and never if the next limits equal the present ones.
     pub fn record_refusal(&mut self, now: Steady) -> bool {
         self.refusals.push_back(now);
         while self.refusals.len() > DECISIVE_REFUSALS {
@@ -240,12 +250,12 @@
         comes_into_force
     }
 
-    /// A write was rejected as too large: the next limits are in force.
+    /// Marks the next limits as in force, after the state store has rejected a write as too large.
     pub fn mark_in_force(&mut self) {
         self.in_force = true;
     }
 
-    /// The fractions of the present limits to keep to now.
+    /// The fractions of the present limits that this controller may use now.
     pub fn in_force(&self) -> RateShares {
         if self.in_force {
             self.shares
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -3,32 +3,32 @@
 /// Why a call to the state store has no result.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone)]
 pub enum StateStoreError {
-    /// No connection, so that the request was not sent: nothing was executed.
-    #[error("the state store refused the request with status 0")]
+    /// There was no connection, so that the request was not sent and nothing was executed.
+    #[error("no connection to the state store, the request was not sent")]
     NotSent,
-    /// The store, or its rate limits, refused with this HTTP status: nothing was executed.
+    /// The state store refused the request with this HTTP status, so that nothing was executed.
     #[error("the state store refused the request with status {0}")]
     Refused(u16),
-    /// Over this controller's own share of the rate limits: nothing was sent.
-    #[error("over this node's share of the state store's rate limits")]
+    /// The request would have exceeded this controller's own share of the rate limits and was not sent.
+    #[error("this controller's share of the state store's rate limits is used up, the request was not sent")]
     RateBudgetExceeded,
-    /// No answer: the request may have been executed, or may yet be.
+    /// The request was sent but not answered: it may have been executed, or may still be executed later.
     #[error("the state store did not answer: {0}")]
     NoAnswer(String),
-    /// The lease is gone (lease expiry, or it was ended).
-    #[error("the lease is gone")]
+    /// The lease does not exist any more: it has expired or was ended.
+    #[error("the lease has expired or was ended")]
     LeaseNotFound,
-    /// The watch's revision is older than the store keeps.
-    #[error("the watch revision is compacted away")]
+    /// The revision from which changes were to be read is older than those that the state store keeps.
+    #[error("the revision from which changes were to be read has been compacted")]
     RevisionCompacted,
-    /// The store takes no such request: a value or a transaction is too large. Never to be sent
-    /// again as it is.
+    /// The state store does not accept the request, because a value or the transaction is too large. It must
+    /// not be sent again unchanged.
     #[error("the state store rejected the request: {0}")]
     Rejected(String),
-    /// The records are of a format that this version does not read.
-    #[error("records of format {found}, this version reads up to {known}")]
+    /// The stored records have a format that this version does not read.
+    #[error("the stored records have format {found}, this version reads formats up to {known}")]
     NewerRecords {
-        /// The format as it is stored.
+        /// The format record as it is stored.
         found: String,
         /// The latest format that this version reads.
         known: u32,
@@ -38,11 +38,11 @@
     Malformed(String),
 }
 
-/// Result of a compare-and-swap transaction that was answered.
+/// Outcome of a compare-and-swap transaction that was answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TxnOutcome {
-    /// Executed at this revision.
+    /// The transaction was executed at this revision.
     Committed(u64),
-    /// These guards (keys) did not hold: nothing was executed.
+    /// The guards of these keys did not hold, so that nothing was executed.
     Conflict(Vec<String>),
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! Client of the state store (the consensus-backed key-value store): reads, compare-and-swap
-//! transactions, leases and watches, within this controller's share of the store's rate limits.
+//! Client of the state store, a consensus-backed key-value store: reads, compare-and-swap transactions,
+//! leases and watches, within this controller's share of the state store's rate limits.
 
 mod budget;
 mod error;
@@ -18,15 +18,16 @@
 pub use budget::{AllowedRates, NextRates, RateShares, RequestPriority, TokenBucket};
 pub use error::{StateStoreError, TxnOutcome};
 
-/// Client of the state store. Calls wait for this controller's rate budget (by their
-/// [`RequestPriority`]) and fail with a [`StateStoreError`] when they have no result.
+/// Client of the state store. A call waits for this controller's rate budget according to its
+/// [`RequestPriority`], and fails with a [`StateStoreError`] if it has no result.
 pub struct StateStoreClient {
     calls: Client,
-    /// Blocking watches have connections of their own, so that they never hold up other calls.
+    /// Blocking watches have their own connections, so that they never delay other calls.
     watches: Client,
     budget: Mutex<RateBudget>,
     budget_changed: Condvar,
-    /// Since when no call has been answered, if the last one was not.
+    /// When the first of the calls failed that have not been answered since; `None` if the last call was
+    /// answered.
     unreachable_since: Mutex<Option<Steady>>,
 }
 
@@ -35,28 +36,29 @@
 pub struct KeyList {
     /// The keys, in order, with their values.
     pub rows: Vec<Row>,
-    /// The store's revision when the first page was read: a watch from it misses nothing.
+    /// The state store's revision when the first page was read. A watch from this revision misses no change.
     pub revision: u64,
 }
 
-/// Timeout of one call.
+/// Timeout of a call.
 const CALL_TIMEOUT: Micros = Micros::from_millis(2000);
-/// Timeout of lease renewals and ends.
+/// Timeout of calls that renew or end a lease.
 const LEASE_CALL_TIMEOUT: Micros = Micros::from_millis(1000);
-/// How long a call waits for the budget, unless it is a leadership call.
-const BUDGET_PATIENCE: Micros = Micros::from_millis(1500);
-/// Connections for calls.
+/// How long a call waits for the rate budget, unless it is a leadership call.
+const BUDGET_TIMEOUT: Micros = Micros::from_millis(1500);
+/// Maximum number of idle connections kept open for calls.
 const CALL_CONNECTIONS: usize = 8;
-/// Connections for blocking watches.
+/// Maximum number of idle connections kept open for blocking watches.
 const WATCH_CONNECTIONS: usize = 2;
-/// Rows a page of a list.
+/// Maximum number of rows per page of a list.
 const LIST_PAGE_ROWS: usize = 500;
-/// Tries of a transaction that a user waits for, when the store refuses it for the rate.
+/// Maximum number of tries of a transaction for which a user waits, if the state store refuses it because of
+/// its rate limits.
 const USER_TXN_TRIES: u32 = 3;
 
 impl StateStoreClient {
-    /// A client that keeps to the `allowed` rates, and to the fractions `next` of them once the store's
-    /// limits fall.
+    /// Creates a client that uses at most the `allowed` rates, and the fractions `next` of them once the
+    /// state store's lower limits are in force.
     pub fn new(address: SocketAddr, allowed: AllowedRates, next: RateShares) -> StateStoreClient {
         StateStoreClient {
             calls: Client::new(address, CALL_CONNECTIONS),
@@ -67,27 +69,27 @@
         }
     }
 
-    /// For how long the store has been unreachable (zero if the last call was answered).
+    /// For how long the state store has been unreachable; zero if the last call was answered.
     pub fn unreachable_for(&self) -> Micros {
         let since = self.unreachable_since.lock().ok().and_then(|since| *since);
         since.map_or(Micros::ZERO, |since| steady() - since)
     }
 
-    /// Changes this controller's share of the store's limits.
+    /// Sets this controller's share of the state store's rate limits.
     pub fn set_allowed_rates(&self, allowed: AllowedRates) {
         if let Ok(mut budget) = self.budget.lock() {
-            budget.set_allowed(allowed);
+            budget.set_allowed_rates(allowed);
         }
     }
 
-    /// Waits until the budget allows one request with `writes` changes, at most `patience`.
-    fn admit(
+    /// Waits up to `timeout` until the rate budget allows one request with `writes` changes.
+    fn wait_for_budget(
         &self,
         writes: usize,
         priority: RequestPriority,
-        patience: Micros,
+        timeout: Micros,
     ) -> Result<(), StateStoreError> {
-        let deadline = steady() + patience;
+        let deadline = steady() + timeout;
         let Ok(mut budget) = self.budget.lock() else { return Err(StateStoreError::RateBudgetExceeded) };
         loop {
             let now = steady();
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Makes one HTTP call, notes whether the store is reachable and counts refusals for the rate.
+    /// Makes one HTTP call, and records whether the state store is reachable and whether it refused the call
+    /// because of its rate limits.
     fn call(
         &self,
         client: &Client,
@@ -113,11 +116,11 @@
     ) -> Result<ClientResponse, StateStoreError> {
         let body = body.map(Value::to_string);
         let result = client.call(method, path, body.as_deref().map(str::as_bytes), timeout);
-        self.note_reachability(&result);
+        self.update_reachability(&result);
         match result {
             Ok(ClientResponse { status: status::TOO_MANY_REQUESTS, .. }) => {
                 if let Ok(mut budget) = self.budget.lock() {
-                    budget.rate_refused();
+                    budget.record_rate_refusal();
                 }
                 Err(StateStoreError::Refused(status::TOO_MANY_REQUESTS))
             }
@@ -130,7 +133,8 @@
         }
     }
 
-    fn note_reachability(&self, result: &Result<ClientResponse, CallError>) {
+    /// Records whether the state store answered a call. Status 503 does not count as an answer.
+    fn update_reachability(&self, result: &Result<ClientResponse, CallError>) {
         let Ok(mut unreachable_since) = self.unreachable_since.lock() else { return };
         match result {
             Ok(ClientResponse { status: status::SERVICE_UNAVAILABLE, .. }) | Err(_) => {
@@ -145,7 +149,7 @@
     /// # Errors
     /// As any call.
     pub fn get(&self, key: &str, priority: RequestPriority) -> Result<Option<Row>, StateStoreError> {
-        self.admit(0, priority, BUDGET_PATIENCE)?;
+        self.wait_for_budget(0, priority, BUDGET_TIMEOUT)?;
         let response = self.call(&self.calls, "GET", &format!("/keys/{key}"), None, CALL_TIMEOUT)?;
         match response.status {
             status::OK => parse(&response.body).map(Some),
@@ -157,7 +161,7 @@
     /// Reads all keys with a prefix, page by page.
     ///
     /// # Errors
-    /// As any call; the first error ends the read.
+    /// As any call; the first error aborts the read.
     pub fn list(&self, prefix: &str) -> Result<KeyList, StateStoreError> {
         let mut rows: Vec<Row> = Vec::new();
         let mut revision = None;
@@ -175,7 +179,7 @@
     /// Reads the page of a list that begins after the row `last`.
     fn list_page(&self, prefix: &str, last: Option<&Row>) -> Result<RowPage, StateStoreError> {
         let from = last.map(|row| format!("&from={}", row.key)).unwrap_or_default();
-        self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
+        self.wait_for_budget(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let path = format!("/keys?starts={prefix}{from}&most={LIST_PAGE_ROWS}");
         let response = self.call(&self.calls, "GET", &path, None, CALL_TIMEOUT)?;
         match response.status {
@@ -187,8 +191,8 @@
     /// Executes a compare-and-swap transaction.
     ///
     /// # Errors
-    /// [`StateStoreError::LeaseNotFound`] if a put names a lease that is gone; [`StateStoreError::Rejected`] if
-    /// the store takes no such transaction (too large); otherwise as any call.
+    /// [`StateStoreError::LeaseNotFound`] if a put names a lease that does not exist any more;
+    /// [`StateStoreError::Rejected`] if the transaction is too large; otherwise as any call.
     pub fn txn(&self, txn: &Txn, priority: RequestPriority) -> Result<TxnOutcome, StateStoreError> {
         let response = self.send_txn(txn, priority)?;
         match response.status {
@@ -198,44 +202,46 @@
             status::CONFLICT => {
                 parse::<TxnConflict>(&response.body).map(|reply| TxnOutcome::Conflict(reply.failed))
             }
-            status::BAD_REQUEST => Err(self.txn_rejected(&response.body)),
+            status::BAD_REQUEST => Err(self.rejected_txn_error(&response.body)),
             other => Err(StateStoreError::Refused(other)),
         }
     }
 
-    /// Sends a transaction; one that a user waits for is tried again when it is refused for the rate.
+    /// Sends a transaction. If a user waits for it, it is tried again when the state store refuses it because
+    /// of its rate limits.
     fn send_txn(&self, txn: &Txn, priority: RequestPriority) -> Result<ClientResponse, StateStoreError> {
         let body = serde_json::to_value(txn).map_err(|e| StateStoreError::Malformed(e.to_string()))?;
         let mut tries = if priority == RequestPriority::User { USER_TXN_TRIES } else { 1 };
         loop {
-            self.admit(txn.then.len(), priority, BUDGET_PATIENCE)?;
+            self.wait_for_budget(txn.then.len(), priority, BUDGET_TIMEOUT)?;
             tries -= 1;
             match self.call(&self.calls, "POST", "/txn", Some(&body), CALL_TIMEOUT) {
-                // Too many changes at this moment, and a user waits: nothing was executed.
+                // The transaction was not executed, so that it can be sent again.
                 Err(StateStoreError::Refused(status::TOO_MANY_REQUESTS)) if tries > 0 => {}
                 result => return result,
             }
         }
     }
 
-    /// The error for a transaction that the store answered with 400.
-    fn txn_rejected(&self, body: &[u8]) -> StateStoreError {
+    /// Returns the error for a transaction that the state store answered with status 400. If a value or the
+    /// transaction is too large, the next rate limits are in force.
+    fn rejected_txn_error(&self, body: &[u8]) -> StateStoreError {
         let text = String::from_utf8_lossy(body).into_owned();
         if text.contains("no such lease") {
             return StateStoreError::LeaseNotFound;
         }
         if let Ok(mut budget) = self.budget.lock() {
-            budget.write_rejected();
+            budget.apply_next_rates();
         }
         StateStoreError::Rejected(text)
     }
 
-    /// Takes a new lease of `ttl` (whole milliseconds on the wire); returns its id.
+    /// Takes a new lease of duration `ttl`, which is sent in whole milliseconds; returns the lease's id.
     ///
     /// # Errors
     /// As any call.
     pub fn grant_lease(&self, ttl: Micros) -> Result<u64, StateStoreError> {
-        self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
+        self.wait_for_budget(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let body = json!(LeaseRequest { ttl_ms: ttl.millis() });
         let response = self.call(&self.calls, "POST", "/leases", Some(&body), CALL_TIMEOUT)?;
         match response.status {
@@ -247,9 +253,9 @@
     /// Renews a lease.
     ///
     /// # Errors
-    /// [`StateStoreError::LeaseNotFound`] if it is gone (lease expiry); otherwise as any call.
+    /// [`StateStoreError::LeaseNotFound`] if the lease does not exist any more; otherwise as any call.
     pub fn renew_lease(&self, lease: u64) -> Result<(), StateStoreError> {
-        self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
+        self.wait_for_budget(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         let path = format!("/leases/{lease}/renew");
         let response = self.call(&self.calls, "POST", &path, Some(&json!({})), LEASE_CALL_TIMEOUT)?;
         match response.status {
@@ -259,35 +265,35 @@
         }
     }
 
-    /// Ends a lease; the store removes the keys that are attached to it.
+    /// Ends a lease; the state store then deletes the keys that are attached to it.
     ///
     /// # Errors
-    /// As any call; a lease that is gone already is no error.
+    /// As any call; a lease that does not exist any more is no error.
     pub fn end_lease(&self, lease: u64) -> Result<(), StateStoreError> {
-        self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
+        self.wait_for_budget(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         self.call(&self.calls, "DELETE", &format!("/leases/{lease}"), None, LEASE_CALL_TIMEOUT).map(|_| ())
     }
 
-    /// What has changed under a prefix since a revision, by a read that does not block.
+    /// Reads the changes of keys with a prefix since a revision, without blocking.
     ///
     /// # Errors
-    /// [`StateStoreError::RevisionCompacted`] if the revision is compacted away; otherwise as any call.
+    /// [`StateStoreError::RevisionCompacted`] if the revision has been compacted; otherwise as any call.
     pub fn changes(
         &self,
         prefix: &str,
         from: u64,
         priority: RequestPriority,
     ) -> Result<WatchEvents, StateStoreError> {
-        self.admit(0, priority, BUDGET_PATIENCE)?;
+        self.wait_for_budget(0, priority, BUDGET_TIMEOUT)?;
         self.read_events(&self.calls, prefix, from, Micros::ZERO)
     }
 
-    /// Waits up to `block` for changes under a prefix since a revision.
+    /// Reads the changes of keys with a prefix since a revision, and waits up to `block` for the first one.
     ///
     /// # Errors
-    /// [`StateStoreError::RevisionCompacted`] if the revision is compacted away; otherwise as any call.
+    /// [`StateStoreError::RevisionCompacted`] if the revision has been compacted; otherwise as any call.
     pub fn watch(&self, prefix: &str, from: u64, block: Micros) -> Result<WatchEvents, StateStoreError> {
-        self.admit(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
+        self.wait_for_budget(0, RequestPriority::Leadership, CALL_TIMEOUT)?;
         self.read_events(&self.watches, prefix, from, block)
     }
 
