--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -87,7 +87,7 @@
         }
         RecordKey::Machine(id) => {
             // A machine whose record cannot be decoded may still run tasks. It is loaded with an empty
-            // record and counts as not reported until it sends a heartbeat or is scaled in.
+            // record and counts as unacknowledged until it sends a heartbeat or is scaled in.
             let machine =
                 decode::<MachineRecord>(fleet, UnreadableRecord::Other, &key, value).unwrap_or_default();
             fleet.inherit_machine(id, &machine, mod_revision, now);
--- a/src/records/job.rs
+++ b/src/records/job.rs
@@ -1,8 +1,10 @@
 //! The record of a live job, and the forms in which it is stored while tasks of the job are lent.
 //!
-//! Versions before 0.3 know nothing of loans. They must find a job with loans, or they take it for one that has
-//! ended and remove its progress; and they must neither start, cancel nor end it, since other cells hold tasks
-//! of it. See docs/cells.md, "Versions".
+//! Versions before 0.3 have no loans. If such a version cannot read the record of a job with loans, it
+//! assumes that the job has ended and deletes its progress. If it can read the record, it must neither
+//! start, cancel nor end the job, since other cells have borrowed tasks of it. The *held* form meets both
+//! conditions: the record is readable, but describes a job that these versions can neither start, cancel nor
+//! end. See docs/cells.md, "Versions".
 
 use milletlock_cells::Lending;
 use serde::{Deserialize, Serialize};
@@ -16,30 +18,31 @@
 pub struct JobRecord {
     /// The job as its user described it.
     pub spec: JobSpec,
-    /// When it was accepted, in microseconds since 1970 (UTC).
+    /// When the job was accepted, in microseconds since 1970 (UTC).
     pub submitted_us: i64,
-    /// Tasks with lower numbers may have been started. Versions without packed start marks wrote it here, and it
-    /// is written here with loans; otherwise it is under [`crate::keys::START_MARKS_PREFIX`].
+    /// Tasks with numbers below this start mark may have been started. The start mark is stored in this
+    /// record if the job has loans. Versions without packed start marks always stored it here. In all other
+    /// cases it is stored under [`crate::keys::START_MARKS_PREFIX`].
     pub start_mark: u32,
-    /// Loans to other cells, and whether the job is being cancelled while some are open.
+    /// Loans to other cells, and whether the job is being cancelled while loans are open.
     pub lending: Lending,
-    /// How the record is stored while the job has loans.
+    /// The form in which the record is stored while the job has loans.
     pub lent_form: LentForm,
 }
 
-/// How the record of a job with loans is stored.
+/// The form in which the record of a job with loans is stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LentForm {
-    /// With a description of which nothing can start or be complete, which all versions read, and a
-    /// [`FinalPlaceholder`] that keeps earlier ones from cancelling the job.
+    /// All versions can read the record, but versions before 0.3 cannot start any task of the job and never
+    /// see it complete. A [`FinalPlaceholder`] prevents them from cancelling or ending the job.
     #[default]
     Held,
-    /// As 0.3.0 to 0.3.2 write it: versions before 0.3 cannot read the record.
+    /// The form that 0.3.0 to 0.3.2 write. Versions before 0.3 cannot read the record.
     Hidden,
 }
 
 impl JobRecord {
-    /// The record of a job that has just been accepted.
+    /// Creates the record of a job that has just been accepted.
     pub fn new(spec: JobSpec, submitted_us: i64) -> JobRecord {
         JobRecord {
             spec,
@@ -55,18 +58,20 @@
         !self.lending.is_empty() && self.lent_form == LentForm::Held
     }
 
-    /// Whether a stored record is a held one that 0.3.0 to 0.3.2 wrote back; see [`JobRecord::restore`].
+    /// Whether a stored record is a held record that 0.3.0 to 0.3.2 have rewritten without its field `held`;
+    /// see [`JobRecord::restore`].
     pub fn is_stripped(value: &Value) -> bool {
         let description = value.get("spec").or_else(|| value.get("spec_of_lent"));
         let types = description.and_then(|description| description.get("breeds")).and_then(Value::as_array);
         types.is_some_and(Vec::is_empty) && value.get("held").is_none()
     }
 
-    /// A held record that 0.3.0 to 0.3.2 wrote back: they drop the fields of the job's own description, which
-    /// the placeholder still has.
+    /// Restores a held record that 0.3.0 to 0.3.2 have rewritten. They write it without the field `held`,
+    /// which contains the job's own values of the fields that differ in the held form. The placeholder
+    /// contains the same values.
     ///
     /// # Errors
-    /// If it is no such record.
+    /// If `value` is not such a record, or the placeholder does not match it.
     pub fn restore(value: Value, placeholder: FinalPlaceholder) -> Result<JobRecord, JobRecordError> {
         let stored: StoredJobRecord = serde_json::from_value(value)?;
         let description = stored.spec.or(stored.spec_of_lent).ok_or(JobRecordError::NoSpec)?;
@@ -81,21 +86,22 @@
     }
 }
 
-/// What stands under `final/<id>` while a job with loans is live: versions before 0.3 cancel and end jobs only
-/// where there is no such key. It is no final record, so that no version takes the job for ended.
+/// The value under `final/<id>` while a job with loans is live. Versions before 0.3 cancel and end a job
+/// only if this key does not exist. The value cannot be decoded as a final record, so that no version takes
+/// the job for ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinalPlaceholder {
     held: OwnFields,
 }
 
 impl FinalPlaceholder {
-    /// The placeholder of a job.
+    /// Creates the placeholder that is stored with a record.
     pub fn new(record: &JobRecord) -> FinalPlaceholder {
         FinalPlaceholder { held: OwnFields::of(record) }
     }
 }
 
-/// The fields of a job's own record in which the held one differs.
+/// The job's own values of the fields that have other values in the held form of the record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct OwnFields {
     #[serde(rename = "breeds")]
@@ -111,72 +117,80 @@
         OwnFields { types: types.clone(), tasks: *tasks, submitted_us: record.submitted_us }
     }
 
-    /// The job's own description, from the held one.
+    /// Returns the job's own description, given the held one.
     fn apply_to(self, held: JobSpec) -> Result<JobSpec, JobRecordError> {
-        if !is_held(&held) || held.tasks != held_tasks(self.tasks) {
+        if !is_held(&held) || held.tasks != held_task_count(self.tasks) {
             return Err(JobRecordError::NotHeld);
         }
         Ok(JobSpec { types: self.types, tasks: self.tasks, ..held })
     }
 }
 
-/// When a held job counts as accepted, in microseconds since 1970: in 2100, later than any other. Teams' guaranteed
-/// parts are given out by age, and one that starts nothing must not take its team's from jobs that could start.
+/// The time of acceptance in the held form of a record, in microseconds since 1970: the year 2100, later than
+/// any other job. Versions before 0.3 assign a team's guaranteed quota to its oldest jobs first. A held job
+/// cannot start under them and must not take that quota from jobs that can.
 const HELD_SUBMITTED_US: i64 = 4_102_444_800_000_000;
 
-/// The description of a job with loans for versions before 0.3. No machine type is allowed, so that no task
-/// starts. The job has one task more than there is, so that it is never complete: a refused end would hold up
-/// the urgent writes that such a version puts into the same transaction.
+/// The description in the held form of a record, which is made for versions before 0.3. It allows no machine
+/// type, so that these versions start no task. It has one task more than the job, so that the job never
+/// becomes complete. Otherwise such a version would try to write the job's end, which the placeholder
+/// prevents; this would also fail the urgent writes in the same transaction.
 fn held_spec(spec: JobSpec) -> JobSpec {
-    JobSpec { types: Some(Vec::new()), tasks: held_tasks(spec.tasks), ..spec }
+    JobSpec { types: Some(Vec::new()), tasks: held_task_count(spec.tasks), ..spec }
 }
 
-fn held_tasks(tasks: u32) -> u32 {
+/// Number of tasks in the held form of a job with `tasks` tasks.
+fn held_task_count(tasks: u32) -> u32 {
     tasks.saturating_add(1)
 }
 
-/// Whether a description is one for versions before 0.3. No user's is: a submission has to allow some type.
+/// Whether a description is one of the held form. A user's description never is: a submission has to allow at
+/// least one machine type.
 fn is_held(spec: &JobSpec) -> bool {
     spec.types.as_ref().is_some_and(Vec::is_empty)
 }
 
-/// Why a record of a job cannot be read.
+/// Why the record of a job cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum JobRecordError {
-    /// It has no description.
-    #[error("no description of the job")]
+    /// The record has no description of the job.
+    #[error("the job record has no description of the job")]
     NoSpec,
-    /// It has two descriptions.
-    #[error("two descriptions of the job")]
+    /// The record has both descriptions, the one for all versions and the one of the hidden form.
+    #[error("the job record has two descriptions of the job")]
     TwoSpecs,
-    /// It is held, but has no loans.
-    #[error("the record of a job with loans names none")]
+    /// The record has the held form but no loans.
+    #[error("the job record has the held form but contains no loans")]
     NoLoans,
-    /// It says what its description differs in from a held one, which it is not.
-    #[error("the description is not one of a held job")]
+    /// The record or placeholder has the job's own fields, but the description is not the held form of a job
+    /// with these fields.
+    #[error("the description in the job record is not the held form of the job")]
     NotHeld,
-    /// 0.3.0 to 0.3.2 wrote a held record back; see [`JobRecord::restore`].
-    #[error("the description of a held job without the job's own fields")]
+    /// The record has the description of a held job but not the field `held`, because 0.3.0 to 0.3.2 have
+    /// rewritten it; see [`JobRecord::restore`].
+    #[error("the job record has the description of a held job but not the job's own fields")]
     Stripped,
-    /// It is damaged in another way.
+    /// The record cannot be decoded.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
 }
 
-/// The record as it is stored.
+/// The record of a live job as it is stored.
 #[derive(Serialize, Deserialize)]
 struct StoredJobRecord {
-    /// The description, for all versions; of a held job the held one.
+    /// The description that all versions read: the job's own, or the held one in the held form.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     spec: Option<JobSpec>,
-    /// The description in the hidden form.
+    /// The job's own description in the hidden form, which versions before 0.3 do not read.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     spec_of_lent: Option<JobSpec>,
+    /// When the job was accepted, or [`HELD_SUBMITTED_US`] in the held form.
     submitted_us: i64,
     #[serde(rename = "high", default, skip_serializing_if = "is_zero")]
     start_mark: u32,
     #[serde(default, skip_serializing_if = "Lending::is_empty")]
     lending: Lending,
+    /// In the held form, the job's own values of the fields that the held form replaces.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     held: Option<OwnFields>,
 }
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -1,5 +1,5 @@
-//! The records that controllers keep in the state store, one struct for each kind. Where a field has
-//! another name in the code than in the stored JSON, a serde rename keeps the stored one.
+//! The records that controllers keep in the state store, one struct for each kind. If the name of a field in
+//! the stored JSON differs from its name in the code, a serde attribute sets the stored name.
 
 use std::collections::BTreeMap;
 
@@ -12,80 +12,80 @@
 
 pub use job::{FinalPlaceholder, JobRecord, JobRecordError, LentForm};
 
-/// The record of a job that has ended, under `final/<id>`. It is never removed.
+/// The record of a job that has ended, under `final/<id>`. It is never deleted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// `done` or `cancelled`.
+    /// [`Stage::Done`] or [`Stage::Cancelled`].
     pub stage: Stage,
     /// Number of tasks.
     pub tasks: u32,
 }
 
-/// The record of a machine, written before the first start on it. Many are packed into a value under
-/// `machines/<slot>`; earlier versions wrote one value a machine under `machine/<id>`, with longer
-/// field names.
+/// The record of a machine, which is written before the first task is started on the machine. Many records
+/// are packed into one value under `machines/<slot>`. Earlier versions wrote one value per machine under
+/// `machine/<id>`, with longer field names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// The shard it belongs to.
+    /// The shard to which the machine belongs.
     #[serde(rename = "p", alias = "part", default)]
     pub shard: u32,
     /// The leader's fencing token when the record was written.
     #[serde(rename = "n", alias = "token", default)]
     pub fencing_token: u64,
-    /// Address at which the worker takes commands, `ip:port`.
+    /// Address at which the worker accepts commands, `ip:port`.
     #[serde(rename = "a", alias = "addr", default)]
     pub address: String,
-    /// Name of its machine type.
+    /// Name of the machine type.
     #[serde(rename = "t", alias = "ty", default)]
     pub machine_type: String,
-    /// Name of its zone.
+    /// Name of the zone.
     #[serde(rename = "z", alias = "zone", default)]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "s", alias = "spot", default)]
     pub spot: bool,
-    /// Fields that a later version added; they are written back as they were read.
+    /// Fields that this version does not know; they are written back as they were read.
     #[serde(flatten)]
     pub other: BTreeMap<String, serde_json::Value>,
 }
 
-/// What a recent job asked for. A list of them is written from time to time under `recent`, so that a
-/// new leader does not scale in machines that the next job like it needs.
+/// The demand of a recent job. A list of these records is written periodically under `recent`, so that a new
+/// leader does not scale in machines that the next similar job needs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DemandRecord {
-    /// When it was submitted, in microseconds since 1970 (UTC).
+    /// When the job was submitted, in microseconds since 1970 (UTC).
     #[serde(rename = "at_us")]
     pub submitted_us: i64,
-    /// What a task needs: processors, accelerator cards, memory in GB.
+    /// Resources that a task needs: CPUs, GPUs, memory in GB.
     pub need: (f64, f64, f64),
-    /// Its priority.
+    /// The job's priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Names of the machine types it may use.
+    /// Names of the machine types that the job may use.
     pub types: Vec<String>,
-    /// Task-seconds, by the user's estimate of a task's run time.
+    /// Task-seconds of the job, by the user's estimate of a task's run time.
     #[serde(rename = "work")]
     pub task_seconds: f64,
-    /// The service-level objective of its class is shorter than a machine needs to boot and fetch an
-    /// image.
+    /// Whether the service-level objective of the job's class is shorter than the time that a new machine
+    /// needs to boot and to fetch an image.
     #[serde(rename = "hasty")]
     pub starts_before_boot: bool,
-    /// Machines that it takes at the same time, beyond the first.
+    /// Number of machines beyond the first that the job uses at the same time.
     #[serde(rename = "beside", default)]
     pub extra_machines: u32,
-    /// It has a deadline.
+    /// Whether the job has a deadline.
     #[serde(rename = "due", default)]
     pub has_deadline: bool,
-    /// It may use spot instances.
+    /// Whether the job may use spot instances.
     #[serde(default)]
     pub spot: bool,
 }
 
-/// The record of a cell from which tasks are borrowed, under `borrowed/lender/<cell>`.
+/// The record of a lender cell, under `borrowed/lender/<cell>`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LenderRecord {
-    /// Loans up to this number are not accepted any more.
+    /// Loans with numbers up to and including this one are not accepted any more.
     pub high_water: LoanNumber,
-    /// Tasks that were done here in closed loans.
+    /// Number of tasks of closed loans that were done in this cell.
     pub finished: u64,
 }
--- a/tests/lent_records.rs
+++ b/tests/lent_records.rs
@@ -1,5 +1,5 @@
-//! The record of a job with loans in each form that some version writes: which version reads what, when a form is
-//! written, and what a damaged record or placeholder does.
+//! The record of a job with loans in each form that any version writes: which versions read which form, when
+//! a form is written, and the effects of a damaged record or placeholder.
 
 mod common;
 
@@ -14,13 +14,14 @@
 use milletlock_cells::{Lending, Loan, LoanNumber};
 use serde_json::{json, Value};
 
-/// Tasks of the job in the fixtures.
+/// Number of tasks of the job in the fixtures.
 const FIXTURE_TASKS: u64 = 50;
-/// When it was accepted, and when it counts as accepted while it is held.
+/// When the job in the fixtures was accepted, in microseconds since 1970.
 const FIXTURE_SUBMITTED_US: i64 = 1_700_000_000_000_000;
+/// The time of acceptance in the held form of a record, in microseconds since 1970.
 const HELD_SUBMITTED_US: i64 = 4_102_444_800_000_000;
 
-/// The description of the job in the fixtures, as its user sent it.
+/// The description of the job in the fixtures as its user submitted it.
 fn description() -> Value {
     json!({
         "nameId": "wk-000001", "grain": "any", "owner": "free", "shape": "batch", "rank": "normal",
@@ -30,7 +31,7 @@
     })
 }
 
-/// The description as versions before 0.3 see it while the job has loans.
+/// The description in the held form of the record, which versions before 0.3 read while the job has loans.
 fn held_description() -> Value {
     let mut held = description();
     held["breeds"] = json!([]);
@@ -42,15 +43,17 @@
     json!({ "loans": [{ "number": 9, "guest": "there", "tasks": "30-49" }], "cancelling": cancelling })
 }
 
+/// The record without loans.
 fn plain() -> Value {
     json!({ "spec": description(), "submitted_us": FIXTURE_SUBMITTED_US, "high": 30 })
 }
 
-/// The fields in which the job's own description differs from the held one.
+/// The job's own values of the fields that differ in the held form.
 fn own_fields() -> Value {
     json!({ "breeds": ["small"], "kernels": FIXTURE_TASKS, "submitted_us": FIXTURE_SUBMITTED_US })
 }
 
+/// The held form of the record with a loan.
 fn held(cancelling: bool) -> Value {
     let mut held = plain();
     held["spec"] = held_description();
@@ -60,7 +63,7 @@
     held
 }
 
-/// As 0.3.0 to 0.3.2 write it.
+/// The hidden form of the record with a loan, as 0.3.0 to 0.3.2 write it.
 fn hidden(cancelling: bool) -> Value {
     let mut hidden = plain();
     hidden["spec_of_lent"] = description();
@@ -77,9 +80,10 @@
     serde_json::from_value(value.clone()).ok()
 }
 
-/// Guards against a record that this version reads as another one than was written, or writes in another form.
+/// Guards against a record that this version reads with other contents than were written, or writes back in
+/// another form.
 #[test]
-fn each_form_is_read_and_written_back_as_it_was() {
+fn each_record_form_is_read_and_written_back_unchanged() {
     let forms = [plain(), held(false), held(true), hidden(false), hidden(true)];
     for value in forms {
         let record = read(&value);
@@ -91,27 +95,28 @@
     assert_eq!(read(&hidden(false)).lent_form, LentForm::Hidden);
 }
 
-/// Guards against a version before 0.3 that may start or end something of a job with loans, or does not find it.
+/// Guards against a version before 0.3 that does not find a job with loans, or that starts tasks of the job
+/// or ends it.
 #[test]
-fn production_finds_a_job_with_loans_that_it_can_neither_start_nor_complete() {
+fn versions_before_0_3_find_a_job_with_loans_that_they_can_neither_start_nor_complete() {
     let mut job_record = read(&plain());
     let reads = |record: &JobRecord| read_by_production(&json!(record)).expect("it reads the record").spec;
-    assert_eq!(reads(&job_record), description(), "nothing is lent");
+    assert_eq!(reads(&job_record), description(), "while nothing is lent");
     let loans = vec![Loan { number: LoanNumber(1), borrower: "there".into(), tasks: tasks("1") }];
     for lending in [Lending { loans, cancelling: false }, Lending { loans: Vec::new(), cancelling: true }] {
         job_record.lending = lending;
         let seen = reads(&job_record);
         assert_eq!(seen["breeds"], json!([]), "a machine type is allowed");
-        assert_eq!(seen["kernels"], json!(FIXTURE_TASKS + 1), "it can be complete");
-        assert_eq!(seen, held_description(), "all else is as in the job's description");
+        assert_eq!(seen["kernels"], json!(FIXTURE_TASKS + 1), "the job can become complete");
+        assert_eq!(seen, held_description(), "other fields differ from the job's own description");
         let back: JobRecord = serde_json::from_value(json!(job_record)).expect("read by this version");
         assert_eq!((&back.lending, &back.spec), (&job_record.lending, &job_record.spec));
     }
     job_record.lending = Lending::default();
-    assert_eq!(reads(&job_record), description(), "and again once the loans are closed");
+    assert_eq!(reads(&job_record), description(), "after the loans are closed");
 }
 
-/// Guards against a job with loans that 0.3.0 to 0.3.2 do not find, or of which they start or lend something.
+/// Guards against a job with loans that 0.3.0 to 0.3.2 do not find, or of which they start or lend tasks.
 #[test]
 fn versions_0_3_0_to_0_3_2_find_a_held_job_with_its_loans() {
     let read =
@@ -127,16 +132,16 @@
     }
 }
 
-/// Guards against a placeholder that some version takes for the end of the job.
+/// Guards against a placeholder that any version takes for the job's final record.
 #[test]
-fn the_placeholder_is_no_final_record() {
+fn the_placeholder_cannot_be_read_as_a_final_record() {
     let placeholder = json!(FinalPlaceholder::new(&read(&plain())));
     assert_eq!(placeholder, json!({ "held": own_fields() }));
     assert!(read_final_record(&placeholder).is_none());
     assert!(serde_json::from_value::<milletlock::records::FinalRecord>(placeholder).is_err());
 }
 
-/// Guards against damaged records that are read as something else.
+/// Guards against damaged records that are read as valid ones.
 #[test]
 fn a_damaged_record_of_a_lent_job_is_unreadable() {
     let error = |value: Value| serde_json::from_value::<JobRecord>(value).expect_err("damaged").to_string();
@@ -146,15 +151,18 @@
         error(value)
     };
     let without_loans = damaged(|record| drop(record.remove("lending")));
-    assert_eq!(without_loans, "the record of a job with loans names none");
+    assert_eq!(without_loans, "the job record has the held form but contains no loans");
     let without_description = damaged(|record| drop(record.remove("spec")));
-    assert_eq!(without_description, "no description of the job");
+    assert_eq!(without_description, "the job record has no description of the job");
     let with_two = damaged(|record| drop(record.insert("spec_of_lent".into(), description())));
-    assert_eq!(with_two, "two descriptions of the job");
+    assert_eq!(with_two, "the job record has two descriptions of the job");
     let without_own_fields = damaged(|record| drop(record.remove("held")));
-    assert_eq!(without_own_fields, "the description of a held job without the job's own fields");
+    assert_eq!(
+        without_own_fields,
+        "the job record has the description of a held job but not the job's own fields"
+    );
     let with_another = damaged(|record| drop(record.insert("spec".into(), description())));
-    assert_eq!(with_another, "the description is not one of a held job");
+    assert_eq!(with_another, "the description in the job record is not the held form of the job");
     for damage in [json!("held"), json!({ "loans": "30-49" }), json!({ "loans": [{ "number": 9 }] })] {
         let mut damaged = held(false);
         damaged["lending"] = damage;
@@ -179,7 +187,7 @@
     world.store().row(key).map(|row| row.value)
 }
 
-/// A job with an open loan, of which nothing else happens any more.
+/// Lends tasks of a job, and lets the borrower accept no further loans.
 fn lent_job(world: &World, machine: &mut Machine) {
     let mut leader = world.leader();
     leader.begin_and_lend(machine);
@@ -187,7 +195,7 @@
     leader.lend();
 }
 
-/// The records of a job with an open loan as 0.3.2 left them.
+/// Lends tasks of a job, and stores the job's record as 0.3.2 writes it.
 fn lent_by_0_3_2(world: &World, machine: &mut Machine) {
     lent_job(world, machine);
     world.store().lend_as_0_3_2(JOB);
@@ -198,9 +206,9 @@
     record.get("spec").is_none() && record.get("spec_of_lent").is_some()
 }
 
-/// Guards against a record that a controller beside the leader cannot read.
+/// Guards against rewriting a record to a form that another controller cannot read.
 #[test]
-fn records_of_0_3_2_keep_their_form_until_all_controllers_read_the_held_one() {
+fn hidden_records_keep_their_form_until_all_controllers_read_the_held_form() {
     for version in ["", "0.1.0", "0.3.0", "0.3.2"] {
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         lent_by_0_3_2(&world, &mut machine);
@@ -210,21 +218,21 @@
         world.borrower().gives_back = held.iter().take(1).collect();
         (0..SETTLED).for_each(|_| leader.lend());
         let record = read(&world.job_row().expect("the job"));
-        assert_eq!(record.lending.tasks().len(), held.len() - 1, "{version}: a task is given back");
+        assert_eq!(record.lending.tasks().len(), held.len() - 1, "{version}: one task has been returned");
         assert!(is_hidden(&world), "{version}");
         assert_eq!(world.final_row(), None, "{version}");
         assert_eq!(leader.status()["lent_progress"]["hidden_records"], 1, "{version}");
         let cancelled = leader.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null);
-        assert_eq!(cancelled.0, 503, "{version}: the borrower holds tasks");
+        assert_eq!(cancelled.0, 503, "{version}: the borrower still has tasks");
         assert!(is_hidden(&world) && world.final_row().is_none(), "{version}: cancelling");
         leader.lend();
         assert_eq!(world.final_row().expect("ended")["stage"], "cancelled", "{version}");
     }
 }
 
-/// Guards against loans whose record a controller beside the leader cannot read.
+/// Guards against loans whose record another controller cannot read.
 #[test]
-fn nothing_is_lent_beside_a_controller_that_cannot_read_the_held_form() {
+fn nothing_is_lent_while_a_controller_cannot_read_the_held_form() {
     for version in ["", "0.1.0", "0.3.0", "0.3.2"] {
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         let mut leader = world.leader_beside(version);
@@ -242,9 +250,9 @@
     leader.lend_some(&mut machine);
 }
 
-/// Guards against a job that stays unreadable to versions before 0.3 after the rollout.
+/// Guards against a job record that versions before 0.3 still cannot read after the rollout of this version.
 #[test]
-fn records_of_0_3_2_are_rewritten_once_all_controllers_read_the_held_form() {
+fn hidden_records_are_rewritten_once_all_controllers_read_the_held_form() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     lent_by_0_3_2(&world, &mut machine);
     let before = read(&world.job_row().expect("the job"));
@@ -261,12 +269,16 @@
     assert_eq!((placeholder.value, placeholder.mod_revision), (own_fields, record.mod_revision));
     assert_eq!(leader.status()["lent_progress"]["hidden_records"], 0);
     leader.lend();
-    assert_eq!(world.store().mod_revision(&job_key()), record.mod_revision, "it is written once");
+    assert_eq!(
+        world.store().mod_revision(&job_key()),
+        record.mod_revision,
+        "the record is written more than once"
+    );
 }
 
-/// Guards against a record that outgrows a value when it is rewritten.
+/// Guards against a record that exceeds the limit of a value when it is rewritten.
 #[test]
-fn a_record_that_would_not_fit_a_value_keeps_its_form() {
+fn a_hidden_record_whose_held_form_exceeds_the_value_limit_keeps_its_form() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     lent_by_0_3_2(&world, &mut machine);
     let mut large = world.job_row().expect("the job");
@@ -279,9 +291,10 @@
     assert_eq!(leader.status()["lent_progress"]["hidden_records"], 1);
 }
 
-/// Guards against a start or an answer on a guess where a placeholder has no job.
+/// Guards against requests that are answered as if the job were known, when there is a placeholder but no job
+/// record.
 #[test]
-fn a_placeholder_without_a_job_is_named_and_kept() {
+fn a_placeholder_without_a_job_is_reported_as_unreadable_and_kept() {
     let world = World::new();
     put(&world, &final_key(), json!({ "held": true }));
     let leader = world.leader();
@@ -294,13 +307,14 @@
     assert_eq!(world.job_row(), None);
 }
 
-/// Guards against a job without its placeholder whose end is refused again and again, with the writes of others.
+/// Guards against a job without its placeholder whose end is refused repeatedly, together with the writes of
+/// other jobs in the same transaction.
 #[test]
-fn a_missing_or_strange_placeholder_holds_up_its_own_job_only() {
-    for strange in [None, Some(json!({ "stage": "done" })), Some(json!({ "held": true }))] {
+fn a_missing_or_unexpected_placeholder_blocks_only_its_own_job() {
+    for unexpected in [None, Some(json!({ "stage": "done" })), Some(json!({ "held": true }))] {
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         lent_job(&world, &mut machine);
-        match &strange {
+        match &unexpected {
             None => drop(world.store().keys.remove(&final_key())),
             Some(row) => put(&world, &final_key(), row.clone()),
         }
@@ -313,16 +327,16 @@
             machine.finish_all();
         }
         let ended = value(&world, "final/wk-000002");
-        assert_eq!(ended, Some(json!({ "stage": "done", "tasks": 2 })), "{strange:?}: the other job");
-        assert!(world.job_row().is_some(), "{strange:?}: the job is kept");
-        assert_eq!(world.final_row(), strange, "nothing is removed");
+        assert_eq!(ended, Some(json!({ "stage": "done", "tasks": 2 })), "{unexpected:?}: the other job");
+        assert!(world.job_row().is_some(), "{unexpected:?}: the job's record was deleted");
+        assert_eq!(world.final_row(), unexpected, "the value under the final key has changed");
         let keys = leader.status()["owner"]["unreadable"]["keys"].clone();
-        assert_eq!(keys, json!([final_key()]), "{strange:?}");
+        assert_eq!(keys, json!([final_key()]), "{unexpected:?}");
         assert_eq!(leader.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
     }
 }
 
-/// Guards against a submission that stands for a held job.
+/// Guards against a submission whose description looks like that of a held job.
 #[test]
 fn a_submission_that_allows_no_machine_type_is_refused() {
     let world = World::new();
