--- a/src/store_contact.rs
+++ b/src/store_contact.rs
@@ -1,40 +1,43 @@
-//! How long a leader may act without contact with the state store (its staleness bound).
+//! The staleness bound: how long a leader may act without contact with the state store.
 //!
-//! Any controller may confirm a cancellation through the state store, and so may another controller
-//! become leader. A leader that cannot read the store must therefore stop renewing the workers' leases
-//! so early that they expire within `cancel_s` of anything it may have missed. Every path that answers
-//! a heartbeat or sends a start checks [`StoreContact::may_act`] at the moment it does so.
+//! While a leader has no contact with the state store, another controller may confirm a cancellation through
+//! the state store or become the leader. A leader that cannot read the state store must therefore stop
+//! renewing the workers' leases early enough: they have to expire within `cancel_s` after any change that the
+//! leader may have missed. Every path that answers a heartbeat or sends the start of a task checks
+//! [`StoreContact::may_act`] immediately before it does so.
 
 use crate::time::{Micros, Steady};
 
-/// When a leader was last in contact with the state store.
+/// The times of a leader's last contact with the state store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreContact {
-    /// Start of the last complete read of the jobs' changes.
+    /// When the request of the last complete read of the jobs' changes was sent.
     last_read: Steady,
-    /// Start of the last lease renewal that was granted: no other controller led then.
+    /// When the request of the last granted lease renewal was sent. No other controller led at that time.
     last_renewal: Steady,
+    /// The maximum age of the last read and of the last renewal with which the leader may act.
     max_staleness: Micros,
 }
 
 impl StoreContact {
-    /// The contact of a leader whose claim, and the reads after it, began at `claimed`.
-    pub fn new(claimed: Steady, max_staleness: Micros) -> StoreContact {
-        StoreContact { last_read: claimed, last_renewal: claimed, max_staleness }
+    /// Creates the contact of a new leader whose election, followed by the first reads, began at
+    /// `election_start`.
+    pub fn new(election_start: Steady, max_staleness: Micros) -> StoreContact {
+        StoreContact { last_read: election_start, last_renewal: election_start, max_staleness }
     }
 
-    /// Notes that all changes were read by a request sent at this moment. A watch that blocks does
-    /// not count: one that stays silent may wait for a store that no longer answers this controller.
+    /// Records that all changes of jobs were read by a request that was sent at `sent`. A blocking watch must
+    /// not be recorded: if it returns no changes, the state store may no longer answer this controller.
     pub fn record_read(&mut self, sent: Steady) {
         self.last_read = self.last_read.max(sent);
     }
 
-    /// Notes that a renewal of the leader's lease, sent at this moment, was granted.
+    /// Records that a renewal of the leader's lease, sent at `sent`, was granted.
     pub fn record_renewal(&mut self, sent: Steady) {
         self.last_renewal = self.last_renewal.max(sent);
     }
 
-    /// The age of what the leader knows: of its last read or renewal, whichever is older.
+    /// The age of the last read or of the last renewal, whichever is older.
     pub fn age(&self, now: Steady) -> Micros {
         now - self.last_read.min(self.last_renewal)
     }
@@ -44,13 +47,14 @@
         now - self.last_read
     }
 
-    /// Whether the leader's own lease, of duration `ttl`, is known to be valid: until it ends no other
-    /// controller leads.
+    /// Whether the leader's own lease, of duration `ttl`, is known to be valid. No other controller can
+    /// become the leader before this lease ends.
     pub fn holds_lease(&self, now: Steady, ttl: Micros) -> bool {
         now - self.last_renewal < ttl
     }
 
-    /// Whether the leader may renew workers' leases and start tasks.
+    /// Whether the leader may renew workers' leases and start tasks: its last read and its last renewal are
+    /// within the staleness bound.
     pub fn may_act(&self, now: Steady) -> bool {
         self.age(now) <= self.max_staleness
     }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,5 +1,5 @@
-//! Time as whole microseconds. Spans, the steady clock and the time of day are three different
-//! types, so that a lease can never be counted on the wrong clock by mistake.
+//! Time in whole microseconds. Time spans, times on the steady clock and wall-clock times are three different
+//! types, so that a lease cannot be measured on the wrong clock by mistake.
 
 use std::ops::{Add, Sub};
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -8,18 +8,18 @@
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Longest span that is made from seconds, in seconds.
+/// Limit of the spans that are converted from seconds, in seconds.
 const MAX_SECONDS: f64 = 1e12;
 
-/// A span of time.
+/// A time span in microseconds; it may be negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub i64);
 
-/// A moment on this process's steady clock.
+/// A time on this process's steady (monotonic) clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Steady(pub i64);
 
-/// A moment by the time of day, in microseconds since 1970.
+/// A wall-clock time, in microseconds since 1970 (UTC).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Wall(pub i64);
 
@@ -27,7 +27,7 @@
     /// The empty span.
     pub const ZERO: Micros = Micros(0);
 
-    /// A span from seconds; values that are not finite count as zero.
+    /// Converts seconds to a span, clamped to ±1e12 seconds; values that are not finite become zero.
     pub fn from_secs(seconds: f64) -> Micros {
         if seconds.is_finite() {
             Micros((seconds.clamp(-MAX_SECONDS, MAX_SECONDS) * MICROS_PER_SECOND) as i64)
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A span from whole milliseconds.
+    /// Converts whole milliseconds to a span.
     pub const fn from_millis(milliseconds: i64) -> Micros {
         Micros(milliseconds * 1000)
     }
@@ -51,12 +51,12 @@
         self.0 as f64 / MICROS_PER_SECOND
     }
 
-    /// The span for the standard library; negative spans are empty.
+    /// Converts the span to a standard library duration; negative spans become zero.
     pub fn to_duration(self) -> Duration {
         Duration::from_micros(self.0.max(0) as u64)
     }
 
-    /// The span times a factor.
+    /// The span multiplied by `factor`, rounded towards zero.
     pub fn scale(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as i64)
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Implements `moment + span`, `moment - span` and `moment - moment` for a clock's moments.
+/// Implements `moment + span`, `moment - span` and `moment - moment` for the time type of a clock.
 macro_rules! moment_arithmetic {
     ($moment:ty) => {
         impl Add<Micros> for $moment {
@@ -102,8 +102,8 @@
 moment_arithmetic!(Steady);
 moment_arithmetic!(Wall);
 
-/// The steady clock's reading when a process first reads it. It is not zero, so that zero can stand
-/// for "long ago" in comparisons.
+/// The steady clock's time when a process first reads it. It is not zero, so that zero can stand for "long
+/// ago" in comparisons.
 const PROCESS_START: Steady = Steady(1_000_000_000);
 
 /// Reads the steady clock.
@@ -113,24 +113,24 @@
     Steady(origin.elapsed().as_micros() as i64 + PROCESS_START.0)
 }
 
-/// Reads the time of day.
+/// Reads the wall clock; zero if it is set to a time before 1970.
 pub fn wall() -> Wall {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     Wall(since_epoch.map(|span| span.as_micros() as i64).unwrap_or(0))
 }
 
-/// Where a controller reads the steady clock: the machine's, or one that a test sets.
+/// The steady clock that a controller reads: the operating system's, or one that a test sets.
 #[derive(Clone, Debug, Default)]
 pub enum Clock {
-    /// The machine's.
+    /// The operating system's steady clock.
     #[default]
     System,
-    /// Stands still until it is set, in microseconds.
+    /// A clock that only advances when a test sets it, in microseconds.
     Manual(Arc<AtomicI64>),
 }
 
 impl Clock {
-    /// The present moment.
+    /// Reads the present time.
     pub fn now(&self) -> Steady {
         match self {
             Clock::System => steady(),
