--- a/tests/common/state_store_server.rs
+++ b/tests/common/state_store_server.rs
@@ -1,5 +1,5 @@
-//! How the state store replies to requests, from the keys as they stand. Leases, refusals, lost replies and
-//! watches that wait each test models for itself.
+//! The state store's replies to requests, given its present keys. A test that needs leases, refusals, lost
+//! replies or blocking watches models them itself.
 
 use milletlock::http::{Request, Response};
 use milletlock::wire::Txn;
@@ -7,19 +7,19 @@
 
 use super::store::Store;
 
-/// A parameter of a request's query; empty if it is not there.
+/// The value of a query parameter of a request; empty if the request does not have it.
 pub fn parameter<'a>(request: &'a Request, name: &str) -> &'a str {
     let query = request.path.split_once('?').map_or("", |parts| parts.1);
     let value = |pair: &'a str| pair.split_once('=').filter(|p| p.0 == name).map(|p| p.1);
     query.split('&').find_map(value).unwrap_or("")
 }
 
-/// The transaction that a request asks for.
+/// Decodes the transaction in the body of a request.
 pub fn transaction(request: &Request) -> Txn {
     serde_json::from_slice(&request.body).expect("a transaction")
 }
 
-/// Replies to a transaction by its result.
+/// The response to a transaction with this result.
 pub fn transaction_response(store: &Store, result: Result<u64, Vec<String>>) -> Response {
     match result {
         Ok(revision) => Response::json(200, &json!({ "harvest": revision })),
@@ -27,7 +27,7 @@
     }
 }
 
-/// Replies to a list of keys, a watch (at once) or the read of a key.
+/// The response to a list of keys, to a watch, which is answered without blocking, or to the read of a key.
 pub fn read_response(store: &Store, request: &Request) -> Response {
     let path = request.path.split('?').next().unwrap_or("");
     match path {
@@ -46,12 +46,13 @@
     }
 }
 
-/// What a watch asks for: the keys' prefix, and the revision after which it wants changes.
+/// The parameters of a watch request: the prefix of the keys, and the revision after which changes are
+/// returned.
 pub fn watched(request: &Request) -> (&str, u64) {
     (parameter(request, "starts"), parameter(request, "from").parse().unwrap_or(0))
 }
 
-/// The changes of keys with a prefix after a revision.
+/// The changes of keys with a prefix after a revision, as events of a watch.
 pub fn events(store: &Store, prefix: &str, from: u64) -> Vec<Value> {
     let changes = store.changes_since(from).iter().filter(|change| change.1.starts_with(prefix));
     changes
--- a/tests/common/store.rs
+++ b/tests/common/store.rs
@@ -1,4 +1,4 @@
-//! A model of the state store's keys, and the transactions that users' requests lead to.
+//! A model of the state store's keys, and the transactions that controllers send for users' requests.
 
 use std::collections::BTreeMap;
 
@@ -8,22 +8,22 @@
 use milletlock::wire::{Change, Guard, JobSpec, Row, Stage, Txn};
 use serde_json::{json, Value};
 
-/// A plain model of the state store's keys.
+/// A model of the state store's keys in memory, without leases.
 #[derive(Default)]
 pub struct Store {
-    /// Key to value and version.
+    /// The value and the `mod_revision` of each key.
     pub keys: BTreeMap<String, (Value, u64)>,
-    /// Revision.
+    /// The revision of the last transaction.
     pub revision: u64,
-    /// All changes, with the value where one was put.
+    /// All changes: the revision, the key, and the value or `None` if the key was deleted.
     pub log: Vec<(u64, String, Option<Value>)>,
-    /// Whether it keeps the transactions that it executes.
+    /// Whether executed transactions are recorded in `executed`.
     pub keeps_executed: bool,
     pub executed: Vec<Txn>,
 }
 
 impl Store {
-    /// Executes a transaction: its revision, or the keys whose conditions failed.
+    /// Executes a transaction. Returns its revision, or the keys whose guards do not hold.
     pub fn txn(&mut self, t: &Txn) -> Result<u64, Vec<String>> {
         let failed: Vec<String> = t
             .guards
@@ -54,23 +54,23 @@
         Ok(self.revision)
     }
 
-    /// The executed transactions of which a late copy would be executed once more.
+    /// The recorded transactions of which a late copy would be executed again.
     pub fn repeatable(&self) -> Vec<&Txn> {
         let holds = |guard: &Guard| self.mod_revision(&guard.key) == guard.mod_revision;
         self.executed.iter().filter(|txn| txn.guards.iter().all(holds)).collect()
     }
 
-    /// A key's version; 0: it does not exist.
+    /// The `mod_revision` of a key; 0 if the key does not exist.
     pub fn mod_revision(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |k| k.1)
     }
 
-    /// A key as a row.
+    /// The row of a key; `None` if the key does not exist.
     pub fn row(&self, key: &str) -> Option<Row> {
         self.keys.get(key).map(|k| Row { key: key.into(), value: k.0.clone(), mod_revision: k.1 })
     }
 
-    /// All keys with a prefix.
+    /// The rows of all keys with a prefix.
     pub fn rows(&self, prefix: &str) -> Vec<Row> {
         self.keys.keys().filter(|k| k.starts_with(prefix)).filter_map(|k| self.row(k)).collect()
     }
@@ -81,34 +81,35 @@
         &self.log[from..]
     }
 
-    /// What a user's cancellation writes, by the job's live record as it stands; none: it is not live.
+    /// The transaction for a user's cancellation of a job, guarded by the job's present live record; `None`
+    /// if the job is not live.
     pub fn cancellation(&self, job: &JobSpec) -> Option<Txn> {
         let row = self.row(&job_key(&job.id))?;
-        let over = FinalRecord { stage: Stage::Cancelled, tasks: job.tasks };
+        let final_record = FinalRecord { stage: Stage::Cancelled, tasks: job.tasks };
         Some(Txn {
             guards: vec![
                 Guard { key: job_key(&job.id), mod_revision: row.mod_revision },
                 Guard { key: final_key(&job.id), mod_revision: 0 },
             ],
-            then: vec![Change::drop(job_key(&job.id)), Change::put(final_key(&job.id), json!(over))],
+            then: vec![Change::drop(job_key(&job.id)), Change::put(final_key(&job.id), json!(final_record))],
         })
     }
 
-    /// How a job ended, if its final record is written.
+    /// The final stage of a job; `None` if the job has no final record.
     pub fn final_stage(&self, id: &str) -> Option<Stage> {
         let row = self.row(&final_key(id))?;
         Some(serde_json::from_value::<FinalRecord>(row.value).expect("a final record").stage)
     }
 }
 
-/// What the submission of a job writes.
+/// The transaction for the submission of a job.
 pub fn submission(record: &JobRecord) -> Txn {
     let id = &record.spec.id;
     let guards = [job_key(id), final_key(id)].map(|key| Guard { key, mod_revision: 0 }).to_vec();
     Txn { guards, then: vec![Change::put(job_key(id), json!(record))] }
 }
 
-/// Takes out what is due by now of all that is delayed, in its order.
+/// Removes and returns the items of `delayed` that are due at `now`, in their order.
 pub fn take_due<T>(delayed: &mut Vec<(Steady, T)>, now: Steady) -> Vec<T> {
     let (due, rest) = std::mem::take(delayed).into_iter().partition(|d: &(Steady, T)| d.0 <= now);
     *delayed = rest;
--- a/tests/common/store_faults.rs
+++ b/tests/common/store_faults.rs
@@ -1,4 +1,4 @@
-//! Transactions that a state store loses on the way, whose answers it loses, or that it carries out late.
+//! Faults of the state store: transactions that are lost, whose answers are lost, or that are executed late.
 
 use std::collections::VecDeque;
 
@@ -8,29 +8,30 @@
 
 use super::store::Store;
 
-/// What becomes of a transaction.
+/// A fault of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It is carried out, and its answer is lost.
+    /// The transaction is executed, but its answer is lost.
     AnswerLost,
-    /// It is lost.
+    /// The transaction is lost.
     Lost,
-    /// It has no answer, and is carried out after the next one.
+    /// The transaction is not answered, and is executed after the next transaction.
     Late,
 }
 
-/// The fates of the transactions that write a job's record or its end.
+/// The faults of transactions that write a job's live or final record. Other transactions have no faults.
 #[derive(Default)]
 pub struct StoreFaults {
-    /// Those of the next ones; then all is well.
+    /// The faults of the next transactions, in order.
     pub next: VecDeque<Fate>,
-    /// For each of them, unless `next` has one: the share that has a fate.
+    /// Once `next` is empty: the random generator, and the fraction of transactions that have a fault.
     pub random: Option<(StdRng, f64)>,
+    /// Transactions that are still to be executed late.
     late: Vec<Txn>,
 }
 
 impl StoreFaults {
-    /// Carries out a transaction by its fate; no result: it is not answered.
+    /// Executes a transaction with its fault, if it has one; `None` if the transaction is not answered.
     pub fn execute(&mut self, store: &mut Store, txn: &Txn) -> Option<Result<u64, Vec<String>>> {
         let is_of_job = txn
             .then
@@ -48,6 +49,7 @@
         result.filter(|_| fate.is_none())
     }
 
+    /// The fault of the next transaction that writes a job's record; `None` if it has none.
     fn fate(&mut self) -> Option<Fate> {
         if let Some(fate) = self.next.pop_front() {
             return Some(fate);
--- a/tests/held_job_forms.rs
+++ b/tests/held_job_forms.rs
@@ -1,5 +1,5 @@
-//! Forms of the record of a job with loans: as 0.3.0 to 0.3.2 wrote it, and with descriptions so long that a value has
-//! little room for loans, or none.
+//! Forms of the record of a job with loans: the form that 0.3.0 to 0.3.2 wrote, and records with
+//! descriptions so long that the value has little or no space for loans.
 
 mod common;
 
@@ -9,23 +9,24 @@
 use common::spec;
 use serde_json::{json, Value};
 
-/// Machine types in a description that takes more than half of a value.
+/// Number of machine types in a description that takes more than half of a value.
 const MANY_TYPES: usize = 22;
 
-/// A long description in a record of the form of 0.3.2.
+/// Gives the job's record, in the form of 0.3.2, a long description.
 fn with_long_description(world: &World) {
     let mut store = world.store();
     let (record, _) = store.keys.get_mut(&format!("job/{JOB}")).expect("the job");
     record["spec_of_lent"]["breeds"] = type_names(MANY_TYPES);
 }
 
-/// Names of machine types of such a length that 31 leave no room for a loan, and one that there is.
+/// Names of `count` machine types that do not exist, and of one that exists. The names are so long that 31 of
+/// them leave no space for a loan.
 fn type_names(count: usize) -> Value {
     let others = (0..count).map(|number| format!("{number:0>115}"));
     json!(others.chain(["small".to_string()]).collect::<Vec<_>>())
 }
 
-/// A cell of 0.3.2 that has lent tasks; some are done, some run.
+/// A cell of version 0.3.2 that has lent tasks of a job. Some of its own tasks are done and some are running.
 fn lent_by_0_3_2() -> (World, Machine) {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
@@ -44,16 +45,18 @@
     }
 }
 
-/// Plays on until the job has ended; nothing but its final record is left.
+/// Runs the cells until the job has ended, and asserts that only its final record is left and that no task
+/// was started twice.
 fn play_to_the_end(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     run_until_ended(world, leader, machine, "", assert_values_fit);
     let twice: Vec<_> = machine.started.iter().filter(|(_, count)| **count > 1).collect();
     assert!(twice.is_empty(), "started more than once: {twice:?}");
 }
 
-/// Guards against progress of jobs that 0.3.2 has lent: a leader of this version makes it safe from production.
+/// Guards against the loss of progress of a job that 0.3.2 has lent, when a version before 0.3 leads. A
+/// leader of this version prevents the loss by rewriting the job's record.
 #[test]
-fn a_job_that_0_3_2_lent_outlasts_production_once_this_version_has_led() {
+fn a_job_lent_by_0_3_2_survives_a_leader_before_0_3_once_this_version_has_led() {
     let (world, mut machine) = lent_by_0_3_2();
     let mut leader = world.leader();
     leader.steps(&mut machine, 1);
@@ -69,11 +72,11 @@
     play_to_the_end(&world, &mut world.leader(), &mut machine);
 }
 
-/// Guards against guards that expect a placeholder where 0.3.2 wrote none.
+/// Guards against transactions whose guards expect a placeholder, although 0.3.2 wrote none.
 #[test]
-fn a_job_that_0_3_2_lent_is_settled_cancelled_and_ended() {
+fn a_job_lent_by_0_3_2_can_be_settled_cancelled_and_ended() {
     for is_cancelled in [false, true] {
-        // A controller that does not know the versions of the others leads and leaves the form as it is.
+        // A leader that does not know the versions of the other controllers does not change the form.
         for knows_versions in [false, true] {
             for has_long_description in [false, true] {
                 let (world, mut machine) = lent_by_0_3_2();
@@ -88,7 +91,7 @@
                 world.borrower().gives_back = given_back;
                 let before = world.job_row();
                 leader.lend();
-                assert_ne!(world.job_row(), before, "settled");
+                assert_ne!(world.job_row(), before, "the loan was not settled");
                 if is_cancelled {
                     world.borrower().is_cut_off = true;
                     assert_eq!(leader.cancel(), 503);
@@ -102,10 +105,10 @@
     }
 }
 
-/// Guards against a record that the state store rejects for its size, so that the job could not be lent, settled or
-/// cancelled any more.
+/// Guards against a record that the state store rejects because of its size, so that the job cannot be lent,
+/// settled or cancelled any more.
 #[test]
-fn a_job_whose_description_leaves_no_room_for_loans_runs_all_the_same() {
+fn a_job_whose_description_leaves_no_space_for_loans_still_runs() {
     let mut most_lent = Vec::new();
     for types in (4..32).step_by(3) {
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
@@ -130,9 +133,10 @@
     assert!(most_lent.contains(&0), "many types: {most_lent:?}");
 }
 
-/// Guards against questions about a job that get 503 while 0.3.2 leads and has written its record back.
+/// Guards against requests for a job that are answered with 503 after a leader of 0.3.2 has rewritten the
+/// job's record.
 #[test]
-fn a_follower_answers_about_a_job_whose_record_0_3_2_wrote_back() {
+fn a_follower_answers_requests_for_a_job_whose_record_0_3_2_has_rewritten() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.begin_and_lend(&mut machine);
--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -1,6 +1,6 @@
-//! The writes that lend tasks of a job, settle, cancel, end and write off: what an answer that is lost, a write that
-//! is lost and one that comes late do, and what is left under `final/`. The records are those that leaders of this
-//! version write.
+//! The writes that lend tasks of a job, settle and write off loans, and cancel and end the job. The tests
+//! check the effects of a lost answer, a lost write and a late write, and the value that is left under
+//! `final/`. The records are those that leaders of this version write.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use milletlock::wire::{Change, Txn};
 use serde_json::json;
 
-/// Writes of a job's record, in the order of a job's life.
+/// The writes of a job's record, in the order in which they occur.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Lend,
@@ -36,13 +36,13 @@
 
 const FATES: [Fate; 3] = [Fate::AnswerLost, Fate::Lost, Fate::Late];
 
-/// The borrower holds all that is lent to it, and takes nothing more.
+/// Lets the borrower accept the loans that are open, and no further ones.
 fn borrow_no_more(world: &World, leader: &mut Leader<'_>) {
     world.borrower().is_full = true;
     leader.lend();
 }
 
-/// A cell in which the next write of a job's record is the one of a step.
+/// A cell in which the next write of the job's record is that of `step`.
 fn world_before(step: Step) -> (World, Machine) {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     world.store().keeps_executed = true;
@@ -67,25 +67,26 @@
     (world, machine)
 }
 
-/// All tasks but those that run last are done, with a loan open.
+/// Runs the cells until all tasks are done except those that the machine reports as done next, while a loan
+/// is still open.
 fn all_done_but_not_ended(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
-    let held = world.borrower().tasks();
+    let borrowed = world.borrower().tasks();
     for _ in 0..TO_THE_END {
         leader.step(machine);
         let recorded = world.recorded_done().len() as u32;
-        if recorded + held.len() + machine.running().len() as u32 == TASKS {
+        if recorded + borrowed.len() + machine.running().len() as u32 == TASKS {
             break;
         }
         machine.finish_all();
     }
-    world.borrower().done = held;
+    world.borrower().done = borrowed;
     leader.lend();
     world.borrower().is_cut_off = true;
     leader.steps(machine, SETTLED);
     machine.finish_all();
 }
 
-/// A new leader that is about to take a step.
+/// A new leader whose next write of the job's record is that of `step`.
 fn leader_before<'a>(step: Step, world: &'a World, machine: &mut Machine) -> Leader<'a> {
     let mut leader = world.leader();
     if step != Step::EndDone {
@@ -94,13 +95,13 @@
     leader
 }
 
-/// Takes a step, whatever becomes of its write.
-fn take(step: Step, world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
+/// Makes the write of `step`, which may be lost, late or unanswered.
+fn perform(step: Step, world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     match step {
         Step::Lend => leader.lend(),
         Step::Settle => {
-            let held = world.borrower().tasks();
-            world.borrower().gives_back = held.iter().take(2).collect();
+            let borrowed = world.borrower().tasks();
+            world.borrower().gives_back = borrowed.iter().take(2).collect();
             leader.lend();
         }
         Step::CloseLastLoan => {
@@ -124,24 +125,25 @@
     world.job_row().is_some_and(|record| record.get("lending").is_some())
 }
 
-/// A job that is live has no final record, one without loans nothing under `final/`, and one that has ended nothing
-/// else. No late copy of a write would be carried out.
+/// Asserts that the stored records are consistent. A live job has no final record; without loans it has no
+/// value under `final/` at all. A job that has ended has only a final record there. No late copy of an
+/// executed write of the job would be executed again.
 fn assert_consistent(world: &World, context: &str) {
     let over = world.final_row();
     let is_final = over.as_ref().is_some_and(|value| read_final_record(value).is_some());
     match world.job_row() {
         Some(_) if has_loans(world) => assert!(!is_final, "{context}: {over:?}"),
         Some(_) => assert_eq!(over, None, "{context}: without loans"),
-        None => assert!(over.is_none() || is_final, "{context}: {over:?} of no live job"),
+        None => assert!(over.is_none() || is_final, "{context}: {over:?} without a live job"),
     }
     let store = world.store();
     let of_job = |txn: &&&Txn| txn.then.iter().any(|change| change.key().contains(JOB));
     let executed = store.repeatable();
     let repeatable: Vec<_> = executed.iter().filter(of_job).collect();
-    assert!(repeatable.is_empty(), "{context}: a late copy is carried out: {repeatable:?}");
+    assert!(repeatable.is_empty(), "{context}: a late copy would be executed: {repeatable:?}");
 }
 
-/// Plays on until the job has ended, by a leader that goes on or by the next one.
+/// Runs the cells until the job has ended, and asserts after each step that the records are consistent.
 fn play_to_the_end(world: &World, leader: &mut Leader<'_>, machine: &mut Machine, context: &str) {
     run_until_ended(world, leader, machine, context, |world| assert_consistent(world, context));
 }
@@ -151,9 +153,10 @@
     assert!(twice.is_empty(), "{context}: started more than once: {twice:?}");
 }
 
-/// Guards against a write that does harm when its answer is lost, when it is lost, or when it comes late.
+/// Guards against inconsistent records and repeated starts after a write that is lost, is executed late or
+/// whose answer is lost.
 #[test]
-fn a_write_without_an_answer_does_no_harm() {
+fn an_unanswered_write_leaves_consistent_records_and_starts_no_task_twice() {
     for step in STEPS {
         for fate in FATES {
             for is_replaced in [false, true] {
@@ -161,7 +164,7 @@
                 let (world, mut machine) = world_before(step);
                 let mut leader = leader_before(step, &world, &mut machine);
                 world.faults().next = [fate].into();
-                take(step, &world, &mut leader, &mut machine);
+                perform(step, &world, &mut leader, &mut machine);
                 assert!(world.faults().next.is_empty(), "{context}: nothing was written");
                 assert_consistent(&world, &context);
                 if is_replaced {
@@ -177,15 +180,16 @@
     }
 }
 
-/// Guards against late copies that are carried out, and a placeholder that outlasts what it stands for.
+/// Guards against late copies of writes that are executed, and against a placeholder that remains after the
+/// loans are closed.
 #[test]
-fn each_write_leaves_consistent_records_and_no_late_copy_applies() {
+fn each_write_leaves_consistent_records_and_no_late_copy_is_executed() {
     for step in STEPS {
         let context = format!("{step:?}");
         let (world, mut machine) = world_before(step);
         assert_consistent(&world, &context);
         let mut leader = leader_before(step, &world, &mut machine);
-        take(step, &world, &mut leader, &mut machine);
+        perform(step, &world, &mut leader, &mut machine);
         assert_consistent(&world, &context);
         let is_held = matches!(step, Step::Lend | Step::Settle | Step::Cancel);
         assert_eq!(has_loans(&world), is_held, "{context}: {:?}", world.job_row());
@@ -195,9 +199,10 @@
     }
 }
 
-/// Guards against a restored record whose write is lost, late or without an answer.
+/// Guards against inconsistent records and repeated starts after the write of a restored record that is
+/// lost, is executed late or whose answer is lost.
 #[test]
-fn a_restoring_write_without_an_answer_does_no_harm() {
+fn an_unanswered_restoring_write_leaves_consistent_records_and_starts_no_task_twice() {
     for fate in FATES {
         for closes_loans in [false, true] {
             for is_replaced in [false, true] {
@@ -230,9 +235,10 @@
     }
 }
 
-/// Guards against a restoring write that is never sent again where no `cells` block has messages sent.
+/// Guards against a restoring write that is never sent again by a leader without a `cells` block in its
+/// settings, which sends no messages to other cells.
 #[test]
-fn a_restoring_write_is_sent_again_by_a_leader_without_cells() {
+fn a_restoring_write_is_sent_again_by_a_leader_without_a_cells_block() {
     for fate in FATES {
         let context = format!("{fate:?}");
         let (world, mut machine) = world_before(Step::Settle);
@@ -248,7 +254,8 @@
     }
 }
 
-/// Guards against a write that replaces how a job has ended: each is guarded by what stands under `final/`.
+/// Guards against a write that replaces the final record of a job. Each write is guarded by the value under
+/// `final/`.
 #[test]
 fn no_write_replaces_a_final_record() {
     let ended = json!({ "stage": "done", "tasks": TASKS });
@@ -257,11 +264,11 @@
         let (world, mut machine) = world_before(step);
         let mut leader = leader_before(step, &world, &mut machine);
         world.store().txn(&Txn { guards: Vec::new(), then: vec![put()] }).expect("written");
-        take(step, &world, &mut leader, &mut machine);
+        perform(step, &world, &mut leader, &mut machine);
         leader.steps(&mut machine, SETTLED);
         assert_eq!(world.final_row().as_ref(), Some(&ended), "{step:?}");
     }
-    // Of a job of which nothing is lent.
+    // The same holds for a job of which nothing is lent.
     let (world, _) = world_before(Step::Lend);
     let leader = world.leader();
     world.store().txn(&Txn { guards: Vec::new(), then: vec![put()] }).expect("written");
@@ -269,23 +276,23 @@
     assert_eq!(world.final_row(), Some(ended));
 }
 
-/// Guards against a cancellation of the earlier version that comes late, once the loans are closed.
+/// Guards against a cancellation by the earlier version that is executed late, after the loans are closed.
 #[test]
-fn a_refused_cancellation_of_the_earlier_version_does_not_apply_later() {
+fn a_refused_cancellation_by_the_earlier_version_is_not_executed_later() {
     let (world, mut machine) = world_before(Step::CloseLastLoan);
     let late = world.store().production_cancellation(JOB);
     let is_refused = || late.as_ref().is_none_or(|txn| world.store().txn(txn).is_err());
     let mut leader = world.leader();
     leader.steps(&mut machine, 1);
     assert!(is_refused(), "a loan is open");
-    take(Step::CloseLastLoan, &world, &mut leader, &mut machine);
+    perform(Step::CloseLastLoan, &world, &mut leader, &mut machine);
     assert!(!has_loans(&world));
-    assert!(is_refused(), "the job has changed since");
+    assert!(is_refused(), "the job has changed since the cancellation was sent");
 }
 
-/// Guards against a cancellation that is confirmed by one version and not by the other.
+/// Guards against a cancellation that one version confirms and the other does not.
 #[test]
-fn a_cancellation_beside_the_earlier_leader_takes_effect_under_this_version() {
+fn a_cancellation_requested_under_an_earlier_leader_takes_effect_under_this_version() {
     let (world, mut machine) = world_before(Step::Cancel);
     let follower = world.follower();
     let (started, running) = (machine.started.clone(), machine.running());
@@ -299,7 +306,7 @@
     assert_eq!(world.job_row().expect("live")["lending"]["cancelling"], true);
     earlier.steps(&mut machine, SETTLED);
     assert_eq!(users.cancel(&mut world.store(), JOB), CancelAnswer::Refused);
-    assert_eq!(machine.running(), running, "it runs on, since nothing was confirmed");
+    assert_eq!(machine.running(), running, "tasks stopped although no cancellation was confirmed");
     let mut leader = world.leader();
     world.borrower().is_cut_off = false;
     for _ in 0..SETTLED {
@@ -313,14 +320,15 @@
     assert_eq!(users.cancel(&mut world.store(), JOB), CancelAnswer::AlreadyOver("cancelled".into()));
 }
 
-/// Guards against a placeholder that stays, or that holds up the end, under a leader without the `cells` block.
+/// Guards against a placeholder that remains or that prevents the job's end, under a leader without a `cells`
+/// block in its settings.
 #[test]
 fn a_leader_without_the_cells_block_ends_the_job_with_its_placeholder() {
     let (world, mut machine) = world_before(Step::EndDone);
     assert!(has_loans(&world) && world.final_row().is_some());
     let mut leader = world.leader_without_cells();
     leader.steps(&mut machine, 2 * SETTLED);
-    assert_consistent(&world, "without the block");
+    assert_consistent(&world, "without the cells block");
     assert_eq!(world.final_row().expect("ended")["stage"], "done");
     let store = world.store();
     let left: Vec<&String> = store.keys.keys().filter(|key| key.contains(JOB)).collect();
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -1,5 +1,5 @@
-//! A controller whose write of a loan has no reply: it may have been carried out, so none of the tasks
-//! starts here until that is known.
+//! A controller whose write of a loan is not answered. The write may have been executed, so that none of the
+//! loan's tasks may start in the lender cell until the outcome is known.
 
 mod common;
 
@@ -24,7 +24,7 @@
     "cells {\n name = \"here\"\n others = [{ name = \"there\", controllers = [\"127.0.0.1:1\"] }]\n \
                      lend = [\"any\"]\n lend_after_s = 0\n}\n";
 
-/// Time that passes between two heartbeats.
+/// Time between two heartbeats.
 const STEP: Micros = Micros(200_000);
 
 /// Replies as the leader of another cell that has capacity.
@@ -32,7 +32,7 @@
     reply_as("there", 1, out)
 }
 
-/// Replies under a name, as the leader of a term.
+/// Replies as the leader of the cell `name` in `term`.
 fn reply_as(name: &str, term: u64, out: OutboundMessage) -> Result<(), PeerError> {
     let summary = proto::CellSummary {
         form: 1,
@@ -46,43 +46,43 @@
     Ok(())
 }
 
-/// A state store that carries out writes of loans, and replies to none of them while told so.
-fn state_store(store: Arc<Mutex<Store>>, drops: Arc<AtomicBool>) -> std::net::SocketAddr {
-    serve_some(move |r| {
-        let mut store = store.lock().expect("the store");
-        match (r.method.as_str(), r.path.split('?').next().unwrap_or("")) {
+/// Serves a state store. While `drops_loan_replies` is set, it executes writes of loans without a reply.
+fn state_store(store: Arc<Mutex<Store>>, drops_loan_replies: Arc<AtomicBool>) -> std::net::SocketAddr {
+    serve_some(move |request| {
+        let mut store = store.lock().expect("the state store");
+        match (request.method.as_str(), request.path.split('?').next().unwrap_or("")) {
             ("POST", "/leases") => Some(Response::json(200, &json!({ "tenure": 1 }))),
             ("POST", "/txn") => {
-                let txn = transaction(&r);
+                let txn = transaction(&request);
                 let of_leader = txn.guards.iter().any(|guard| guard.key == SHARD_KEY);
                 let is_loan =
                     of_leader && txn.then.iter().any(|change| format!("{change:?}").contains("spec_of_lent"));
                 let result = store.txn(&txn);
-                let is_dropped = is_loan && drops.load(Ordering::SeqCst);
+                let is_dropped = is_loan && drops_loan_replies.load(Ordering::SeqCst);
                 (!is_dropped).then(|| transaction_response(&store, result))
             }
-            ("GET", _) => Some(read_response(&store, &r)),
+            ("GET", _) => Some(read_response(&store, &request)),
             _ => Some(Response::json(200, &json!({}))),
         }
     })
 }
 
-/// Sends a request of a worker or another cell to a controller.
+/// Sends a request of a worker or a user to a controller.
 fn post(node: &Controller, path: &str, body: Vec<u8>) -> Response {
     node.answer(&Request { method: "POST".into(), path: path.into(), body }, RequestOrigin::Http)
 }
 
-/// Lets a worker send heartbeats until nothing more starts; the tasks that are on it.
+/// Lets a worker send twelve heartbeats, and returns the tasks that were started on it.
 fn started(node: &Controller, clock: &AtomicI64) -> Vec<String> {
-    let (mut there, mut fencing_token) = (Vec::<(String, u64)>::new(), 0);
+    let (mut on_worker, mut fencing_token) = (Vec::<(String, u64)>::new(), 0);
     for _ in 0..12 {
         let sequence = clock.load(Ordering::SeqCst) as u64;
-        let tasks: Vec<_> = there.iter().map(|t| (t.0.as_str(), t.1, TaskStage::Running, None)).collect();
+        let tasks: Vec<_> = on_worker.iter().map(|t| (t.0.as_str(), t.1, TaskStage::Running, None)).collect();
         let message = Heartbeat { spot: false, ..heartbeat("i-000001", sequence, fencing_token, &tasks) };
         let response = post(node, "/checkin", serde_json::to_vec(&message).expect("a heartbeat"));
         let reply: HeartbeatReply = serde_json::from_slice(&response.body).expect("a reply");
         fencing_token = reply.fencing_token;
-        there.extend(reply.commands.into_iter().filter_map(|order| match order {
+        on_worker.extend(reply.commands.into_iter().filter_map(|command| match command {
             WorkerCommand::Start { task, attempt } => Some((task, attempt)),
             _ => None,
         }));
@@ -90,10 +90,11 @@
         node.plan_once();
         node.write_once();
     }
-    there.into_iter().map(|t| t.0).collect()
+    on_worker.into_iter().map(|t| t.0).collect()
 }
 
-/// A controller that leads its cell, with an array of six tasks to lend.
+/// A controller that leads its cell and has a job array of six tasks to lend. `carry` carries its messages to
+/// other controllers.
 fn controller(
     state: std::net::SocketAddr,
     clock: &Arc<AtomicI64>,
@@ -103,7 +104,7 @@
     p["services"] = json!({ "cloud": cloud(), "state": state });
     let platform = PlatformConfig::parse(&p.to_string(), "test").expect("settings");
     let operator = OperatorConfig::parse(CELLS, "test").expect("settings");
-    let choice = LendingPolicy::new(operator.cells.as_ref().expect("cells"));
+    let policy = LendingPolicy::new(operator.cells.as_ref().expect("cells"));
     let cfg = Config { platform, operator };
     let node =
         Controller::new(cfg, PeerHub::with_transport(0, carry), Clock::Manual(clock.clone()), Arc::default());
@@ -112,7 +113,7 @@
     node.maintain_leadership_once(Micros::from_secs(3.0));
     let submission = json!(spec(1, 6, "batch")).to_string().into_bytes();
     assert_eq!(post(&node, "/api/jobs", submission).status, 201);
-    (node, choice)
+    (node, policy)
 }
 
 fn job_record(store: &Mutex<Store>) -> serde_json::Value {
@@ -120,24 +121,25 @@
 }
 
 #[test]
-fn tasks_of_a_loan_whose_write_has_no_reply_do_not_start_here() {
-    let (store, drops) = (Arc::<Mutex<Store>>::default(), Arc::new(AtomicBool::new(true)));
+fn tasks_of_a_loan_whose_write_is_unanswered_do_not_start_at_the_lender() {
+    let (store, drops_loan_replies) = (Arc::<Mutex<Store>>::default(), Arc::new(AtomicBool::new(true)));
     let clock = Arc::new(AtomicI64::new(1_000_000_000));
-    let state = state_store(store.clone(), drops.clone());
-    let (node, mut choice) = controller(state, &clock, other_cell);
-    node.lend_once(&mut choice);
+    let state = state_store(store.clone(), drops_loan_replies.clone());
+    let (node, mut policy) = controller(state, &clock, other_cell);
+    node.lend_once(&mut policy);
     let lent = job_record(&store);
-    assert_eq!(lent["lending"]["loans"][0]["tasks"], "1-5", "it was carried out: {lent}");
-    assert_eq!(started(&node, &clock), ["wk-000001/0"], "the others may be lent");
-    // Sent again it fails, since it was carried out: what is recorded is read.
-    drops.store(false, Ordering::SeqCst);
-    node.lend_once(&mut choice);
+    assert_eq!(lent["lending"]["loans"][0]["tasks"], "1-5", "the write of the loan was not executed: {lent}");
+    assert_eq!(started(&node, &clock), ["wk-000001/0"], "the other tasks may be lent");
+    // The write is sent again and fails, because it was executed before. The controller then reads the
+    // record.
+    drops_loan_replies.store(false, Ordering::SeqCst);
+    node.lend_once(&mut policy);
     assert!(started(&node, &clock).iter().all(|task| task == "wk-000001/0"));
 }
 
-/// Replies under another name, or of a leader that was replaced, change nothing.
+/// Replies of a cell with another name, and of a leader that has been replaced, cause no loan.
 #[test]
-fn a_reply_of_another_cell_or_of_an_older_term_lends_nothing() {
+fn a_reply_from_another_cell_or_an_older_term_causes_no_loan() {
     let store = Arc::<Mutex<Store>>::default();
     let clock = Arc::new(AtomicI64::new(1_000_000_000));
     let state = state_store(store.clone(), Arc::default());
@@ -147,24 +149,24 @@
         let name: &str = *name_now.lock().expect("a name");
         reply_as(name, term_now.load(Ordering::SeqCst) as u64, out)
     };
-    let (node, mut choice) = controller(state, &clock, carry);
+    let (node, mut policy) = controller(state, &clock, carry);
     let is_lent = || job_record(&store).get("lending").is_some();
-    node.lend_once(&mut choice);
-    assert!(!is_lent(), "another name");
-    // Without a choice to lend, the term is noted all the same.
+    node.lend_once(&mut policy);
+    assert!(!is_lent(), "tasks are lent after a reply of another cell");
+    // The term of a reply is recorded even if the policy lends nothing.
     *name.lock().expect("a name") = "there";
     let mut never = LendingPolicy::new(&never_lends());
     node.lend_once(&mut never);
     assert!(!is_lent());
     term.store(4, Ordering::SeqCst);
-    node.lend_once(&mut choice);
-    assert!(!is_lent(), "an older term");
+    node.lend_once(&mut policy);
+    assert!(!is_lent(), "tasks are lent after a reply of an older term");
     term.store(5, Ordering::SeqCst);
-    node.lend_once(&mut choice);
+    node.lend_once(&mut policy);
     assert!(is_lent());
 }
 
-/// The same settings with a script that lends nothing.
+/// The settings of the lender with a lending script that lends nothing.
 fn never_lends() -> milletlock::config::CellsSettings {
     let text = CELLS.replace("lend_after_s = 0", "script = \"fn portion(view) { 0 }\"");
     OperatorConfig::parse(&text, "test").expect("settings").cells.expect("cells")
--- a/tests/refused_writes.rs
+++ b/tests/refused_writes.rs
@@ -1,4 +1,4 @@
-//! Writes that are refused again and again, for a row that cannot be read.
+//! Writes that are refused repeatedly because of an unreadable row.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use milletlock_cells::{Loan, LoanNumber};
 use serde_json::{json, Value};
 
-/// Tasks in a chunk of done ranges.
+/// Number of tasks in a chunk of done ranges.
 const CHUNK: u32 = 1000;
 
 fn put(store: &mut Store, key: &str, value: Value) {
@@ -20,7 +20,7 @@
     store.txn(&Txn { guards: Vec::new(), then }).expect("written");
 }
 
-/// Carries out all writes that are due, and reads back what was refused; how many were refused.
+/// Executes all pending writes and reads back the keys of refused ones. Returns the number of refused writes.
 fn write_all(fleet: &mut Fleet, store: &mut Store, now: Steady) -> usize {
     let pending = fleet.pending_writes(now, Micros::ZERO, CHUNK);
     let shard = store.mod_revision(SHARD_KEY);
@@ -43,9 +43,9 @@
     refused
 }
 
-/// Guards against a row that cannot be read and holds up the done ranges of other jobs.
+/// Guards against an unreadable row of one job that prevents the writes of other jobs' done ranges.
 #[test]
-fn a_row_that_cannot_be_read_holds_up_its_own_job_only() {
+fn an_unreadable_row_blocks_only_its_own_job() {
     let mut store = Store::default();
     put(&mut store, SHARD_KEY, json!({ "label": "c-0" }));
     for number in 1..=2 {
@@ -59,14 +59,18 @@
     fleet.lent_tasks_done("wk-000001", &tasks("0-4"));
     fleet.lent_tasks_done("wk-000002", &tasks("0-4"));
     let refused: usize = (0..5).map(|_| write_all(&mut fleet, &mut store, now)).sum();
-    assert_eq!(store.rows("done/wk-000002/").len(), 1, "the other job's done ranges, {refused} refused");
+    assert_eq!(
+        store.rows("done/wk-000002/").len(),
+        1,
+        "done ranges of the other job are not written, {refused} writes refused"
+    );
     assert_eq!(store.row(&row).map(|row| row.value), Some(json!({ "form": 2 })));
-    assert!(refused <= 1, "{refused} refused");
+    assert!(refused <= 1, "{refused} writes refused");
 }
 
-/// Guards against a copy of a start mark that cannot be read and holds up the ends of other jobs.
+/// Guards against an unreadable copy of one job's start mark that prevents the end of other jobs.
 #[test]
-fn a_copied_start_mark_that_cannot_be_read_holds_up_its_own_job_only() {
+fn an_unreadable_start_mark_copy_blocks_only_its_own_job() {
     let mut store = Store::default();
     put(&mut store, SHARD_KEY, json!({ "label": "c-0" }));
     let mut lent = record(spec(1, 40, "batch"));
@@ -81,7 +85,7 @@
     leadership::load_records(&mut fleet, store.rows(""), now, Wall(now.0));
     fleet.lent_tasks_done("wk-000002", &tasks("0-9"));
     let refused: usize = (0..5).map(|_| write_all(&mut fleet, &mut store, now)).sum();
-    assert!(store.row("final/wk-000002").is_some(), "the other job has not ended, {refused} refused");
+    assert!(store.row("final/wk-000002").is_some(), "the other job has not ended, {refused} writes refused");
     assert_eq!(store.row("lent/marks/wk-000001").map(|row| row.value), Some(json!({ "form": 2 })));
-    assert!(refused <= 1, "{refused} refused");
+    assert!(refused <= 1, "{refused} writes refused");
 }
--- a/tests/task_ranges.rs
+++ b/tests/task_ranges.rs
@@ -1,11 +1,11 @@
-//! Sets of task numbers: they behave as sets, and are kept and written in their shortest form.
+//! Sets of task numbers: they behave like sets, and their ranges and text form are as short as possible.
 
 use std::collections::BTreeSet;
 
 use milletlock::task_ranges::TaskRanges;
 use proptest::prelude::*;
 
-/// The shortest text of a set: sorted runs, none next to another.
+/// The shortest text form of a set: sorted ranges, none of which adjoins the next.
 fn shortest(model: &BTreeSet<u32>) -> String {
     let mut runs: Vec<(u32, u32)> = Vec::new();
     for &x in model {
@@ -21,7 +21,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..Default::default() })]
     #[test]
-    fn ranges_are_a_set(ops in prop::collection::vec((any::<bool>(), 0u32..40), 0..120)) {
+    fn task_ranges_behave_like_a_set(ops in prop::collection::vec((any::<bool>(), 0u32..40), 0..120)) {
         let (mut r, mut model) = (TaskRanges::new(), BTreeSet::new());
         for (add, x) in ops {
             if add {
@@ -29,7 +29,7 @@
             } else {
                 prop_assert_eq!(r.remove(x), model.remove(&x));
             }
-            // The text has a part for each range that is kept, so this is its form inside as well.
+            // The text has one part for each range, so that this checks the ranges as well.
             prop_assert_eq!(r.text(), shortest(&model));
         }
         prop_assert_eq!(r.iter().collect::<Vec<_>>(), model.iter().copied().collect::<Vec<_>>());
--- a/tests/withheld_writes.rs
+++ b/tests/withheld_writes.rs
@@ -1,5 +1,5 @@
-//! A state store that carries out one write of a lent job and withholds the next: each guard that waits for a write
-//! of its own is tested apart from those that wait for others.
+//! A state store that executes some writes of a lent job and withholds others. Each condition that waits for
+//! a write is thereby tested separately from conditions that wait for other writes.
 
 mod common;
 
@@ -16,7 +16,7 @@
 
 const JOB: &str = "wk-000001";
 
-/// Acknowledges the writes that are not withheld.
+/// Executes the pending writes that are not withheld.
 fn acknowledge(fleet: &mut Fleet, now: Steady, is_withheld: impl Fn(&PendingWrite) -> bool) {
     let pending = fleet.pending_writes(now, Micros::ZERO, 1000);
     let (_, answered): (Vec<_>, Vec<_>) = pending.into_iter().partition(is_withheld);
@@ -27,18 +27,18 @@
     }
 }
 
-/// Three seconds in which all that runs is done and only those writes are carried out that are not withheld;
-/// returns the highest task that is on a machine.
+/// Advances the time by three seconds, executes the writes that are not withheld and reports all running
+/// tasks as done. Returns the highest number of a task on a machine.
 fn step(scenario: &mut Scenario, is_withheld: impl Fn(&PendingWrite) -> bool) -> Option<u32> {
     scenario.now = scenario.now + Micros::from_secs(3.0);
     scenario.fleet.tick(scenario.now, wall(scenario));
     acknowledge(&mut scenario.fleet, scenario.now, &is_withheld);
     let mut highest = None;
     for id in scenario.machines.clone() {
-        let there = scenario.tasks(&id);
-        let numbers = there.iter().filter_map(|(task, _)| task.rsplit_once('/')?.1.parse::<u32>().ok());
+        let on_machine = scenario.tasks(&id);
+        let numbers = on_machine.iter().filter_map(|(task, _)| task.rsplit_once('/')?.1.parse::<u32>().ok());
         highest = highest.max(numbers.max());
-        let done: Vec<_> = there
+        let done: Vec<_> = on_machine
             .iter()
             .map(|(task, attempt)| (task.as_str(), *attempt, TaskStage::Exited, Some(ExitReason::Done)))
             .collect();
@@ -48,7 +48,7 @@
     highest
 }
 
-/// A hundred tasks, of which the last twenty are lent.
+/// A scenario with a job of a hundred tasks, of which the last twenty are lent.
 fn lent_job() -> Scenario {
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 100, "batch"));
@@ -57,9 +57,10 @@
     scenario
 }
 
-/// Guards against a start above the copy of the start mark, which an earlier version's leader would then forget.
+/// Guards against the start of a task that is not below the copy of the start mark. If a leader of an earlier
+/// version then deletes the start mark itself, nothing shows that the task may have been started.
 #[test]
-fn a_start_waits_for_the_copy_of_its_mark_when_the_mark_itself_is_written() {
+fn a_start_waits_for_the_copy_of_the_start_mark() {
     let mut scenario = lent_job();
     let is_copy = |write: &PendingWrite| matches!(write, PendingWrite::LentStartMark(_));
     let mut highest = None;
@@ -67,16 +68,17 @@
         highest = highest.max(step(&mut scenario, is_copy));
     }
     let job = &scenario.fleet.jobs[JOB];
-    assert!(job.start_mark > job.copy.start_mark, "the mark itself is written");
+    assert!(job.start_mark > job.copy.start_mark, "the start mark itself is not written");
     assert!(highest < Some(job.copy.start_mark), "{highest:?} started, copied {}", job.copy.start_mark);
     let none = |_: &PendingWrite| false;
     (0..60).for_each(|_| highest = highest.max(step(&mut scenario, none)));
-    assert_eq!(highest, Some(79), "with the copies written all that is not lent runs");
+    assert_eq!(highest, Some(79), "all tasks that are not lent run once the copies are written");
 }
 
-/// Guards against a record that an earlier version reads while rows that it has removed are not written again.
+/// Guards against a job without loans, which earlier versions can run, while rows of done ranges are missing
+/// that a leader of an earlier version has deleted.
 #[test]
-fn the_last_loan_closes_only_when_all_rows_are_written_again() {
+fn the_last_loan_closes_only_after_all_done_ranges_are_rewritten() {
     let (mut store, now) = (Store::default(), Steady(1_000_000_000));
     let loan = Loan { number: LoanNumber(1 << 24), borrower: "there".into(), tasks: tasks("80-99") };
     let mut job = record(spec(1, 100, "batch"));
@@ -88,18 +90,20 @@
     store.txn(&Txn { guards: Vec::new(), then }).expect("written");
     let mut fleet = Fleet::new(lending_config(), types(), 8, now);
     leadership::load_records(&mut fleet, store.rows(""), now, Wall(now.0));
-    assert!(fleet.settle_loan(JOB, Lending::default()).is_none(), "the rows are missing");
-    let all_but_rows = |write: &PendingWrite| matches!(write, PendingWrite::Done(..));
-    acknowledge(&mut fleet, now, all_but_rows);
-    assert!(fleet.settle_loan(JOB, Lending::default()).is_none(), "the rows are still missing");
+    assert!(fleet.settle_loan(JOB, Lending::default()).is_none(), "the rows of done ranges are missing");
+    let is_done_chunk = |write: &PendingWrite| matches!(write, PendingWrite::Done(..));
+    acknowledge(&mut fleet, now, is_done_chunk);
+    assert!(
+        fleet.settle_loan(JOB, Lending::default()).is_none(),
+        "the rows of done ranges are still missing"
+    );
     acknowledge(&mut fleet, now, |_| false);
     assert!(fleet.settle_loan(JOB, Lending::default()).is_some());
 }
 
-/// Guards against a record with loans that says less of what may have been started than an unanswered write of the
-/// start mark does.
+/// Guards against a record with loans whose start mark is below one whose write has not been answered.
 #[test]
-fn a_record_with_loans_carries_the_mark_whose_write_has_no_answer() {
+fn a_record_with_loans_contains_the_start_mark_of_an_unanswered_write() {
     let mut scenario = lent_job();
     let is_mark =
         |write: &PendingWrite| matches!(write, PendingWrite::StartMarks(_) | PendingWrite::LentStartMark(_));
@@ -108,7 +112,10 @@
     }
     let job = &scenario.fleet.jobs[JOB];
     let wanted = job.wanted_start_mark;
-    assert!(wanted > job.start_mark && wanted > job.copy.start_mark, "a write of the mark has no answer");
+    assert!(
+        wanted > job.start_mark && wanted > job.copy.start_mark,
+        "no write of the start mark is unanswered"
+    );
     let candidate =
         scenario.fleet.lending_candidate(&guest(1000.0), wall(&scenario)).expect("a job to lend from");
     let write = scenario.fleet.begin_loan(&candidate, 10, "there");
