--- a/tests/common/store_faults.rs
+++ b/tests/common/store_faults.rs
@@ -10,7 +10,7 @@
 
 /// A fault of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum TxnFault {
     /// The transaction is executed, but its answer is lost.
     AnswerLost,
     /// The transaction is lost.
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub struct StoreFaults {
     /// The faults of the next transactions, in order.
-    pub next: VecDeque<Fate>,
+    pub next: VecDeque<TxnFault>,
     /// Once `next` is empty: the random generator, and the fraction of transactions that have a fault.
     pub random: Option<(StdRng, f64)>,
     /// Transactions that are still to be executed late.
@@ -37,25 +37,25 @@
             .then
             .iter()
             .any(|change| change.key().starts_with("job/") || change.key().starts_with("final/"));
-        let fate = if is_of_job { self.fate() } else { None };
-        if fate == Some(Fate::Late) {
+        let fault = if is_of_job { self.next_fault() } else { None };
+        if fault == Some(TxnFault::Late) {
             self.late.push(txn.clone());
             return None;
         }
-        let result = (fate != Some(Fate::Lost)).then(|| store.txn(txn));
+        let result = (fault != Some(TxnFault::Lost)).then(|| store.txn(txn));
         if is_of_job {
             self.late.drain(..).for_each(|late| drop(store.txn(&late)));
         }
-        result.filter(|_| fate.is_none())
+        result.filter(|_| fault.is_none())
     }
 
     /// The fault of the next transaction that writes a job's record; `None` if it has none.
-    fn fate(&mut self) -> Option<Fate> {
-        if let Some(fate) = self.next.pop_front() {
-            return Some(fate);
+    fn next_fault(&mut self) -> Option<TxnFault> {
+        if let Some(fault) = self.next.pop_front() {
+            return Some(fault);
         }
         let (random, share) = self.random.as_mut()?;
-        let fates = [Fate::AnswerLost, Fate::Lost, Fate::Late];
+        let fates = [TxnFault::AnswerLost, TxnFault::Lost, TxnFault::Late];
         random.random_bool(*share).then(|| fates[random.random_range(0..fates.len())])
     }
 }
--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -8,7 +8,7 @@
 use common::lending_world::{Leader, Machine, World, JOB, SETTLED, TASKS};
 use common::production_api::{read_final_record, CancelAnswer, ProductionApi};
 use common::production_leader::ProductionLeader;
-use common::store_faults::Fate;
+use common::store_faults::TxnFault;
 use milletlock::wire::{Change, Txn};
 use serde_json::json;
 
@@ -34,7 +34,7 @@
     Step::EndDone,
 ];
 
-const FATES: [Fate; 3] = [Fate::AnswerLost, Fate::Lost, Fate::Late];
+const FAULTS: [TxnFault; 3] = [TxnFault::AnswerLost, TxnFault::Lost, TxnFault::Late];
 
 /// Lets the borrower accept the loans that are open, and no further ones.
 fn borrow_no_more(world: &World, leader: &mut Leader<'_>) {
@@ -158,12 +158,12 @@
 #[test]
 fn an_unanswered_write_leaves_consistent_records_and_starts_no_task_twice() {
     for step in STEPS {
-        for fate in FATES {
+        for fault in FAULTS {
             for is_replaced in [false, true] {
-                let context = format!("{step:?}, {fate:?}, leader replaced: {is_replaced}");
+                let context = format!("{step:?}, {fault:?}, leader replaced: {is_replaced}");
                 let (world, mut machine) = world_before(step);
                 let mut leader = leader_before(step, &world, &mut machine);
-                world.faults().next = [fate].into();
+                world.faults().next = [fault].into();
                 perform(step, &world, &mut leader, &mut machine);
                 assert!(world.faults().next.is_empty(), "{context}: nothing was written");
                 assert_consistent(&world, &context);
@@ -203,11 +203,11 @@
 /// lost, is executed late or whose answer is lost.
 #[test]
 fn an_unanswered_restoring_write_leaves_consistent_records_and_starts_no_task_twice() {
-    for fate in FATES {
+    for fault in FAULTS {
         for closes_loans in [false, true] {
             for is_replaced in [false, true] {
                 let context =
-                    format!("{fate:?}, loans closed: {closes_loans}, leader replaced: {is_replaced}");
+                    format!("{fault:?}, loans closed: {closes_loans}, leader replaced: {is_replaced}");
                 let (world, mut machine) = world_before(Step::Settle);
                 if closes_loans {
                     world.borrower().held.clear();
@@ -215,7 +215,7 @@
                 world.store().rewrite_as_0_3_2(JOB, |lending| {
                     lending.loans.retain(|_| !closes_loans);
                 });
-                world.faults().next = [fate].into();
+                world.faults().next = [fault].into();
                 let mut leader = world.leader();
                 leader.steps(&mut machine, 1);
                 assert!(world.faults().next.is_empty(), "{context}: nothing was written");
@@ -239,12 +239,12 @@
 /// settings, which sends no messages to other cells.
 #[test]
 fn a_restoring_write_is_sent_again_by_a_leader_without_a_cells_block() {
-    for fate in FATES {
-        let context = format!("{fate:?}");
+    for fault in FAULTS {
+        let context = format!("{fault:?}");
         let (world, mut machine) = world_before(Step::Settle);
         world.borrower().held.clear();
         world.store().rewrite_as_0_3_2(JOB, |lending| lending.loans.clear());
-        world.faults().next = [fate].into();
+        world.faults().next = [fault].into();
         let mut leader = world.leader_without_cells();
         leader.steps(&mut machine, SETTLED);
         assert!(world.faults().next.is_empty(), "{context}: nothing was written");
