--- a/tests/common/store.rs
+++ b/tests/common/store.rs
@@ -18,7 +18,7 @@
     /// All changes: the revision, the key, and the value or `None` if the key was deleted.
     pub log: Vec<(u64, String, Option<Value>)>,
     /// Whether executed transactions are recorded in `executed`.
-    pub keeps_executed: bool,
+    pub records_executed: bool,
     pub executed: Vec<Txn>,
 }
 
@@ -34,7 +34,7 @@
         if !failed.is_empty() {
             return Err(failed);
         }
-        if self.keeps_executed {
+        if self.records_executed {
             self.executed.push(t.clone());
         }
         self.revision += 1;
