--- a/tests/common/cells/state_store.rs
+++ b/tests/common/cells/state_store.rs
@@ -12,7 +12,7 @@
 
 use super::super::servers::serve_some;
 use super::super::state_store_server::{
-    events, parameter, read_response, transaction, transaction_response, watched,
+    events, parameter, read_response, transaction, transaction_response, watch_parameters,
 };
 use super::super::store::Store;
 use super::lock;
@@ -107,7 +107,7 @@
         }
         let mut state = lock(&state);
         if r.path.starts_with("/watch") {
-            let (prefix, from) = watched(&r);
+            let (prefix, from) = watch_parameters(&r);
             let block = Duration::from_millis(parameter(&r, "blockMs").parse().unwrap_or(0));
             let end = Instant::now() + block;
             while events(&state.store, prefix, from).is_empty() && Instant::now() < end {
--- a/tests/common/state_store_server.rs
+++ b/tests/common/state_store_server.rs
@@ -36,7 +36,7 @@
             Response::json(200, &json!({ "rows": rows, "more": false, "harvest": store.revision }))
         }
         "/watch" => {
-            let (prefix, from) = watched(request);
+            let (prefix, from) = watch_parameters(request);
             Response::json(200, &json!({ "harvest": store.revision, "events": events(store, prefix, from) }))
         }
         key => match store.row(key.trim_start_matches("/keys/")) {
@@ -48,7 +48,7 @@
 
 /// The parameters of a watch request: the prefix of the keys, and the revision after which changes are
 /// returned.
-pub fn watched(request: &Request) -> (&str, u64) {
+pub fn watch_parameters(request: &Request) -> (&str, u64) {
     (parameter(request, "starts"), parameter(request, "from").parse().unwrap_or(0))
 }
 
--- a/tests/end_to_end/controller.rs
+++ b/tests/end_to_end/controller.rs
@@ -14,7 +14,7 @@
 
 use crate::common::servers::{cloud, serve};
 use crate::common::state_store_server::{
-    events, parameter, read_response, transaction, transaction_response, watched,
+    events, parameter, read_response, transaction, transaction_response, watch_parameters,
 };
 use crate::common::store::Store;
 use crate::common::{heartbeat, platform_json};
@@ -45,7 +45,7 @@
                 transaction_response(&s, done)
             }
             ("GET", "/watch") => {
-                let (prefix, from) = watched(&r);
+                let (prefix, from) = watch_parameters(&r);
                 let block = Duration::from_millis(parameter(&r, "blockMs").parse().unwrap_or(0));
                 let quiet = |s: &mut Store| events(s, prefix, from).is_empty();
                 read_response(&changed.wait_timeout_while(s, block, quiet).expect("the store").0, &r)
