--- a/tests/common/store.rs
+++ b/tests/common/store.rs
@@ -18,7 +18,7 @@
     /// All changes: the revision, the key, and the value or `None` if the key was deleted.
     pub log: Vec<(u64, String, Option<Value>)>,
     /// Whether executed transactions are recorded in `executed`.
-    pub records_executed: bool,
+    pub is_recording: bool,
     pub executed: Vec<Txn>,
 }
 
@@ -34,7 +34,7 @@
         if !failed.is_empty() {
             return Err(failed);
         }
-        if self.records_executed {
+        if self.is_recording {
             self.executed.push(t.clone());
         }
         self.revision += 1;
--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -45,7 +45,7 @@
 /// A cell in which the next write of the job's record is that of `step`.
 fn world_before(step: Step) -> (World, Machine) {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
-    world.store().records_executed = true;
+    world.store().is_recording = true;
     let mut leader = world.leader();
     leader.submit();
     leader.steps(&mut machine, SETTLED);
--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -52,7 +52,7 @@
     fn new(world: &'a World, seed: u64) -> Simulation<'a> {
         let leader = world.leader();
         leader.submit();
-        world.store().records_executed = true;
+        world.store().is_recording = true;
         let random = StdRng::seed_from_u64(seed);
         world.faults().random = Some((StdRng::seed_from_u64(!seed), FAULTY_SHARE));
         Simulation {
