--- a/src/keys.rs
+++ b/src/keys.rs
@@ -11,7 +11,8 @@
     format!("{JOBS_PREFIX}{id}")
 }
 
-/// Key of the final record of a job. While a job with loans is live, its placeholder is stored there.
+/// Key of the final record of a job. While a job is live and its record has the held form, the placeholder is
+/// stored under this key.
 pub fn final_key(id: &str) -> String {
     format!("final/{id}")
 }
--- a/tests/common/store.rs
+++ b/tests/common/store.rs
@@ -19,6 +19,7 @@
     pub log: Vec<(u64, String, Option<Value>)>,
     /// Whether executed transactions are recorded in `executed`.
     pub is_recording: bool,
+    /// The executed transactions, in order, if `is_recording` is set.
     pub executed: Vec<Txn>,
 }
 
--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -67,8 +67,8 @@
     (world, machine)
 }
 
-/// Runs the cells until all tasks are done except those that the machine reports as done next, while a loan
-/// is still open.
+/// Runs the cells until all tasks have finished. The machine has not reported those that finished last, and a
+/// loan is still open.
 fn all_done_but_not_ended(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     let borrowed = world.borrower().tasks();
     for _ in 0..TO_THE_END {
--- a/tests/lent_records.rs
+++ b/tests/lent_records.rs
@@ -214,11 +214,11 @@
         lent_by_0_3_2(&world, &mut machine);
         let mut leader = world.leader_beside(version);
         leader.steps(&mut machine, SETTLED);
-        let held = world.borrower().tasks();
-        world.borrower().gives_back = held.iter().take(1).collect();
+        let borrowed = world.borrower().tasks();
+        world.borrower().gives_back = borrowed.iter().take(1).collect();
         (0..SETTLED).for_each(|_| leader.lend());
         let record = read(&world.job_row().expect("the job"));
-        assert_eq!(record.lending.tasks().len(), held.len() - 1, "{version}: one task has been returned");
+        assert_eq!(record.lending.tasks().len(), borrowed.len() - 1, "{version}: one task has been returned");
         assert!(is_hidden(&world), "{version}");
         assert_eq!(world.final_row(), None, "{version}");
         assert_eq!(leader.status()["lent_progress"]["hidden_records"], 1, "{version}");
--- a/tests/packed_records.rs
+++ b/tests/packed_records.rs
@@ -15,7 +15,7 @@
     let id = |n: u32| -> Arc<str> { format!("wk-{n:06}").into() };
     (0..100).for_each(|n| p.put(&id(n), n));
     let dirty: Vec<u32> = p.pending(true).collect();
-    assert!(dirty.len() > 5, "the records fit into {} slots", dirty.len());
+    assert!(dirty.len() > 5, "the records fit into five slots or fewer");
     for &s in &dirty {
         let SlotContents { mod_revision, version, records } = p.slot(s).expect("a value");
         assert_eq!(mod_revision, 0);
