--- a/tests/common/store_faults.rs
+++ b/tests/common/store_faults.rs
@@ -1,4 +1,4 @@
-//! Transactions that a state store loses on the way, whose answers it loses, or that it carries out late.
+//! Faults of the state store: transactions that are lost, whose answers are lost, or that are executed late.
 
 use std::collections::VecDeque;
 
@@ -8,52 +8,54 @@
 
 use super::store::Store;
 
-/// What becomes of a transaction.
+/// A fault of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It is carried out, and its answer is lost.
+pub enum TxnFault {
+    /// The transaction is executed, but its answer is lost.
     AnswerLost,
-    /// It is lost.
+    /// The transaction is lost.
     Lost,
-    /// It has no answer, and is carried out after the next one.
+    /// The transaction is not answered, and is executed after the next transaction.
     Late,
 }
 
-/// The fates of the transactions that write a job's record or its end.
+/// The faults of transactions that write a job's live or final record. Other transactions have no faults.
 #[derive(Default)]
 pub struct StoreFaults {
-    /// Those of the next ones; then all is well.
-    pub next: VecDeque<Fate>,
-    /// For each of them, unless `next` has one: the share that has a fate.
+    /// The faults of the next transactions, in order.
+    pub next: VecDeque<TxnFault>,
+    /// Once `next` is empty: the random generator, and the fraction of transactions that have a fault.
     pub random: Option<(StdRng, f64)>,
+    /// Transactions that are still to be executed late.
     late: Vec<Txn>,
 }
 
 impl StoreFaults {
-    /// Carries out a transaction by its fate; no result: it is not answered.
+    /// Executes a transaction with its fault, if it has one; `None` if the transaction is not answered.
     pub fn execute(&mut self, store: &mut Store, txn: &Txn) -> Option<Result<u64, Vec<String>>> {
         let is_of_job = txn
             .then
             .iter()
             .any(|change| change.key().starts_with("job/") || change.key().starts_with("final/"));
-        let fate = if is_of_job { self.fate() } else { None };
-        if fate == Some(Fate::Late) {
+        let fault = if is_of_job { self.next_fault() } else { None };
+        if fault == Some(TxnFault::Late) {
             self.late.push(txn.clone());
             return None;
         }
-        let result = (fate != Some(Fate::Lost)).then(|| store.txn(txn));
+        let result = (fault != Some(TxnFault::Lost)).then(|| store.txn(txn));
         if is_of_job {
             self.late.drain(..).for_each(|late| drop(store.txn(&late)));
         }
-        result.filter(|_| fate.is_none())
+        result.filter(|_| fault.is_none())
     }
 
-    fn fate(&mut self) -> Option<Fate> {
-        if let Some(fate) = self.next.pop_front() {
-            return Some(fate);
+    /// The fault of the next transaction that writes a job's record; `None` if it has none.
+    fn next_fault(&mut self) -> Option<TxnFault> {
+        if let Some(fault) = self.next.pop_front() {
+            return Some(fault);
         }
         let (random, share) = self.random.as_mut()?;
-        let fates = [Fate::AnswerLost, Fate::Lost, Fate::Late];
+        let fates = [TxnFault::AnswerLost, TxnFault::Lost, TxnFault::Late];
         random.random_bool(*share).then(|| fates[random.random_range(0..fates.len())])
     }
 }
