--- a/tests/cancellation_in_outage/main.rs
+++ b/tests/cancellation_in_outage/main.rs
@@ -1,7 +1,9 @@
-//! Cancellations in an outage, with whole controllers in simulated time: the state store refuses the leader
-//! alone, another controller confirms a cancellation, then the store is out for all for longer than
-//! `cancel_s`, while a worker keeps sending heartbeats. The cancelled tasks must be gone in time whatever
-//! other fault comes on top.
+//! Cancellations during an outage of the state store, with complete controllers in simulated time. First the
+//! state store refuses only the leader, and another controller confirms a cancellation. Then the state store
+//! is unavailable to all controllers for longer than `cancel_s`, while a worker keeps sending heartbeats. The
+//! cancelled tasks must end within the cancellation deadline, whatever other fault occurs as well.
+//!
+//! The numbers of combinations are those of the table in docs/safety.md.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -21,59 +23,64 @@
 
 use crate::common::spec;
 
-/// Combination 4: cancelled as the state store refuses the leader alone, and out a second later.
+/// Combination 4: a job is cancelled while the state store refuses only the leader, and the state store is
+/// unavailable to all shortly afterwards.
 #[test]
-fn a_refused_leader_told_by_another_controller_halts_at_once() {
+fn a_leader_without_the_store_halts_tasks_at_once_when_another_controller_notifies_it() {
     let mut simulation = Simulation::new();
     simulation.refuse(&[0]);
     simulation.cancel(1);
     let gone = simulation.outage();
     assert!(
         gone < 5.0,
-        "the notice of another controller stops work at the next heartbeat, not after {gone} s"
+        "another controller's notice must stop the tasks at the next heartbeat; they ended after {gone} s"
     );
-    // The refused one leads on after the outage: its lease had its full time again.
+    // The refused controller still leads after the outage, because its lease then had its full duration
+    // again.
     assert_eq!(simulation.fencing_tokens(), [Some(1), None, None]);
 }
 
 #[test]
-fn without_a_notice_from_others_leases_end_in_time() {
+fn without_a_notice_the_workers_lease_expires_within_the_cancellation_deadline() {
     let mut simulation = Simulation::with_an_unannounced_cancellation(&[0]);
-    // It goes on replying for a while, as long as it may.
+    // The leader replies to heartbeats for as long as it may without contact with the state store.
     simulation.begin_outage();
     simulation.run(28.0);
-    assert_eq!(lock(&simulation.worker).placed(1), 2, "work is not given up sooner than needed");
+    assert_eq!(lock(&simulation.worker).placed(1), 2, "the tasks must not end sooner than necessary");
     let gone = simulation.outage();
-    assert!((30.0..47.0).contains(&gone), "gone after {gone} s");
+    assert!((30.0..47.0).contains(&gone), "the tasks ended after {gone} s");
     assert_eq!(simulation.fencing_tokens()[0], Some(1));
 }
 
 #[test]
-fn a_worker_without_heartbeats_is_halted_by_command() {
+fn a_worker_whose_heartbeats_are_lost_is_halted_by_a_direct_command() {
     let mut simulation = Simulation::new();
     simulation.refuse(&[0]);
     simulation.cancel(1);
     lock(&simulation.worker).heartbeats_lost = true;
     simulation.begin_outage();
     let gone = simulation.run_until_tasks_are_gone();
-    assert!(gone < 9.0, "its heartbeat is overdue after one and a half, and the halt goes to it: {gone} s");
+    assert!(gone < 9.0, "a halt must be sent once a heartbeat is overdue; the tasks ended after {gone} s");
 }
 
 #[test]
-fn past_its_staleness_bound_the_leader_still_halts_by_command() {
+fn a_leader_past_its_staleness_bound_still_halts_tasks_by_direct_command() {
     let mut simulation = Simulation::with_an_unannounced_cancellation(&[0]);
     simulation.begin_outage();
     simulation.run(25.0);
-    // It replies to nobody any more when the notice comes through at last.
+    // When the notice arrives, the leader no longer replies to heartbeats.
     assert_eq!(lock(&simulation.worker).placed(1), 2);
     let before = simulation.now();
     simulation.partitioned.store(false, Ordering::SeqCst);
     simulation.run_until_tasks_are_gone();
-    assert!(simulation.now() - before <= 5 * SECOND, "the tasks end by the notice, not by their lease");
+    assert!(
+        simulation.now() - before <= 5 * SECOND,
+        "the notice must end the tasks, not the expiry of the lease"
+    );
 }
 
 #[test]
-fn with_several_refused_and_the_notice_delayed_tasks_are_gone_in_time() {
+fn tasks_end_in_time_when_several_controllers_are_refused_and_the_notice_is_delayed() {
     for seconds_apart in [0.0, 8.0, 60.0] {
         let mut simulation = Simulation::with_an_unannounced_cancellation(&[0, 2]);
         simulation.begin_outage();
@@ -84,23 +91,26 @@
 }
 
 #[test]
-fn a_confirming_controller_that_restarts_has_forgotten_and_it_does_not_matter() {
+fn tasks_end_in_time_when_the_confirming_controller_restarts_and_loses_its_notices() {
     let mut simulation = Simulation::with_an_unannounced_cancellation(&[0]);
     simulation.restart(1);
     simulation.partitioned.store(false, Ordering::SeqCst);
     let gone = simulation.outage();
-    assert!((20.0..47.0).contains(&gone), "nobody tells the leader; gone after {gone} s");
+    assert!(
+        (20.0..47.0).contains(&gone),
+        "no controller notifies the leader; the tasks ended after {gone} s"
+    );
 }
 
 #[test]
-fn a_leader_that_restarts_replies_to_nobody_until_it_has_read() {
+fn tasks_end_in_time_when_the_refused_leader_restarts() {
     let mut simulation = Simulation::with_an_unannounced_cancellation(&[0]);
     simulation.restart(0);
     simulation.outage();
 }
 
 #[test]
-fn a_machine_that_freezes_and_goes_on_within_its_lease_is_in_time() {
+fn tasks_end_in_time_on_a_machine_that_freezes_and_resumes_within_its_lease() {
     for freezes_at in [2.0, 12.0, 20.0] {
         let mut simulation = Simulation::with_an_unannounced_cancellation(&[0]);
         simulation.begin_outage();
@@ -108,25 +118,26 @@
         let now = simulation.now();
         lock(&simulation.worker).frozen_until = now + 20 * SECOND;
         simulation.run(19.9);
-        assert_eq!(lock(&simulation.worker).placed(1), 2, "it does nothing while it hangs");
+        assert_eq!(lock(&simulation.worker).placed(1), 2, "a frozen machine must not change its tasks");
         simulation.outage();
     }
 }
 
 #[test]
-fn a_cancellation_whose_transaction_had_no_reply_is_announced_and_in_time() {
+fn a_cancellation_whose_transaction_had_no_reply_is_announced_to_the_others() {
     let mut simulation = Simulation::new();
     simulation.refuse(&[0]);
     lock(&simulation.store).lost_replies = 1;
     simulation.cancel(1);
     assert_eq!(lock(&simulation.store).lost_replies, 0);
     let gone = simulation.outage();
-    assert!(gone < 5.0, "whoever confirms tells the others, though its write had no reply: {gone} s");
+    assert!(gone < 5.0, "the confirming controller must notify the others; the tasks ended after {gone} s");
 }
 
-/// Whoever wrote the end may have ended before it could tell anybody; its user asks another.
+/// The controller that wrote the final record may have stopped before it could notify the others. The user
+/// then sends the cancellation to another controller.
 #[test]
-fn a_controller_that_repeats_the_confirmation_tells_the_others_too() {
+fn a_controller_that_confirms_a_cancellation_again_notifies_the_others() {
     let mut simulation = Simulation::with_an_unannounced_cancellation(&[0]);
     simulation.restart(1);
     simulation.partitioned.store(false, Ordering::SeqCst);
@@ -138,9 +149,10 @@
     assert!(simulation.outage() < 6.0);
 }
 
-/// A new leader has looked when it claimed; what is confirmed after that it cannot see.
+/// A new leader has read the records when it was elected. If it cannot read them again, it cannot see
+/// cancellations that are confirmed later.
 #[test]
-fn a_leader_that_was_just_elected_counts_from_its_claim() {
+fn the_store_contact_of_a_new_leader_counts_from_its_election() {
     let mut simulation = Simulation::new();
     simulation.refuse(&[0]);
     simulation.run_until("another leads", |simulation| {
@@ -155,28 +167,36 @@
     lock(&simulation.store).refused = [leader].into();
     simulation.cancel((leader + 1) % 3);
     let gone = simulation.outage();
-    assert!((20.0..47.0).contains(&gone), "gone after {gone} s");
+    assert!((20.0..47.0).contains(&gone), "the tasks ended after {gone} s");
 }
 
-/// Combination 10: the state store refuses the leader alone, then everybody, while users cancel and ask.
-/// Nobody gives a reply that is older than another user's, and what is known to be final stays known.
+/// Combination 10: the state store refuses only the leader, then all controllers, while users cancel a job
+/// and request its status. No reply may be older than one that another user has received, and a known final
+/// state stays known.
 #[test]
-fn users_get_consistent_replies_while_the_store_refuses_the_leader_and_then_everybody() {
+fn users_get_consistent_replies_while_the_store_refuses_the_leader_and_then_all_controllers() {
     let mut simulation = Simulation::new();
     simulation.refuse(&[0]);
-    assert_eq!(simulation.call(0, "GET", "/api/jobs/wk-000001", "").0, 200, "another replies for it");
+    assert_eq!(
+        simulation.call(0, "GET", "/api/jobs/wk-000001", "").0,
+        200,
+        "another controller must answer the relayed request"
+    );
     assert_eq!(simulation.call(0, "GET", "/api/jobs/wk-000009", "").0, 404);
-    // Cancelled through the refused one, which cannot write it: another does.
+    // The user cancels through the refused controller. It cannot write the cancellation, so another one does.
     simulation.cancel(0);
     simulation.begin_outage();
     for second in 0..40 {
         simulation.run(1.0);
-        assert!(second < 3 || lock(&simulation.worker).placed(1) == 0, "the leader was told");
+        assert!(
+            second < 3 || lock(&simulation.worker).placed(1) == 0,
+            "the leader must have received the notice"
+        );
         for i in 0..3 {
             let (status, v) = simulation.call(i, "GET", "/api/jobs/wk-000001", "");
             assert_eq!((status, v["stage"].as_str()), (200, Some("cancelled")), "by c-{i}: {v}");
             assert_eq!(simulation.call(i, "POST", "/api/jobs/wk-000001/withdraw", "{}").0, 200);
-            // Whether there is such a job nobody can say.
+            // No controller can find out whether this job exists.
             assert_eq!(simulation.call(i, "GET", "/api/jobs/wk-000009", "").0, 503);
             assert_eq!(
                 simulation.call(i, "POST", "/api/jobs", &json!(spec(9, 1, "batch")).to_string()).0,
@@ -188,10 +208,11 @@
     assert_eq!(simulation.call(0, "GET", "/api/jobs/wk-000009", "").0, 404);
 }
 
-/// Combination 17: a leader loses the state store and the other controllers; workers and users still reach
-/// it, and the job is cancelled through the next, whose commands reach the worker or do not.
+/// Combination 17: a leader loses the state store and the other controllers, while workers and users still
+/// reach it. The job is cancelled through the next leader, whose direct commands reach the worker in one case
+/// and are lost in the other.
 #[test]
-fn a_cancellation_through_the_next_leader_ends_tasks_of_one_partitioned_with_its_workers() {
+fn a_cancellation_through_the_next_leader_ends_the_tasks_of_a_leader_partitioned_with_its_workers() {
     for (commands_lost, least, most) in [(false, 0.0, 12.0), (true, 12.0, 47.0)] {
         let mut simulation = Simulation::new();
         simulation.partitioned.store(true, Ordering::SeqCst);
@@ -204,7 +225,7 @@
         let confirmed_at = simulation.confirmed_at.expect("a confirmation");
         while simulation.now() < confirmed_at + CANCEL_DEADLINE {
             simulation.step();
-            // The earlier one cannot know, and says so.
+            // The earlier leader cannot know the job's stage and must answer 503.
             assert_eq!(simulation.call(0, "GET", "/api/jobs/wk-000001", "").0, 503);
             assert_eq!(simulation.call(next, "GET", "/api/jobs/wk-000001", "").1["stage"], "cancelled");
             if lock(&simulation.worker).placed(1) == 0 {
@@ -212,8 +233,11 @@
             }
         }
         let gone = (simulation.now() - confirmed_at) as f64 / 1e6;
-        assert!((least..most).contains(&gone), "gone after {gone} s, commands lost: {commands_lost}");
-        // Back in touch it follows the next one.
+        assert!(
+            (least..most).contains(&gone),
+            "the tasks ended after {gone} s; commands lost: {commands_lost}"
+        );
+        // Once the earlier leader reaches the others again, it must follow the next leader.
         simulation.refuse(&[]);
         simulation.partitioned.store(false, Ordering::SeqCst);
         lock(&simulation.worker).commands_lost = false;
@@ -223,9 +247,9 @@
     }
 }
 
-/// Its lease is renewed while reads fail: only a read shows what was cancelled.
+/// The leader's lease is renewed while its reads fail. Only a read would show it the cancellation.
 #[test]
-fn renewals_without_reads_do_not_keep_store_contact() {
+fn lease_renewals_without_reads_do_not_count_as_store_contact() {
     let mut simulation = Simulation::new();
     simulation.partitioned.store(true, Ordering::SeqCst);
     lock(&simulation.store).reads_refused = true;
@@ -233,19 +257,20 @@
     simulation.run(20.0);
     assert_eq!((lock(&simulation.worker).placed(1), simulation.fencing_tokens()[0]), (2, Some(1)));
     let gone = simulation.run_until_tasks_are_gone();
-    assert!((30.0..47.0).contains(&gone), "gone after {gone} s");
+    assert!((30.0..47.0).contains(&gone), "the tasks ended after {gone} s");
 }
 
-/// The reply to an idle worker's heartbeat may wait for a start; store contact is checked as it leaves.
+/// The reply to an idle worker's heartbeat may be deferred until there is a task to start. The leader's
+/// contact with the state store must be checked when the reply is sent.
 #[test]
-fn a_reply_that_waited_until_store_contact_was_too_old_renews_nothing() {
+fn a_deferred_reply_is_refused_once_store_contact_is_too_old() {
     let mut simulation = Simulation::new();
     simulation.confirmed_at = None;
     let controller = simulation.controllers()[0].clone();
     let l = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = l.local_addr().expect("an address");
-    let n = controller.clone();
-    let handler = Arc::new(move |r: Request, reply: Reply| n.serve(&r, reply));
+    let server_controller = controller.clone();
+    let handler = Arc::new(move |r: Request, reply: Reply| server_controller.serve(&r, reply));
     let service = http::Service { classify: |_| RequestClass::Interactive, handler };
     let limits = ServerLimits {
         connections: 10,
@@ -254,7 +279,8 @@
         background_threads: 1,
     };
     std::thread::spawn(move || http::serve(l, limits, Arc::default(), service));
-    // A second machine, idle, is enrolled and shows the fencing token.
+    // A second machine, which is idle, sends its first heartbeat and then one with the leader's fencing
+    // token.
     let idle = |sequence: u64| {
         let r = common::heartbeat("i-000002", sequence, u64::from(sequence > 1), &[]);
         serde_json::to_string(&r).expect("a heartbeat")
@@ -264,28 +290,32 @@
     assert_eq!(simulation.call(0, "POST", "/checkin", &idle(2)).0, 200);
     let statuses = |simulation: &mut Simulation, sequence: u64, seconds_without_store: f64| {
         lock(&simulation.store).unavailable = true;
-        // Nobody but this worker: time passes without the rest of the simulation.
+        // The time is advanced directly, without steps of the simulation, so that only this worker acts.
         simulation.clock.fetch_add((seconds_without_store * 1e6) as i64, Ordering::SeqCst);
         let body = idle(sequence);
-        let ask = std::thread::spawn(move || {
+        let heartbeat_sender = std::thread::spawn(move || {
             Client::new(addr, 0).call("POST", "/checkin", Some(body.as_bytes()), Micros(20 * SECOND))
         });
-        let taken = |simulation: &Simulation| {
+        let is_received = |simulation: &Simulation| {
             let v = simulation.call(0, "GET", "/status", "").1;
             let all = v["owner"]["machines"].as_array().cloned().unwrap_or_default();
             all.iter().any(|m| m["id"] == "i-000002" && m["report_s"].as_f64() == Some(0.0))
         };
-        while !taken(simulation) && !ask.is_finished() {
+        while !is_received(simulation) && !heartbeat_sender.is_finished() {
             std::thread::yield_now();
         }
         simulation.clock.fetch_add(3 * SECOND, Ordering::SeqCst);
         controller.plan_once();
-        let status = ask.join().expect("no panic").expect("a reply").status;
+        let status = heartbeat_sender.join().expect("no panic").expect("a reply").status;
         let now = simulation.now();
         lock(&simulation.store).end_outage(now);
         simulation.run(5.0);
         status
     };
-    assert_eq!(statuses(&mut simulation, 3, 10.0), 200, "within the bound it has a reply");
-    assert_eq!(statuses(&mut simulation, 4, 21.0), 503, "the bound was passed while the reply waited");
+    assert_eq!(statuses(&mut simulation, 3, 10.0), 200, "within the staleness bound the reply must be sent");
+    assert_eq!(
+        statuses(&mut simulation, 4, 21.0),
+        503,
+        "the staleness bound has passed while the reply was deferred"
+    );
 }
--- a/tests/cancellation_in_outage/scale_in.rs
+++ b/tests/cancellation_in_outage/scale_in.rs
@@ -1,14 +1,14 @@
-//! A leader that the state store refuses may have been replaced: the machines that it takes for idle may be
-//! running another leader's tasks.
+//! Scaling in while a leader has no contact with the state store. The leader may have been replaced, and
+//! machines that it considers idle may run tasks of the next leader.
 
 use std::sync::atomic::Ordering;
 
 use crate::simulation::{lock, Simulation};
 
-/// Idle machines are kept for no longer than this.
+/// Idle machines are returned to the cloud within this time, in seconds.
 const IDLE_S: f64 = 90.0;
 
-/// A simulation in which all work has ended, and the only machine is idle.
+/// A simulation in which all tasks have ended and the only machine is idle.
 fn with_an_idle_machine() -> Simulation {
     let mut simulation = Simulation::new();
     simulation.cancel(0);
@@ -23,12 +23,13 @@
     assert_eq!(*lock(&simulation.returned), ["i-000001"]);
 }
 
-/// Seen on a day with a partitioned zone: the leader inside went on returning idle machines. The requests were
-/// carried out when the partition ended, and took machines from the next leader with what ran on them.
+/// Guards against a fault that was seen when a zone was partitioned: the leader in the zone continued to
+/// return idle machines. The cloud executed the requests when the partition ended, and ended machines on
+/// which tasks of the next leader were running.
 #[test]
 fn a_leader_that_may_have_been_replaced_returns_no_machine() {
     let mut simulation = with_an_idle_machine();
-    // The worker and the leader are cut off from all others together.
+    // The leader and the worker can reach each other, but neither the state store nor the other controllers.
     simulation.partitioned.store(true, Ordering::SeqCst);
     lock(&simulation.worker).commands_lost = true;
     simulation.refuse(&[0]);
@@ -36,14 +37,14 @@
     assert_eq!(
         simulation.fencing_tokens()[..2],
         [Some(1), Some(2)],
-        "two controllers take themselves for the leader"
+        "two controllers must believe that they lead"
     );
     assert!(lock(&simulation.returned).is_empty(), "{:?}", lock(&simulation.returned));
 }
 
-/// The machines that seem idle at the end of an outage are those whose work it ended.
+/// After an outage of the state store, machines seem idle because the outage ended their tasks.
 #[test]
-fn machines_are_not_returned_for_having_been_idle_in_an_outage_of_the_store() {
+fn machines_that_were_idle_during_an_outage_of_the_store_are_not_returned() {
     let mut simulation = with_an_idle_machine();
     lock(&simulation.store).unavailable = true;
     simulation.run_scaling(0, IDLE_S);
--- a/tests/cancellation_in_outage/simulation.rs
+++ b/tests/cancellation_in_outage/simulation.rs
@@ -1,4 +1,4 @@
-//! Whole controllers, a state store and a worker in simulated time.
+//! A simulation with three complete controllers, a state store and a worker in simulated time.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
@@ -18,22 +18,23 @@
 use crate::state_store::StateStoreServer;
 use crate::worker::Worker;
 
-/// How far each step moves the time, in microseconds.
+/// The time that passes in one step, in microseconds.
 pub const STEP: i64 = 250_000;
 
 /// A second in microseconds.
 pub const SECOND: i64 = 1_000_000;
 
-/// The worker sends heartbeats this often.
+/// The worker's heartbeat interval, in microseconds.
 pub const HEARTBEAT_INTERVAL: i64 = 3 * SECOND;
 
-/// Cancelled tasks must be gone so long after the confirmation.
+/// Longest time, in microseconds, from the confirmation of a cancellation outage_until the job's tasks have
+/// ended.
 pub const CANCEL_DEADLINE: i64 = 47 * SECOND;
 
-/// The leader's lease.
+/// The duration of the leader's lease.
 pub const LEADER_LEASE: Micros = Micros(3 * SECOND);
 
-/// Locks a mutex, whatever panicked with it.
+/// Locks a mutex, even if a thread panicked while it held the lock.
 pub fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(|e| e.into_inner())
 }
@@ -42,23 +43,27 @@
 
 /// Three controllers, their state store and a worker.
 pub struct Simulation {
+    /// The time in microseconds.
     pub clock: Arc<AtomicI64>,
     pub store: Arc<Mutex<StateStoreServer>>,
     pub controllers: Controllers,
-    /// Controllers that cannot hear one another.
+    /// Whether the controllers cannot reach one another.
     pub partitioned: Arc<AtomicBool>,
+    /// The address of the state store for each controller, which tells the controllers apart.
     pub ports: Vec<SocketAddr>,
     pub cloud: SocketAddr,
-    /// Machines that the cloud was asked to take back.
+    /// The machines that the controllers have asked the cloud to end.
     pub returned: Arc<Mutex<Vec<String>>>,
     pub worker: Arc<Mutex<Worker>>,
-    /// When the user was told that the job is cancelled.
+    /// When the cancellation was confirmed to the user.
     pub confirmed_at: Option<i64>,
+    /// Number of steps so far.
     pub steps: u64,
 }
 
 impl Simulation {
-    /// Three controllers of which the first leads, and a job with two tasks that run on the worker.
+    /// A simulation in which the first of three controllers leads, and the two tasks of a job run on the
+    /// worker.
     pub fn new() -> Simulation {
         let clock = Arc::new(AtomicI64::new(2_000 * SECOND));
         let store: Arc<Mutex<StateStoreServer>> = Arc::default();
@@ -86,17 +91,17 @@
             steps: 0,
         };
         for i in 0..3 {
-            let n = simulation.new_controller(i);
-            lock(&simulation.controllers).push(n);
+            let controller = simulation.new_controller(i);
+            lock(&simulation.controllers).push(controller);
         }
         let submission = json!(spec(1, 2, "batch")).to_string();
         assert_eq!(simulation.call(1, "POST", "/api/jobs", &submission).0, 201);
-        simulation.run_until("both tasks run", |w| lock(&w.worker).placed(1) == 2);
+        simulation.run_until("both tasks run", |simulation| lock(&simulation.worker).placed(1) == 2);
         assert_eq!(simulation.fencing_tokens(), [Some(1), None, None]);
         simulation
     }
 
-    /// A controller that remembers nothing.
+    /// A controller that has just been started.
     fn new_controller(&self, i: usize) -> Arc<Controller> {
         let mut p = platform_json();
         let others: Vec<usize> = (0..3).filter(|o| *o != i).collect();
@@ -104,7 +109,8 @@
         p["services"] = json!({ "cloud": self.cloud, "state": self.ports[i] });
         let member = |o: &usize| json!({ "label": format!("c-{o}"), "addr": format!("127.0.0.1:{}", 2 + o) });
         p["members"] = others.iter().map(member).collect();
-        // The budget goes by the machine's clock, which has no part in this.
+        // The client of the state store limits its rate by the machine's clock, not by simulated time. The
+        // limits must not delay the simulation.
         p["settings"]["state"]["rps"] = json!(1e6);
         p["settings"]["state"]["write_rps"] = json!(1e6);
         let platform = PlatformConfig::parse(&p.to_string(), "test").expect("settings");
@@ -113,19 +119,20 @@
         let carry = move |o: OutboundMessage| {
             let to =
                 lock(&controllers).get(others[o.to]).cloned().filter(|_| !partitioned.load(Ordering::SeqCst));
-            let answer = to.map(|n| n.handle_peer_message(&o.message)).ok_or(PeerError::TimedOut);
+            let answer =
+                to.map(|controller| controller.handle_peer_message(&o.message)).ok_or(PeerError::TimedOut);
             o.answer(answer);
             Ok(())
         };
-        let n = Controller::new(
+        let controller = Controller::new(
             cfg,
             PeerHub::with_transport(2, carry),
             Clock::Manual(self.clock.clone()),
             Arc::default(),
         );
-        let n = n.expect("a controller");
-        assert!(n.load_machine_types_once());
-        n
+        let controller = controller.expect("a controller");
+        assert!(controller.load_machine_types_once());
+        controller
     }
 
     /// The time in microseconds.
@@ -133,78 +140,78 @@
         self.clock.load(Ordering::SeqCst)
     }
 
-    /// The controllers that run now.
+    /// The running controllers.
     pub fn controllers(&self) -> Vec<Arc<Controller>> {
         lock(&self.controllers).clone()
     }
 
-    /// Sends a request to a controller: its status and body.
+    /// Sends a request to a controller; returns the response's status code and body.
     pub fn call(&self, controller: usize, method: &str, path: &str, body: &str) -> (u16, Value) {
         let r = Request { method: method.into(), path: path.into(), body: body.into() };
-        // Only the controllers' own interface shows the status.
+        // The status is only available on the interface between the controllers.
         let origin = if path == "/status" { RequestOrigin::Peer } else { RequestOrigin::Http };
         let a = self.controllers()[controller].answer(&r, origin);
         (a.status, serde_json::from_slice(&a.body).unwrap_or(Value::Null))
     }
 
-    /// The fencing tokens of those that take themselves for the leader.
+    /// For each controller, its fencing token if it considers itself the leader.
     pub fn fencing_tokens(&self) -> Vec<Option<u64>> {
         (0..3).map(|i| self.call(i, "GET", "/status", "").1["owner"]["token"].as_u64()).collect()
     }
 
-    /// The user cancels through a controller.
+    /// The user cancels the job through a controller.
     pub fn cancel(&mut self, controller: usize) {
         let (status, v) = self.call(controller, "POST", "/api/jobs/wk-000001/withdraw", "{}");
         assert_eq!((status, v["stage"].as_str()), (200, Some("cancelled")));
         self.confirmed_at = Some(self.now());
     }
 
-    /// A simulation in which the state store refuses some controllers and the second confirms a cancellation
-    /// that no other hears of.
+    /// A simulation in which the state store refuses some controllers, and the second controller confirms a
+    /// cancellation whose notices reach no other controller.
     pub fn with_an_unannounced_cancellation(refused: &[usize]) -> Simulation {
-        let mut w = Simulation::new();
-        w.partitioned.store(true, Ordering::SeqCst);
-        w.refuse(refused);
-        w.cancel(1);
-        w
+        let mut simulation = Simulation::new();
+        simulation.partitioned.store(true, Ordering::SeqCst);
+        simulation.refuse(refused);
+        simulation.cancel(1);
+        simulation
     }
 
-    /// After 1.5 s the state store is out for all.
+    /// Runs for 1.5 s, then makes the state store unavailable to all controllers.
     pub fn begin_outage(&mut self) {
         self.run(1.5);
         lock(&self.store).unavailable = true;
     }
 
-    /// A controller ends and is back at once, remembering nothing.
+    /// Replaces a controller by one that has just been started.
     pub fn restart(&mut self, controller: usize) {
         let again = self.new_controller(controller);
         lock(&self.controllers)[controller] = again;
     }
 
-    /// The state store refuses these controllers, and no others.
-    pub fn refuse(&self, nodes: &[usize]) {
-        lock(&self.store).refused = nodes.iter().copied().collect();
+    /// Makes the state store refuse these controllers, and no others.
+    pub fn refuse(&self, refused_controllers: &[usize]) {
+        lock(&self.store).refused = refused_controllers.iter().copied().collect();
     }
 
-    /// Time goes on by a step for all.
+    /// Advances the time by one step, in which all controllers and the worker act.
     pub fn step(&mut self) {
         self.clock.fetch_add(STEP, Ordering::SeqCst);
         self.steps += 1;
         let now = self.now();
         lock(&self.store).expire(now);
-        for n in self.controllers() {
+        for controller in self.controllers() {
             if self.steps % 4 == 0 {
-                n.maintain_leadership_once(LEADER_LEASE);
-                n.announce_once();
+                controller.maintain_leadership_once(LEADER_LEASE);
+                controller.announce_once();
             }
-            n.watch_once();
-            n.write_once();
-            n.plan_once();
-            n.send_commands_once();
-            n.send_cancellations_once();
+            controller.watch_once();
+            controller.write_once();
+            controller.plan_once();
+            controller.send_commands_once();
+            controller.send_cancellations_once();
         }
         self.run_worker(now);
-        // ran_cancelled; what hangs counts when it goes on.
+        // Checks the invariant ran_cancelled. Tasks of a frozen machine are checked when the machine resumes.
         let w = lock(&self.worker);
         if let Some(confirmed_at) = self.confirmed_at.filter(|_| now >= w.frozen_until) {
             let late = (now - confirmed_at) as f64 / 1e6;
@@ -215,7 +222,7 @@
         }
     }
 
-    /// The worker's lease may end, and it sends a heartbeat if that is due.
+    /// Ends the worker's session if its lease has expired, and sends its heartbeat if one is due.
     fn run_worker(&self, now: i64) {
         let (controller, heartbeat) = {
             let mut w = lock(&self.worker);
@@ -233,17 +240,17 @@
         let (status, v) = self.call(controller, "POST", "/checkin", &body);
         let mut w = lock(&self.worker);
         if status != 200 {
-            // The next one, a second later.
+            // The worker tries the next controller a second later.
             (w.controller, w.due) = ((w.controller + 1) % 3, now + SECOND);
             return;
         }
         let reply: HeartbeatReply = serde_json::from_value(v).expect("a reply");
         if w.state.accept_reply(reply.fencing_token, Steady(now)) {
-            w.execute_orders(&reply.commands, now);
+            w.execute_commands(&reply.commands, now);
         }
     }
 
-    /// So many seconds pass.
+    /// Runs the simulation for this many seconds.
     pub fn run(&mut self, seconds: f64) {
         let end = self.now() + (seconds * 1e6) as i64;
         while self.now() < end {
@@ -251,26 +258,32 @@
         }
     }
 
-    /// So many seconds pass, in which a controller scales out and in twice a second.
+    /// Runs the simulation for this many seconds, in which one controller scales out and in twice a second.
     pub fn run_scaling(&mut self, controller: usize, seconds: f64) {
-        let mut rounds = ScalingState::default();
+        let mut scaling = ScalingState::default();
         for _ in 0..(seconds * 2.0) as usize {
             self.run(0.5);
-            self.controllers()[controller].scale_once(&mut rounds);
+            self.controllers()[controller].scale_once(&mut scaling);
         }
     }
 
-    /// Steps until a condition holds, for 40 s at the most.
-    pub fn run_until(&mut self, what: &str, f: impl Fn(&Simulation) -> bool) {
+    /// Runs the simulation outage_until a condition holds; fails after 40 s. The failure message contains
+    /// `description`.
+    pub fn run_until(&mut self, description: &str, condition: impl Fn(&Simulation) -> bool) {
         let end = self.now() + 40 * SECOND;
-        while !f(self) {
-            let seen = || (0..3).map(|i| self.call(i, "GET", "/status", "").1).collect::<Vec<_>>();
-            assert!(self.now() < end, "never: {what}: {:?}", seen());
+        while !condition(self) {
+            let statuses = || (0..3).map(|i| self.call(i, "GET", "/status", "").1).collect::<Vec<_>>();
+            assert!(
+                self.now() < end,
+                "did not happen within 40 s: {description}; status of the controllers: {:?}",
+                statuses()
+            );
             self.step();
         }
     }
 
-    /// Seconds from the confirmation until the tasks are gone.
+    /// Runs the simulation outage_until the job's tasks have ended. Returns the seconds since the
+    /// confirmation.
     pub fn run_until_tasks_are_gone(&mut self) -> f64 {
         let confirmed_at = self.confirmed_at.expect("a confirmation");
         while lock(&self.worker).placed(1) > 0 {
@@ -279,31 +292,33 @@
         (self.now() - confirmed_at) as f64 / 1e6
     }
 
-    /// The state store goes out for all 1.5 s after the confirmation, for longer than `cancel_s`, and is
-    /// back; the refused one is refused for 14 s in all. Returns when the tasks were gone.
+    /// Makes the state store unavailable to all controllers after 1.5 s, for longer than `cancel_s`.
+    /// Controllers that the state store refused before are refused outage_until 14 s after the confirmation.
+    /// After the outage, checks that nothing of the cancelled job starts again and that a new job runs.
+    /// Returns the seconds from the confirmation outage_until the job's tasks had ended.
     pub fn outage(&mut self) -> f64 {
         self.begin_outage();
         let gone = self.run_until_tasks_are_gone();
         let confirmed_at = self.confirmed_at.expect("a confirmation");
-        let (until, unrefused) = (confirmed_at + 84 * SECOND, confirmed_at + 14 * SECOND);
-        while self.now() < until {
-            if self.now() > unrefused {
+        let (outage_until, refused_until) = (confirmed_at + 84 * SECOND, confirmed_at + 14 * SECOND);
+        while self.now() < outage_until {
+            if self.now() > refused_until {
                 self.refuse(&[]);
             }
             self.step();
         }
         let now = self.now();
         lock(&self.store).end_outage(now);
-        // Back in touch nothing of the job starts again, and everybody replies alike.
+        // After the outage no task of the job starts again, and all controllers give the same reply.
         self.run(30.0);
         assert_eq!(lock(&self.worker).placed(1), 0);
         for i in 0..3 {
             assert_eq!(self.call(i, "GET", "/api/jobs/wk-000001", "").1["stage"], "cancelled", "by c-{i}");
         }
-        // A new job runs: the state store does not stand still.
+        // A new job can run, so the cluster works again.
         let submission = json!(spec(2, 2, "batch")).to_string();
         assert_eq!(self.call(2, "POST", "/api/jobs", &submission).0, 201);
-        self.run_until("new work runs", |w| lock(&w.worker).placed(2) == 2);
+        self.run_until("new work runs", |simulation| lock(&simulation.worker).placed(2) == 2);
         gone
     }
 }
--- a/tests/cancellation_in_outage/state_store.rs
+++ b/tests/cancellation_in_outage/state_store.rs
@@ -1,4 +1,5 @@
-//! A state store server with leases by simulated time, which refuses some controllers or is unavailable.
+//! A simulated state store whose leases follow simulated time. It can refuse some controllers or be
+//! unavailable.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,35 +10,41 @@
 use crate::common::state_store_server::{parameter, read_response, transaction, transaction_response};
 use crate::common::store::Store;
 
-/// A lease and the keys that hang on it.
+/// A lease and the keys that are removed when it ends.
 pub struct Lease {
+    /// Its duration in microseconds.
     ttl: i64,
+    /// When it expires, in microseconds of simulated time.
     until: i64,
     keys: BTreeSet<String>,
 }
 
-/// The state store, with leases by the test's time; only here do leases matter, so it stands here.
+/// The simulated state store. The stores that other tests share have no leases; only these tests need them.
 #[derive(Default)]
 pub struct StateStoreServer {
     pub store: Store,
+    /// The leases by id.
     pub leases: BTreeMap<u64, Lease>,
+    /// The id of the latest lease.
     pub next: u64,
+    /// Whether all controllers are refused.
     pub unavailable: bool,
+    /// The controllers that are refused.
     pub refused: BTreeSet<usize>,
-    /// Reads of the first controller are refused beside that.
+    /// Whether reads of the first controller are refused, in addition to `refused`.
     pub reads_refused: bool,
-    /// So many cancellations are carried out without a reply.
+    /// How many of the next cancellations are executed without a reply.
     pub lost_replies: usize,
 }
 
 impl StateStoreServer {
-    /// Ends the leases that have run out; none does in an outage.
+    /// Ends the leases that have expired. None expires while the state store is unavailable.
     pub fn expire(&mut self, now: i64) {
         if self.unavailable {
             return;
         }
-        let over: Vec<u64> = self.leases.iter().filter(|l| l.1.until < now).map(|l| *l.0).collect();
-        over.into_iter().for_each(|l| self.end(l));
+        let expired: Vec<u64> = self.leases.iter().filter(|l| l.1.until < now).map(|l| *l.0).collect();
+        expired.into_iter().for_each(|l| self.end(l));
     }
 
     /// Ends a lease and removes its keys.
@@ -49,19 +56,19 @@
         }
     }
 
-    /// After an outage every lease has its full time again.
+    /// Ends an outage. Every lease then has its full duration again.
     pub fn end_outage(&mut self, now: i64) {
         self.unavailable = false;
         self.leases.values_mut().for_each(|l| l.until = now + l.ttl);
     }
 
-    /// The reply to a request of a controller; none: the connection is closed without one.
+    /// The reply to a controller's request; none if the connection is closed without a reply.
     pub fn reply(&mut self, controller: usize, r: &Request, now: i64) -> Option<Response> {
         self.expire(now);
         let path = r.path.split('?').next().unwrap_or("");
         let unreadable = controller == 0 && self.reads_refused && r.method == "GET";
         if self.unavailable || self.refused.contains(&controller) || unreadable {
-            return Some(self.refuse(path, r));
+            return Some(self.refused_response(path, r));
         }
         let lease_of = |p: &str| p.split('/').nth(2).and_then(|l| l.parse::<u64>().ok()).unwrap_or(0);
         Some(match (r.method.as_str(), path) {
@@ -89,15 +96,16 @@
         })
     }
 
-    /// A watch that had been open stays silent, and its time runs out; all else is refused.
-    fn refuse(&self, path: &str, r: &Request) -> Response {
+    /// The response of a state store that refuses a controller. A watch ends without events, as one does that
+    /// was open before; all other requests are refused.
+    fn refused_response(&self, path: &str, r: &Request) -> Response {
         if path == "/watch" && parameter(r, "blockMs") != "0" {
             return Response::json(200, &json!({ "harvest": self.store.revision, "events": [] }));
         }
         Response::error(503, "unavailable")
     }
 
-    /// Executes a transaction, unless one of its leases is over.
+    /// Executes a transaction, unless one of its leases has ended.
     fn txn(&mut self, r: &Request) -> Option<Response> {
         let t = transaction(r);
         let leases: Vec<u64> = t
--- a/tests/cancellation_in_outage/worker.rs
+++ b/tests/cancellation_in_outage/worker.rs
@@ -1,4 +1,4 @@
-//! A simulated worker; its messages may be lost.
+//! A simulated worker whose messages may be lost.
 
 use milletlock::http::{Request, Response};
 use milletlock::time::{Micros, Steady};
@@ -7,17 +7,19 @@
 use crate::common::spec;
 use crate::common::worker::{Task, WorkerState};
 
-/// A worker; commands come to a port of its own. Its tasks run from the moment they are started, and end
-/// only by a halt or with the lease: no other end matters here.
+/// A worker that receives direct commands on a port of its own. Its tasks run from the moment when they are
+/// started. They end only by a halt or when the lease expires, because the tests need no other way.
 pub struct Worker {
     pub state: WorkerState,
+    /// When the next heartbeat is due, in microseconds.
     pub due: i64,
-    /// The controller to which it sends heartbeats.
+    /// The controller to which the worker sends its heartbeats.
     pub controller: usize,
+    /// The machine is frozen until this time, in microseconds.
     pub frozen_until: i64,
-    /// It reaches no controller, while commands reach it.
+    /// Whether heartbeats reach no controller, while direct commands reach the worker.
     pub heartbeats_lost: bool,
-    /// Commands do not reach it, while it reaches controllers.
+    /// Whether direct commands do not reach the worker, while its heartbeats reach the controllers.
     pub commands_lost: bool,
 }
 
@@ -35,10 +37,10 @@
         }
     }
 
-    /// Executes the orders of a reply or command.
-    pub fn execute_orders(&mut self, orders: &[WorkerCommand], now: i64) {
-        for o in orders {
-            match o {
+    /// Executes the commands in a reply to a heartbeat or in a direct command.
+    pub fn execute_commands(&mut self, commands: &[WorkerCommand], now: i64) {
+        for command in commands {
+            match command {
                 WorkerCommand::Start { task, attempt } => {
                     let running = Task::new(TaskStage::Running, Micros::ZERO, Steady(now));
                     self.state.tasks.insert((task.clone(), *attempt), running);
@@ -51,7 +53,7 @@
         }
     }
 
-    /// The reply to a direct command; none if the command does not arrive.
+    /// Executes a direct command and returns the reply; none if the command does not arrive.
     pub fn command(&mut self, r: &Request, now: i64) -> Option<Response> {
         if now < self.frozen_until || self.commands_lost {
             return None;
@@ -60,11 +62,11 @@
         if !self.state.accept_command(c.fencing_token, c.agent_epoch) {
             return Some(Response::json(409, &self.state.heartbeat()));
         }
-        self.execute_orders(&c.commands, now);
+        self.execute_commands(&c.commands, now);
         Some(Response::json(200, &self.state.heartbeat()))
     }
 
-    /// How many tasks of a job are there.
+    /// Number of tasks of a job on this machine.
     pub fn placed(&self, n: u32) -> usize {
         self.state.placed_of(&spec(n, 1, "batch").id)
     }
--- a/tests/clean_stop.rs
+++ b/tests/clean_stop.rs
@@ -1,4 +1,5 @@
-//! A controller that is asked to end: processes of the real program on loopback.
+//! The shutdown of a leader by SIGTERM. The tests run processes of the real program on the loopback
+//! interface.
 
 mod common;
 
@@ -12,10 +13,12 @@
 
 const JOB: &str = "wk-000001";
 const TASKS: u32 = 240;
-/// The duration of a leader's lease, and far less than that.
+/// The duration of a leader's lease, in seconds.
 const LEADER_TTL_S: f64 = 20.0;
+/// Longest time until another controller leads; far less than the duration of the lease.
 const HANDOVER: Duration = Duration::from_secs(5);
-/// Longer than a controller takes to end, which may wait for a watch of the leader's record.
+/// Longest time until a controller's process has ended. It may have to wait for a watch of the leader's
+/// record.
 const MAX_STOP: Duration = Duration::from_secs(10);
 
 fn job() -> Value {
@@ -25,7 +28,7 @@
     job
 }
 
-/// The tasks that are recorded for a leader of any version.
+/// The tasks that are recorded as done where a leader of any version reads them.
 fn recorded(cells: &Cells) -> BTreeSet<u32> {
     let rows = cells.rows(0, &format!("lent/done/{JOB}/"));
     rows.iter().flat_map(|row| production::tasks_of_text(row.value.as_str().expect("a text"))).collect()
@@ -39,9 +42,10 @@
     of_cell.map(|(task, _)| split_task(task).expect("a task").1).collect()
 }
 
-/// Guards against results of lent jobs that a leader had accepted and not written when it was asked to end.
+/// Guards against the loss of results of lent jobs that a leader has accepted and not yet written when it
+/// receives SIGTERM.
 #[test]
-fn a_leader_that_is_asked_to_end_records_what_it_was_told() {
+fn a_leader_that_receives_sigterm_records_the_results_it_has_accepted() {
     let plan = |workers, borrow_cpus| CellPlan {
         workers,
         borrow_cpus,
@@ -58,20 +62,23 @@
         let present = history.present.keys().filter(|(cell, _)| *cell == 0);
         present.map(|(_, attempt)| attempt.0.clone()).collect()
     };
-    until("the machines are full", || running().len() == 8);
+    until("all machines are fully used", || running().len() == 8);
     let before = accepted(&cells, 0).len();
-    let ended = running();
-    cells.end_tasks(&ended);
-    until("results are accepted", || accepted(&cells, 0).len() >= before + ended.len() / 2);
-    let told = accepted(&cells, 0);
+    let ended_tasks = running();
+    cells.end_tasks(&ended_tasks);
+    until("results are accepted", || accepted(&cells, 0).len() >= before + ended_tasks.len() / 2);
+    let accepted_results = accepted(&cells, 0);
     cells.terminate_controller(0, 0);
     let recorded = recorded(&cells);
-    assert!(recorded.is_superset(&told), "of {told:?} just {recorded:?} are recorded");
+    assert!(
+        recorded.is_superset(&accepted_results),
+        "accepted results: {accepted_results:?}; recorded results: {recorded:?}"
+    );
 }
 
-/// Guards against a cell without a leader until the lease of one that ended on purpose has run out.
+/// Guards against a cell that has no leader until the lease of a leader that was shut down has expired.
 #[test]
-fn a_leader_that_is_asked_to_end_gives_up_its_lease() {
+fn a_leader_that_receives_sigterm_ends_its_lease() {
     let plan = CellPlan { workers: 1, leader_ttl_s: LEADER_TTL_S, ..CellPlan::default() };
     let mut cells = Cells::start(12, &[plan]);
     let leader = cells.leader(0).expect("a leader");
@@ -79,8 +86,8 @@
     let before = token(&cells);
     let asked = Instant::now();
     cells.ask_to_end(0, leader);
-    until("another one leads", || token(&cells) != before);
-    assert!(asked.elapsed() < HANDOVER, "{:?}", asked.elapsed());
+    until("another controller leads", || token(&cells) != before);
+    assert!(asked.elapsed() < HANDOVER, "another controller led only after {:?}", asked.elapsed());
     cells.await_end(0, leader);
-    assert!(asked.elapsed() < MAX_STOP, "{:?}", asked.elapsed());
+    assert!(asked.elapsed() < MAX_STOP, "the process ended only after {:?}", asked.elapsed());
 }
--- a/tests/common/simulated_controller.rs
+++ b/tests/common/simulated_controller.rs
@@ -1,6 +1,6 @@
-//! A simulated controller that leads: it claims the shard, reads changes, writes and reads back like
-//! the real one. Leases, lost connections and when it takes its turn each simulation models for itself.
-//! Tests with whole controllers (`Controller`) do not need it.
+//! A simulated controller that leads. It takes the shard, reads changes, writes records and reads them back
+//! like the real controller. Each simulation models leases, lost connections and the order of events itself.
+//! Tests that run complete controllers (`Controller`) do not need it.
 
 use std::sync::Arc;
 
@@ -16,20 +16,20 @@
 use super::store::Store;
 use super::types;
 
-/// What a new leader reads before it does anything.
+/// Key prefixes of the records that a new leader reads before it acts.
 const RECORDS: [&str; 6] = ["recent", "job/", "machine", "marks/", "done/", "hist/"];
 
-/// A controller that has claimed everything.
+/// A controller that has won an election.
 pub struct SimulatedController {
     pub fleet: Fleet,
-    /// The revision of the shard's record as it claimed it.
+    /// The revision of the shard's record as this controller wrote it when it was elected.
     pub shard_revision: u64,
-    /// The revision up to which it has read the jobs' changes.
+    /// The revision up to which this controller has read the changes to jobs' records.
     pub watched_revision: u64,
 }
 
 impl SimulatedController {
-    /// Claims everything with the next fencing token and reads all records. Earlier leaders do not notice.
+    /// Wins an election with the next fencing token and reads all records. Earlier leaders are not informed.
     pub fn claim(store: &mut Store, cfg: &Arc<Config>, now: Steady) -> SimulatedController {
         let fencing_token = store.row("term").and_then(|r| r.value.as_u64()).unwrap_or(0) + 1;
         let then = vec![
@@ -43,12 +43,13 @@
         SimulatedController { fleet, shard_revision, watched_revision: store.revision }
     }
 
-    /// Whether it still holds the shard, as far as the state store knows.
+    /// Whether no other controller has taken the shard since this one was elected, according to the state
+    /// store.
     pub fn holds_shard(&self, store: &Store) -> bool {
         self.shard_revision == store.mod_revision(leadership::SHARD_KEY)
     }
 
-    /// Reads the jobs' changes since the last time.
+    /// Reads the changes to jobs' records that were made since the last call.
     pub fn read_changes(&mut self, store: &Store, now: Steady) {
         for (revision, key, value) in store.changes_since(self.watched_revision) {
             let Some(id) = key.strip_prefix("job/") else { continue };
@@ -63,13 +64,15 @@
         self.watched_revision = store.revision;
     }
 
-    /// The transactions that it would write now; done ranges may wait for a while.
+    /// The transactions that the controller would send now. Done ranges are written at intervals of
+    /// `done_delay`.
     pub fn batches(&mut self, done_delay: Micros, chunk: u32, now: Steady) -> Vec<Batch> {
         let pending = self.fleet.pending_writes(now, done_delay, chunk);
         leadership::batches(&mut self.fleet, self.shard_revision, pending, 8, now, wall_at(now))
     }
 
-    /// Learns the result of a transaction (none: no reply). The error names the keys to read back.
+    /// Applies the result of a transaction to the fleet; `result` is none if there was no reply. An error
+    /// lists the keys to read back.
     pub fn apply_txn_result(
         &mut self,
         batch: &Batch,
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Reads keys back, except the shard's own.
+    /// Reads keys back, except the shard's key.
     pub fn read_back(&mut self, keys: &[String], store: &Store, now: Steady) {
         for key in keys.iter().filter(|k| *k != leadership::SHARD_KEY) {
             leadership::update_from_store(&mut self.fleet, key, store.row(key), now);
--- a/tests/controller_replies.rs
+++ b/tests/controller_replies.rs
@@ -1,21 +1,20 @@
-//! The forms of a controller's own replies, which workers, the load balancer and people on call
-//! read.
+//! The JSON forms of a controller's own replies, which workers, the load balancer and operators read.
 
 use milletlock::wire::{ControllerStatus, Health, Redirect, ShardStatus};
 use serde_json::{json, Value};
 
 #[test]
-fn a_redirect_names_the_leader() {
+fn a_redirect_contains_the_leaders_label() {
     assert_eq!(json!(Redirect { leader: "a".into() }), json!({ "steward": "a" }));
 }
 
 #[test]
-fn health_says_up() {
+fn the_health_reply_reports_up() {
     assert_eq!(json!(Health { healthy: true }), json!({ "up": true }));
 }
 
 #[test]
-fn the_leaders_status_has_its_shards_and_its_view() {
+fn the_leaders_status_contains_its_shards_and_its_fleet() {
     let status = ControllerStatus {
         leader: Some("a".into()),
         controller: "a".into(),
@@ -34,7 +33,7 @@
 }
 
 #[test]
-fn any_other_controllers_status_says_who_leads() {
+fn a_followers_status_contains_neither_shards_nor_a_fleet() {
     let status: ControllerStatus<Value> = ControllerStatus {
         leader: None,
         controller: "b".into(),
--- a/tests/progress_keeper.rs
+++ b/tests/progress_keeper.rs
@@ -1,5 +1,6 @@
-//! The rounds of a follower beside a leader that keeps no copies of lent jobs' progress: their bounds, what the
-//! status shows of them, and which of the results that were heard they can count on.
+//! Rounds in which a follower copies the progress of jobs with loans, while the leader is of a version that
+//! keeps no copies. The tests check the bounds of a round, the counts in the status, and which reported
+//! results are used.
 
 mod common;
 
@@ -11,48 +12,59 @@
 use milletlock::wire::{Change, ExitReason, TaskStage, Txn};
 use serde_json::json;
 
-/// Records of jobs of which tasks 0 and 1 are borrowed: `wk-000100` and following.
+/// Writes the records of `jobs` jobs, each with tasks 0 and 1 borrowed. The ids begin with `wk-000100`.
 fn borrow_jobs(world: &World, jobs: usize) {
-    for n in 0..jobs {
-        let description = spec(100 + n as u32, 2, "batch");
-        let held = json!({ "home": "there", "description": description, "loans": [{ "number": 5, "tasks": "0-1" }] });
-        let record = Change::put(format!("borrowed/job/wk-0001{n:02}"), held);
+    for index in 0..jobs {
+        let description = spec(100 + index as u32, 2, "batch");
+        let job = json!({
+            "home": "there", "description": description, "loans": [{ "number": 5, "tasks": "0-1" }]
+        });
+        let record = Change::put(format!("borrowed/job/wk-0001{index:02}"), job);
         world.store().txn(&Txn { guards: Vec::new(), then: vec![record] }).expect("written");
     }
 }
 
-/// Jobs with loans and those without copies, as a controller's status shows them to operators.
+/// Numbers of jobs with loans, and of those without copies, in a controller's status; none if it shows no
+/// numbers.
 fn lent_progress(controller: &Leader) -> Option<(u64, u64)> {
     let status = controller.status();
     let progress = status.get("lent_progress")?;
     Some((progress["jobs"].as_u64()?, progress["without_copies"].as_u64()?))
 }
 
-/// Guards against a version before loans that leads too soon: the status of any controller shows how many jobs
-/// still lack copies.
+/// An operator must not let a version without loans lead before all jobs with loans have copies. Therefore
+/// the status of every controller shows how many jobs still lack copies.
 #[test]
-fn the_status_counts_jobs_without_copies_down_to_none() {
+fn the_status_counts_jobs_without_copies_until_all_have_copies() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.begin_and_lend(&mut machine);
     machine.finish_all();
     leader.steps(&mut machine, SETTLED);
-    assert_eq!(lent_progress(&leader), Some((1, 0)), "at a leader that makes copies");
+    assert_eq!(
+        lent_progress(&leader),
+        Some((1, 0)),
+        "a leader of this version has copied the progress of its only job"
+    );
     world.remove_copies();
     borrow_jobs(&world, 9);
     let mut follower = world.follower();
-    assert_eq!(lent_progress(&follower), None, "nothing is known before a round");
+    assert_eq!(lent_progress(&follower), None, "before its first round a follower shows no numbers");
     follower.hears_of_leader("0.3.0");
     follower.keep_progress();
-    assert_eq!(lent_progress(&follower), Some((10, 2)), "eight jobs a round");
+    assert_eq!(lent_progress(&follower), Some((10, 2)), "one round copies the progress of eight jobs");
     follower.keep_progress();
     assert_eq!(lent_progress(&follower), Some((10, 0)));
     follower.hears_of_leader("0.3.2");
     follower.keep_progress();
-    assert_eq!(lent_progress(&follower), None, "the leader has the count");
+    assert_eq!(
+        lent_progress(&follower),
+        None,
+        "a follower shows no numbers if the leader keeps copies itself"
+    );
 }
 
-/// Guards against a count of none while a record cannot be read.
+/// Guards against a status that shows no job without copies while a record cannot be read.
 #[test]
 fn unreadable_records_count_as_jobs_without_copies() {
     let world = World::new();
@@ -65,10 +77,10 @@
     assert_eq!(lent_progress(&follower), Some((1, 1)));
 }
 
-/// Guards against a store of results that is full of jobs without loans: what was heard of lent jobs after that
-/// was left out.
+/// Guards against a fault in which the bounded buffer of reported results was full of results of jobs without
+/// loans, so that results of lent jobs that were reported later were dropped.
 #[test]
-fn results_of_lent_jobs_are_kept_when_many_others_were_heard() {
+fn results_of_lent_jobs_are_kept_after_many_results_of_other_jobs() {
     const RESULTS: u32 = 10_000;
     const HEARTBEATS: u32 = 20;
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
@@ -79,11 +91,12 @@
     let mut follower = world.follower();
     world.earlier_version_leads();
     follower.hears_of_leader(NO_VERSION);
-    for n in 0..HEARTBEATS {
+    for index in 0..HEARTBEATS {
         let mut other = Machine::new("i-000002");
         let done =
             || Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
-        other.state.tasks = (0..RESULTS).map(|task| ((format!("wk-9000{n:02}/{task}"), 1), done())).collect();
+        other.state.tasks =
+            (0..RESULTS).map(|task| ((format!("wk-9000{index:02}/{task}"), 1), done())).collect();
         follower.heartbeat(&mut other);
     }
     follower.heartbeat(&mut machine);
@@ -93,20 +106,21 @@
     assert_none_runs_again(&world, &mut machine, &finished);
 }
 
-/// Guards against rounds that take the store's rate from users: with results for all jobs, a round read and wrote
-/// every one of them. Its bound holds then too, and no job is left out for long.
+/// Guards against a fault in which a round read and wrote all jobs with reported results, and so used up the
+/// state store's rate limit that users' requests need. A round is bounded in this case too, and all jobs get
+/// their turn.
 #[test]
-fn rounds_are_bounded_when_results_of_all_jobs_were_heard() {
+fn rounds_are_bounded_when_results_of_all_jobs_were_reported() {
     const JOBS: usize = 30;
-    const MOST_A_ROUND: usize = 8;
+    const MAX_JOBS_PER_ROUND: usize = 8;
     let world = World::new();
-    let id = |n: usize| format!("wk-0001{n:02}");
+    let id = |index: usize| format!("wk-0001{index:02}");
     borrow_jobs(&world, JOBS);
     let mut machine = Machine::new("i-000001");
-    for n in 0..JOBS {
+    for index in 0..JOBS {
         let done =
             Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
-        machine.state.tasks.insert((format!("{}/0", id(n)), 1), done);
+        machine.state.tasks.insert((format!("{}/0", id(index)), 1), done);
     }
     let mut follower = follower_that_hears(&world, &mut machine);
     let copied = || world.store().rows("borrowed/done/").len();
@@ -117,5 +131,5 @@
         rounds.push(copied() - before);
     }
     assert_eq!(rounds.iter().sum::<usize>(), JOBS, "{rounds:?}");
-    assert!(rounds.iter().all(|jobs| (1..=MOST_A_ROUND).contains(jobs)), "{rounds:?}");
+    assert!(rounds.iter().all(|jobs| (1..=MAX_JOBS_PER_ROUND).contains(jobs)), "{rounds:?}");
 }
