--- a/tests/failover/faults.rs
+++ b/tests/failover/faults.rs
@@ -1,68 +1,73 @@
-//! The faults that a simulation injects, and the combinations of them that several tests start from.
+//! The faults that a simulation injects, and combinations of faults on which several tests are based.
 
-/// The faults of a simulation. Shares are of messages; rates are per step.
+/// The faults of a simulation. A share is the probability that a fault affects a message, if its description
+/// names nothing else. A rate is the probability that something happens in a step.
 #[derive(Clone)]
 pub struct Faults {
-    /// Steps before the faults end.
+    /// Number of steps in which faults occur.
     pub steps: u32,
-    /// How many jobs are submitted.
+    /// Number of jobs that are submitted.
     pub jobs: u32,
-    /// A cancelled job's tasks must be gone so many seconds after its user was told. Where it is
-    /// more than twice the lease, a leader without the state store replies its workers for longer
-    /// than others keep their leases.
+    /// Longest time in seconds from the confirmation of a cancellation until the job's tasks have ended. If
+    /// it is more than twice the lease, a leader without the state store replies to its workers for longer
+    /// than a lease lasts.
     pub cancel_s: f64,
-    /// Most seconds that a long task runs.
+    /// Longest time in seconds for which a long task runs.
     pub longest_task_s: f64,
-    /// Rate at which another controller becomes leader.
+    /// Rate of failovers.
     pub failover: f64,
-    /// Another controller becomes leader each time so many seconds have passed.
+    /// Interval in seconds at which failovers occur, in addition to the random ones.
     pub failover_every_s: Option<f64>,
-    /// A zone and a leader are partitioned together now and then.
+    /// Whether a zone and a leader are partitioned together at times.
     pub partition: bool,
-    /// Share of transactions without a reply at any time: executed at once or late.
+    /// Share of transactions without a reply. They are executed at once or late.
     pub lost_replies: f64,
-    /// Share of transactions without a reply that are executed 2 to 12 s later, in periods.
+    /// Share of transactions without a reply that are executed 2 to 12 s late. Such transactions occur in
+    /// alternate periods of 30 s.
     pub late_writes: f64,
-    /// Share of heartbeats of which a copy arrives again, up to three leases later.
+    /// Share of heartbeats of which a copy arrives later, up to three leases later.
     pub duplicate_heartbeats: f64,
-    /// Share of heartbeats that arrive only once a new leader has acted.
-    pub held_heartbeats: f64,
+    /// Share of heartbeats that arrive only after a later leader was elected.
+    pub delayed_heartbeats: f64,
     /// Share of replies that take up to four seconds.
     pub slow_replies: f64,
     /// Share of direct commands that are executed or replied to seconds later.
     pub slow_commands: f64,
-    /// Share of the steps in which a leader's fencing token is brought to a machine that it has not heard.
+    /// Rate at which the newest leader sends its fencing token by direct command to an unacknowledged
+    /// machine.
     pub token_commands: f64,
     /// Rate of periods in which machines are partitioned.
     pub partitioned: f64,
-    /// Rate of periods in which machines get no reply and no command.
+    /// Rate of periods in which neither replies nor direct commands reach machines.
     pub replies_lost: f64,
-    /// Rate of periods in which machines reach no leader, while commands reach them.
+    /// Rate of periods in which heartbeats of machines reach no leader, while direct commands reach the
+    /// machines.
     pub heartbeats_lost: f64,
     /// Rate of periods in which machines freeze.
     pub frozen: f64,
-    /// Rate of periods in which the leader loses the state store, not its workers.
+    /// Rate of periods in which the leader reaches its workers but not the state store.
     pub store_lost: f64,
-    /// Share of those in which the state store is soon out for everybody.
+    /// Share of the periods of `store_lost` in which the state store soon becomes unavailable to all.
     pub store_outage: f64,
-    /// The cloud is out while a leader has lost the state store: no machine can be returned.
-    pub cloud_out: bool,
-    /// Rate of periods with no leader at all, longer than a lease.
+    /// Whether the cloud is unavailable while a leader cannot reach the state store, so that no machine is
+    /// returned.
+    pub cloud_unavailable: bool,
+    /// Rate of periods without any leader, longer than a lease.
     pub no_leader: f64,
-    /// Rate at which a machine dies without a notice.
+    /// Rate at which a machine is lost without an interruption notice.
     pub machine_lost: f64,
-    /// Jobs are of all ranks, so that some are stopped for others, and submissions come late again;
-    /// leaders see the cloud's list.
+    /// Whether jobs have different priorities, so that some are preempted, some submissions arrive again
+    /// late, and leaders read the cloud's machine list.
     pub mixed_load: bool,
-    /// Rate of cancellations of any job.
+    /// Rate at which a random job is cancelled.
     pub cancel: f64,
-    /// Share of the jobs that are cancelled at the moment of their last end.
+    /// Share of the jobs that are cancelled when their last task ends.
     pub cancel_at_end: f64,
-    /// Jobs on machines that get into a period of faults, cancelled in it.
+    /// Share of the jobs with tasks on machines in a period of faults that are cancelled during the period.
     pub cancel_on_faulty_machine: f64,
 }
 
-/// The common faults, which are part of each combination.
+/// The common faults, on which all combinations are based.
 pub const COMMON: Faults = Faults {
     steps: 1600,
     jobs: 24,
@@ -74,7 +79,7 @@
     lost_replies: 0.03,
     late_writes: 0.0,
     duplicate_heartbeats: 0.0,
-    held_heartbeats: 0.0,
+    delayed_heartbeats: 0.0,
     slow_replies: 0.0,
     slow_commands: 0.0,
     token_commands: 0.5,
@@ -84,7 +89,7 @@
     frozen: 0.0,
     store_lost: 0.0,
     store_outage: 0.0,
-    cloud_out: false,
+    cloud_unavailable: false,
     no_leader: 0.0,
     machine_lost: 0.0,
     mixed_load: false,
@@ -93,8 +98,8 @@
     cancel_on_faulty_machine: 0.0,
 };
 
-/// Shorter simulations, of two and a half minutes, in which only some machines are partitioned beside what a
-/// combination is about.
+/// The base of shorter simulations, with 150 s of faults. No zone is partitioned, and single machines are
+/// partitioned more rarely than in [`COMMON`].
 pub const SHORT: Faults = Faults {
     steps: 600,
     jobs: 15,
@@ -105,12 +110,12 @@
     ..COMMON
 };
 
-/// All at once.
+/// All faults combined.
 pub const ALL: Faults = Faults {
     partition: true,
     late_writes: 0.15,
     duplicate_heartbeats: 0.1,
-    held_heartbeats: 0.03,
+    delayed_heartbeats: 0.03,
     slow_replies: 0.1,
     slow_commands: 0.3,
     token_commands: 0.1,
--- a/tests/failover/simulation/heartbeats.rs
+++ b/tests/failover/simulation/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, direct commands and their replies: lost, late or doubled.
+//! Heartbeats, direct commands and their replies, which may be lost, late or duplicated.
 
 use milletlock::fleet::HeartbeatOutcome;
 use milletlock::time::Micros;
@@ -9,11 +9,12 @@
 use crate::common::clock::wall_at;
 use crate::common::store::take_due;
 
-/// A worker waits so long for a reply.
+/// How long a worker waits for the reply to a heartbeat.
 const REPLY_TIMEOUT: Micros = Micros(4_000_000);
 
 impl Simulation {
-    /// Brings a heartbeat to a leader: what it replies. One that learns of a higher fencing token is gone.
+    /// Delivers a heartbeat to a leader; returns the leader's reply. A leader that sees a higher fencing
+    /// token in the heartbeat is removed.
     pub(super) fn deliver(&mut self, i: usize, r: &Heartbeat) -> Option<HeartbeatReply> {
         let now = self.now;
         if !self.may_reply(i) {
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Heartbeats and their replies, of all workers; then what was late.
+    /// All workers receive replies and send heartbeats. Then late heartbeats and late transactions arrive.
     pub(super) fn exchange_heartbeats(&mut self) {
         for w in 0..self.workers.len() {
             self.exchange_heartbeat(w);
@@ -38,25 +39,26 @@
         self.apply_late_transactions();
     }
 
-    /// Copies of heartbeats and heartbeats held back arrive at some leader.
+    /// Delivers copies of heartbeats and delayed heartbeats to some leader.
     fn deliver_late_heartbeats(&mut self) {
         let now = self.now;
         let ready = take_due(&mut self.late_heartbeats, now);
-        let newest = self.leaders.last().map(|o| (o.controller.fleet.fencing_token, o.last_read));
-        let (free, held): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held_heartbeats)
+        let newest =
+            self.leaders.last().map(|leader| (leader.controller.fleet.fencing_token, leader.last_read));
+        let (arriving, still_delayed): (Vec<_>, Vec<_>) = std::mem::take(&mut self.delayed_heartbeats)
             .into_iter()
             .partition(|h| newest.is_some_and(|n| n.0 > h.0) && self.rng.random_bool(0.05));
-        self.held_heartbeats = held;
-        self.faults_occurred += free.len() as u32;
-        for r in ready.into_iter().chain(free.into_iter().map(|h| h.1)) {
-            // To whoever is there. The worker has long given up on the reply.
+        self.delayed_heartbeats = still_delayed;
+        self.faults_occurred += arriving.len() as u32;
+        for r in ready.into_iter().chain(arriving.into_iter().map(|h| h.1)) {
+            // The reply is dropped, because the worker no longer waits for it.
             let Some(last) = self.leaders.len().checked_sub(1) else { continue };
             let i = if self.chance(0.2) { self.rng.random_range(0..=last) } else { last };
             let _ = self.deliver(i, &r);
         }
     }
 
-    /// The state store carries out transactions whose writers have no reply.
+    /// Executes the late transactions that are due. Their senders have received no reply.
     fn apply_late_transactions(&mut self) {
         if self.state_store_unavailable() {
             return;
@@ -66,7 +68,7 @@
         }
     }
 
-    /// A worker takes the reply that has arrived and sends its next heartbeat if that is due.
+    /// A worker accepts a reply that has arrived, and sends its next heartbeat if one is due.
     fn exchange_heartbeat(&mut self, w: usize) {
         if self.now < self.workers[w].frozen_until || self.now < self.workers[w].partitioned_until {
             return;
@@ -76,13 +78,13 @@
                 self.workers[w].reply = Some((at, sent, agent_epoch, reply));
                 return;
             }
-            // Replies to an earlier session are dropped, and those that took too long.
+            // The worker drops replies to an earlier session and replies that took too long.
             let replies_lost = self.now < self.workers[w].replies_lost_until;
             if agent_epoch == self.workers[w].state.agent_epoch
                 && self.now - sent <= REPLY_TIMEOUT
                 && !replies_lost
             {
-                self.execute_orders(w, &reply, sent);
+                self.execute_reply(w, &reply, sent);
             }
         }
         if self.now < self.workers[w].due {
@@ -98,13 +100,13 @@
             self.late_heartbeats.push((at, r));
             return;
         }
-        if self.chance(self.faults.held_heartbeats) {
-            let newest = self.leaders.last().map_or(0, |o| o.controller.fleet.fencing_token);
-            self.held_heartbeats.push((newest, r));
+        if self.chance(self.faults.delayed_heartbeats) {
+            let newest = self.leaders.last().map_or(0, |leader| leader.controller.fleet.fencing_token);
+            self.delayed_heartbeats.push((newest, r));
             return;
         }
         if self.chance(self.faults.duplicate_heartbeats) {
-            // Some soon, some well after the lease.
+            // Half of the copies arrive soon, the others up to three leases later.
             let at = if self.chance(0.5) { self.later(0.5, 10.0) } else { self.later(10.0, 66.0) };
             self.late_heartbeats.push((at, r.clone()));
             self.faults_occurred += 1;
@@ -113,7 +115,7 @@
         let Some(reply) = self.deliver(i, &r) else { return };
         if self.chance(0.05) {
             let again = self.deliver(i, &r);
-            assert!(again.is_none_or(|r| r.commands.is_empty()), "a copy was given orders");
+            assert!(again.is_none_or(|r| r.commands.is_empty()), "the reply to a copy contained commands");
         }
         if self.chance(0.05) || self.now < self.workers[w].replies_lost_until {
             return;
@@ -125,22 +127,22 @@
             return;
         }
         let now = self.now;
-        self.execute_orders(w, &reply, now);
+        self.execute_reply(w, &reply, now);
     }
 
-    /// Direct commands that bring the newest leader's fencing token to machines that it has not heard. They
-    /// may be executed late, and replied to late or never.
+    /// The newest leader sends its fencing token by direct command to unacknowledged machines. The commands
+    /// may be executed late, and their replies may be late or lost.
     pub(super) fn send_token_commands(&mut self) {
         self.issue_commands();
         self.execute_commands();
         self.receive_command_replies();
     }
 
-    /// The newest leader issues commands to machines that it has not heard.
+    /// The newest leader sends commands to unacknowledged machines.
     fn issue_commands(&mut self) {
-        if let Some(o) = self.leaders.last() {
-            let fencing_token = o.controller.fleet.fencing_token;
-            let unheard: Vec<(String, u64)> = o
+        if let Some(leader) = self.leaders.last() {
+            let fencing_token = leader.controller.fleet.fencing_token;
+            let unacknowledged: Vec<(String, u64)> = leader
                 .controller
                 .fleet
                 .machines
@@ -148,7 +150,7 @@
                 .filter(|m| !m.acknowledged)
                 .map(|m| (m.id.to_string(), m.latest_heartbeat.agent_epoch.max(1)))
                 .collect();
-            for (machine, agent_epoch) in unheard {
+            for (machine, agent_epoch) in unacknowledged {
                 let unreachable = self.partition.is_some()
                     && self.workers.iter().any(|w| w.state.id == machine && w.state.zone == "south");
                 if unreachable || !self.rng.random_bool(self.faults.token_commands) {
@@ -161,13 +163,13 @@
         }
     }
 
-    /// Workers execute the commands that have arrived.
+    /// Workers execute the direct commands that have arrived.
     fn execute_commands(&mut self) {
         for c in std::mem::take(&mut self.commands) {
             let Some(w) = self.workers.iter().position(|w| w.state.id == c.machine) else { continue };
             let worker = &mut self.workers[w];
             if self.now < c.at || self.now < worker.frozen_until || self.now < worker.partitioned_until {
-                // Packets wait for the machine, and are delivered when it goes on.
+                // The command is delivered once the machine resumes or its partition ends.
                 self.commands.push(c);
                 continue;
             }
@@ -186,11 +188,12 @@
         }
     }
 
-    /// Leaders receive what workers returned to their commands.
+    /// Leaders receive the workers' replies to their direct commands.
     fn receive_command_replies(&mut self) {
         let now = self.now;
         for (fencing_token, r) in take_due(&mut self.command_replies, now) {
-            let Some(i) = self.leaders.iter().position(|o| o.controller.fleet.fencing_token == fencing_token)
+            let Some(i) =
+                self.leaders.iter().position(|leader| leader.controller.fleet.fencing_token == fencing_token)
             else {
                 continue;
             };
--- a/tests/failover/simulation/jobs.rs
+++ b/tests/failover/simulation/jobs.rs
@@ -1,4 +1,4 @@
-//! Users: they submit jobs, cancel them, and ask again until they have a reply.
+//! The users of the simulated cluster: they submit jobs and cancel them.
 
 use std::collections::BTreeSet;
 
@@ -16,40 +16,41 @@
     pub(super) fn submit(&mut self, n: u32) {
         let shape = if self.rng.random_bool(0.3) { "gang" } else { "batch" };
         let tasks = if shape == "gang" { self.rng.random_range(1..4) } else { self.rng.random_range(1..12) };
-        let mut s = spec(n, tasks, shape);
+        let mut spec = spec(n, tasks, shape);
         if self.rng.random_bool(0.3) {
-            s.team = "tight".into();
+            spec.team = "tight".into();
         }
-        s.one_zone = self.rng.random_bool(0.3);
-        s.spread = !s.one_zone && self.rng.random_bool(0.3);
-        s.spot = self.rng.random_bool(0.6);
-        if self.rng.random_bool(0.2) && !s.spread {
-            s.zone = Some("south".into());
+        spec.one_zone = self.rng.random_bool(0.3);
+        spec.spread = !spec.one_zone && self.rng.random_bool(0.3);
+        spec.spot = self.rng.random_bool(0.6);
+        if self.rng.random_bool(0.2) && !spec.spread {
+            spec.zone = Some("south".into());
         }
         if self.faults.mixed_load {
-            s.priority = [Priority::Idle, Priority::Normal, Priority::Urgent, Priority::Critical]
+            spec.priority = [Priority::Idle, Priority::Normal, Priority::Urgent, Priority::Critical]
                 [self.rng.random_range(0..4)];
         }
-        let mut r = record(s.clone());
+        let mut r = record(spec.clone());
         r.submitted_us = self.now.0;
         let txn = submission(&r);
         assert!(self.store.txn(&txn).is_ok());
         if self.faults.mixed_load && self.chance(0.2) {
-            // An earlier attempt to submit it, which had no reply.
+            // A copy of the same submission, sent earlier without a reply, arrives late.
             let at = self.later(2.0, 60.0);
             self.late_transactions.push((at, txn));
         }
-        self.specs.insert(s.id.clone(), s);
+        self.specs.insert(spec.id.clone(), spec);
     }
 
-    /// A user wants a job cancelled, and asks until it is told how the job ended.
+    /// A user requests the cancellation of a job, and repeats the request until a reply tells how the job
+    /// ended. The first request is sent at `at`.
     pub(super) fn request_cancellation(&mut self, id: &str, at: Steady) {
         if self.specs.contains_key(id) && self.cancel_requested.insert(id.to_string()) {
             self.cancel_retries.insert(id.to_string(), at);
         }
     }
 
-    /// Some jobs with tasks on a machine, or on any, are cancelled within a few seconds.
+    /// Cancels some of the jobs with tasks on a machine, or on any machine if `machine` is none, within 12 s.
     pub(super) fn cancel_on_faulty_machine(&mut self, machine: Option<usize>) {
         let ids: BTreeSet<String> = (0..self.workers.len())
             .filter(|w| machine.is_none_or(|m| m == *w))
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Users send the cancellations that are due, and learn how the job ended.
+    /// Users send the cancellations that are due, and receive replies that tell how the jobs ended.
     pub(super) fn send_cancellations(&mut self) {
         if self.state_store_unavailable() || self.leaders.is_empty() {
             return;
@@ -74,7 +75,7 @@
         for id in due {
             if let Some(txn) = self.store.cancellation(&self.specs[&id]) {
                 if self.chance(0.05 + self.faults.late_writes) {
-                    // The user is told nothing and asks again.
+                    // The user receives no reply and sends the cancellation again.
                     let at = self.later(2.0, 12.0);
                     self.late_transactions.push((at, txn));
                     self.cancel_retries.insert(id, self.now + Micros::from_secs(1.0));
--- a/tests/failover/simulation/leaders.rs
+++ b/tests/failover/simulation/leaders.rs
@@ -1,4 +1,5 @@
-//! Leaders: they fail over, read changes and write records; older ones may live on beside a newer one.
+//! The leaders of the simulated cluster: failovers, reads of changes and writes of records. An earlier leader
+//! may continue beside a newer one.
 
 use milletlock::leadership::Batch;
 use milletlock::store_contact::StoreContact;
@@ -11,11 +12,12 @@
 use crate::common::simulated_controller::SimulatedController;
 
 impl Simulation {
-    /// Another controller becomes leader. The earlier ones do not know yet; more than three are too many.
+    /// Makes another controller the leader. The earlier leaders are not informed; at most three leaders are
+    /// kept.
     pub(super) fn fail_over(&mut self) {
         let mut controller = SimulatedController::claim(&mut self.store, &self.cfg, self.now);
         controller.fleet.advance_jobs_revision(controller.watched_revision);
-        let store_contact = StoreContact::new(self.now, self.bound);
+        let store_contact = StoreContact::new(self.now, self.max_staleness);
         self.leaders.push(SimulatedLeader {
             controller,
             last_read: self.now,
@@ -27,27 +29,28 @@
         }
     }
 
-    /// Cuts the leader off, with the workers of the south: from the state store, the cloud, the
-    /// other controllers and the north. Another becomes leader outside.
+    /// Partitions the newest leader and the workers in the zone `south` from the state store, the cloud, the
+    /// other controllers and the zone `north`. Another controller outside the partition becomes the leader.
     fn begin_partition(&mut self) {
         let newest = self.leaders.len() - 1;
         self.leaders.drain(..newest);
-        let long = self.rng.random_range(15.0..45.0);
+        let duration_s = self.rng.random_range(15.0..45.0);
         self.fail_over();
-        self.partition = Some((self.now, self.now + Micros::from_secs(long)));
+        self.partition = Some((self.now, self.now + Micros::from_secs(duration_s)));
     }
 
-    /// Whether a leader is the partitioned one.
+    /// Whether the leader with this index is the partitioned one.
     pub(super) fn is_partitioned(&self, leader: usize) -> bool {
         self.partition.is_some() && leader == 0 && self.leaders.len() > 1
     }
 
-    /// Whether a leader replies to workers: only until cancellations that it cannot see might be due.
+    /// Whether a leader may reply to workers. It may not once it has had no contact with the state store for
+    /// too long, because there may be cancellations that it has not seen.
     pub(super) fn may_reply(&self, leader: usize) -> bool {
         self.leaders[leader].store_contact.may_act(self.now)
     }
 
-    /// Which leader a worker's heartbeat reaches, if any.
+    /// The index of the leader that a worker's heartbeat reaches and that may reply, if any.
     pub(super) fn reached_leader(&mut self, w: usize) -> Option<usize> {
         let last = self.leaders.len().checked_sub(1)?;
         if self.partition.is_some() {
@@ -62,14 +65,16 @@
                 return Some(i);
             }
         }
-        // Mostly the newest leader, sometimes one that does not know yet that it is replaced; but no
-        // worker of the newest goes to one that lost the state store, and tells it.
-        let store_lost = self.leaders[..last].iter().any(|o| o.store_lost_until > self.now);
+        // The heartbeat mostly reaches the newest leader, and sometimes an earlier one that does not know yet
+        // that it was replaced. If an earlier leader has lost the state store, heartbeats reach only the
+        // newest one: a heartbeat of a worker of the newest leader would show its fencing token to the
+        // earlier one.
+        let store_lost = self.leaders[..last].iter().any(|leader| leader.store_lost_until > self.now);
         let i = if !store_lost && self.chance(0.15) { self.rng.random_range(0..=last) } else { last };
         self.may_reply(i).then_some(i)
     }
 
-    /// Leaders change, unless none can.
+    /// Lets another controller become the leader, by the faults of step `i`, unless no controller can.
     pub(super) fn change_leader(&mut self, i: u32) {
         if self.state_store_unavailable() || self.now < self.no_leader_until {
             return;
@@ -92,24 +97,24 @@
         }
     }
 
-    /// Leaders read the changes of the jobs, unless they have lost the state store.
+    /// All leaders that reach the state store read the changes to jobs' records.
     pub(super) fn read_changes(&mut self) {
         if self.state_store_unavailable() {
             return;
         }
         let skipped = usize::from(self.is_partitioned(0));
-        for o in &mut self.leaders[skipped..] {
-            if self.now < o.store_lost_until {
+        for leader in &mut self.leaders[skipped..] {
+            if self.now < leader.store_lost_until {
                 continue;
             }
-            o.controller.read_changes(&self.store, self.now);
-            o.controller.fleet.advance_jobs_revision(o.controller.watched_revision);
-            o.last_read = self.now;
-            o.store_contact.note_read(self.now);
+            leader.controller.read_changes(&self.store, self.now);
+            leader.controller.fleet.advance_jobs_revision(leader.controller.watched_revision);
+            leader.last_read = self.now;
+            leader.store_contact.note_read(self.now);
         }
     }
 
-    /// All leaders write, the newest first.
+    /// All leaders write their records, the newest leader first.
     pub(super) fn write_records(&mut self) {
         for i in (0..self.leaders.len()).rev() {
             self.write_records_of(i);
@@ -117,39 +122,40 @@
         self.remove_superseded_leaders();
     }
 
-    /// A leader whose shard was taken has learnt it from the guard.
+    /// Removes the leaders whose shard was taken: the guard of a write has shown it to them.
     fn remove_superseded_leaders(&mut self) {
         let mut keep = Vec::new();
         let (now, store_unavailable, oldest_partitioned) =
             (self.now, self.state_store_unavailable(), self.is_partitioned(0));
-        for (i, o) in std::mem::take(&mut self.leaders).into_iter().enumerate() {
-            // Now and then an old leader does not try to write and so lives on.
-            if o.controller.holds_shard(&self.store)
+        for (i, leader) in std::mem::take(&mut self.leaders).into_iter().enumerate() {
+            // In most steps an earlier leader does not write, so that it remains.
+            if leader.controller.holds_shard(&self.store)
                 || self.rng.random_bool(0.97)
                 || (oldest_partitioned && i == 0)
                 || store_unavailable
-                || now < o.store_lost_until
+                || now < leader.store_lost_until
             {
-                keep.push(o);
+                keep.push(leader);
             }
         }
         self.leaders = keep;
     }
 
-    /// A leader renews its lease, unless it is too late or the renewal is lost, and writes what is pending.
+    /// Writes the pending records of a leader. The newest leader first renews its lease, unless the renewal
+    /// is lost.
     fn write_records_of(&mut self, i: usize) {
         let chunk = chunk_tasks(4096);
         let now = self.now;
-        // Only the newest leader's lease is renewed, and not always.
+        // Only the newest leader's lease is renewed, and only with a probability of 0.8.
         let newest = i + 1 == self.leaders.len();
         let store_lost = self.state_store_unavailable() || now < self.leaders[i].store_lost_until;
         let renewed = newest && !store_lost && !self.chance(0.2);
-        let o = &mut self.leaders[i];
+        let leader = &mut self.leaders[i];
         if renewed {
-            o.controller.fleet.confirm_lease(now);
-            o.store_contact.note_renewal(now);
+            leader.controller.fleet.confirm_lease(now);
+            leader.store_contact.note_renewal(now);
         }
-        o.controller.fleet.tick(now, wall_at(now));
+        leader.controller.fleet.tick(now, wall_at(now));
         if self.is_partitioned(i) || store_lost {
             return;
         }
@@ -160,10 +166,12 @@
         }
     }
 
-    /// Executes a transaction now, late or never; false: the leader must read back first.
+    /// Executes a leader's transaction, now or late. Returns false if the leader had to read records back,
+    /// because the transaction failed or had no reply.
     fn apply_batch(&mut self, i: usize, b: &Batch) -> bool {
         let (mut known, mut result) = (true, None);
-        // Whole periods of it, so that newer ones of the same leader overtake many.
+        // Late transactions occur in alternate periods of 30 s, so that many are overtaken by later
+        // transactions of the same leader.
         let late_period = self.now.0 / 30_000_000 % 2 == 0;
         if late_period && self.chance(self.faults.late_writes) {
             known = false;
--- a/tests/failover/simulation/machines.rs
+++ b/tests/failover/simulation/machines.rs
@@ -1,4 +1,4 @@
-//! Machines and the cloud: periods of faults begin, machines die, are listed and are returned.
+//! Machines and the cloud: periods of faults begin, and machines are lost, listed and returned.
 
 use milletlock::wire::ListedMachine;
 use rand::Rng;
@@ -7,12 +7,18 @@
 use crate::common::LEASE;
 
 impl Simulation {
-    /// Periods of faults begin: shorter and longer than a lease.
+    /// Begins periods of faults, some shorter and some longer than a lease.
     fn begin_faults(&mut self) {
-        let t = &self.faults;
-        // Not before there is work that can be harmed.
-        let (store_lost, no_leader) = if self.starts > 20 { (t.store_lost, t.no_leader) } else { (0.0, 0.0) };
-        for (rate, kind) in [(t.partitioned, 0), (t.replies_lost, 1), (t.heartbeats_lost, 2), (t.frozen, 3)] {
+        let faults = &self.faults;
+        // These faults only begin after enough tasks have started that they can affect.
+        let (store_lost, no_leader) =
+            if self.starts > 20 { (faults.store_lost, faults.no_leader) } else { (0.0, 0.0) };
+        for (rate, kind) in [
+            (faults.partitioned, 0),
+            (faults.replies_lost, 1),
+            (faults.heartbeats_lost, 2),
+            (faults.frozen, 3),
+        ] {
             if !self.chance(rate) {
                 continue;
             }
@@ -50,12 +56,13 @@
         }
     }
 
-    /// The leader loses the state store and the other controllers, not its workers; users cancel
-    /// through others. Another becomes leader, unless the state store is soon out for everybody.
+    /// Lets the newest leader lose the state store and the other controllers, but not its workers. Users
+    /// cancel jobs through other controllers. Another controller becomes the leader, unless the state store
+    /// soon becomes unavailable to all.
     fn lose_state_store(&mut self) {
         let until = self.later(10.0, 80.0);
-        let Some(o) = self.leaders.last_mut() else { return };
-        o.store_lost_until = until;
+        let Some(leader) = self.leaders.last_mut() else { return };
+        leader.store_lost_until = until;
         let share = self.rng.random_range(0.5..1.0);
         for w in 0..self.workers.len() {
             self.workers[w].keeps_old_leader = self.rng.random_bool(share);
@@ -63,7 +70,8 @@
         self.cancel_on_faulty_machine(None);
         self.faults_occurred += 1;
         if self.chance(self.faults.store_outage) {
-            // Jobs are cancelled in the second between.
+            // Jobs are cancelled after the leader has lost the state store and before it is unavailable to
+            // all.
             let now = self.now;
             let cancel_retries: Vec<String> = self.cancel_retries.keys().cloned().collect();
             cancel_retries.into_iter().for_each(|id| {
@@ -76,7 +84,8 @@
         }
     }
 
-    /// What the cloud lists now; leaders see it a little later, or an older list once more.
+    /// Updates the cloud's machine list at times. Leaders read the latest list late, or an earlier list
+    /// again.
     fn list_machines(&mut self) {
         if self.rng.random_bool(0.25) {
             let list = self.workers.iter().map(|w| ListedMachine {
@@ -100,7 +109,7 @@
         }
     }
 
-    /// Faults begin, machines die without a notice, and leaders return machines.
+    /// Begins faults, removes machines that are lost without a notice, and lets leaders return machines.
     pub(super) fn change_machines(&mut self) {
         self.begin_faults();
         if self.faults.mixed_load {
@@ -111,13 +120,16 @@
             let w = self.workers.remove(i);
             self.add_machine(w.ty, w.state.zone, w.state.spot);
         }
-        if self.faults.cloud_out && self.leaders.iter().any(|o| self.now < o.store_lost_until) {
+        if self.faults.cloud_unavailable
+            && self.leaders.iter().any(|leader| self.now < leader.store_lost_until)
+        {
             return;
         }
         self.return_machines();
     }
 
-    /// Leaders return machines; each is replaced by a new one, and some results are lost.
+    /// Lets leaders return machines to the cloud. Each machine is replaced by a new one. Some of the cloud's
+    /// answers are lost.
     fn return_machines(&mut self) {
         for i in 0..self.leaders.len() {
             let ids = self.leaders[i].controller.fleet.machines_to_scale_in();
--- a/tests/failover/simulation/mod.rs
+++ b/tests/failover/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! A simulated cluster of leaders, workers and a state store, with faults at random.
+//! A simulated cluster of leaders, workers and a state store, with random faults.
 //!
-//! The parts of a step are in the child modules; [`invariants`] checks the rules from outside.
+//! The child modules contain the parts of a step. [`invariants`] checks the invariants from the state of the
+//! workers and of the state store.
 
 mod heartbeats;
 mod invariants;
@@ -30,98 +31,118 @@
 use crate::common::worker::WorkerState;
 use crate::common::{config_with, types, LEASE};
 
-/// How far each step moves the time.
+/// The time that passes in one step.
 const STEP: Micros = Micros(250_000);
 
-/// A worker with all that is done to its messages.
+/// A worker with the faults of its machine and of its messages.
 struct Worker {
     state: WorkerState,
-    /// Its place in the list of machine types.
+    /// The index of its machine type in the list of types.
     ty: usize,
-    /// By its own clock.
+    /// The duration of its lease, as its own clock measures it.
     lease: Micros,
+    /// When its next heartbeat is due.
     due: Steady,
     partitioned_until: Steady,
     replies_lost_until: Steady,
     heartbeats_lost_until: Steady,
     frozen_until: Steady,
-    /// It keeps the leader that lost the state store, as long as that one replies.
+    /// Whether the worker sends its heartbeats to a leader that has lost the state store, while that leader
+    /// replies.
     keeps_old_leader: bool,
-    /// A reply on its way: when it arrives, when its heartbeat was sent, and in which session.
+    /// A reply that has not arrived yet: its arrival time, the time and the agent epoch of its heartbeat, and
+    /// the reply itself.
     reply: Option<(Steady, Steady, u64, HeartbeatReply)>,
 }
 
-/// A direct command that brings a fencing token, on its way.
+/// A direct command that carries a fencing token and has not arrived yet.
 struct Command {
+    /// When the command arrives.
     at: Steady,
     machine: String,
     fencing_token: u64,
     agent_epoch: u64,
 }
 
-/// A controller that is or was leader.
+/// A controller that considers itself the leader.
 struct SimulatedLeader {
     controller: SimulatedController,
-    /// When it last saw the jobs' changes.
+    /// When it last read the changes to jobs' records.
     last_read: Steady,
-    /// How long it may still reply.
+    /// Its contact with the state store, which limits how long it may reply to workers.
     store_contact: StoreContact,
-    /// It has lost the state store until then.
+    /// It cannot reach the state store until this time.
     store_lost_until: Steady,
 }
 
-/// The whole cluster, and what the checks know of it.
+/// The simulated cluster, with the state that the checks need.
 struct Simulation {
     rng: StdRng,
     faults: Faults,
     now: Steady,
     store: Store,
+    /// The controllers that consider themselves the leader, oldest first.
     leaders: Vec<SimulatedLeader>,
     workers: Vec<Worker>,
+    /// The submitted jobs, by id.
     specs: BTreeMap<String, JobSpec>,
+    /// The tasks that have been done.
     finished: BTreeSet<String>,
+    /// When the user of each cancelled job received the confirmation.
     cancelled: BTreeMap<String, Steady>,
-    /// Users that want a job cancelled and have no reply yet: when they ask next.
+    /// For each job whose user has not received a reply to a cancellation yet: when the user sends it again.
     cancel_retries: BTreeMap<String, Steady>,
+    /// The jobs for which a user has requested a cancellation.
     cancel_requested: BTreeSet<String>,
-    /// What was first written of each job's end, and how much of the log was checked.
+    /// The stage in the first final record that was written of each job.
     finals: BTreeMap<String, Stage>,
+    /// Number of entries in the log of the state store that have been checked.
     log_checked: usize,
+    /// Heartbeats that arrive late, with their arrival times.
     late_heartbeats: Vec<(Steady, Heartbeat)>,
-    /// Reports held back, with the fencing token of the newest leader when they were sent.
-    held_heartbeats: Vec<(u64, Heartbeat)>,
+    /// Heartbeats that arrive after a later leader was elected. Each has the fencing token of the newest
+    /// leader at the time when it was sent.
+    delayed_heartbeats: Vec<(u64, Heartbeat)>,
+    /// Transactions that are executed late, with their times.
     late_transactions: Vec<(Steady, Txn)>,
+    /// Direct commands that have not arrived yet.
     commands: Vec<Command>,
-    /// Replies to direct commands: when they arrive, to whose fencing token.
+    /// Replies to direct commands: the arrival time, the fencing token of the sender of the command, and the
+    /// reply.
     command_replies: Vec<(Steady, (u64, Heartbeat))>,
-    /// The state store is out, or no leader is there, until then.
+    /// The state store is unavailable until this time.
     store_unavailable_until: Steady,
+    /// There is no leader until this time.
     no_leader_until: Steady,
-    /// When the next leader follows one that lost the state store.
+    /// When another controller becomes the leader after a leader has lost the state store.
     next_leader: Option<Steady>,
-    /// Once the faults are over: since when each job could start and has not.
+    /// After the end of the faults: since when each job could start and has not started.
     waiting: BTreeMap<String, Steady>,
-    /// How often the faults that a simulation is about occurred.
+    /// How often the faults have occurred that the simulation is to test.
     faults_occurred: u32,
     next_machine: u32,
-    /// Since when the oldest leader and the south have been partitioned from all else, and until when.
+    /// While the oldest leader and the zone `south` are partitioned from all others: since when, and until
+    /// when.
     partition: Option<(Steady, Steady)>,
+    /// Whether faults occur.
     faulty: bool,
+    /// Number of task starts.
     starts: usize,
-    /// How long a leader replies that sees no cancellations.
-    bound: Micros,
+    /// How long a leader without contact with the state store may reply.
+    max_staleness: Micros,
+    /// Longest time from the confirmation of a cancellation until the job's tasks have ended.
     cancel: Micros,
     cfg: Arc<Config>,
     types: Vec<MachineType>,
-    /// The cloud's list as it was, and as it is seen.
+    /// An earlier and the latest machine list of the cloud.
     lists: [Vec<ListedMachine>; 2],
 }
 
 impl Simulation {
-    /// Six machines in two zones and a first leader.
+    /// A simulation with six machines in two zones and a first leader.
     fn new(seed: u64, faults: &Faults) -> Simulation {
         let cfg = config_with(|settings| settings["workers"]["cancel_s"] = json!(faults.cancel_s));
-        let mut w = Simulation {
+        let mut simulation = Simulation {
             rng: StdRng::seed_from_u64(seed),
             faults: faults.clone(),
             now: START,
@@ -136,7 +157,7 @@
             finals: BTreeMap::new(),
             log_checked: 0,
             late_heartbeats: Vec::new(),
-            held_heartbeats: Vec::new(),
+            delayed_heartbeats: Vec::new(),
             late_transactions: Vec::new(),
             commands: Vec::new(),
             command_replies: Vec::new(),
@@ -149,35 +170,39 @@
             partition: None,
             faulty: true,
             starts: 0,
-            bound: cfg.max_staleness(),
+            max_staleness: cfg.max_staleness(),
             cancel: Micros::from_secs(faults.cancel_s),
             cfg,
             types: types(),
             lists: [Vec::new(), Vec::new()],
         };
         for i in 0..6 {
-            w.add_machine(usize::from(i % 3 == 2), if i % 2 == 0 { "north" } else { "south" }, i == 0);
+            simulation.add_machine(
+                usize::from(i % 3 == 2),
+                if i % 2 == 0 { "north" } else { "south" },
+                i == 0,
+            );
         }
-        w.fail_over();
-        w
+        simulation.fail_over();
+        simulation
     }
 
-    /// Whether a fault of some probability occurs now.
+    /// Whether a fault of probability `p` occurs now.
     fn chance(&mut self, p: f64) -> bool {
         self.faulty && p > 0.0 && self.rng.random_bool(p)
     }
 
-    /// A moment that lies so many seconds ahead.
+    /// A random time between `from` and `to` seconds from now.
     fn later(&mut self, from: f64, to: f64) -> Steady {
         self.now + Micros::from_secs(self.rng.random_range(from..to))
     }
 
-    /// Whether users and leaders can neither read nor write.
+    /// Whether the state store is unavailable to all users and leaders.
     fn state_store_unavailable(&self) -> bool {
         self.now < self.store_unavailable_until
     }
 
-    /// A machine whose clock goes a little fast or slow.
+    /// Adds a machine whose clock runs a little too fast or too slow.
     fn add_machine(&mut self, ty: usize, zone: &'static str, spot: bool) {
         self.next_machine += 1;
         let lease = LEASE.scale(self.rng.random_range(0.9995..1.0005));
@@ -197,7 +222,7 @@
         });
     }
 
-    /// A quarter of a second passes for all.
+    /// Advances the time by [`STEP`], in which all parts of the cluster act.
     fn step(&mut self) {
         self.now = self.now + STEP;
         self.partition = self.partition.filter(|a| self.now < a.1 && self.faulty);
@@ -213,7 +238,7 @@
         self.check_invariants();
     }
 
-    /// How many jobs are not over.
+    /// Number of jobs that have not ended.
     fn open_jobs(&self) -> usize {
         self.store.rows("job/").len()
     }
--- a/tests/failover/simulation/run.rs
+++ b/tests/failover/simulation/run.rs
@@ -1,4 +1,4 @@
-//! Runs a simulation: jobs and faults first, then a time without faults in which all accepted work must end.
+//! Runs a simulation: first jobs and faults, then a time without faults in which all accepted jobs must end.
 
 use std::ops::RangeInclusive;
 
@@ -8,17 +8,19 @@
 use super::Simulation;
 use crate::faults::Faults;
 
-/// Steps after the last job's end within which all that is left of the jobs is removed.
+/// Number of steps after the end of the last job within which all remaining records of the jobs must be
+/// removed.
 const CLEANUP_STEPS: u32 = 10;
-/// Steps without faults within which all jobs must end.
+/// Number of steps without faults within which all jobs must end.
 const STEPS_TO_FINISH: u32 = 4000;
 
-/// Runs a simulation; returns how often its faults occurred.
+/// Runs one simulation; returns how often its faults have occurred.
 fn simulate(seed: u64, faults: &Faults) -> u32 {
     let mut simulation = Simulation::new(seed, faults);
     let mut n = 0;
     for i in 0..faults.steps {
-        // As many jobs in a short simulation as in a long one, so that there is more work than capacity.
+        // Jobs are submitted at shorter intervals in short simulations, so that there is always more work
+        // than capacity.
         if i % (faults.steps / 40).min(40) == 0 && n < faults.jobs && !simulation.state_store_unavailable() {
             n += 1;
             simulation.submit(n);
@@ -33,26 +35,26 @@
     }
     end_faults(&mut simulation);
     finish(&mut simulation, seed);
-    // More than 50 of 24 jobs, and as many for each job of a simulation with fewer.
-    assert!(simulation.starts * 24 > 50 * faults.jobs as usize, "seed {seed}: the simulation stood still");
+    // There must be more than 50 task starts for 24 jobs, and in proportion for fewer jobs.
+    assert!(simulation.starts * 24 > 50 * faults.jobs as usize, "seed {seed}: too few tasks were started");
     assert_eq!(
         simulation.open_jobs(),
         0,
-        "seed {seed}: accepted work was left undone: {:?}",
+        "seed {seed}: accepted jobs have not ended: {:?}",
         simulation.store.rows("job/")
     );
-    // Chunks are removed after the ends of their jobs are written, with as many writes as that takes.
+    // Chunks of done ranges are removed after the final records of their jobs are written, by several writes.
     for _ in 0..CLEANUP_STEPS {
         simulation.step();
     }
     assert!(
         simulation.store.rows("done/").is_empty(),
-        "seed {seed}: chunks of jobs that are over are left behind"
+        "seed {seed}: chunks of done ranges of ended jobs were not removed"
     );
     simulation.faults_occurred
 }
 
-/// The faults are over: everything that was accepted gets done.
+/// Ends all faults, and leaves only a new leader.
 fn end_faults(simulation: &mut Simulation) {
     simulation.faulty = false;
     simulation.store_unavailable_until = Steady(0);
@@ -68,7 +70,7 @@
     simulation.leaders.drain(..newest);
 }
 
-/// Goes on until no job is open, or for long enough.
+/// Runs the simulation until all jobs have ended, for at most [`STEPS_TO_FINISH`] steps.
 fn finish(simulation: &mut Simulation, seed: u64) {
     for i in 0..STEPS_TO_FINISH {
         simulation.step();
@@ -81,7 +83,8 @@
     }
 }
 
-/// Runs simulations, whose faults must have occurred often enough to say something.
+/// Runs a simulation for each seed. The faults must have occurred at least `least` times per simulation on
+/// average, so that the result is meaningful.
 pub fn simulate_all(seeds: RangeInclusive<u64>, least: u32, faults: &Faults) {
     let runs = seeds.clone().count() as u32;
     let faults_occurred: u32 = seeds.map(|s| simulate(s, faults)).sum();
--- a/tests/failover/simulation/tasks.rs
+++ b/tests/failover/simulation/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on the workers: they start as ordered, run for a random time and end.
+//! Tasks on the workers: they start when a leader's command says so, run for a random time and end.
 
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::{ExitReason, HeartbeatReply, Shape, TaskStage, WorkerCommand};
@@ -7,16 +7,17 @@
 use super::{Simulation, STEP};
 use crate::common::worker::{job_of, Attempt, Task};
 
-/// A task fetches its image for so long.
+/// How long a task fetches its image, in seconds.
 const FETCH_S: f64 = 1.0;
-/// A task of a gang waits so long for the others to arrive.
+/// How long a task of a gang waits for the other tasks of the gang, in seconds.
 const GANG_WAIT_S: f64 = 40.0;
-/// A task of a gang that has lost another one goes on for so long.
+/// How long a task of a gang continues after another task of the gang was lost, in seconds.
 const GANG_PEER_S: f64 = 8.0;
 
 impl Simulation {
-    /// A worker executes a reply to a heartbeat that it sent at a moment.
-    pub(super) fn execute_orders(&mut self, w: usize, reply: &HeartbeatReply, sent: Steady) {
+    /// A worker accepts the reply to a heartbeat that it sent at `sent`, and executes the commands in the
+    /// reply.
+    pub(super) fn execute_reply(&mut self, w: usize, reply: &HeartbeatReply, sent: Steady) {
         let now = self.now;
         let worker = &mut self.workers[w].state;
         if !worker.accept_reply(reply.fencing_token, sent) {
@@ -30,8 +31,8 @@
                         continue;
                     }
                     let busy = worker.tasks.iter().any(|(k, t)| k.0 == *task && t.stage != TaskStage::Exited);
-                    assert!(!busy, "{task} is started beside itself on {}", worker.id);
-                    // Some run for longer than a lease.
+                    assert!(!busy, "{task} is started on {} before an earlier attempt has exited", worker.id);
+                    // Some tasks run for longer than a lease.
                     let most = if self.rng.random_bool(0.3) { self.faults.longest_task_s } else { 20.0 };
                     let left = Micros::from_secs(self.rng.random_range(2.0..most));
                     worker.tasks.insert(key, Task::new(TaskStage::Fetching, left, now));
@@ -45,13 +46,13 @@
         }
     }
 
-    /// Sessions end and tasks go on, at random. `tests/fault_combinations` models tasks otherwise on purpose:
-    /// see there.
+    /// Ends the sessions whose leases have expired, and runs one step of all tasks.
+    /// `tests/fault_combinations` models tasks differently on purpose; its comments give the reason.
     pub(super) fn run_tasks(&mut self) {
         let now = self.now;
         for w in 0..self.workers.len() {
-            // A machine that hangs looks at its lease before all else when it goes on, so that nothing
-            // of it is there any more once the lease is over.
+            // A frozen machine checks its lease first when it resumes. Therefore its tasks count as ended as
+            // soon as the lease has expired.
             let lease = self.workers[w].lease;
             self.workers[w].state.end_session_after(lease, now);
             if now < self.workers[w].frozen_until {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// One step of a task.
+    /// Runs one step of a task.
     fn run_task(&mut self, w: usize, k: Attempt) {
         let now = self.now;
         let id = job_of(&k.0).to_string();
@@ -88,7 +89,8 @@
         }
     }
 
-    /// One step of a running task. A gang goes on while it is whole, and completes together.
+    /// Runs one step of a running task. A gang runs while all of its tasks are present, and its tasks
+    /// complete together.
     fn run_running_task(&mut self, w: usize, k: Attempt, id: &str) {
         let gang = self.specs[id].shape == Shape::Gang;
         let t = self.workers[w].state.tasks[&k].clone();
@@ -111,7 +113,7 @@
         self.end_task(w, &k, id);
     }
 
-    /// A task has run for its time: a gang completes, any other task may end with an error.
+    /// Ends a task that has run for its time. A gang completes; any other task may end with an error.
     fn end_task(&mut self, w: usize, k: &Attempt, id: &str) {
         let gang = self.specs[id].shape == Shape::Gang;
         let error = !gang && self.chance(0.05);
@@ -132,16 +134,16 @@
         self.enter(w, k, TaskStage::Exited, Some(if error { ExitReason::Error } else { ExitReason::Done }));
     }
 
-    /// How many tasks of a gang's attempt are there, or wait to begin.
+    /// Number of tasks of a gang's attempt that run or wait for the others, on machines that are not frozen.
     fn gang_members_ready(&self, id: &str, attempt: u64) -> u32 {
-        let awake = self.workers.iter().filter(|w| self.now >= w.frozen_until);
-        let of = awake.flat_map(|w| &w.state.tasks).filter(|(k, t)| {
+        let not_frozen = self.workers.iter().filter(|w| self.now >= w.frozen_until);
+        let of = not_frozen.flat_map(|w| &w.state.tasks).filter(|(k, t)| {
             k.1 == attempt && job_of(&k.0) == id && matches!(t.stage, TaskStage::Waiting | TaskStage::Running)
         });
         of.count() as u32
     }
 
-    /// A task enters another stage.
+    /// Changes the stage of a task.
     fn enter(&mut self, w: usize, k: &Attempt, stage: TaskStage, why: Option<ExitReason>) {
         let now = self.now;
         if let Some(t) = self.workers[w].state.tasks.get_mut(k) {
