--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -57,8 +57,8 @@
                 Some((peer, self.peers.send(peer, message, MESSAGE_TIMEOUT).ok()?))
             })
             .collect();
-        for (peer, waiting) in sent {
-            if let Ok(PeerReply::Ack(ack)) = waiting.wait() {
+        for (peer, pending_reply) in sent {
+            if let Ok(PeerReply::Ack(ack)) = pending_reply.wait() {
                 self.on_peer_answer(ack.token);
                 self.record_peer_version(peer, ack.version);
             }
@@ -105,13 +105,13 @@
         let sent: Vec<_> = due
             .into_iter()
             .map(|NoticeBatch { to: peer, cancellations: batch }| {
-                let waiting = self.peers.send(peer, cancellations_message(&batch), MESSAGE_TIMEOUT);
-                (peer, waiting, batch)
+                let pending_reply = self.peers.send(peer, cancellations_message(&batch), MESSAGE_TIMEOUT);
+                (peer, pending_reply, batch)
             })
             .collect();
         let mut all_acknowledged = true;
-        for (peer, waiting, batch) in sent {
-            match waiting.and_then(|waiting| waiting.wait()) {
+        for (peer, pending_reply, batch) in sent {
+            match pending_reply.and_then(|pending_reply| pending_reply.wait()) {
                 Ok(PeerReply::Ack(ack)) => {
                     lock_ignoring_poison(&self.notices).acknowledged(peer, &batch);
                     self.on_peer_answer(ack.token);
--- a/src/controller/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -13,7 +13,7 @@
 /// Largest number of changes that are made for one message. The remaining changes are made for the next
 /// message.
 const MAX_CHANGES_PER_MESSAGE: usize = 32;
-/// No further change is started_at this long after the message arrived, since its sender soon stops waiting
+/// No further change is started this long after the message arrived, since its sender soon stops waiting
 /// for the answer.
 const CHANGE_TIMEOUT: Micros = Micros::from_millis(600);
 /// Largest number of senders for which the reason of a refused message is remembered.
--- a/tests/cancellation_in_outage/simulation.rs
+++ b/tests/cancellation_in_outage/simulation.rs
@@ -27,7 +27,7 @@
 /// The worker's heartbeat interval, in microseconds.
 pub const HEARTBEAT_INTERVAL: i64 = 3 * SECOND;
 
-/// Longest time, in microseconds, from the confirmation of a cancellation outage_until the job's tasks have
+/// Longest time, in microseconds, from the confirmation of a cancellation until the job's tasks have
 /// ended.
 pub const CANCEL_DEADLINE: i64 = 47 * SECOND;
 
@@ -49,7 +49,8 @@
     pub controllers: Controllers,
     /// Whether the controllers cannot reach one another.
     pub partitioned: Arc<AtomicBool>,
-    /// The address of the state store for each controller, which tells the controllers apart.
+    /// The state store's address for each controller. The state store recognizes a controller by the address
+    /// that the controller uses.
     pub ports: Vec<SocketAddr>,
     pub cloud: SocketAddr,
     /// The machines that the controllers have asked the cloud to end.
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Runs the simulation outage_until a condition holds; fails after 40 s. The failure message contains
+    /// Runs the simulation until a condition holds; fails after 40 s. The failure message contains
     /// `description`.
     pub fn run_until(&mut self, description: &str, condition: impl Fn(&Simulation) -> bool) {
         let end = self.now() + 40 * SECOND;
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Runs the simulation outage_until the job's tasks have ended. Returns the seconds since the
+    /// Runs the simulation until the job's tasks have ended. Returns the seconds since the
     /// confirmation.
     pub fn run_until_tasks_are_gone(&mut self) -> f64 {
         let confirmed_at = self.confirmed_at.expect("a confirmation");
@@ -293,9 +294,9 @@
     }
 
     /// Makes the state store unavailable to all controllers after 1.5 s, for longer than `cancel_s`.
-    /// Controllers that the state store refused before are refused outage_until 14 s after the confirmation.
+    /// Controllers that the state store refused before are refused until 14 s after the confirmation.
     /// After the outage, checks that nothing of the cancelled job starts again and that a new job runs.
-    /// Returns the seconds from the confirmation outage_until the job's tasks had ended.
+    /// Returns the seconds from the confirmation until the job's tasks had ended.
     pub fn outage(&mut self) -> f64 {
         self.begin_outage();
         let gone = self.run_until_tasks_are_gone();
--- a/tests/failover/simulation/invariants.rs
+++ b/tests/failover/simulation/invariants.rs
@@ -66,9 +66,9 @@
             let Some(v) = value else { panic!("went_back: the final record of {id} was removed") };
             let f: FinalRecord = serde_json::from_value(v.clone()).expect("a final record");
             let first = *self.finals.entry(id.to_string()).or_insert(f.stage);
-            assert_eq!(first, f.stage, "went_back: {id}");
+            assert_eq!(first, f.stage, "went_back: the stage in the final record of {id} has changed");
             match f.stage {
-                Stage::Done => assert!(self.all_finished(id), "not_done: {id}"),
+                Stage::Done => assert!(self.all_finished(id), "not_done: {id} has unfinished tasks"),
                 Stage::Cancelled => {
                     assert!(self.cancel_requested.contains(id), "went_back: no user cancelled {id}")
                 }
@@ -84,10 +84,13 @@
         for id in self.specs.keys() {
             let (live, ended) =
                 (self.store.mod_revision(&job_key(id)), self.store.mod_revision(&final_key(id)));
-            assert!(live > 0 || ended > 0, "forgotten: {id}");
+            assert!(live > 0 || ended > 0, "forgotten: {id} has neither a live nor a final record");
             assert!(live == 0 || ended == 0, "went_back: {id} has both a live and a final record");
             let confirmed = self.cancelled.contains_key(id);
-            assert!(!confirmed || self.finals.get(id) == Some(&Stage::Cancelled), "went_back: {id}");
+            assert!(
+                !confirmed || self.finals.get(id) == Some(&Stage::Cancelled),
+                "went_back: the cancellation of {id} was confirmed and is not recorded"
+            );
         }
     }
 
--- a/tests/failover/simulation/leaders.rs
+++ b/tests/failover/simulation/leaders.rs
@@ -67,8 +67,8 @@
         }
         // The heartbeat mostly reaches the newest leader, and sometimes an earlier one that does not know yet
         // that it was replaced. If an earlier leader has lost the state store, heartbeats reach only the
-        // newest one: a heartbeat of a worker of the newest leader would show its fencing token to the
-        // earlier one.
+        // newest one: a worker that has accepted the newest fencing token would show it to the earlier
+        // leader, which would then step down.
         let store_lost = self.leaders[..last].iter().any(|leader| leader.store_lost_until > self.now);
         let i = if !store_lost && self.chance(0.15) { self.rng.random_range(0..=last) } else { last };
         self.may_reply(i).then_some(i)
@@ -122,7 +122,7 @@
         self.remove_superseded_leaders();
     }
 
-    /// Removes the leaders whose shard was taken: the guard of a write has shown it to them.
+    /// Removes leaders whose writes fail because another leader has taken the shard.
     fn remove_superseded_leaders(&mut self) {
         let mut keep = Vec::new();
         let (now, store_unavailable, oldest_partitioned) =
