--- a/tests/cancellation_in_outage/main.rs
+++ b/tests/cancellation_in_outage/main.rs
@@ -30,10 +30,10 @@
     let mut simulation = Simulation::new();
     simulation.refuse(&[0]);
     simulation.cancel(1);
-    let gone = simulation.outage();
+    let ended_after_s = simulation.outage();
     assert!(
-        gone < 5.0,
-        "another controller's notice must stop the tasks at the next heartbeat; they ended after {gone} s"
+        ended_after_s < 5.0,
+        "another controller's notice must stop the tasks at the next heartbeat, not after {ended_after_s} s"
     );
     // The refused controller still leads after the outage, because its lease then had its full duration
     // again.
@@ -47,8 +47,8 @@
     simulation.begin_outage();
     simulation.run(28.0);
     assert_eq!(lock(&simulation.worker).placed(1), 2, "the tasks must not end sooner than necessary");
-    let gone = simulation.outage();
-    assert!((30.0..47.0).contains(&gone), "the tasks ended after {gone} s");
+    let ended_after_s = simulation.outage();
+    assert!((30.0..47.0).contains(&ended_after_s), "the tasks ended after {ended_after_s} s");
     assert_eq!(simulation.fencing_tokens()[0], Some(1));
 }
 
@@ -59,8 +59,11 @@
     simulation.cancel(1);
     lock(&simulation.worker).heartbeats_lost = true;
     simulation.begin_outage();
-    let gone = simulation.run_until_tasks_are_gone();
-    assert!(gone < 9.0, "a halt must be sent once a heartbeat is overdue; the tasks ended after {gone} s");
+    let ended_after_s = simulation.run_until_tasks_are_gone();
+    assert!(
+        ended_after_s < 9.0,
+        "a halt must be sent once a heartbeat is overdue; the tasks ended after {ended_after_s} s"
+    );
 }
 
 #[test]
@@ -95,10 +98,10 @@
     let mut simulation = Simulation::with_an_unannounced_cancellation(&[0]);
     simulation.restart(1);
     simulation.partitioned.store(false, Ordering::SeqCst);
-    let gone = simulation.outage();
+    let ended_after_s = simulation.outage();
     assert!(
-        (20.0..47.0).contains(&gone),
-        "no controller notifies the leader; the tasks ended after {gone} s"
+        (20.0..47.0).contains(&ended_after_s),
+        "no controller notifies the leader; the tasks ended after {ended_after_s} s"
     );
 }
 
@@ -130,8 +133,11 @@
     lock(&simulation.store).lost_replies = 1;
     simulation.cancel(1);
     assert_eq!(lock(&simulation.store).lost_replies, 0);
-    let gone = simulation.outage();
-    assert!(gone < 5.0, "the confirming controller must notify the others; the tasks ended after {gone} s");
+    let ended_after_s = simulation.outage();
+    assert!(
+        ended_after_s < 5.0,
+        "the confirming controller must notify the others; the tasks ended after {ended_after_s} s"
+    );
 }
 
 /// The controller that wrote the final record may have stopped before it could notify the others. The user
@@ -166,8 +172,8 @@
     simulation.partitioned.store(true, Ordering::SeqCst);
     lock(&simulation.store).refused = [leader].into();
     simulation.cancel((leader + 1) % 3);
-    let gone = simulation.outage();
-    assert!((20.0..47.0).contains(&gone), "the tasks ended after {gone} s");
+    let ended_after_s = simulation.outage();
+    assert!((20.0..47.0).contains(&ended_after_s), "the tasks ended after {ended_after_s} s");
 }
 
 /// Combination 10: the state store refuses only the leader, then all controllers, while users cancel a job
@@ -232,10 +238,10 @@
                 break;
             }
         }
-        let gone = (simulation.now() - confirmed_at) as f64 / 1e6;
+        let ended_after_s = (simulation.now() - confirmed_at) as f64 / 1e6;
         assert!(
-            (least..most).contains(&gone),
-            "the tasks ended after {gone} s; commands lost: {commands_lost}"
+            (least..most).contains(&ended_after_s),
+            "the tasks ended after {ended_after_s} s; commands lost: {commands_lost}"
         );
         // Once the earlier leader reaches the others again, it must follow the next leader.
         simulation.refuse(&[]);
@@ -256,8 +262,8 @@
     simulation.cancel(1);
     simulation.run(20.0);
     assert_eq!((lock(&simulation.worker).placed(1), simulation.fencing_tokens()[0]), (2, Some(1)));
-    let gone = simulation.run_until_tasks_are_gone();
-    assert!((30.0..47.0).contains(&gone), "the tasks ended after {gone} s");
+    let ended_after_s = simulation.run_until_tasks_are_gone();
+    assert!((30.0..47.0).contains(&ended_after_s), "the tasks ended after {ended_after_s} s");
 }
 
 /// The reply to an idle worker's heartbeat may be deferred until there is a task to start. The leader's
@@ -267,10 +273,10 @@
     let mut simulation = Simulation::new();
     simulation.confirmed_at = None;
     let controller = simulation.controllers()[0].clone();
-    let l = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = l.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let addr = listener.local_addr().expect("an address");
     let server_controller = controller.clone();
-    let handler = Arc::new(move |r: Request, reply: Reply| server_controller.serve(&r, reply));
+    let handler = Arc::new(move |request: Request, reply: Reply| server_controller.serve(&request, reply));
     let service = http::Service { classify: |_| RequestClass::Interactive, handler };
     let limits = ServerLimits {
         connections: 10,
@@ -278,12 +284,12 @@
         interactive_threads: 4,
         background_threads: 1,
     };
-    std::thread::spawn(move || http::serve(l, limits, Arc::default(), service));
+    std::thread::spawn(move || http::serve(listener, limits, Arc::default(), service));
     // A second machine, which is idle, sends its first heartbeat and then one with the leader's fencing
     // token.
     let idle = |sequence: u64| {
-        let r = common::heartbeat("i-000002", sequence, u64::from(sequence > 1), &[]);
-        serde_json::to_string(&r).expect("a heartbeat")
+        let heartbeat = common::heartbeat("i-000002", sequence, u64::from(sequence > 1), &[]);
+        serde_json::to_string(&heartbeat).expect("a heartbeat")
     };
     assert_eq!(simulation.call(0, "POST", "/checkin", &idle(1)).0, 200);
     simulation.run(2.0);
--- a/tests/cancellation_in_outage/simulation.rs
+++ b/tests/cancellation_in_outage/simulation.rs
@@ -35,8 +35,8 @@
 pub const LEADER_LEASE: Micros = Micros(3 * SECOND);
 
 /// Locks a mutex, even if a thread panicked while it held the lock.
-pub fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
-    m.lock().unwrap_or_else(|e| e.into_inner())
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 type Controllers = Arc<Mutex<Vec<Arc<Controller>>>>;
@@ -70,7 +70,7 @@
         let store: Arc<Mutex<StateStoreServer>> = Arc::default();
         let port = |controller: usize| {
             let (store, clock) = (store.clone(), clock.clone());
-            serve_some(move |r| lock(&store).reply(controller, &r, clock.load(Ordering::SeqCst)))
+            serve_some(move |request| lock(&store).reply(controller, &request, clock.load(Ordering::SeqCst)))
         };
         let ports = vec![port(0), port(1), port(2)];
         let now = clock.load(Ordering::SeqCst);
@@ -104,25 +104,28 @@
 
     /// A controller that has just been started.
     fn new_controller(&self, i: usize) -> Arc<Controller> {
-        let mut p = platform_json();
-        let others: Vec<usize> = (0..3).filter(|o| *o != i).collect();
-        p["label"] = json!(format!("c-{i}"));
-        p["services"] = json!({ "cloud": self.cloud, "state": self.ports[i] });
+        let mut settings = platform_json();
+        let others: Vec<usize> = (0..3).filter(|other| *other != i).collect();
+        settings["label"] = json!(format!("c-{i}"));
+        settings["services"] = json!({ "cloud": self.cloud, "state": self.ports[i] });
         let member = |o: &usize| json!({ "label": format!("c-{o}"), "addr": format!("127.0.0.1:{}", 2 + o) });
-        p["members"] = others.iter().map(member).collect();
+        settings["members"] = others.iter().map(member).collect();
         // The client of the state store limits its rate by the machine's clock, not by simulated time. The
         // limits must not delay the simulation.
-        p["settings"]["state"]["rps"] = json!(1e6);
-        p["settings"]["state"]["write_rps"] = json!(1e6);
-        let platform = PlatformConfig::parse(&p.to_string(), "test").expect("settings");
+        settings["settings"]["state"]["rps"] = json!(1e6);
+        settings["settings"]["state"]["write_rps"] = json!(1e6);
+        let platform = PlatformConfig::parse(&settings.to_string(), "test").expect("settings");
         let cfg = Config { platform, operator: OperatorConfig::default() };
         let (controllers, partitioned) = (self.controllers.clone(), self.partitioned.clone());
-        let carry = move |o: OutboundMessage| {
-            let to =
-                lock(&controllers).get(others[o.to]).cloned().filter(|_| !partitioned.load(Ordering::SeqCst));
-            let answer =
-                to.map(|controller| controller.handle_peer_message(&o.message)).ok_or(PeerError::TimedOut);
-            o.answer(answer);
+        let carry = move |message: OutboundMessage| {
+            let to = lock(&controllers)
+                .get(others[message.to])
+                .cloned()
+                .filter(|_| !partitioned.load(Ordering::SeqCst));
+            let answer = to
+                .map(|controller| controller.handle_peer_message(&message.message))
+                .ok_or(PeerError::TimedOut);
+            message.answer(answer);
             Ok(())
         };
         let controller = Controller::new(
@@ -148,11 +151,11 @@
 
     /// Sends a request to a controller; returns the response's status code and body.
     pub fn call(&self, controller: usize, method: &str, path: &str, body: &str) -> (u16, Value) {
-        let r = Request { method: method.into(), path: path.into(), body: body.into() };
+        let request = Request { method: method.into(), path: path.into(), body: body.into() };
         // The status is only available on the interface between the controllers.
         let origin = if path == "/status" { RequestOrigin::Peer } else { RequestOrigin::Http };
-        let a = self.controllers()[controller].answer(&r, origin);
-        (a.status, serde_json::from_slice(&a.body).unwrap_or(Value::Null))
+        let response = self.controllers()[controller].answer(&request, origin);
+        (response.status, serde_json::from_slice(&response.body).unwrap_or(Value::Null))
     }
 
     /// For each controller, its fencing token if it considers itself the leader.
@@ -162,8 +165,8 @@
 
     /// The user cancels the job through a controller.
     pub fn cancel(&mut self, controller: usize) {
-        let (status, v) = self.call(controller, "POST", "/api/jobs/wk-000001/withdraw", "{}");
-        assert_eq!((status, v["stage"].as_str()), (200, Some("cancelled")));
+        let (status, body) = self.call(controller, "POST", "/api/jobs/wk-000001/withdraw", "{}");
+        assert_eq!((status, body["stage"].as_str()), (200, Some("cancelled")));
         self.confirmed_at = Some(self.now());
     }
 
@@ -213,11 +216,11 @@
         }
         self.run_worker(now);
         // Checks the invariant ran_cancelled. Tasks of a frozen machine are checked when the machine resumes.
-        let w = lock(&self.worker);
-        if let Some(confirmed_at) = self.confirmed_at.filter(|_| now >= w.frozen_until) {
+        let worker = lock(&self.worker);
+        if let Some(confirmed_at) = self.confirmed_at.filter(|_| now >= worker.frozen_until) {
             let late = (now - confirmed_at) as f64 / 1e6;
             assert!(
-                now - confirmed_at <= CANCEL_DEADLINE || w.placed(1) == 0,
+                now - confirmed_at <= CANCEL_DEADLINE || worker.placed(1) == 0,
                 "ran_cancelled: {late} s after the confirmation"
             );
         }
@@ -226,28 +229,28 @@
     /// Ends the worker's session if its lease has expired, and sends its heartbeat if one is due.
     fn run_worker(&self, now: i64) {
         let (controller, heartbeat) = {
-            let mut w = lock(&self.worker);
-            if now < w.frozen_until {
+            let mut worker = lock(&self.worker);
+            if now < worker.frozen_until {
                 return;
             }
-            w.state.end_session_after(LEASE, Steady(now));
-            if now < w.due || w.heartbeats_lost {
+            worker.state.end_session_after(LEASE, Steady(now));
+            if now < worker.due || worker.heartbeats_lost {
                 return;
             }
-            w.due = now + HEARTBEAT_INTERVAL;
-            (w.controller, w.state.heartbeat())
+            worker.due = now + HEARTBEAT_INTERVAL;
+            (worker.controller, worker.state.heartbeat())
         };
         let body = serde_json::to_string(&heartbeat).expect("a heartbeat");
-        let (status, v) = self.call(controller, "POST", "/checkin", &body);
-        let mut w = lock(&self.worker);
+        let (status, reply_body) = self.call(controller, "POST", "/checkin", &body);
+        let mut worker = lock(&self.worker);
         if status != 200 {
             // The worker tries the next controller a second later.
-            (w.controller, w.due) = ((w.controller + 1) % 3, now + SECOND);
+            (worker.controller, worker.due) = ((worker.controller + 1) % 3, now + SECOND);
             return;
         }
-        let reply: HeartbeatReply = serde_json::from_value(v).expect("a reply");
-        if w.state.accept_reply(reply.fencing_token, Steady(now)) {
-            w.execute_commands(&reply.commands, now);
+        let reply: HeartbeatReply = serde_json::from_value(reply_body).expect("a reply");
+        if worker.state.accept_reply(reply.fencing_token, Steady(now)) {
+            worker.execute_commands(&reply.commands, now);
         }
     }
 
@@ -299,7 +302,7 @@
     /// Returns the seconds from the confirmation until the job's tasks had ended.
     pub fn outage(&mut self) -> f64 {
         self.begin_outage();
-        let gone = self.run_until_tasks_are_gone();
+        let ended_after_s = self.run_until_tasks_are_gone();
         let confirmed_at = self.confirmed_at.expect("a confirmation");
         let (outage_until, refused_until) = (confirmed_at + 84 * SECOND, confirmed_at + 14 * SECOND);
         while self.now() < outage_until {
@@ -320,6 +323,6 @@
         let submission = json!(spec(2, 2, "batch")).to_string();
         assert_eq!(self.call(2, "POST", "/api/jobs", &submission).0, 201);
         self.run_until("new work runs", |simulation| lock(&simulation.worker).placed(2) == 2);
-        gone
+        ended_after_s
     }
 }
--- a/tests/cancellation_in_outage/worker.rs
+++ b/tests/cancellation_in_outage/worker.rs
@@ -54,20 +54,20 @@
     }
 
     /// Executes a direct command and returns the reply; none if the command does not arrive.
-    pub fn command(&mut self, r: &Request, now: i64) -> Option<Response> {
+    pub fn command(&mut self, request: &Request, now: i64) -> Option<Response> {
         if now < self.frozen_until || self.commands_lost {
             return None;
         }
-        let c: DirectCommandRequest = serde_json::from_slice(&r.body).expect("a command");
-        if !self.state.accept_command(c.fencing_token, c.agent_epoch) {
+        let command: DirectCommandRequest = serde_json::from_slice(&request.body).expect("a command");
+        if !self.state.accept_command(command.fencing_token, command.agent_epoch) {
             return Some(Response::json(409, &self.state.heartbeat()));
         }
-        self.execute_commands(&c.commands, now);
+        self.execute_commands(&command.commands, now);
         Some(Response::json(200, &self.state.heartbeat()))
     }
 
     /// Number of tasks of a job on this machine.
-    pub fn placed(&self, n: u32) -> usize {
-        self.state.placed_of(&spec(n, 1, "batch").id)
+    pub fn placed(&self, job_number: u32) -> usize {
+        self.state.placed_of(&spec(job_number, 1, "batch").id)
     }
 }
--- a/tests/failover/simulation/invariants.rs
+++ b/tests/failover/simulation/invariants.rs
@@ -48,12 +48,16 @@
     /// no team exceeds its limit.
     fn check_running_tasks(&self) {
         let mut on = BTreeSet::new();
-        for w in &self.workers {
-            for (task, _) in w.state.executing() {
+        for worker in &self.workers {
+            for (task, _) in worker.state.executing() {
                 assert!(on.insert(task.as_str()), "ran_twice: {task} is on two machines");
                 let late = self.cancelled.get(job_of(task)).is_some_and(|at| self.now - *at > self.cancel);
                 // A task on a frozen machine does nothing until the machine resumes.
-                assert!(!late || self.now < w.frozen_until, "ran_cancelled: {task} is on {}", w.state.id);
+                assert!(
+                    !late || self.now < worker.frozen_until,
+                    "ran_cancelled: {task} is on {}",
+                    worker.state.id
+                );
             }
         }
         assert!(self.used("tight") <= TIGHT_LIMIT, "quota: tight");
@@ -64,10 +68,13 @@
         for (_, key, value) in &self.store.log[self.log_checked..] {
             let Some(id) = key.strip_prefix("final/") else { continue };
             let Some(v) = value else { panic!("went_back: the final record of {id} was removed") };
-            let f: FinalRecord = serde_json::from_value(v.clone()).expect("a final record");
-            let first = *self.finals.entry(id.to_string()).or_insert(f.stage);
-            assert_eq!(first, f.stage, "went_back: the stage in the final record of {id} has changed");
-            match f.stage {
+            let final_record: FinalRecord = serde_json::from_value(v.clone()).expect("a final record");
+            let first = *self.finals.entry(id.to_string()).or_insert(final_record.stage);
+            assert_eq!(
+                first, final_record.stage,
+                "went_back: the stage in the final record of {id} has changed"
+            );
+            match final_record.stage {
                 Stage::Done => assert!(self.all_finished(id), "not_done: {id} has unfinished tasks"),
                 Stage::Cancelled => {
                     assert!(self.cancel_requested.contains(id), "went_back: no user cancelled {id}")
@@ -96,24 +103,24 @@
 
     /// Whether waiting tasks of a job could start on the present machines.
     fn startable(&self, id: &str) -> bool {
-        let s = &self.specs[id];
+        let spec = &self.specs[id];
         let is_placed = |t: &String| {
             let of = self.workers.iter().flat_map(|w| &w.state.tasks);
-            of.into_iter().any(|(k, x)| k.0 == *t && x.stage != TaskStage::Exited)
+            of.into_iter().any(|(attempt, state)| attempt.0 == *t && state.stage != TaskStage::Exited)
         };
-        let tasks: Vec<String> = (0..s.tasks).map(|n| format!("{id}/{n}")).collect();
+        let tasks: Vec<String> = (0..spec.tasks).map(|n| format!("{id}/{n}")).collect();
         let waiting_tasks = tasks.iter().filter(|t| !self.finished.contains(*t) && !is_placed(t)).count();
-        let gang = s.shape == Shape::Gang;
-        let least = if gang { s.tasks as usize } else { 1 };
-        if waiting_tasks < least || (s.team == "tight" && self.placed("tight") + least > TIGHT_LIMIT) {
+        let gang = spec.shape == Shape::Gang;
+        let least = if gang { spec.tasks as usize } else { 1 };
+        if waiting_tasks < least || (spec.team == "tight" && self.placed("tight") + least > TIGHT_LIMIT) {
             return false;
         }
         let zones = [self.capacity_in_zone(id, "north"), self.capacity_in_zone(id, "south")];
-        let half = s.tasks.div_ceil(2) as usize;
-        if s.one_zone {
+        let half = spec.tasks.div_ceil(2) as usize;
+        if spec.one_zone {
             return (0..2).any(|z| zones[z].0 >= least && zones[1 - z].1 == 0);
         }
-        let most = |z: (usize, usize)| if s.spread { z.0.min(half.saturating_sub(z.1)) } else { z.0 };
+        let most = |z: (usize, usize)| if spec.spread { z.0.min(half.saturating_sub(z.1)) } else { z.0 };
         most(zones[0]) + most(zones[1]) >= least
     }
 
--- a/tests/failover/simulation/jobs.rs
+++ b/tests/failover/simulation/jobs.rs
@@ -13,10 +13,10 @@
 
 impl Simulation {
     /// A user submits a job of random shape, size and constraints.
-    pub(super) fn submit(&mut self, n: u32) {
+    pub(super) fn submit(&mut self, job_number: u32) {
         let shape = if self.rng.random_bool(0.3) { "gang" } else { "batch" };
         let tasks = if shape == "gang" { self.rng.random_range(1..4) } else { self.rng.random_range(1..12) };
-        let mut spec = spec(n, tasks, shape);
+        let mut spec = spec(job_number, tasks, shape);
         if self.rng.random_bool(0.3) {
             spec.team = "tight".into();
         }
@@ -30,9 +30,9 @@
             spec.priority = [Priority::Idle, Priority::Normal, Priority::Urgent, Priority::Critical]
                 [self.rng.random_range(0..4)];
         }
-        let mut r = record(spec.clone());
-        r.submitted_us = self.now.0;
-        let txn = submission(&r);
+        let mut job_record = record(spec.clone());
+        job_record.submitted_us = self.now.0;
+        let txn = submission(&job_record);
         assert!(self.store.txn(&txn).is_ok());
         if self.faults.mixed_load && self.chance(0.2) {
             // A copy of the same submission, sent earlier without a reply, arrives late.
@@ -55,7 +55,7 @@
         let ids: BTreeSet<String> = (0..self.workers.len())
             .filter(|w| machine.is_none_or(|m| m == *w))
             .flat_map(|w| self.workers[w].state.executing())
-            .map(|k| job_of(&k.0).to_string())
+            .map(|attempt| job_of(&attempt.0).to_string())
             .collect();
         for id in ids {
             if self.chance(self.faults.cancel_on_faulty_machine) {
--- a/tests/failover/simulation/leaders.rs
+++ b/tests/failover/simulation/leaders.rs
@@ -51,15 +51,15 @@
     }
 
     /// The index of the leader that a worker's heartbeat reaches and that may reply, if any.
-    pub(super) fn reached_leader(&mut self, w: usize) -> Option<usize> {
+    pub(super) fn reached_leader(&mut self, worker_index: usize) -> Option<usize> {
         let last = self.leaders.len().checked_sub(1)?;
         if self.partition.is_some() {
-            if self.workers[w].state.zone == "north" {
+            if self.workers[worker_index].state.zone == "north" {
                 return Some(last);
             }
             return (last > 0 && self.may_reply(0)).then_some(0);
         }
-        if self.workers[w].keeps_old_leader {
+        if self.workers[worker_index].keeps_old_leader {
             let old = (0..last).find(|i| self.leaders[*i].store_lost_until > self.now);
             if let Some(i) = old.filter(|i| self.may_reply(*i)) {
                 return Some(i);
@@ -75,7 +75,7 @@
     }
 
     /// Lets another controller become the leader, by the faults of step `i`, unless no controller can.
-    pub(super) fn change_leader(&mut self, i: u32) {
+    pub(super) fn change_leader(&mut self, step: u32) {
         if self.state_store_unavailable() || self.now < self.no_leader_until {
             return;
         }
@@ -85,11 +85,12 @@
             return;
         }
         let every = self.faults.failover_every_s.map(|s| ((s * 4.0) as u32).max(1));
-        if self.faults.partition && self.partition.is_none() && i % 400 == 200 && !self.leaders.is_empty() {
+        if self.faults.partition && self.partition.is_none() && step % 400 == 200 && !self.leaders.is_empty()
+        {
             self.begin_partition();
         } else if self.leaders.is_empty() {
             self.fail_over();
-        } else if self.partition.is_none() && every.is_some_and(|e| i % e == e - 1) {
+        } else if self.partition.is_none() && every.is_some_and(|e| step % e == e - 1) {
             self.faults_occurred += 1;
             self.fail_over();
         } else if self.partition.is_none() && self.rng.random_bool(self.faults.failover) {
@@ -143,24 +144,24 @@
 
     /// Writes the pending records of a leader. The newest leader first renews its lease, unless the renewal
     /// is lost.
-    fn write_records_of(&mut self, i: usize) {
+    fn write_records_of(&mut self, leader_index: usize) {
         let chunk = chunk_tasks(4096);
         let now = self.now;
         // Only the newest leader's lease is renewed, and only with a probability of 0.8.
-        let newest = i + 1 == self.leaders.len();
-        let store_lost = self.state_store_unavailable() || now < self.leaders[i].store_lost_until;
+        let newest = leader_index + 1 == self.leaders.len();
+        let store_lost = self.state_store_unavailable() || now < self.leaders[leader_index].store_lost_until;
         let renewed = newest && !store_lost && !self.chance(0.2);
-        let leader = &mut self.leaders[i];
+        let leader = &mut self.leaders[leader_index];
         if renewed {
             leader.controller.fleet.confirm_lease(now);
             leader.store_contact.note_renewal(now);
         }
         leader.controller.fleet.tick(now, wall_at(now));
-        if self.is_partitioned(i) || store_lost {
+        if self.is_partitioned(leader_index) || store_lost {
             return;
         }
-        for b in self.leaders[i].controller.batches(Micros(1_500_000), chunk, now) {
-            if !self.apply_batch(i, &b) {
+        for batch in self.leaders[leader_index].controller.batches(Micros(1_500_000), chunk, now) {
+            if !self.apply_batch(leader_index, &batch) {
                 break;
             }
         }
@@ -168,7 +169,7 @@
 
     /// Executes a leader's transaction, now or late. Returns false if the leader had to read records back,
     /// because the transaction failed or had no reply.
-    fn apply_batch(&mut self, i: usize, b: &Batch) -> bool {
+    fn apply_batch(&mut self, leader_index: usize, batch: &Batch) -> bool {
         let (mut known, mut result) = (true, None);
         // Late transactions occur in alternate periods of 30 s, so that many are overtaken by later
         // transactions of the same leader.
@@ -176,21 +177,21 @@
         if late_period && self.chance(self.faults.late_writes) {
             known = false;
             let at = self.later(2.0, 12.0);
-            self.late_transactions.push((at, b.txn.clone()));
+            self.late_transactions.push((at, batch.txn.clone()));
             self.faults_occurred += 1;
         } else if self.chance(self.faults.lost_replies) {
             known = false;
             if self.rng.random_bool(0.5) {
-                result = Some(self.store.txn(&b.txn));
+                result = Some(self.store.txn(&batch.txn));
             } else {
                 let at = self.now + Micros::from_secs(self.rng.random_range(0.5..20.0));
-                self.late_transactions.push((at, b.txn.clone()));
+                self.late_transactions.push((at, batch.txn.clone()));
             }
         } else {
-            result = Some(self.store.txn(&b.txn));
+            result = Some(self.store.txn(&batch.txn));
         }
-        let (now, controller) = (self.now, &mut self.leaders[i].controller);
-        match controller.apply_txn_result(b, result.filter(|_| known), now) {
+        let (now, controller) = (self.now, &mut self.leaders[leader_index].controller);
+        match controller.apply_txn_result(batch, result.filter(|_| known), now) {
             Ok(()) => true,
             Err(keys) => {
                 controller.read_back(&keys, &self.store, now);
--- a/tests/failover/simulation/machines.rs
+++ b/tests/failover/simulation/machines.rs
@@ -25,12 +25,12 @@
             // One machine, or about half of them.
             let many = kind > 0 && self.rng.random_bool(0.2);
             let one = self.rng.random_range(0..self.workers.len());
-            for w in 0..self.workers.len() {
-                if w != one && !(many && self.rng.random_bool(0.5)) {
+            for worker_index in 0..self.workers.len() {
+                if worker_index != one && !(many && self.rng.random_bool(0.5)) {
                     continue;
                 }
                 let until = self.later(3.0, 60.0);
-                let worker = &mut self.workers[w];
+                let worker = &mut self.workers[worker_index];
                 match kind {
                     0 => worker.partitioned_until = until,
                     1 => worker.replies_lost_until = until,
@@ -38,7 +38,7 @@
                     _ => worker.frozen_until = until,
                 }
                 self.faults_occurred += u32::from(kind > 0);
-                self.cancel_on_faulty_machine(Some(w));
+                self.cancel_on_faulty_machine(Some(worker_index));
             }
         }
         if self.chance(store_lost)
@@ -64,8 +64,8 @@
         let Some(leader) = self.leaders.last_mut() else { return };
         leader.store_lost_until = until;
         let share = self.rng.random_range(0.5..1.0);
-        for w in 0..self.workers.len() {
-            self.workers[w].keeps_old_leader = self.rng.random_bool(share);
+        for worker_index in 0..self.workers.len() {
+            self.workers[worker_index].keeps_old_leader = self.rng.random_bool(share);
         }
         self.cancel_on_faulty_machine(None);
         self.faults_occurred += 1;
@@ -88,23 +88,23 @@
     /// again.
     fn list_machines(&mut self) {
         if self.rng.random_bool(0.25) {
-            let list = self.workers.iter().map(|w| ListedMachine {
-                id: w.state.id.clone(),
+            let list = self.workers.iter().map(|worker| ListedMachine {
+                id: worker.state.id.clone(),
                 address: Some("127.0.0.1:9".into()),
-                machine_type: w.state.ty.clone(),
-                zone: w.state.zone.into(),
-                spot: w.state.spot,
+                machine_type: worker.state.ty.clone(),
+                zone: worker.state.zone.into(),
+                spot: worker.state.spot,
                 stage: "running".into(),
                 age_s: 60.0,
             });
             self.lists.rotate_left(1);
             self.lists[1] = list.collect();
         }
-        for i in 0..self.leaders.len() {
-            if !self.is_partitioned(i) && self.rng.random_bool(0.1) {
+        for leader_index in 0..self.leaders.len() {
+            if !self.is_partitioned(leader_index) && self.rng.random_bool(0.1) {
                 let at = usize::from(self.rng.random_bool(0.8));
                 let now = self.now;
-                self.leaders[i].controller.fleet.machines_listed(&self.lists[at], now);
+                self.leaders[leader_index].controller.fleet.machines_listed(&self.lists[at], now);
             }
         }
     }
@@ -116,9 +116,9 @@
             self.list_machines();
         }
         if self.chance(self.faults.machine_lost) {
-            let i = self.rng.random_range(0..self.workers.len());
-            let w = self.workers.remove(i);
-            self.add_machine(w.ty, w.state.zone, w.state.spot);
+            let worker_index = self.rng.random_range(0..self.workers.len());
+            let worker = self.workers.remove(worker_index);
+            self.add_machine(worker.ty, worker.state.zone, worker.state.spot);
         }
         if self.faults.cloud_unavailable
             && self.leaders.iter().any(|leader| self.now < leader.store_lost_until)
@@ -131,24 +131,24 @@
     /// Lets leaders return machines to the cloud. Each machine is replaced by a new one. Some of the cloud's
     /// answers are lost.
     fn return_machines(&mut self) {
-        for i in 0..self.leaders.len() {
-            let ids = self.leaders[i].controller.fleet.machines_to_scale_in();
-            if self.is_partitioned(i) || ids.is_empty() || self.rng.random_bool(0.8) {
+        for leader_index in 0..self.leaders.len() {
+            let ids = self.leaders[leader_index].controller.fleet.machines_to_scale_in();
+            if self.is_partitioned(leader_index) || ids.is_empty() || self.rng.random_bool(0.8) {
                 continue;
             }
             let gone: Vec<_> = self
                 .workers
                 .iter()
-                .filter(|w| ids.contains(&w.state.id))
-                .map(|w| (w.ty, w.state.zone, w.state.spot))
+                .filter(|worker| ids.contains(&worker.state.id))
+                .map(|worker| (worker.ty, worker.state.zone, worker.state.spot))
                 .collect();
-            self.workers.retain(|w| !ids.contains(&w.state.id));
+            self.workers.retain(|worker| !ids.contains(&worker.state.id));
             for (ty, zone, spot) in gone {
                 self.add_machine(ty, zone, spot);
             }
             if !self.chance(0.2) {
                 let now = self.now;
-                self.leaders[i].controller.fleet.machines_scaled_in(&ids, now);
+                self.leaders[leader_index].controller.fleet.machines_scaled_in(&ids, now);
             }
         }
     }
--- a/tests/failover/simulation/run.rs
+++ b/tests/failover/simulation/run.rs
@@ -17,20 +17,23 @@
 /// Runs one simulation; returns how often its faults have occurred.
 fn simulate(seed: u64, faults: &Faults) -> u32 {
     let mut simulation = Simulation::new(seed, faults);
-    let mut n = 0;
-    for i in 0..faults.steps {
+    let mut job_count = 0;
+    for step in 0..faults.steps {
         // Jobs are submitted at shorter intervals in short simulations, so that there is always more work
         // than capacity.
-        if i % (faults.steps / 40).min(40) == 0 && n < faults.jobs && !simulation.state_store_unavailable() {
-            n += 1;
-            simulation.submit(n);
+        if step % (faults.steps / 40).min(40) == 0
+            && job_count < faults.jobs
+            && !simulation.state_store_unavailable()
+        {
+            job_count += 1;
+            simulation.submit(job_count);
         }
-        if simulation.rng.random_bool(faults.cancel) && n > 0 {
-            let id = format!("wk-{:06}", simulation.rng.random_range(1..=n));
+        if simulation.rng.random_bool(faults.cancel) && job_count > 0 {
+            let id = format!("wk-{:06}", simulation.rng.random_range(1..=job_count));
             let now = simulation.now;
             simulation.request_cancellation(&id, now);
         }
-        simulation.change_leader(i);
+        simulation.change_leader(step);
         simulation.step();
     }
     end_faults(&mut simulation);
@@ -58,12 +61,12 @@
 fn end_faults(simulation: &mut Simulation) {
     simulation.faulty = false;
     simulation.store_unavailable_until = Steady(0);
-    for m in &mut simulation.workers {
-        m.partitioned_until = Steady(0);
-        m.replies_lost_until = Steady(0);
-        m.heartbeats_lost_until = Steady(0);
-        m.frozen_until = Steady(0);
-        m.keeps_old_leader = false;
+    for worker in &mut simulation.workers {
+        worker.partitioned_until = Steady(0);
+        worker.replies_lost_until = Steady(0);
+        worker.heartbeats_lost_until = Steady(0);
+        worker.frozen_until = Steady(0);
+        worker.keeps_old_leader = false;
     }
     simulation.fail_over();
     let newest = simulation.leaders.len() - 1;
@@ -72,9 +75,9 @@
 
 /// Runs the simulation until all jobs have ended, for at most [`STEPS_TO_FINISH`] steps.
 fn finish(simulation: &mut Simulation, seed: u64) {
-    for i in 0..STEPS_TO_FINISH {
+    for step in 0..STEPS_TO_FINISH {
         simulation.step();
-        if i % 4 == 0 {
+        if step % 4 == 0 {
             simulation.check_no_starvation(seed);
         }
         if simulation.open_jobs() == 0 {
--- a/tests/failover/simulation/tasks.rs
+++ b/tests/failover/simulation/tasks.rs
@@ -17,14 +17,14 @@
 impl Simulation {
     /// A worker accepts the reply to a heartbeat that it sent at `sent`, and executes the commands in the
     /// reply.
-    pub(super) fn execute_reply(&mut self, w: usize, reply: &HeartbeatReply, sent: Steady) {
+    pub(super) fn execute_reply(&mut self, worker_index: usize, reply: &HeartbeatReply, sent: Steady) {
         let now = self.now;
-        let worker = &mut self.workers[w].state;
+        let worker = &mut self.workers[worker_index].state;
         if !worker.accept_reply(reply.fencing_token, sent) {
             return;
         }
-        for o in &reply.commands {
-            match o {
+        for command in &reply.commands {
+            match command {
                 WorkerCommand::Start { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if worker.tasks.contains_key(&key) {
@@ -50,104 +50,109 @@
     /// `tests/fault_combinations` models tasks differently on purpose; its comments give the reason.
     pub(super) fn run_tasks(&mut self) {
         let now = self.now;
-        for w in 0..self.workers.len() {
+        for worker_index in 0..self.workers.len() {
             // A frozen machine checks its lease first when it resumes. Therefore its tasks count as ended as
             // soon as the lease has expired.
-            let lease = self.workers[w].lease;
-            self.workers[w].state.end_session_after(lease, now);
-            if now < self.workers[w].frozen_until {
+            let lease = self.workers[worker_index].lease;
+            self.workers[worker_index].state.end_session_after(lease, now);
+            if now < self.workers[worker_index].frozen_until {
                 continue;
             }
-            let keys: Vec<Attempt> = self.workers[w].state.tasks.keys().cloned().collect();
-            for k in keys {
-                self.run_task(w, k);
+            let attempts: Vec<Attempt> = self.workers[worker_index].state.tasks.keys().cloned().collect();
+            for attempt in attempts {
+                self.run_task(worker_index, attempt);
             }
         }
     }
 
     /// Runs one step of a task.
-    fn run_task(&mut self, w: usize, k: Attempt) {
+    fn run_task(&mut self, worker_index: usize, attempt: Attempt) {
         let now = self.now;
-        let id = job_of(&k.0).to_string();
+        let id = job_of(&attempt.0).to_string();
         let gang = self.specs[&id].shape == Shape::Gang;
-        let t = self.workers[w].state.tasks[&k].clone();
-        match t.stage {
-            TaskStage::Fetching if (now - t.since).secs() >= FETCH_S => {
-                self.check_start(w, &k.0, &id);
+        let task = self.workers[worker_index].state.tasks[&attempt].clone();
+        match task.stage {
+            TaskStage::Fetching if (now - task.since).secs() >= FETCH_S => {
+                self.check_start(worker_index, &attempt.0, &id);
                 let stage = if gang { TaskStage::Waiting } else { TaskStage::Running };
-                self.enter(w, &k, stage, None);
+                self.enter(worker_index, &attempt, stage, None);
             }
             TaskStage::Waiting => {
-                if self.gang_members_ready(&id, k.1) == self.specs[&id].tasks {
-                    self.enter(w, &k, TaskStage::Running, None);
-                } else if (now - t.since).secs() > GANG_WAIT_S {
-                    self.enter(w, &k, TaskStage::Exited, Some(ExitReason::GangIncomplete));
+                if self.gang_members_ready(&id, attempt.1) == self.specs[&id].tasks {
+                    self.enter(worker_index, &attempt, TaskStage::Running, None);
+                } else if (now - task.since).secs() > GANG_WAIT_S {
+                    self.enter(worker_index, &attempt, TaskStage::Exited, Some(ExitReason::GangIncomplete));
                 }
             }
-            TaskStage::Running => self.run_running_task(w, k, &id),
+            TaskStage::Running => self.run_running_task(worker_index, attempt, &id),
             _ => {}
         }
     }
 
     /// Runs one step of a running task. A gang runs while all of its tasks are present, and its tasks
     /// complete together.
-    fn run_running_task(&mut self, w: usize, k: Attempt, id: &str) {
+    fn run_running_task(&mut self, worker_index: usize, attempt: Attempt, id: &str) {
         let gang = self.specs[id].shape == Shape::Gang;
-        let t = self.workers[w].state.tasks[&k].clone();
-        if gang && !self.finished.contains(&k.0) {
-            if self.gang_members_ready(id, k.1) < self.specs[id].tasks {
-                if (self.now - t.since).secs() > GANG_PEER_S {
-                    self.enter(w, &k, TaskStage::Exited, Some(ExitReason::GangPeersLost));
+        let task = self.workers[worker_index].state.tasks[&attempt].clone();
+        if gang && !self.finished.contains(&attempt.0) {
+            if self.gang_members_ready(id, attempt.1) < self.specs[id].tasks {
+                if (self.now - task.since).secs() > GANG_PEER_S {
+                    self.enter(worker_index, &attempt, TaskStage::Exited, Some(ExitReason::GangPeersLost));
                 }
                 return;
             }
-            self.enter(w, &k, TaskStage::Running, None);
+            self.enter(worker_index, &attempt, TaskStage::Running, None);
         }
-        let left = t.left - STEP;
-        if let Some(t) = self.workers[w].state.tasks.get_mut(&k) {
-            t.left = left;
+        let left = task.left - STEP;
+        if let Some(task) = self.workers[worker_index].state.tasks.get_mut(&attempt) {
+            task.left = left;
         }
-        if left.0 > 0 && !(gang && self.finished.contains(&k.0)) {
+        if left.0 > 0 && !(gang && self.finished.contains(&attempt.0)) {
             return;
         }
-        self.end_task(w, &k, id);
+        self.end_task(worker_index, &attempt, id);
     }
 
     /// Ends a task that has run for its time. A gang completes; any other task may end with an error.
-    fn end_task(&mut self, w: usize, k: &Attempt, id: &str) {
+    fn end_task(&mut self, worker_index: usize, attempt: &Attempt, id: &str) {
         let gang = self.specs[id].shape == Shape::Gang;
         let error = !gang && self.chance(0.05);
         if !error {
-            let n = if gang { self.specs[id].tasks } else { 1 };
+            let tasks = if gang { self.specs[id].tasks } else { 1 };
             if gang {
-                (0..n).for_each(|i| {
+                (0..tasks).for_each(|i| {
                     self.finished.insert(format!("{id}/{i}"));
                 });
             }
-            self.finished.insert(k.0.clone());
+            self.finished.insert(attempt.0.clone());
             if self.all_finished(id) && self.chance(self.faults.cancel_at_end) {
                 let at = self.later(0.0, 2.5);
                 self.request_cancellation(id, at);
                 self.faults_occurred += 1;
             }
         }
-        self.enter(w, k, TaskStage::Exited, Some(if error { ExitReason::Error } else { ExitReason::Done }));
+        self.enter(
+            worker_index,
+            attempt,
+            TaskStage::Exited,
+            Some(if error { ExitReason::Error } else { ExitReason::Done }),
+        );
     }
 
     /// Number of tasks of a gang's attempt that run or wait for the others, on machines that are not frozen.
     fn gang_members_ready(&self, id: &str, attempt: u64) -> u32 {
-        let not_frozen = self.workers.iter().filter(|w| self.now >= w.frozen_until);
-        let of = not_frozen.flat_map(|w| &w.state.tasks).filter(|(k, t)| {
+        let not_frozen = self.workers.iter().filter(|worker| self.now >= worker.frozen_until);
+        let of = not_frozen.flat_map(|worker| &worker.state.tasks).filter(|(k, t)| {
             k.1 == attempt && job_of(&k.0) == id && matches!(t.stage, TaskStage::Waiting | TaskStage::Running)
         });
         of.count() as u32
     }
 
     /// Changes the stage of a task.
-    fn enter(&mut self, w: usize, k: &Attempt, stage: TaskStage, why: Option<ExitReason>) {
+    fn enter(&mut self, worker_index: usize, attempt: &Attempt, stage: TaskStage, why: Option<ExitReason>) {
         let now = self.now;
-        if let Some(t) = self.workers[w].state.tasks.get_mut(k) {
-            t.enter(stage, why, now);
+        if let Some(task) = self.workers[worker_index].state.tasks.get_mut(attempt) {
+            task.enter(stage, why, now);
         }
     }
 
