--- a/src/history.rs
+++ b/src/history.rs
@@ -1,10 +1,12 @@
-//! Run-time history of finished jobs, and A, the factor between stated and adjusted run times
-//! (section 4.2.3 of the paper): the 85th percentile of past actual-to-stated ratios, each capped at 1,
-//! and never under one half. No I/O: finished jobs go in, factors and the records to store come out;
-//! the caller does the reads and compare-and-swap writes of the state store.
+//! Run-time history of finished jobs, and the factor A by which stated run times are adjusted (section 4.2.3
+//! of the paper that `sched` names). A is the 85th percentile of the ratios of actual to stated run times of
+//! past jobs; each ratio counts as at most 1, and A is at least one half.
 //!
-//! Keys are packed into `BUCKETS` stored values by a hash that must stay the same between versions,
-//! since it names the stored value.
+//! This is pure code: the caller passes in finished jobs and stored records, and reads and writes the state
+//! store (with compare-and-swap).
+//!
+//! All stored records are packed into `BUCKETS` values of the state store. A hash of the record's key selects
+//! the value, so the hash function must not change between versions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,26 +14,26 @@
 
 use crate::time::{Micros, Wall};
 
-/// The lower bound of A: estimates are never scaled below half.
+/// The lower bound of A: adjusted run times are at least half of the stated ones.
 pub const MIN_FACTOR: f64 = 0.5;
-/// The percentile of past ratios that A is.
+/// The percentile of past ratios that is used as A, as a fraction.
 pub const PERCENTILE: f64 = 0.85;
-/// With fewer finished jobs than this within `WINDOW`, A is 1 and the stated time stands.
+/// With fewer finished jobs than this within `WINDOW`, A is 1: the stated run time is used unchanged.
 pub const MIN_FINISHED_JOBS: usize = 10;
-/// How far back finished jobs count: 30 days.
+/// Only jobs that finished within this time count: 30 days.
 pub const WINDOW: Micros = Micros(30 * 86_400 * 1_000_000);
-/// The largest ratio stored: a job that ran far over its estimate says little more beyond this.
+/// The largest ratio that is stored. How far beyond this a job overran its stated run time does not matter.
 const MAX_RATIO: f64 = 100.0;
-/// Ratios are stored rounded to this many parts of one (four decimals), to keep records small.
-const RATIO_PARTS: f64 = 1e4;
+/// Ratios are stored rounded to multiples of one part in this many (four decimals), to keep records small.
+const RATIO_SCALE: f64 = 1e4;
 /// Offset basis of 32-bit FNV-1a.
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 /// Prime of 32-bit FNV-1a.
 const FNV_PRIME: u32 = 0x0100_0193;
-/// Microseconds in a second, for the end times that records keep in seconds.
+/// Microseconds in a second. Records store end times in seconds.
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// What finished jobs must share to inform each other's A: team and stated run time.
+/// The team and stated run time that a history belongs to. Only jobs that agree in both share a factor A.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EstimateKey {
     /// The team.
@@ -40,14 +42,15 @@
     pub stated: Micros,
 }
 
-/// How many stored values the history is packed into.
+/// Number of values in the state store that the history is packed into.
 pub const BUCKETS: u32 = 32;
-/// Most keys kept in memory; the keys whose latest job ended longest ago go first.
+/// The most keys kept in memory. Beyond that, the key whose latest job ended longest ago is removed.
 const MAX_KEYS: usize = 4096;
 
 impl EstimateKey {
-    /// The stored value, in `0..BUCKETS`, that the key is packed into (FNV-1a over the team's bytes
-    /// and the stated micros in little-endian: it must not change between versions).
+    /// The number of the stored value that the key is packed into, in `0..BUCKETS`. It is the FNV-1a hash of
+    /// the team's bytes followed by the stated run time in microseconds as little-endian bytes, and must not
+    /// change between versions.
     pub fn bucket(&self) -> u32 {
         let bytes = self.team.bytes().chain(self.stated.0.to_le_bytes());
         let hash =
@@ -56,17 +59,17 @@
     }
 }
 
-/// One finished job, as stored.
+/// A finished job, as stored.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinishedJob {
-    /// When it ended, in seconds of wall-clock time.
+    /// When the job ended, in seconds of wall-clock time.
     pub end_s: i64,
-    /// Actual over stated run time, at most `MAX_RATIO`, rounded to four decimals.
+    /// Ratio of actual to stated run time, at most `MAX_RATIO`, rounded to four decimals.
     pub ratio: f64,
 }
 
-/// What is stored for a key; a stored value is a list of these. The form is stored data and must
-/// stay readable by earlier versions.
+/// The stored record of a key. A stored value is a list of these records. Earlier versions must be able to
+/// read this format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HistoryRecord {
     /// The team.
@@ -77,27 +80,27 @@
     pub past: Vec<FinishedJob>,
 }
 
-/// The factor A of one key, with the number of finished jobs behind it.
+/// The factor A of a key, and the number of finished jobs kept for the key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdjustmentFactor {
-    /// Team and stated run time that it applies to.
+    /// The team and stated run time that the factor applies to.
     pub key: EstimateKey,
     /// A, from `MIN_FACTOR` to 1.
     pub factor: f64,
-    /// Finished jobs kept for the key, within `WINDOW` or not.
+    /// Number of finished jobs kept for the key, including those that ended before `WINDOW`.
     pub jobs: usize,
 }
 
-/// Finished jobs by key, a bounded number for each, and which of them are still to be stored.
+/// Finished jobs by key, a limited number for each, and which of them still have to be stored.
 #[derive(Debug)]
 pub struct History {
-    /// Most finished jobs kept for each key.
+    /// The most finished jobs kept for each key.
     jobs_per_key: usize,
     /// By key: its latest finished jobs, oldest first.
     jobs: BTreeMap<EstimateKey, Vec<FinishedJob>>,
-    /// Buckets changed since they were last written.
+    /// Buckets that have changed since they were last written.
     dirty: BTreeSet<u32>,
-    /// By bucket: the state store's revision of it, for compare-and-swap writes.
+    /// By bucket: the state store's revision of its value, for compare-and-swap writes.
     revisions: BTreeMap<u32, u64>,
     /// Buckets whose stored value cannot be read.
     unreadable: BTreeSet<u32>,
@@ -115,23 +118,24 @@
         }
     }
 
-    /// Loads a key from its stored record, dropping ratios that are negative or not finite and keeping
-    /// the latest jobs.
+    /// Loads a key from its stored record. Keeps only the latest jobs, and drops jobs whose ratio is negative
+    /// or not finite.
     pub fn load(&mut self, record: HistoryRecord) {
         let mut jobs = record.past;
         jobs.retain(|job| job.ratio.is_finite() && job.ratio >= 0.0);
-        let from = jobs.len().saturating_sub(self.jobs_per_key);
+        let first_kept = jobs.len().saturating_sub(self.jobs_per_key);
         let key = EstimateKey { team: record.team, stated: Micros(record.stated_us) };
-        self.jobs.insert(key, jobs.split_off(from));
+        self.jobs.insert(key, jobs.split_off(first_kept));
     }
 
-    /// Adds a finished job with its actual-to-stated `ratio`; its key's bucket is to be written.
+    /// Adds a finished job with its ratio of actual to stated run time, and marks the key's bucket as
+    /// changed.
     pub fn add(&mut self, key: &EstimateKey, end: Wall, ratio: f64) {
         if self.jobs.len() >= MAX_KEYS && !self.jobs.contains_key(key) {
-            self.remove_oldest_key();
+            self.remove_least_recent_key();
         }
         let jobs = self.jobs.entry(key.clone()).or_default();
-        let ratio = (ratio.clamp(0.0, MAX_RATIO) * RATIO_PARTS).round() / RATIO_PARTS;
+        let ratio = (ratio.clamp(0.0, MAX_RATIO) * RATIO_SCALE).round() / RATIO_SCALE;
         jobs.push(FinishedJob { end_s: end.0 / MICROS_PER_SECOND, ratio });
         if jobs.len() > self.jobs_per_key {
             jobs.remove(0);
@@ -140,19 +144,21 @@
     }
 
     /// Removes the key whose latest job ended longest ago.
-    fn remove_oldest_key(&mut self) {
-        let oldest = self.jobs.iter().min_by_key(|(_, jobs)| latest_end_s(jobs)).map(|(key, _)| key.clone());
-        if let Some(key) = oldest {
+    fn remove_least_recent_key(&mut self) {
+        let least_recent =
+            self.jobs.iter().min_by_key(|(_, jobs)| latest_end_s(jobs)).map(|(key, _)| key.clone());
+        if let Some(key) = least_recent {
             self.jobs.remove(&key);
         }
     }
 
-    /// Notes that a bucket's stored value cannot be read: it is never written.
+    /// Marks a bucket whose stored value cannot be read. Such a bucket is never written, so that its value is
+    /// not overwritten.
     pub fn mark_unreadable(&mut self, bucket: u32) {
         self.unreadable.insert(bucket);
     }
 
-    /// Buckets to write: they have changed since they were last written.
+    /// The buckets to write: those that have changed since they were last written, except unreadable ones.
     pub fn dirty_buckets(&self) -> impl Iterator<Item = u32> + '_ {
         self.dirty.difference(&self.unreadable).copied()
     }
@@ -162,34 +168,35 @@
         self.revisions.get(&bucket).copied().unwrap_or(0)
     }
 
-    /// Sets the revision at which a bucket was found or read back in the state store.
+    /// Sets the revision of a bucket after it was read from the state store.
     pub fn set_mod_revision(&mut self, bucket: u32, mod_revision: u64) {
         self.revisions.insert(bucket, mod_revision);
     }
 
-    /// Records that a bucket was written at a revision: it is clean again.
+    /// Records that a bucket was written at a revision; it no longer counts as changed.
     pub fn mark_written(&mut self, bucket: u32, revision: u64) {
         self.revisions.insert(bucket, revision);
         self.dirty.remove(&bucket);
     }
 
-    /// Loads a key from a record under a state-store key of its own, as earlier versions wrote it; its
-    /// bucket is to be written in the present form.
+    /// Loads a key from a record that an earlier version stored under its own key of the state store, and
+    /// marks the key's bucket as changed, so that it is written in the present format.
     pub fn load_unpacked(&mut self, record: HistoryRecord) {
         let bucket = EstimateKey { team: record.team.clone(), stated: Micros(record.stated_us) }.bucket();
         self.load(record);
         self.dirty.insert(bucket);
     }
 
-    /// The records to store for a bucket: the keys whose latest job ended last, no more than fit
-    /// `bytes` bytes of JSON (one separator byte counted for each). Of a key that does not fit whole
-    /// the latest jobs are written: with half the bytes to a value a full key would otherwise keep
-    /// its whole value from being written.
-    pub fn records_to_store(&self, bucket: u32, bytes: usize) -> Vec<HistoryRecord> {
+    /// The records to store for a bucket, in at most `max_bytes` bytes of JSON (one separator byte is counted
+    /// for each record). The keys whose latest job ended last come first, and keys that do not fit are left
+    /// out. Of a key that does not fit completely, only the latest jobs are included. Otherwise, when the
+    /// size limit of a value is halved, a single key with many jobs would keep its whole bucket from being
+    /// written.
+    pub fn records_to_store(&self, bucket: u32, max_bytes: usize) -> Vec<HistoryRecord> {
         let mut latest_first: Vec<(&EstimateKey, &Vec<FinishedJob>)> =
             self.jobs.iter().filter(|(key, _)| key.bucket() == bucket).collect();
         latest_first.sort_by_key(|(_, jobs)| std::cmp::Reverse(latest_end_s(jobs)));
-        let mut bytes_left = bytes;
+        let mut bytes_left = max_bytes;
         let mut records = Vec::new();
         for (key, jobs) in latest_first {
             let record = record_within(key, jobs, &mut bytes_left);
@@ -201,8 +208,9 @@
         records
     }
 
-    /// The factor A for a waiting job of the key at wall time `now`: 1 with fewer than `MIN_FINISHED_JOBS` jobs within
-    /// `WINDOW`, else the `PERCENTILE` of their ratios capped at 1, floored at `MIN_FACTOR`.
+    /// The factor A for a waiting job of the key at the wall-clock time `now`. It is 1 with fewer than
+    /// `MIN_FINISHED_JOBS` jobs within `WINDOW`; otherwise it is the `PERCENTILE` of their ratios, each
+    /// capped at 1, but not less than `MIN_FACTOR`.
     pub fn factor(&self, key: &EstimateKey, now: Wall) -> f64 {
         let Some(jobs) = self.jobs.get(key) else { return 1.0 };
         let window_start_s = (now - WINDOW).0 / MICROS_PER_SECOND;
@@ -216,7 +224,7 @@
         ratios[rank.clamp(1, ratios.len()) - 1].max(MIN_FACTOR)
     }
 
-    /// All keys with their factor A.
+    /// The factors A of all keys.
     pub fn factors(&self, now: Wall) -> Vec<AdjustmentFactor> {
         let keys = self.jobs.iter();
         keys.map(|(key, jobs)| AdjustmentFactor {
@@ -228,12 +236,13 @@
     }
 }
 
-/// When the latest of a key's jobs ended, in seconds of wall-clock time; 0 without jobs.
+/// When the latest of a key's jobs ended, in seconds of wall-clock time; 0 if there are no jobs.
 fn latest_end_s(jobs: &[FinishedJob]) -> i64 {
     jobs.last().map_or(0, |job| job.end_s)
 }
 
-/// A key's record with as many of its latest jobs as fit `bytes_left`, which is reduced by its size.
+/// The record of a key with as many of its latest jobs as fit into `bytes_left`, which is reduced by the
+/// record's size.
 fn record_within(key: &EstimateKey, jobs: &[FinishedJob], bytes_left: &mut usize) -> HistoryRecord {
     let mut record = HistoryRecord { team: key.team.clone(), stated_us: key.stated.0, past: Vec::new() };
     *bytes_left = bytes_left.saturating_sub(json_size(&record) + 1);
@@ -248,7 +257,7 @@
     record
 }
 
-/// Bytes of the JSON form; a form that fails counts as too large to fit anywhere.
+/// Size of the JSON form in bytes. A value that cannot be serialized counts as too large to fit.
 fn json_size(value: &impl Serialize) -> usize {
     serde_json::to_string(value).map_or(usize::MAX / 4, |text| text.len())
 }
