--- a/tests/common/planner.rs
+++ b/tests/common/planner.rs
@@ -5,21 +5,21 @@
 use milletlock::wire::{MachineType, Priority};
 use proptest::prelude::*;
 
-/// Rounding errors in sums of processors stay below this.
+/// Upper bound of rounding errors in sums of processors.
 pub const CPU_TOLERANCE: f64 = 1e-6;
 
 /// The image that random machines may have.
 pub const IMAGE: u32 = 1;
 
-/// Processors of a random machine of each type.
+/// Processors of a random machine, by type.
 const CPUS_BY_TYPE: [f64; 2] = [4.0, 16.0];
 
-/// Whole seconds.
+/// A time of whole seconds.
 pub fn secs(seconds: i64) -> Micros {
     Micros(seconds * 1_000_000)
 }
 
-/// Any of the priorities, each as likely as the others.
+/// Any priority, all with the same probability.
 pub fn any_priority() -> impl Strategy<Value = Priority> {
     prop_oneof![
         Just(Priority::Idle),
@@ -30,7 +30,7 @@
 }
 
 prop_compose! {
-    /// A machine without tasks, which accepts starts in less than so many seconds.
+    /// A machine without tasks, whose `accepts_starts_in` is less than the given number of seconds.
     pub fn any_empty_machine(accepts_starts_in_end_s: i64)(
         machine_type in 0usize..2,
         zone in 0usize..2,
@@ -53,12 +53,13 @@
     }
 }
 
-/// So many processors, and as much memory.
+/// A number of processors, and as many GB of memory.
 pub fn need(cpus: f64) -> Resources {
     Resources { cpus, gpus: 0.0, memory: cpus }
 }
 
-/// An array's class of one-processor tasks on the first type.
+/// The class of an array with one-processor tasks that may use the first type. The adjusted run time and the
+/// wait are in seconds.
 pub fn class(count: u32, adjusted: i64, waited: i64) -> JobClass {
     JobClass {
         priority: Priority::Normal,
@@ -96,7 +97,7 @@
     positions
 }
 
-/// An on-demand machine of the first type and zone that accepts starts, without tasks and images.
+/// An on-demand machine of the first type and zone that accepts starts and has no tasks and no images.
 pub fn empty_machine(cpus: f64) -> MachineSnapshot {
     MachineSnapshot {
         machine_type: 0,
@@ -115,7 +116,7 @@
     }
 }
 
-/// The machine with these tasks on it.
+/// The machine with the tasks placed on it.
 pub fn machine_with_tasks(machine: MachineSnapshot, tasks: Vec<PlacedTask>) -> MachineSnapshot {
     let free = tasks.iter().fold(machine.free, |free, task| free.minus(&task.need, 1));
     MachineSnapshot { free, placed: tasks, ..machine }
@@ -136,7 +137,7 @@
     }
 }
 
-/// The only machine type where renting is looked at by itself.
+/// A list with a single small machine type, for tests of scaling that need no others.
 pub fn one_small_type() -> Vec<MachineType> {
     vec![MachineType {
         name: "small".into(),
--- a/tests/planner/generators.rs
+++ b/tests/planner/generators.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// The first of these tasks, as many as the machine has processors for.
+/// The leading tasks whose processors together do not exceed `cpus`.
 fn fitting_tasks(tasks: Vec<PlacedTask>, cpus: f64) -> Vec<PlacedTask> {
     let mut used = 0.0;
     let mut fitting = Vec::new();
@@ -51,7 +51,7 @@
     ) -> MachineSnapshot {
         machine.cpu_price = cpu_price;
         machine.fetch_gb_per_s = 0.5;
-        // Machines that accept starts already do so soon.
+        // A machine that accepts starts now gets its next heartbeat soon.
         if machine.accepts_starts {
             machine.accepts_starts_in.0 %= secs(4).0;
         }
@@ -61,7 +61,7 @@
 }
 
 prop_compose! {
-    /// An array or a gang of fewer than `tasks_end` tasks.
+    /// An array or a gang with fewer than `tasks_end` startable tasks.
     fn any_class(tasks_end: u32)(
         missed_objectives in 0u8..3,
         priority in any_priority(),
@@ -100,7 +100,8 @@
 }
 
 prop_compose! {
-    /// Fewer than `machines_end` machines, and classes of fewer than `tasks_end` tasks each.
+    /// A snapshot with fewer than `machines_end` machines and with classes of fewer than `tasks_end`
+    /// startable tasks each.
     pub fn any_snapshot(machines_end: usize, tasks_end: u32)(
         machines in prop::collection::vec(any_machine(), 0..machines_end),
         classes in prop::collection::vec(any_class(tasks_end), 0..7),
@@ -111,7 +112,7 @@
         let tasks_of_first_team =
             machines.iter().flat_map(|machine| &machine.placed).filter(|task| task.team == 0);
         let used = tasks_of_first_team.fold(Resources::default(), |sum, task| sum.plus(&task.need, 1));
-        // Somewhat over what runs, so that the quota is met now and then; zero is no quota.
+        // The quota is a little above the current use, so that it is sometimes reached; zero means no quota.
         let cpu_quota = if quota_above_use == 0 { 0.0 } else { used.cpus + f64::from(quota_above_use) };
         let headroom =
             ReservedHeadroom { need: need(15.0), priority: Priority::Urgent, spot: headroom_on_spot };
--- a/tests/planner/incremental_backfill.rs
+++ b/tests/planner/incremental_backfill.rs
@@ -1,4 +1,4 @@
-//! What starts on a machine between two plans.
+//! Tasks that start on a machine between two plans.
 
 use milletlock::sched::{
     queue_order, IncrementalBackfill, JobClass, MachineSnapshot, Snapshot, TasksOfClass, TeamUse,
@@ -7,24 +7,24 @@
 
 use crate::common::planner::{class, empty_machine, need};
 
-/// The image that the machine has.
+/// The image that the machine has cached.
 const CACHED_IMAGE: u32 = 7;
-/// An image that it has to fetch.
+/// An image that the machine would have to fetch.
 const OTHER_IMAGE: u32 = 1;
 
-/// The state that the last plan left to the backfill.
+/// The state after the latest plan, from which the backfill of one machine starts.
 #[derive(Default)]
 pub struct BackfillCase {
     pub classes: Vec<JobClass>,
     pub team_uses: Vec<TeamUse>,
-    /// A gang of the first team waits for its quota.
+    /// Whether the quota blocks a gang of the first team.
     pub gang_blocked_by_quota: bool,
-    /// A gang waits for capacity.
+    /// Whether a gang is waiting for capacity.
     pub gang_waits: bool,
 }
 
 impl BackfillCase {
-    /// What starts on an empty machine of four processors that has [`CACHED_IMAGE`].
+    /// The tasks that start on an empty machine with four processors that has [`CACHED_IMAGE`].
     pub fn starts(self) -> Vec<TasksOfClass> {
         let machine = MachineSnapshot { images: vec![CACHED_IMAGE], ..empty_machine(4.0) };
         let snapshot = Snapshot { zone_count: 1, classes: self.classes, ..Snapshot::default() };
@@ -44,25 +44,27 @@
 }
 
 #[test]
-fn between_plans_a_machine_takes_first_what_it_has_the_image_for() {
+fn classes_whose_image_is_cached_start_first_within_their_group() {
     let with_image =
         |image: u32, waited_s: i64| JobClass { image: Some(image), image_gb: 5.0, ..class(3, 30, waited_s) };
     let starts =
         |classes: Vec<JobClass>| BackfillCase { classes, gang_waits: true, ..Default::default() }.starts();
-    // The older one has to fetch: it gets what is left.
+    // The class that has waited longer has to fetch its image, so it gets what the other class leaves.
     assert_eq!(starts(vec![with_image(OTHER_IMAGE, 20), with_image(CACHED_IMAGE, 10)]), [(1, 3), (0, 1)]);
-    // Not for ever, and never past a higher priority or one that is not late.
+    // A class that has waited for more than a minute does not wait behind cached images.
     assert_eq!(starts(vec![with_image(OTHER_IMAGE, 70), with_image(CACHED_IMAGE, 10)]), [(0, 3), (1, 1)]);
+    // A cached image does not let a class go before a higher priority or before a class with fewer missed
+    // objectives.
     let urgent = JobClass { priority: Priority::Urgent, ..with_image(OTHER_IMAGE, 20) };
     assert_eq!(starts(vec![urgent, with_image(CACHED_IMAGE, 10)]), [(0, 3), (1, 1)]);
-    let late = JobClass { missed_objectives: 1, ..with_image(CACHED_IMAGE, 90) };
-    assert_eq!(starts(vec![with_image(OTHER_IMAGE, 20), late]), [(0, 3), (1, 1)]);
+    let with_missed_objective = JobClass { missed_objectives: 1, ..with_image(CACHED_IMAGE, 90) };
+    assert_eq!(starts(vec![with_image(OTHER_IMAGE, 20), with_missed_objective]), [(0, 3), (1, 1)]);
 }
 
-/// With a quota for every team, what was left to the next plan was all work: each processor that came free
-/// waited for the next heartbeat, two seconds or more of tasks that take fifteen.
+/// Guards against leaving all work to the next plan when every team has a quota. Each freed processor then
+/// waited for the next heartbeat, which took two seconds or more for tasks that run for fifteen.
 #[test]
-fn between_plans_teams_start_as_much_as_their_quota_allows() {
+fn teams_with_quotas_start_tasks_between_plans_up_to_their_quota() {
     let of_team = |team: usize, waited_s: i64| JobClass { team, ..class(3, 30, waited_s) };
     let of_two_teams = || vec![of_team(1, 20), of_team(0, 10)];
     let uses = |cpus_of_second_team: f64| {
@@ -75,15 +77,16 @@
         ..Default::default()
     };
     assert_eq!(case(of_two_teams(), 0.0).starts(), [(0, 3), (1, 1)]);
-    // What the quota lets start of the one leaves capacity for the other.
+    // The second team's quota allows two tasks, which leaves capacity for the other team.
     assert_eq!(case(of_two_teams(), 8.0).starts(), [(0, 2), (1, 2)]);
     assert_eq!(case(of_two_teams(), 10.0).starts(), [(1, 3)]);
-    // A gang of the second one's team waits for what comes free of its quota.
-    let quota_awaited = BackfillCase { gang_blocked_by_quota: true, ..case(of_two_teams(), 0.0) };
-    assert_eq!(quota_awaited.starts(), [(0, 3)]);
-    // A gang waits for capacity: it is left to the next plan.
-    let capacity_awaited = BackfillCase { gang_waits: true, ..case(of_two_teams(), 0.0) };
-    assert_eq!(capacity_awaited.starts(), []);
-    // Classes of one team share its quota.
+    // The quota blocks a gang of the first team, so that team starts nothing.
+    let with_gang_blocked_by_quota =
+        BackfillCase { gang_blocked_by_quota: true, ..case(of_two_teams(), 0.0) };
+    assert_eq!(with_gang_blocked_by_quota.starts(), [(0, 3)]);
+    // A gang is waiting for capacity, so all work of teams with a quota is left to the next plan.
+    let with_gang_waiting_for_capacity = BackfillCase { gang_waits: true, ..case(of_two_teams(), 0.0) };
+    assert_eq!(with_gang_waiting_for_capacity.starts(), []);
+    // Classes of the same team share its quota.
     assert_eq!(case(vec![of_team(1, 20), of_team(1, 10)], 7.0).starts(), [(0, 3)]);
 }
--- a/tests/planner/main.rs
+++ b/tests/planner/main.rs
@@ -1,4 +1,5 @@
-//! The planner: compared with a slow plain model that works task by task, and by single cases.
+//! Tests of the planner: comparison with a slow reference model that places one task at a time, and single
+//! cases.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -18,12 +19,12 @@
 /// The seed of all random cases.
 const SEED: u64 = 11;
 
-/// Random cases from the fixed seed, so many for each test.
+/// Proptest settings with the fixed seed and this number of cases for each test.
 fn random_cases(cases: u32) -> Config {
     Config { cases, rng_seed: RngSeed::Fixed(SEED), failure_persistence: None, ..Config::default() }
 }
 
-/// Starts by class and then by machine.
+/// The starts sorted by class, then by machine.
 fn sorted_starts(starts: &[Start]) -> Vec<Start> {
     let mut sorted = starts.to_vec();
     sorted.sort_unstable_by_key(|start| (start.class, start.machine, start.count));
--- a/tests/planner/model.rs
+++ b/tests/planner/model.rs
@@ -1,4 +1,5 @@
-//! The plain model: it keeps single tasks and asks each question anew from all that was placed.
+//! A reference model of the planner. It places single tasks and computes every answer from all tasks placed
+//! so far.
 
 use milletlock::sched::{
     plan, queue_order, JobClass, MachineSnapshot, Reservation, ReservedHeadroom, Snapshot, Start,
@@ -10,17 +11,17 @@
 use crate::generators::LARGE_TYPE;
 use crate::sorted_starts;
 
-/// When the quota comes free if no task is known to end in time.
-const NO_KNOWN_END: Micros = Micros(86_400_000_000);
+/// When the quota is available if no end of a task releases enough of it.
+const PLANNING_HORIZON: Micros = Micros(86_400_000_000);
 
-/// A task that the model has placed: indices into the snapshot.
+/// A task that the model has placed; the fields are indices into the snapshot.
 #[derive(Clone, Copy)]
 struct ModelTask {
     class: usize,
     machine: usize,
 }
 
-/// A part of a team's quota, held for a gang from some time on.
+/// A part of a team's quota, reserved for a gang that starts at the time `from`.
 #[derive(Clone)]
 struct QuotaReservation {
     team: usize,
@@ -28,7 +29,7 @@
     from: Micros,
 }
 
-/// A task's end and the processors of its team's quota that come free then.
+/// The end of a task, and the processors of its team's quota that it releases.
 struct QuotaRelease {
     at: Micros,
     cpus: f64,
@@ -40,19 +41,19 @@
     placed: Vec<ModelTask>,
     reservation: Option<Reservation>,
     quota_reservations: Vec<QuotaReservation>,
-    /// Teams of which a gang is held back by the quota.
-    teams_with_waiting_gang: Vec<usize>,
+    /// Teams that have a gang blocked by the quota.
+    teams_with_blocked_gang: Vec<usize>,
     contended_types: [bool; 2],
 }
 
-/// What the model starts from a snapshot, by class and machine.
+/// The tasks that the model starts from a snapshot, sorted by class and machine.
 pub fn model_starts(snapshot: &Snapshot) -> Vec<Start> {
     let mut model = Model {
         snapshot,
         placed: Vec::new(),
         reservation: None,
         quota_reservations: Vec::new(),
-        teams_with_waiting_gang: Vec::new(),
+        teams_with_blocked_gang: Vec::new(),
         contended_types: [false; 2],
     };
     model.run();
@@ -66,14 +67,14 @@
     sorted_starts(&starts)
 }
 
-/// The time until a task of the class could run on the machine, without penalties for failures.
+/// The time until a task of the class would run on the machine, without the machine's failure penalty.
 pub fn start_delay(class: &JobClass, machine: &MachineSnapshot) -> Micros {
     let has_image = machine.images.contains(&IMAGE);
     let fetch_s = if has_image { 0.0 } else { class.image_gb / machine.fetch_gb_per_s };
     machine.accepts_starts_in + Micros::from_secs(fetch_s)
 }
 
-// Placing the classes in the order of the queue.
+// Places the classes in the order of the queue.
 impl Model<'_> {
     fn run(&mut self) {
         for class in queue_order(&self.snapshot.classes) {
@@ -86,10 +87,10 @@
         let quota_left = self.quota_left(index);
         let gang_lacks_quota = class.gang && quota_left < class.startable_tasks;
         if gang_lacks_quota {
-            if self.teams_with_waiting_gang.contains(&class.team) {
+            if self.teams_with_blocked_gang.contains(&class.team) {
                 return;
             }
-            self.teams_with_waiting_gang.push(class.team);
+            self.teams_with_blocked_gang.push(class.team);
             if self.would_find_capacity(index) {
                 self.reserve_quota(index);
                 self.reserve_for_first_blocked();
@@ -102,13 +103,13 @@
             self.place(index, class.startable_tasks.min(quota_left))
         };
         if unplaced > 0 {
-            self.note_contention(class);
+            self.mark_contended_types(class);
             self.reserve_for_first_blocked();
         }
     }
 
-    /// Held back by the quota alone: its team's lower jobs leave it what it needs, unless they end before
-    /// the quota comes free.
+    /// Reserves quota for a gang that only its team's quota blocks. Jobs of the team that are later in the
+    /// queue do not take this part, unless they end before the quota lets the gang start.
     fn reserve_quota(&mut self, index: usize) {
         let class = &self.snapshot.classes[index];
         self.quota_reservations.push(QuotaReservation {
@@ -118,15 +119,16 @@
         });
     }
 
-    /// The reservation as the planner states it; `reservations` tests by itself that it is right.
+    /// Takes the reservation from the planner's plan; the test in `reservations` checks it independently.
     fn reserve_for_first_blocked(&mut self) {
         if self.reservation.is_none() && self.snapshot.reserve {
             self.reservation = plan(self.snapshot).reservation;
         }
     }
 
-    /// A class that headroom is reserved for found no capacity on machines of its type.
-    fn note_contention(&mut self, class: &JobClass) {
+    /// Marks the large type as contended if the class, which found no capacity, may use its reserved
+    /// headroom.
+    fn mark_contended_types(&mut self, class: &JobClass) {
         let headroom = self.snapshot.reserved_headroom[LARGE_TYPE];
         if headroom.is_some_and(|headroom| class.priority >= headroom.priority)
             && class.machine_types.contains(&LARGE_TYPE)
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Places tasks of a class, a gang's all or none; returns how many found no capacity.
+    /// Places tasks of a class, for a gang all or none; returns how many found no capacity.
     fn place(&mut self, index: usize, count: u32) -> u32 {
         let class = &self.snapshot.classes[index];
         let gang_in_one_zone = class.gang && class.one_zone;
@@ -166,8 +168,8 @@
         unplaced
     }
 
-    /// The machines that take a task of the class, before the rules on zones, which are looked at task by
-    /// task.
+    /// The machines that have capacity for a task of the class, best first. Zone limits are checked task by
+    /// task later.
     fn best_machines_first(&self, index: usize) -> Vec<usize> {
         let class = &self.snapshot.classes[index];
         let delay_step = match class.priority {
@@ -192,7 +194,7 @@
     }
 }
 
-// Whether a machine takes a task.
+// Decides whether a machine takes a task.
 impl Model<'_> {
     fn takes_another(&self, class: usize, machine: usize) -> bool {
         self.has_capacity_for_another(class, machine) && self.zone_rules_allow(class, machine)
@@ -205,7 +207,8 @@
             && self.respects_reservation(class, machine)
     }
 
-    /// Whether the class may use the machine whatever is on it, and ends before it is reclaimed.
+    /// Whether the class may use the machine, regardless of the tasks on it, and ends before the machine is
+    /// reclaimed.
     fn is_eligible(&self, class: usize, machine: usize) -> bool {
         let (class, machine) = (&self.snapshot.classes[class], &self.snapshot.machines[machine]);
         machine.accepts_starts
@@ -219,7 +222,7 @@
         start_delay(class, machine) + machine.failure_penalty
     }
 
-    /// When a task that is started now ends.
+    /// Time until a task that is started now ends.
     fn end(&self, class: &JobClass, machine: &MachineSnapshot) -> Micros {
         self.delay(class, machine) + class.adjusted_runtime
     }
@@ -250,14 +253,14 @@
     }
 }
 
-// Reserved headroom, and the reservation of the first blocked class.
+// Applies reserved headroom and the reservation of the first blocked class.
 impl Model<'_> {
     fn headroom_on(&self, machine: &MachineSnapshot) -> Option<ReservedHeadroom> {
         let headroom = self.snapshot.reserved_headroom[machine.machine_type]?;
         (headroom.spot || !machine.spot).then_some(headroom)
     }
 
-    /// Whether the class is of a lower priority than those that headroom on the machine is reserved for.
+    /// Whether the class has a lower priority than the tasks that headroom on the machine is reserved for.
     fn yields_to_headroom(&self, class: usize, machine: usize) -> bool {
         self.headroom_on(&self.snapshot.machines[machine])
             .is_some_and(|headroom| self.snapshot.classes[class].priority < headroom.priority)
@@ -268,11 +271,12 @@
             return true;
         }
         let contended = self.contended_types[self.snapshot.machines[machine].machine_type];
-        !contended && (!self.holds_headroom(machine) || self.fits_beside_headroom(class, machine))
+        !contended && (!self.keeps_headroom_free(machine) || self.fits_beside_headroom(class, machine))
     }
 
-    /// Whether the machine is one of the first of its type that are free enough for the headroom.
-    fn holds_headroom(&self, index: usize) -> bool {
+    /// Whether the machine is among the first of its type that have free capacity for the headroom, as many
+    /// as the snapshot asks for.
+    fn keeps_headroom_free(&self, index: usize) -> bool {
         let machine_type = self.snapshot.machines[index].machine_type;
         let is_candidate = |machine: &MachineSnapshot| {
             machine.machine_type == machine_type
@@ -303,13 +307,15 @@
         ends_before || left + CPU_TOLERANCE >= class.need.cpus
     }
 
-    /// What the reservation leaves on a machine at its time, if it is one of its machines.
+    /// Processors that the reservation leaves free on a machine when it begins; `None` if the machine is not
+    /// reserved.
     fn cpus_left_by_reservation(&self, reservation: &Reservation, index: usize) -> Option<f64> {
         let reserved_tasks = reservation.machines.iter().find(|reserved| reserved.0 == index)?.1;
         let machine = &self.snapshot.machines[index];
         let ended = machine.placed.iter().filter(|task| task.remaining <= reservation.at);
         let ended: f64 = ended.map(|task| task.need.cpus).sum();
-        // What was placed before the reservation counts as there; afterwards by its end.
+        // Tasks of classes up to the reserved one in the queue are counted in full; tasks of later classes
+        // only if they still run when the reservation begins.
         let positions = queue_positions(&self.snapshot.classes);
         let is_earlier = |task: &ModelTask| positions[task.class] <= positions[reservation.class];
         let earlier = self.placed_cpus(|task| task.machine == index && is_earlier(task));
@@ -322,9 +328,9 @@
     }
 }
 
-// The teams' quotas.
+// Applies the quotas of the teams.
 impl Model<'_> {
-    /// Tasks of the class that its team's quota lets start.
+    /// Number of tasks of the class that its team's quota lets start.
     fn quota_left(&self, index: usize) -> u32 {
         let class = &self.snapshot.classes[index];
         let team = &self.snapshot.teams[class.team];
@@ -344,7 +350,7 @@
         self.clone().place(class, self.snapshot.classes[class].startable_tasks) == 0
     }
 
-    /// The first stated end after which the quota lets the whole gang start.
+    /// The first end of a task after which the quota lets the whole gang start.
     fn quota_available_at(&self, index: usize) -> Micros {
         let class = &self.snapshot.classes[index];
         let releases = self.quota_releases(class.team);
@@ -358,10 +364,10 @@
             quota - total + released + CPU_TOLERANCE >= needed
         };
         let ends = releases.iter().map(|release| release.at);
-        ends.filter(|at| allows_at(*at)).min().unwrap_or(NO_KNOWN_END)
+        ends.filter(|at| allows_at(*at)).min().unwrap_or(PLANNING_HORIZON)
     }
 
-    /// The ends of all tasks of a team, of those that run and those that were placed.
+    /// The ends of all tasks of a team, both running ones and those that the model has placed.
     fn quota_releases(&self, team: usize) -> Vec<QuotaRelease> {
         let running = self.snapshot.machines.iter().flat_map(|machine| &machine.placed);
         let running = running.filter(|task| task.team == team);
@@ -375,7 +381,7 @@
         running.chain(placed).collect()
     }
 
-    /// What the team uses beside the tasks on the snapshot's machines.
+    /// Processors that the team uses beyond the tasks on the snapshot's machines.
     fn cpus_used_elsewhere(&self, team: usize) -> f64 {
         let running = self.snapshot.machines.iter().flat_map(|machine| &machine.placed);
         let running = running.filter(|task| task.team == team);
--- a/tests/planner/model_agreement.rs
+++ b/tests/planner/model_agreement.rs
@@ -1,4 +1,4 @@
-//! The planner starts what the plain model starts.
+//! The planner starts the same tasks as the reference model.
 
 use milletlock::sched::plan;
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
     #![proptest_config(random_cases(150))]
 
     #[test]
-    fn large_classes_on_many_machines_are_placed_as_the_plain_model_does_task_by_task(
+    fn large_classes_on_many_machines_start_as_in_the_reference_model(
         snapshot in any_snapshot(30, 300)
     ) {
         prop_assert_eq!(sorted_starts(&plan(&snapshot).starts), model_starts(&snapshot));
@@ -22,7 +22,7 @@
     #![proptest_config(random_cases(1500))]
 
     #[test]
-    fn starts_are_those_of_the_plain_model(snapshot in any_snapshot(7, 9)) {
+    fn starts_equal_those_of_the_reference_model(snapshot in any_snapshot(7, 9)) {
         prop_assert_eq!(sorted_starts(&plan(&snapshot).starts), model_starts(&snapshot));
     }
 }
--- a/tests/planner/reservations.rs
+++ b/tests/planner/reservations.rs
@@ -12,8 +12,8 @@
 use crate::model::start_delay;
 use crate::random_cases;
 
-/// Free processors of a machine at a time, with what the plan starts of the reserved class and of those
-/// before it in the queue.
+/// Processors of a machine that are free at a time for tasks of classes behind the reserved class: the plan's
+/// starts of the reserved class and of the classes before it are subtracted.
 fn free_cpus_at(snapshot: &Snapshot, plan: &Plan, index: usize, at: Micros, reserved_class: usize) -> f64 {
     let machine = &snapshot.machines[index];
     if !machine.accepts_starts && machine.accepts_starts_in > at {
@@ -26,13 +26,14 @@
     machine.free.cpus + ended - started
 }
 
-/// Processors of what the plan starts on a machine, of the classes that count.
+/// Processors of the tasks that the plan starts on a machine, of the classes for which `counts` is true.
 fn started_cpus(snapshot: &Snapshot, plan: &Plan, machine: usize, counts: impl Fn(usize) -> bool) -> f64 {
     let starts = plan.starts.iter().filter(|start| start.machine == machine && counts(start.class));
     starts.map(|start| f64::from(start.count) * snapshot.classes[start.class].need.cpus).sum()
 }
 
-/// Processors of the tasks that the plan starts from behind the reservation and that run beyond its time.
+/// Processors of the backfilled tasks that still run when the reservation begins: tasks that the plan starts
+/// on a machine, of classes behind the reserved class in the queue.
 fn backfilled_cpus(snapshot: &Snapshot, plan: &Plan, index: usize, reservation: &Reservation) -> f64 {
     let machine = &snapshot.machines[index];
     let positions = queue_positions(&snapshot.classes);
@@ -50,41 +51,48 @@
         && machine.reclaimed_in.is_none()
 }
 
-/// When a machine changes by itself: tasks on it end, or it begins to accept starts.
+/// When the capacity of a machine changes without any start: when a task on it ends or it begins to accept
+/// starts.
 fn change_times(machine: &MachineSnapshot) -> impl Iterator<Item = Micros> + '_ {
-    let opens = (!machine.accepts_starts).then_some(machine.accepts_starts_in);
-    machine.placed.iter().map(|task| task.remaining).chain(opens)
+    let accepts_starts = (!machine.accepts_starts).then_some(machine.accepts_starts_in);
+    machine.placed.iter().map(|task| task.remaining).chain(accepts_starts)
 }
 
 proptest! {
     #![proptest_config(random_cases(1500))]
 
     #[test]
-    fn the_reservation_is_the_earliest_and_is_not_delayed(snapshot in any_snapshot(7, 9)) {
+    fn reservation_has_the_earliest_time_and_is_not_delayed_by_backfill(snapshot in any_snapshot(7, 9)) {
         let plan = plan(&snapshot);
         let Some(reservation) = &plan.reservation else { return Ok(()) };
         let class = &snapshot.classes[reservation.class];
         for &(machine, count) in &reservation.machines {
             let needed = f64::from(count) * class.need.cpus;
             let free = free_cpus_at(&snapshot, &plan, machine, reservation.at, reservation.class);
-            prop_assert!(free + CPU_TOLERANCE >= needed, "there is no capacity at its time");
+            prop_assert!(
+                free + CPU_TOLERANCE >= needed,
+                "the reserved machine has no capacity when the reservation begins"
+            );
             let backfilled = backfilled_cpus(&snapshot, &plan, machine, reservation);
             prop_assert!(free - backfilled + CPU_TOLERANCE >= needed, "backfill delays the reservation");
         }
         if class.gang || class.one_zone || class.spread {
             return Ok(());
         }
-        // No machine has capacity for a task at any earlier change.
+        // No machine has capacity for a task at an earlier change.
         for (index, machine) in snapshot.machines.iter().enumerate().filter(|(_, m)| may_reserve(class, m)) {
             for at in change_times(machine).filter(|at| *at < reservation.at) {
                 let free = free_cpus_at(&snapshot, &plan, index, at, reservation.class);
-                prop_assert!(free + CPU_TOLERANCE < class.need.cpus, "capacity at {:?} already", at);
+                prop_assert!(
+                    free + CPU_TOLERANCE < class.need.cpus,
+                    "the machine has capacity at {:?}, before the reservation", at
+                );
             }
         }
     }
 }
 
-/// Guards against a reservation that counts on a spot machine which the cloud is about to take back.
+/// Guards against a reservation of a spot instance that the cloud is about to reclaim.
 #[test]
 fn a_reservation_leaves_out_machines_with_an_interruption_notice() {
     let full_until = |end: Micros, machine: MachineSnapshot| {
@@ -105,6 +113,7 @@
         plan(&snapshot).reservation.map(|reservation| (reservation.at, reservation.machines))
     };
     assert_eq!(reserved(None), Some((secs(10), vec![(0, 1)])));
-    // The notice leaves time for the task, but not for what may delay it.
+    // The machine is reclaimed long after the task would end. It is left out all the same, since the start
+    // may be delayed.
     assert_eq!(reserved(Some(secs(1000))), Some((secs(30), vec![(1, 1)])));
 }
--- a/tests/planner/waiting_for_images.rs
+++ b/tests/planner/waiting_for_images.rs
@@ -24,7 +24,8 @@
     }
 }
 
-/// The plan for a class on an empty machine without its image, and on one with it that is half in use.
+/// The plan for a class on two machines: an empty one without the image, and one with the image that is half
+/// in use.
 fn plan_on_two_machines(class: JobClass) -> Plan {
     let low = PlacedTask { remaining: secs(40), lost_work: secs(1), ..running_task(1.0, Priority::Idle) };
     let slow_fetch = MachineSnapshot { fetch_gb_per_s: 0.2, ..empty_machine(4.0) };
@@ -38,18 +39,19 @@
     })
 }
 
-/// An urgent array whose image takes longer to fetch than its objective allows filled whatever was free, and
-/// began late everywhere; a moment later machines that have the image come free.
+/// Guards against an urgent array that starts late everywhere. Its image took longer to fetch than its
+/// objective allows, and it started on all free machines, although machines with the image became free a
+/// moment later.
 #[test]
-fn an_array_that_waits_for_its_image_takes_only_machines_that_have_it() {
+fn an_array_that_waits_for_its_image_starts_only_on_machines_that_have_it() {
     let starts_on = |machine: usize, count: u32| Start { class: 0, machine, count };
     let fetches = plan_on_two_machines(urgent_array(false));
     let starts = sorted_starts(&fetches.starts);
     assert_eq!((starts, fetches.preempt), (vec![starts_on(0, 4), starts_on(1, 2)], vec![]));
-    // Nothing goes to the machine without it, and what is preempted is preempted on the other.
+    // Nothing starts on the machine without the image, and tasks are preempted only on the other machine.
     let waits = plan_on_two_machines(urgent_array(true));
     assert_eq!((sorted_starts(&waits.starts), waits.preempt), (vec![starts_on(1, 2)], vec![(1, 0)]));
-    // Between plans as well.
+    // The same holds between two plans.
     let backfill = |class: JobClass| BackfillCase { classes: vec![class], ..Default::default() }.starts();
     let waits = JobClass { image: Some(MISSING_IMAGE), ..urgent_array(true) };
     assert_eq!(backfill(waits.clone()), []);
--- a/tests/service_placement/builders.rs
+++ b/tests/service_placement/builders.rs
@@ -1,4 +1,4 @@
-//! Machines, services and snapshots for the tests.
+//! Builders of machines, services and snapshots for the tests.
 
 use milletlock::sched::{plan, JobClass, MachineSnapshot, PlacedTask, Plan, Snapshot, TeamUse};
 use milletlock::time::Micros;
@@ -9,25 +9,25 @@
 /// The price of a processor on all machines.
 pub const CPU_PRICE: i64 = 100;
 
-/// A service runs for a day or more.
+/// The run time of a service: one day.
 pub const SERVICE_RUNTIME: Micros = Micros(86_400_000_000);
 
-/// An open, empty, on-demand machine of the first type and zone, which has the image.
+/// An empty on-demand machine of the first type and zone that accepts starts and has the image.
 pub fn machine(cpus: f64) -> MachineSnapshot {
     MachineSnapshot { images: vec![IMAGE], cpu_price: CPU_PRICE, ..empty_machine(cpus) }
 }
 
-/// The machine without any image.
+/// The machine without any images.
 pub fn without_image(machine: MachineSnapshot) -> MachineSnapshot {
     MachineSnapshot { images: Vec::new(), ..machine }
 }
 
-/// A running replica of a service above all other priorities.
+/// A running replica of a service with the highest priority.
 pub fn replica(cpus: f64) -> PlacedTask {
     PlacedTask { is_replica: true, remaining: SERVICE_RUNTIME, ..running_task(cpus, Priority::Critical) }
 }
 
-/// A service of one-processor replicas, none of which runs yet.
+/// A service with replicas of one processor each, none of which is running.
 pub fn service(replicas: u32) -> JobClass {
     JobClass {
         priority: Priority::Critical,
@@ -40,7 +40,7 @@
     }
 }
 
-/// A snapshot of one team without a quota, in two zones.
+/// A snapshot with two zones and one team, which has no quota.
 pub fn snapshot(machines: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
     Snapshot {
         zone_count: 2,
@@ -54,12 +54,12 @@
     }
 }
 
-/// The plan for these machines and classes.
+/// The plan for the machines and classes.
 pub fn plan_for(machines: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Plan {
     plan(&snapshot(machines, classes))
 }
 
-/// The machines on which a plan starts tasks of a class, one entry a task.
+/// The machines on which the plan starts tasks of a class, with one entry for each task, in ascending order.
 pub fn machines_of(plan: &Plan, class: usize) -> Vec<usize> {
     let starts = plan.starts.iter().filter(|start| start.class == class);
     let mut machines: Vec<usize> =
--- a/tests/service_placement/generators.rs
+++ b/tests/service_placement/generators.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Those of the tasks that the machine has processors for, beside those before them.
+/// The tasks that fit into `cpus` processors, each beside the fitting tasks before it.
 fn fitting_tasks(tasks: Vec<PlacedTask>, cpus: f64) -> Vec<PlacedTask> {
     let mut used = 0.0;
     let mut fitting = Vec::new();
@@ -56,7 +56,7 @@
 }
 
 prop_compose! {
-    /// A service, or an array that competes with the services but has none of them preempted.
+    /// A service, or an array that competes with the services but does not preempt any tasks.
     fn any_class()(
         is_service in prop::bool::weighted(0.7),
         priority in any_priority(),
@@ -92,7 +92,7 @@
 }
 
 prop_compose! {
-    /// A few machines, and classes of two teams, the first of which may have a quota.
+    /// A snapshot with a few machines, and with classes of two teams. The first team may have a quota.
     pub fn any_snapshot()(
         machines in prop::collection::vec(any_machine(), 0..8),
         classes in prop::collection::vec(any_class(), 1..6),
--- a/tests/service_placement/main.rs
+++ b/tests/service_placement/main.rs
@@ -1,4 +1,4 @@
-//! Where the planner puts replicas of services, and what is rented for them.
+//! Tests of where the planner places replicas of services, and of scale out for them.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/service_placement/model.rs
+++ b/tests/service_placement/model.rs
@@ -1,4 +1,4 @@
-//! The plain model of what a plan with services may do.
+//! A reference model of what a plan with services may do.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use crate::builders::machines_of;
 use crate::common::planner::{queue_positions, CPU_TOLERANCE};
 
-/// What a plan may do, asked task by task from the snapshot alone.
+/// Answers what a plan may do, task by task, from the snapshot alone.
 pub struct Model<'a> {
     snapshot: &'a Snapshot,
     plan: &'a Plan,
@@ -15,29 +15,29 @@
 }
 
 impl<'a> Model<'a> {
-    /// The model of a plan for a snapshot.
+    /// The model for a snapshot and a plan made from it.
     pub fn new(snapshot: &'a Snapshot, plan: &'a Plan) -> Model<'a> {
         Model { snapshot, plan, preempted: plan.preempt.iter().copied().collect() }
     }
 
-    /// Whether the class is a service's.
+    /// Whether the class is that of a service.
     pub fn is_service(&self, class: usize) -> bool {
         self.snapshot.classes[class].replica_machines.is_some()
     }
 
-    /// Whether the class may use the machine whatever is on it.
+    /// Whether the class may use the machine, regardless of the tasks on it.
     pub fn may_use(&self, index: usize, machine: usize) -> bool {
         let (class, machine) = (&self.snapshot.classes[index], &self.snapshot.machines[machine]);
-        let stays = machine.reclaimed_in.is_none() || !self.is_service(index);
+        let lasts = machine.reclaimed_in.is_none() || !self.is_service(index);
         let zone_allowed = class.zone.is_none_or(|zone| zone == machine.zone);
         machine.accepts_starts
-            && stays
+            && lasts
             && zone_allowed
             && class.machine_types.contains(&machine.machine_type)
             && (class.spot || !machine.spot)
     }
 
-    /// Tasks of a class in a zone, with those that the plan starts.
+    /// Number of tasks of a class in a zone, including those that the plan starts.
     pub fn tasks_in_zone(&self, class: usize, zone: usize) -> u32 {
         let machines = machines_of(self.plan, class);
         let new = machines.iter().filter(|machine| self.snapshot.machines[**machine].zone == zone).count();
@@ -51,13 +51,13 @@
         !tied_to_other_zone && !zone_is_full
     }
 
-    /// Processors of what the plan starts on a machine, of the classes that count.
+    /// Processors of the tasks that the plan starts on a machine, of the classes for which `counts` is true.
     pub fn placed_cpus(&self, machine: usize, counts: impl Fn(usize) -> bool) -> f64 {
         let starts = self.plan.starts.iter().filter(|start| start.machine == machine && counts(start.class));
         starts.map(|start| f64::from(start.count) * self.snapshot.classes[start.class].need.cpus).sum()
     }
 
-    /// What is free on a machine with all tasks ended for which `ends` holds.
+    /// Processors that are free on a machine once the tasks for which `ends` is true have ended.
     pub fn cpus_with(&self, machine: usize, ends: impl Fn(usize, &PlacedTask) -> bool) -> f64 {
         let machine = &self.snapshot.machines[machine];
         let ended = machine.placed.iter().enumerate().filter(|(index, task)| ends(*index, task));
@@ -72,14 +72,14 @@
             && (class.within_fair_share || !task.within_fair_share)
     }
 
-    /// Whether the quota of the class's team covers one more task.
+    /// Whether the quota of the class's team allows one more task.
     pub fn quota_allows_another(&self, class: usize) -> bool {
         let class = &self.snapshot.classes[class];
         let quota = self.snapshot.teams[class.team].cpu_quota;
         quota <= 0.0 || self.used_by_team(class.team) + class.need.cpus <= quota + CPU_TOLERANCE
     }
 
-    /// Processors that a team uses, with what the plan starts.
+    /// Processors that a team uses, including those that the plan's starts take.
     pub fn used_by_team(&self, team: usize) -> f64 {
         let starts = self.plan.starts.iter().filter(|start| self.snapshot.classes[start.class].team == team);
         let new: f64 =
@@ -87,7 +87,7 @@
         self.snapshot.teams[team].used.cpus + new
     }
 
-    /// Whether one more replica could go to the machine, even by preempting all that may be.
+    /// Whether one more replica could be placed on the machine, even if all tasks that may be preempted were.
     pub fn could_take_another(&self, class: usize, machine: usize) -> bool {
         let zone = self.snapshot.machines[machine].zone;
         if !self.may_use(class, machine) || !self.zone_rules_allow(class, zone) {
--- a/tests/service_placement/model_rules.rs
+++ b/tests/service_placement/model_rules.rs
@@ -1,4 +1,4 @@
-//! Rules that every plan with services follows, on random snapshots.
+//! Rules that every plan with services follows, checked on random snapshots.
 
 use milletlock::sched::plan;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 use crate::generators::any_snapshot;
 use crate::model::Model;
 
-/// Random cases for each test.
+/// Number of random cases for each test.
 const CASES: u32 = 3000;
 /// The seed of all random cases.
 const SEED: u64 = 17;
@@ -22,12 +22,15 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against replicas where type, zone, kind, a tie or the team's quota forbid them.
+    /// Guards against replicas on machines that their machine types, zones or use of spot instances do not
+    /// allow, and against replicas beyond zone limits or the team's quota.
     #[test]
     fn replicas_are_placed_only_where_they_are_allowed(snapshot in any_snapshot()) {
         let plan = plan(&snapshot);
         let model = Model::new(&snapshot, &plan);
-        for (index, class) in snapshot.classes.iter().enumerate().filter(|(index, _)| model.is_service(*index)) {
+        for (index, class) in
+            snapshot.classes.iter().enumerate().filter(|(index, _)| model.is_service(*index))
+        {
             let machines = machines_of(&plan, index);
             let tasks_in_zone = |zone: usize| model.tasks_in_zone(index, zone);
             prop_assert!(machines.len() <= class.startable_tasks as usize);
@@ -40,9 +43,9 @@
         prop_assert!(quota <= 0.0 || model.used_by_team(0) <= quota + CPU_TOLERANCE);
     }
 
-    /// Guards against promising capacity that does not come free.
+    /// Guards against placing tasks on capacity that does not become free.
     #[test]
-    fn what_is_free_or_comes_free_covers_what_is_placed(snapshot in any_snapshot()) {
+    fn placed_tasks_fit_into_capacity_that_is_free_or_being_freed(snapshot in any_snapshot()) {
         let plan = plan(&snapshot);
         let model = Model::new(&snapshot, &plan);
         for machine in 0..snapshot.machines.len() {
@@ -54,9 +57,10 @@
         }
     }
 
-    /// Guards against preempting equal or higher priorities, fair-share work for other work, and anything in vain.
+    /// Guards against preempting equal or higher priorities, preempting work within its team's fair share for
+    /// other work, and preempting tasks that no replica needs.
     #[test]
-    fn only_lower_priorities_are_preempted_and_only_where_a_replica_needs_it(snapshot in any_snapshot()) {
+    fn only_lower_priorities_are_preempted_and_only_if_a_replica_needs_it(snapshot in any_snapshot()) {
         let plan = plan(&snapshot);
         let model = Model::new(&snapshot, &plan);
         let services = || (0..snapshot.classes.len()).filter(|class| model.is_service(*class));
@@ -72,12 +76,13 @@
             let is_needed = model.placed_cpus(machine, |_| true) > free_without + CPU_TOLERANCE;
             prop_assert!(
                 is_needed || task.team == 0,
-                "machine {}, task {} is preempted in vain", machine, index
+                "machine {}, task {} is preempted without need", machine, index
             );
         }
     }
 
-    /// Guards against a replica that waits though there is capacity, or some that can be had.
+    /// Guards against a replica that waits although a machine has capacity for it, or would have it after
+    /// preemption.
     #[test]
     fn a_replica_waits_only_if_no_machine_has_capacity_for_it(snapshot in any_snapshot()) {
         let plan = plan(&snapshot);
--- a/tests/service_placement/preemption.rs
+++ b/tests/service_placement/preemption.rs
@@ -1,4 +1,4 @@
-//! What is preempted for replicas.
+//! Preemption of tasks for replicas.
 
 use milletlock::sched::{JobClass, PlacedTask};
 use milletlock::wire::Priority;
@@ -6,9 +6,10 @@
 use crate::builders::{machine, machines_of, plan_for, service};
 use crate::common::planner::{machine_with_tasks, running_task};
 
-/// Guards against a service that waits before it preempts, or preempts its equals.
+/// Guards against a service that waits before it preempts, or that preempts tasks of its own or a higher
+/// priority.
 #[test]
-fn lower_priorities_are_preempted_at_once_and_equal_ones_never() {
+fn lower_priorities_are_preempted_at_once_and_equal_or_higher_ones_never() {
     let full = |priority: Priority| {
         machine_with_tasks(machine(2.0), vec![running_task(1.0, priority), running_task(1.0, priority)])
     };
@@ -25,7 +26,7 @@
     }
 }
 
-/// Guards against preempting more tasks while those that were preempted are still ending.
+/// Guards against preempting more tasks while tasks that have been preempted are still ending.
 #[test]
 fn a_replica_waits_for_capacity_that_is_being_freed() {
     let ending = PlacedTask { preemptible: false, stopping: true, ..running_task(1.0, Priority::Idle) };
@@ -36,7 +37,8 @@
     assert_eq!((machines_of(&plan, 0), plan.preempt), (vec![0], Vec::new()));
 }
 
-/// Guards against a second replica that waits for the next plan though one preemption makes capacity for both.
+/// Guards against a second replica that waits for the next plan although one preemption frees capacity for
+/// both.
 #[test]
 fn one_preempted_task_frees_capacity_for_several_replicas() {
     let plan = plan_for(
--- a/tests/service_placement/reserved_headroom.rs
+++ b/tests/service_placement/reserved_headroom.rs
@@ -1,4 +1,4 @@
-//! Replicas beside headroom that is reserved for large tasks.
+//! Replicas on machines with headroom reserved for large tasks.
 
 use milletlock::sched::{plan, JobClass, MachineSnapshot, ReservedHeadroom, Snapshot};
 use milletlock::wire::Priority;
@@ -6,7 +6,7 @@
 use crate::builders::{machine, machines_of, replica, service, snapshot, without_image};
 use crate::common::planner::{machine_with_tasks, need};
 
-/// Machines of two types, the first of which has headroom reserved for tasks of 30 processors.
+/// A snapshot with two machine types. On the first type, headroom is reserved for tasks with 30 processors.
 fn with_headroom(machines: Vec<MachineSnapshot>, classes: Vec<JobClass>) -> Snapshot {
     let headroom = ReservedHeadroom { need: need(30.0), priority: Priority::Urgent, spot: false };
     let both_types =
@@ -14,31 +14,32 @@
     Snapshot { reserved_headroom: vec![Some(headroom), None], ..snapshot(machines, both_types) }
 }
 
-/// Another type's machine, on which a replica would run ten seconds later.
-fn later_elsewhere() -> MachineSnapshot {
+/// A machine of the second type, on which a replica would run ten seconds later.
+fn slower_machine_of_other_type() -> MachineSnapshot {
     MachineSnapshot { machine_type: 1, fetch_gb_per_s: 0.2, ..without_image(machine(8.0)) }
 }
 
-/// Guards against replicas, which never end, that take the last whole machines of large tasks.
+/// Guards against replicas, which do not end by themselves, on the last machines that large tasks fit on.
 #[test]
-fn replicas_go_beside_a_larger_task_only_while_it_fits() {
+fn replicas_use_machines_with_headroom_only_while_a_large_task_still_fits() {
     let beside = |replicas: usize| machine_with_tasks(machine(32.0), vec![replica(1.0); replicas]);
     let choice =
         |machines: Vec<MachineSnapshot>| machines_of(&plan(&with_headroom(machines, vec![service(1)])), 0);
-    assert_eq!(choice(vec![beside(0), later_elsewhere()]), [0]);
-    assert_eq!(choice(vec![beside(1), later_elsewhere()]), [0]);
-    assert_eq!(choice(vec![beside(2), later_elsewhere()]), [1]);
-    assert_eq!(choice(vec![beside(2)]), [0], "nowhere else to go");
-    // Another type's machine goes first where a replica runs as soon, be it the emptier one.
+    assert_eq!(choice(vec![beside(0), slower_machine_of_other_type()]), [0]);
+    assert_eq!(choice(vec![beside(1), slower_machine_of_other_type()]), [0]);
+    assert_eq!(choice(vec![beside(2), slower_machine_of_other_type()]), [1]);
+    assert_eq!(choice(vec![beside(2)]), [0], "no other machine can take the replica");
+    // A machine of the other type is preferred if a replica runs as soon there, even if it has more free
+    // capacity.
     let as_soon = MachineSnapshot { machine_type: 1, ..machine(64.0) };
     assert_eq!(choice(vec![beside(0), as_soon]), [1]);
 }
 
-/// The same for replicas that one plan starts together.
+/// Guards against the same failure with several replicas that one plan starts.
 #[test]
-fn replicas_of_one_plan_count_where_a_larger_task_has_to_fit() {
+fn replicas_started_by_the_same_plan_count_against_headroom() {
     let services = vec![service(1), service(1), service(1)];
-    let plan = plan(&with_headroom(vec![machine(32.0), later_elsewhere()], services));
+    let plan = plan(&with_headroom(vec![machine(32.0), slower_machine_of_other_type()], services));
     let beside = plan.starts.iter().filter(|start| start.machine == 0).count();
     assert_eq!(beside, 2);
 }
--- a/tests/unreadable_history.rs
+++ b/tests/unreadable_history.rs
@@ -1,4 +1,4 @@
-//! Values of the run-time history that this version cannot read.
+//! Stored values of the run-time history that this version cannot read.
 
 mod common;
 
@@ -8,11 +8,13 @@
 use milletlock::wire::{Change, Txn};
 use serde_json::{json, Value};
 
+/// The stored values of the run-time history.
 fn history(world: &World) -> Vec<Value> {
     world.store().rows("hist/").into_iter().map(|row| row.value).collect()
 }
 
-/// Guards against a history of a later version that is overwritten once the write of a value was refused.
+/// Guards against overwriting a history that a later version has stored, after the write of another value was
+/// refused.
 #[test]
 fn a_history_that_cannot_be_read_is_not_overwritten() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
