--- a/src/fleet/heartbeats.rs
+++ b/src/fleet/heartbeats.rs
@@ -139,8 +139,8 @@
         due.map(|machine| machine.direct_command(Vec::new())).collect()
     }
 
-    /// Direct commands that halt tasks for whose capacity other tasks are waiting, and remaining tasks of
-    /// ended jobs on machines whose heartbeat is overdue. The reply to a heartbeat carries the same halts.
+    /// Direct commands with halts of tasks for whose capacity other tasks are waiting, and of remaining tasks
+    /// of ended jobs on machines whose heartbeat is overdue. The reply to a heartbeat carries the same halts.
     /// A direct command also reaches a machine that cannot reach a controller, and one whose heartbeats the
     /// leader may not answer.
     pub fn halt_commands(&mut self, now: Steady) -> Vec<DirectCommand> {
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -108,8 +108,8 @@
         let has_waiting = self.jobs.get(&job).is_some_and(|job| !job.waiting.is_empty());
         if started < count && has_waiting {
             // The start mark is still being written, or the task that the replica replaces has not ended yet.
-            let left = AssignedStarts { job, count: count - started };
-            self.assigned_starts.entry(id.clone()).or_default().push(left);
+            let remaining = AssignedStarts { job, count: count - started };
+            self.assigned_starts.entry(id.clone()).or_default().push(remaining);
         }
     }
 
--- a/tests/faulty_machines.rs
+++ b/tests/faulty_machines.rs
@@ -10,9 +10,9 @@
 use milletlock::time::Micros;
 use milletlock::wire::{ExitReason, Heartbeat, JobSpec, TaskStage};
 
-/// The next heartbeat of a machine on which up to `count` tasks of a job have exited with the reason `why`
+/// The next heartbeat of a machine on which up to `count` tasks of a job have exited for the given reason
 /// and all other tasks are running.
-fn ended(scenario: &mut Scenario, machine: &str, job: &str, count: usize, why: ExitReason) -> Heartbeat {
+fn ended(scenario: &mut Scenario, machine: &str, job: &str, count: usize, reason: ExitReason) -> Heartbeat {
     scenario.sequence += 1;
     let mut left = count;
     let on_machine = scenario.tasks(machine);
@@ -21,7 +21,7 @@
         .map(|(task, attempt)| {
             if left > 0 && task.starts_with(job) {
                 left -= 1;
-                (task.as_str(), *attempt, TaskStage::Exited, Some(why))
+                (task.as_str(), *attempt, TaskStage::Exited, Some(reason))
             } else {
                 (task.as_str(), *attempt, TaskStage::Running, None)
             }
--- a/tests/safety/ended_jobs.rs
+++ b/tests/safety/ended_jobs.rs
@@ -55,9 +55,9 @@
     let mut other = spec(2, 1, "batch");
     other.team = "tight".into();
     fleet.apply_job_record(record(other), 2, START);
-    let all = fleet.status(None, at(1.0), wall(1.0));
-    assert_eq!((all.jobs.len(), all.machines.len()), (2, 1));
-    let one = fleet.status(Some("tight"), at(1.0), wall(1.0));
-    let ids: Vec<&str> = one.jobs.iter().map(|j| j.id.as_str()).collect();
-    assert_eq!((ids, one.machines.len()), (vec!["wk-000002"], 0));
+    let full_status = fleet.status(None, at(1.0), wall(1.0));
+    assert_eq!((full_status.jobs.len(), full_status.machines.len()), (2, 1));
+    let team_status = fleet.status(Some("tight"), at(1.0), wall(1.0));
+    let ids: Vec<&str> = team_status.jobs.iter().map(|job| job.id.as_str()).collect();
+    assert_eq!((ids, team_status.machines.len()), (vec!["wk-000002"], 0));
 }
--- a/tests/safety/starts.rs
+++ b/tests/safety/starts.rs
@@ -180,19 +180,22 @@
     assert_eq!((first.len(), second.len()), (4, 2), "the quota of 6 is used up");
     fleet.apply_job_record(record(gang), 9, at(1.2));
     // Two tasks end, so that 4 of 6 processors are in use. The gang needs 3, so no small task may start.
-    let mut listed: Vec<_> =
-        second.iter().map(|s| (s.0.as_str(), s.1, TaskStage::Exited, Some(ExitReason::Done))).collect();
+    let mut listed: Vec<_> = second
+        .iter()
+        .map(|task| (task.0.as_str(), task.1, TaskStage::Exited, Some(ExitReason::Done)))
+        .collect();
     let commands = reply_commands(&mut fleet, 2.0, &heartbeat("i-2", 3, 7, &listed));
     assert!(starts(&commands).is_empty());
     listed.clear();
     let ended = [(first[0].0.as_str(), first[0].1, TaskStage::Exited, Some(ExitReason::Done))];
-    let running: Vec<_> = first[1..].iter().map(|s| (s.0.as_str(), s.1, TaskStage::Running, None)).collect();
+    let running: Vec<_> =
+        first[1..].iter().map(|task| (task.0.as_str(), task.1, TaskStage::Running, None)).collect();
     reply_commands(&mut fleet, 3.0, &heartbeat("i-1", 3, 7, &[&ended[..], &running[..]].concat()));
     fleet.tick(at(3.1), wall(3.1));
     write_all(&mut fleet, 3.1);
-    let mut s = starts(&reply_commands(&mut fleet, 4.0, &heartbeat("i-2", 4, 7, &[])));
-    s.extend(starts(&reply_commands(&mut fleet, 4.1, &heartbeat("i-1", 4, 7, &running))));
-    assert_eq!(s.iter().filter(|s| s.0.starts_with("wk-000002/")).count(), 3);
+    let mut started = starts(&reply_commands(&mut fleet, 4.0, &heartbeat("i-2", 4, 7, &[])));
+    started.extend(starts(&reply_commands(&mut fleet, 4.1, &heartbeat("i-1", 4, 7, &running))));
+    assert_eq!(started.iter().filter(|task| task.0.starts_with("wk-000002/")).count(), 3);
 }
 
 #[test]
--- a/tests/services/backoff.rs
+++ b/tests/services/backoff.rs
@@ -11,7 +11,7 @@
 #[test]
 fn a_service_that_fails_on_all_machines_is_retried_once_a_minute() {
     let mut cluster = SimulatedCluster::new(&["a", "b", "c", "d"]);
-    cluster.failures = vec![InjectedFailure { machine: None, job: SERVICE, why: ExitReason::Error }];
+    cluster.failures = vec![InjectedFailure { machine: None, job: SERVICE, reason: ExitReason::Error }];
     cluster.submit(array(2, 16));
     cluster.run_until(ARRAY, 16, secs(30.0));
     cluster.submit(service(1, 1));
@@ -22,8 +22,11 @@
         cluster.step();
         steps_with_full_array += usize::from(cluster.running_tasks(ARRAY).len() == 16);
     }
-    let starts: Vec<Steady> =
-        cluster.started[before..].iter().filter(|s| job_of(&s.task) == SERVICE).map(|s| s.at).collect();
+    let starts: Vec<Steady> = cluster.started[before..]
+        .iter()
+        .filter(|start| job_of(&start.task) == SERVICE)
+        .map(|start| start.at)
+        .collect();
     assert!((4..=5).contains(&starts.len()), "{} starts within 300 s", starts.len());
     let gaps: Vec<Micros> = starts.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(gaps.iter().all(|gap| *gap >= secs(60.0) && *gap <= secs(70.0)), "{gaps:?}");
@@ -55,7 +58,7 @@
 #[test]
 fn one_faulty_machine_does_not_delay_replicas_on_other_machines() {
     let mut cluster = SimulatedCluster::new(&["a", "b", "c", "d"]);
-    cluster.failures = vec![InjectedFailure { machine: Some("a"), job: SERVICE, why: ExitReason::Error }];
+    cluster.failures = vec![InjectedFailure { machine: Some("a"), job: SERVICE, reason: ExitReason::Error }];
     cluster.submit(service(1, 3));
     cluster.run_until(SERVICE, 3, secs(8.0));
     assert_eq!(cluster.machines_of(SERVICE), ["b", "c", "d"]);
@@ -78,7 +81,7 @@
         cluster.run(secs(600.0));
         // A replica is stopped, fails once when it starts again, and then runs well.
         let machine = cluster.machines_of(SERVICE)[0].clone();
-        cluster.failures = vec![InjectedFailure { machine: None, job: SERVICE, why: ExitReason::Error }];
+        cluster.failures = vec![InjectedFailure { machine: None, job: SERVICE, reason: ExitReason::Error }];
         let before = cluster.started.len();
         cluster.end_task(&machine, SERVICE, ExitReason::Stopped);
         while cluster.started.len() == before {
--- a/tests/services/cluster/mod.rs
+++ b/tests/services/cluster/mod.rs
@@ -197,7 +197,7 @@
                         failure.job == job_of(task) && failure.machine.is_none_or(|hit| hit == machine)
                     };
                     let failure = self.failures.iter().find(is_hit);
-                    let started = Task { since: now, ended: failure.map(|failure| failure.why) };
+                    let started = Task { since: now, ended: failure.map(|failure| failure.reason) };
                     worker.tasks.insert((task.clone(), *attempt), started);
                     self.started.push(Started { at: now, machine: machine.into(), task: task.clone() });
                 }
@@ -235,9 +235,7 @@
         match self.fleet.apply_heartbeat(&message, now, Wall(now.0)) {
             HeartbeatOutcome::Reply(reply) => Some(reply.commands),
             HeartbeatOutcome::Refuse => None,
-            HeartbeatOutcome::Superseded(fencing_token) => {
-                panic!("the leader was superseded by fencing token {fencing_token}")
-            }
+            HeartbeatOutcome::Superseded(fencing_token) => panic!("superseded by {fencing_token}"),
         }
     }
 
@@ -317,12 +315,12 @@
     }
 
     /// Ends a running task of a job on a machine.
-    pub fn end_task(&mut self, machine: &str, job: &str, why: ExitReason) {
+    pub fn end_task(&mut self, machine: &str, job: &str, reason: ExitReason) {
         let worker = self.workers.get_mut(machine).expect("a machine");
         let mut running =
             worker.tasks.iter_mut().filter(|((name, _), task)| task.ended.is_none() && job_of(name) == job);
         let (_, task) = running.next().expect("a running task");
-        task.ended = Some(why);
+        task.ended = Some(reason);
         worker.next_heartbeat = self.now;
     }
 
--- a/tests/services/cluster/simulated_worker.rs
+++ b/tests/services/cluster/simulated_worker.rs
@@ -33,12 +33,12 @@
     pub tasks: BTreeMap<(String, u64), Task>,
 }
 
-/// An injected failure: tasks of a job end with the reason `why` as soon as they are started, on one machine
+/// An injected failure: tasks of a job end for the given reason as soon as they are started, on one machine
 /// or (with `None`) on all.
 pub struct InjectedFailure {
     pub machine: Option<&'static str>,
     pub job: &'static str,
-    pub why: ExitReason,
+    pub reason: ExitReason,
 }
 
 impl Worker {
--- a/tests/services/placement.rs
+++ b/tests/services/placement.rs
@@ -70,7 +70,7 @@
         cluster.exchange_heartbeat(machine);
         cluster.advance(Micros::from_millis(30));
     }
-    let in_south = cluster.machines_of(SERVICE).iter().filter(|m| m.starts_with('s')).count();
+    let in_south = cluster.machines_of(SERVICE).iter().filter(|machine| machine.starts_with('s')).count();
     assert_eq!(
         (cluster.running_tasks(SERVICE).len(), in_south),
         (4, 2),
--- a/tests/services/random_faults.rs
+++ b/tests/services/random_faults.rs
@@ -30,7 +30,7 @@
         0 | 1 => {
             let services: Vec<String> = cluster.services.iter().cloned().collect();
             let service = random.one_of(&services).clone();
-            let why = *random.one_of(&[
+            let reason = *random.one_of(&[
                 ExitReason::Done,
                 ExitReason::Error,
                 ExitReason::UnknownTask,
@@ -38,7 +38,7 @@
                 ExitReason::Stopped,
             ]);
             if let Some((_, machine)) = cluster.running_tasks(&service).first().cloned() {
-                cluster.end_task(&machine, &service, why);
+                cluster.end_task(&machine, &service, reason);
             }
         }
         2 => {
--- a/tests/services/records.rs
+++ b/tests/services/records.rs
@@ -16,11 +16,11 @@
     let mut fleet = Fleet::new(config(), types(), FENCING_TOKEN, START);
     fleet.apply_job_record(record(service(1, 3)), 1, START);
     fleet.inherit_done(SERVICE, 0, "0-2", 5);
-    assert_eq!(fleet.progress(SERVICE).map(|c| c.done), Some(0));
+    assert_eq!(fleet.progress(SERVICE).map(|progress| progress.done), Some(0));
     assert_eq!(fleet.jobs[SERVICE].waiting.len(), 3);
     let pending = fleet.pending_writes(START, Micros::ZERO, 1000);
     assert!(
-        !pending.iter().any(|p| matches!(p, PendingWrite::Final(_) | PendingWrite::Done(..))),
+        !pending.iter().any(|write| matches!(write, PendingWrite::Final(_) | PendingWrite::Done(..))),
         "{pending:?}"
     );
     assert!(pending.contains(&PendingWrite::OrphanedRow("done/wk-000001/0".into(), 5)), "{pending:?}");
@@ -73,7 +73,10 @@
     assert_eq!((job.wanted, job.running, job.placed, job.waiting, job.done), (6, 4, 4, 2, 0));
     cluster.end_task("a", SERVICE, ExitReason::Done);
     cluster.exchange_heartbeat("a");
-    assert_eq!(cluster.fleet.progress(SERVICE).map(|c| (c.done, c.running)), Some((0, 3)));
+    assert_eq!(
+        cluster.fleet.progress(SERVICE).map(|progress| (progress.done, progress.running)),
+        Some((0, 3))
+    );
 }
 
 /// A submission of a team with a quota, as a user sends it.
--- a/tests/services/restarts.rs
+++ b/tests/services/restarts.rs
@@ -10,18 +10,26 @@
 /// Guards against exit reasons after which a replica counts as done or is not started again.
 #[test]
 fn a_replica_that_exits_for_any_reason_runs_again_on_another_machine() {
-    for why in [ExitReason::Done, ExitReason::Error, ExitReason::UnknownTask, ExitReason::Other] {
+    for reason in [ExitReason::Done, ExitReason::Error, ExitReason::UnknownTask, ExitReason::Other] {
         let mut cluster = cluster_with_a_replica_on_a();
-        cluster.end_task("a", SERVICE, why);
+        cluster.end_task("a", SERVICE, reason);
         let commands = cluster.exchange_heartbeat("a");
-        assert!(matches!(commands.first(), Some(WorkerCommand::Forget { .. })), "{why:?}: {commands:?}");
-        assert!(starts(&commands).is_empty(), "{why:?}: started on the machine where it ended");
+        assert!(matches!(commands.first(), Some(WorkerCommand::Forget { .. })), "{reason:?}: {commands:?}");
+        assert!(starts(&commands).is_empty(), "{reason:?}: started on the machine where it ended");
         cluster.run_until(SERVICE, 1, secs(6.0));
-        assert_eq!(cluster.machines_of(SERVICE), ["b"], "{why:?}");
+        assert_eq!(cluster.machines_of(SERVICE), ["b"], "{reason:?}");
         cluster.run(secs(30.0));
-        assert_eq!(cluster.fleet.progress(SERVICE).map(|c| (c.done, c.running)), Some((0, 1)), "{why:?}");
-        assert!(!cluster.fleet.jobs[SERVICE].is_complete(), "{why:?}");
-        assert_eq!(cluster.fleet.history.dirty().count(), 0, "{why:?}: recorded in the history of run times");
+        assert_eq!(
+            cluster.fleet.progress(SERVICE).map(|progress| (progress.done, progress.running)),
+            Some((0, 1)),
+            "{reason:?}"
+        );
+        assert!(!cluster.fleet.jobs[SERVICE].is_complete(), "{reason:?}");
+        assert_eq!(
+            cluster.fleet.history.dirty().count(),
+            0,
+            "{reason:?}: recorded in the history of run times"
+        );
     }
 }
 
@@ -57,9 +65,10 @@
 /// Guards against a refused or lost start that counts as a running replica.
 #[test]
 fn a_start_that_is_refused_or_lost_is_repeated() {
-    for why in [ExitReason::NoRoom, ExitReason::AttemptInUse, ExitReason::UnknownTask, ExitReason::Stopped] {
+    for reason in [ExitReason::NoRoom, ExitReason::AttemptInUse, ExitReason::UnknownTask, ExitReason::Stopped]
+    {
         let mut cluster = SimulatedCluster::new(&["a", "b"]);
-        cluster.failures = vec![InjectedFailure { machine: Some("a"), job: SERVICE, why }];
+        cluster.failures = vec![InjectedFailure { machine: Some("a"), job: SERVICE, reason }];
         cluster.submit(service(1, 1));
         cluster.run(secs(2.0));
         cluster.failures.clear();
