--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -113,8 +113,8 @@
         // this leader knows when it last renewed the lease. Otherwise an earlier leader might still be
         // renewing the lease. Second, this leader's own lease was confirmed at a moment after the end of the
         // machine's lease. Otherwise a newer leader might have renewed the machine's lease: a leader cut off
-        // from the state store and from this machine, but not from other machines, would start the machine's
-        // tasks there a second time.
+        // from the state store and from this machine, but not from other machines, would start this machine's
+        // tasks a second time on other machines.
         let Some(renewed) = machine.lease_renewed_at() else { return false };
         let is_valid =
             self.now - renewed <= self.lease || self.leader_lease_confirmed_at - renewed <= self.lease;
