--- a/src/fleet/loan_results.rs
+++ b/src/fleet/loan_results.rs
@@ -1,5 +1,6 @@
-//! Results of jobs with loans, which are recorded as they are reported: a user of another cell waits for those that
-//! are borrowed, and a leader without loans forgets those of lent jobs that are not recorded.
+//! Results of jobs with loans. They are stored almost as soon as workers report them, not in the long
+//! intervals of other results, for two reasons. Users of another cell wait for the results of borrowed tasks.
+//! A leader of a version without loans loses the results of lent jobs that are not stored.
 
 use milletlock_cells::TaskSet;
 
@@ -9,27 +10,29 @@
 use crate::time::Micros;
 use crate::wire::{ExitReason, Heartbeat, TaskStatus};
 
-/// Longest interval between writes of the done ranges of a job with loans: a user of the cell that accepted it
-/// waits for the last of what is borrowed, and what is not recorded of a lent job is lost to a leader without loans.
+/// The longest interval between writes of the done ranges of a job with loans. It is short because a user of
+/// the lender waits for the last result of the borrowed tasks, and because a leader of a version without
+/// loans loses the results of a lent job that are not stored.
 const MAX_LOAN_DONE_INTERVAL: Micros = Micros::from_millis(400);
-/// The share of the state store's allowed changes that done ranges of jobs with loans may take while they are
-/// written more often than that.
+/// The share of the state store's allowed changes that the done ranges of jobs with loans may take while they
+/// are written more often than every `MAX_LOAN_DONE_INTERVAL`.
 const LOAN_DONE_WRITE_SHARE: f64 = 0.2;
-/// Changes that write a chunk of done ranges of a lent job: the row and its copy.
+/// The number of changes that write a chunk of done ranges of a lent job: the chunk itself and its copy.
 const CHANGES_PER_LENT_CHUNK: f64 = 2.0;
 
-/// Results of a job that are not recorded.
+/// The results of a job that are not yet stored.
 #[derive(Debug)]
 pub struct UnrecordedResults {
-    /// The job.
+    /// The id of the job.
     pub job: JobId,
-    /// The tasks that are done.
+    /// The done tasks that are not yet stored as done.
     pub tasks: TaskSet,
 }
 
 impl Fleet {
-    /// How far apart the done ranges of each job with loans are written: as results are reported, as long as the
-    /// writes of all such jobs take no more than their share of the allowed changes.
+    /// The interval between writes of the done ranges of each job with loans. It is just long enough that the
+    /// writes of all such jobs take no more than `LOAN_DONE_WRITE_SHARE` of the allowed changes, but at most
+    /// `MAX_LOAN_DONE_INTERVAL`.
     pub(super) fn loan_done_interval(&self) -> Micros {
         let due =
             self.jobs.values().filter(|job| !job.ended && job.has_loans() && job.has_unrecorded()).count();
@@ -38,7 +41,8 @@
         interval.min(MAX_LOAN_DONE_INTERVAL)
     }
 
-    /// The chunks of done ranges of jobs with loans that hold more than is written.
+    /// The writes of the chunks of done ranges of jobs with loans that contain done tasks not yet stored.
+    /// `chunk` is the number of tasks in a chunk.
     pub fn pending_results_of_loans(&self, chunk: u32) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
         for job in self.jobs_with_unrecorded_loans() {
@@ -48,7 +52,7 @@
         writes
     }
 
-    /// The results of jobs with loans that are not recorded.
+    /// The results of jobs with loans that are not yet stored.
     pub fn results_of_loans(&self) -> impl Iterator<Item = UnrecordedResults> + '_ {
         self.jobs_with_unrecorded_loans().map(|job| UnrecordedResults {
             job: job.id.clone(),
@@ -56,7 +60,7 @@
         })
     }
 
-    /// How many results of jobs with loans are not recorded.
+    /// The number of results of jobs with loans that are not yet stored.
     pub fn unrecorded_results_of_loans(&self) -> u32 {
         self.results_of_loans().map(|results| results.tasks.len()).sum()
     }
@@ -65,7 +69,8 @@
         self.jobs.values().filter(|job| !job.ended && job.has_loans() && job.has_unrecorded())
     }
 
-    /// Whether a heartbeat lists results that are written as they are reported: those of jobs with loans.
+    /// Whether a heartbeat lists results of jobs with loans that are not yet stored. Such results are to be
+    /// written soon after they are reported.
     pub fn has_results_of_loans(&self, heartbeat: &Heartbeat) -> bool {
         let of_loan = |task: &TaskStatus| {
             let job = split_task(&task.task).and_then(|(id, number)| Some((self.jobs.get(id)?, number)));
