--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -1,5 +1,5 @@
-//! Array tasks that are lent to other cells or borrowed from them: the ledgers, and which tasks of the
-//! jobs here must not start because of them.
+//! Loans of array tasks to other cells and from them: the ledgers of the loans, and the tasks of this cell's
+//! jobs that must not start because of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,40 +12,42 @@
 use crate::records::{JobRecord, LenderRecord};
 use crate::time::{Steady, Wall};
 
-/// Most decided loans, and refused job ids, that are remembered beyond what the records say.
+/// The maximum number of loans known to be decided, and of ids known to be of own jobs, that are kept in
+/// memory in addition to the stored records.
 pub(super) const MAX_REMEMBERED: usize = 4_096;
 
-/// A change of the records of loans, on its way to the state store.
+/// A write to the state store that changes the records of loans.
 #[derive(Clone, Debug)]
 pub enum LoanWrite {
-    /// As the lender: what the record of a job of this cell says of its loans.
+    /// As the lender: a new record of a job of this cell, with changed loans.
     Lender {
-        /// The job.
+        /// The id of the job.
         job: JobId,
-        /// Its record from now on.
+        /// The new record of the job.
         record: Box<JobRecord>,
-        /// The revision of the record that it replaces.
+        /// The revision of the record that the write replaces.
         mod_revision: u64,
-        /// The revision of the placeholder that is stored with that record; 0: there is none.
+        /// The revision of the placeholder that is stored with the replaced record; 0 if there is none.
         placeholder_revision: u64,
-        /// The loan that it makes, if it makes one.
+        /// The number of the loan that the write makes, if it makes one.
         new_loan: Option<LoanNumber>,
     },
-    /// As the borrower: the records of a borrowed job and of the cell it comes from.
+    /// As the borrower: new records of a borrowed job and of its lender.
     Borrower {
-        /// The change of the ledger.
+        /// The change of the borrower ledger.
         change: Box<BorrowerChange>,
-        /// The revision of the job's record that it replaces; 0: this cell has none from that lender.
+        /// The revision of the job's record that the write replaces; 0 if this cell has none from that
+        /// lender.
         job_revision: u64,
-        /// The record of the lender from now on.
+        /// The new record of the lender.
         lender: LenderRecord,
-        /// The revision of the lender's record that it replaces.
+        /// The revision of the lender's record that the write replaces; 0 if there is none.
         lender_revision: u64,
     },
 }
 
 impl LoanWrite {
-    /// The id of the job whose loans it changes.
+    /// The id of the job whose loans the write changes.
     pub fn job(&self) -> &str {
         match self {
             LoanWrite::Lender { job, .. } => job,
@@ -54,44 +56,47 @@
     }
 }
 
-/// The record of a job of which tasks are lent, with its revision.
+/// The record of a job with loans to other cells, with its revision.
 #[derive(Debug)]
 pub(super) struct LentJob {
     pub(super) record: JobRecord,
     pub(super) mod_revision: u64,
 }
 
-/// The record of a cell from which tasks are borrowed, with its revision; 0: none is written yet.
+/// The record of a cell from which tasks are borrowed, with its revision. The revision is 0 if no record is
+/// stored yet.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct KnownLender {
     pub(super) record: LenderRecord,
     pub(super) mod_revision: u64,
 }
 
-/// Loans made and held, as recorded.
+/// The loans that this cell has made and those that it has accepted, according to the stored records.
 #[derive(Debug)]
 pub struct Loans {
-    /// Loans that this cell has made.
+    /// The loans that this cell has made as the lender.
     pub lender_ledger: LenderLedger,
-    /// Loans that this cell holds.
+    /// The loans that this cell has accepted as the borrower.
     pub borrower_ledger: BorrowerLedger,
-    /// Jobs of this cell of which tasks are lent.
+    /// Jobs of this cell whose records have loans or a cancellation in progress.
     pub(super) lent: BTreeMap<JobId, LentJob>,
-    /// By name: the cells from which tasks are or were borrowed.
+    /// The cells from which tasks are or were borrowed, by name.
     pub(super) lenders: BTreeMap<String, KnownLender>,
-    /// Revisions of the records of borrowed jobs.
+    /// The revisions of the records of borrowed jobs, by job id.
     pub(super) borrowed: BTreeMap<String, u64>,
-    /// Tasks of own jobs that are withheld for a write in flight, by job.
+    /// Own jobs with a loan write in flight, each with the tasks that are withheld because of the write.
     pub(super) lending_in_flight: BTreeMap<JobId, TaskSet>,
-    /// Tasks of borrowed jobs that are withheld for a write in flight, by job.
+    /// Borrowed jobs with a loan write in flight, each with the tasks that are withheld because of the write.
     pub(super) returning_in_flight: BTreeMap<JobId, TaskSet>,
-    /// Revisions of placeholders that 0.3.0 to 0.3.2 left behind when they wrote the records back, by job.
+    /// The revisions of leftover placeholders, by job. Versions 0.3.0 to 0.3.2 leave a placeholder in the
+    /// state store when they write a held job record back without it.
     pub(super) leftover_placeholders: BTreeMap<JobId, u64>,
-    /// Writes whose outcome is unknown, which are sent again until it is known.
+    /// Loan writes whose outcome is unknown. They are sent again until the outcome is known.
     unresolved: Vec<LoanWrite>,
-    /// Loans on which their borrowers have decided.
+    /// Loans that their borrowers have accepted or closed.
     decided: BTreeSet<LoanNumber>,
-    /// Ids of jobs that were accepted in this cell, as a failed write showed.
+    /// Ids that jobs accepted in this cell have although the jobs are not in the model. Failed writes have
+    /// shown that records of such jobs exist.
     pub(super) own_job_ids: BTreeSet<String>,
 }
 
@@ -112,17 +117,18 @@
         }
     }
 
-    /// Whether the outcome of a write about an own job is not known yet.
+    /// Whether a loan write for an own job is in flight, so that its outcome is not known yet.
     pub fn is_lending(&self, job: &str) -> bool {
         self.lending_in_flight.contains_key(job)
     }
 
-    /// Whether the outcome of a write about a borrowed job is not known yet.
+    /// Whether a loan write for a borrowed job is in flight, so that its outcome is not known yet.
     pub fn is_returning(&self, job: &str) -> bool {
         self.returning_in_flight.contains_key(job)
     }
 
-    /// The tasks that are withheld for writes in flight of the same side as `write`.
+    /// The jobs with writes in flight on the same side as `write`, as the lender or as the borrower, with the
+    /// tasks that are withheld.
     fn in_flight(&mut self, write: &LoanWrite) -> &mut BTreeMap<JobId, TaskSet> {
         match write {
             LoanWrite::Lender { .. } => &mut self.lending_in_flight,
@@ -130,12 +136,13 @@
         }
     }
 
-    /// Takes the writes whose outcome is unknown, to be sent again.
+    /// Takes the writes whose outcome is unknown, so that the caller sends them again.
     pub fn take_unresolved(&mut self) -> Vec<LoanWrite> {
         std::mem::take(&mut self.unresolved)
     }
 
-    /// Notes that a borrower holds a loan or has closed it: its description need not be sent again.
+    /// Marks a loan as decided by its borrower, which has accepted or closed it. The job's description is
+    /// then not sent again. If too many loans are marked, those that are no longer open are dropped.
     pub fn mark_decided_by_borrower(&mut self, number: LoanNumber) {
         self.decided.insert(number);
         if self.decided.len() > MAX_REMEMBERED {
@@ -147,8 +154,8 @@
         }
     }
 
-    /// The description of the job that goes to a borrower with a loan; none if the borrower has decided
-    /// on the loan, or the job is not lent.
+    /// The offer with the job's description that is sent to a borrower with a loan. `None` if the borrower
+    /// has decided on the loan, or if the job has no loans.
     pub fn offer(&self, job: &str, number: LoanNumber) -> Option<LoanOffer> {
         if self.decided.contains(&number) {
             return None;
@@ -158,19 +165,20 @@
         Some(LoanOffer { description, job_tasks: spec.tasks })
     }
 
-    /// By name: the records of the cells from which tasks are or were borrowed.
+    /// The names and records of the cells from which tasks are or were borrowed.
     pub fn lenders(&self) -> impl Iterator<Item = (&String, &LenderRecord)> {
         self.lenders.iter().map(|(cell, lender)| (cell, &lender.record))
     }
 
-    /// The record of a cell from which tasks are borrowed; an empty one if none is written yet.
+    /// The record of a cell from which tasks are borrowed; an empty record if none is stored yet.
     pub(super) fn lender(&self, cell: &str) -> KnownLender {
         self.lenders.get(cell).copied().unwrap_or_default()
     }
 }
 
 impl Fleet {
-    /// Applies the loans in a job's record. No task of a job that is being cancelled may run.
+    /// Applies the loans in a job's record. The caller ends a job that is being cancelled before this call,
+    /// since none of its tasks may run.
     pub(super) fn apply_lending(&mut self, record: &JobRecord, mod_revision: u64) {
         let id: JobId = record.spec.id.as_str().into();
         if record.lending.is_empty() && self.loans.lender_ledger.lending(&id).is_none() {
@@ -189,23 +197,24 @@
         self.update_withheld(&id);
     }
 
-    /// Drops the loans of a job whose record is gone.
+    /// Removes the loans of an own job whose record was deleted.
     pub(super) fn end_lending(&mut self, id: &str) {
         self.loans.lender_ledger.remove(id);
         self.loans.lent.remove(id);
         self.loans.leftover_placeholders.remove(id);
     }
 
-    /// Withholds the tasks of a job that must not start here: those that are lent or, of a borrowed job,
-    /// not on loan to this cell, and those that a write in flight lends or returns.
+    /// Updates the tasks of a job that must not start in this cell. For an own job these are the lent tasks,
+    /// for a borrowed job the tasks that this cell has not borrowed. Tasks that a write in flight lends or
+    /// returns are withheld as well.
     pub(super) fn update_withheld(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let (recorded, in_flight) = match job.borrowed_from {
             Some(_) => {
                 let record = self.loans.borrower_ledger.job(id);
-                let held = record.map(|record| record.tasks()).unwrap_or_default();
-                let not_held = TaskSet::span(0, job.spec.tasks).difference(&held);
-                (not_held, &self.loans.returning_in_flight)
+                let borrowed = record.map(|record| record.tasks()).unwrap_or_default();
+                let not_borrowed = TaskSet::span(0, job.spec.tasks).difference(&borrowed);
+                (not_borrowed, &self.loans.returning_in_flight)
             }
             None => {
                 let lending = self.loans.lender_ledger.lending(id);
@@ -217,23 +226,24 @@
         self.dirty = true;
     }
 
-    /// Tasks of a job that are recorded as done.
+    /// The tasks of a job that are stored as done.
     pub fn recorded_done(&self, id: &str) -> TaskSet {
         self.jobs.get(id).map(Job::recorded_done).unwrap_or_default()
     }
 
-    /// Tasks of a borrowed job that are recorded as done; none of a job of this cell that has its id.
+    /// The tasks of a borrowed job that are stored as done. Empty if the job with this id was accepted in
+    /// this cell.
     pub fn recorded_done_of_borrowed(&self, id: &str) -> TaskSet {
         let borrowed = self.jobs.get(id).filter(|job| job.borrowed_from.is_some());
         borrowed.map(Job::recorded_done).unwrap_or_default()
     }
 
-    /// Tasks of a job that are done, recorded yet or not.
+    /// The tasks of a job that are done, whether or not they are stored as done yet.
     pub fn done_tasks(&self, id: &str) -> TaskSet {
         self.jobs.get(id).map(|job| job.done.task_set()).unwrap_or_default()
     }
 
-    /// Applies a write of loans that the state store executed at a revision.
+    /// Applies a loan write that the state store has executed at `revision`.
     pub fn apply_loan_write(&mut self, write: &LoanWrite, revision: u64, now: Steady, wall: Wall) {
         self.loans.in_flight(write).remove(write.job());
         match write {
@@ -263,7 +273,7 @@
         self.update_withheld(write.job());
     }
 
-    /// Discards a write of loans that the state store did not execute and never will.
+    /// Discards a loan write that the state store has not executed and will never execute.
     pub fn discard_loan_write(&mut self, write: &LoanWrite) {
         self.loans.in_flight(write).remove(write.job());
         if let LoanWrite::Lender { new_loan: Some(number), .. } = write {
@@ -272,19 +282,20 @@
         self.update_withheld(write.job());
     }
 
-    /// Queues a write of loans whose outcome is unknown: it stays in flight and is sent again.
+    /// Queues a loan write whose outcome is unknown. It stays in flight and is sent again.
     pub fn queue_unresolved_loan_write(&mut self, write: LoanWrite) {
         self.loans.unresolved.push(write);
     }
 
-    /// Version of the record of an own job, live or being cancelled with loans; 0: it has none.
+    /// The revision of the record of an own job, live or being cancelled while it has loans; 0 if there is no
+    /// record.
     pub fn job_record_revision(&self, id: &str) -> u64 {
         let live = self.jobs.get(id).filter(|job| !job.ended && job.borrowed_from.is_none());
         let lent = self.loans.lent.get(id).map(|lent| lent.mod_revision);
         live.map(|job| job.mod_revision).or(lent).unwrap_or(0)
     }
 
-    /// The revision of the placeholder that is stored with the record of an own job; 0: there is none.
+    /// The revision of the placeholder that is stored with the record of an own job; 0 if there is none.
     pub fn placeholder_revision(&self, id: &str) -> u64 {
         if let Some(revision) = self.loans.leftover_placeholders.get(id) {
             return *revision;
@@ -293,19 +304,20 @@
         lent.map_or(0, |lent| lent.mod_revision)
     }
 
-    /// Notes that the record of a job was restored, which 0.3.0 to 0.3.2 had written back without its
-    /// placeholder.
+    /// Records the placeholder of a job whose record was restored from it. Versions 0.3.0 to 0.3.2 had
+    /// written the record back without the fields that belong to the placeholder. `revision` is the
+    /// placeholder's revision.
     pub fn record_leftover_placeholder(&mut self, id: JobId, revision: u64) {
         self.loans.leftover_placeholders.insert(id, revision);
     }
 
-    /// Writes of the records that were restored.
+    /// Begins the writes that store the restored records of jobs with leftover placeholders.
     pub fn begin_record_restores(&mut self) -> Vec<LoanWrite> {
         let restored: Vec<JobId> = self.loans.leftover_placeholders.keys().cloned().collect();
         restored.iter().filter_map(|job| self.rewrite_record(job)).collect()
     }
 
-    /// Version of the record of a borrowed job; 0: it has none.
+    /// The revision of the record of a borrowed job; 0 if there is no record.
     pub fn borrowed_record_revision(&self, id: &str) -> u64 {
         self.loans.borrowed.get(id).copied().unwrap_or(0)
     }
