--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! The leader's model of the cluster: its jobs, its machines and the tasks on them, kept in line with
-//! the workers' heartbeats. It does no I/O and reads no clock: callers pass the time in, and carry out
-//! the state-store writes and cloud requests that are collected here.
+//! The leader's model of the cluster: its jobs, its machines and the tasks on them. The workers' heartbeats
+//! update it. The model does no I/O and reads no clock: callers pass the time in, and carry out the
+//! state-store writes and cloud requests that the model collects.
 //!
-//! A task *may be running* on a machine from the moment its start may be sent until a newer heartbeat
-//! does not list it or lists it as exited, or the machine is known to have ended. Until then it is
-//! not started elsewhere.
+//! A task *may be running* on a machine from the moment its start may be sent. This ends when a newer
+//! heartbeat does not list the task or lists it as exited, or when the machine is known to have ended. Until
+//! then the leader does not start the task on another machine.
 
 mod admission;
 mod borrow_admission;
@@ -84,38 +84,39 @@
     pub fencing_token: u64,
     /// Jobs that have not ended, or some of whose tasks may still be running.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Machines.
+    /// The machines of the cluster, by the cloud's id.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Tasks lent to other cells and borrowed from them.
+    /// The loans of tasks to other cells and from them.
     pub loans: Loans,
-    /// The progress of reconciliation with the earlier leader's machines after the failover.
+    /// The progress of the reconciliation after the failover with the machines that the earlier leader used.
     pub recovery: RecoveryTracker,
-    /// Run times of past jobs, for the expected run time of new ones.
+    /// Run times of past jobs, from which the run times of new jobs are estimated.
     pub history: History,
-    /// The latest plan's unmet tasks and reservation, for scale-out and the log.
+    /// The latest plan. Scale-out and the log use its unmet tasks and its reservation.
     pub plan: Plan,
-    /// Something changed since the last plan, so the next `replan` plans anew.
+    /// Whether something changed since the latest plan. If so, `replan` makes a new one as soon as the
+    /// minimum interval between plans has passed.
     pub dirty: bool,
     /// Machine records, packed into state-store values.
     pub machine_records: PackedRecords<MachineRecord>,
-    /// Start marks by job (see `starts`): tasks with lower numbers may be started. Packed into state-store
-    /// values.
+    /// The start mark of each job (see `starts`), packed into state-store values. Tasks with lower numbers
+    /// than the mark may be started.
     pub start_marks: PackedRecords<u32>,
     /// The platform's and the operators' settings.
     config: Arc<Config>,
     /// The machine types, zones and images.
     catalog: Catalog,
-    /// Attempts numbered by this leader; the low bits of each attempt number.
+    /// How many attempt numbers this leader has given out; the low bits of the latest attempt number.
     attempt_counter: u64,
     /// When this leader was elected (the failover).
     failover_at: Steady,
     /// The latest moment at which this leader's own lease is known to have been valid.
     lease_confirmed_at: Steady,
-    /// A worker's lease as this leader counts it, with a safety margin.
+    /// How long this leader treats a worker's lease as valid: the lease time with a safety margin.
     worker_lease: Micros,
     /// When the latest plan was made.
     planned_at: Steady,
-    /// The jobs of the latest plan's classes.
+    /// The job of each class of the latest plan, by class index.
     planned_jobs: Vec<JobId>,
     /// The latest plan's snapshot, without its machines.
     planned_snapshot: Snapshot,
@@ -123,35 +124,36 @@
     closed_machines: BTreeSet<MachineId>,
     /// Services with replicas that wait for a start.
     waiting_services: Vec<WaitingService>,
-    /// What the latest plan starts on each machine.
+    /// The starts that the latest plan assigned to each machine.
     assigned_starts: BTreeMap<MachineId, Vec<AssignedStarts>>,
-    /// Places of gang tasks whose starts have not been sent.
+    /// Capacity reserved on each machine for gang tasks whose starts have not been sent.
     reserved_gang_places: BTreeMap<MachineId, Vec<GangPlace>>,
-    /// Jobs that fit their team's fair share, its earlier unfinished ones counted first.
+    /// Jobs within their team's fair share. A team's unfinished jobs are counted in the order of submission.
     within_fair_share: BTreeSet<JobId>,
-    /// Resources used by teams with quotas, by team index; empty if they have to be counted again.
+    /// Resources that count against the teams' quotas, by team index. Empty if they have to be counted again.
     cached_team_use: Vec<Resources>,
     /// How many machines have not acknowledged this leader's fencing token.
     unacknowledged_machines: usize,
     /// The sizes of values and transactions that the state store accepts.
     write_limits: WriteLimits,
-    /// All changes of jobs up to this revision of the state store have been applied.
+    /// The state-store revision up to which all changes of jobs have been applied.
     jobs_revision: u64,
-    /// Later revisions at which jobs ended, so that a late message does not bring them back.
+    /// Jobs that ended at revisions above `jobs_revision`, with these revisions. A late message with an older
+    /// record of such a job is ignored.
     ended_jobs: BTreeMap<JobId, u64>,
-    /// When machines were removed; later heartbeats from them are refused.
+    /// When each removed machine was removed. Later heartbeats from such machines are refused.
     removed_machines: BTreeMap<MachineId, Steady>,
     /// Stored records that are to be deleted.
     cleanup: RecordCleanup,
     /// Stored records that could not be read.
     unreadable: UnreadableRecords,
-    /// Offers that the cloud refused, and until when they are not requested again.
+    /// Offers that the cloud refused, each with the time until which it is not requested again.
     refused_offers: BTreeMap<MachineOffer, Steady>,
     /// Recently submitted jobs, for warm pools and for the headroom that low priorities leave free.
     recent_jobs: Vec<RecentJob>,
-    /// Which part of that list is stored.
+    /// Which part of `recent_jobs` is stored.
     recent_jobs_writes: RecentJobsWrites,
-    /// When a record that nobody waits for was last written.
+    /// When a deferred record, one that no start and no user waits for, was last written.
     deferred_write_at: Steady,
     /// When the periodic log lines were last written.
     log_state: LogState,
@@ -160,12 +162,12 @@
 /// Safety margin added to a worker's lease before this leader counts it as expired.
 const LEASE_MARGIN: Micros = Micros(1_500_000);
 
-/// Factor on durations that another computer measures: its clock may run slower by so much.
+/// Factor on durations that another computer measures. Its clock may run 0.1 % slower than this one.
 const SLOWER_CLOCK_FACTOR: f64 = 1.001;
 
 impl Fleet {
-    /// An empty model for a new leader with fencing token `fencing_token`; records are loaded into it
-    /// before anything is placed.
+    /// Creates an empty model for a new leader with fencing token `fencing_token`. The stored records have to
+    /// be loaded into it before the first plan.
     pub fn new(config: Arc<Config>, types: Vec<MachineType>, fencing_token: u64, now: Steady) -> Fleet {
         Fleet {
             fencing_token,
@@ -208,7 +210,8 @@
         }
     }
 
-    /// Notes that this leader's lease was valid at a moment: a renewal begun then was granted.
+    /// Records that this leader's lease was valid at `at`: a renewal that was begun at that moment was
+    /// granted.
     pub fn confirm_lease(&mut self, at: Steady) {
         self.lease_confirmed_at = self.lease_confirmed_at.max(at);
     }
@@ -218,7 +221,7 @@
         Micros::from_secs(self.config.platform.settings.workers.report_s)
     }
 
-    /// A team's index and settings.
+    /// The index and the settings of the team with this name; `None` if the settings have no such team.
     fn team_settings(&self, name: &str) -> Option<(usize, &Team)> {
         self.config.platform.settings.teams.iter().enumerate().find(|(_, team)| team.name == name)
     }
