--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -1,8 +1,8 @@
-//! The planner's input: the fleet's machines and jobs as `sched::plan` sees them.
+//! The planner's input: the fleet's machines and jobs in the form that `sched::plan` reads.
 //!
-//! `Fleet::planner_input` builds a [`Snapshot`] with one `MachineSnapshot` per machine that can be planned
-//! on and one `JobClass` per job that is not cancelled; [`PlannerInput`] keeps which machine and job each
-//! index of the snapshot stands for, so that the plan can be carried out (see `planning`).
+//! `Fleet::planner_input` builds a [`Snapshot`] with one `MachineSnapshot` for each machine that can be
+//! planned on and one `JobClass` for each job that has not ended. [`PlannerInput`] adds which machine and
+//! which job each index of the snapshot stands for, so that the plan can be carried out (see `planning`).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,31 +12,31 @@
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::{JobSpec, Priority, Shape};
 
-/// The planner treats delays that differ by less than this as equal.
+/// The planner rounds start delays down to multiples of this step when it compares machines.
 const DELAY_STEP: Micros = Micros(2_000_000);
 
-/// The same step for the lowest priority, in heartbeat intervals.
+/// The step for start delays of jobs of the lowest priority, in heartbeat intervals.
 const LOW_PRIORITY_DELAY_STEP_INTERVALS: f64 = 1.5;
 
-/// A team may exceed its fair share by this much, since sums of processors have rounding errors.
+/// How far a team may exceed its fair share, in processors or GPUs: sums of fractions have rounding errors.
 const FAIR_SHARE_TOLERANCE: f64 = 1e-6;
 
-/// The planner's input, and what its indices mean.
+/// The planner's input, with the machine and the job that each of its indices stands for.
 pub(super) struct PlannerInput {
-    /// What the planner reads.
+    /// The snapshot that the planner reads.
     pub(super) snapshot: Snapshot,
-    /// The identities of the snapshot's machines.
+    /// The ids of the snapshot's machines, by machine index.
     pub(super) machines: Vec<MachineId>,
-    /// The jobs of its classes.
+    /// The ids of the jobs of the snapshot's classes, by class index.
     pub(super) jobs: Vec<JobId>,
 }
 
-/// Numbers of tasks of the widest unfinished jobs.
+/// The largest number of tasks of any unfinished job, by shape.
 #[derive(Clone, Copy, Default)]
 struct WidestJobs {
-    /// Of gangs.
+    /// Tasks of the widest gang; 0 if there is none.
     gang: u32,
-    /// Of arrays and services.
+    /// Tasks of the widest array or service; 0 if there is none.
     other: u32,
 }
 
@@ -59,9 +59,9 @@
     }
 }
 
-/// What all job classes of a snapshot are made from.
+/// Inputs that all job classes of a snapshot share.
 struct ClassInputs<'a> {
-    /// Index into the snapshot's machines by identity.
+    /// The index of each machine in the snapshot.
     machine_index: BTreeMap<&'a MachineId, usize>,
     widest: WidestJobs,
     now: Steady,
@@ -69,7 +69,7 @@
 }
 
 impl Fleet {
-    /// The planner's input.
+    /// Builds the planner's input from the present state of the fleet.
     pub(super) fn planner_input(&mut self, now: Steady, wall: Wall) -> PlannerInput {
         self.drop_old_recent_jobs(now);
         self.within_fair_share = self.jobs_within_fair_share();
@@ -90,7 +90,8 @@
         PlannerInput { snapshot, machines, jobs }
     }
 
-    /// The jobs that fit their team's fair share together with its earlier unfinished ones.
+    /// The jobs that fit their team's fair share together with the team's unfinished jobs that were submitted
+    /// earlier. A team without a fair share has no such job.
     fn jobs_within_fair_share(&self) -> BTreeSet<JobId> {
         // Borrowed tasks count towards their team's fair share in the cell that accepted their job.
         let is_own = |job: &&Job| !job.ended && job.borrowed_from.is_none();
@@ -110,7 +111,7 @@
         by_age.into_iter().filter(|job| fits(job)).map(|job| job.id.clone()).collect()
     }
 
-    /// The jobs as the planner sees them, oldest first, and their identities in the same order.
+    /// The job classes for the planner, oldest job first, and the ids of their jobs in the same order.
     fn job_classes(
         &mut self,
         machines: &[MachineId],
@@ -131,7 +132,7 @@
         (classes, jobs)
     }
 
-    /// No class waits for an image that no machine has.
+    /// Clears `waits_for_image` of all classes whose image is cached on no machine.
     fn wait_only_for_cached_images(&self, classes: &mut [JobClass]) {
         if !classes.iter().any(|class| class.waits_for_image) {
             return;
@@ -144,7 +145,7 @@
         }
     }
 
-    /// A job as the planner sees it, but for its image.
+    /// The planner's class of a job, without the index of its image, which the caller sets.
     fn job_class(&self, job: &Job, inputs: &ClassInputs) -> JobClass {
         let spec = &job.spec;
         let waited = inputs.wall - job.submitted;
@@ -177,12 +178,14 @@
         }
     }
 
-    /// Index of a zone that a job asks for; `usize::MAX`, which no machine has, if it is not known.
+    /// The index of the zone that a job asks for. An unknown zone has the index `usize::MAX`, which no
+    /// machine has.
     fn requested_zone(&self, name: &str) -> usize {
         self.catalog.zones.iter().position(|zone| zone == name).unwrap_or(usize::MAX)
     }
 
-    /// By zone: a job's tasks that are or may be there, if the planner places it by zone.
+    /// How many of a job's tasks are running, or may be, in each zone. All counts are 0 for jobs whose tasks
+    /// the planner places without regard to zones.
     fn tasks_by_zone(&self, job: &Job) -> Vec<u32> {
         let spec = &job.spec;
         if spec.one_zone || spec.spread || spec.is_service() {
@@ -192,7 +195,9 @@
         }
     }
 
-    /// How many of a job's tasks may start now.
+    /// How many of a job's waiting tasks may start now: none during a retry delay or while a gang's attempt
+    /// is outstanding. While machines that have not acknowledged this leader's fencing token may still run
+    /// tasks of the job, only the tasks that no earlier leader can have started count.
     pub(super) fn startable_tasks(&self, job: &Job, now: Steady) -> u32 {
         if now < job.not_before || job.is_placed_gang() {
             return 0;
@@ -204,7 +209,8 @@
     }
 }
 
-/// The priority that the queue counts a gang with once it has waited for long.
+/// The priority with which the planner queues a gang that has waited longer than it yields to other jobs;
+/// `None` for all other jobs.
 fn raised_priority(spec: &JobSpec, waited: Micros, widest_gang: u32) -> Option<Priority> {
     let has_waited_long = spec.is_gang() && waited.secs() > Fleet::max_yield_s(spec, widest_gang);
     has_waited_long.then_some(Priority::Urgent)
