--- a/src/fleet/planning.rs
+++ b/src/fleet/planning.rs
@@ -1,4 +1,4 @@
-//! Making plans, and what they start on each machine.
+//! Making plans, and assigning their starts to machines.
 
 use std::collections::BTreeMap;
 
@@ -9,20 +9,22 @@
 use crate::sched::{self, Plan, Snapshot};
 use crate::time::{Micros, Steady, Wall};
 
-/// A plan is made anew after this time even if nothing changed.
+/// The age at which a plan is replaced even if nothing has changed.
 const MAX_PLAN_AGE: Micros = Micros(1_000_000);
 
-/// The least time between two plans.
+/// The minimum time between two plans.
 const MIN_PLAN_INTERVAL: Micros = Micros::from_millis(20);
 
-/// A plan looks at each pair of job and machine: for each there are this many microseconds between plans.
+/// Microseconds between two plans for each pair of a job and a machine, since a plan examines every such
+/// pair.
 const PLAN_INTERVAL_PER_PAIR_US: i64 = 2;
 
-/// Pairs of job and machine beyond which plans are made no less often.
+/// The largest number of pairs of a job and a machine that lengthens the interval between plans.
 const MAX_COUNTED_PAIRS: i64 = 250_000;
 
 impl Fleet {
-    /// Plans anew if something changed, or the plan is old.
+    /// Makes a new plan if something has changed and the minimum interval has passed, or if the latest plan
+    /// is too old.
     pub fn replan(&mut self, now: Steady, wall: Wall) {
         let age = now - self.planned_at;
         let pairs = (self.jobs.len() * self.machines.len()) as i64;
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Plans, and returns the snapshot with the identities of its machines.
+    /// Makes a plan now. Returns the snapshot that it is made from and the ids of the snapshot's machines.
     pub(super) fn plan_now(&mut self, now: Steady, wall: Wall) -> (Snapshot, Vec<MachineId>) {
         self.dirty = false;
         self.planned_at = now;
@@ -57,7 +59,8 @@
         (snapshot, machines)
     }
 
-    /// Notes what the plan starts on each machine, and begins attempts of the gangs that it places.
+    /// Records which tasks the plan starts on each machine, and begins an attempt of each gang that it
+    /// places.
     fn assign(&mut self, input: &PlannerInput, plan: &Plan, now: Steady) {
         self.assigned_starts.clear();
         let mut tasks_by_class: BTreeMap<usize, u32> = BTreeMap::new();
@@ -86,7 +89,7 @@
         self.reserve_gang_places();
     }
 
-    /// Asks for a start mark that allows `count` of a job's waiting tasks to start.
+    /// Requests a start mark that allows the next `count` waiting tasks of a job to start.
     fn request_start_mark(&mut self, id: &JobId, count: u32) {
         let Some(job) = self.jobs.get(id) else { return };
         let last_index = count.saturating_sub(1) as usize;
