--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -1,5 +1,6 @@
-//! Recently submitted jobs: what the cluster should be ready for, since more like them are expected.
-//! The list is stored, so that a new leader does not scale in what the next such job needs.
+//! Recently submitted jobs. More jobs like them are expected, so the cluster keeps capacity ready for them.
+//! The list is stored in the state store, so that a new leader does not scale in machines that the next such
+//! job needs.
 
 use super::{stated_run_time, task_resources, Fleet};
 use crate::records::DemandRecord;
@@ -7,59 +8,63 @@
 use crate::time::{Micros, Steady, Wall};
 use crate::wire::{JobSpec, MachineType, Priority};
 
-/// How long submitted jobs stay on the list.
+/// How long a submitted job stays on the list.
 pub(super) const RECENT_JOBS_WINDOW: Micros = Micros(300_000_000);
 
-/// No more jobs of a kind are expected once none has come in this many of their usual intervals. With
-/// fewer, the chance gaps of a steady stream would count as its end; with more, machines idle in vain.
+/// The number of usual arrival intervals without a new job after which no more jobs of a kind are expected.
+/// With a lower number, random gaps in a steady stream of jobs would count as its end. With a higher one,
+/// machines stay idle for longer after the last job.
 const MISSED_ARRIVALS: f64 = 4.0;
 
-/// The least time, in seconds, that the rate of arrivals is taken over.
+/// The minimum time span, in seconds, over which the arrival rate is computed.
 const MIN_SPAN_S: f64 = 60.0;
 
-/// Task time counted at most, in seconds: longer tasks do not call for more ready machines.
+/// The maximum run time of a task that counts, in seconds. Longer tasks do not need more machines kept ready.
 const MAX_TASK_S: f64 = 3600.0;
 
-/// Bytes of a stored recent job without its types' names, at most.
+/// The maximum size in bytes of a stored recent job without the names of its machine types.
 const RECORD_BYTES: usize = 200;
 
-/// Bytes that a type's name takes in a record beyond its text: quotes and a comma.
+/// Bytes that the name of a machine type takes in a record in addition to its text: two quotes and a comma.
 const TYPE_NAME_OVERHEAD_BYTES: usize = 3;
 
-/// The fetch rate, in GB a second, assumed at least, so that a type without one does not divide by zero.
+/// The lowest image fetch rate, in GB per second, that is assumed. It avoids a division by zero for machine
+/// types without a fetch rate.
 const MIN_FETCH_GB_PER_S: f64 = 0.001;
 
 /// A recently submitted job.
 #[derive(Clone, Debug)]
 pub(super) struct RecentJob {
-    /// When it was submitted.
+    /// When the job was submitted.
     pub(super) submitted_at: Steady,
-    /// What a task takes.
+    /// Resources of one task.
     pub(super) need: Resources,
-    /// Its priority.
+    /// The job's priority.
     pub(super) priority: Priority,
-    /// Indices of the machine types it may use.
+    /// Indices of the machine types that the job may use.
     pub(super) types: Vec<usize>,
-    /// Run time of all its tasks together in seconds, as stated.
+    /// The sum of the stated run times of all tasks, in seconds. Each task counts for at most `MAX_TASK_S`.
     pub(super) task_seconds: f64,
-    /// Its class should start sooner than a machine boots and fetches the image.
+    /// Whether the job should start sooner than a new machine can boot and fetch the image. This is so for
+    /// services and for classes with a start objective below that time.
     pub(super) starts_before_boot: bool,
-    /// Machines that it takes at once, beyond the first: a gang's tasks.
+    /// The number of machines that the job needs at the same time beyond the first: a gang's tasks less one,
+    /// 0 for other jobs.
     pub(super) extra_machines: u32,
-    /// It has a deadline.
+    /// Whether the job has a deadline.
     pub(super) has_deadline: bool,
-    /// It may use spot machines.
+    /// Whether the job may use spot machines.
     pub(super) spot: bool,
 }
 
 impl Fleet {
-    /// Adds a submitted job to the recent ones.
+    /// Adds a submitted job to the list of recent jobs.
     pub(super) fn record_recent_job(&mut self, spec: &JobSpec, now: Steady) {
         let types = self.allowed_types(spec);
         let ready_s = self.seconds_to_new_machine(spec, &types);
         let is_service = spec.is_service();
-        // A service holds its capacity for as long as it runs; what has to be ready for the next one is
-        // the capacity for the time that a new machine would take.
+        // A service occupies its capacity for as long as it runs. Capacity for the next service has to be
+        // ready only for the time until a new machine is available.
         let task_s = if is_service { ready_s } else { stated_run_time(spec).secs() }.min(MAX_TASK_S);
         let starts_before_boot = self.start_objective_s(spec).is_some_and(|within_s| within_s < ready_s);
         self.recent_jobs_writes.submitted += 1;
@@ -84,8 +89,8 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Recent jobs as they are stored: only those that capacity is kept ready for, the latest first, no
-    /// more than fit into `bytes` bytes.
+    /// The recent jobs in their stored form, the latest first. Only jobs that capacity is kept ready for are
+    /// included, and no more than fit into `bytes` bytes.
     pub fn recent_job_records(&self, now: Steady, wall: Wall, bytes: usize) -> Vec<DemandRecord> {
         let mut bytes_left = bytes;
         let latest_first = self.recent_jobs.iter().rev();
@@ -101,7 +106,7 @@
             .collect()
     }
 
-    /// A recent job as it is stored, with the names of its types instead of their indices.
+    /// A recent job in its stored form, with the names of its machine types instead of their indices.
     fn recent_job_record(&self, job: &RecentJob, now: Steady, wall: Wall) -> DemandRecord {
         let type_name = |index: &usize| self.catalog.types.get(*index).map(|known| known.name.clone());
         DemandRecord {
@@ -117,8 +122,8 @@
         }
     }
 
-    /// Loads the stored list of recent jobs. It has to be loaded before the jobs themselves: those that
-    /// are still live would be in it twice otherwise.
+    /// Loads the stored list of recent jobs. The list has to be loaded before the jobs themselves. Otherwise
+    /// jobs that are still live would be listed twice.
     pub fn load_recent_jobs(&mut self, records: Vec<DemandRecord>, now: Steady, wall: Wall) {
         for record in records {
             let age = (wall - Wall(record.submitted_us)).max(Micros::ZERO);
@@ -139,13 +144,13 @@
         self.drop_old_recent_jobs(now);
     }
 
-    /// Drops jobs from the list that are no longer recent.
+    /// Removes jobs from the list that were submitted longer than `RECENT_JOBS_WINDOW` ago.
     pub(super) fn drop_old_recent_jobs(&mut self, now: Steady) {
         self.recent_jobs.retain(|job| now - job.submitted_at < RECENT_JOBS_WINDOW);
     }
 
-    /// Whether more jobs like some recent ones are expected: not if none has come for much longer than
-    /// usual, and for at least `min_lull_s` seconds.
+    /// Whether more jobs like the given recent ones are expected. None are expected if no such job has been
+    /// submitted for much longer than the usual interval and for more than `min_lull_s` seconds.
     pub(super) fn expects_more_jobs<'a, I>(
         &self,
         recent: impl Fn() -> I,
@@ -160,19 +165,19 @@
         (now - last).secs() <= (MISSED_ARRIVALS * usual_interval_s).max(min_lull_s)
     }
 
-    /// Seconds that the slowest type takes to boot. A machine that is removed in a shorter lull may have
-    /// to be requested again.
+    /// Seconds that the slowest machine type takes to boot. If machines were removed after a shorter pause in
+    /// submissions, they might have to be requested again.
     pub(super) fn slowest_boot_s(&self) -> f64 {
         self.catalog.types.iter().map(|machine_type| machine_type.boot_s).fold(0.0, f64::max)
     }
 }
 
-/// Seconds that a job's image takes to fetch on a machine type.
+/// Seconds to fetch a job's image on a machine of this type.
 pub(super) fn fetch_s(spec: &JobSpec, machine_type: &MachineType) -> f64 {
     spec.image_gb / machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
 }
 
-/// Seconds over which recent jobs have come.
+/// The time span in seconds over which the recent jobs were submitted, from the first of them until now.
 pub(super) fn arrival_span_s<'a>(recent: impl Iterator<Item = &'a RecentJob>, now: Steady) -> f64 {
     let first = recent.map(|job| job.submitted_at).min().unwrap_or(now);
     (now - first).secs().clamp(MIN_SPAN_S, RECENT_JOBS_WINDOW.secs())
