--- a/src/fleet/record_loading.rs
+++ b/src/fleet/record_loading.rs
@@ -1,4 +1,4 @@
-//! Loading what earlier leaders wrote to the state store, at failover.
+//! Loading the records that earlier leaders wrote to the state store, at failover.
 
 use std::collections::BTreeMap;
 
@@ -12,9 +12,9 @@
 use crate::time::Steady;
 
 impl Fleet {
-    /// Loads a machine's record: tasks may be running on it until it has acknowledged this leader's
-    /// fencing token. `mod_revision` is the version of a record of its own, as earlier versions of the
-    /// program wrote it, or 0.
+    /// Loads a machine's record. Tasks may be running on the machine until it has acknowledged this leader's
+    /// fencing token. Earlier versions of the program wrote a separate record for each machine:
+    /// `mod_revision` is the revision of such a record, or 0 if the machine's record is packed.
     pub fn load_machine(&mut self, id: &str, record: &MachineRecord, mod_revision: u64, now: Steady) {
         let mut machine = Machine::new(id, now);
         machine.registered = true;
@@ -27,14 +27,15 @@
         }
         self.recovery.expect_machine(&id);
         if mod_revision > 0 {
-            // It moves into a value with others; its own record is deleted when the machine is removed.
+            // The record is also packed into a value with others. The separate record is deleted when the
+            // machine is removed.
             self.machine_records.put(&id, record.clone());
         }
         self.cached_team_use.clear();
         self.describe_machine(&id, &record.address, &record.machine_type, &record.zone, record.spot);
     }
 
-    /// Loads a value of machine records.
+    /// Loads a value of packed machine records.
     pub fn load_machines(
         &mut self,
         slot: u32,
@@ -45,11 +46,11 @@
         for (id, record) in &records {
             self.load_machine(id, record, 0, now);
         }
-        // The copies of a moved record are the same.
+        // If two values contain a machine's record, both copies are the same.
         self.machine_records.load(slot, mod_revision, records, |_, stored| stored);
     }
 
-    /// Loads a value of start marks. Those of jobs that have ended are dropped.
+    /// Loads a value of packed start marks. The marks of jobs that have ended are removed.
     pub fn load_start_marks(&mut self, slot: u32, marks: BTreeMap<JobId, u32>, mod_revision: u64) {
         let has_ended =
             |id: &&JobId| !self.jobs.contains_key(*id) && !self.is_blocked_by_unreadable_record(id);
@@ -59,23 +60,24 @@
                 job.raise_start_mark(*mark);
             }
         }
-        // A start mark only rises.
+        // If two values contain a job's start mark, the higher one is valid, since a start mark only rises.
         self.start_marks.load(slot, mod_revision, marks, u32::max);
         ended.iter().for_each(|id| self.start_marks.remove(id));
     }
 
-    /// All values have been loaded: those above the present size limit are split, and what unreadable ones may
-    /// say is assumed.
+    /// Completes the loading once all records have been loaded. Values above the present size limit are
+    /// split. Jobs whose start marks may be in an unreadable value get the highest possible start mark.
     pub fn finish_loading(&mut self) {
         self.assume_start_marks();
         self.machine_records.empty_oversized();
         self.start_marks.empty_oversized();
     }
 
-    /// Loads a chunk of done ranges. That of a job that has ended is to be deleted.
+    /// Loads a chunk of done ranges. If its job has ended, the chunk is queued for deletion.
     pub fn load_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         let own = self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none());
-        // An earlier version of the program counted a replica that ended as done; a service never is.
+        // An earlier version of the program counted a replica that exited as done. Replicas of a service are
+        // never done.
         match own.filter(|job| !job.spec.is_service()) {
             Some(job) => {
                 let added = job.add_done_chunk(chunk, text, mod_revision);
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Loads the copy of a chunk of a lent job's done ranges. That of a job that has ended is to be deleted.
+    /// Loads the copy of a chunk of a lent job's done ranges. If the job has ended, the copy is queued for
+    /// deletion.
     pub fn load_lent_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) {
             Some(job) => {
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Loads the copy of a lent job's start mark. That of a job that has ended is to be deleted.
+    /// Loads the copy of a lent job's start mark. If the job has ended, the copy is queued for deletion.
     pub fn load_lent_start_mark(&mut self, id: &str, mark: u32, mod_revision: u64) {
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_none()) {
             Some(job) => job.add_start_mark_copy(mark, mod_revision),
@@ -104,8 +107,9 @@
         }
     }
 
-    /// Loads a chunk of done ranges of borrowed tasks. That of a job that is not held any more is to be
-    /// deleted; one of a loan that is open beside an own job of its id stays for a later leader.
+    /// Loads a chunk of done ranges of borrowed tasks. If this cell has no open loan of the job, the chunk is
+    /// queued for deletion. If the loan is open but this cell has accepted another job with the same id, the
+    /// chunk stays in the state store for a later leader.
     pub fn load_borrowed_done(&mut self, id: &str, chunk: u32, text: &str, mod_revision: u64) {
         match self.jobs.get_mut(id).filter(|job| job.borrowed_from.is_some()) {
             Some(job) => {
@@ -117,8 +121,9 @@
         }
     }
 
-    /// Notes what a job that has ended has left behind, which is to be deleted; `mod_revision` is 0 if there is no
-    /// such row.
+    /// Queues the deletion of a row that remains of an ended job. Nothing is queued if `mod_revision` is 0,
+    /// since the row does not exist then, or if a record of the job is unreadable, since the job may not have
+    /// ended.
     fn queue_orphan_removal(&mut self, id: &str, key: String, mod_revision: u64) {
         if mod_revision > 0 && !self.is_blocked_by_unreadable_record(id) {
             tracing::info!(key, "row of a job that has no record, to be removed");
@@ -126,7 +131,7 @@
         }
     }
 
-    /// Notes whether done ranges of a job could be read and were added.
+    /// Marks a record of done ranges as unreadable if adding the ranges to the job failed.
     fn mark_unreadable_on_error(&mut self, id: &str, key: &str, added: Result<(), TaskRangeError>) {
         if let Err(error) = added {
             self.mark_unreadable(UnreadableRecord::OfJob(id), key, &error);
@@ -135,7 +140,7 @@
 }
 
 impl Job {
-    /// Adds a chunk of done ranges as it is written.
+    /// Adds a stored chunk of done ranges.
     fn add_done_chunk(&mut self, chunk: u32, text: &str, mod_revision: u64) -> Result<(), TaskRangeError> {
         let done = TaskRanges::parse(text, self.spec.tasks)?;
         self.add_done(done.iter());
@@ -146,7 +151,7 @@
         Ok(())
     }
 
-    /// Adds the copy of a chunk of done ranges as it is stored.
+    /// Adds the stored copy of a chunk of done ranges.
     fn add_done_copy(&mut self, chunk: u32, text: &str, mod_revision: u64) -> Result<(), TaskRangeError> {
         let done = TaskRanges::parse(text, self.spec.tasks)?;
         self.add_done(done.iter());
@@ -155,8 +160,8 @@
         Ok(())
     }
 
-    /// Adds the copy of the start mark as it is stored. An earlier leader may have removed the mark itself,
-    /// which is then written again.
+    /// Adds the stored copy of the start mark. An earlier leader may have removed the mark itself: raising
+    /// the wanted mark has it written again.
     fn add_start_mark_copy(&mut self, mark: u32, mod_revision: u64) {
         self.copy.is_kept = true;
         self.copy.start_mark_revision = mod_revision;
