--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -1,5 +1,5 @@
-//! What the leader writes to the state store: which records are due, and what follows once they are
-//! written.
+//! The records that the leader writes to the state store: which of them are due, and the updates of the model
+//! once they are written.
 
 use std::collections::BTreeMap;
 
@@ -9,34 +9,34 @@
 use crate::task_ranges::{chunk_number, chunk_span, TaskRanges};
 use crate::time::{Micros, Steady};
 
-/// A record that the leader has to write or delete. Those that sort first are written first.
+/// A record that the leader has to write or delete. Writes are executed in their sort order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PendingWrite {
-    /// The end of a job: all its tasks are done.
+    /// The final record of a job, all of whose tasks are done.
     Final(JobId),
     /// The value in this slot of machine records, before the first start on a machine in it.
     Machines(u32),
-    /// The value in this slot of start marks, before tasks that they allow are started.
+    /// The value in this slot of start marks, before tasks that the marks allow are started.
     StartMarks(u32),
-    /// The copy of a lent job's start mark, before tasks that it allows are started.
+    /// The copy of a lent job's start mark, before tasks that the mark allows are started.
     LentStartMark(JobId),
     /// The chunk of this number of a job's done ranges, with its copy if one is kept.
     Done(JobId, u32),
-    /// The value in this slot of packed records, from which some were only removed.
+    /// The value in this slot of packed records, if records were only removed from it since it was written.
     Compaction(PackKind, u32),
     /// The value in this bucket of the run-time history.
     History(u32),
-    /// Deletion of a removed machine's own record, as earlier versions of the program wrote it, with the
-    /// record's version.
+    /// The deletion of a removed machine's own record, which an earlier version of the program wrote; with
+    /// the record's revision.
     ObsoleteMachineRecord(MachineId, u64),
-    /// Deletion of a row that an ended job has left behind, by key, with the row's version.
+    /// The deletion of a row that remains of an ended job; with the row's key and revision.
     OrphanedRow(String, u64),
     /// The list of recent jobs.
     RecentJobs,
 }
 
 impl PendingWrite {
-    /// Whether somebody waits for it: a start, or a job's user.
+    /// Whether the start of a task or a job's user waits for this write.
     pub fn urgent(&self) -> bool {
         matches!(
             self,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Kinds of records of which many share a value.
+/// Kinds of records that are packed, many to a state-store value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PackKind {
     /// Machine records.
@@ -57,37 +57,38 @@
     StartMarks,
 }
 
-/// What a write holds, as it was when the write was composed.
+/// The contents of a write at the time at which it was composed. The model may have changed when the write is
+/// applied.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteContents {
-    /// Nothing that has to be remembered.
+    /// Contents that are not needed once the write is applied.
     Nothing,
-    /// Done ranges.
+    /// A chunk of done ranges.
     Done {
-        /// The tasks.
+        /// The tasks that are done.
         tasks: TaskRanges,
-        /// Whether their copy is written as well.
+        /// Whether the copy of the done ranges is written as well.
         is_copied: bool,
     },
-    /// The copy of a lent job's start mark.
+    /// The copy of a lent job's start mark; with the mark.
     LentStartMark(u32),
-    /// Chunks of done ranges, by number, that are deleted with the job's end.
+    /// The numbers of the chunks of done ranges that the transaction with a job's final record deletes.
     RemovedDoneChunks(Vec<u32>),
-    /// Machines, with the count of changes to their value.
+    /// The machines in a value, with the number of changes made to that value.
     Machines(Vec<MachineId>, u64),
-    /// Start marks, with the count of changes to their value.
+    /// The start marks in a value, with the number of changes made to that value.
     StartMarks(Vec<(JobId, u32)>, u64),
 }
 
-/// Sizes that the state store accepts.
+/// The largest values and transactions that the state store accepts.
 pub(super) struct WriteLimits {
-    /// Bytes of a value.
+    /// The maximum size of a value in bytes.
     pub(super) value_bytes: usize,
-    /// Changes of a transaction.
+    /// The maximum number of changes in a transaction.
     pub(super) txn_changes: usize,
 }
 
-/// Records that belong to nothing any more and are to be deleted, with their versions.
+/// Obsolete records that are to be deleted, with their revisions.
 #[derive(Default)]
 pub(super) struct RecordCleanup {
     /// Machines' own records, as earlier versions of the program wrote them.
@@ -100,35 +101,36 @@
 pub(super) struct RecentJobsWrites {
     /// How many jobs this leader has added to the list.
     pub(super) submitted: u64,
-    /// That number when the list was last written.
+    /// The value of `submitted` when the list was last written.
     pub(super) written: u64,
     /// When the list was last written.
     pub(super) written_at: Steady,
 }
 
-/// The limit on values is not made smaller than this.
+/// The smallest limit on values, in bytes, that rejected writes lead to.
 const MIN_VALUE_BYTES: usize = 512;
-/// The limit on transactions is not made smaller than this.
+/// The smallest limit on changes in a transaction that rejected writes lead to.
 const MIN_TXN_CHANGES: usize = 4;
-/// How long records that nobody waits for are gathered before they are written.
+/// The minimum time between two writes of deferred records, which no start and no user waits for.
 pub(super) const DEFERRED_WRITE_INTERVAL: Micros = Micros(3_000_000);
 
-/// Least time between two writes of the list of recent jobs.
+/// The minimum time between two writes of the list of recent jobs.
 pub(super) const RECENT_JOBS_INTERVAL: Micros = Micros(10_000_000);
 
 impl Fleet {
-    /// Bytes that a state-store value may hold; halved by `reduce_write_limits`.
+    /// The maximum size of a state-store value in bytes; halved by `reduce_write_limits`.
     pub fn max_value_bytes(&self) -> usize {
         self.write_limits.value_bytes
     }
 
-    /// Changes that a state-store transaction may hold; halved by `reduce_write_limits`.
+    /// The maximum number of changes in a state-store transaction; halved by `reduce_write_limits`.
     pub fn max_txn_changes(&self) -> usize {
         self.write_limits.txn_changes
     }
 
-    /// The state store rejected a write as too large, under limits smaller than any that were announced:
-    /// from now on values and transactions are half as large, so that no write is sent again unchanged.
+    /// Halves the limits on values and transactions after the state store rejected a write as too large. Its
+    /// limits are then smaller than any that were announced. With the smaller limits, no write is sent again
+    /// unchanged.
     pub fn reduce_write_limits(&mut self) {
         let limits = &mut self.write_limits;
         limits.value_bytes = (limits.value_bytes / 2).max(MIN_VALUE_BYTES);
@@ -142,7 +144,7 @@
         self.start_marks.reduce_limit(limits.value_bytes);
     }
 
-    /// Puts what has to be written before starts into packed values.
+    /// Puts the start marks and machine records that have to be written before starts into packed values.
     pub(super) fn queue_records(&mut self) {
         for job in self.jobs.values().filter(|job| !job.ended && job.wanted_start_mark > job.start_mark) {
             if self.start_marks.get(&job.id) != Some(&job.wanted_start_mark) {
@@ -166,9 +168,9 @@
         }
     }
 
-    /// What is due to be written, the most urgent first. Done ranges of a job that goes on are written
-    /// again after `batch`: until then its workers keep the results and list them in their heartbeats.
-    /// `chunk` is how many tasks a chunk of done ranges holds.
+    /// The writes that are due, the most urgent first. The done ranges of a running job are written again
+    /// after `batch`: until then the workers keep the results and list them in their heartbeats. `chunk` is
+    /// the number of tasks in a chunk of done ranges.
     pub fn pending_writes(&mut self, now: Steady, batch: Micros, chunk: u32) -> Vec<PendingWrite> {
         self.queue_records();
         let mut writes = self.pending_job_writes(now, batch, chunk);
@@ -191,7 +193,7 @@
         writes
     }
 
-    /// Adds the records that nobody waits for.
+    /// Adds the deferred records, which no start and no user waits for.
     fn add_deferred_writes(&self, writes: &mut Vec<PendingWrite>) {
         let machines = self.machine_records.pending(false);
         writes.extend(machines.map(|slot| PendingWrite::Compaction(PackKind::Machines, slot)));
@@ -200,16 +202,17 @@
         writes.extend(self.history.dirty().map(PendingWrite::History));
     }
 
-    /// Ends of jobs that are complete, and chunks of done ranges that are due.
+    /// The due writes for jobs: final records of complete jobs, copies of start marks, and chunks of done
+    /// ranges.
     fn pending_job_writes(&self, now: Steady, batch: Micros, chunk: u32) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
         let loan_batch = self.loan_done_interval().min(batch);
         for job in self.jobs.values().filter(|job| !job.ended) {
-            // The end of a borrowed job is written by the cell that accepted it, which waits for what is
-            // done here.
+            // The lender writes the final record of a borrowed job. It waits for the results of this cell.
             let is_own = job.borrowed_from.is_none();
             if is_own && job.is_complete() {
-                // A write that is refused again and again would hold up those in the same transaction.
+                // A write that the state store refuses each time would delay the other writes in its
+                // transaction.
                 if !self.unreadable.cannot_end(&job.id) {
                     writes.push(PendingWrite::Final(job.id.clone()));
                 }
@@ -227,7 +230,7 @@
         writes
     }
 
-    /// A write was applied at a revision.
+    /// Updates the model after the state store applied a write at `revision`.
     pub fn write_applied(
         &mut self,
         write: &PendingWrite,
@@ -264,8 +267,8 @@
     }
 
     fn final_written(&mut self, id: &JobId, revision: u64, contents: &WriteContents) {
-        // Chunks that were not deleted in the same transaction are to be deleted next. For those that
-        // were, each would cost a failed transaction and a read.
+        // Chunks that were not deleted in the same transaction are queued for deletion. The deleted ones are
+        // left out, since another deletion would cost a failed transaction and a read for each of them.
         if let (WriteContents::RemovedDoneChunks(removed), Some(job)) = (contents, self.jobs.get_mut(id)) {
             job.done_chunks.retain(|chunk, _| !removed.contains(chunk));
         }
@@ -320,20 +323,20 @@
         job.done_written_at = now;
     }
 
-    /// The version of a row that is to be deleted, as read back after its deletion failed; 0 if there is
-    /// none.
+    /// Updates the revision of a row that is to be deleted, as read back after its deletion failed.
+    /// `mod_revision` is 0 if the row no longer exists.
     pub fn orphan_read_back(&mut self, key: &str, mod_revision: u64) {
         set_or_remove(&mut self.cleanup.rows, key, mod_revision);
     }
 
-    /// The version of a machine's own record that is to be deleted, as read back after its deletion
-    /// failed; 0 if there is none.
+    /// Updates the revision of a machine's own record that is to be deleted, as read back after its deletion
+    /// failed. `mod_revision` is 0 if the record no longer exists.
     pub fn machine_record_read_back(&mut self, id: &str, mod_revision: u64) {
         set_or_remove(&mut self.cleanup.machine_records, id, mod_revision);
     }
 }
 
-/// Adds the chunks of a job's done ranges that hold more than is written.
+/// Adds writes for the chunks of a job's done ranges that contain done tasks not yet stored.
 pub(super) fn add_due_chunks(job: &Job, chunk: u32, writes: &mut Vec<PendingWrite>) {
     for index in 0..job.spec.tasks.div_ceil(chunk) {
         let number = chunk_number(chunk, index);
@@ -344,7 +347,7 @@
     }
 }
 
-/// Sets the version of a record that is to be deleted, or removes it if the record does not exist.
+/// Sets the revision of a record that is to be deleted, or removes the entry if `mod_revision` is 0.
 fn set_or_remove<K: Ord + std::borrow::Borrow<str>>(
     records: &mut BTreeMap<K, u64>,
     key: &str,
