--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -1,4 +1,4 @@
-//! The status that operators and teams read. The JSON names are part of the interface.
+//! The status that operators and teams read. The JSON field names are part of the public interface.
 
 use milletlock_recovery::RecoveryProgress;
 use serde::Serialize;
@@ -11,13 +11,14 @@
 use crate::time::{Steady, Wall};
 use crate::wire::Priority;
 
-/// When the periodic log lines were last written, and what the latest of them said.
+/// The state of the periodic log lines: when they were last written, and the state of the recovery at the
+/// latest check.
 pub(super) struct LogState {
-    /// When machine utilization was logged.
+    /// When machine utilization was last logged.
     pub(super) machine_use_at: Steady,
-    /// When the progress of the recovery was logged.
+    /// When the progress of the recovery was last logged.
     pub(super) recovery_at: Steady,
-    /// Whether all machines had acknowledged this leader's fencing token.
+    /// Whether all machines had acknowledged this leader's fencing token at the latest check.
     pub(super) all_acknowledged: bool,
 }
 
@@ -25,24 +26,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// No heartbeat has come yet.
+    /// The machine has sent no heartbeat yet.
     Booting,
-    /// In use.
+    /// The machine is in use.
     Up,
-    /// It has not acknowledged this leader's fencing token.
+    /// The machine has not acknowledged this leader's fencing token.
     #[serde(rename = "unheard")]
     Unacknowledged,
-    /// No heartbeat has come of late.
+    /// The machine has sent no recent heartbeat.
     Silent,
-    /// It is being scaled in.
+    /// The machine is being scaled in.
     #[serde(rename = "leaving")]
     ScalingIn,
 }
 
-/// A machine, for operators.
+/// The status of a machine, for operators.
 #[derive(Debug, Serialize)]
 pub struct MachineView {
-    /// The cloud's id.
+    /// The machine's id in the cloud.
     pub id: String,
     /// Name of the machine type.
     #[serde(rename = "ty")]
@@ -51,55 +52,55 @@
     pub zone: String,
     /// Whether it is a spot instance.
     pub spot: bool,
-    /// Whether it can be used.
+    /// Whether the machine can be used, and if not, why.
     pub state: MachineState,
-    /// Tasks that are running on it, or may be.
+    /// The number of tasks that are running on the machine, or may be.
     pub tasks: usize,
-    /// Seconds since its last heartbeat; `None` if none has come.
+    /// Seconds since the machine's last heartbeat; `None` before the first one.
     #[serde(rename = "report_s")]
     pub heartbeat_age_s: Option<f64>,
 }
 
-/// A job, for operators and for its team.
+/// The status of a job, for operators and for the job's team.
 #[derive(Debug, Serialize)]
 pub struct JobView {
-    /// The id.
+    /// The job's id.
     pub id: String,
-    /// The team.
+    /// The name of the job's team.
     pub team: String,
-    /// The priority.
+    /// The job's priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Seconds since it was accepted.
+    /// Seconds since the job was accepted.
     pub waited_s: f64,
-    /// Tasks waiting.
+    /// The number of tasks that wait for a start.
     pub waiting: u32,
-    /// Tasks that are running, or may be.
+    /// The number of tasks that are running, or may be.
     pub placed: usize,
-    /// Tasks or replicas in all.
+    /// The total number of tasks or replicas.
     pub wanted: u32,
-    /// Tasks or replicas that run, by the latest heartbeats.
+    /// The number of tasks or replicas that are running according to the latest heartbeats.
     pub running: u32,
-    /// Tasks done; a service never has any.
+    /// The number of done tasks; always 0 for a service.
     pub done: u32,
-    /// Failures in a row.
+    /// The number of consecutive failures.
     #[serde(rename = "errors")]
     pub consecutive_failures: u32,
-    /// Why tasks wait, with the number of tasks for each reason; empty if none waits.
+    /// The reasons for which tasks wait, with the number of tasks for each reason. Empty if no task waits.
     pub wait_reasons: WaitReasons,
 }
 
-/// How a team's actual run times compare to those that it states.
+/// The factor from a team's stated run times to its expected run times, for one stated run time.
 #[derive(Debug, Serialize)]
 pub struct FactorView {
-    /// The team.
+    /// The name of the team.
     pub team: String,
     /// The stated run time in seconds.
     pub stated_s: f64,
-    /// The factor from stated to expected run time.
+    /// The factor by which the stated run time is multiplied to get the expected run time.
     #[serde(rename = "a")]
     pub factor: f64,
-    /// Past jobs that it is computed from.
+    /// The number of past jobs that the factor is computed from.
     pub jobs: usize,
 }
 
@@ -109,24 +110,24 @@
     /// The leader's fencing token.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// Machines; none for a team's view.
+    /// The machines; empty in a team's view.
     pub machines: Vec<MachineView>,
-    /// Jobs, the oldest first; only a team's own, for a team's view.
+    /// The jobs, the oldest first; only the team's own jobs in a team's view.
     pub jobs: Vec<JobView>,
     /// The job that capacity is reserved for, and the seconds until the capacity is free.
     pub reservation: Option<(String, f64)>,
     /// Run-time factors by team and stated run time.
     pub factors: Vec<FactorView>,
-    /// What counts against the quotas; only a team's own, for a team's view.
+    /// The quotas and the resources that count against them; only the team's own quota in a team's view.
     pub quotas: Vec<QuotaView>,
-    /// Stored records that could not be read; none for a team's view.
+    /// The unreadable stored records; `None` in a team's view.
     pub unreadable: Option<UnreadableView>,
-    /// Progress of the recovery after the failover; none for a team's view.
+    /// The progress of the recovery after the failover; `None` in a team's view.
     pub recovery: Option<RecoveryProgress>,
 }
 
 impl Fleet {
-    /// The status, whole or for one team, which sees only what is its own.
+    /// The whole status, or the view of one team, which contains only the team's own jobs, factors and quota.
     pub fn status(&self, team: Option<&str>, now: Steady, wall: Wall) -> StatusView {
         let is_visible = |other: &str| team.is_none_or(|team| team == other);
         let mut jobs: Vec<&Job> =
@@ -198,7 +199,8 @@
         }
     }
 
-    /// The latest plan's reservation, as it stands now, if it is for a visible team's job.
+    /// The job that the latest plan reserves capacity for and the seconds from now until the capacity is
+    /// free; `None` if there is no reservation or its job's team is not visible.
     fn reservation_view(&self, now: Steady, is_visible: impl Fn(&str) -> bool) -> Option<(String, f64)> {
         let reservation = self.plan.reservation.as_ref()?;
         let id = self.planned_jobs.get(reservation.class)?;
