--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -1,4 +1,4 @@
-//! Jobs as they are added and end, and the machines on which their tasks are running, or may be.
+//! Adding and ending jobs, and tracking the machines on which their tasks are running, or may be.
 
 use std::collections::BTreeSet;
 
@@ -11,16 +11,16 @@
 use crate::time::{Micros, Steady};
 use crate::wire::{JobSpec, MachineType, TaskStage};
 
-/// Progress of a job's tasks, as answered to a poll.
+/// The progress of a job's tasks, for the answer to a user who asks for the job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct JobProgress {
-    /// Tasks done.
+    /// The number of done tasks.
     pub done: u32,
-    /// Tasks running or saving a checkpoint.
+    /// The number of tasks that are running or saving a checkpoint.
     pub running: u32,
 }
 
-/// The run time that the planner assumes of services, which have no end: a day.
+/// The run time that the planner assumes for services, which have no end: one day.
 const SERVICE_RUN_TIME: Micros = Micros(86_400_000_000);
 
 /// Resources of one task of a job.
@@ -28,12 +28,12 @@
     Resources { cpus: spec.cpus, gpus: spec.gpus, memory: spec.memory_gb }
 }
 
-/// Resources of an empty machine of a type.
+/// Resources of a machine of this type that runs no task.
 pub(super) fn type_resources(machine_type: &MachineType) -> Resources {
     Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, memory: machine_type.memory_gb }
 }
 
-/// The stated run time of a job's tasks.
+/// The run time that a job's description states for each task.
 pub(super) fn stated_run_time(spec: &JobSpec) -> Micros {
     if spec.is_service() {
         SERVICE_RUN_TIME
@@ -53,22 +53,23 @@
         self.jobs_revision
     }
 
-    /// All changes of jobs up to a revision have been applied.
+    /// Records that all changes of jobs up to `revision` have been applied.
     pub fn advance_jobs_revision(&mut self, revision: u64) {
         self.jobs_revision = self.jobs_revision.max(revision);
         let applied = self.jobs_revision;
         self.ended_jobs.retain(|_, ended_at| *ended_at > applied);
     }
 
-    /// Applies a job's record, new or changed. Late copies of jobs that have ended are ignored: what
-    /// was written at or before the revision up to which all is applied, and is not known, has ended.
-    /// Without this a message of another controller, delayed until after a failover to a leader that
-    /// never knew the job, would start a cancelled one.
+    /// Applies a new or changed job record. A late copy of the record of an ended job is ignored: if all
+    /// changes up to the record's revision have been applied and the job is not known, the job has ended.
+    /// Otherwise a message of another controller could start a cancelled job, if it were delayed until after
+    /// a failover to a leader that never knew the job.
     pub fn apply_job_record(&mut self, record: JobRecord, mod_revision: u64, now: Steady) {
         let id: JobId = record.spec.id.as_str().into();
         let is_late = mod_revision <= self.jobs_revision && !self.jobs.contains_key(&id);
         if self.is_unreadable_job(&id) {
-            // What is done of it is not known here: only a leader that reads everything anew may begin.
+            // This leader does not know which of the job's tasks are done. The next leader loads all records
+            // again and may start the job.
             return;
         }
         self.mark_job_readable(&id);
@@ -76,7 +77,8 @@
             return;
         }
         if record.lending.cancelling {
-            // Its user waits for other cells to give up what they hold; nothing of it runs any more.
+            // The job is being cancelled: none of its tasks may run in this cell. Its record stays until the
+            // borrowers have closed their loans.
             self.job_ended(&id, mod_revision);
             self.apply_lending(&record, mod_revision);
         } else if self.jobs.contains_key(&id) {
@@ -90,11 +92,11 @@
     fn update_job(&mut self, id: &JobId, record: &JobRecord, mod_revision: u64) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.borrowed_from.is_some() {
-            tracing::error!(job = %id, "a job was accepted here while tasks of its id are borrowed");
+            tracing::error!(job = %id, "job accepted in this cell has the id of a borrowed job");
             return;
         }
         if mod_revision > job.mod_revision {
-            // A placeholder that was left behind goes with the first write of the record.
+            // The first write of the record also deletes a leftover placeholder.
             self.loans.leftover_placeholders.remove(id);
             job.mod_revision = mod_revision;
             job.start_mark = job.start_mark.max(record.start_mark);
@@ -110,7 +112,8 @@
         let JobSpec { class, tasks, cpus, estimate_s, deadline_s, .. } = &job.spec;
         tracing::debug!(job = %id, ?class, tasks, cpus, estimate_s, ?deadline_s, "job added");
         if job.spec.is_service() {
-            // All its replicas are to run at once: their start mark need not wait for a plan.
+            // All replicas have to run at the same time, so the start mark is requested before the first
+            // plan.
             job.wanted_start_mark = job.spec.tasks;
         }
         let need = task_resources(&job.spec);
@@ -132,8 +135,8 @@
         self.dirty = true;
     }
 
-    /// A job's record was removed at this revision: it has ended, cancelled by its user or complete.
-    /// What is left of it is stopped.
+    /// Applies the removal of a job's record at `revision`: the job has completed, or its user has cancelled
+    /// it. Its remaining tasks are stopped.
     pub fn job_ended(&mut self, id: &str, revision: u64) {
         let id: JobId = id.into();
         self.mark_job_readable(&id);
@@ -141,7 +144,8 @@
             let ended_at = self.ended_jobs.entry(id.clone()).or_insert(0);
             *ended_at = (*ended_at).max(revision);
         }
-        // A borrowed job has a record of its own; one of its id under the jobs' prefix is another's.
+        // The record of a borrowed job has another key prefix: the removed record with the same id belongs to
+        // another job.
         let is_other = |job: &Job| job.mod_revision > revision || job.borrowed_from.is_some();
         if self.jobs.get(&id).is_some_and(is_other) {
             return;
@@ -150,7 +154,8 @@
         self.end_job(&id);
     }
 
-    /// A job has ended here: what is left of it is stopped, and its records are removed.
+    /// Ends a job in this cell: stops its remaining tasks, and queues the removal of its done ranges, their
+    /// copies and its start mark.
     pub(super) fn end_job(&mut self, id: &str) {
         let id: JobId = id.into();
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -172,14 +177,14 @@
         self.dirty = true;
     }
 
-    /// Forgets a job that has ended once none of its tasks may be running.
+    /// Removes a job from the model if it has ended and none of its tasks may be running.
     pub(super) fn remove_if_cleared(&mut self, id: &JobId) {
         if self.jobs.get(id).is_some_and(|job| job.ended && job.placements.is_empty()) {
             self.jobs.remove(id);
         }
     }
 
-    /// A job's tasks with the machines that have an entry of them.
+    /// The task numbers of a job that machines have entries of, each with its machine.
     pub(super) fn task_locations(&self, id: &JobId) -> Vec<(u32, MachineId)> {
         let mut locations = Vec::new();
         for machine in self.machines.values() {
@@ -189,28 +194,29 @@
         locations
     }
 
-    /// Machines on which tasks of a job are running, or may be.
+    /// The machines on which tasks of a job are running, or may be.
     pub(super) fn machines_with_tasks(&self, id: &str) -> Vec<MachineId> {
         let machines: BTreeSet<&MachineId> =
             self.jobs.get(id).iter().flat_map(|job| job.placements.values().flatten()).collect();
         machines.into_iter().cloned().collect()
     }
 
-    /// Stops live tasks of a job, all or those of one attempt, on every machine. With `replace`, the
-    /// grace of those that are being stopped is replaced as well.
+    /// Stops live tasks of a job on every machine: all of them, or those of one attempt. `grace_s` is the
+    /// grace period in seconds. With `replace`, it also replaces the grace period of tasks that are being
+    /// stopped.
     pub(super) fn stop_tasks(&mut self, id: &JobId, attempt: Option<u64>, grace_s: f64, replace: bool) {
         for machine in self.machines_with_tasks(id) {
             let Some(machine) = self.machines.get_mut(&machine) else { continue };
             for (key, task) in machine.tasks.range_mut(TaskKey::all_of_job(id)) {
-                let is_meant = attempt.is_none_or(|attempt| attempt == key.attempt) && task.is_live();
-                if is_meant && (replace || task.stop_grace_s.is_none()) {
+                let is_selected = attempt.is_none_or(|attempt| attempt == key.attempt) && task.is_live();
+                if is_selected && (replace || task.stop_grace_s.is_none()) {
                     task.stop_grace_s = Some(grace_s);
                 }
             }
         }
     }
 
-    /// Brings a task's placements in its job in line with the entries of one machine.
+    /// Updates a task's placements in its job from the task entries of one machine.
     pub(super) fn update_placement(&mut self, id: &JobId, number: u32, machine: &MachineId) {
         let may_be_running = self.machines.get(machine).is_some_and(|machine| {
             machine.tasks.range(TaskKey::all_of_task(id, number)).any(|(_, task)| task.is_live())
@@ -232,14 +238,14 @@
         self.remove_if_cleared(id);
     }
 
-    /// A task's entry was removed from its machine, and how it ended is not known.
+    /// Updates a task's job after the task's entry was removed from its machine without a known result.
     pub(super) fn task_lost(&mut self, key: &TaskKey, machine: &MachineId) {
         self.stop_gang_attempt(&key.job, key.attempt);
         self.update_placement(&key.job, key.number, machine);
     }
 
-    /// A gang's attempt lost a task: the others are stopped, and a new attempt waits until none of them
-    /// may be running.
+    /// Stops the remaining tasks of a gang's attempt that has lost a task. A new attempt waits until none of
+    /// them may be running.
     pub(super) fn stop_gang_attempt(&mut self, id: &JobId, attempt: u64) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if !job.spec.is_gang() {
@@ -252,7 +258,7 @@
         self.dirty = true;
     }
 
-    /// Progress of a job for a poll; `None` if the job is not known here or is cancelled.
+    /// The progress of a job; `None` if this leader does not know the job or the job has ended.
     pub fn progress(&self, id: &str) -> Option<JobProgress> {
         let job = self.jobs.get(id).filter(|job| !job.ended)?;
         let placements = job.placements.iter();
@@ -261,7 +267,7 @@
         Some(JobProgress { done: job.done.len(), running: running as u32 })
     }
 
-    /// Whether an attempt of a task runs on a machine, by its latest heartbeat.
+    /// Whether an attempt of a task runs on a machine, according to the machine's latest heartbeat.
     fn is_running(&self, job: &JobId, number: u32, machine: &MachineId) -> bool {
         let runs = |task: &TaskEntry| {
             task.is_live() && matches!(task.stage, Some(TaskStage::Running | TaskStage::Saving))
