--- a/src/fleet/team_use.rs
+++ b/src/fleet/team_use.rs
@@ -1,31 +1,32 @@
-//! What the teams use of their quotas. All tasks that are or may be on a machine count.
+//! The resources that count against the teams' quotas: those of all tasks that are running, or may be.
 
 use super::{task_resources, Fleet, Machine};
 use crate::config::Team;
 use crate::jobs::{Job, JobId};
 use crate::sched::{Resources, TeamUse};
 
-/// Counted against every team for a machine of which nothing is known, not even its type: it leaves
-/// none of their quotas.
+/// Resources counted against every team for a machine of unknown type whose tasks are not known. They are
+/// larger than any quota, so that every team's quota is used up.
 const UNKNOWN_USE: Resources = Resources { cpus: 1e9, gpus: 1e9, memory: 0.0 };
 
-/// What counts against the teams' quotas.
+/// The resources that count against the teams' quotas.
 pub(super) struct QuotaUse {
-    /// By team: what its own tasks take.
+    /// The resources of each team's own tasks, by team index.
     pub(super) by_team: Vec<Resources>,
-    /// What counts against each team: tasks of unknown jobs, and whole machines with unknown tasks.
+    /// The resources that count against every team: those of tasks of unknown jobs, and those of whole
+    /// machines whose tasks are not known.
     pub(super) unknown: Resources,
 }
 
 impl Fleet {
-    /// The use of all teams for a plan, with the places reserved for their gangs.
+    /// The quota use of all teams for a plan, by team index. It includes the places reserved for their gangs.
     pub(super) fn team_uses(&mut self) -> Vec<TeamUse> {
-        // Counted anew with each plan, so that what has ended is seen.
+        // The use is counted again for each plan, so that ended tasks no longer count.
         self.cached_team_use.clear();
         self.uses_with_reservations()
     }
 
-    /// The use of all teams at this moment; empty if no team has a quota.
+    /// The quota use of all teams at this moment, by team index; empty if no team has a quota.
     pub(super) fn current_team_uses(&mut self) -> Vec<TeamUse> {
         if self.config.platform.settings.teams.iter().any(has_quota) {
             self.uses_with_reservations()
@@ -34,14 +35,15 @@
         }
     }
 
-    /// What a team uses, against its quota. Cached between plans: starts are added, ends only lower it,
-    /// and all else that may raise it clears the cache.
+    /// The quota use of a team. It is cached between plans: each start adds to the cached use, and an end of
+    /// a task is left out, since it only lowers the use. Everything else that may raise the use clears the
+    /// cache.
     pub(super) fn team_use(&mut self, name: &str) -> TeamUse {
         let Some((index, _)) = self.team_settings(name) else { return TeamUse::default() };
         self.use_of(index)
     }
 
-    /// Adds a started task to its team's use, if that is cached.
+    /// Adds a started task to its team's quota use, if the use is cached.
     pub(super) fn add_use(&mut self, team: &str, need: &Resources) {
         let Some((index, _)) = self.team_settings(team) else { return };
         if let Some(used) = self.cached_team_use.get_mut(index) {
@@ -52,7 +54,8 @@
     fn uses_with_reservations(&mut self) -> Vec<TeamUse> {
         let count = self.config.platform.settings.teams.len();
         let mut teams: Vec<TeamUse> = (0..count).map(|index| self.use_of(index)).collect();
-        // Places reserved for gangs count against their teams' quotas: lower priorities do not take them.
+        // Places reserved for gangs count against their teams' quotas, so that jobs of lower priorities do
+        // not take this part of the quota.
         for job in self.jobs.values() {
             let (Some(gang), Some((index, _))) = (&job.gang, self.team_settings(&job.spec.team)) else {
                 continue;
@@ -66,7 +69,8 @@
         teams
     }
 
-    /// What a team uses, by its index. That of a team without a quota is not counted.
+    /// The quota use of the team with this index. For a team without a quota, the used resources are not
+    /// counted and stay 0.
     fn use_of(&mut self, index: usize) -> TeamUse {
         let team = &self.config.platform.settings.teams[index];
         let (cpus_max, gpus_max) = (team.cpus_max, team.gpus_max);
@@ -79,14 +83,15 @@
         TeamUse { used: self.cached_team_use[index], cpu_quota: cpus_max, gpu_quota: gpus_max }
     }
 
-    /// What all teams use, in one pass over all tasks: with a pass for each team, counting took a third
-    /// of the leader's processor time where eight teams have quotas.
+    /// Counts the resources of all teams, by team index, in one pass over all tasks. With one pass for each
+    /// team, counting took a third of the leader's processor time when eight teams had quotas.
     fn count_uses(&self) -> Vec<Resources> {
         let QuotaUse { by_team, unknown } = self.count_quota_use();
         by_team.into_iter().map(|used| used.plus(&unknown, 1)).collect()
     }
 
-    /// What counts against the quotas, apart for what may be any team's.
+    /// Counts the resources that count against the quotas. Resources that may be any team's are counted
+    /// apart.
     pub(super) fn count_quota_use(&self) -> QuotaUse {
         let count = self.config.platform.settings.teams.len();
         let mut by_team = vec![Resources::default(); count];
@@ -102,7 +107,8 @@
         QuotaUse { by_team, unknown }
     }
 
-    /// Adds the live tasks of a machine to what their teams use.
+    /// Adds the resources of a machine's live tasks to those of their teams, or to `unknown` if a task's job
+    /// is not known.
     pub(super) fn count_tasks(&self, machine: &Machine, by_team: &mut [Resources], unknown: &mut Resources) {
         // Tasks are ordered by job: each job is looked up once.
         let mut latest: Option<(&JobId, Option<&Job>)> = None;
