--- a/src/fleet/unreadable.rs
+++ b/src/fleet/unreadable.rs
@@ -1,7 +1,8 @@
-//! Stored records that this version cannot read: of a later version, or damaged.
+//! Stored records that this version cannot read: they are damaged, or a later version wrote them.
 //!
-//! That a record cannot be read does not show that there is none. What belongs to such a job is kept as it is,
-//! its tasks run on, and nothing of it starts on a guess, until a leader reads the record.
+//! An unreadable record must not be treated as a missing one. The other records of its job are kept
+//! unchanged, and the job's running tasks go on. No further task of the job starts until a leader has read
+//! the record, since the leader cannot know which tasks are done or running.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -14,22 +15,24 @@
 use crate::keys::{job_key, lent_done_key, lent_start_mark_key};
 use crate::time::Steady;
 
-/// Most keys of unreadable records that the status names.
+/// The maximum number of keys of unreadable records that the status lists.
 const MAX_LISTED_KEYS: usize = 100;
 
 /// The records that the leader could not read.
 #[derive(Debug, Default)]
 pub(super) struct UnreadableRecords {
+    /// The keys of all unreadable records.
     keys: BTreeSet<String>,
-    /// Own jobs whose record itself cannot be read.
+    /// Jobs accepted in this cell whose job record cannot be read.
     jobs: BTreeSet<String>,
-    /// Borrowed jobs whose record itself cannot be read.
+    /// Borrowed jobs whose record of the loans cannot be read.
     borrowed_jobs: BTreeSet<String>,
     /// Jobs, own or borrowed, of which done ranges or a start mark cannot be read.
-    jobs_of_rows: BTreeSet<String>,
-    /// Live jobs that cannot be ended for what stands under the key of their final record.
-    jobs_of_finals: BTreeSet<String>,
-    /// Cells from which tasks are or were borrowed, whose record cannot be read.
+    jobs_with_unreadable_progress: BTreeSet<String>,
+    /// Live jobs that cannot be ended because the value under the key of their final record is not the
+    /// placeholder of their job record, or is missing.
+    jobs_that_cannot_end: BTreeSet<String>,
+    /// Cells from which tasks are or were borrowed and whose record cannot be read.
     lenders: BTreeSet<String>,
     /// Whether a value of start marks cannot be read.
     has_start_marks: bool,
@@ -38,54 +41,56 @@
 }
 
 impl UnreadableRecords {
-    /// Whether a record of a job cannot be read: nothing of it starts, and nothing of it is removed.
+    /// Whether an unreadable record blocks a job: none of its tasks start, and none of its records are
+    /// removed.
     pub(super) fn blocks_job(&self, id: &str) -> bool {
-        self.jobs_of_rows.contains(id) || self.cannot_end(id) || self.has_job(id)
+        self.jobs_with_unreadable_progress.contains(id) || self.cannot_end(id) || self.has_job(id)
     }
 
-    /// Whether a live job cannot be ended for what stands under the key of its final record.
+    /// Whether a live job cannot be ended because of the value under the key of its final record.
     pub(super) fn cannot_end(&self, id: &str) -> bool {
-        self.jobs_of_finals.contains(id)
+        self.jobs_that_cannot_end.contains(id)
     }
 
-    /// Whether a job's own record cannot be read: it may be live though it is not known.
+    /// Whether the record of a job, own or borrowed, cannot be read. The job may be live even if it is not in
+    /// the model.
     pub(super) fn has_job(&self, id: &str) -> bool {
         self.jobs.contains(id) || self.borrowed_jobs.contains(id)
     }
 }
 
-/// What a record that cannot be read stands for.
+/// The kind of an unreadable record, with the job or cell that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadableRecord<'a> {
-    /// The record of an own job.
+    /// The record of a job that this cell accepted; with the job's id.
     Job(&'a str),
-    /// The record of a borrowed job.
+    /// The record of a borrowed job; with the job's id.
     BorrowedJob(&'a str),
-    /// Done ranges or a start mark of a job, own or borrowed.
+    /// Done ranges or a start mark of a job, own or borrowed; with the job's id.
     OfJob(&'a str),
-    /// What stands under the key of a live job's final record.
+    /// The value under the key of a live job's final record; with the job's id.
     Final(&'a str),
-    /// The record of a cell from which tasks are borrowed.
+    /// The record of a cell from which tasks are borrowed; with the cell's name.
     Lender(&'a str),
     /// A value of packed start marks.
     StartMarks,
     /// A value of packed machine records.
     Machines,
-    /// One on which no start rests.
+    /// Any other record. No decision to start a task depends on it.
     Other,
 }
 
-/// The records that cannot be read, for operators.
+/// The unreadable records, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct UnreadableView {
-    /// How many they are.
+    /// The number of unreadable records.
     pub count: usize,
-    /// The first of their keys.
+    /// The first keys of unreadable records, in their order, at most 100.
     pub keys: Vec<String>,
 }
 
 impl Fleet {
-    /// Notes that the record under a key cannot be read, and logs it once.
+    /// Marks the record under `key` as unreadable. The first time, the key and the error are logged.
     pub fn mark_unreadable(&mut self, record: UnreadableRecord<'_>, key: &str, error: &dyn Display) {
         let unreadable = &mut self.unreadable;
         if unreadable.keys.insert(key.to_string()) {
@@ -99,10 +104,10 @@
                 unreadable.borrowed_jobs.insert(id.to_string());
             }
             UnreadableRecord::OfJob(id) => {
-                unreadable.jobs_of_rows.insert(id.to_string());
+                unreadable.jobs_with_unreadable_progress.insert(id.to_string());
             }
             UnreadableRecord::Final(id) => {
-                unreadable.jobs_of_finals.insert(id.to_string());
+                unreadable.jobs_that_cannot_end.insert(id.to_string());
             }
             UnreadableRecord::Lender(cell) => {
                 unreadable.lenders.insert(cell.to_string());
@@ -114,13 +119,14 @@
         self.dirty = true;
     }
 
-    /// Whether a record of a job cannot be read.
+    /// Whether an unreadable record blocks a job: none of its tasks may start, and none of its records may be
+    /// removed.
     pub fn is_blocked_by_unreadable_record(&self, id: &str) -> bool {
         self.unreadable.blocks_job(id)
     }
 
-    /// Whether a write of a job's progress replaces a row that cannot be read: it would be refused each time, and
-    /// hold up those in the same transaction.
+    /// Whether a write of a job's progress would replace an unreadable record. The state store would refuse
+    /// such a write each time, which would delay the other writes in the same transaction.
     pub(super) fn replaces_unreadable(&self, write: &PendingWrite) -> bool {
         if self.unreadable.keys.is_empty() {
             return false;
@@ -136,12 +142,12 @@
         }
     }
 
-    /// Whether the record of an own job could not be read, and the job is not known.
+    /// Whether the record of a job that this cell accepted is unreadable and the job is not in the model.
     pub fn is_unreadable_job(&self, id: &str) -> bool {
         self.unreadable.jobs.contains(id) && !self.jobs.contains_key(id)
     }
 
-    /// The record of a known job can be read again, or is gone.
+    /// Clears the mark of an unreadable job record after the record was read successfully or was removed.
     pub(super) fn mark_job_readable(&mut self, id: &str) {
         if self.unreadable.jobs.remove(id) {
             self.unreadable.keys.remove(&job_key(id));
@@ -149,13 +155,14 @@
         }
     }
 
-    /// The number of unreadable records, with the first of their keys.
+    /// The unreadable records, for the status.
     pub(super) fn unreadable_view(&self) -> UnreadableView {
         let keys = &self.unreadable.keys;
         UnreadableView { count: keys.len(), keys: keys.iter().take(MAX_LISTED_KEYS).cloned().collect() }
     }
 
-    /// Without a start mark that can be read, any task of a job may have been started.
+    /// If a value of start marks is unreadable, sets the inherited start mark of each own job without a
+    /// readable mark to its number of tasks: any of its tasks may have been started.
     pub(super) fn assume_start_marks(&mut self) {
         if !self.unreadable.has_start_marks {
             return;
@@ -167,13 +174,15 @@
         }
     }
 
-    /// Whether machines of which no record can be read may still run tasks: no leader renews their leases
-    /// any more once an earlier one has lost the state store for too long.
+    /// Whether machines whose records are unreadable may still be running tasks. This is so until the last
+    /// leases that earlier leaders can have renewed have expired: a leader without contact to the state store
+    /// stops renewing leases after a time limit.
     pub(super) fn may_have_unknown_machines(&self, now: Steady) -> bool {
         self.unreadable.has_machines && now < self.failover_at + self.earlier_leases_end_after()
     }
 
-    /// The horizon of messages to borrowers: a job whose record cannot be read may have any loan.
+    /// The horizon for messages to borrowers, up to which loans that a message does not list are closed. A
+    /// job with an unreadable record may have any loan, so the horizon is 0 while there is one.
     pub fn horizon_unless_unreadable(&self, horizon: LoanNumber) -> LoanNumber {
         if self.unreadable.jobs.is_empty() {
             horizon
@@ -182,8 +191,8 @@
         }
     }
 
-    /// A lender's message without what cannot be decided here, since a record about it cannot be read;
-    /// `None` if that is all of it.
+    /// A lender's message without the loans that this cell cannot decide on because a record that concerns
+    /// them is unreadable. `None` if the record of the lender itself is unreadable.
     pub fn without_unreadable(&self, request: &LoanSyncRequest) -> Option<LoanSyncRequest> {
         if self.unreadable.lenders.contains(&request.from) {
             return None;
@@ -191,23 +200,28 @@
         let mut readable = request.clone();
         readable.loans.retain(|item| !self.is_blocked_by_unreadable_record(&item.job));
         if readable.loans.len() < request.loans.len() {
-            // Loans that are left out are not closed.
+            // With horizon 0, a loan does not count as closed because it is left out.
             readable.horizon = LoanNumber::default();
         }
         Some(readable)
     }
 
-    /// Keeps what was left of a job that turned out to have a record, and holds the job: what is done of it is
-    /// not known here.
+    /// Cancels the queued removals of a job's rows after a record of the job was found. If there were any,
+    /// the job is marked as blocked by an unreadable record, since this leader does not know which of its
+    /// tasks are done.
     pub fn cancel_removals_of_job(&mut self, id: &str) {
         let removals = self.cleanup.rows.len();
         self.cleanup.rows.retain(|key, _| key.split('/').all(|part| part != id));
         if self.cleanup.rows.len() < removals {
-            self.mark_unreadable(UnreadableRecord::OfJob(id), &job_key(id), &"the job was taken for ended");
+            self.mark_unreadable(
+                UnreadableRecord::OfJob(id),
+                &job_key(id),
+                &"the job was assumed to have ended",
+            );
         }
     }
 
-    /// Whether the job of a task has ended, or there is none.
+    /// Whether the job of a task has ended or does not exist. A job whose record is unreadable may be live.
     pub(super) fn has_job_ended(&self, task: &TaskKey) -> bool {
         match self.jobs.get(&task.job) {
             Some(job) => job.ended,
