--- a/src/fleet/wait_reasons.rs
+++ b/src/fleet/wait_reasons.rs
@@ -1,4 +1,5 @@
-//! Why waiting tasks do not start, by job and by team: for the status and the log. Nothing is decided here.
+//! The reasons for which waiting tasks do not start, by job and by team, for the status and the log.
+//! Scheduling decisions do not depend on them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +12,7 @@
 use crate::sched::Resources;
 use crate::time::{Steady, Wall};
 
-/// Why tasks of a job wait.
+/// The reason for which tasks of a job wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WaitReason {
@@ -21,62 +22,64 @@
     Backoff,
     /// Tasks of the gang's latest attempt, or starts of its next one, are outstanding.
     GangAttempt,
-    /// They may be running on machines that have not acknowledged this leader's fencing token.
+    /// The tasks may be running on machines that have not acknowledged this leader's fencing token.
     UnacknowledgedMachines,
-    /// The latest plan starts them, with the next heartbeats of their machines.
+    /// The latest plan starts the tasks, with the next heartbeats of their machines.
     Starting,
-    /// A machine has free capacity, and the plan keeps it for others.
+    /// A machine has free capacity, but the plan reserves it for other jobs.
     ReservedCapacity,
     /// No usable machine that the job may use has free capacity.
     NoCapacity,
     /// The team's quota is used up or reserved for a gang of the team.
     Quota,
-    /// The job came after the latest plan.
+    /// The job was added after the latest plan.
     NextPlan,
 }
 
-/// How many tasks of a job wait for each reason.
+/// The number of a job's waiting tasks for each reason.
 pub type WaitReasons = BTreeMap<WaitReason, u32>;
 
-/// What counts against a team's quota.
+/// A team's quota and the resources that count against it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct QuotaView {
-    /// The team.
+    /// The name of the team.
     pub team: String,
     /// The quota in processors; 0 for none.
     pub cpus_max: f64,
     /// The quota in GPUs; 0 for none.
     pub gpus_max: f64,
-    /// Processors counted against it in all.
+    /// All processors that count against the quota.
     pub cpus: f64,
-    /// GPUs counted against it in all.
+    /// All GPUs that count against the quota.
     pub gpus: f64,
-    /// Processors of its tasks on machines that have sent no heartbeat of late, or are being scaled in.
+    /// Processors of the team's tasks on machines that have sent no recent heartbeat or are being scaled in.
     pub silent_cpus: f64,
-    /// Processors of machines whose tasks are not known, which are counted against each team.
+    /// Processors of tasks of unknown jobs and of machines whose tasks are not known. They count against
+    /// every team.
     pub unknown_cpus: f64,
 }
 
-/// What a usable machine has free beside what the latest plan starts on it.
+/// A usable machine with the capacity that is free beside the tasks that the latest plan starts on it.
 struct FreeMachine<'a> {
     machine: &'a Machine,
     type_index: usize,
     free: Resources,
 }
 
-/// What the latest plan and the machines say of waiting tasks.
+/// The facts from the latest plan and from the machines that the wait reasons are derived from.
 struct PlanView<'a> {
-    /// Tasks that the plan starts, by job.
+    /// The number of tasks that the plan starts, by job.
     starting: BTreeMap<&'a JobId, u32>,
-    /// The jobs that it was made for.
+    /// The jobs that the plan was made for.
     planned: BTreeSet<&'a JobId>,
-    /// Tasks that found no capacity, by job.
+    /// The number of tasks for which the plan found no capacity, by job.
     unmet: BTreeMap<&'a JobId, u32>,
     /// The machines with free capacity.
     free_machines: Vec<FreeMachine<'a>>,
 }
 
-/// Waiting tasks of a team for one reason, for the log.
+/// Waiting tasks of a team for one reason, summed up for the log. `longest_s` is the longest time, in
+/// seconds, since one of their jobs was accepted.
 #[derive(Default)]
 struct WaitingTasks {
     jobs: u32,
@@ -85,14 +88,14 @@
 }
 
 impl Fleet {
-    /// For each live job with waiting tasks, why they wait.
+    /// The wait reasons of each live job that has waiting tasks.
     pub fn wait_reasons(&self, now: Steady) -> BTreeMap<JobId, WaitReasons> {
         let plan = self.plan_view(now);
         let waiting = self.jobs.values().filter(|job| !job.ended && !job.waiting.is_empty());
         waiting.map(|job| (job.id.clone(), self.wait_reasons_of(job, &plan, now))).collect()
     }
 
-    /// What counts against the quotas of the teams that have one.
+    /// The quotas and their use, for all teams that have a quota.
     pub fn quota_views(&self, now: Steady) -> Vec<QuotaView> {
         let teams = &self.config.platform.settings.teams;
         if !teams.iter().any(has_quota) {
@@ -113,7 +116,7 @@
         limited.map(view).collect()
     }
 
-    /// Logs how many tasks of each team wait and for what, and what counts against the quotas.
+    /// Logs how many tasks of each team wait for each reason, and the use of the quotas.
     pub(super) fn log_wait_reasons(&self, now: Steady, wall: Wall) {
         let mut by_team: BTreeMap<(&str, WaitReason), WaitingTasks> = BTreeMap::new();
         for (id, reasons) in self.wait_reasons(now) {
@@ -136,7 +139,7 @@
         }
     }
 
-    /// What the latest plan and the machines say of waiting tasks.
+    /// Collects the facts that the wait reasons are derived from.
     fn plan_view(&self, now: Steady) -> PlanView<'_> {
         let mut starting: BTreeMap<&JobId, u32> = BTreeMap::new();
         for assigned in self.assigned_starts.values().flatten() {
@@ -153,7 +156,7 @@
         }
     }
 
-    /// A machine with its free capacity; `None` if it has none, or that is not known.
+    /// A machine with its free capacity; `None` if it has no free processors or its use is not known.
     fn free_machine<'a>(&self, machine: &'a Machine) -> Option<FreeMachine<'a>> {
         let type_index = machine.type_index?;
         let free = self
@@ -161,11 +164,12 @@
             .fold(machine.free(self.type_capacity(type_index)), |free, (need, count)| {
                 free.minus(&need, count)
             });
-        let has_room = free.cpus > 0.0 && !machine.has_unknown_use();
-        has_room.then_some(FreeMachine { machine, type_index, free })
+        let has_capacity = free.cpus > 0.0 && !machine.has_unknown_use();
+        has_capacity.then_some(FreeMachine { machine, type_index, free })
     }
 
-    /// What the latest plan starts on a machine: resources of a task, and the number of such tasks.
+    /// The resources of the tasks that the latest plan starts on a machine: those of one task, and the number
+    /// of such tasks.
     fn planned_needs<'a>(&'a self, machine: &Machine) -> impl Iterator<Item = (Resources, u32)> + 'a {
         let assigned = self.assigned_starts.get(&machine.id).into_iter().flatten();
         let assigned = assigned.map(|starts| (&starts.job, starts.count));
@@ -174,7 +178,7 @@
         planned.filter_map(|(id, count)| Some((task_resources(&self.jobs.get(id)?.spec), count)))
     }
 
-    /// Why the waiting tasks of a job do.
+    /// The wait reasons of a job with waiting tasks.
     fn wait_reasons_of(&self, job: &Job, plan: &PlanView<'_>, now: Steady) -> WaitReasons {
         let waiting = job.waiting.len();
         if let Some(reason) = self.reason_of_whole_job(job, now) {
@@ -183,8 +187,11 @@
         let startable = self.startable_tasks(job, now).min(waiting);
         let starting = plan.starting.get(&job.id).copied().unwrap_or(0).min(startable);
         let unmet = plan.unmet.get(&job.id).copied().unwrap_or(0).min(startable - starting);
-        let without_capacity =
-            if self.has_room_for(job, plan) { WaitReason::ReservedCapacity } else { WaitReason::NoCapacity };
+        let without_capacity = if self.has_capacity_for(job, plan) {
+            WaitReason::ReservedCapacity
+        } else {
+            WaitReason::NoCapacity
+        };
         let beyond_quota =
             if plan.planned.contains(&job.id) { WaitReason::Quota } else { WaitReason::NextPlan };
         let counts = [
@@ -196,7 +203,8 @@
         counts.into_iter().filter(|(_, tasks)| *tasks > 0).collect()
     }
 
-    /// Why no task of a job may start, if that is so whatever the plan says.
+    /// The reason for which no task of a job may start, independently of the plan; `None` if there is no such
+    /// reason.
     fn reason_of_whole_job(&self, job: &Job, now: Steady) -> Option<WaitReason> {
         if self.is_blocked_by_unreadable_record(&job.id) {
             return Some(WaitReason::UnreadableRecord);
@@ -207,8 +215,8 @@
         job.is_placed_gang().then_some(WaitReason::GangAttempt)
     }
 
-    /// Whether a usable machine has room for a task of the job, whoever it is kept for.
-    fn has_room_for(&self, job: &Job, plan: &PlanView<'_>) -> bool {
+    /// Whether a usable machine has free capacity for a task of the job, reserved for other jobs or not.
+    fn has_capacity_for(&self, job: &Job, plan: &PlanView<'_>) -> bool {
         let need = task_resources(&job.spec);
         let types = self.allowed_types(&job.spec);
         plan.free_machines.iter().any(|free| {
@@ -218,7 +226,7 @@
         })
     }
 
-    /// By team: what its tasks take on machines that are silent or being scaled in.
+    /// The resources of each team's tasks on machines that are silent or being scaled in, by team index.
     fn silent_use_by_team(&self, now: Steady) -> Vec<Resources> {
         let mut by_team = vec![Resources::default(); self.config.platform.settings.teams.len()];
         let mut ignored = Resources::default();
