--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,4 +1,4 @@
-//! The leader's view of a job.
+//! The state of a job in the leader's model.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,15 +22,16 @@
 pub struct GangAttempt {
     /// The attempt number, shared by all its tasks.
     pub attempt: u64,
-    /// The machine of each task, whether its start has been sent or not.
+    /// The machine of each task, by task number, whether or not its start has been sent.
     pub places: BTreeMap<u32, MachineId>,
-    /// Tasks whose start has been sent.
+    /// Tasks of this attempt whose start has been sent.
     pub started: TaskRanges,
-    /// When the places were chosen.
+    /// When the machines were chosen.
     pub placed_at: Steady,
-    /// When the first start was sent.
+    /// When the first start of the attempt was sent.
     pub first_start_at: Option<Steady>,
-    /// Seconds of grace with which it is being stopped; `None` if it is not.
+    /// The grace period in seconds with which the attempt is being stopped; `None` if it is not being
+    /// stopped.
     pub stop_grace_s: Option<f64>,
 }
 
@@ -42,12 +43,12 @@
     }
 }
 
-/// Run times that were observed from start to end.
+/// The sum and the number of run times that were observed from start to end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunTimes {
-    /// Their sum.
+    /// The sum of the run times.
     pub total: Micros,
-    /// How many they are.
+    /// The number of run times.
     pub count: u32,
 }
 
@@ -59,91 +60,92 @@
     }
 }
 
-/// Failures further apart than this do not count as consecutive: twice the longest time between two
+/// Failures further apart than this do not count as consecutive. It is twice the longest time between two
 /// attempts.
-const FAILURES_APART: Micros = Micros::from_millis(120_000);
+const MAX_FAILURE_GAP: Micros = Micros::from_millis(120_000);
 
-/// Seconds until the next attempt after each of the first `QUICK_RETRIES` failures.
+/// Seconds until the next attempt after each of the first `QUICK_RETRIES` consecutive failures.
 const QUICK_RETRY_S: f64 = 0.5;
 
-/// Failures in a row that are retried at once.
+/// The number of consecutive failures that are retried after the short delay `QUICK_RETRY_S`.
 const QUICK_RETRIES: u32 = 2;
 
-/// Longest time between two attempts, in seconds.
+/// The longest time between two attempts, in seconds.
 const MAX_RETRY_S: f64 = 60.0;
 
-/// Exponent of two beyond which the time between two attempts grows no more.
+/// The largest exponent of two that the time between two attempts is computed from.
 const MAX_BACK_OFF_EXPONENT: u32 = 7;
 
-/// Failures in a row are counted up to this number.
+/// The number up to which consecutive failures are counted.
 const MAX_COUNTED_FAILURES: u32 = 1000;
 
-/// A start mark is written at least this many tasks ahead of the starts that need it.
+/// The minimum number of tasks that a start mark is written ahead of the starts that need it.
 const MIN_MARK_AHEAD: u32 = 16;
 
-/// The leader's view of a live job.
+/// The state of a live job, or of an ended one some of whose tasks may still be running.
 #[derive(Debug)]
 pub struct Job {
-    /// The id.
+    /// The job's id.
     pub id: JobId,
-    /// The description.
+    /// The job's description, as its user submitted it.
     pub spec: JobSpec,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub submitted: Wall,
-    /// When this leader first knew of it.
+    /// When this leader first read a record of the job.
     pub known_since: Steady,
-    /// Version of its record.
+    /// The state-store revision of the job's record.
     pub mod_revision: u64,
-    /// High-water mark of started task numbers, as written: tasks below it may be started.
+    /// The high-water mark of started task numbers, as stored. Tasks with lower numbers may be started.
     pub start_mark: u32,
-    /// The start mark to be written next.
+    /// The start mark that is to be stored next.
     pub wanted_start_mark: u32,
-    /// The start mark as this leader found it: tasks below it may be running on any machine until all
-    /// machines have acknowledged this leader's fencing token.
+    /// The start mark that this leader loaded. Tasks with lower numbers may be running on any machine until
+    /// all machines have acknowledged this leader's fencing token.
     pub inherited_start_mark: u32,
-    /// Tasks that are not done and run nowhere.
+    /// Tasks that are not done, not withheld, and may be running on no machine.
     pub waiting: TaskRanges,
     /// Tasks that are done.
     pub done: TaskRanges,
-    /// Done tasks whose ranges are written.
+    /// Done tasks that the stored done ranges contain.
     pub done_written: TaskRanges,
-    /// Versions of the records of done ranges, by chunk number.
+    /// The state-store revisions of the records of done ranges, by chunk number.
     pub done_chunks: BTreeMap<u32, u64>,
-    /// The stored copies of the done ranges and the start mark, kept once tasks of the job are to be lent.
+    /// The stored copies of the done ranges and the start mark. They are kept from the moment at which tasks
+    /// of the job are first to be lent.
     pub copy: ProgressCopy,
-    /// When done ranges were last written.
+    /// When a chunk of the done ranges was last written.
     pub done_written_at: Steady,
     /// The machines on which each task is running, or may be.
     pub placements: BTreeMap<u32, Vec<MachineId>>,
     /// The gang's current attempt.
     pub gang: Option<GangAttempt>,
-    /// It has ended, cancelled by its user or complete; what is left of it is being stopped.
+    /// Whether the job has ended, cancelled by its user or complete. Its remaining tasks are being stopped.
     pub ended: bool,
-    /// Failures in a row, across machines.
+    /// The number of consecutive failures, on all machines together.
     pub consecutive_failures: u32,
-    /// When it last failed.
+    /// When the latest counted failure occurred.
     pub failed_at: Steady,
-    /// Machines on which it failed with no success since.
+    /// Machines on which the job has failed since its latest success.
     pub failed_on: BTreeSet<MachineId>,
-    /// After failures, not started before this.
+    /// The end of the retry delay after a failure. No task of the job is started before it.
     pub not_before: Steady,
-    /// Machines that a replica of a service has left by itself, and when.
+    /// Machines on which a replica of a service exited by itself, and when it did.
     pub vacated: BTreeMap<MachineId, Steady>,
-    /// Run times of its tasks, for the history.
+    /// Run times of the job's tasks, for the run-time history.
     pub run_times: RunTimes,
-    /// When its first start was sent by this leader.
+    /// When this leader sent the first start of a task of the job.
     pub first_start_at: Option<Steady>,
-    /// Tasks that must not start in this cell: those lent to others, or, of a borrowed job, all that
-    /// are not held here.
+    /// Tasks that must not start in this cell: those lent to other cells or, of a borrowed job, all that this
+    /// cell has not borrowed.
     pub withheld: TaskRanges,
-    /// The cell that accepted the job, if another one did.
+    /// The name of the lender if the job is borrowed; `None` if this cell accepted the job.
     pub borrowed_from: Option<String>,
     /// Tasks of a borrowed job whose start has been sent.
     pub started: TaskRanges,
 }
 
 impl Job {
-    /// A job from its record.
+    /// Creates the state of a job from its record.
     pub fn new(record: JobRecord, mod_revision: u64, now: Steady) -> Job {
         Job {
             id: record.spec.id.as_str().into(),
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Key of the job's record.
+    /// The key of the job's record in the state store.
     pub fn record_key(&self) -> String {
         match self.borrowed_from {
             Some(_) => borrowed_key(&self.id),
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Key of a chunk of the job's done ranges.
+    /// The key of a chunk of the job's done ranges in the state store.
     pub fn done_chunk_key(&self, chunk: u32) -> String {
         match self.borrowed_from {
             Some(_) => borrowed_done_key(&self.id, chunk),
@@ -192,17 +194,19 @@
         }
     }
 
-    /// Whether tasks of the job are lent, or were, or it is borrowed.
+    /// Whether the job is borrowed, or progress copies are kept because tasks of it are lent, were lent or
+    /// are to be lent.
     pub(crate) fn has_loans(&self) -> bool {
         self.borrowed_from.is_some() || self.copy.is_kept
     }
 
-    /// Whether it is a gang with an attempt: one whose starts are due, or of which tasks may be running.
+    /// Whether the job is a gang with an outstanding attempt: its starts are due, or tasks of it may be
+    /// running.
     pub(crate) fn is_placed_gang(&self) -> bool {
         self.spec.is_gang() && (self.gang.is_some() || !self.placements.is_empty())
     }
 
-    /// Adds done tasks.
+    /// Marks tasks as done: they no longer wait for a start.
     pub(crate) fn add_done(&mut self, tasks: impl Iterator<Item = u32>) {
         for task in tasks {
             self.done.insert(task);
@@ -210,12 +214,13 @@
         }
     }
 
-    /// Whether a task is recorded as done, so that no leader of any version starts it again.
+    /// Whether a task is stored as done, so that no leader of any version starts it again. If copies are
+    /// kept, the copy has to be stored as well.
     pub fn is_recorded(&self, task: u32) -> bool {
         self.done_written.contains(task) && (!self.copy.is_kept || self.copy.done.contains(task))
     }
 
-    /// The tasks that are recorded as done.
+    /// The tasks that are stored as done, in the copies as well if they are kept.
     pub fn recorded_done(&self) -> TaskSet {
         let written = self.done_written.task_set();
         if self.copy.is_kept {
@@ -225,36 +230,38 @@
         }
     }
 
-    /// Whether some tasks that are done have to be recorded.
+    /// Whether some done tasks have yet to be stored as done.
     pub(crate) fn has_unrecorded(&self) -> bool {
         let done = self.done.len();
         done > self.done_written.len() || self.copy.is_kept && done > self.copy.done.len()
     }
 
-    /// Whether done tasks from `start` up to but not including `end` have to be recorded.
+    /// Whether some done tasks from `start` up to but not including `end` have yet to be stored as done.
     pub(crate) fn has_unrecorded_within(&self, start: u32, end: u32) -> bool {
         let done = self.done.within(start, end);
         done != self.done_written.within(start, end)
             || self.copy.is_kept && done != self.copy.done.within(start, end)
     }
 
-    /// Whether all that is written as done is copied as well.
+    /// Whether the copies contain all tasks of the stored done ranges.
     pub(crate) fn is_copy_complete(&self) -> bool {
         self.done_written.task_set().is_subset(&self.copy.done.task_set())
     }
 
-    /// Whether a leader of a version without copies would take recorded progress of the job away.
+    /// Whether recorded progress of the job would be lost if a leader of a version without copies removed the
+    /// done ranges and the start mark: the copies are incomplete.
     pub(crate) fn lacks_copies(&self) -> bool {
         let has_copied_mark = self.copy.start_mark >= self.start_mark;
         self.borrowed_from.is_none() && !(self.is_copy_complete() && has_copied_mark)
     }
 
-    /// Whether all that is copied is written as done as well.
+    /// Whether the stored done ranges contain all tasks of the copies.
     pub(crate) fn has_written_all_copies(&self) -> bool {
         self.copy.done.task_set().is_subset(&self.done_written.task_set())
     }
 
-    /// The start mark below which tasks may be started: one that is stored wherever it has to be.
+    /// The start mark below which tasks may be started: the lower of the stored mark and its copy, if copies
+    /// are kept.
     pub(crate) fn stored_start_mark(&self) -> u32 {
         if self.copy.is_kept {
             self.start_mark.min(self.copy.start_mark)
@@ -263,7 +270,8 @@
         }
     }
 
-    /// Withholds these tasks from being started here, and no others.
+    /// Replaces the set of tasks that must not start in this cell. Tasks that are no longer withheld wait
+    /// again, unless they are done or may be running.
     pub fn withhold(&mut self, tasks: TaskRanges) {
         let before = std::mem::replace(&mut self.withheld, tasks);
         for task in before.iter().filter(|task| !self.withheld.contains(*task)) {
@@ -276,7 +284,8 @@
         }
     }
 
-    /// A task is on a machine no longer: it waits again if it is nowhere else and not done.
+    /// Removes a machine from a task's placements. The task waits again if it may be running on no other
+    /// machine and is neither done nor withheld.
     pub(crate) fn remove_placement(&mut self, number: u32, machine: &MachineId) {
         if let Some(machines) = self.placements.get_mut(&number) {
             machines.retain(|other| other != machine);
@@ -290,24 +299,24 @@
         }
     }
 
-    /// Whether all tasks are done.
+    /// Whether all tasks of the job are done.
     pub fn is_complete(&self) -> bool {
         self.done.len() == self.spec.tasks
     }
 
-    /// A task succeeded: the failures before it are no longer in a row.
+    /// Records the success of a task, which resets the count of consecutive failures.
     pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.failed_on.clear();
     }
 
-    /// Counts a failure: the job is retried with exponential backoff, so that one which always fails does
-    /// not hold capacity. While it waits, further failures on the same machine are of starts that were sent
-    /// before and are not counted: a faulty machine fails many tasks at once, and would delay
-    /// the job by a minute.
+    /// Counts a failure. The job is retried with exponential backoff, so that a job that always fails does
+    /// not occupy capacity. During the retry delay, further failures on the same machine are not counted:
+    /// their starts were sent before the delay began. A faulty machine fails many tasks at once, and counting
+    /// them all would delay the job by a minute.
     pub fn record_failure(&mut self, machine: &MachineId, now: Steady) {
-        if now - self.failed_at > FAILURES_APART {
-            // Replicas of a service may fail hours apart, with no success that would end the row.
+        if now - self.failed_at > MAX_FAILURE_GAP {
+            // Replicas of a service may fail hours apart, without a success that resets the count.
             self.record_success();
         }
         let is_other_machine = self.failed_on.insert(machine.clone());
@@ -319,7 +328,7 @@
         self.not_before = now + Micros::from_secs(self.retry_delay_s());
     }
 
-    /// Seconds from the latest failure to the next attempt.
+    /// Seconds from the latest counted failure to the next attempt.
     fn retry_delay_s(&self) -> f64 {
         if self.consecutive_failures <= QUICK_RETRIES {
             return QUICK_RETRY_S;
@@ -328,8 +337,8 @@
         f64::from(1u32 << exponent).min(MAX_RETRY_S)
     }
 
-    /// Asks for a start mark that covers task `last`, and a little more, so that starts do not wait for
-    /// the write each time. `count` is how many tasks are about to start.
+    /// Requests a start mark above task `last`, and further ahead, so that later starts do not each wait for
+    /// a write. `count` is the number of tasks that are about to start.
     pub fn request_start_mark(&mut self, last: u32, count: u32) {
         if last < self.start_mark {
             return;
@@ -338,16 +347,17 @@
         self.wanted_start_mark = self.wanted_start_mark.max(mark);
     }
 
-    /// The lowest number from which on no earlier leader can have started a task. Tasks that are placed
-    /// with regard to each other count as one: `None` if one of them may have been started.
+    /// The lowest task number from which on no earlier leader can have started a task. `None` if tasks of the
+    /// job are placed with regard to each other and an earlier leader may have started one of them: then none
+    /// counts as never started.
     pub(crate) fn first_never_started(&self) -> Option<u32> {
         let are_placed_together = self.spec.one_zone || self.spec.spread || self.spec.is_gang();
         let is_excluded = are_placed_together && self.inherited_start_mark > 0;
         (!is_excluded).then_some(self.inherited_start_mark)
     }
 
-    /// Counts the start of a task that is sent now; returns its attempt number: the gang's, or else
-    /// `attempt`.
+    /// Records that the start of a task is sent now. Returns its attempt number: that of the gang's attempt
+    /// for a gang, `attempt` for other jobs.
     pub(crate) fn record_start(&mut self, number: u32, attempt: u64, now: Steady) -> u64 {
         if self.borrowed_from.is_some() {
             self.started.insert(number);
@@ -361,7 +371,7 @@
         gang.attempt
     }
 
-    /// Learns from a written start mark that tasks below it may have been started.
+    /// Raises the start marks to a stored mark: tasks below it may have been started.
     pub fn raise_start_mark(&mut self, mark: u32) {
         self.start_mark = self.start_mark.max(mark);
         self.wanted_start_mark = self.wanted_start_mark.max(mark);
@@ -369,7 +379,8 @@
     }
 }
 
-/// Splits a task's name on the wire, `JOB/NUMBER`, into the job's id and the task number.
+/// Splits a task's name on the wire, `JOB/NUMBER`, into the job's id and the task number. `None` if the name
+/// has another form.
 pub fn split_task(task: &str) -> Option<(&str, u32)> {
     let (job, number) = task.rsplit_once('/')?;
     Some((job, number.parse().ok()?))
