--- a/tests/common/lending_scenario.rs
+++ b/tests/common/lending_scenario.rs
@@ -1,4 +1,4 @@
-//! A cell with two machines that lends tasks to another cell and borrows from it.
+//! A scenario with a cell of two machines that lends tasks to another cell and borrows tasks from it.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::fleet_scenario::Scenario;
 use super::{config, heartbeat};
 
-/// Settings under which a cell lends to another one and borrows from it.
+/// Settings of a cell named `here` that lends tasks to a cell named `there` and borrows tasks from it.
 pub fn lending_config() -> Arc<Config> {
     let hcl =
         "cells {\n name = \"here\"\n others = [{ name = \"there\", controllers = [\"127.0.0.1:1\"] }]\n \
@@ -20,46 +20,46 @@
     Arc::new(Config { platform: config().platform.clone(), operator })
 }
 
-/// Two machines of a cell that lends and borrows.
+/// A scenario with two machines and the settings of [`lending_config`].
 pub fn lending_scenario() -> Scenario {
     Scenario::with_config(lending_config(), 2, false)
 }
 
-/// A guest with capacity for so many processors.
+/// The summary of a borrower that accepts tasks for `spare_cpus` processors.
 pub fn borrower_summary(spare_cpus: f64) -> CellSummary {
     CellSummary { format: SUMMARY_FORMAT, spare_cpus, ..CellSummary::default() }
 }
 
-/// The time of day.
+/// The scenario's wall-clock time.
 pub fn wall(s: &Scenario) -> Wall {
     Wall(s.now.0)
 }
 
-/// Has the fleet lend the last tasks of its only job.
+/// Begins to lend the last `count` tasks of the fleet's only job.
 pub fn lend(s: &mut Scenario, count: u32) -> LoanWrite {
     let candidate =
-        s.fleet.lending_candidate(&borrower_summary(1000.0), wall(s)).expect("a job to lend from");
+        s.fleet.lending_candidate(&borrower_summary(1000.0), wall(s)).expect("a lending candidate");
     s.fleet.begin_loan(&candidate, count, "there").expect("a loan")
 }
 
-/// A set of tasks from its text form.
+/// Parses a set of tasks, such as `10-19`.
 pub fn tasks(text: &str) -> TaskSet {
     TaskSet::parse(text).expect("tasks")
 }
 
-/// Runs until nothing more starts; the numbers of all tasks that are on machines.
+/// Runs the scenario until no more tasks start. All started tasks complete. Returns their numbers.
 pub fn run_to_rest(s: &mut Scenario) -> TaskSet {
     let mut all = TaskSet::new();
     for _ in 0..30 {
         s.step(&[]);
         for id in s.machines.clone() {
-            let there = s.tasks(&id);
-            let numbers = there.iter().filter_map(|t| t.0.rsplit_once('/')?.1.parse::<u32>().ok());
+            let started = s.tasks(&id);
+            let numbers = started.iter().filter_map(|t| t.0.rsplit_once('/')?.1.parse::<u32>().ok());
             numbers.for_each(|n| {
                 all.insert(n);
             });
-            // They are done at once, and gone after that.
-            let done: Vec<_> = there
+            // The next heartbeat lists the tasks as done, and the one after it lists none.
+            let done: Vec<_> = started
                 .iter()
                 .map(|t| (t.0.as_str(), t.1, TaskStage::Exited, Some(ExitReason::Done)))
                 .collect();
