--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -1,5 +1,6 @@
-//! More than four thousand machines: scaled out, enrolled, filled with work, failed over, and returned,
-//! against a model of the cloud, the workers and the state store, without a clock.
+//! A cluster of more than four thousand machines: they are scaled out, send heartbeats, run tasks, are taken
+//! over by a new leader, and are scaled in. The cloud, the workers, the state store and the time are
+//! simulated.
 
 mod common;
 
@@ -23,22 +24,22 @@
 use milletlock::wire::{ExitReason, JobSpec, TaskStage, WorkerCommand};
 use serde_json::json;
 
-/// More than the service has to carry.
+/// The number of machines in the test, which is more than the scheduler has to support.
 const MACHINES: usize = 4_200;
-/// Most machines in one request for some, by the cloud's rules.
+/// The maximum number of machines in one request, as the cloud allows it.
 const MACHINES_PER_REQUEST: usize = 50;
 /// Tasks of one processor that fit on a small machine.
 const TASKS_PER_MACHINE: usize = 4;
-/// Workers send heartbeats this far apart in these settings.
+/// The interval at which workers send heartbeats, in the settings of the tests.
 const HEARTBEAT_INTERVAL: Micros = Micros(3_000_000);
-/// Resident memory for each machine with its tasks, the models of worker and state store included; 35 KiB
-/// when this was written.
+/// The limit on resident memory for each machine with its tasks, including the simulated worker and state
+/// store. 35 KiB were measured when the test was written.
 const MAX_KB_PER_MACHINE: usize = 48;
 
-/// A task's name and attempt with what its worker says of it.
+/// The tasks of a worker, by name and attempt, with their stages.
 type Tasks = BTreeMap<(String, u64), TaskStage>;
 
-/// The cluster around the leader.
+/// The simulated cluster: the leader, its state store and its workers.
 struct Cluster {
     cfg: Arc<Config>,
     store: Store,
@@ -46,7 +47,7 @@
     leader: SimulatedController,
     workers: BTreeMap<String, Tasks>,
     sequence: u64,
-    /// Tasks that were ever started; none may be twice.
+    /// All tasks that were ever started. No task may be started twice.
     started: BTreeSet<String>,
 }
 
@@ -73,7 +74,8 @@
         self.leader.read_changes(&self.store, self.now);
     }
 
-    /// Scales out as the leader asks, fifty at a time, up to what the cloud has.
+    /// Scales out by the machines that the leader requests, at most fifty in a request, up to `MACHINES` in
+    /// total.
     fn scale_out(&mut self) {
         for ScaleOutItem { offer, count } in self.leader.fleet.decide_scaling(self.now, wall_at(self.now)) {
             let mut left = (count as usize).min(MACHINES - self.workers.len());
@@ -88,7 +90,8 @@
         }
     }
 
-    /// Lets a heartbeat's interval pass: plans, writes, and replies to the heartbeat of every worker.
+    /// Lets a heartbeat interval pass: the leader plans, writes its records, and replies to the heartbeat of
+    /// every worker.
     fn step(&mut self) {
         self.now = self.now + HEARTBEAT_INTERVAL;
         self.leader.fleet.tick(self.now, wall_at(self.now));
@@ -98,10 +101,10 @@
         self.write();
     }
 
-    /// Writes all that is pending, in as many transactions as that takes.
+    /// Writes all pending records, in as many transactions as are needed.
     fn write(&mut self) {
         loop {
-            // Nobody reads the changes up to here again.
+            // The changes up to this point are not read again.
             self.store.log.clear();
             let batches = self.leader.batches(Micros::ZERO, 1_000, self.now);
             if batches.is_empty() {
@@ -128,19 +131,19 @@
         else {
             panic!("the heartbeat of {name} is refused");
         };
-        for order in reply.commands {
-            self.execute(name, order);
+        for command in reply.commands {
+            self.execute(name, command);
         }
     }
 
-    fn execute(&mut self, name: &str, order: WorkerCommand) {
-        let tasks = self.workers.get_mut(name).expect("a worker");
-        match order {
+    fn execute(&mut self, name: &str, command: WorkerCommand) {
+        let tasks = self.workers.get_mut(name).expect("the worker exists");
+        match command {
             WorkerCommand::Start { task, attempt } => {
-                assert!(self.started.insert(task.clone()), "{task} starts twice");
+                assert!(self.started.insert(task.clone()), "{task} is started twice");
                 tasks.insert((task, attempt), TaskStage::Running);
                 let running = tasks.values().filter(|stage| **stage == TaskStage::Running).count();
-                assert!(running <= TASKS_PER_MACHINE, "{name} has no capacity for that");
+                assert!(running <= TASKS_PER_MACHINE, "{name} has no capacity for {running} tasks");
             }
             WorkerCommand::Halt { task, .. } => panic!("{task} is stopped"),
             WorkerCommand::Forget { task, attempt } => {
@@ -153,33 +156,33 @@
         self.workers.values().flatten().filter(|task| *task.1 == TaskStage::Running).count()
     }
 
-    /// All running tasks complete.
+    /// Completes all running tasks.
     fn complete_all(&mut self) {
         self.workers.values_mut().flat_map(|tasks| tasks.values_mut()).for_each(|s| *s = TaskStage::Exited);
     }
 
-    /// A new leader is elected, under the next fencing token.
+    /// Replaces the leader by a new one with the next fencing token.
     fn fail_over(&mut self) {
         self.leader = SimulatedController::claim(&mut self.store, &self.cfg, self.now);
     }
 
-    /// Returns what the leader gives back, a hundred at a time; how many.
-    fn return_machines(&mut self) -> usize {
+    /// Scales in the machines that the leader selects, a hundred at a time. Returns their number.
+    fn scale_in(&mut self) -> usize {
         self.leader.fleet.decide_scaling(self.now, wall_at(self.now));
-        let leaving = self.leader.fleet.machines_to_scale_in();
-        for part in leaving.chunks(100) {
+        let selected = self.leader.fleet.machines_to_scale_in();
+        for part in selected.chunks(100) {
             self.leader.fleet.machines_scaled_in(part, self.now);
             for name in part {
                 assert!(self.workers.remove(name).is_some_and(|tasks| tasks.is_empty()), "{name} was in use");
             }
         }
-        leaving.len()
+        selected.len()
     }
 }
 
 /// Resident memory of this process in KiB.
 fn resident_kb() -> usize {
-    let status = std::fs::read_to_string("/proc/self/status").expect("this system tells");
+    let status = std::fs::read_to_string("/proc/self/status").expect("the status of this process");
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("resident memory");
     line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number")
 }
@@ -192,15 +195,16 @@
     cluster.submit(wide(1));
     cluster.submit(wide(2));
     cluster.scale_out();
-    assert_eq!(cluster.workers.len(), MACHINES, "all that the cloud has, in one round");
+    assert_eq!(cluster.workers.len(), MACHINES, "one decision scales out to all machines of the cloud");
     (0..4).for_each(|_| cluster.step());
     assert_eq!(cluster.running(), MACHINES * TASKS_PER_MACHINE);
     let values = cluster.store.rows("machines/").len();
     assert!(values * 15 < MACHINES, "{values} values hold the machines' records");
     let kb = resident_kb().saturating_sub(before) / MACHINES;
-    assert!(kb <= MAX_KB_PER_MACHINE, "{kb} KiB for a machine");
+    assert!(kb <= MAX_KB_PER_MACHINE, "{kb} KiB for each machine");
 
-    // Another becomes leader: it hears all, and starts nothing that runs.
+    // A new leader is elected. All machines acknowledge its fencing token, and it starts no running task
+    // again.
     cluster.fail_over();
     assert_eq!(cluster.leader.fleet.unacknowledged_machines(), MACHINES);
     cluster.step();
@@ -208,7 +212,7 @@
     cluster.step();
     assert_eq!(cluster.running(), MACHINES * TASKS_PER_MACHINE);
 
-    // What is left starts as the first tasks end, and all of it ends.
+    // The remaining tasks start as the first ones end, and all tasks end.
     for _ in 0..4 {
         cluster.complete_all();
         (0..3).for_each(|_| cluster.step());
@@ -216,20 +220,20 @@
     assert_eq!((cluster.started.len(), cluster.running()), (20_000, 0));
     assert!(cluster.store.rows("job/").is_empty() && cluster.store.rows("done/").is_empty());
 
-    // With nothing left to do all machines go back.
-    let mut returned = 0;
+    // With no work left, all machines are scaled in.
+    let mut scaled_in = 0;
     for _ in 0..40 {
         cluster.step();
-        returned += cluster.return_machines();
+        scaled_in += cluster.scale_in();
     }
-    assert_eq!((returned, cluster.workers.len()), (MACHINES, 0));
+    assert_eq!((scaled_in, cluster.workers.len()), (MACHINES, 0));
     cluster.write();
     let left: BTreeSet<JobId> = cluster.leader.fleet.jobs.keys().cloned().collect();
     assert!(left.is_empty() && cluster.leader.fleet.machines.is_empty());
 }
 
 #[test]
-fn the_clouds_list_is_read_to_its_end_page_by_page() {
+fn the_clouds_list_of_machines_is_read_page_by_page_to_its_end() {
     let address = serve(|request| {
         let from = parameter(&request, "from").trim_start_matches("i-").parse::<usize>().unwrap_or(0);
         let most: usize = parameter(&request, "most").parse().expect("a number");
@@ -246,9 +250,10 @@
     assert_eq!((list.len(), names.len()), (MACHINES, MACHINES));
 }
 
-/// Attempt numbers have 24 bits below the fencing token; after that many they would have come again.
+/// Attempt numbers have 24 bits below the fencing token. Guards against attempt numbers that repeat once a
+/// leader has used them all.
 #[test]
-fn a_leader_that_has_used_up_its_attempt_numbers_starts_nothing_more() {
+fn a_leader_that_has_used_up_its_attempt_numbers_starts_no_more_tasks() {
     let mut cluster = Cluster::new();
     cluster.submit(spec(1, 4, "batch"));
     cluster.scale_out();
@@ -261,15 +266,17 @@
     (0..3).for_each(|_| cluster.step());
     assert!(cluster.workers.len() > 1);
     assert_eq!(cluster.running(), 4);
-    // Its successor has as many again.
+    // The next leader has the full number of attempt numbers again.
     cluster.fail_over();
     assert!(!cluster.leader.fleet.attempts_exhausted());
     (0..3).for_each(|_| cluster.step());
     assert!(cluster.running() > 4);
 }
 
-/// Every twelve seconds, whatever the rates: what a spot machine had done since was lost with it, and ran
-/// again. Guards against that, and against many jobs taking the changes that starts wait for.
+/// Done ranges were once written every twelve seconds, whatever the allowed rate of changes. The results of a
+/// spot machine since the last write were lost with the machine, and its tasks ran again. Guards against such
+/// long intervals, and against done ranges of many jobs that take the changes which the writes before starts
+/// need.
 #[test]
 fn done_ranges_are_written_as_often_as_the_rate_of_changes_allows() {
     let interval = |jobs: usize, write_rps: f64| done_write_interval(jobs, write_rps).secs();
