--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -1,5 +1,6 @@
-//! The bounds of what this version writes of jobs with loans: the size of their records, the versions beside which
-//! records are held, and writes that the state store would refuse again and again.
+//! Limits on the writes for jobs with loans: the size of held job records, the versions of the other
+//! controllers with which loans are made and held records are written, and the avoidance of writes that the
+//! state store would refuse in every round.
 
 mod common;
 
@@ -14,10 +15,11 @@
 use serde_json::{json, Value};
 
 fn job_value(world: &World) -> Value {
-    world.store().row(&format!("job/{JOB}")).expect("the job").value
+    world.store().row(&format!("job/{JOB}")).expect("the job has a record").value
 }
 
-/// A job with an open loan, as 0.3.2 left it, whose record in the held form takes all of a value.
+/// Stores a job with an open loan in the form of version 0.3.2. In the held form, its record fills a value
+/// completely.
 fn lent_by_0_3_2_with_a_long_description(world: &World, machine: &mut Machine) {
     let mut leader = world.leader();
     leader.begin_and_lend(machine);
@@ -32,26 +34,28 @@
     world.store().lend_as_0_3_2(JOB);
 }
 
-/// Guards against a rewritten record that a value cannot hold any more once tasks are given back.
+/// Guards against a record that is rewritten in the held form and outgrows its value when tasks are returned,
+/// which splits the sets of lent tasks.
 #[test]
-fn a_rewritten_record_leaves_room_for_loans_that_are_split() {
+fn a_record_is_rewritten_in_the_held_form_only_if_it_fits_its_value_with_split_loans() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     lent_by_0_3_2_with_a_long_description(&world, &mut machine);
     let mut leader = world.leader_beside("0.3.3");
     leader.lend();
-    let held = world.borrower().tasks();
-    world.borrower().gives_back = held.iter().filter(|task| task % 2 == 0).collect();
+    let lent = world.borrower().tasks();
+    world.borrower().gives_back = lent.iter().filter(|task| task % 2 == 0).collect();
     (0..SETTLED).for_each(|_| leader.lend());
     let value = job_value(&world);
     let record: JobRecord = serde_json::from_value(value.clone()).expect("a record");
-    assert!(record.lending.tasks().len() < held.len(), "tasks are given back");
+    assert!(record.lending.tasks().len() < lent.len(), "no tasks were returned");
     let bytes = value.to_string().len();
     assert!(bytes <= VALUE_BYTES, "{bytes} bytes of {VALUE_BYTES}");
 }
 
-/// Guards against writes of loans that are refused in each round for what stands under the final record's key.
+/// Guards against loan writes that the state store refuses in every round because of the value under the key
+/// of the job's final record.
 #[test]
-fn no_loans_are_written_of_a_job_that_cannot_be_ended() {
+fn no_loan_writes_are_made_for_a_job_that_cannot_be_ended() {
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 100, "batch"));
     let write = lend(&mut scenario, 60);
@@ -61,12 +65,13 @@
     hidden.lent_form = LentForm::Hidden;
     scenario.fleet.apply_job_record(hidden, 21, scenario.now);
     note_refused_finals(&mut scenario.fleet, &[format!("final/{JOB}")]);
-    assert!(scenario.fleet.begin_held_form_rewrites(8).is_empty(), "its record is rewritten");
-    assert!(scenario.fleet.settle_loan(JOB, Lending::default()).is_none(), "its loan is settled");
+    assert!(scenario.fleet.begin_held_form_rewrites(8).is_empty(), "the job's record is rewritten");
+    assert!(scenario.fleet.settle_loan(JOB, Lending::default()).is_none(), "the job's loan is settled");
 }
 
-/// A controller that led beside one of this version, and leads again after another leader.
-fn leads_again<'a>(world: &'a World, machine: &mut Machine) -> Leader<'a> {
+/// A controller that was the leader beside a controller of version 0.3.3, and that is elected again after
+/// another leader.
+fn leader_elected_again<'a>(world: &'a World, machine: &mut Machine) -> Leader<'a> {
     let mut leader = world.leader_beside("0.3.3");
     leader.submit();
     leader.steps(machine, SETTLED);
@@ -76,23 +81,27 @@
     leader
 }
 
-/// Guards against loans beside a controller that was replaced by an older one while another controller led.
+/// Guards against loans beside a controller that was replaced by one of an older version during another
+/// leader's term.
 #[test]
-fn versions_of_an_earlier_term_allow_no_loan() {
+fn versions_reported_in_an_earlier_term_allow_no_loan() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
-    let mut leader = leads_again(&world, &mut machine);
+    let mut leader = leader_elected_again(&world, &mut machine);
     for _ in 0..SETTLED {
         leader.lend();
         leader.step(&mut machine);
     }
-    assert!(world.borrower().tasks().is_empty(), "no controller has reported its version in this term");
+    assert!(
+        world.borrower().tasks().is_empty(),
+        "a loan is made before the controllers have reported their versions"
+    );
     leader.controller.announce_once();
     leader.lend_some(&mut machine);
 }
 
-/// Guards against lending that stops with a failover until the leader that died is back.
+/// Guards against lending that stops at a failover until the failed leader is available again.
 #[test]
-fn the_version_of_the_leader_that_died_allows_loans() {
+fn the_version_that_the_failed_leader_reported_allows_loans() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     world.leader().submit();
     let mut leader = world.follower();
