--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -1,5 +1,5 @@
-//! What loans mean for a leader's fleet: lent tasks never start at the lender, a borrower starts what it holds
-//! and nothing else, and both are rebuilt from the records.
+//! Loans in a leader's fleet: lent tasks never start at the lender, a borrower starts only the tasks that it
+//! has borrowed, and a new leader rebuilds both sides from the records.
 
 mod common;
 
@@ -19,7 +19,7 @@
 };
 use serde_json::json;
 
-/// What the cell would lend to one with so many spare processors.
+/// The tasks that the cell would lend to a borrower with `spare_cpus` spare processors.
 fn lending_candidate(scenario: &Scenario, spare_cpus: f64) -> Option<LendingCandidate> {
     scenario.fleet.lending_candidate(&borrower_summary(spare_cpus), wall(scenario))
 }
@@ -28,32 +28,33 @@
     Change::put(key.to_string(), value)
 }
 
-/// Writes these rows whatever the store holds.
+/// Writes these rows without a condition.
 fn write_rows(store: &mut Store, then: Vec<Change>) {
     store.txn(&Txn { guards: Vec::new(), then }).expect("written");
 }
 
 #[test]
-fn lent_tasks_do_not_start_at_the_lender_from_before_the_write_on() {
+fn lent_tasks_do_not_start_at_the_lender_while_the_outcome_of_the_write_is_unknown() {
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 100, "batch"));
     let write = lend(&mut scenario, 60);
-    // The write has no reply yet, and never gets one here.
+    // The write gets no reply.
     scenario.fleet.queue_unresolved_loan_write(write.clone());
     assert_eq!(run_to_rest(&mut scenario), tasks("0-39"));
-    // It was not applied, and no copy of it can be any more: all may start again.
+    // The write was not applied, and no copy of it can be applied later. All tasks may start in this cell
+    // again.
     scenario.fleet.discard_loan_write(&write);
     assert_eq!(run_to_rest(&mut scenario), tasks("40-99"));
 }
 
-/// Lent tasks are kept out of what waits as well; a start is refused all the same.
+/// Lent tasks are normally not in the set of waiting tasks. Their start is refused even if they are.
 #[test]
-fn a_start_of_a_lent_task_is_refused_whatever_waits() {
+fn a_start_of_a_lent_task_is_refused_even_if_the_task_waits() {
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 8, "batch"));
     let write = lend(&mut scenario, 4);
     scenario.fleet.apply_loan_write(&write, 20, scenario.now, wall(&scenario));
-    let job = scenario.fleet.jobs.get_mut("wk-000001").expect("the job");
+    let job = scenario.fleet.jobs.get_mut("wk-000001").expect("the job is in the fleet");
     (0..8).for_each(|task| {
         job.waiting.insert(task);
     });
@@ -61,14 +62,14 @@
 }
 
 #[test]
-fn only_tasks_that_never_began_are_lent_and_only_of_arrays_without_rules() {
+fn only_never_started_tasks_of_arrays_without_placement_rules_are_lent() {
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 100, "batch"));
     (0..4).for_each(|_| scenario.step(&[]));
-    let begun = scenario.fleet.jobs["wk-000001"].wanted_start_mark;
-    assert!(begun > 0);
+    let start_mark = scenario.fleet.jobs["wk-000001"].wanted_start_mark;
+    assert!(start_mark > 0);
     let candidate = lending_candidate(&scenario, 1000.0).expect("a candidate");
-    assert_eq!(candidate.tasks, TaskSet::span(begun, 100), "what the mark covers may have been started");
+    assert_eq!(candidate.tasks, TaskSet::span(start_mark, 100), "tasks below the mark may have been started");
     for (name, value) in [("spread", json!(true)), ("oneZone", json!(true)), ("field", json!("north"))] {
         let mut scenario = lending_scenario();
         let mut job = json!(spec(1, 100, "batch"));
@@ -83,13 +84,13 @@
     }
 }
 
-/// An offer of tasks of a job with a hundred.
-fn offer(number: u64, job_number: u32, held: &str) -> LoanItem {
+/// A loan with an offer of tasks of a job that has a hundred tasks.
+fn offer(number: u64, job_number: u32, offered: &str) -> LoanItem {
     let description = json!(spec(job_number, 100, "batch"));
     LoanItem {
         number: LoanNumber(number),
         job: spec(job_number, 100, "batch").id,
-        tasks: tasks(held),
+        tasks: tasks(offered),
         action: LoanAction::Run,
         offer: Some(LoanOffer { description, job_tasks: 100 }),
     }
@@ -99,7 +100,8 @@
     LoanSyncRequest { from: "there".into(), to: "here".into(), term: 1, horizon: LoanNumber(0), loans }
 }
 
-/// Carries out what a message asks for, each change durable at once.
+/// Carries out the changes that a lender's message leads to. Each change is written at once. Returns the
+/// changes.
 fn handle(
     fleet: &mut Fleet,
     request: &LoanSyncRequest,
@@ -109,7 +111,7 @@
     let mut changes = Vec::new();
     while let Some(change) = fleet.loans.borrower_ledger.next_change(request, &fleet.local_tasks()) {
         changes.push(change.clone());
-        assert!(changes.len() < 100, "it changes without end");
+        assert!(changes.len() < 100, "the message leads to changes without end");
         let write = fleet.begin_borrower_change(change);
         match store.txn(&leadership::loan_txn(&write, store.mod_revision(SHARD_KEY))) {
             Ok(revision) => fleet.apply_loan_write(&write, revision, now, Wall(now.0)),
@@ -124,24 +126,27 @@
 }
 
 #[test]
-fn a_borrower_runs_what_it_holds_and_nothing_else() {
+fn a_borrower_runs_the_borrowed_tasks_and_no_others() {
     let (mut scenario, mut store) = (lending_scenario(), Store::default());
-    let held = request(vec![offer(5, 1, "10-19")]);
-    handle(&mut scenario.fleet, &held, &mut store, scenario.now);
+    let run = request(vec![offer(5, 1, "10-19")]);
+    handle(&mut scenario.fleet, &run, &mut store, scenario.now);
     assert_eq!(run_to_rest(&mut scenario), tasks("10-19"));
     assert_eq!(scenario.fleet.recorded_done("wk-000001"), tasks("10-19"));
     let pending = scenario.fleet.pending_writes(scenario.now, Micros::ZERO, 1000);
-    assert!(!pending.iter().any(|write| matches!(write, PendingWrite::Final(_))), "the end is the lender's");
-    // Nothing can be recalled any more, since all has begun.
+    assert!(
+        !pending.iter().any(|write| matches!(write, PendingWrite::Final(_))),
+        "the borrower writes the final record"
+    );
+    // No task can be recalled, since all have been started.
     let recall = LoanSyncRequest {
         loans: vec![LoanItem { action: LoanAction::Recall, ..offer(5, 1, "10-19") }],
-        ..held
+        ..run
     };
     assert!(handle(&mut scenario.fleet, &recall, &mut store, scenario.now).is_empty());
 }
 
 #[test]
-fn withdrawn_tasks_do_not_start_at_the_borrower() {
+fn recalled_tasks_that_were_withdrawn_do_not_start_at_the_borrower() {
     let (mut scenario, mut store) = (lending_scenario(), Store::default());
     handle(&mut scenario.fleet, &request(vec![offer(5, 1, "0-19")]), &mut store, scenario.now);
     scenario.step(&[]);
@@ -153,9 +158,10 @@
     assert!(run_to_rest(&mut scenario).is_disjoint(withdrawn));
 }
 
-/// It waits again, but may have saved progress or left files behind: it stays where it began.
+/// A stopped task waits again, but it may have saved a checkpoint or left files in the borrower's cell. It
+/// therefore stays with the borrower.
 #[test]
-fn a_task_that_was_stopped_is_not_withdrawn() {
+fn a_stopped_task_is_not_withdrawn_from_the_borrower() {
     let (mut scenario, mut store) = (lending_scenario(), Store::default());
     handle(&mut scenario.fleet, &request(vec![offer(5, 1, "0-19")]), &mut store, scenario.now);
     scenario.step(&[]);
@@ -167,8 +173,8 @@
         .map(|(task, attempt)| (task.as_str(), *attempt, TaskStage::Exited, Some(ExitReason::Stopped)))
         .collect();
     scenario.sequence += 1;
-    // Nothing of the job is started again for now.
-    scenario.fleet.jobs.get_mut("wk-000001").expect("the job").not_before = Steady(i64::MAX);
+    // No task of the job is started again during the test.
+    scenario.fleet.jobs.get_mut("wk-000001").expect("the job is in the fleet").not_before = Steady(i64::MAX);
     let message = Heartbeat { spot: false, ..common::heartbeat(&machine, scenario.sequence, 7, &stopped) };
     scenario.fleet.check_in(&message, scenario.now, wall(&scenario));
     let numbers: TaskSet =
@@ -179,7 +185,7 @@
 }
 
 #[test]
-fn a_cancelled_loan_is_halted_and_its_tasks_are_gone() {
+fn the_running_tasks_of_a_cancelled_loan_are_halted() {
     let (mut scenario, mut store) = (lending_scenario(), Store::default());
     handle(&mut scenario.fleet, &request(vec![offer(5, 1, "0-19")]), &mut store, scenario.now);
     (0..3).for_each(|_| scenario.step(&[]));
@@ -196,7 +202,7 @@
 }
 
 #[test]
-fn a_borrower_refuses_what_it_cannot_or_will_not_run() {
+fn a_borrower_refuses_tasks_that_it_cannot_or_may_not_run() {
     let scenario = lending_scenario();
     let admit =
         |item: &LoanItem| scenario.fleet.local_tasks().admit(item, item.offer.as_ref().expect("an offer"));
@@ -217,9 +223,10 @@
     assert!(matches!(admit(&with("cpus", json!("many"))), Err(BorrowRefusal::MalformedDescription(_))));
 }
 
-/// A record that outgrew its value could neither be settled nor closed any more.
+/// Guards against a record that outgrows its state-store value: its loans could then be neither settled nor
+/// closed.
 #[test]
-fn records_of_loans_fit_their_values_however_the_sets_fall_apart() {
+fn records_with_loans_fit_their_values_however_the_sets_of_tasks_are_split() {
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 100_000, "batch"));
     let mut record = None;
@@ -231,29 +238,30 @@
         let LoanWrite::Lender { record: written, .. } = write else { panic!("a loan of this cell") };
         record = Some(*written);
     }
-    assert!(lending_candidate(&scenario, 1e9).is_none(), "no more fits");
+    assert!(lending_candidate(&scenario, 1e9).is_none(), "more tasks are lent than fit the record");
     let mut record = record.expect("some loans");
     for loan in &mut record.lending.loans {
         loan.tasks = loan.tasks.iter().filter(|task| task % 2 == 0).collect();
     }
     let bytes = json!(record).to_string().len();
     assert!(bytes <= 4096, "{bytes} bytes");
-    assert!(record.lending.tasks().len() > 200, "and many are lent");
+    assert!(record.lending.tasks().len() > 200, "only a few tasks are lent");
 }
 
-/// Two jobs of one id could not be told apart on a worker.
+/// A worker could not distinguish the tasks of two jobs with the same id.
 #[test]
-fn a_job_that_was_accepted_here_is_not_borrowed() {
+fn a_job_with_the_id_of_a_job_accepted_in_this_cell_is_not_borrowed() {
     let (mut scenario, mut store) = (lending_scenario(), Store::default());
     write_rows(&mut store, vec![put("job/wk-000001", json!(record(spec(1, 5, "batch"))))]);
-    // The leader has not heard of it yet: the transaction fails, and the next try refuses.
+    // The leader does not know the accepted job yet. The first transaction fails, and the next attempt
+    // refuses the loan.
     let changes = handle(&mut scenario.fleet, &request(vec![offer(5, 1, "0-9")]), &mut store, scenario.now);
     assert_eq!(changes.last().and_then(|change| change.refusal.clone()), Some(BorrowRefusal::JobIdInUse));
     assert!(store.row("borrowed/job/wk-000001").is_none());
 }
 
 #[test]
-fn a_failover_finds_both_sides_of_loans_in_the_records() {
+fn a_new_leader_loads_lent_and_borrowed_tasks_from_the_records() {
     let (mut scenario, mut store) = (lending_scenario(), Store::default());
     handle(&mut scenario.fleet, &request(vec![offer(5, 1, "10-19")]), &mut store, scenario.now);
     write_rows(&mut store, vec![put("job/wk-000002", lent_record())]);
@@ -264,11 +272,11 @@
     assert_eq!(fleet.loans.borrower_ledger.high_water("there"), LoanNumber(5));
     let late =
         fleet.loans.borrower_ledger.next_change(&request(vec![offer(4, 3, "0-9")]), &fleet.local_tasks());
-    assert_eq!(late, None, "a late copy of an offer that was decided on creates nothing");
+    assert_eq!(late, None, "a late copy of a decided offer leads to a change");
 }
 
 #[test]
-fn a_job_being_cancelled_starts_nothing_and_ends_once_no_loan_is_open() {
+fn a_job_being_cancelled_starts_no_task_and_ends_once_no_loan_is_open() {
     let mut scenario = lending_scenario();
     scenario.submit(spec(1, 100, "batch"));
     let write = lend(&mut scenario, 60);
@@ -278,20 +286,20 @@
     cancelling.lending.cancelling = true;
     scenario.fleet.apply_job_record(cancelling.clone(), 21, scenario.now);
     assert!(run_to_rest(&mut scenario).is_empty());
-    let over = scenario
+    let settlement = scenario
         .fleet
         .settle_loan("wk-000001", Lending { loans: Vec::new(), cancelling: true })
         .expect("a write");
-    let txn = leadership::loan_txn(&over, 1);
+    let txn = leadership::loan_txn(&settlement, 1);
     let keys: Vec<String> = txn.then.iter().map(|change| format!("{change:?}")).collect();
     assert!(keys.iter().any(|change| change.contains("final/wk-000001")), "{keys:?}");
-    scenario.fleet.apply_loan_write(&over, 22, scenario.now, wall(&scenario));
+    scenario.fleet.apply_loan_write(&settlement, 22, scenario.now, wall(&scenario));
     assert!(scenario.fleet.loans.lender_ledger.jobs().next().is_none());
 }
 
-/// An earlier leader that does not know yet that it was replaced must not lend, borrow or withdraw.
+/// An earlier leader that does not yet know of its successor must not lend, borrow or withdraw tasks.
 #[test]
-fn a_write_of_a_leader_that_was_replaced_is_refused() {
+fn a_loan_write_of_a_replaced_leader_is_refused() {
     let (mut scenario, mut store) = (lending_scenario(), Store::default());
     scenario.submit(spec(1, 100, "batch"));
     write_rows(&mut store, vec![put("job/wk-000001", json!(record(spec(1, 100, "batch"))))]);
@@ -302,7 +310,7 @@
     assert_eq!(store.txn(&txn), Err(vec![SHARD_KEY.to_string()]));
 }
 
-/// A job's record with a loan of its last tasks.
+/// The record of a job of 50 tasks with a loan of the last 20 of them.
 fn lent_record() -> serde_json::Value {
     let mut lent = record(spec(2, 50, "batch"));
     lent.lending.loans =
@@ -310,8 +318,8 @@
     json!(lent)
 }
 
-/// What a leader of the version in production leaves of a job that has loans, and of borrowed tasks, after it
-/// has written all that it has to write.
+/// The state store after a leader of the version in production has loaded these rows of lent and borrowed
+/// tasks, and has executed all its writes.
 fn after_production_led(rows: &[(&str, serde_json::Value)]) -> Store {
     let mut store = Store::default();
     write_rows(&mut store, rows.iter().map(|(key, value)| put(key, value.clone())).collect());
@@ -323,11 +331,11 @@
             Err(failed) => leader.refused(&failed),
         }
     }
-    panic!("it writes without end");
+    panic!("the leader writes without end");
 }
 
 #[test]
-fn production_leaves_loans_and_borrowed_tasks_as_they_are() {
+fn the_version_in_production_does_not_change_records_of_lent_and_borrowed_tasks() {
     let borrowed = json!({ "home": "there", "description": {}, "loans": [{ "number": 5, "tasks": "1-3" }] });
     let rows = [
         ("job/wk-000002", lent_record()),
@@ -341,10 +349,11 @@
     }
 }
 
-/// A leader that cannot read a job takes its done ranges for nobody's and removes them: what is done would
-/// run again once a version that knows loans leads.
+/// Guards against lost results of jobs with loans. A leader that cannot read the record of a job removes the
+/// job's done ranges as remains of an ended job, and done tasks would run again under a leader of a version
+/// with loans.
 #[test]
-fn production_leaves_the_done_ranges_of_a_job_with_loans() {
+fn the_version_in_production_does_not_remove_the_done_ranges_of_a_job_with_loans() {
     let store = after_production_led(&[("job/wk-000002", lent_record()), ("done/wk-000002/0", json!("0-9"))]);
     assert!(store.row("done/wk-000002/0").is_some());
 }
