--- a/tests/one_id_in_two_cells.rs
+++ b/tests/one_id_in_two_cells.rs
@@ -1,5 +1,5 @@
-//! A job of this cell that has the id of a borrowed one: a version before 0.3 accepts it, since it looks at no record
-//! of borrowed tasks.
+//! A job accepted in this cell with the same id as a borrowed job. A version before 0.3 accepts such a job,
+//! since it does not check the records of borrowed tasks.
 
 mod common;
 
@@ -16,7 +16,8 @@
 
 const LOAN: LoanNumber = LoanNumber(5);
 
-/// The records of a borrowed job and of one of its id that was accepted here, of which tasks are done.
+/// Writes the records of a borrowed job and of a job with the same id that this cell accepted and that has
+/// done tasks.
 fn write_records_of_both(world: &World) {
     let description = json!(spec(1, 40, "batch"));
     let loans = vec![HeldLoan { number: LOAN, tasks: tasks("0-9") }];
@@ -29,7 +30,7 @@
     world.store().txn(&Txn { guards: Vec::new(), then }).expect("written");
 }
 
-/// The lender's message about the loan.
+/// The lender's message that asks the borrower to run the loan.
 fn message() -> LoanSyncRequest {
     let (job, tasks) = (JOB.into(), tasks("0-9"));
     let item = LoanItem { number: LOAN, job, tasks, action: LoanAction::Run, offer: None };
@@ -37,9 +38,9 @@
     LoanSyncRequest { from, to, term: 1, horizon, loans: vec![item] }
 }
 
-/// Guards against a job that another cell calls done for tasks of a job of this one.
+/// Guards against done tasks of this cell's job that are reported to the lender as done tasks of its job.
 #[test]
-fn tasks_of_an_own_job_do_not_count_as_done_for_another_cell() {
+fn done_tasks_of_an_own_job_are_not_reported_to_the_lender_of_a_job_with_its_id() {
     let world = World::new();
     write_records_of_both(&world);
     let leader = world.leader();
@@ -51,9 +52,9 @@
     assert_eq!(reports, [LoanReport { number: LOAN, state }]);
 }
 
-/// Guards against results of borrowed tasks that are removed as those of an ended loan.
+/// Guards against results of borrowed tasks that are removed like those of an ended loan.
 #[test]
-fn the_results_of_a_loan_are_kept_beside_an_own_job_of_its_id() {
+fn results_of_borrowed_tasks_are_kept_beside_an_own_job_with_the_same_id() {
     let world = World::new();
     write_records_of_both(&world);
     let key = format!("borrowed/done/{JOB}/0");
