--- a/tests/starvation.rs
+++ b/tests/starvation.rs
@@ -1,5 +1,5 @@
-//! Nothing starves: the widest gang and the widest array begin within four minutes in a steady
-//! stream of small ones. The leader's `Fleet` against workers that run tasks for a fixed time.
+//! No job starves: the widest gang and the widest array start within four minutes in a steady stream of small
+//! jobs. The leader's `Fleet` is run against simulated workers whose tasks take a fixed time.
 
 mod common;
 
@@ -13,12 +13,13 @@
 use milletlock::time::{Micros, Steady, Wall};
 use milletlock::wire::{ExitReason, JobSpec, Priority, Shape, TaskStage, WorkerCommand};
 
-/// How far each step moves the time.
+/// The simulated time that passes in each step.
 const STEP: Micros = Micros(500_000);
-/// Workers send heartbeats this often.
+/// The interval at which workers send heartbeats.
 const HEARTBEAT_INTERVAL: Micros = Micros(3_000_000);
 
-/// A task on a worker.
+/// A task that was started on a worker. `ends` is the time at which it is done; a gang's task has none until
+/// all tasks of the gang are on workers.
 struct RunningTask {
     task: String,
     attempt: u64,
@@ -27,24 +28,24 @@
     ends: Option<Steady>,
 }
 
-/// A worker that runs what it is told to start.
+/// A worker that executes the leader's commands.
 struct Worker {
     sequence: u64,
     next_heartbeat: Steady,
     tasks: Vec<RunningTask>,
 }
 
-/// The leader's fleet and its workers, in steps of simulated time.
+/// The leader's fleet and its workers, which proceed in steps of simulated time.
 struct Simulation {
     fleet: Fleet,
     now: Steady,
     specs: BTreeMap<u32, (JobSpec, Micros)>,
     workers: Vec<Worker>,
-    /// By job: when it came and when the first of its tasks, or the whole gang, ran.
+    /// For each job: when it was submitted, and when its first task, or the whole gang, started to run.
     began: BTreeMap<u32, (Steady, Option<Steady>)>,
 }
 
-/// The number in a task's name.
+/// The number of the job in the name of a job or of one of its tasks.
 fn number(task: &str) -> u32 {
     task["wk-".len()..].split('/').next().and_then(|n| n.parse().ok()).expect("a job's number")
 }
@@ -54,7 +55,7 @@
         Simulation::with_config(config(), machines)
     }
 
-    /// The same with other settings.
+    /// A simulation with other settings.
     fn with_config(config: Arc<Config>, machines: usize) -> Simulation {
         let now = Steady(1_000_000_000);
         Simulation {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// A user submits a job whose tasks run for so many seconds.
+    /// Submits a job whose tasks run for `run_s` seconds.
     fn submit(&mut self, s: JobSpec, run_s: f64) {
         let n = number(&s.id);
         let mut r = record(s.clone());
@@ -82,21 +83,21 @@
         self.began.insert(n, (self.now, None));
     }
 
-    /// Time goes on by a step for all.
+    /// Lets one step of time pass for the leader and all workers.
     fn step(&mut self) {
         self.now = self.now + STEP;
         let (now, wall) = (self.now, Wall(self.now.0));
         self.fleet.tick(now, wall);
         acknowledge_writes(&mut self.fleet, 64, 1_000_000, now);
-        // A gang runs once all of its tasks are there.
-        let mut there: BTreeMap<(u32, u64), u32> = BTreeMap::new();
+        // The tasks of a gang run once all of them are on workers.
+        let mut started: BTreeMap<(u32, u64), u32> = BTreeMap::new();
         for r in self.workers.iter().flat_map(|w| &w.tasks) {
-            *there.entry((r.job, r.attempt)).or_default() += 1;
+            *started.entry((r.job, r.attempt)).or_default() += 1;
         }
         for r in self.workers.iter_mut().flat_map(|w| &mut w.tasks) {
             let (s, run) = &self.specs[&r.job];
             let gang = s.shape == Shape::Gang;
-            if r.ends.is_none() && (!gang || there[&(r.job, r.attempt)] == s.tasks) {
+            if r.ends.is_none() && (!gang || started[&(r.job, r.attempt)] == s.tasks) {
                 r.ends = Some(now + *run);
                 self.began.get_mut(&r.job).expect("a job").1.get_or_insert(now);
             }
@@ -110,7 +111,7 @@
         }
     }
 
-    /// A worker sends its heartbeat and executes the orders of the reply.
+    /// Sends a worker's heartbeat and executes the commands in the reply.
     fn exchange_heartbeat(&mut self, i: usize, now: Steady, wall: Wall) {
         let w = &mut self.workers[i];
         w.sequence += 1;
@@ -130,10 +131,10 @@
             heartbeat(&format!("i-{i:03}"), w.sequence, if w.sequence > 1 { 7 } else { 0 }, &tasks);
         message.machine_type = "large".into();
         let HeartbeatOutcome::Reply(reply) = self.fleet.check_in(&message, now, wall) else {
-            panic!("no reply")
+            panic!("the heartbeat is refused")
         };
-        for o in reply.commands {
-            match o {
+        for command in reply.commands {
+            match command {
                 WorkerCommand::Start { task, attempt } => {
                     let job = number(&task);
                     w.tasks.push(RunningTask { task, attempt, job, since: now, ends: None });
@@ -146,14 +147,14 @@
         assert!(w.tasks.iter().all(|r| r.since <= now));
     }
 
-    /// Seconds that a job waited until it began.
+    /// Seconds from a job's submission until it started to run; infinite if it has not started.
     fn waited(&self, n: u32) -> f64 {
-        let (came, began) = self.began[&n];
-        began.map_or(f64::INFINITY, |b| (b - came).secs())
+        let (submitted, began) = self.began[&n];
+        began.map_or(f64::INFINITY, |b| (b - submitted).secs())
     }
 }
 
-/// A gang of large tasks.
+/// A gang whose tasks need nearly a whole machine each.
 fn gang(n: u32, tasks: u32, class: &str) -> JobSpec {
     let mut s = spec(n, tasks, "gang");
     (s.priority, s.cpus, s.estimate_s) = (Priority::Urgent, 15.0, 60.0);
@@ -165,11 +166,11 @@
 fn the_widest_gang_starts_in_a_stream_of_single_tasks_and_lowest_priority_jobs() {
     let mut simulation = Simulation::new(20);
     for k in 0..720u32 {
-        // Single gangs that can still make their start take four fifths of the machines.
+        // Gangs of one task that can still meet their start objective take four fifths of the machines.
         if k % 8 == 0 {
             simulation.submit(gang(k + 1, 1, "quick"), 62.0);
         }
-        // Small tasks of the lowest priority want all the rest, and more.
+        // Small tasks of the lowest priority need more than all other capacity.
         if k % 20 == 1 {
             let mut s = spec(k + 1, 90, "batch");
             (s.priority, s.estimate_s) = (Priority::Idle, 30.0);
@@ -181,14 +182,14 @@
         simulation.step();
     }
     let waited = simulation.waited(900);
-    assert!(waited < 240.0, "the widest gang began after {waited} s");
+    assert!(waited < 240.0, "the widest gang started after {waited} s");
 }
 
 #[test]
 fn the_widest_array_starts_beside_a_higher_priority_that_takes_nearly_all_capacity() {
     let mut simulation = Simulation::new(10);
     for k in 0..600u32 {
-        // 160 processors in all: 24 tasks of 30 s every five seconds take nine tenths.
+        // Of 160 processors, 24 tasks of 30 s every five seconds take nine tenths.
         if k % 10 == 0 {
             let mut s = spec(k + 1, 24, "batch");
             (s.priority, s.estimate_s) = (Priority::Normal, 30.0);
@@ -202,36 +203,38 @@
         simulation.step();
     }
     let waited = simulation.waited(900);
-    assert!(waited < 240.0, "the widest array began after {waited} s");
+    assert!(waited < 240.0, "the widest array started after {waited} s");
     let served = simulation.began.values().filter(|b| b.1.is_some()).count();
-    assert!(served * 10 >= simulation.began.len() * 9, "{served} of {} jobs began", simulation.began.len());
+    assert!(served * 10 >= simulation.began.len() * 9, "{served} of {} jobs started", simulation.began.len());
 }
 
 #[test]
-fn beyond_capacity_jobs_that_can_meet_more_objectives_go_first_but_none_is_forgotten() {
-    // 20 machines take 20 gangs of one a minute; for two minutes there are twice as many.
+fn beyond_capacity_jobs_that_can_meet_more_objectives_go_first_but_no_job_starves() {
+    // 20 machines can run 20 gangs of one task a minute. For two minutes, twice as many are submitted.
     let mut simulation = Simulation::new(20);
-    let mut came = Vec::new();
+    let mut submitted = Vec::new();
     for k in 0..900u32 {
         let every = if (120..360).contains(&k) { 3 } else { 12 };
         if k % every == 0 {
             simulation.submit(gang(k + 1, 1, "quick"), 60.0);
-            came.push(k + 1);
+            submitted.push(k + 1);
         }
         simulation.step();
     }
-    // Once all is over each has begun, none later than four minutes after it came.
-    let waited: Vec<f64> = came.iter().filter(|n| **n < 700).map(|n| simulation.waited(*n)).collect();
+    // At the end every one of them has started, none later than four minutes after its submission.
+    let waited: Vec<f64> = submitted.iter().filter(|n| **n < 700).map(|n| simulation.waited(*n)).collect();
     let worst = waited.iter().copied().fold(0.0, f64::max);
-    assert!(worst < 240.0, "one began after {worst} s");
-    // In the order of coming nearly all of the rush would have waited longer than their aim of 20 s.
-    let rush = came.iter().filter(|n| (120..360).contains(*n));
-    let (all, in_time) = rush.fold((0, 0), |(a, t), n| (a + 1, t + u32::from(simulation.waited(*n) < 20.0)));
-    assert!(in_time * 3 > all, "{in_time} of {all} in time");
+    assert!(worst < 240.0, "a gang started after {worst} s");
+    // In the order of submission, nearly all gangs of the busy two minutes would have waited longer than
+    // their start objective of 20 s.
+    let busy = submitted.iter().filter(|n| (120..360).contains(*n));
+    let (all, in_time) = busy.fold((0, 0), |(a, t), n| (a + 1, t + u32::from(simulation.waited(*n) < 20.0)));
+    assert!(in_time * 3 > all, "{in_time} of {all} gangs met their start objective");
 }
 
-/// A gang whose stated run time alone exceeds its class's objective on the end yielded to all later ones that
-/// could still meet it, for five times that objective.
+/// Guards against a gang that waits for too long because its stated run time alone exceeds its class's
+/// objective on the end. It yielded to all later gangs that could still meet the objective, for five times
+/// the objective's limit.
 #[test]
 fn a_gang_that_cannot_end_in_time_starts_in_a_stream_of_gangs_that_can() {
     let with_end_objective = config_with(|settings| {
@@ -241,7 +244,7 @@
     });
     let mut simulation = Simulation::with_config(with_end_objective, 20);
     for k in 0..900u32 {
-        // A gang of a minute every 2.5 s: a fifth more than 20 machines take.
+        // A gang that runs for a minute every 2.5 s is a fifth more work than 20 machines can do.
         if k % 5 == 0 {
             simulation.submit(gang(k + 1, 1, "quick"), 60.0);
         }
@@ -253,5 +256,5 @@
         simulation.step();
     }
     let waited = simulation.waited(901);
-    assert!(waited < 240.0, "the longest gang began after {waited} s");
+    assert!(waited < 240.0, "the longest gang started after {waited} s");
 }
