--- a/tests/unreadable_records.rs
+++ b/tests/unreadable_records.rs
@@ -1,13 +1,10 @@
-//! Records that this version cannot read: those of a later version, or damaged ones.
+//! Records that this version cannot read: they are damaged, or a later version wrote them.
 //!
-//! What happens: a new leader logs `record unreadable` and leaves a job's record out that it cannot decode. The
-//! job is then not known, and what belongs to it counts as left over from a job that has ended: its done ranges
-//! and start mark are removed, workers are told to stop its tasks and to forget its results. A record that
-//! changes into such a form while a leader leads, and is read back after a conflict, ends the job as well. Users
-//! are told `queued` with nothing done. When the record can be read again, finished tasks run again.
-//!
-//! Why: that a record cannot be read was taken for there being none. Only a read of the store without the key
-//! shows that.
+//! The tests guard against a leader that treats an unreadable record as a missing one. Such a leader did not
+//! know the job. It removed the job's done ranges and start mark, and commanded the workers to stop the job's
+//! tasks and to forget their results. The same happened if a leader read a record back after a conflict and
+//! could not read it. Users got the status `queued` with no task done, and done tasks ran again once the
+//! record was readable. Only a read that does not find the key shows that a record is missing.
 
 mod common;
 
@@ -27,7 +24,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
 
-/// Steps until all is done.
+/// The maximum number of steps until the job is done.
 const TO_THE_END: usize = 200;
 
 fn put(store: &mut Store, key: &str, value: Value) {
@@ -35,15 +32,15 @@
 }
 
 fn value(world: &World, key: &str) -> Value {
-    world.store().row(key).unwrap_or_else(|| panic!("{key} is gone")).value
+    world.store().row(key).unwrap_or_else(|| panic!("{key} is missing")).value
 }
 
 fn job_key() -> String {
     format!("job/{JOB}")
 }
 
-/// Tasks are done and recorded, others run.
-fn begun(world: &World, machine: &mut Machine) {
+/// Runs the job until some of its tasks are done and recorded as done, and others are running.
+fn run_some_tasks(world: &World, machine: &mut Machine) {
     let mut leader = world.leader();
     leader.submit();
     leader.steps(machine, SETTLED);
@@ -52,7 +49,7 @@
     assert!(machine.taken.len() >= 4 && !machine.running().is_empty(), "{:?}", machine.taken);
 }
 
-/// Plays on until the job is done.
+/// Runs the job until it is done.
 fn run_to_the_end(leader: &mut Leader<'_>, machine: &mut Machine) {
     for _ in 0..TO_THE_END {
         machine.finish_all();
@@ -66,7 +63,7 @@
 
 fn assert_each_started_once(machine: &Machine) {
     let again: Vec<_> = machine.started.iter().filter(|(_, times)| **times > 1).collect();
-    assert!(again.is_empty(), "started again: {again:?}");
+    assert!(again.is_empty(), "started more than once: {again:?}");
     assert_eq!(machine.started.len(), TASKS as usize);
 }
 
@@ -74,31 +71,31 @@
     leader.status()["owner"]["unreadable"].clone()
 }
 
-/// Users get 503 for the job, never 404 and never a stage.
-fn assert_not_answered(leader: &Leader<'_>) {
+/// Checks that users get status 503 for requests about the job, neither 404 nor a stage.
+fn assert_unavailable(leader: &Leader<'_>) {
     let path = format!("/api/jobs/{JOB}");
     assert_eq!(leader.ask("GET", &path, &Value::Null).0, 503);
     assert_eq!(leader.ask("POST", &format!("{path}/withdraw"), &Value::Null).0, 503);
     assert_eq!(leader.ask("POST", "/api/jobs", &json!(spec(1, TASKS, "batch"))).0, 503);
 }
 
-/// A new leader finds the record unreadable; it is put right while that one leads.
+/// A new leader finds the job's record unreadable. The record is repaired while this leader is active.
 #[test]
-fn a_job_whose_record_cannot_be_read_loses_nothing() {
+fn a_job_with_an_unreadable_record_loses_no_progress_and_runs_no_task_twice() {
     for damaged in [json!({ "spec": 5 }), json!({ "spec_of_a_later_version": {} }), json!("x"), Value::Null] {
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
-        begun(&world, &mut machine);
+        run_some_tasks(&world, &mut machine);
         let good = value(&world, &job_key());
         put(&mut world.store(), &job_key(), damaged);
         let mut leader = world.leader();
         let (running, taken) = (machine.running(), machine.taken.clone());
         leader.steps(&mut machine, 3 * SETTLED);
-        assert_not_answered(&leader);
+        assert_unavailable(&leader);
         assert_eq!(unreadable(&leader)["keys"], json!([job_key()]));
-        assert_eq!(machine.running(), running, "its tasks run on");
+        assert_eq!(machine.running(), running, "the job's tasks keep running");
         machine.finish_all();
         leader.steps(&mut machine, 3 * SETTLED);
-        assert_eq!(machine.taken, taken, "results that cannot be recorded stay with the worker");
+        assert_eq!(machine.taken, taken, "the worker keeps results that cannot be recorded");
         assert!(world.recorded_done().is_superset(&taken));
         put(&mut world.store(), &job_key(), good);
         leader.steps(&mut machine, 2);
@@ -108,34 +105,35 @@
     }
 }
 
-/// The record changes while a leader leads: its next write of done ranges meets a conflict and reads it back.
+/// The record becomes unreadable while a leader is active. The leader's next write of done ranges meets a
+/// conflict, and the leader reads the record back.
 #[test]
 fn a_record_that_is_unreadable_when_read_back_does_not_end_the_job() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
-    begun(&world, &mut machine);
+    run_some_tasks(&world, &mut machine);
     let mut leader = world.leader();
     leader.steps(&mut machine, SETTLED);
     let good = value(&world, &job_key());
     put(&mut world.store(), &job_key(), json!({ "spec": 5 }));
     machine.finish_all();
     leader.steps(&mut machine, 3 * SETTLED);
-    assert_not_answered(&leader);
+    assert_unavailable(&leader);
     let started: usize = machine.started.values().sum();
     machine.finish_all();
     leader.steps(&mut machine, SETTLED);
-    assert_eq!(machine.started.values().sum::<usize>(), started, "nothing of it starts on a guess");
+    assert_eq!(machine.started.values().sum::<usize>(), started, "a task of the blocked job is started");
     put(&mut world.store(), &job_key(), good);
     run_to_the_end(&mut leader, &mut machine);
     assert_each_started_once(&machine);
 }
 
-/// Of a job with a row that cannot be read it is not known which tasks are done.
+/// With an unreadable chunk of done ranges, the leader does not know which tasks of the job are done.
 #[test]
-fn nothing_starts_of_a_job_with_an_unreadable_done_row() {
+fn no_task_starts_of_a_job_with_unreadable_done_ranges() {
     let rows = [json!(7), json!({ "ranges": "0-3" }), json!("0-400"), json!("three"), json!("3-1")];
     for damaged in rows {
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
-        begun(&world, &mut machine);
+        run_some_tasks(&world, &mut machine);
         machine.finish_all();
         let key = world.store().rows("done/")[0].key.clone();
         let good = value(&world, &key);
@@ -144,7 +142,7 @@
         let started: usize = machine.started.values().sum();
         leader.steps(&mut machine, 3 * SETTLED);
         assert_eq!(machine.started.values().sum::<usize>(), started, "{damaged}");
-        assert_eq!(value(&world, &key), damaged, "it stays as it is");
+        assert_eq!(value(&world, &key), damaged, "the unreadable record is changed");
         assert_eq!(unreadable(&leader)["keys"], json!([key]));
         put(&mut world.store(), &key, good);
         let mut leader = world.leader();
@@ -153,9 +151,9 @@
     }
 }
 
-/// Guards against copies of a lent job's progress that cannot be read and are taken for none, or for another job's.
+/// Guards against unreadable copies of a lent job's progress that count as missing, or as another job's.
 #[test]
-fn copies_that_cannot_be_read_hold_their_job() {
+fn unreadable_copies_block_their_job_and_remove_nothing() {
     let done = format!("lent/done/{JOB}/1");
     let mark = format!("lent/marks/{JOB}");
     let damaged =
@@ -164,7 +162,7 @@
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         let mut leader = world.leader();
         leader.begin_and_lend(&mut machine);
-        let held = world.borrower().tasks();
+        let lent = world.borrower().tasks();
         put(&mut world.store(), key, row.clone());
         put(&mut world.store(), "lent/done/wk-000009/1", json!("0-3"));
         let rows =
@@ -177,22 +175,22 @@
             leader.lend();
             leader.step(&mut machine);
         }
-        assert_eq!(machine.started.values().sum::<usize>(), started, "{key}: nothing starts");
-        assert_eq!(value(&world, key), row, "it stays as it is");
+        assert_eq!(machine.started.values().sum::<usize>(), started, "{key}: a task is started");
+        assert_eq!(value(&world, key), row, "the unreadable copy is changed");
         let after = (rows(&format!("lent/done/{JOB}")), rows("done/"));
         let is_kept = |kept: &[String], now: &[String]| kept.iter().all(|key| now.contains(key));
         assert!(is_kept(&before.0, &after.0) && is_kept(&before.1, &after.1), "{before:?} {after:?}");
-        assert!(held.is_subset(&world.borrower().tasks()), "the loan stays open");
+        assert!(lent.is_subset(&world.borrower().tasks()), "the loan is closed");
         assert_eq!(unreadable(&leader)["keys"], json!([key]));
         assert!(["queued", "running"].contains(&leader.stage().as_str()), "{}", leader.stage());
-        assert!(world.store().row("lent/done/wk-000009/1").is_none(), "copies of no job go");
+        assert!(world.store().row("lent/done/wk-000009/1").is_none(), "copies of an unknown job stay");
     }
 }
 
-/// Guards against an unreadable record beside open loans: leaders change, messages are lost, tasks are done and given
-/// back. Nothing of the unreadable job is lost, and nothing of the lent one runs twice.
+/// One job has an unreadable record, another has open loans. Leaders change, messages are lost, and lent
+/// tasks are done or returned. No record of the first job is lost, and no task of the second runs twice.
 #[test]
-fn an_unreadable_record_beside_open_loans_loses_and_repeats_nothing() {
+fn an_unreadable_record_beside_open_loans_loses_no_progress_and_runs_no_task_twice() {
     for seed in 0..8 {
         let mut random = StdRng::seed_from_u64(seed);
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
@@ -215,9 +213,9 @@
                 4 => world.refuses_copies.store(random.random_bool(0.3), Ordering::SeqCst),
                 _ => leader.steps(&mut machine, random.random_range(1..5)),
             }
-            let held = world.borrower().tasks();
-            let both: Vec<u32> = machine.running().into_iter().filter(|task| held.contains(*task)).collect();
-            assert!(both.is_empty(), "seed {seed}: in both cells: {both:?}");
+            let lent = world.borrower().tasks();
+            let both: Vec<u32> = machine.running().into_iter().filter(|task| lent.contains(*task)).collect();
+            assert!(both.is_empty(), "seed {seed}: tasks in both cells: {both:?}");
         }
         assert_eq!(leader.ask("GET", "/api/jobs/wk-000002", &Value::Null).0, 503, "seed {seed}");
         assert_eq!(value(&world, "done/wk-000002/0"), json!("0-3"), "seed {seed}");
@@ -232,42 +230,42 @@
         }
         assert_eq!(leader.stage(), "done", "seed {seed}");
         let again: Vec<_> = machine.started.iter().filter(|(_, times)| **times > 1).collect();
-        assert!(again.is_empty(), "seed {seed}: started again: {again:?}");
+        assert!(again.is_empty(), "seed {seed}: started more than once: {again:?}");
     }
 }
 
-/// Tasks that no known mark covers may run on a machine that cannot be asked.
+/// With an unreadable start mark, any task may be running on a machine that has sent no heartbeat yet.
 #[test]
-fn without_its_start_mark_a_job_waits_for_the_machines() {
+fn a_job_with_an_unreadable_start_mark_waits_for_all_machines() {
     for (key, damaged) in [("marks/0", json!([1])), ("marks/0", json!({ "wk-000001": "x" }))] {
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
-        begun(&world, &mut machine);
+        run_some_tasks(&world, &mut machine);
         let running = machine.running();
         put(&mut world.store(), key, damaged.clone());
         let (mut leader, mut other) = (world.leader(), Machine::new("i-000002"));
         leader.steps(&mut other, SETTLED);
         assert!(other.running().is_disjoint(&running), "{:?} of {running:?}", other.running());
         leader.steps(&mut machine, SETTLED);
-        assert_eq!(value(&world, key), damaged, "it stays as it is");
+        assert_eq!(value(&world, key), damaged, "the unreadable value is changed");
     }
 }
 
-/// A lender that cannot read the record of a lent job does not tell the borrower that its loan is closed.
+/// A lender that cannot read a job's record does not report the job's loans as closed to the borrower.
 #[test]
-fn a_loan_whose_record_cannot_be_read_stays_open() {
+fn a_loan_of_a_job_with_an_unreadable_record_stays_open() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
     leader.steps(&mut machine, SETTLED);
     leader.lend_some(&mut machine);
-    let held = world.borrower().tasks();
+    let lent = world.borrower().tasks();
     put(&mut world.store(), &job_key(), json!({ "spec_of_a_later_version": {} }));
     let mut leader = world.leader();
     for _ in 0..SETTLED {
         leader.lend();
         leader.step(&mut machine);
     }
-    assert_eq!(world.borrower().tasks(), held);
+    assert_eq!(world.borrower().tasks(), lent);
 }
 
 fn borrowed_rows(store: &mut Store, job: Value, lender: Value) {
@@ -276,9 +274,10 @@
     put(store, "borrowed/lender/there", lender);
 }
 
-/// A borrower that cannot read what it holds says nothing of it: "closed" would have the lender run it again.
+/// A borrower does not report a loan whose records it cannot read. If it reported the loan as closed, the
+/// lender would run the tasks again.
 #[test]
-fn a_borrower_does_not_report_what_it_cannot_read() {
+fn a_borrower_does_not_report_loans_with_unreadable_records() {
     let description = json!(spec(5, 10, "batch"));
     let held =
         json!({ "home": "there", "description": description, "loans": [{ "number": 5, "tasks": "1-3" }] });
@@ -315,48 +314,49 @@
     }
 }
 
-/// With a value of machine records unreadable, any machine may run what was begun, until its lease has ended.
+/// If a value of machine records is unreadable, started tasks may be running on machines that the leader does
+/// not know, until the leases of these machines have expired.
 #[test]
-fn what_was_begun_waits_while_machine_records_cannot_be_read() {
+fn started_tasks_wait_while_machine_records_are_unreadable() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
-    begun(&world, &mut machine);
+    run_some_tasks(&world, &mut machine);
     let running = machine.running();
     put(&mut world.store(), "machines/0", json!([1]));
     let (mut leader, mut other) = (world.leader(), Machine::new("i-000002"));
     leader.steps(&mut other, 3 * SETTLED);
     assert!(other.running().is_disjoint(&running), "{:?} of {running:?}", other.running());
-    assert_eq!(value(&world, "machines/0"), json!([1]), "it stays as it is");
+    assert_eq!(value(&world, "machines/0"), json!([1]), "the unreadable value is changed");
 }
 
-/// Guards against a wait for machines of an unreadable value that ends before their leases have, or never. No job
-/// waits for 90 s once all troubles are over.
+/// Guards against a wait for the machines of an unreadable value that ends before their leases have expired,
+/// or that never ends. No job may wait for 90 s once all faults are over.
 #[test]
-fn the_wait_for_machines_of_an_unreadable_value_ends() {
+fn the_wait_for_machines_with_unreadable_records_ends_after_their_leases_have_expired() {
     const LONGEST_WAIT: Micros = Micros::from_millis(90_000);
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
-    begun(&world, &mut machine);
+    run_some_tasks(&world, &mut machine);
     let running = machine.running();
     put(&mut world.store(), "machines/0", json!([1]));
     let (mut leader, mut other) = (world.leader(), Machine::new("i-000002"));
-    // An earlier leader that lost the state store just now may renew the lease of the machine for a while.
+    // An earlier leader that has just lost the state store may still renew the machine's lease for this time.
     let last_renewal = config().max_staleness();
     let mut waited = Micros::ZERO;
     while other.running().is_disjoint(&running) {
         other.finish_all();
         leader.step(&mut other);
         waited = waited + STEP;
-        assert!(waited < LONGEST_WAIT, "none of {running:?} starts in {} s", waited.secs());
+        assert!(waited < LONGEST_WAIT, "none of {running:?} is started within {} s", waited.secs());
     }
     let session = last_renewal + LEASE;
-    assert!(waited >= session, "after {} s of {} s a task is on two machines", waited.secs(), session.secs());
+    assert!(waited >= session, "started again after {} s, before {} s", waited.secs(), session.secs());
     run_to_the_end(&mut leader, &mut other);
-    assert_eq!(value(&world, "machines/0"), json!([1]), "it stays as it is");
+    assert_eq!(value(&world, "machines/0"), json!([1]), "the unreadable value is changed");
 }
 
-/// The `cells` block was taken out while loans are open: nothing that is lent starts, nothing is lost, and what
-/// was borrowed is run and recorded.
+/// The `cells` block was removed from the settings while loans are open. No lent task starts in this cell, no
+/// progress is lost, and the borrowed tasks are run and their results recorded.
 #[test]
-fn a_leader_without_the_cells_block_keeps_both_sides_of_loans() {
+fn a_leader_without_the_cells_block_keeps_lent_and_borrowed_tasks() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
@@ -372,12 +372,12 @@
         machine.finish_all();
         leader.step(&mut machine);
     }
-    assert!(machine.started.keys().all(|task| !lent.contains(*task)), "lent tasks start here");
+    assert!(machine.started.keys().all(|task| !lent.contains(*task)), "lent tasks are started in this cell");
     assert_eq!(value(&world, "borrowed/done/wk-000005/0"), json!("1-2"));
     let done = world.store().rows("borrowed/done/wk-000005/");
-    assert!(done.iter().any(|row| row.value == json!("1-3")), "the held task is run and recorded: {done:?}");
+    assert!(done.iter().any(|row| row.value == json!("1-3")), "the borrowed task is not done: {done:?}");
     let response = leader.ask("POST", "/api/jobs", &json!(spec(5, 10, "batch")));
-    assert_eq!(response.0, 503, "its id is in use: {response:?}");
+    assert_eq!(response.0, 503, "the id of the job is in use: {response:?}");
     let mut leader = world.leader();
     for _ in 0..TO_THE_END {
         let held = world.borrower().tasks();
@@ -389,9 +389,9 @@
     assert_eq!(leader.stage(), "done");
 }
 
-/// Removing what a job has left behind fails if the job's key is back.
+/// The removal of a row that seems to remain of an ended job fails if the job's record exists again.
 #[test]
-fn done_ranges_of_a_job_that_is_back_are_not_removed() {
+fn done_ranges_of_a_job_whose_record_exists_again_are_not_removed() {
     let mut store = Store::default();
     put(&mut store, SHARD_KEY, json!({ "label": "c-0" }));
     put(&mut store, "done/wk-000001/0", json!("0-3"));
@@ -414,5 +414,5 @@
     }
     assert!(store.row("done/wk-000001/0").is_some());
     let pending = fleet.pending_writes(now, Micros::ZERO, 1000);
-    assert!(pending.is_empty(), "it is not tried again and again: {pending:?}");
+    assert!(pending.is_empty(), "the removal is tried again: {pending:?}");
 }
