--- a/tests/wait_reasons.rs
+++ b/tests/wait_reasons.rs
@@ -1,4 +1,4 @@
-//! Why waiting tasks do not start, as the status shows it.
+//! The reasons in the status for which waiting tasks do not start.
 
 mod common;
 
@@ -12,14 +12,15 @@
 const TOKEN: u64 = 7;
 const SMALL_CPUS: f64 = 4.0;
 
-/// A leader with heartbeats of so many small machines, and these jobs; planned, and all writes done.
+/// The fleet of a leader with these jobs and with a heartbeat from each of `machines` small machines. A plan
+/// is made and all writes are done.
 fn planned_fleet(machines: u32, jobs: Vec<JobRecord>) -> Fleet {
     let mut fleet = Fleet::new(config(), types(), TOKEN, START);
     for (revision, job) in (1..).zip(jobs) {
         fleet.apply_job_record(job, revision, START);
     }
     for machine in 0..machines {
-        beat(&mut fleet, machine, 1, 0.5);
+        send_empty_heartbeat(&mut fleet, machine, 1, 0.5);
     }
     acknowledge_writes(&mut fleet, 1000, 1000, at(0.6));
     fleet.tick(at(1.6), wall(1.6));
@@ -27,8 +28,8 @@
     fleet
 }
 
-/// A heartbeat without tasks.
-fn beat(fleet: &mut Fleet, machine: u32, sequence: u64, s: f64) {
+/// Sends the fleet a heartbeat without tasks from a machine, `s` seconds after the start.
+fn send_empty_heartbeat(fleet: &mut Fleet, machine: u32, sequence: u64, s: f64) {
     fleet.check_in(&heartbeat(&format!("i-{machine}"), sequence, TOKEN, &[]), at(s), wall(s));
 }
 
@@ -36,15 +37,16 @@
     JobSpec { team: team.into(), ..spec }
 }
 
-/// The reasons of one job in the status.
+/// The wait reasons of a job in the status, `s` seconds after the start.
 fn reasons(fleet: &Fleet, s: f64, id: &str) -> WaitReasons {
     let status = fleet.status(None, at(s), wall(s));
-    status.jobs.into_iter().find(|job| job.id == id).expect("the job").wait_reasons
+    status.jobs.into_iter().find(|job| job.id == id).expect("the job is in the status").wait_reasons
 }
 
-/// Tasks that a team's quota holds back showed nowhere: they are not among those that found no capacity.
+/// Guards against tasks without a wait reason: tasks that a team's quota blocks are not among those for which
+/// the plan found no capacity.
 #[test]
-fn tasks_beyond_their_teams_quota_wait_for_it() {
+fn tasks_beyond_the_teams_quota_have_the_reason_quota() {
     let job = record(of_team("tight", spec(1, 10, "batch")));
     let fleet = planned_fleet(4, vec![job]);
     let beyond = 10 - TIGHT_LIMIT as u32;
@@ -53,7 +55,7 @@
 }
 
 #[test]
-fn tasks_that_fit_no_machine_wait_for_capacity() {
+fn tasks_without_a_machine_with_free_capacity_have_the_reason_no_capacity() {
     let wide = JobSpec { cpus: 16.0, ..spec(2, 1, "batch") };
     let fleet = planned_fleet(1, vec![record(spec(1, 6, "batch")), record(wide)]);
     let expected = [(WaitReason::Starting, 4), (WaitReason::NoCapacity, 2)];
@@ -61,12 +63,12 @@
     assert_eq!(reasons(&fleet, 2.0, "wk-000002"), WaitReasons::from([(WaitReason::NoCapacity, 1)]));
 }
 
-/// A free machine that the job may use is kept for a gang that came before it.
+/// A free machine that the job may use is reserved for a gang that was submitted earlier.
 #[test]
-fn tasks_wait_beside_capacity_that_is_reserved() {
+fn a_task_behind_a_gang_with_a_reservation_has_the_reason_reserved_capacity() {
     let mut fleet = planned_fleet(2, vec![record(JobSpec { cpus: 4.0, ..spec(1, 1, "batch") })]);
-    beat(&mut fleet, 0, 2, 2.0);
-    beat(&mut fleet, 1, 2, 2.0);
+    send_empty_heartbeat(&mut fleet, 0, 2, 2.0);
+    send_empty_heartbeat(&mut fleet, 1, 2, 2.0);
     let gang = JobSpec { cpus: 4.0, ..spec(2, 2, "gang") };
     let behind = JobSpec { estimate_s: 4000.0, ..spec(3, 1, "batch") };
     fleet.apply_job_record(record(gang), 2, at(2.5));
@@ -75,9 +77,11 @@
     assert_eq!(reasons(&fleet, 4.0, "wk-000003"), WaitReasons::from([(WaitReason::ReservedCapacity, 1)]));
 }
 
-/// After a failover a job with started tasks, and a team with a quota, wait for machines that are not heard.
+/// After a failover, tasks that may have been started wait until all machines have acknowledged the leader's
+/// fencing token. The other tasks of the job wait for the quota, since unacknowledged machines count against
+/// every quota.
 #[test]
-fn after_a_failover_tasks_wait_for_unacknowledged_machines() {
+fn after_a_failover_tasks_that_may_be_running_wait_for_unacknowledged_machines() {
     let started = JobRecord { start_mark: 6, ..record(of_team("tight", spec(1, 8, "batch"))) };
     let mut fleet = planned_fleet(0, vec![started]);
     let machine = MachineRecord {
@@ -95,24 +99,28 @@
     let [QuotaView { team, cpus_max, cpus, unknown_cpus, .. }] = &quotas[..] else { panic!("{quotas:?}") };
     assert_eq!((team.as_str(), *cpus_max), ("tight", TIGHT_LIMIT as f64));
     assert_eq!((*cpus, *unknown_cpus), (2.0 * SMALL_CPUS, 2.0 * SMALL_CPUS));
-    assert!(fleet.status(Some("free"), at(3.0), wall(3.0)).quotas.is_empty(), "another team's");
+    assert!(
+        fleet.status(Some("free"), at(3.0), wall(3.0)).quotas.is_empty(),
+        "a team sees another team's quota"
+    );
 }
 
 #[test]
-fn a_job_that_failed_waits_for_its_next_attempt() {
+fn a_failed_job_has_the_reason_backoff_until_its_next_attempt() {
     let mut fleet = planned_fleet(1, vec![record(spec(1, 1, "batch"))]);
-    beat(&mut fleet, 0, 2, 2.0);
-    let attempt = fleet.machines["i-0"].tasks.keys().next().expect("started").attempt;
+    send_empty_heartbeat(&mut fleet, 0, 2, 2.0);
+    let attempt = fleet.machines["i-0"].tasks.keys().next().expect("the task is started").attempt;
     let failed = [("wk-000001/0", attempt, TaskStage::Exited, Some(ExitReason::Error))];
     fleet.check_in(&heartbeat("i-0", 3, TOKEN, &failed), at(3.0), wall(3.0));
     assert_eq!(reasons(&fleet, 3.1, "wk-000001"), WaitReasons::from([(WaitReason::Backoff, 1)]));
 }
 
-/// What a lost machine held still counts against the quota until its lease has expired; the status shows it.
+/// The tasks of a machine that sends no heartbeats count against the quota until its lease has expired. The
+/// status shows how much of the quota they use.
 #[test]
-fn quota_held_by_silent_machines_shows() {
+fn the_status_shows_the_quota_used_by_tasks_on_silent_machines() {
     let mut fleet = planned_fleet(1, vec![record(of_team("tight", spec(1, 4, "batch")))]);
-    beat(&mut fleet, 0, 2, 2.0);
+    send_empty_heartbeat(&mut fleet, 0, 2, 2.0);
     let silent_cpus = |fleet: &Fleet, s: f64| fleet.quota_views(at(s))[0].silent_cpus;
     assert_eq!((silent_cpus(&fleet, 3.0), silent_cpus(&fleet, 20.0)), (0.0, 4.0));
 }
