--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -129,7 +129,7 @@
 fn end_cancelled_jobs(fleet: &mut Fleet, shared: &SharedState) {
     for id in fleet.jobs.keys().cloned().collect::<Vec<_>>() {
         if let Some(ended) = shared.final_records.get(&id) {
-            fleet.job_ended(&id, ended.revision);
+            fleet.apply_job_removal(&id, ended.revision);
         }
     }
 }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -132,7 +132,7 @@
         let mut shared = self.lock();
         if let Some(leadership) = shared.leadership.as_mut() {
             if news.record.is_empty() {
-                leadership.fleet.job_ended(&news.id, news.revision);
+                leadership.fleet.apply_job_removal(&news.id, news.revision);
             } else if let Ok(record) = serde_json::from_slice::<JobRecord>(&news.record) {
                 leadership.fleet.apply_job_record(record, news.revision, self.now());
             }
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -119,7 +119,7 @@
     pub(super) fn apply_cancellation(&self, id: &str, cancelled: StoredFinal) {
         self.learn_final(id, cancelled);
         if let Some(leadership) = self.lock().leadership.as_mut() {
-            leadership.fleet.job_ended(id, cancelled.revision);
+            leadership.fleet.apply_job_removal(id, cancelled.revision);
             self.wake.notify_all();
         }
     }
--- a/src/controller/watch.rs
+++ b/src/controller/watch.rs
@@ -123,7 +123,7 @@
 fn apply_change(fleet: &mut Fleet, event: WatchEvent, now: Steady) -> bool {
     let job_id = |key: &Option<String>| key.as_deref()?.strip_prefix(JOBS_PREFIX).map(str::to_string);
     if let Some(id) = job_id(&event.drop) {
-        fleet.job_ended(&id, event.mod_revision);
+        fleet.apply_job_removal(&id, event.mod_revision);
         return false;
     }
     let Some(id) = job_id(&event.put) else { return false };
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -254,7 +254,7 @@
                 self.loans.leftover_placeholders.remove(job);
                 if record.lending.is_cancelled() {
                     self.end_lending(job);
-                    self.job_ended(job, revision);
+                    self.apply_job_removal(job, revision);
                 } else {
                     self.apply_job_record((**record).clone(), revision, now);
                 }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -272,7 +272,7 @@
         if let (WriteContents::RemovedDoneChunks(removed), Some(job)) = (contents, self.jobs.get_mut(id)) {
             job.done_chunks.retain(|chunk, _| !removed.contains(chunk));
         }
-        self.job_ended(id, revision);
+        self.apply_job_removal(id, revision);
     }
 
     fn machines_written(&mut self, slot: u32, revision: u64, contents: &WriteContents) {
--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -79,7 +79,7 @@
         if record.lending.cancelling {
             // The job is being cancelled: none of its tasks may run in this cell. Its record stays until the
             // borrowers have closed their loans.
-            self.job_ended(&id, mod_revision);
+            self.apply_job_removal(&id, mod_revision);
             self.apply_lending(&record, mod_revision);
         } else if self.jobs.contains_key(&id) {
             self.update_job(&id, &record, mod_revision);
@@ -137,7 +137,7 @@
 
     /// Applies the removal of a job's record at `revision`: the job has completed, or its user has cancelled
     /// it. Its remaining tasks are stopped.
-    pub fn job_ended(&mut self, id: &str, revision: u64) {
+    pub fn apply_job_removal(&mut self, id: &str, revision: u64) {
         let id: JobId = id.into();
         self.mark_job_readable(&id);
         if revision > self.jobs_revision {
--- a/src/leadership/read_back.rs
+++ b/src/leadership/read_back.rs
@@ -67,7 +67,7 @@
 fn update_job(fleet: &mut Fleet, id: &str, row: Option<Row>, now: Steady) {
     let Some(row) = row else {
         let known = fleet.jobs.get(id).map_or(0, |job| job.mod_revision);
-        fleet.job_ended(id, fleet.jobs_revision().max(known) + 1);
+        fleet.apply_job_removal(id, fleet.jobs_revision().max(known) + 1);
         return;
     };
     match serde_json::from_value::<JobRecord>(row.value) {
--- a/tests/common/simulated_controller.rs
+++ b/tests/common/simulated_controller.rs
@@ -57,7 +57,7 @@
                     let record: JobRecord = serde_json::from_value(v.clone()).expect("a job's record");
                     self.fleet.apply_job_record(record, *revision, now);
                 }
-                None => self.fleet.job_ended(id, *revision),
+                None => self.fleet.apply_job_removal(id, *revision),
             }
         }
         self.watched = store.revision;
--- a/tests/halt_commands.rs
+++ b/tests/halt_commands.rs
@@ -17,7 +17,7 @@
     (0..4).for_each(|_| s.step(&[]));
     let running: usize = s.machines.iter().map(|id| s.tasks(id).len()).sum();
     assert_eq!(running, 80);
-    s.fleet.job_ended("wk-000001", 1000);
+    s.fleet.apply_job_removal("wk-000001", 1000);
     // Nobody sends heartbeats any more.
     s.now = s.now + Micros::from_secs(6.0);
     let mut halted = BTreeSet::new();
--- a/tests/safety/ended_jobs.rs
+++ b/tests/safety/ended_jobs.rs
@@ -33,7 +33,7 @@
 #[test]
 fn what_is_left_of_cancelled_jobs_on_silent_machines_is_halted_by_command() {
     let (mut fleet, task) = fleet_with_a_running_task();
-    fleet.job_ended("wk-000001", 5);
+    fleet.apply_job_removal("wk-000001", 5);
     assert!(fleet.halt_commands(at(3.0)).is_empty(), "the answer to its next report will tell it");
     let due = fleet.halt_commands(at(7.0));
     assert_eq!(due.len(), 1);
--- a/tests/safety/failovers.rs
+++ b/tests/safety/failovers.rs
@@ -157,11 +157,11 @@
     fleet.apply_job_record(record(spec(2, 1, "batch")), 51, at(1.0));
     assert_eq!(fleet.jobs.len(), 1);
     // Told of its end before the read shows it, and of its beginning once more after that.
-    fleet.job_ended("wk-000003", 55);
+    fleet.apply_job_removal("wk-000003", 55);
     fleet.apply_job_record(record(spec(3, 1, "batch")), 53, at(2.0));
     fleet.advance_jobs_revision(60);
     fleet.apply_job_record(record(spec(3, 1, "batch")), 53, at(3.0));
-    fleet.job_ended("wk-000002", 58);
+    fleet.apply_job_removal("wk-000002", 58);
     fleet.apply_job_record(record(spec(2, 1, "batch")), 51, at(3.0));
     assert!(fleet.jobs.is_empty());
 }
--- a/tests/safety/late_messages.rs
+++ b/tests/safety/late_messages.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_late_copy_does_not_bring_a_job_back() {
     let mut fleet = fleet_with(spec(1, 1, "batch"));
-    fleet.job_ended("wk-000001", 1000);
+    fleet.apply_job_removal("wk-000001", 1000);
     fleet.apply_job_record(record(spec(1, 1, "batch")), 999, at(1.0));
     assert!(fleet.jobs.is_empty());
     assert!(starts(&orders(&mut fleet, 1.0, &heartbeat("i-1", 2, 7, &[]))).is_empty());
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -176,14 +176,14 @@
         let mut s = Scenario::new(1, false);
         s.submit(spec(1, 4, "batch"));
         (0..22).for_each(|_| s.step(&[]));
-        s.fleet.job_ended("wk-000001", 1000);
+        s.fleet.apply_job_removal("wk-000001", 1000);
         s.sequence += 1;
         let empty = heartbeat("i-000", s.sequence, 7, &[]);
         s.send_heartbeat(&empty);
         // One a second, usually: none for as long as a machine boots is the end of them.
         for n in 2..22 {
             s.submit(JobSpec { deadline_s, class: Some(class.into()), ..spec(n, 1, "batch") });
-            s.fleet.job_ended(&format!("wk-{n:06}"), 1000 + u64::from(n));
+            s.fleet.apply_job_removal(&format!("wk-{n:06}"), 1000 + u64::from(n));
         }
         let is_returned = |_: &usize| {
             s.step(&[]);
--- a/tests/services/cluster/mod.rs
+++ b/tests/services/cluster/mod.rs
@@ -128,7 +128,7 @@
     /// A user cancels a job.
     pub fn cancel(&mut self, job: &str) {
         self.revision += 1;
-        self.fleet.job_ended(job, self.revision);
+        self.fleet.apply_job_removal(job, self.revision);
     }
 
     /// Writes all that waits to be written. Nothing ever says that a service is done.
--- a/tests/upgrade_failovers/simulation/events.rs
+++ b/tests/upgrade_failovers/simulation/events.rs
@@ -64,7 +64,7 @@
     fn receive_cancellations(&mut self) {
         let cancellations = std::mem::take(&mut self.cancellations);
         if let SimulatedLeader::Current(fleet) = &mut self.leader {
-            cancellations.iter().for_each(|(id, revision)| fleet.job_ended(id, *revision));
+            cancellations.iter().for_each(|(id, revision)| fleet.apply_job_removal(id, *revision));
         }
     }
 
