--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -325,13 +325,13 @@
 
     /// Updates the revision of a row that is to be deleted, as read back after its deletion failed.
     /// `mod_revision` is 0 if the row no longer exists.
-    pub fn orphan_read_back(&mut self, key: &str, mod_revision: u64) {
+    pub fn update_orphan_revision(&mut self, key: &str, mod_revision: u64) {
         set_or_remove(&mut self.cleanup.rows, key, mod_revision);
     }
 
     /// Updates the revision of a machine's own record that is to be deleted, as read back after its deletion
     /// failed. `mod_revision` is 0 if the record no longer exists.
-    pub fn machine_record_read_back(&mut self, id: &str, mod_revision: u64) {
+    pub fn update_machine_record_revision(&mut self, id: &str, mod_revision: u64) {
         set_or_remove(&mut self.cleanup.machine_records, id, mod_revision);
     }
 }
--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -130,7 +130,7 @@
 /// Updates a copy of a lent job's progress as it stands after a conflict or an unknown outcome.
 pub(super) fn update_lent(fleet: &mut Fleet, lent: LentKey, key: &str, row: Option<Row>) {
     let mod_revision = row.as_ref().map_or(0, |row| row.mod_revision);
-    fleet.orphan_read_back(key, mod_revision);
+    fleet.update_orphan_revision(key, mod_revision);
     match (lent, row) {
         (lent, Some(row)) => load_lent(fleet, lent, key, row.value, mod_revision),
         (LentKey::DoneChunk { job, chunk }, None) => {
@@ -155,7 +155,7 @@
     let mod_revision = row.as_ref().map_or(0, |row| row.mod_revision);
     match (borrowed, row) {
         (BorrowedKey::DoneChunk { job, chunk }, row) => {
-            fleet.orphan_read_back(key, mod_revision);
+            fleet.update_orphan_revision(key, mod_revision);
             let text = row.as_ref().map_or(Some(""), |row| row.value.as_str());
             if let (Ok(chunk), Some(text)) = (chunk.parse(), text) {
                 fleet.load_borrowed_done(job, chunk, text, mod_revision);
--- a/src/leadership/read_back.rs
+++ b/src/leadership/read_back.rs
@@ -20,7 +20,7 @@
             loan_records::update_borrowed(fleet, borrowed, key, row, now, wall());
         }
         RecordKey::Lent(lent) => loan_records::update_lent(fleet, lent, key, row),
-        RecordKey::Machine(id) => fleet.machine_record_read_back(id, mod_revision),
+        RecordKey::Machine(id) => fleet.update_machine_record_revision(id, mod_revision),
         RecordKey::PackedMachines(slot) => {
             if let Ok(slot) = slot.parse() {
                 fleet.machine_records.set_mod_revision(slot, mod_revision);
@@ -37,7 +37,7 @@
             }
         }
         RecordKey::DoneChunk { job, chunk } => {
-            fleet.orphan_read_back(key, mod_revision);
+            fleet.update_orphan_revision(key, mod_revision);
             if fleet.jobs.contains_key(job) {
                 let value = row.map_or_else(|| json!(""), |row| row.value);
                 rebuild::load_done(fleet, job, chunk, key, &value, mod_revision);
