--- a/src/controller/borrowing.rs
+++ b/src/controller/borrowing.rs
@@ -71,7 +71,7 @@
         let mut shared = self.lock();
         let fleet = &mut shared.leadership_with(fencing_token)?.fleet;
         let change = fleet.loans.borrower_ledger.next_change(request, &fleet.local_tasks())?;
-        if fleet.loans.is_returning(&change.job) {
+        if fleet.loans.has_borrower_write_in_flight(&change.job) {
             return None;
         }
         if let Some(why) = &change.refusal {
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -155,7 +155,7 @@
             && !self.is_blocked_by_unreadable_record(&job.id)
             && job.borrowed_from.is_none()
             && is_array_without_rules(spec)
-            && !self.loans.is_lending(&job.id)
+            && !self.loans.has_lender_write_in_flight(&job.id)
     }
 
     /// Begins to lend the last `count` of a candidate's tasks. From now on none of them may start in this
@@ -261,7 +261,7 @@
     /// flight, or if the state store would refuse the write because of the value under the key of the job's
     /// final record.
     fn lender_write(&self, job: &str, lending: Lending, new_loan: Option<LoanNumber>) -> Option<LoanWrite> {
-        if self.loans.is_lending(job) || self.unreadable.cannot_end(job) {
+        if self.loans.has_lender_write_in_flight(job) || self.unreadable.cannot_end(job) {
             return None;
         }
         let (mut record, mod_revision) = match self.loans.lent.get(job) {
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -118,12 +118,12 @@
     }
 
     /// Whether a loan write for an own job is in flight, so that its outcome is not known yet.
-    pub fn is_lending(&self, job: &str) -> bool {
+    pub fn has_lender_write_in_flight(&self, job: &str) -> bool {
         self.lending_in_flight.contains_key(job)
     }
 
     /// Whether a loan write for a borrowed job is in flight, so that its outcome is not known yet.
-    pub fn is_returning(&self, job: &str) -> bool {
+    pub fn has_borrower_write_in_flight(&self, job: &str) -> bool {
         self.returning_in_flight.contains_key(job)
     }
 
