--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -37,7 +37,7 @@
 
 impl PendingWrite {
     /// Whether the start of a task or a job's user waits for this write.
-    pub fn urgent(&self) -> bool {
+    pub fn is_urgent(&self) -> bool {
         matches!(
             self,
             PendingWrite::Final(_)
@@ -263,7 +263,7 @@
         if matches!(write, PendingWrite::Compaction(..) | PendingWrite::History(_)) {
             self.deferred_write_at = now;
         }
-        self.dirty |= write.urgent();
+        self.dirty |= write.is_urgent();
     }
 
     fn final_written(&mut self, id: &JobId, revision: u64, contents: &WriteContents) {
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -59,7 +59,7 @@
     /// Whether a write fits into the batch, which may hold `max_changes`. Urgent writes never share a
     /// transaction with others, which are sent with a lower priority.
     fn fits(&self, write: &Write, max_changes: usize) -> bool {
-        self.urgent == write.pending.urgent()
+        self.urgent == write.pending.is_urgent()
             && self.txn.then.len() + write.changes.len() <= max_changes
             && self.txn.guards.len() + write.guards.len() <= GUARDS_PER_CHANGE * max_changes
             && self.bytes + write.bytes() <= MAX_BATCH_BYTES
@@ -121,7 +121,7 @@
             if batches.len() >= MAX_BATCHES {
                 break;
             }
-            batches.push(Batch::new(shard_revision, item.urgent()));
+            batches.push(Batch::new(shard_revision, item.is_urgent()));
         }
         if let Some(batch) = batches.last_mut() {
             batch.add(write);
