--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -12,8 +12,8 @@
 use crate::records::{JobRecord, LenderRecord};
 use crate::time::{Steady, Wall};
 
-/// The maximum number of loans known to be decided, and of ids known to be of own jobs, that are kept in
-/// memory in addition to the stored records.
+/// The maximum number of decided loans, and of ids of own jobs, that are remembered in addition to the stored
+/// records.
 pub(super) const MAX_REMEMBERED: usize = 4_096;
 
 /// A write to the state store that changes the records of loans.
@@ -88,15 +88,15 @@
     pub(super) lending_in_flight: BTreeMap<JobId, TaskSet>,
     /// Borrowed jobs with a loan write in flight, each with the tasks that are withheld because of the write.
     pub(super) returning_in_flight: BTreeMap<JobId, TaskSet>,
-    /// The revisions of leftover placeholders, by job. Versions 0.3.0 to 0.3.2 leave a placeholder in the
-    /// state store when they write a held job record back without it.
+    /// The revisions of leftover placeholders, by job. Versions 0.3.0 to 0.3.2 write a held job record back
+    /// in another form and leave its placeholder in the state store.
     pub(super) leftover_placeholders: BTreeMap<JobId, u64>,
     /// Loan writes whose outcome is unknown. They are sent again until the outcome is known.
     unresolved: Vec<LoanWrite>,
     /// Loans that their borrowers have accepted or closed.
     decided: BTreeSet<LoanNumber>,
-    /// Ids that jobs accepted in this cell have although the jobs are not in the model. Failed writes have
-    /// shown that records of such jobs exist.
+    /// Ids of jobs that were accepted in this cell and may not be in the model. A failed write has shown each
+    /// of them.
     pub(super) own_job_ids: BTreeSet<String>,
 }
 
@@ -204,9 +204,9 @@
         self.loans.leftover_placeholders.remove(id);
     }
 
-    /// Updates the tasks of a job that must not start in this cell. For an own job these are the lent tasks,
-    /// for a borrowed job the tasks that this cell has not borrowed. Tasks that a write in flight lends or
-    /// returns are withheld as well.
+    /// Updates the set of tasks of a job that must not start in this cell. For an own job it contains the
+    /// lent tasks, for a borrowed job the tasks that this cell has not borrowed. Tasks that a write in flight
+    /// lends or returns are in the set as well.
     pub(super) fn update_withheld(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let (recorded, in_flight) = match job.borrowed_from {
@@ -304,9 +304,9 @@
         lent.map_or(0, |lent| lent.mod_revision)
     }
 
-    /// Records the placeholder of a job whose record was restored from it. Versions 0.3.0 to 0.3.2 had
-    /// written the record back without the fields that belong to the placeholder. `revision` is the
-    /// placeholder's revision.
+    /// Records the revision of the placeholder from which a job's record was restored. Versions 0.3.0 to
+    /// 0.3.2 had written the record back without some fields of the job's own description, which the
+    /// placeholder still contains.
     pub fn record_leftover_placeholder(&mut self, id: JobId, revision: u64) {
         self.loans.leftover_placeholders.insert(id, revision);
     }
