--- a/src/fleet/objectives.rs
+++ b/src/fleet/objectives.rs
@@ -8,8 +8,8 @@
 use crate::time::{Micros, Wall};
 use crate::wire::JobSpec;
 
-/// Seconds after which a narrow job that missed its start objective no longer yields to other jobs. Every job
-/// has to start within four minutes.
+/// Seconds after which a narrow job that missed its start objective no longer yields to other jobs. Such a
+/// job has to start within four minutes.
 const MAX_YIELD_S: f64 = 150.0;
 
 /// The same limit for the widest job of a shape. It is lower, since a wide job needs more time to find
