--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -43,7 +43,8 @@
     pub(super) priority: Priority,
     /// Indices of the machine types that the job may use.
     pub(super) types: Vec<usize>,
-    /// The sum of the stated run times of all tasks, in seconds. Each task counts for at most `MAX_TASK_S`.
+    /// The sum of the stated run times of all tasks, in seconds. Each task counts for at most `MAX_TASK_S`,
+    /// and each replica of a service for the time until a new machine is ready.
     pub(super) task_seconds: f64,
     /// Whether the job should start sooner than a new machine can boot and fetch the image. This is so for
     /// services and for classes with a start objective below that time.
