--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -208,7 +208,7 @@
         let mut writes = Vec::new();
         let loan_batch = self.loan_done_interval().min(batch);
         for job in self.jobs.values().filter(|job| !job.ended) {
-            // The lender writes the final record of a borrowed job. It waits for the results of this cell.
+            // The lender writes the final record of a borrowed job, once it has this cell's results.
             let is_own = job.borrowed_from.is_none();
             if is_own && job.is_complete() {
                 // A write that the state store refuses each time would delay the other writes in its
