--- a/src/fleet/tasks.rs
+++ b/src/fleet/tasks.rs
@@ -96,7 +96,7 @@
             return;
         }
         if mod_revision > job.mod_revision {
-            // The first write of the record also deletes a leftover placeholder.
+            // The transaction that wrote the newer record also replaced or deleted a leftover placeholder.
             self.loans.leftover_placeholders.remove(id);
             job.mod_revision = mod_revision;
             job.start_mark = job.start_mark.max(record.start_mark);
