--- a/src/fleet/team_use.rs
+++ b/src/fleet/team_use.rs
@@ -35,9 +35,9 @@
         }
     }
 
-    /// The quota use of a team. It is cached between plans: each start adds to the cached use, and an end of
-    /// a task is left out, since it only lowers the use. Everything else that may raise the use clears the
-    /// cache.
+    /// The quota use of a team. It is cached between plans: each start adds to the cached use. Ends of tasks
+    /// are not counted until the next plan, since they only lower the use. Everything else that may raise the
+    /// use clears the cache.
     pub(super) fn team_use(&mut self, name: &str) -> TeamUse {
         let Some((index, _)) = self.team_settings(name) else { return TeamUse::default() };
         self.use_of(index)
@@ -90,8 +90,8 @@
         by_team.into_iter().map(|used| used.plus(&unknown, 1)).collect()
     }
 
-    /// Counts the resources that count against the quotas. Resources that may be any team's are counted
-    /// apart.
+    /// Counts the resources that count against the quotas, with those that may be any team's in
+    /// `QuotaUse::unknown`.
     pub(super) fn count_quota_use(&self) -> QuotaUse {
         let count = self.config.platform.settings.teams.len();
         let mut by_team = vec![Resources::default(); count];
