--- a/src/fleet/unreadable.rs
+++ b/src/fleet/unreadable.rs
@@ -25,7 +25,7 @@
     keys: BTreeSet<String>,
     /// Jobs accepted in this cell whose job record cannot be read.
     jobs: BTreeSet<String>,
-    /// Borrowed jobs whose record of the loans cannot be read.
+    /// Borrowed jobs whose record cannot be read.
     borrowed_jobs: BTreeSet<String>,
     /// Jobs, own or borrowed, of which done ranges or a start mark cannot be read.
     jobs_with_unreadable_progress: BTreeSet<String>,
