--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -87,7 +87,7 @@
 pub struct Job {
     /// The job's id.
     pub id: JobId,
-    /// The job's description, as its user submitted it.
+    /// The job's description. That of a borrowed job has the lowest priority, no class and no deadline.
     pub spec: JobSpec,
     /// When the job was accepted.
     pub submitted: Wall,
