--- a/tests/starvation.rs
+++ b/tests/starvation.rs
@@ -74,13 +74,13 @@
     }
 
     /// Submits a job whose tasks run for `run_s` seconds.
-    fn submit(&mut self, s: JobSpec, run_s: f64) {
-        let n = number(&s.id);
-        let mut r = record(s.clone());
-        r.submitted_us = self.now.0;
-        self.fleet.apply_job_record(r, self.fleet.jobs.len() as u64 + 1, self.now);
-        self.specs.insert(n, (s, Micros::from_secs(run_s)));
-        self.began.insert(n, (self.now, None));
+    fn submit(&mut self, spec: JobSpec, run_s: f64) {
+        let job = number(&spec.id);
+        let mut job_record = record(spec.clone());
+        job_record.submitted_us = self.now.0;
+        self.fleet.apply_job_record(job_record, self.fleet.jobs.len() as u64 + 1, self.now);
+        self.specs.insert(job, (spec, Micros::from_secs(run_s)));
+        self.began.insert(job, (self.now, None));
     }
 
     /// Lets one step of time pass for the leader and all workers.
@@ -91,19 +91,21 @@
         acknowledge_writes(&mut self.fleet, 64, 1_000_000, now);
         // The tasks of a gang run once all of them are on workers.
         let mut started: BTreeMap<(u32, u64), u32> = BTreeMap::new();
-        for r in self.workers.iter().flat_map(|w| &w.tasks) {
-            *started.entry((r.job, r.attempt)).or_default() += 1;
+        for task_run in self.workers.iter().flat_map(|worker| &worker.tasks) {
+            *started.entry((task_run.job, task_run.attempt)).or_default() += 1;
         }
-        for r in self.workers.iter_mut().flat_map(|w| &mut w.tasks) {
-            let (s, run) = &self.specs[&r.job];
-            let gang = s.shape == Shape::Gang;
-            if r.ends.is_none() && (!gang || started[&(r.job, r.attempt)] == s.tasks) {
-                r.ends = Some(now + *run);
-                self.began.get_mut(&r.job).expect("a job").1.get_or_insert(now);
+        for task_run in self.workers.iter_mut().flat_map(|worker| &mut worker.tasks) {
+            let (spec, run) = &self.specs[&task_run.job];
+            let gang = spec.shape == Shape::Gang;
+            if task_run.ends.is_none() && (!gang || started[&(task_run.job, task_run.attempt)] == spec.tasks)
+            {
+                task_run.ends = Some(now + *run);
+                self.began.get_mut(&task_run.job).expect("a job").1.get_or_insert(now);
             }
         }
         for i in 0..self.workers.len() {
-            let ended = self.workers[i].tasks.iter().any(|r| r.ends.is_some_and(|e| e <= now));
+            let ended =
+                self.workers[i].tasks.iter().any(|task_run| task_run.ends.is_some_and(|end| end <= now));
             if self.workers[i].next_heartbeat > now && !ended {
                 continue;
             }
@@ -113,22 +115,22 @@
 
     /// Sends a worker's heartbeat and executes the commands in the reply.
     fn exchange_heartbeat(&mut self, i: usize, now: Steady, wall: Wall) {
-        let w = &mut self.workers[i];
-        w.sequence += 1;
-        w.next_heartbeat = now + HEARTBEAT_INTERVAL;
-        let tasks: Vec<_> = w
+        let worker = &mut self.workers[i];
+        worker.sequence += 1;
+        worker.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        let tasks: Vec<_> = worker
             .tasks
             .iter()
-            .map(|r| match r.ends {
-                Some(e) if e <= now => {
-                    (r.task.as_str(), r.attempt, TaskStage::Exited, Some(ExitReason::Done))
+            .map(|task_run| match task_run.ends {
+                Some(end) if end <= now => {
+                    (task_run.task.as_str(), task_run.attempt, TaskStage::Exited, Some(ExitReason::Done))
                 }
-                Some(_) => (r.task.as_str(), r.attempt, TaskStage::Running, None),
-                None => (r.task.as_str(), r.attempt, TaskStage::Waiting, None),
+                Some(_) => (task_run.task.as_str(), task_run.attempt, TaskStage::Running, None),
+                None => (task_run.task.as_str(), task_run.attempt, TaskStage::Waiting, None),
             })
             .collect();
         let mut message =
-            heartbeat(&format!("i-{i:03}"), w.sequence, if w.sequence > 1 { 7 } else { 0 }, &tasks);
+            heartbeat(&format!("i-{i:03}"), worker.sequence, if worker.sequence > 1 { 7 } else { 0 }, &tasks);
         message.machine_type = "large".into();
         let HeartbeatOutcome::Reply(reply) = self.fleet.check_in(&message, now, wall) else {
             panic!("the heartbeat is refused")
@@ -137,20 +139,20 @@
             match command {
                 WorkerCommand::Start { task, attempt } => {
                     let job = number(&task);
-                    w.tasks.push(RunningTask { task, attempt, job, since: now, ends: None });
+                    worker.tasks.push(RunningTask { task, attempt, job, since: now, ends: None });
                 }
                 WorkerCommand::Halt { task, attempt, .. } | WorkerCommand::Forget { task, attempt } => {
-                    w.tasks.retain(|r| r.task != task || r.attempt != attempt);
+                    worker.tasks.retain(|task_run| task_run.task != task || task_run.attempt != attempt);
                 }
             }
         }
-        assert!(w.tasks.iter().all(|r| r.since <= now));
+        assert!(worker.tasks.iter().all(|task_run| task_run.since <= now));
     }
 
     /// Seconds from a job's submission until it started to run; infinite if it has not started.
-    fn waited(&self, n: u32) -> f64 {
-        let (submitted, began) = self.began[&n];
-        began.map_or(f64::INFINITY, |b| (b - submitted).secs())
+    fn waited(&self, job: u32) -> f64 {
+        let (submitted, began) = self.began[&job];
+        began.map_or(f64::INFINITY, |began| (began - submitted).secs())
     }
 }
 
