--- a/src/leadership/read_back.rs
+++ b/src/leadership/read_back.rs
@@ -21,7 +21,7 @@
             loan_records::update_borrowed(fleet, borrowed, key, row, now, wall());
         }
         RecordKey::Lent(lent) => loan_records::update_lent(fleet, lent, key, row),
-        RecordKey::Machine(id) => fleet.machine_record_read_back(id, mod_revision),
+        RecordKey::Machine(id) => fleet.update_machine_record_revision(id, mod_revision),
         RecordKey::PackedMachines(slot) => {
             if let Ok(slot) = slot.parse() {
                 fleet.machine_records.set_mod_revision(slot, mod_revision);
@@ -38,7 +38,7 @@
             }
         }
         RecordKey::DoneChunk { job, chunk } => {
-            fleet.orphan_read_back(key, mod_revision);
+            fleet.update_orphan_revision(key, mod_revision);
             if fleet.jobs.contains_key(job) {
                 let value = row.map_or_else(|| json!(""), |row| row.value);
                 rebuild::load_done_chunk(fleet, job, chunk, key, &value, mod_revision);
@@ -71,7 +71,7 @@
 fn update_job(fleet: &mut Fleet, id: &str, row: Option<Row>, now: Steady) {
     let Some(row) = row else {
         let known = fleet.jobs.get(id).map_or(0, |job| job.mod_revision);
-        fleet.job_ended(id, fleet.jobs_revision().max(known) + 1);
+        fleet.apply_job_removal(id, fleet.jobs_revision().max(known) + 1);
         return;
     };
     match serde_json::from_value::<JobRecord>(row.value) {
--- a/src/leadership/writes.rs
+++ b/src/leadership/writes.rs
@@ -61,7 +61,7 @@
     /// Whether a write fits into the batch, which may hold `max_changes` changes. Urgent writes never share
     /// a transaction with other writes, because transactions of other writes have a lower priority.
     fn fits(&self, write: &Write, max_changes: usize) -> bool {
-        self.urgent == write.pending.urgent()
+        self.urgent == write.pending.is_urgent()
             && self.txn.then.len() + write.changes.len() <= max_changes
             && self.txn.guards.len() + write.guards.len() <= GUARDS_PER_CHANGE * max_changes
             && self.bytes + write.bytes() <= MAX_BATCH_BYTES
@@ -124,7 +124,7 @@
             if batches.len() >= MAX_BATCHES {
                 break;
             }
-            batches.push(Batch::new(shard_revision, item.urgent()));
+            batches.push(Batch::new(shard_revision, item.is_urgent()));
         }
         if let Some(batch) = batches.last_mut() {
             batch.add(write);
--- a/tests/halt_commands.rs
+++ b/tests/halt_commands.rs
@@ -17,7 +17,7 @@
     (0..4).for_each(|_| scenario.step(&[]));
     let running: usize = scenario.machines.iter().map(|id| scenario.tasks(id).len()).sum();
     assert_eq!(running, 80);
-    scenario.fleet.job_ended("wk-000001", 1000);
+    scenario.fleet.apply_job_removal("wk-000001", 1000);
     // No machine sends heartbeats any more.
     scenario.now = scenario.now + Micros::from_secs(6.0);
     let mut halted = BTreeSet::new();
--- a/tests/safety/ended_jobs.rs
+++ b/tests/safety/ended_jobs.rs
@@ -33,7 +33,7 @@
 #[test]
 fn tasks_of_cancelled_jobs_on_machines_with_overdue_heartbeats_are_halted_by_direct_command() {
     let (mut fleet, task) = fleet_with_a_running_task();
-    fleet.job_ended("wk-000001", 5);
+    fleet.apply_job_removal("wk-000001", 5);
     assert!(fleet.halt_commands(at(3.0)).is_empty(), "the reply to the next heartbeat will carry the halt");
     let due = fleet.halt_commands(at(7.0));
     assert_eq!(due.len(), 1);
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -185,7 +185,7 @@
         let mut scenario = Scenario::new(1, false);
         scenario.submit(spec(1, 4, "batch"));
         (0..22).for_each(|_| scenario.step(&[]));
-        scenario.fleet.job_ended("wk-000001", 1000);
+        scenario.fleet.apply_job_removal("wk-000001", 1000);
         scenario.sequence += 1;
         let empty = heartbeat("i-000", scenario.sequence, 7, &[]);
         scenario.send_heartbeat(&empty);
@@ -193,7 +193,7 @@
         // expected.
         for n in 2..22 {
             scenario.submit(JobSpec { deadline_s, class: Some(class.into()), ..spec(n, 1, "batch") });
-            scenario.fleet.job_ended(&format!("wk-{n:06}"), 1000 + u64::from(n));
+            scenario.fleet.apply_job_removal(&format!("wk-{n:06}"), 1000 + u64::from(n));
         }
         let is_scaled_in = |_: &usize| {
             scenario.step(&[]);
--- a/tests/services/cluster/mod.rs
+++ b/tests/services/cluster/mod.rs
@@ -128,7 +128,7 @@
     /// Cancels a job.
     pub fn cancel(&mut self, job: &str) {
         self.revision += 1;
-        self.fleet.job_ended(job, self.revision);
+        self.fleet.apply_job_removal(job, self.revision);
     }
 
     /// Acknowledges all pending writes of the leader. Asserts that none of them records tasks of a service
