--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -13,8 +13,8 @@
 
 /// The demand of waiting arrays that can use the same machines.
 struct ArrayDemand<'a> {
-    /// The first of these arrays in the queue. Its machine types, zone and use of spot instances are those of
-    /// all.
+    /// The first of these arrays in the queue. All of them have the same machine types, zone and use of spot
+    /// instances.
     class: &'a JobClass,
     /// Processor seconds of waiting work, weighted higher for arrays that have waited long.
     cpu_seconds: f64,
@@ -106,8 +106,8 @@
     fn can_run_array(&self, class: &JobClass, index: usize) -> bool {
         let machine = &self.snapshot.machines[index];
         let is_reserved = self.snapshot.is_below_reserved_priority(class, machine);
-        let stays = machine.reclaimed_in.is_none() && self.is_reliable(index);
-        may_use(class, machine) && stays && !is_reserved && machine.total.fits(&class.need) > 0
+        let remains_available = machine.reclaimed_in.is_none() && self.is_reliable(index);
+        may_use(class, machine) && remains_available && !is_reserved && machine.total.fits(&class.need) > 0
     }
 }
 
--- a/src/capacity/services.rs
+++ b/src/capacity/services.rs
@@ -6,7 +6,7 @@
 
 impl Autoscaler<'_> {
     /// Adds whole machines for unplaced replicas. On-demand machines are preferred if they are offered, since
-    /// a replica runs longer than most spot instances last.
+    /// the cloud reclaims most spot instances before a replica ends.
     pub(super) fn scale_out_for_services(&self, scale_out: &mut Vec<ScaleOutItem>) {
         let mut booting_capacity = self.booting_capacity();
         for &(class_index, unplaced) in &self.plan.unplaced {
--- a/src/sched/headroom.rs
+++ b/src/sched/headroom.rs
@@ -9,7 +9,7 @@
 /// machines of each type that have room for a task of the headroom's size now and no interruption notice.
 pub(super) fn free_beside_headroom(snapshot: &Snapshot) -> Vec<Option<Resources>> {
     let mut machines_of_type = vec![0usize; snapshot.reserved_headroom.len()];
-    let beside = |machine: &MachineSnapshot| {
+    let free_beside = |machine: &MachineSnapshot| {
         let headroom = snapshot.headroom_for(machine.machine_type, machine.spot)?;
         let machines_with_headroom = &mut machines_of_type[machine.machine_type];
         let is_usable = machine.free.fits(&headroom.need) > 0 && machine.reclaimed_in.is_none();
@@ -19,7 +19,7 @@
         *machines_with_headroom += 1;
         Some(capacity_beside_headroom(machine, &headroom))
     };
-    snapshot.machines.iter().map(beside).collect()
+    snapshot.machines.iter().map(free_beside).collect()
 }
 
 /// The machine's total resources without the headroom and the placed tasks of lower priority than it is for.
--- a/src/sched/incremental_backfill.rs
+++ b/src/sched/incremental_backfill.rs
@@ -22,10 +22,11 @@
 /// The caller passes only machines that are not reserved and on which no task is being preempted. So no job
 /// that waits for a machine by the plan is delayed.
 ///
-/// Some work does not start before the next plan: jobs with limits on their zones, tasks of teams with a gang
-/// that the quota blocks, and, if a gang is waiting for capacity on this machine, tasks of all teams with a
-/// quota. If such teams could start tasks outside the plan, a wide gang would never get the machine, because
-/// work within its team's fair share goes before the gang in the queue.
+/// Some work does not start before the next plan: gangs, jobs whose tasks must be in one zone or be spread
+/// over zones, tasks of teams with a gang that the quota blocks, and, if a gang is waiting for capacity on
+/// this machine, tasks of all teams with a quota. If such teams could start tasks outside the plan, a wide
+/// gang would never get the machine, because work within its team's fair share goes before the gang in the
+/// queue.
 pub struct IncrementalBackfill<'a> {
     /// The snapshot of the latest plan.
     pub snapshot: &'a Snapshot,
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! It follows "Job scheduling with adjusted runtime estimates on production supercomputers" (Tang, Desai,
 //! Buettner, Lan, 2013). Section and equation numbers in this module are those of the paper; docs/design.md
-//! describes what was added to it.
+//! describes the additions to it.
 //!
 //! [`plan()`] plans the job classes one after the other in the order of the queue. Each class sees the
 //! capacity and quota that the classes before it have left:
@@ -11,8 +11,8 @@
 //! 1. **Queue** (`queue`): classes are ordered by fair share, priority and number of missed objectives, then
 //!    by the score of Eq. 5, (wait / adjusted run time)^3 x size. The run time of a waiting job is adjusted
 //!    by its team's history (4.2.3, `history::History::factor`).
-//! 2. **Quota** (`quota`): a team's quota limits how many tasks of a class may start. For the first gang of a
-//!    team that only the quota blocks, the quota that the team's tasks release is reserved.
+//! 2. **Quota** (`quota`): a team's quota limits how many tasks of a class may start. The team's first gang
+//!    that only the quota blocks gets a reservation of the quota that the team's tasks release.
 //! 3. **Placement**: job arrays start as many tasks as fit (`arrays`), gangs start all their tasks or none
 //!    (`gangs`, `gang_placement`), and services place each replica on the machine where it runs soonest
 //!    (`service_placement`, `replica_preemption`). `candidates` orders the machines (bin packing);
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Marks the machine types that reserve headroom for tasks like those of this class, which are waiting.
+    /// Marks the machine types with headroom that is reserved for this class's priority, since tasks of the
+    /// class are waiting.
     fn mark_contended_types(&mut self, class: &JobClass) {
         for &machine_type in &class.machine_types {
             let headroom = self.snapshot.headroom_for(machine_type, false);
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -9,7 +9,8 @@
 use super::snapshot::{JobClass, PlacedTask, TeamUse};
 use crate::time::Micros;
 
-/// Returned where no end of a task releases enough quota. It is later than the end of any task.
+/// Returned where no end of a task releases enough quota: one day, which counts as later than the end of any
+/// task.
 const PLANNING_HORIZON: Micros = Micros::from_millis(86_400_000);
 
 /// A placed task that may be preempted. Tasks compare by their fields in the order of declaration, and the
@@ -40,8 +41,9 @@
         class.startable_tasks.min(team_use.allowed_tasks(&class.need))
     }
 
-    /// Adds the tasks of an array that its team's quota blocks to the plan's list, unless other work of the
-    /// team that the quota blocks goes before them: released quota is left to that work.
+    /// Adds the tasks of an array that its team's quota blocks to the plan's list. Tasks are not added if the
+    /// quota has already blocked a service or an earlier group of the team: released quota is left to that
+    /// work.
     pub(super) fn record_blocked_by_quota(&mut self, class_index: usize, within_quota: u32, plan: &mut Plan) {
         let class = &self.snapshot.classes[class_index];
         let blocked = class.startable_tasks.saturating_sub(within_quota);
--- a/src/sched/replica_starts.rs
+++ b/src/sched/replica_starts.rs
@@ -35,8 +35,8 @@
     /// Whether a task of the headroom's size would still fit beside the machine's replicas and one more.
     fn leaves_headroom(&self, class: &JobClass) -> bool {
         self.headroom.is_none_or(|headroom| {
-            let beside = capacity_beside_replicas(self.machine).minus(&class.need, 1);
-            beside.fits(&headroom) > 0
+            let capacity_left = capacity_beside_replicas(self.machine).minus(&class.need, 1);
+            capacity_left.fits(&headroom) > 0
         })
     }
 }
--- a/src/sched/reservation.rs
+++ b/src/sched/reservation.rs
@@ -23,8 +23,8 @@
         let class = &self.snapshot.classes[class_index];
         let is_reservable = |machine_index: &usize| {
             let machine = &self.snapshot.machines[*machine_index];
-            let lasts = machine.reclaimed_in.is_none();
-            may_use(class, machine) && lasts && machine.total.fits(&class.need) > 0
+            let has_no_notice = machine.reclaimed_in.is_none();
+            may_use(class, machine) && has_no_notice && machine.total.fits(&class.need) > 0
         };
         (0..self.snapshot.machines.len()).filter(is_reservable).collect()
     }
--- a/src/sched/service_placement.rs
+++ b/src/sched/service_placement.rs
@@ -166,8 +166,9 @@
         if is_as_large {
             return Micros::ZERO;
         }
-        let beside = capacity_beside_replicas(machine).minus(&self.started_replica_use[machine_index], 1);
-        if beside.minus(&class.need, 1).fits(&headroom.need) > 0 {
+        let capacity_left =
+            capacity_beside_replicas(machine).minus(&self.started_replica_use[machine_index], 1);
+        if capacity_left.minus(&class.need, 1).fits(&headroom.need) > 0 {
             HEADROOM_KEPT_COST
         } else {
             HEADROOM_LOST_COST
--- a/tests/planner/quotas.rs
+++ b/tests/planner/quotas.rs
@@ -83,16 +83,16 @@
 /// quota for which tasks had been preempted in favour of a service of the same team.
 #[test]
 fn only_the_first_blocked_group_of_a_team_is_listed_as_blocked_by_quota() {
-    let with = |first: JobClass| plan(&snapshot_near_quota(0.0, vec![first, small_tasks()]));
+    let plan_with = |first: JobClass| plan(&snapshot_near_quota(0.0, vec![first, small_tasks()]));
     let first = JobClass { priority: Priority::Urgent, ..class(3, 30, 40) };
-    let first_blocked = with(first.clone());
+    let first_blocked = plan_with(first.clone());
     assert_eq!(
         first_blocked.blocked_by_quota,
         [(0, 1)],
         "the small tasks behind the first class are not listed"
     );
     assert_eq!(first_blocked.quota_of_other_starts, [need(0.0)]);
-    let first_started = with(JobClass { startable_tasks: 1, ..first.clone() });
+    let first_started = plan_with(JobClass { startable_tasks: 1, ..first.clone() });
     assert_eq!(first_started.blocked_by_quota, [(1, 7)]);
     assert_eq!(
         first_started.quota_of_other_starts[0].cpus,
@@ -100,5 +100,8 @@
         "starts of the first class count as other starts"
     );
     let service = JobClass { replica_machines: Some(Vec::new()), ..first };
-    assert!(with(service).blocked_by_quota.is_empty(), "nothing is listed if a service is blocked first");
+    assert!(
+        plan_with(service).blocked_by_quota.is_empty(),
+        "nothing is listed if a service is blocked first"
+    );
 }
--- a/tests/service_placement/model.rs
+++ b/tests/service_placement/model.rs
@@ -28,10 +28,10 @@
     /// Whether the class may use the machine, regardless of the tasks on it.
     pub fn may_use(&self, index: usize, machine: usize) -> bool {
         let (class, machine) = (&self.snapshot.classes[index], &self.snapshot.machines[machine]);
-        let lasts = machine.reclaimed_in.is_none() || !self.is_service(index);
+        let is_not_reclaimed = machine.reclaimed_in.is_none() || !self.is_service(index);
         let zone_allowed = class.zone.is_none_or(|zone| zone == machine.zone);
         machine.accepts_starts
-            && lasts
+            && is_not_reclaimed
             && zone_allowed
             && class.machine_types.contains(&machine.machine_type)
             && (class.spot || !machine.spot)
--- a/tests/service_placement/reserved_headroom.rs
+++ b/tests/service_placement/reserved_headroom.rs
@@ -22,17 +22,17 @@
 /// Guards against replicas, which do not end by themselves, on the last machines that large tasks fit on.
 #[test]
 fn replicas_use_machines_with_headroom_only_while_a_large_task_still_fits() {
-    let beside = |replicas: usize| machine_with_tasks(machine(32.0), vec![replica(1.0); replicas]);
+    let with_replicas = |replicas: usize| machine_with_tasks(machine(32.0), vec![replica(1.0); replicas]);
     let choice =
         |machines: Vec<MachineSnapshot>| machines_of(&plan(&with_headroom(machines, vec![service(1)])), 0);
-    assert_eq!(choice(vec![beside(0), slower_machine_of_other_type()]), [0]);
-    assert_eq!(choice(vec![beside(1), slower_machine_of_other_type()]), [0]);
-    assert_eq!(choice(vec![beside(2), slower_machine_of_other_type()]), [1]);
-    assert_eq!(choice(vec![beside(2)]), [0], "no other machine can take the replica");
+    assert_eq!(choice(vec![with_replicas(0), slower_machine_of_other_type()]), [0]);
+    assert_eq!(choice(vec![with_replicas(1), slower_machine_of_other_type()]), [0]);
+    assert_eq!(choice(vec![with_replicas(2), slower_machine_of_other_type()]), [1]);
+    assert_eq!(choice(vec![with_replicas(2)]), [0], "no other machine can take the replica");
     // A machine of the other type is preferred if a replica runs as soon there, even if it has more free
     // capacity.
     let as_soon = MachineSnapshot { machine_type: 1, ..machine(64.0) };
-    assert_eq!(choice(vec![beside(0), as_soon]), [1]);
+    assert_eq!(choice(vec![with_replicas(0), as_soon]), [1]);
 }
 
 /// Guards against the same failure with several replicas that one plan starts.
@@ -40,6 +40,6 @@
 fn replicas_started_by_the_same_plan_count_against_headroom() {
     let services = vec![service(1), service(1), service(1)];
     let plan = plan(&with_headroom(vec![machine(32.0), slower_machine_of_other_type()], services));
-    let beside = plan.starts.iter().filter(|start| start.machine == 0).count();
-    assert_eq!(beside, 2);
+    let started_on_first = plan.starts.iter().filter(|start| start.machine == 0).count();
+    assert_eq!(started_on_first, 2);
 }
--- a/tests/unreadable_history.rs
+++ b/tests/unreadable_history.rs
@@ -18,8 +18,9 @@
 #[test]
 fn a_history_that_cannot_be_read_is_not_overwritten() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
-    let later = json!({ "form": 2 });
-    let then = (0..BUCKETS).map(|bucket| Change::put(format!("hist/{bucket}"), later.clone())).collect();
+    let later_value = json!({ "form": 2 });
+    let then =
+        (0..BUCKETS).map(|bucket| Change::put(format!("hist/{bucket}"), later_value.clone())).collect();
     world.store().txn(&Txn { guards: Vec::new(), then }).expect("written");
     let mut leader = world.leader();
     leader.submit();
@@ -32,5 +33,5 @@
     }
     assert_eq!(leader.stage(), "done");
     leader.steps(&mut machine, 2 * SETTLED);
-    assert_eq!(history(&world), vec![later; BUCKETS as usize]);
+    assert_eq!(history(&world), vec![later_value; BUCKETS as usize]);
 }
