--- a/src/live_jobs.rs
+++ b/src/live_jobs.rs
@@ -230,7 +230,7 @@
 /// Reads the changes since the revision `from`, or all live jobs if `from` is `None` or has been compacted.
 fn read(store: &StateStoreClient, from: Option<u64>) -> Result<ReadResult, StateStoreError> {
     match from.map(|from| store.changes(JOBS_PREFIX, from, RequestPriority::User)) {
-        // All live jobs are read.
+        // There was no read before, or its revision has been compacted: all live jobs are read below.
         None | Some(Err(StateStoreError::RevisionCompacted)) => {}
         Some(result) => return result.map(ReadResult::Changes),
     }
--- a/src/records/job.rs
+++ b/src/records/job.rs
@@ -3,8 +3,9 @@
 //! Versions before 0.3 have no loans. If such a version cannot read the record of a job with loans, it
 //! assumes that the job has ended and deletes its progress. If it can read the record, it must neither
 //! start, cancel nor end the job, since other cells have borrowed tasks of it. The *held* form meets both
-//! conditions: the record is readable, but describes a job that these versions can neither start, cancel nor
-//! end. See docs/cells.md, "Versions".
+//! conditions: these versions can read the record, but it allows them to start no task, and a placeholder
+//! under the key of the final record prevents them from cancelling or ending the job. See docs/cells.md,
+//! "Versions".
 
 use milletlock_cells::Lending;
 use serde::{Deserialize, Serialize};
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -34,8 +34,9 @@
 
 /// Minimum capacity of a bucket in tokens, however low its rate is.
 const MIN_CAPACITY: f64 = 1.0;
-/// Minimum and maximum wait, in seconds, that is returned if a bucket has too few tokens.
+/// Minimum wait, in seconds, that is returned if a bucket has too few tokens.
 const MIN_WAIT_S: f64 = 0.002;
+/// Maximum wait, in seconds, that is returned if a bucket has too few tokens.
 const MAX_WAIT_S: f64 = 1.0;
 
 /// A token bucket whose capacity is the tokens of one second (at least one token).
--- a/tests/withheld_writes.rs
+++ b/tests/withheld_writes.rs
@@ -16,8 +16,8 @@
 
 const JOB: &str = "wk-000001";
 
-/// Executes the pending writes that are not withheld.
-fn acknowledge(fleet: &mut Fleet, now: Steady, is_withheld: impl Fn(&PendingWrite) -> bool) {
+/// Applies to the fleet the pending writes that are not withheld, as if the state store had committed them.
+fn apply_pending_writes(fleet: &mut Fleet, now: Steady, is_withheld: impl Fn(&PendingWrite) -> bool) {
     let pending = fleet.pending_writes(now, Micros::ZERO, 1000);
     let (_, answered): (Vec<_>, Vec<_>) = pending.into_iter().partition(is_withheld);
     for batch in leadership::compose_batches(fleet, 1, answered, 64, now, Wall(now.0)) {
@@ -32,7 +32,7 @@
 fn step(scenario: &mut Scenario, is_withheld: impl Fn(&PendingWrite) -> bool) -> Option<u32> {
     scenario.now = scenario.now + Micros::from_secs(3.0);
     scenario.fleet.tick(scenario.now, wall(scenario));
-    acknowledge(&mut scenario.fleet, scenario.now, &is_withheld);
+    apply_pending_writes(&mut scenario.fleet, scenario.now, &is_withheld);
     let mut highest = None;
     for id in scenario.machines.clone() {
         let on_machine = scenario.tasks(&id);
@@ -92,12 +92,12 @@
     leadership::load_records(&mut fleet, store.rows(""), now, Wall(now.0));
     assert!(fleet.settle_loan(JOB, Lending::default()).is_none(), "the rows of done ranges are missing");
     let is_done_chunk = |write: &PendingWrite| matches!(write, PendingWrite::Done(..));
-    acknowledge(&mut fleet, now, is_done_chunk);
+    apply_pending_writes(&mut fleet, now, is_done_chunk);
     assert!(
         fleet.settle_loan(JOB, Lending::default()).is_none(),
         "the rows of done ranges are still missing"
     );
-    acknowledge(&mut fleet, now, |_| false);
+    apply_pending_writes(&mut fleet, now, |_| false);
     assert!(fleet.settle_loan(JOB, Lending::default()).is_some());
 }
 
