--- a/crates/cells/src/borrower.rs
+++ b/crates/cells/src/borrower.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::loan::{BorrowedJob, HeldLoan, LoanNumber};
+use crate::loan::{BorrowedJob, BorrowedLoan, LoanNumber};
 use crate::message::{LoanAction, LoanItem, LoanOffer, LoanReport, LoanState, LoanSyncRequest};
 use crate::task_set::TaskSet;
 
@@ -160,7 +160,7 @@
         self.jobs.get(job).filter(|record| record.lender == lender)
     }
 
-    fn held_loan(&self, lender: &str, item: &LoanItem) -> Option<&HeldLoan> {
+    fn held_loan(&self, lender: &str, item: &LoanItem) -> Option<&BorrowedLoan> {
         let record = self.record_from(lender, &item.job)?;
         record.loans.iter().find(|loan| loan.number == item.number)
     }
@@ -168,12 +168,12 @@
     /// Drops loans that their lender has closed. Only those up to the message's horizon: a late message
     /// does not name loans that were made after it.
     fn drop_closed(&self, request: &LoanSyncRequest) -> Option<BorrowerChange> {
-        let is_open = |loan: &HeldLoan| {
+        let is_open = |loan: &BorrowedLoan| {
             loan.number > request.horizon || request.loans.iter().any(|item| item.number == loan.number)
         };
         let mut from_lender = self.jobs.iter().filter(|(_, record)| record.lender == request.from);
         from_lender.find_map(|(job, record)| {
-            let open: Vec<HeldLoan> = record.loans.iter().filter(|loan| is_open(loan)).cloned().collect();
+            let open: Vec<BorrowedLoan> = record.loans.iter().filter(|loan| is_open(loan)).cloned().collect();
             (open.len() < record.loans.len()).then(|| change_to_loans(job, record, open))
         })
     }
@@ -199,7 +199,7 @@
     fn change_held_loan(
         &self,
         item: &LoanItem,
-        loan: &HeldLoan,
+        loan: &BorrowedLoan,
         local: &impl LocalTasks,
     ) -> Option<BorrowerChange> {
         match item.action {
@@ -256,7 +256,7 @@
                     description: offer.description.clone(),
                     loans: Vec::new(),
                 });
-                record.loans.push(HeldLoan { number: item.number, tasks: item.tasks.clone() });
+                record.loans.push(BorrowedLoan { number: item.number, tasks: item.tasks.clone() });
             }
             Decision::Refuse(refusal) => change.refusal = Some(refusal),
             Decision::Withdrawn => {}
@@ -265,7 +265,12 @@
     }
 
     /// Gives back the tasks of a loan that have not begun; `None` if all have.
-    fn give_back(&self, item: &LoanItem, loan: &HeldLoan, local: &impl LocalTasks) -> Option<BorrowerChange> {
+    fn give_back(
+        &self,
+        item: &LoanItem,
+        loan: &BorrowedLoan,
+        local: &impl LocalTasks,
+    ) -> Option<BorrowerChange> {
         let given_back = local.unstarted(&item.job, &loan.tasks).intersection(&loan.tasks);
         if given_back.is_empty() {
             return None;
@@ -281,7 +286,7 @@
 }
 
 /// The change by which a job's record is left with these loans; without any the record is removed.
-fn change_to_loans(job: &str, record: &BorrowedJob, loans: Vec<HeldLoan>) -> BorrowerChange {
+fn change_to_loans(job: &str, record: &BorrowedJob, loans: Vec<BorrowedLoan>) -> BorrowerChange {
     let left = BorrowedJob { loans, ..record.clone() };
     let withdrawn = record.tasks().difference(&left.tasks());
     BorrowerChange {
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use borrower::{BorrowRefusal, BorrowerChange, BorrowerLedger, LocalTasks};
 pub use lender::{LenderChange, LenderLedger, LoanReportError};
-pub use loan::{BorrowedJob, HeldLoan, Lending, Loan, LoanNumber};
+pub use loan::{BorrowedJob, BorrowedLoan, Lending, Loan, LoanNumber};
 pub use message::{LoanAction, LoanItem, LoanOffer, LoanReport, LoanState, LoanSyncRequest};
 pub use policy::{BacklogThreshold, LendingInputs, MAX_TASKS_PER_LOAN};
 pub use script::{LendingScript, ScriptError};
--- a/crates/cells/src/loan.rs
+++ b/crates/cells/src/loan.rs
@@ -77,7 +77,7 @@
 
 /// A loan as its borrower records it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HeldLoan {
+pub struct BorrowedLoan {
     /// The loan's number.
     pub number: LoanNumber,
     /// The tasks that the borrower has not given back.
@@ -93,7 +93,7 @@
     /// The job's description, as the lender sent it.
     pub description: serde_json::Value,
     /// The loans that are held.
-    pub loans: Vec<HeldLoan>,
+    pub loans: Vec<BorrowedLoan>,
 }
 
 impl BorrowedJob {
--- a/crates/cells/tests/stored_records.rs
+++ b/crates/cells/tests/stored_records.rs
@@ -1,7 +1,7 @@
 //! Stored records keep the names under which versions from 0.3 on write them, whatever the fields are
 //! called in the code.
 
-use milletlock_cells::{BorrowedJob, HeldLoan, Lending, Loan, LoanNumber, TaskSet};
+use milletlock_cells::{BorrowedJob, BorrowedLoan, Lending, Loan, LoanNumber, TaskSet};
 use serde_json::json;
 
 #[test]
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_borrowers_record_keeps_its_names() {
-    let loan = HeldLoan { number: LoanNumber(9), tasks: TaskSet::span(3, 4) };
+    let loan = BorrowedLoan { number: LoanNumber(9), tasks: TaskSet::span(3, 4) };
     let record =
         BorrowedJob { lender: "north".into(), description: json!({ "nameId": "wk-1" }), loans: vec![loan] };
     let stored = json!({
--- a/tests/one_id_in_two_cells.rs
+++ b/tests/one_id_in_two_cells.rs
@@ -10,7 +10,8 @@
 use milletlock::peer::{PeerMessage, PeerReply};
 use milletlock::wire::{Change, Txn};
 use milletlock_cells::{
-    BorrowedJob, HeldLoan, LoanAction, LoanItem, LoanNumber, LoanReport, LoanState, LoanSyncRequest, TaskSet,
+    BorrowedJob, BorrowedLoan, LoanAction, LoanItem, LoanNumber, LoanReport, LoanState, LoanSyncRequest,
+    TaskSet,
 };
 use serde_json::json;
 
@@ -19,7 +20,7 @@
 /// The records of a borrowed job and of one of its id that was accepted here, of which tasks are done.
 fn write_records_of_both(world: &World) {
     let description = json!(spec(1, 40, "batch"));
-    let loans = vec![HeldLoan { number: LOAN, tasks: tasks("0-9") }];
+    let loans = vec![BorrowedLoan { number: LOAN, tasks: tasks("0-9") }];
     let borrowed = BorrowedJob { lender: "there".into(), description, loans };
     let then = vec![
         Change::put(format!("job/{JOB}"), json!(record(spec(1, 40, "batch")))),
