--- a/crates/cells/src/borrower.rs
+++ b/crates/cells/src/borrower.rs
@@ -143,7 +143,7 @@
     pub fn reports(&self, request: &LoanSyncRequest, done: impl Fn(&str) -> TaskSet) -> Vec<LoanReport> {
         let report = |item: &LoanItem| {
             let state = match self.held_loan(&request.from, item) {
-                Some(loan) => LoanState::Held {
+                Some(loan) => LoanState::Accepted {
                     tasks: loan.tasks.clone(),
                     done: loan.tasks.intersection(&done(&item.job)),
                 },
--- a/crates/cells/src/lender.rs
+++ b/crates/cells/src/lender.rs
@@ -182,7 +182,7 @@
             return Err(LoanReportError::LentElsewhere { number: number.0, job: job.into() });
         }
         let (held, done) = match &report.state {
-            LoanState::Held { tasks, done } => (tasks.clone(), done.clone()),
+            LoanState::Accepted { tasks, done } => (tasks.clone(), done.clone()),
             LoanState::Closed => (TaskSet::new(), TaskSet::new()),
         };
         let not_lent = done.difference(&loan.tasks);
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum LoanState {
     /// The borrower holds these tasks; those that are done are recorded there.
-    Held {
+    Accepted {
         /// Tasks that were not given back, done ones included.
         tasks: TaskSet,
         /// Tasks that are done.
--- a/crates/cells/tests/bad_input.rs
+++ b/crates/cells/tests/bad_input.rs
@@ -50,7 +50,7 @@
     let offer = request("lender", 5, vec![item(5, "wk-1", "0-3", LoanAction::Run)]);
     assert!(handle(&mut borrower, &offer).is_empty());
     let accepted = borrower.reports(&offer, |_| TaskSet::new());
-    assert_eq!(accepted[0].state, LoanState::Held { tasks: TaskSet::span(0, 4), done: TaskSet::new() });
+    assert_eq!(accepted[0].state, LoanState::Accepted { tasks: TaskSet::span(0, 4), done: TaskSet::new() });
     assert!(borrower.next_change(&offer, &Idle).is_none(), "the same offer again changes nothing");
     assert_eq!(borrower.reports(&offer, |_| TaskSet::new()), accepted);
     // The lender closes it. A copy of the offer that comes later creates nothing.
@@ -129,7 +129,7 @@
 
 fn report(number: LoanNumber, tasks: &str, done: &str) -> LoanReport {
     let set = |text| TaskSet::parse(text).expect("tasks");
-    LoanReport { number, state: LoanState::Held { tasks: set(tasks), done: set(done) } }
+    LoanReport { number, state: LoanState::Accepted { tasks: set(tasks), done: set(done) } }
 }
 
 #[test]
--- a/src/loan_messages.rs
+++ b/src/loan_messages.rs
@@ -151,7 +151,7 @@
 pub fn report_to_proto(report: &LoanReport) -> proto::LoanReport {
     let number = report.number.0;
     match &report.state {
-        LoanState::Held { tasks, done } => {
+        LoanState::Accepted { tasks, done } => {
             proto::LoanReport { number, closed: false, tasks: tasks.to_bytes(), done: done.to_bytes() }
         }
         LoanState::Closed => proto::LoanReport { number, closed: true, ..proto::LoanReport::default() },
@@ -163,7 +163,7 @@
     let state = if report.closed {
         LoanState::Closed
     } else {
-        LoanState::Held {
+        LoanState::Accepted {
             tasks: tasks_from_bytes(report.number, &report.tasks)?,
             done: tasks_from_bytes(report.number, &report.done)?,
         }
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -75,7 +75,7 @@
             *tasks = tasks.difference(&self.gives_back);
         }
         let state = match self.held.get(&item.number) {
-            Some(tasks) => LoanState::Held { tasks: tasks.clone(), done: tasks.intersection(&self.done) },
+            Some(tasks) => LoanState::Accepted { tasks: tasks.clone(), done: tasks.intersection(&self.done) },
             None => LoanState::Closed,
         };
         LoanReport { number: item.number, state }
--- a/tests/one_id_in_two_cells.rs
+++ b/tests/one_id_in_two_cells.rs
@@ -48,7 +48,7 @@
     let PeerReply::Loans(reply) = reply else { panic!("no reports") };
     let reports: Vec<LoanReport> =
         reply.reports.iter().map(|report| report_from_proto(report).expect("a report")).collect();
-    let state = LoanState::Held { tasks: tasks("0-9"), done: TaskSet::new() };
+    let state = LoanState::Accepted { tasks: tasks("0-9"), done: TaskSet::new() };
     assert_eq!(reports, [LoanReport { number: LOAN, state }]);
 }
 
