--- a/crates/cells/src/borrower.rs
+++ b/crates/cells/src/borrower.rs
@@ -17,7 +17,7 @@
     InvalidTasks,
     /// Some of the tasks are held here already.
     #[error("some of the tasks are held already")]
-    TasksAlreadyHeld,
+    TasksAlreadyBorrowed,
     /// The job's description cannot be read; the reason.
     #[error("the description cannot be read: {0}")]
     MalformedDescription(String),
@@ -233,7 +233,9 @@
         }
         match self.jobs.get(&item.job) {
             Some(record) if record.lender != lender => Err(BorrowRefusal::JobIdInUse),
-            Some(record) if !record.tasks().is_disjoint(&item.tasks) => Err(BorrowRefusal::TasksAlreadyHeld),
+            Some(record) if !record.tasks().is_disjoint(&item.tasks) => {
+                Err(BorrowRefusal::TasksAlreadyBorrowed)
+            }
             _ => Ok(()),
         }
     }
--- a/crates/cells/tests/bad_input.rs
+++ b/crates/cells/tests/bad_input.rs
@@ -80,7 +80,7 @@
         (request("lender", 0, vec![item(3, "wk-2", "", LoanAction::Run)]), BorrowRefusal::InvalidTasks),
         (
             request("lender", 0, vec![item(4, "wk-1", "3-5", LoanAction::Run)]),
-            BorrowRefusal::TasksAlreadyHeld,
+            BorrowRefusal::TasksAlreadyBorrowed,
         ),
         (request("other", 0, vec![item(4, "wk-1", "7", LoanAction::Run)]), BorrowRefusal::JobIdInUse),
     ];
