--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -73,9 +73,9 @@
         std::thread::sleep(outage.saturating_sub(begun.elapsed()));
         self.since = Instant::now();
         self.start_all();
-        if self.cells.state_is_out.load(Ordering::Relaxed) {
+        if self.cells.state_stores_unavailable.load(Ordering::Relaxed) {
             std::thread::sleep(Duration::from_millis(1_000));
-            self.cells.state_is_out.store(false, Ordering::Relaxed);
+            self.cells.state_stores_unavailable.store(false, Ordering::Relaxed);
         }
         until("somebody leads", || self.cells.leader(0).is_some());
         until("all machines are heard or gone", || self.unheard() == 0);
@@ -192,7 +192,7 @@
 fn a_second_crash_while_the_state_store_is_down_repeats_nothing() {
     let mut blackout = Blackout::prepare(38, 20);
     blackout.kill_all();
-    blackout.cells.state_is_out.store(true, Ordering::Relaxed);
+    blackout.cells.state_stores_unavailable.store(true, Ordering::Relaxed);
     blackout.start_all();
     std::thread::sleep(Duration::from_millis(1_000));
     blackout.run(Duration::from_millis(500), |_| ());
--- a/tests/common/cells/mod.rs
+++ b/tests/common/cells/mod.rs
@@ -73,7 +73,7 @@
     /// Whether the state stores drop replies.
     pub drops_replies: Arc<AtomicBool>,
     /// Whether the state stores refuse everybody.
-    pub state_is_out: Arc<AtomicBool>,
+    pub state_stores_unavailable: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
     folder: std::path::PathBuf,
 }
@@ -89,7 +89,7 @@
             links: BTreeMap::new(),
             history: Arc::default(),
             drops_replies: Arc::default(),
-            state_is_out: Arc::default(),
+            state_stores_unavailable: Arc::default(),
             stop: Arc::default(),
             folder,
         };
@@ -118,7 +118,11 @@
         std::fs::write(self.folder.join(format!("{cell}.hcl")), settings).expect("written");
         let machines: Vec<String> = (0..plan.workers).map(|w| format!("i-{cell}{w:05}")).collect();
         let load = Arc::<StateLoad>::default();
-        let state = state_store_server(self.drops_replies.clone(), self.state_is_out.clone(), load.clone());
+        let state = state_store_server(
+            self.drops_replies.clone(),
+            self.state_stores_unavailable.clone(),
+            load.clone(),
+        );
         let cloud = cloud(machines.clone(), self.history.clone());
         let link = |c: usize| Link::start(addresses.state_store(cell, c), state);
         let store_links = controllers.clone().map(link).collect();
