--- a/tests/clean_stop.rs
+++ b/tests/clean_stop.rs
@@ -85,7 +85,7 @@
     let token = |cells: &Cells| cells.rows(0, "term")[0].value["n"].as_u64();
     let before = token(&cells);
     let asked = Instant::now();
-    cells.ask_to_end(0, leader);
+    cells.send_sigterm(0, leader);
     until("another controller leads", || token(&cells) != before);
     assert!(asked.elapsed() < HANDOVER, "another controller led only after {:?}", asked.elapsed());
     cells.await_end(0, leader);
--- a/tests/common/cells/mod.rs
+++ b/tests/common/cells/mod.rs
@@ -214,7 +214,7 @@
     }
 
     /// Asks a controller's process to end, with SIGTERM.
-    pub fn ask_to_end(&self, cell: usize, controller: usize) {
+    pub fn send_sigterm(&self, cell: usize, controller: usize) {
         let child = self.cells[cell].controllers[controller].as_ref().expect("a process");
         let sent = Command::new("kill").args(["-s", "TERM", &child.id().to_string()]).status();
         assert!(sent.is_ok_and(|status| status.success()), "the signal is sent");
@@ -228,7 +228,7 @@
 
     /// Asks a controller's process to end and waits until it has.
     pub fn terminate_controller(&mut self, cell: usize, controller: usize) {
-        self.ask_to_end(cell, controller);
+        self.send_sigterm(cell, controller);
         self.await_end(cell, controller);
     }
 
