--- a/tests/common/cells/history.rs
+++ b/tests/common/cells/history.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub struct History {
     /// Each task that ever began, with the cells and attempts.
-    pub begun: BTreeMap<String, BTreeSet<(usize, u64)>>,
+    pub started_attempts: BTreeMap<String, BTreeSet<(usize, u64)>>,
     /// How often each task finished in which cell.
     pub finished: BTreeMap<String, Vec<usize>>,
     /// The exits with a result of each task.
@@ -97,7 +97,7 @@
         for (task, cells) in &self.finished {
             assert_eq!(cells.len(), 1, "{task} finished in cells {cells:?}");
         }
-        for (task, began) in &self.begun {
+        for (task, began) in &self.started_attempts {
             let cells: BTreeSet<usize> = began.iter().map(|at| at.0).collect();
             assert_eq!(cells.len(), 1, "{task} began in cells {cells:?}");
         }
--- a/tests/common/cells/worker.rs
+++ b/tests/common/cells/worker.rs
@@ -142,7 +142,7 @@
         let mut history = lock(&self.history);
         let elsewhere = history.present.keys().any(|(_, there)| there.0 == attempt.0);
         assert!(!elsewhere, "{} starts while it is on another machine", attempt.0);
-        history.begun.entry(attempt.0.clone()).or_default().insert((self.cell, attempt.1));
+        history.started_attempts.entry(attempt.0.clone()).or_default().insert((self.cell, attempt.1));
         history.present.insert((self.cell, attempt), self.state.id.clone());
     }
 }
--- a/tests/held_under_earlier_program.rs
+++ b/tests/held_under_earlier_program.rs
@@ -316,7 +316,7 @@
     }
     let is_of_job = |task: &str| task.starts_with(&format!("{JOB}/"));
     let history = cells.history.lock().expect("the history");
-    let begun_late = history.begun.iter().filter(|(task, began)| {
+    let begun_late = history.started_attempts.iter().filter(|(task, began)| {
         is_of_job(task) && began.iter().any(|(cell, attempt)| *cell == 0 && attempt >> 24 > last_token)
     });
     let begun_late: Vec<&String> = begun_late.map(|(task, _)| task).collect();
--- a/tests/three_cells.rs
+++ b/tests/three_cells.rs
@@ -57,7 +57,7 @@
 fn assert_gang_whole(cells: &Cells) {
     let history = cells.history.lock().expect("the history");
     let mut attempts: Vec<_> = (0..4)
-        .map(|n| history.begun[&format!("{}/{n}", id(50))].iter().copied().collect::<Vec<_>>())
+        .map(|n| history.started_attempts[&format!("{}/{n}", id(50))].iter().copied().collect::<Vec<_>>())
         .collect();
     attempts.dedup();
     assert_eq!(attempts.len(), 1, "all tasks of the gang have the same attempts: {attempts:?}");
