--- a/tests/common/cells/cloud.rs
+++ b/tests/common/cells/cloud.rs
@@ -34,7 +34,8 @@
                         "stage": "running", "ageS": 60.0 })
             };
             let history = lock(&history);
-            let listed = machines.iter().filter(|id| id.as_str() > from && !history.gone.contains(*id));
+            let listed =
+                machines.iter().filter(|id| id.as_str() > from && !history.removed_machines.contains(*id));
             let list: Vec<Value> = listed.map(machine).collect();
             Response::json(200, &json!({ "husks": list, "more": false }))
         }
--- a/tests/common/cells/history.rs
+++ b/tests/common/cells/history.rs
@@ -32,7 +32,7 @@
     /// Tasks that are on a machine, with its name.
     pub tasks_on_machines: BTreeMap<(usize, Attempt), String>,
     /// Machines that are gone.
-    pub gone: BTreeSet<String>,
+    pub removed_machines: BTreeSet<String>,
     /// Tasks that end before their time.
     pub ended_early: BTreeSet<String>,
     /// Machines that were asked for in vain.
@@ -46,7 +46,7 @@
 impl History {
     /// A machine is gone, with all that is on it.
     pub fn remove_machine(&mut self, id: &str) {
-        self.gone.insert(id.to_string());
+        self.removed_machines.insert(id.to_string());
         self.tasks_on_machines.retain(|_, machine| machine != id);
     }
 
--- a/tests/common/cells/worker.rs
+++ b/tests/common/cells/worker.rs
@@ -36,7 +36,8 @@
         let lease = Micros::from_secs(LEASE_S);
         let now = || Steady(started.elapsed().as_micros() as i64);
         let (mut at, mut sent_at, mut changed) = (0, Instant::now(), true);
-        while !stop.load(Ordering::Relaxed) && !lock(&self.history).gone.contains(&self.state.id) {
+        while !stop.load(Ordering::Relaxed) && !lock(&self.history).removed_machines.contains(&self.state.id)
+        {
             changed |= self.finish_tasks(now());
             changed |= self.end_session(lease, now());
             if changed || sent_at.elapsed() > HEARTBEAT_INTERVAL {
