--- a/tests/common/cells/history.rs
+++ b/tests/common/cells/history.rs
@@ -82,7 +82,7 @@
     }
 
     /// How many tasks finished in each cell.
-    pub fn tally(&self, cells: usize) -> Vec<usize> {
+    pub fn finished_per_cell(&self, cells: usize) -> Vec<usize> {
         let of = |cell: usize| self.finished.values().flatten().filter(|at| **at == cell).count();
         (0..cells).map(of).collect()
     }
--- a/tests/earlier_program.rs
+++ b/tests/earlier_program.rs
@@ -57,7 +57,7 @@
 fn wait_until_done_on_both_sides(cells: &Cells) {
     until("some are done on both sides", || {
         let history = cells.history.lock().expect("the history");
-        let tally = history.tally(2);
+        let tally = history.finished_per_cell(2);
         drop(history);
         tally[0] > 10 && tally[1] > 20 && tasks_in(cells, "done").len() > 20
     });
--- a/tests/measure_cells.rs
+++ b/tests/measure_cells.rs
@@ -40,7 +40,10 @@
         .map(|status| status.others.iter().map(|other| other.messages).sum())
         .collect();
     println!("{title}: messages sent by cell {messages:?}");
-    println!("{title}: {took:.1} s, finished by cell {:?}, changes by cell {changes:?}", history.tally(3));
+    println!(
+        "{title}: {took:.1} s, finished by cell {:?}, changes by cell {changes:?}",
+        history.finished_per_cell(3)
+    );
 }
 
 #[test]
--- a/tests/three_cells.rs
+++ b/tests/three_cells.rs
@@ -78,7 +78,7 @@
     let told: Vec<usize> = [1, 2].map(for_first).to_vec();
     let history = cells.history.lock().expect("the history");
     history.assert_each_finished_once(tasks);
-    let tally = history.tally(3);
+    let tally = history.finished_per_cell(3);
     assert_eq!(tally.iter().sum::<usize>(), tasks);
     assert_eq!(told, [tally[1] - 10, tally[2]], "{tally:?}");
     assert!(told.iter().sum::<usize>() > 20, "tasks were lent: {tally:?}");
