--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -47,7 +47,7 @@
     /// The same with so many controllers.
     fn prepare_with(group: u8, workers: usize, controllers: usize) -> Blackout {
         let plan =
-            CellPlan { workers, has_block: false, task_time: LONG, controllers, ..CellPlan::default() };
+            CellPlan { workers, has_cells_block: false, task_time: LONG, controllers, ..CellPlan::default() };
         let cells = Cells::start(group, &[plan]);
         for number in 1..=workers as u32 {
             cells.submit(0, &job(number, TASKS_PER_WORKER as u32));
--- a/tests/common/cells/plan.rs
+++ b/tests/common/cells/plan.rs
@@ -19,7 +19,7 @@
     /// Processors' worth of tasks that it borrows.
     pub borrow_cpus: u32,
     /// Whether its settings have a block of cells.
-    pub has_block: bool,
+    pub has_cells_block: bool,
     /// How long its tasks run.
     pub task_time: Duration,
     /// Its number of controllers.
@@ -33,7 +33,7 @@
         CellPlan {
             workers: 0,
             borrow_cpus: 0,
-            has_block: true,
+            has_cells_block: true,
             task_time: Duration::from_millis(250),
             controllers: CONTROLLERS,
             leader_ttl_s: 1.0,
@@ -55,7 +55,7 @@
              borrow_cpus = {}\n lend_after_s = 0.3\n}}\n",
             self.borrow_cpus
         );
-        let block = if self.has_block { block.as_str() } else { "" };
+        let block = if self.has_cells_block { block.as_str() } else { "" };
         let ttl_s = self.leader_ttl_s;
         format!("leader_ttl_s = {ttl_s:?}\ndrain_s = 3.0\nidle_s = 600.0\nidle_protected_s = 600.0\n{block}")
     }
--- a/tests/measure_cells.rs
+++ b/tests/measure_cells.rs
@@ -13,8 +13,8 @@
 /// Tasks of the flood.
 const TASKS: u32 = 1000;
 
-fn plans(borrow_cpus: u32, has_block: bool) -> [CellPlan; 3] {
-    [2, 4, 4].map(|workers| CellPlan { workers, borrow_cpus, has_block, ..CellPlan::default() })
+fn plans(borrow_cpus: u32, has_cells_block: bool) -> [CellPlan; 3] {
+    [2, 4, 4].map(|workers| CellPlan { workers, borrow_cpus, has_cells_block, ..CellPlan::default() })
 }
 
 /// Floods the first cell and prints how long it takes and what it costs.
@@ -57,8 +57,8 @@
 #[test]
 #[ignore = "a measurement, run by hand"]
 fn cost_of_an_idle_block() {
-    for (title, group, has_block) in [("without a block", 14, false), ("with a block", 15, true)] {
-        let cells = Cells::start(group, &plans(60, has_block));
+    for (title, group, has_cells_block) in [("without a block", 14, false), ("with a block", 15, true)] {
+        let cells = Cells::start(group, &plans(60, has_cells_block));
         let before = (cells.state_load(0), cells.processor_ticks(0));
         std::thread::sleep(Duration::from_secs(20));
         let (requests, changes) = cells.state_load(0);
