--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -261,11 +261,11 @@
     for (group, workers) in [(34, 200), (35, 1000), (39, 2000)] {
         for outage in [SHORT_OUTAGE, LONG_OUTAGE] {
             let mut blackout = Blackout::prepare(group, workers);
-            let changes = blackout.cells.state_load(0).1;
+            let changes = blackout.cells.state_store_load(0).1;
             blackout.run(outage, |_| ());
             let heard = blackout.since.elapsed();
             let commands = blackout.commands();
-            let changes = blackout.cells.state_load(0).1 - changes;
+            let changes = blackout.cells.state_store_load(0).1 - changes;
             println!(
                 "{workers} workers, away {outage:?}: heard after {heard:?}, {commands:?}, {changes} changes"
             );
--- a/tests/common/cells/mod.rs
+++ b/tests/common/cells/mod.rs
@@ -31,7 +31,7 @@
 use self::history::History;
 use self::link::Link;
 use self::plan::platform_settings;
-use self::state_store::{state_store_server, StateLoad};
+use self::state_store::{state_store_server, StateStoreLoad};
 use self::worker::Worker;
 use super::worker::WorkerState;
 
@@ -58,7 +58,7 @@
     users: Vec<SocketAddr>,
     internal: Vec<SocketAddr>,
     state: SocketAddr,
-    load: Arc<StateLoad>,
+    load: Arc<StateStoreLoad>,
     /// Links of the controllers to the state store.
     store_links: Vec<Link>,
 }
@@ -117,7 +117,7 @@
         let settings = plan.operator_settings(cell, cells, addresses);
         std::fs::write(self.folder.join(format!("{cell}.hcl")), settings).expect("written");
         let machines: Vec<String> = (0..plan.workers).map(|w| format!("i-{cell}{w:05}")).collect();
-        let load = Arc::<StateLoad>::default();
+        let load = Arc::<StateStoreLoad>::default();
         let state = state_store_server(
             self.drops_replies.clone(),
             self.state_stores_unavailable.clone(),
@@ -281,7 +281,7 @@
     }
 
     /// What a cell's controllers have asked of their state store.
-    pub fn state_load(&self, cell: usize) -> (usize, usize) {
+    pub fn state_store_load(&self, cell: usize) -> (usize, usize) {
         let load = &self.cells[cell].load;
         (load.requests.load(Ordering::Relaxed), load.changes.load(Ordering::Relaxed))
     }
--- a/tests/common/cells/state_store.rs
+++ b/tests/common/cells/state_store.rs
@@ -86,7 +86,7 @@
 
 /// What the controllers of a cell asked of their state store.
 #[derive(Default)]
-pub struct StateLoad {
+pub struct StateStoreLoad {
     pub requests: AtomicUsize,
     pub changes: AtomicUsize,
 }
@@ -96,7 +96,7 @@
 pub fn state_store_server(
     drops_replies: Arc<AtomicBool>,
     is_out: Arc<AtomicBool>,
-    load: Arc<StateLoad>,
+    load: Arc<StateStoreLoad>,
 ) -> SocketAddr {
     let (state, changed) = (Mutex::new(StateStore::default()), Condvar::new());
     let transactions = AtomicUsize::new(0);
--- a/tests/held_under_earlier_program.rs
+++ b/tests/held_under_earlier_program.rs
@@ -218,13 +218,13 @@
     hold_job(&cells, "free");
     change_leader(&mut cells, &program);
     let (done_before, rows_before) = (recorded(&cells).len(), rows(&cells, &["job/", "final/"]));
-    let (idle_from, idle_time) = (cells.state_load(0).0, Duration::from_secs(4));
+    let (idle_from, idle_time) = (cells.state_store_load(0).0, Duration::from_secs(4));
     std::thread::sleep(idle_time);
-    let idle_rate = (cells.state_load(0).0 - idle_from) as f64 / idle_time.as_secs_f64();
-    let (from, began) = (cells.state_load(0).0, Instant::now());
+    let idle_rate = (cells.state_store_load(0).0 - idle_from) as f64 / idle_time.as_secs_f64();
+    let (from, began) = (cells.state_store_load(0).0, Instant::now());
     let answers: Vec<u16> = (0..CANCELLATIONS).map(|_| cancel(&cells).0).collect();
     let time = began.elapsed().as_secs_f64();
-    let requests = (cells.state_load(0).0 - from) as f64 - idle_rate * time;
+    let requests = (cells.state_store_load(0).0 - from) as f64 - idle_rate * time;
     let each = requests / CANCELLATIONS as f64;
     println!(
         "cancellations {answers:?} in {time:.3} s, {each:.1} requests each; idle {idle_rate:.1} requests/s"
@@ -353,9 +353,9 @@
     cells.write_rows(0, done.into_iter().map(|(key, row)| Change::put(key, row)).collect());
     change_leader(&mut cells, &program);
     println!("status {:?}", status(&cells));
-    let from = (cells.state_load(0), Instant::now());
+    let from = (cells.state_store_load(0), Instant::now());
     println!("other jobs took {:?}", time_other_jobs(&cells, "free", 100));
-    let load = cells.state_load(0);
+    let load = cells.state_store_load(0);
     let (requests, changes, time) = (load.0 - from.0 .0, load.1 - from.0 .1, from.1.elapsed().as_secs_f64());
     println!("requests {requests}, changes {changes} in {time:.1} s; status {:?}", status(&cells));
     assert_ne!(cells.stage(0, JOB), "done", "no end under the earlier version");
--- a/tests/measure_cells.rs
+++ b/tests/measure_cells.rs
@@ -21,7 +21,7 @@
 fn drain(title: &str, group: u8, borrow_cpus: u32, cut: bool) {
     let cells = Cells::start(group, &plans(borrow_cpus, true));
     cells.cut(0, 2, cut);
-    let before: Vec<(usize, usize)> = (0..3).map(|cell| cells.state_load(cell)).collect();
+    let before: Vec<(usize, usize)> = (0..3).map(|cell| cells.state_store_load(cell)).collect();
     let begun = Instant::now();
     for number in 1..=5 {
         let mut job = json!(spec(number, TASKS / 5, "batch"));
@@ -34,7 +34,7 @@
     let took = begun.elapsed().as_secs_f64();
     let history = cells.history.lock().expect("the history");
     history.assert_each_finished_once(TASKS as usize);
-    let changes: Vec<usize> = (0..3).map(|cell| cells.state_load(cell).1 - before[cell].1).collect();
+    let changes: Vec<usize> = (0..3).map(|cell| cells.state_store_load(cell).1 - before[cell].1).collect();
     let messages: Vec<u64> = (0..3)
         .filter_map(|cell| cells.cells_status(cell))
         .map(|status| status.others.iter().map(|other| other.messages).sum())
@@ -59,9 +59,9 @@
 fn cost_of_an_idle_block() {
     for (title, group, has_cells_block) in [("without a block", 14, false), ("with a block", 15, true)] {
         let cells = Cells::start(group, &plans(60, has_cells_block));
-        let before = (cells.state_load(0), cells.processor_ticks(0));
+        let before = (cells.state_store_load(0), cells.processor_ticks(0));
         std::thread::sleep(Duration::from_secs(20));
-        let (requests, changes) = cells.state_load(0);
+        let (requests, changes) = cells.state_store_load(0);
         let ticks = cells.processor_ticks(0) - before.1;
         println!(
             "{title}, 20 s idle: {} requests, {} changes, {ticks} ticks of processor time",
