--- a/tests/common/cells/mod.rs
+++ b/tests/common/cells/mod.rs
@@ -194,7 +194,7 @@
     }
 
     /// A cell's controllers lend nothing any more from their next start on.
-    pub fn lend_nothing(&self, cell: usize) {
+    pub fn disable_lending(&self, cell: usize) {
         let file = self.folder.join(format!("{cell}.hcl"));
         let settings = std::fs::read_to_string(&file).expect("the settings");
         std::fs::write(&file, settings.replace("lend = [\"*\"]", "lend = []")).expect("written");
--- a/tests/earlier_program.rs
+++ b/tests/earlier_program.rs
@@ -352,7 +352,7 @@
         let mut cells = Cells::start(group, &[plan(2, 0), plan(4, 60)]);
         cells.submit(0, &job_of(MANY_TASKS));
         wait_until_done_on_both_sides(&cells);
-        cells.lend_nothing(0);
+        cells.disable_lending(0);
         for controller in 0..2 {
             cells.terminate_controller(0, controller);
             cells.start_controller(0, controller);
