--- a/tests/common/cells/mod.rs
+++ b/tests/common/cells/mod.rs
@@ -238,7 +238,7 @@
     }
 
     /// A cell is gone, with its controllers and machines.
-    pub fn lose_cell(&mut self, cell: usize) {
+    pub fn destroy_cell(&mut self, cell: usize) {
         (0..self.cells[cell].controllers.len()).for_each(|c| self.kill_controller(cell, c));
         let mut history = lock(&self.history);
         let of_cell = history.tasks_on_machines.iter().filter(|(at, _)| at.0 == cell);
--- a/tests/three_cells.rs
+++ b/tests/three_cells.rs
@@ -141,7 +141,7 @@
     until("the other cell holds tasks", || {
         cells.cells_status(1).is_some_and(|status| !status.borrowed.is_empty())
     });
-    cells.lose_cell(1);
+    cells.destroy_cell(1);
     until("the rest is done, and what is lent waits", || {
         let present = cells.history.lock().expect("the history").tasks_on_machines.len();
         present == 0 && lent(&cells) > 0
