--- a/tests/common/cells/mod.rs
+++ b/tests/common/cells/mod.rs
@@ -233,7 +233,7 @@
     }
 
     /// Cuts a controller off from its state store, or connects it again.
-    pub fn cut_from_store(&self, cell: usize, controller: usize, is_cut: bool) {
+    pub fn set_cut_from_state_store(&self, cell: usize, controller: usize, is_cut: bool) {
         self.cells[cell].store_links[controller].cut.store(is_cut, Ordering::Relaxed);
     }
 
--- a/tests/earlier_program.rs
+++ b/tests/earlier_program.rs
@@ -197,7 +197,7 @@
     match case.end {
         LeaderEnd::Killed => cells.kill_controller(0, leader),
         LeaderEnd::Terminated => cells.terminate_controller(0, leader),
-        LeaderEnd::CutFromStore => cells.cut_from_store(0, leader, true),
+        LeaderEnd::CutFromStore => cells.set_cut_from_state_store(0, leader, true),
     }
     std::thread::sleep(WRITE_TIME);
     let last_token = cells.rows(0, "term")[0].value["n"].as_u64().expect("a number");
@@ -208,7 +208,7 @@
         cells.start_earlier_program(0, earlier, program);
     }
     std::thread::sleep(EARLIER_TERM);
-    cells.cut_from_store(0, leader, false);
+    cells.set_cut_from_state_store(0, leader, false);
     std::thread::sleep(EARLIER_TERM / 2);
     cells.kill_controller(0, earlier);
     cells.start_controller(0, earlier);
