--- a/tests/common/cells/mod.rs
+++ b/tests/common/cells/mod.rs
@@ -257,7 +257,7 @@
     }
 
     /// Cuts two cells off from each other, or connects them again.
-    pub fn cut(&self, one: usize, other: usize, is_cut: bool) {
+    pub fn set_partitioned(&self, one: usize, other: usize, is_cut: bool) {
         for pair in [(one, other), (other, one)] {
             self.links[&pair].iter().for_each(|link| link.cut.store(is_cut, Ordering::Relaxed));
         }
--- a/tests/measure_cells.rs
+++ b/tests/measure_cells.rs
@@ -20,7 +20,7 @@
 /// Floods the first cell and prints how long it takes and what it costs.
 fn drain(title: &str, group: u8, borrow_cpus: u32, cut: bool) {
     let cells = Cells::start(group, &plans(borrow_cpus, true));
-    cells.cut(0, 2, cut);
+    cells.set_partitioned(0, 2, cut);
     let before: Vec<(usize, usize)> = (0..3).map(|cell| cells.state_store_load(cell)).collect();
     let begun = Instant::now();
     for number in 1..=5 {
--- a/tests/three_cells.rs
+++ b/tests/three_cells.rs
@@ -102,7 +102,7 @@
             .iter()
             .all(|guest| cells.cells_status(*guest).is_some_and(|status| !status.borrowed.is_empty()))
     });
-    cells.cut(0, 2, true);
+    cells.set_partitioned(0, 2, true);
     let leader = cells.leader(1).expect("a leader");
     cells.kill_controller(1, leader);
     until("the other controller leads", || cells.leader(1).is_some());
@@ -112,7 +112,7 @@
     cells.kill_controller(0, leader);
     until("the home has a leader again", || cells.leader(0).is_some());
     cells.start_controller(0, leader);
-    cells.cut(0, 2, false);
+    cells.set_partitioned(0, 2, false);
     wait_until_done(&cells);
     assert_gang_whole(&cells);
     assert_tally(&cells, tasks);
@@ -178,7 +178,7 @@
     });
     let same_id = cells.call(2, "POST", "/api/jobs", Some(&job(1, 1, "batch"))).0;
     assert_eq!(same_id, 503, "two jobs of one id could not be told apart on a worker");
-    cells.cut(0, 1, true);
+    cells.set_partitioned(0, 1, true);
     let cancel = || cells.call(0, "POST", &format!("/api/jobs/{}/withdraw", id(1)), Some(&json!({})));
     assert_eq!(cancel().0, 503);
     until("only the one behind the cut is left", || holders().iter().eq(["cell-1"]));
@@ -186,7 +186,7 @@
     assert_eq!(status, 503, "{reply}");
     let stage = cells.stage(0, &id(1));
     assert!(["queued", "running"].contains(&stage.as_str()), "{stage} before it is certain");
-    cells.cut(0, 1, false);
+    cells.set_partitioned(0, 1, false);
     until("it is confirmed", || cancel() == (200, json!({ "nameId": id(1), "stage": "cancelled" })));
     let confirmed = Instant::now();
     let present = || cells.history.lock().expect("the history").tasks_on_machines.len();
