--- a/tests/common/cells/history.rs
+++ b/tests/common/cells/history.rs
@@ -51,7 +51,7 @@
     }
 
     /// A task has exited with a result.
-    pub fn note_exit(&mut self, task: &str, cell: usize) {
+    pub fn record_exit(&mut self, task: &str, cell: usize) {
         let exit = Exit { cell, at: Instant::now(), accepted: None, was_redirected: false };
         self.exits.entry(task.to_string()).or_default().push(exit);
         self.finished.entry(task.to_string()).or_default().push(cell);
--- a/tests/common/cells/worker.rs
+++ b/tests/common/cells/worker.rs
@@ -106,7 +106,7 @@
             if history.tasks_on_machines.remove(&(self.cell, attempt.clone())).is_none() {
                 continue;
             }
-            history.note_exit(&attempt.0, self.cell);
+            history.record_exit(&attempt.0, self.cell);
         }
         !ended.is_empty()
     }
