--- a/tests/common/cells/history.rs
+++ b/tests/common/cells/history.rs
@@ -59,7 +59,7 @@
 
     /// A heartbeat that lists these tasks as exited with a result was accepted by a leader with this fencing
     /// token, or redirected (none).
-    pub fn note_heartbeat_answer<'a>(
+    pub fn record_heartbeat_reply<'a>(
         &mut self,
         cell: usize,
         fencing_token: Option<u64>,
