--- a/crates/cells/src/lender.rs
+++ b/crates/cells/src/lender.rs
@@ -99,7 +99,7 @@
     }
 
     /// A fresh loan number, or `None` if the term has no more. Its write counts as in flight until
-    /// [`LenderLedger::write_resolved`] is called.
+    /// [`LenderLedger::mark_write_resolved`] is called.
     pub fn next_number(&mut self) -> Option<LoanNumber> {
         self.last_number = self.last_number.next()?;
         self.writes_in_flight.insert(self.last_number);
@@ -107,7 +107,7 @@
     }
 
     /// The outcome of the write of a loan is known, and the records are loaded.
-    pub fn write_resolved(&mut self, number: LoanNumber) {
+    pub fn mark_write_resolved(&mut self, number: LoanNumber) {
         self.writes_in_flight.remove(&number);
     }
 
--- a/crates/cells/tests/bad_input.rs
+++ b/crates/cells/tests/bad_input.rs
@@ -123,7 +123,7 @@
     let loan = Loan { number, borrower: "borrower".into(), tasks: TaskSet::span(0, 4) };
     let lending = lender.with_loan("wk-1", loan);
     lender.load("wk-1", lending);
-    lender.write_resolved(number);
+    lender.mark_write_resolved(number);
     lender
 }
 
@@ -174,7 +174,7 @@
     let before = lender.horizon();
     let number = lender.next_number().expect("a number");
     assert_eq!(lender.horizon(), before, "a late message without it must not close it");
-    lender.write_resolved(number);
+    lender.mark_write_resolved(number);
     assert_eq!(lender.horizon(), number);
     // A term's numbers are all greater than those of the terms before it.
     assert!(LenderLedger::new(2).horizon() > number);
--- a/crates/cells/tests/world/transactions.rs
+++ b/crates/cells/tests/world/transactions.rs
@@ -45,7 +45,7 @@
         for (_, job) in jobs {
             leader.withheld.remove(job);
             if let Some(number) = leader.lending.remove(job) {
-                leader.lender.write_resolved(number);
+                leader.lender.mark_write_resolved(number);
             }
         }
         if let Some(change) = change {
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -183,7 +183,7 @@
         let lending = self.loans.lender_ledger.with_loan(&candidate.job, loan);
         let write = self.lender_write(&candidate.job, lending, Some(number));
         if write.is_none() {
-            self.loans.lender_ledger.write_resolved(number);
+            self.loans.lender_ledger.mark_write_resolved(number);
             return None;
         }
         self.record_start_mark_of_first_loan(write.as_ref());
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -239,7 +239,7 @@
         match write {
             LoanWrite::Lender { job, record, new_loan, .. } => {
                 if let Some(number) = new_loan {
-                    self.loans.lender_ledger.write_resolved(*number);
+                    self.loans.lender_ledger.mark_write_resolved(*number);
                 }
                 self.loans.leftover_placeholders.remove(job);
                 if record.lending.is_cancelled() {
@@ -267,7 +267,7 @@
     pub fn discard_loan_write(&mut self, write: &LoanWrite) {
         self.loans.in_flight(write).remove(write.job());
         if let LoanWrite::Lender { new_loan: Some(number), .. } = write {
-            self.loans.lender_ledger.write_resolved(*number);
+            self.loans.lender_ledger.mark_write_resolved(*number);
         }
         self.update_withheld(write.job());
     }
