--- a/crates/cells/src/lender.rs
+++ b/crates/cells/src/lender.rs
@@ -1,4 +1,5 @@
-//! The lender's side: which tasks are lent, and what a borrower's report changes.
+//! The lender's side: the ledger of the loans that a cell has made, and the changes that follow from a
+//! borrower's reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,56 +7,60 @@
 use crate::message::{LoanAction, LoanItem, LoanOffer, LoanReport, LoanState, LoanSyncRequest};
 use crate::task_set::TaskSet;
 
-/// Why a borrower's report cannot be true. Such a report changes nothing.
+/// The reasons to refuse a borrower's report as inconsistent with the ledger. A refused report changes
+/// nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoanReportError {
-    /// A loan that this lender has not made yet.
+    /// The report is about a loan number that this lender has not assigned yet.
     #[error("loan {0} was never made")]
     NeverMade(u64),
-    /// A loan that was made to another cell.
-    #[error("loan {number} of job {job} is with another cell")]
+    /// The report is about a loan that was made to another cell.
+    #[error("loan {number} of job {job} was made to another cell")]
     LentElsewhere {
         /// The loan's number.
         number: u64,
         /// The job's id.
         job: String,
     },
-    /// Tasks that are not part of the loan.
-    #[error("loan {number} of job {job} does not hold tasks {tasks}")]
+    /// The report lists tasks as done that are not part of the loan.
+    #[error("loan {number} of job {job} does not include tasks {tasks}")]
     NotLent {
         /// The loan's number.
         number: u64,
         /// The job's id.
         job: String,
-        /// The tasks, as compact text.
+        /// The tasks that are not part of the loan, in the text form of [`TaskSet`].
         tasks: String,
     },
 }
 
-/// What a borrower's report changes at the lender.
+/// A change of the lender's records that follows from a borrower's report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LenderChange {
     /// The job's id.
     pub job: String,
-    /// Tasks that are done at the borrower.
+    /// Tasks of the loan that are done at the borrower.
     pub done: TaskSet,
-    /// What the job's record is to say of loans from now on; `None` if that does not change.
+    /// The new value of the loans in the job's record, or `None` if they do not change.
     pub lending: Option<Lending>,
 }
 
-/// The loans that a cell has made, as recorded. A change is first made durable by the caller, then taken
-/// over with [`LenderLedger::load`].
+/// The loans that a cell has made, as they are stored.
+///
+/// The caller first writes a change to the state store and then applies it with [`LenderLedger::load`].
 #[derive(Clone, Debug)]
 pub struct LenderLedger {
+    /// The loans of each job that has any, by job id.
     jobs: BTreeMap<String, Lending>,
+    /// The last number that was assigned.
     last_number: LoanNumber,
     /// Numbers of loans whose write has no known outcome yet.
     writes_in_flight: BTreeSet<LoanNumber>,
 }
 
 impl LenderLedger {
-    /// The ledger of a leader with this term, before the records are loaded. All open loans of earlier
-    /// terms are in the records, so any that is not is closed.
+    /// Creates the ledger of a leader with this term, before the records are loaded. The records contain
+    /// all open loans of earlier terms, so every loan of an earlier term without a record is closed.
     pub fn new(term: u64) -> LenderLedger {
         LenderLedger {
             jobs: BTreeMap::new(),
@@ -64,7 +69,7 @@
         }
     }
 
-    /// Takes over what a job's record says of loans.
+    /// Sets the loans of a job to those in its stored record.
     pub fn load(&mut self, job: &str, lending: Lending) {
         if lending.is_empty() {
             self.jobs.remove(job);
@@ -73,22 +78,22 @@
         }
     }
 
-    /// The job's record is gone, and all its loans with it.
+    /// Removes a job whose record was deleted, with all its loans.
     pub fn remove(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
-    /// What a job's record says of loans.
+    /// The loans of a job and whether it is being cancelled, or `None` if there is nothing stored.
     pub fn lending(&self, job: &str) -> Option<&Lending> {
         self.jobs.get(job)
     }
 
-    /// All jobs whose record says something of loans, by id.
+    /// All jobs that have open loans or are being cancelled, by id.
     pub fn jobs(&self) -> impl Iterator<Item = (&String, &Lending)> {
         self.jobs.iter()
     }
 
-    /// The open loans with a borrower, each with its job's id.
+    /// The open loans that were made to a borrower, each with its job's id.
     pub fn loans_with<'a>(&'a self, borrower: &'a str) -> impl Iterator<Item = (&'a str, &'a Loan)> {
         self.loans().filter(move |(_, loan)| loan.borrower == borrower)
     }
@@ -98,21 +103,24 @@
         self.jobs.iter().flat_map(|(job, lending)| lending.loans.iter().map(move |loan| (job.as_str(), loan)))
     }
 
-    /// A fresh loan number, or `None` if the term has no more. Its write counts as in flight until
-    /// [`LenderLedger::mark_write_resolved`] is called.
+    /// Assigns a new loan number, or returns `None` if the term has no numbers left. The write of the loan
+    /// counts as in flight until [`LenderLedger::mark_write_resolved`] is called.
     pub fn next_number(&mut self) -> Option<LoanNumber> {
         self.last_number = self.last_number.next()?;
         self.writes_in_flight.insert(self.last_number);
         Some(self.last_number)
     }
 
-    /// The outcome of the write of a loan is known, and the records are loaded.
+    /// Marks the write of a loan as no longer in flight. The caller knows the write's outcome and has
+    /// loaded the job's record.
     pub fn mark_write_resolved(&mut self, number: LoanNumber) {
         self.writes_in_flight.remove(&number);
     }
 
-    /// All loans up to this number that are not in the ledger are closed. A loan whose write is in flight
-    /// is beyond it: a message that does not name it may arrive when the borrower already holds it.
+    /// The horizon: all loans up to this number that are not in the ledger are closed.
+    ///
+    /// Loans whose write is in flight have higher numbers than the horizon. Otherwise a late message that
+    /// does not list such a loan would close it at a borrower that has already accepted it.
     pub fn horizon(&self) -> LoanNumber {
         match self.writes_in_flight.first() {
             Some(first) => first.previous(),
@@ -120,15 +128,15 @@
         }
     }
 
-    /// What a job's record says once a loan is added.
+    /// The loans of a job with another one added, to be written to the job's record.
     pub fn with_loan(&self, job: &str, loan: Loan) -> Lending {
         let mut lending = self.jobs.get(job).cloned().unwrap_or_default();
         lending.loans.push(loan);
         lending
     }
 
-    /// What a job's record says once all loans with a borrower are written off by an operator; `None` if
-    /// there are none.
+    /// The loans of a job without those made to a borrower, to be written when an operator writes off the
+    /// borrower's loans; `None` if the job has no loan to the borrower.
     pub fn without_borrower(&self, job: &str, borrower: &str) -> Option<Lending> {
         let mut lending = self.jobs.get(job)?.clone();
         let loans_before = lending.loans.len();
@@ -136,8 +144,10 @@
         (lending.loans.len() < loans_before).then_some(lending)
     }
 
-    /// The message to a borrower. `action` decides on each loan whose job is not being cancelled; `offer`
-    /// describes the job of each loan that the borrower is not known to hold.
+    /// Composes the message that lists all open loans to a borrower.
+    ///
+    /// `action` chooses the action for each loan whose job is not being cancelled. `offer` returns the
+    /// description of the job for each loan that is not known to be accepted by the borrower.
     pub fn request(
         &self,
         from: &str,
@@ -154,7 +164,8 @@
             offer: offer(job, loan.number),
         };
         let mut loans: Vec<LoanItem> = self.loans_with(to).map(item).collect();
-        // The borrower's high-water mark rises with each offer that it decides on.
+        // The borrower decides on offers in ascending order, since each decision raises its high-water
+        // mark and an offer below the mark would not be considered.
         loans.sort_by_key(|item| item.number);
         LoanSyncRequest { from: from.into(), to: to.into(), term, horizon: self.horizon(), loans }
     }
@@ -163,8 +174,13 @@
         self.jobs.get(job).is_some_and(|lending| lending.cancelling)
     }
 
-    /// What a borrower's report changes. `recorded` returns the tasks of a job that the lender's own
-    /// records have as done. `Ok(None)`: the loan is closed here already, the report came late.
+    /// The change of the lender's records that follows from a borrower's report, or `Ok(None)` if the loan
+    /// is already closed and the report is late.
+    ///
+    /// `recorded` returns the tasks of a job that are recorded as done in the lender's state store.
+    ///
+    /// # Errors
+    /// If the report contradicts the ledger.
     pub fn change_for_report(
         &self,
         borrower: &str,
@@ -181,7 +197,7 @@
         if loan.borrower != borrower {
             return Err(LoanReportError::LentElsewhere { number: number.0, job: job.into() });
         }
-        let (held, done) = match &report.state {
+        let (borrowed, done) = match &report.state {
             LoanState::Accepted { tasks, done } => (tasks.clone(), done.clone()),
             LoanState::Closed => (TaskSet::new(), TaskSet::new()),
         };
@@ -190,15 +206,18 @@
             let tasks = not_lent.to_string();
             return Err(LoanReportError::NotLent { number: number.0, job: job.into(), tasks });
         }
-        // A late report names tasks that have been given back since. Done tasks are never given back.
-        let held = held.intersection(&loan.tasks);
-        // The borrower drops a loan once it is closed here, so all that is done must be recorded before.
-        let left = if held.is_subset(&recorded(job)) { TaskSet::new() } else { held };
-        let lending = (left != loan.tasks).then(|| self.with_tasks(job, number, left));
+        // A late report may list tasks that have been returned in the meantime. Done tasks are never
+        // returned.
+        let borrowed = borrowed.intersection(&loan.tasks);
+        // The borrower deletes a loan once the lender has closed it. The lender must therefore have recorded
+        // all done tasks of a loan before it closes the loan.
+        let remaining = if borrowed.is_subset(&recorded(job)) { TaskSet::new() } else { borrowed };
+        let lending = (remaining != loan.tasks).then(|| self.with_tasks(job, number, remaining));
         Ok(Some(LenderChange { job: job.to_string(), done, lending }))
     }
 
-    /// What a job's record says once a loan is left with these tasks; with none it is closed.
+    /// The loans of a job with the tasks of one loan replaced. A loan without tasks is removed, which
+    /// closes it.
     fn with_tasks(&self, job: &str, number: LoanNumber, tasks: TaskSet) -> Lending {
         let mut lending = self.jobs.get(job).cloned().unwrap_or_default();
         for loan in lending.loans.iter_mut().filter(|loan| loan.number == number) {
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -1,10 +1,12 @@
 //! Loans of array tasks between cells.
 //!
-//! A cell is one installation: its own controllers, state service, cloud and workers. A cell whose
-//! array backlog does not drain in time (the *lender*) lends tasks that have not begun to a cell with
-//! spare capacity (the *borrower*). This package holds the ledgers of both sides and the policy that
-//! decides what to lend, as pure state machines: messages and durable records go in, replies and
-//! records to write come out. Sending, storing and running the tasks is the caller's job.
+//! A cell is one installation, with its own controllers, state store, cloud and workers. If the backlog
+//! of a cell's job arrays does not drain in time, the cell (the *lender*) lends tasks that have not
+//! started to a cell with spare capacity (the *borrower*).
+//!
+//! This package contains the ledgers of both sides and the policy that decides how many tasks to lend.
+//! They are pure state machines: their inputs are messages and stored records, their outputs are replies
+//! and records to be written. The caller sends the messages, stores the records and runs the tasks.
 //! `docs/cells.md` explains the protocol and why it is safe.
 
 #![forbid(unsafe_code)]
