--- a/crates/cells/src/borrower.rs
+++ b/crates/cells/src/borrower.rs
@@ -18,7 +18,7 @@
     InvalidTasks,
     /// Some of the tasks are already borrowed, with another loan of the job.
     #[error("some of the tasks are already borrowed")]
-    TasksAlreadyBorrowed,
+    AlreadyBorrowed,
     /// The job's description is malformed. The value is the reason.
     #[error("the job description cannot be read: {0}")]
     MalformedDescription(String),
@@ -248,9 +248,7 @@
         }
         match self.jobs.get(&item.job) {
             Some(record) if record.lender != lender => Err(BorrowRefusal::JobIdInUse),
-            Some(record) if !record.tasks().is_disjoint(&item.tasks) => {
-                Err(BorrowRefusal::TasksAlreadyBorrowed)
-            }
+            Some(record) if !record.tasks().is_disjoint(&item.tasks) => Err(BorrowRefusal::AlreadyBorrowed),
             _ => Ok(()),
         }
     }
--- a/crates/cells/tests/bad_input.rs
+++ b/crates/cells/tests/bad_input.rs
@@ -78,10 +78,7 @@
     let wrong = [
         (request("lender", 0, vec![item(2, "wk-2", "8-10", LoanAction::Run)]), BorrowRefusal::InvalidTasks),
         (request("lender", 0, vec![item(3, "wk-2", "", LoanAction::Run)]), BorrowRefusal::InvalidTasks),
-        (
-            request("lender", 0, vec![item(4, "wk-1", "3-5", LoanAction::Run)]),
-            BorrowRefusal::TasksAlreadyBorrowed,
-        ),
+        (request("lender", 0, vec![item(4, "wk-1", "3-5", LoanAction::Run)]), BorrowRefusal::AlreadyBorrowed),
         (request("other", 0, vec![item(4, "wk-1", "7", LoanAction::Run)]), BorrowRefusal::JobIdInUse),
     ];
     for (request, refusal) in wrong {
