--- a/crates/cells/tests/bad_input.rs
+++ b/crates/cells/tests/bad_input.rs
@@ -50,7 +50,7 @@
     let offer = request("lender", 5, vec![item(5, "wk-1", "0-3", LoanAction::Run)]);
     assert!(handle(&mut borrower, &offer).is_empty());
     let accepted = borrower.reports(&offer, |_| TaskSet::new());
-    assert_eq!(accepted[0].state, LoanState::Held { tasks: TaskSet::span(0, 4), done: TaskSet::new() });
+    assert_eq!(accepted[0].state, LoanState::Accepted { tasks: TaskSet::span(0, 4), done: TaskSet::new() });
     assert!(borrower.next_change(&offer, &Idle).is_none(), "the same offer again changes nothing");
     assert_eq!(borrower.reports(&offer, |_| TaskSet::new()), accepted);
     // The lender closes it. A copy of the offer that comes later creates nothing.
@@ -78,10 +78,7 @@
     let wrong = [
         (request("lender", 0, vec![item(2, "wk-2", "8-10", LoanAction::Run)]), BorrowRefusal::InvalidTasks),
         (request("lender", 0, vec![item(3, "wk-2", "", LoanAction::Run)]), BorrowRefusal::InvalidTasks),
-        (
-            request("lender", 0, vec![item(4, "wk-1", "3-5", LoanAction::Run)]),
-            BorrowRefusal::TasksAlreadyHeld,
-        ),
+        (request("lender", 0, vec![item(4, "wk-1", "3-5", LoanAction::Run)]), BorrowRefusal::AlreadyBorrowed),
         (request("other", 0, vec![item(4, "wk-1", "7", LoanAction::Run)]), BorrowRefusal::JobIdInUse),
     ];
     for (request, refusal) in wrong {
@@ -123,13 +120,13 @@
     let loan = Loan { number, borrower: "borrower".into(), tasks: TaskSet::span(0, 4) };
     let lending = lender.with_loan("wk-1", loan);
     lender.load("wk-1", lending);
-    lender.write_resolved(number);
+    lender.mark_write_resolved(number);
     lender
 }
 
 fn report(number: LoanNumber, tasks: &str, done: &str) -> LoanReport {
     let set = |text| TaskSet::parse(text).expect("tasks");
-    LoanReport { number, state: LoanState::Held { tasks: set(tasks), done: set(done) } }
+    LoanReport { number, state: LoanState::Accepted { tasks: set(tasks), done: set(done) } }
 }
 
 #[test]
@@ -174,7 +171,7 @@
     let before = lender.horizon();
     let number = lender.next_number().expect("a number");
     assert_eq!(lender.horizon(), before, "a late message without it must not close it");
-    lender.write_resolved(number);
+    lender.mark_write_resolved(number);
     assert_eq!(lender.horizon(), number);
     // A term's numbers are all greater than those of the terms before it.
     assert!(LenderLedger::new(2).horizon() > number);
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -47,7 +47,7 @@
     /// The same with so many controllers.
     fn prepare_with(group: u8, workers: usize, controllers: usize) -> Blackout {
         let plan =
-            CellPlan { workers, has_block: false, task_time: LONG, controllers, ..CellPlan::default() };
+            CellPlan { workers, has_cells_block: false, task_time: LONG, controllers, ..CellPlan::default() };
         let cells = Cells::start(group, &[plan]);
         for number in 1..=workers as u32 {
             cells.submit(0, &job(number, TASKS_PER_WORKER as u32));
@@ -62,7 +62,7 @@
     }
 
     fn present(&self) -> usize {
-        self.cells.history.lock().expect("the history").present.len()
+        self.cells.history.lock().expect("the history").tasks_on_machines.len()
     }
 
     /// Ends all controllers, has something happen, and starts them again after a while.
@@ -73,9 +73,9 @@
         std::thread::sleep(outage.saturating_sub(begun.elapsed()));
         self.since = Instant::now();
         self.start_all();
-        if self.cells.state_is_out.load(Ordering::Relaxed) {
+        if self.cells.state_stores_unavailable.load(Ordering::Relaxed) {
             std::thread::sleep(Duration::from_millis(1_000));
-            self.cells.state_is_out.store(false, Ordering::Relaxed);
+            self.cells.state_stores_unavailable.store(false, Ordering::Relaxed);
         }
         until("somebody leads", || self.cells.leader(0).is_some());
         until("all machines are heard or gone", || self.unheard() == 0);
@@ -160,7 +160,7 @@
 /// The workers' tasks with their machines.
 fn tasks_of(cells: &Cells) -> BTreeMap<String, Vec<String>> {
     let mut by_machine: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    for ((_, attempt), machine) in &cells.history.lock().expect("the history").present {
+    for ((_, attempt), machine) in &cells.history.lock().expect("the history").tasks_on_machines {
         by_machine.entry(machine.clone()).or_default().push(attempt.0.clone());
     }
     by_machine
@@ -192,7 +192,7 @@
 fn a_second_crash_while_the_state_store_is_down_repeats_nothing() {
     let mut blackout = Blackout::prepare(38, 20);
     blackout.kill_all();
-    blackout.cells.state_is_out.store(true, Ordering::Relaxed);
+    blackout.cells.state_stores_unavailable.store(true, Ordering::Relaxed);
     blackout.start_all();
     std::thread::sleep(Duration::from_millis(1_000));
     blackout.run(Duration::from_millis(500), |_| ());
@@ -206,7 +206,9 @@
     let mut blackout = Blackout::prepare(32, 40);
     blackout.run(LONG_OUTAGE, |cells| {
         assert!(LONG_OUTAGE.as_secs_f64() > LEASE_S);
-        until("all leases have run out", || cells.history.lock().expect("the history").present.is_empty());
+        until("all leases have run out", || {
+            cells.history.lock().expect("the history").tasks_on_machines.is_empty()
+        });
     });
     blackout.wait_until_full();
     let lost = blackout.workers * TASKS_PER_WORKER;
@@ -246,7 +248,10 @@
     assert!(commands.starts + commands.halts + commands.forgets <= 2 * differences, "{commands:?}");
     blackout.assert_told(ended, lost / TASKS_PER_WORKER);
     let history = blackout.cells.history.lock().expect("the history");
-    assert!(history.present.keys().all(|(_, attempt)| !attempt.0.starts_with(&format!("{cancelled}/"))));
+    assert!(history
+        .tasks_on_machines
+        .keys()
+        .all(|(_, attempt)| !attempt.0.starts_with(&format!("{cancelled}/"))));
     assert!(history.finished.values().all(|cells| cells.len() == 1), "no task finishes twice");
 }
 
@@ -256,11 +261,11 @@
     for (group, workers) in [(34, 200), (35, 1000), (39, 2000)] {
         for outage in [SHORT_OUTAGE, LONG_OUTAGE] {
             let mut blackout = Blackout::prepare(group, workers);
-            let changes = blackout.cells.state_load(0).1;
+            let changes = blackout.cells.state_store_load(0).1;
             blackout.run(outage, |_| ());
             let heard = blackout.since.elapsed();
             let commands = blackout.commands();
-            let changes = blackout.cells.state_load(0).1 - changes;
+            let changes = blackout.cells.state_store_load(0).1 - changes;
             println!(
                 "{workers} workers, away {outage:?}: heard after {heard:?}, {commands:?}, {changes} changes"
             );
--- a/tests/common/cells/history.rs
+++ b/tests/common/cells/history.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub struct History {
     /// Each task that ever began, with the cells and attempts.
-    pub begun: BTreeMap<String, BTreeSet<(usize, u64)>>,
+    pub started_attempts: BTreeMap<String, BTreeSet<(usize, u64)>>,
     /// How often each task finished in which cell.
     pub finished: BTreeMap<String, Vec<usize>>,
     /// The exits with a result of each task.
@@ -30,9 +30,9 @@
     /// When the first heartbeat of a cell's workers was accepted with a fencing token.
     pub first_accepted: BTreeMap<(usize, u64), Instant>,
     /// Tasks that are on a machine, with its name.
-    pub present: BTreeMap<(usize, Attempt), String>,
+    pub tasks_on_machines: BTreeMap<(usize, Attempt), String>,
     /// Machines that are gone.
-    pub gone: BTreeSet<String>,
+    pub removed_machines: BTreeSet<String>,
     /// Tasks that end before their time.
     pub ended_early: BTreeSet<String>,
     /// Machines that were asked for in vain.
@@ -46,12 +46,12 @@
 impl History {
     /// A machine is gone, with all that is on it.
     pub fn remove_machine(&mut self, id: &str) {
-        self.gone.insert(id.to_string());
-        self.present.retain(|_, machine| machine != id);
+        self.removed_machines.insert(id.to_string());
+        self.tasks_on_machines.retain(|_, machine| machine != id);
     }
 
     /// A task has exited with a result.
-    pub fn note_exit(&mut self, task: &str, cell: usize) {
+    pub fn record_exit(&mut self, task: &str, cell: usize) {
         let exit = Exit { cell, at: Instant::now(), accepted: None, was_redirected: false };
         self.exits.entry(task.to_string()).or_default().push(exit);
         self.finished.entry(task.to_string()).or_default().push(cell);
@@ -59,7 +59,7 @@
 
     /// A heartbeat that lists these tasks as exited with a result was accepted by a leader with this fencing
     /// token, or redirected (none).
-    pub fn note_heartbeat_answer<'a>(
+    pub fn record_heartbeat_reply<'a>(
         &mut self,
         cell: usize,
         fencing_token: Option<u64>,
@@ -82,7 +82,7 @@
     }
 
     /// How many tasks finished in each cell.
-    pub fn tally(&self, cells: usize) -> Vec<usize> {
+    pub fn finished_per_cell(&self, cells: usize) -> Vec<usize> {
         let of = |cell: usize| self.finished.values().flatten().filter(|at| **at == cell).count();
         (0..cells).map(of).collect()
     }
@@ -97,7 +97,7 @@
         for (task, cells) in &self.finished {
             assert_eq!(cells.len(), 1, "{task} finished in cells {cells:?}");
         }
-        for (task, began) in &self.begun {
+        for (task, began) in &self.started_attempts {
             let cells: BTreeSet<usize> = began.iter().map(|at| at.0).collect();
             assert_eq!(cells.len(), 1, "{task} began in cells {cells:?}");
         }
--- a/tests/common/cells/mod.rs
+++ b/tests/common/cells/mod.rs
@@ -31,7 +31,7 @@
 use self::history::History;
 use self::link::Link;
 use self::plan::platform_settings;
-use self::state_store::{state_store_server, StateLoad};
+use self::state_store::{state_store_server, StateStoreLoad};
 use self::worker::Worker;
 use super::worker::WorkerState;
 
@@ -58,7 +58,7 @@
     users: Vec<SocketAddr>,
     internal: Vec<SocketAddr>,
     state: SocketAddr,
-    load: Arc<StateLoad>,
+    load: Arc<StateStoreLoad>,
     /// Links of the controllers to the state store.
     store_links: Vec<Link>,
 }
@@ -73,7 +73,7 @@
     /// Whether the state stores drop replies.
     pub drops_replies: Arc<AtomicBool>,
     /// Whether the state stores refuse everybody.
-    pub state_is_out: Arc<AtomicBool>,
+    pub state_stores_unavailable: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
     folder: std::path::PathBuf,
 }
@@ -89,7 +89,7 @@
             links: BTreeMap::new(),
             history: Arc::default(),
             drops_replies: Arc::default(),
-            state_is_out: Arc::default(),
+            state_stores_unavailable: Arc::default(),
             stop: Arc::default(),
             folder,
         };
@@ -117,8 +117,12 @@
         let settings = plan.operator_settings(cell, cells, addresses);
         std::fs::write(self.folder.join(format!("{cell}.hcl")), settings).expect("written");
         let machines: Vec<String> = (0..plan.workers).map(|w| format!("i-{cell}{w:05}")).collect();
-        let load = Arc::<StateLoad>::default();
-        let state = state_store_server(self.drops_replies.clone(), self.state_is_out.clone(), load.clone());
+        let load = Arc::<StateStoreLoad>::default();
+        let state = state_store_server(
+            self.drops_replies.clone(),
+            self.state_stores_unavailable.clone(),
+            load.clone(),
+        );
         let cloud = cloud(machines.clone(), self.history.clone());
         let link = |c: usize| Link::start(addresses.state_store(cell, c), state);
         let store_links = controllers.clone().map(link).collect();
@@ -190,7 +194,7 @@
     }
 
     /// A cell's controllers lend nothing any more from their next start on.
-    pub fn lend_nothing(&self, cell: usize) {
+    pub fn disable_lending(&self, cell: usize) {
         let file = self.folder.join(format!("{cell}.hcl"));
         let settings = std::fs::read_to_string(&file).expect("the settings");
         std::fs::write(&file, settings.replace("lend = [\"*\"]", "lend = []")).expect("written");
@@ -210,7 +214,7 @@
     }
 
     /// Asks a controller's process to end, with SIGTERM.
-    pub fn ask_to_end(&self, cell: usize, controller: usize) {
+    pub fn send_sigterm(&self, cell: usize, controller: usize) {
         let child = self.cells[cell].controllers[controller].as_ref().expect("a process");
         let sent = Command::new("kill").args(["-s", "TERM", &child.id().to_string()]).status();
         assert!(sent.is_ok_and(|status| status.success()), "the signal is sent");
@@ -224,20 +228,20 @@
 
     /// Asks a controller's process to end and waits until it has.
     pub fn terminate_controller(&mut self, cell: usize, controller: usize) {
-        self.ask_to_end(cell, controller);
+        self.send_sigterm(cell, controller);
         self.await_end(cell, controller);
     }
 
     /// Cuts a controller off from its state store, or connects it again.
-    pub fn cut_from_store(&self, cell: usize, controller: usize, is_cut: bool) {
+    pub fn set_cut_from_state_store(&self, cell: usize, controller: usize, is_cut: bool) {
         self.cells[cell].store_links[controller].cut.store(is_cut, Ordering::Relaxed);
     }
 
     /// A cell is gone, with its controllers and machines.
-    pub fn lose_cell(&mut self, cell: usize) {
+    pub fn destroy_cell(&mut self, cell: usize) {
         (0..self.cells[cell].controllers.len()).for_each(|c| self.kill_controller(cell, c));
         let mut history = lock(&self.history);
-        let of_cell = history.present.iter().filter(|(at, _)| at.0 == cell);
+        let of_cell = history.tasks_on_machines.iter().filter(|(at, _)| at.0 == cell);
         let machines: BTreeSet<String> = of_cell.map(|(_, machine)| machine.clone()).collect();
         machines.iter().for_each(|machine| history.remove_machine(machine));
     }
@@ -253,7 +257,7 @@
     }
 
     /// Cuts two cells off from each other, or connects them again.
-    pub fn cut(&self, one: usize, other: usize, is_cut: bool) {
+    pub fn set_partitioned(&self, one: usize, other: usize, is_cut: bool) {
         for pair in [(one, other), (other, one)] {
             self.links[&pair].iter().for_each(|link| link.cut.store(is_cut, Ordering::Relaxed));
         }
@@ -277,7 +281,7 @@
     }
 
     /// What a cell's controllers have asked of their state store.
-    pub fn state_load(&self, cell: usize) -> (usize, usize) {
+    pub fn state_store_load(&self, cell: usize) -> (usize, usize) {
         let load = &self.cells[cell].load;
         (load.requests.load(Ordering::Relaxed), load.changes.load(Ordering::Relaxed))
     }
--- a/tests/common/cells/worker.rs
+++ b/tests/common/cells/worker.rs
@@ -36,7 +36,8 @@
         let lease = Micros::from_secs(LEASE_S);
         let now = || Steady(started.elapsed().as_micros() as i64);
         let (mut at, mut sent_at, mut changed) = (0, Instant::now(), true);
-        while !stop.load(Ordering::Relaxed) && !lock(&self.history).gone.contains(&self.state.id) {
+        while !stop.load(Ordering::Relaxed) && !lock(&self.history).removed_machines.contains(&self.state.id)
+        {
             changed |= self.finish_tasks(now());
             changed |= self.end_session(lease, now());
             if changed || sent_at.elapsed() > HEARTBEAT_INTERVAL {
@@ -49,11 +50,11 @@
                 changed = match response {
                     Ok(ClientResponse { status: 200, body }) => {
                         let reply: HeartbeatReply = serde_json::from_slice(&body).expect("a reply");
-                        self.note_answer(&heartbeat, Some(reply.fencing_token));
+                        self.record_heartbeat_reply(&heartbeat, Some(reply.fencing_token));
                         self.execute(&reply, sent, now())
                     }
                     Ok(ClientResponse { status: 421, .. }) => {
-                        self.note_answer(&heartbeat, None);
+                        self.record_heartbeat_reply(&heartbeat, None);
                         at = (at + 1) % controllers.len();
                         true
                     }
@@ -68,10 +69,10 @@
     }
 
     /// Notes how far the results that a heartbeat lists have come.
-    fn note_answer(&self, heartbeat: &Heartbeat, fencing_token: Option<u64>) {
+    fn record_heartbeat_reply(&self, heartbeat: &Heartbeat, fencing_token: Option<u64>) {
         let is_done = |task: &&TaskStatus| task.exit_reason == Some(ExitReason::Done);
         let done = heartbeat.tasks.iter().filter(is_done).map(|task| task.task.as_str());
-        lock(&self.history).note_heartbeat_answer(self.cell, fencing_token, done);
+        lock(&self.history).record_heartbeat_reply(self.cell, fencing_token, done);
     }
 
     /// Kills all tasks if the lease has run out.
@@ -82,7 +83,7 @@
         let mut history = lock(&self.history);
         history.killed_by_lease += self.ends.len();
         for attempt in std::mem::take(&mut self.ends).into_keys() {
-            history.present.remove(&(self.cell, attempt));
+            history.tasks_on_machines.remove(&(self.cell, attempt));
         }
         true
     }
@@ -102,10 +103,10 @@
                 task.enter(TaskStage::Exited, Some(ExitReason::Done), now);
             }
             let mut history = lock(&self.history);
-            if history.present.remove(&(self.cell, attempt.clone())).is_none() {
+            if history.tasks_on_machines.remove(&(self.cell, attempt.clone())).is_none() {
                 continue;
             }
-            history.note_exit(&attempt.0, self.cell);
+            history.record_exit(&attempt.0, self.cell);
         }
         !ended.is_empty()
     }
@@ -124,7 +125,7 @@
                     let key = (task.clone(), *attempt);
                     self.state.halt(task, *attempt);
                     self.ends.remove(&key);
-                    lock(&self.history).present.remove(&(self.cell, key));
+                    lock(&self.history).tasks_on_machines.remove(&(self.cell, key));
                 }
                 WorkerCommand::Forget { task, attempt } => self.state.forget(task, *attempt),
             }
@@ -140,9 +141,9 @@
         self.state.tasks.insert(attempt.clone(), Task::new(TaskStage::Running, Micros::ZERO, now));
         self.ends.insert(attempt.clone(), Instant::now() + self.task_time);
         let mut history = lock(&self.history);
-        let elsewhere = history.present.keys().any(|(_, there)| there.0 == attempt.0);
+        let elsewhere = history.tasks_on_machines.keys().any(|(_, there)| there.0 == attempt.0);
         assert!(!elsewhere, "{} starts while it is on another machine", attempt.0);
-        history.begun.entry(attempt.0.clone()).or_default().insert((self.cell, attempt.1));
-        history.present.insert((self.cell, attempt), self.state.id.clone());
+        history.started_attempts.entry(attempt.0.clone()).or_default().insert((self.cell, attempt.1));
+        history.tasks_on_machines.insert((self.cell, attempt), self.state.id.clone());
     }
 }
--- a/tests/earlier_program.rs
+++ b/tests/earlier_program.rs
@@ -57,7 +57,7 @@
 fn wait_until_done_on_both_sides(cells: &Cells) {
     until("some are done on both sides", || {
         let history = cells.history.lock().expect("the history");
-        let tally = history.tally(2);
+        let tally = history.finished_per_cell(2);
         drop(history);
         tally[0] > 10 && tally[1] > 20 && tasks_in(cells, "done").len() > 20
     });
@@ -197,7 +197,7 @@
     match case.end {
         LeaderEnd::Killed => cells.kill_controller(0, leader),
         LeaderEnd::Terminated => cells.terminate_controller(0, leader),
-        LeaderEnd::CutFromStore => cells.cut_from_store(0, leader, true),
+        LeaderEnd::CutFromStore => cells.set_cut_from_state_store(0, leader, true),
     }
     std::thread::sleep(WRITE_TIME);
     let last_token = cells.rows(0, "term")[0].value["n"].as_u64().expect("a number");
@@ -208,7 +208,7 @@
         cells.start_earlier_program(0, earlier, program);
     }
     std::thread::sleep(EARLIER_TERM);
-    cells.cut_from_store(0, leader, false);
+    cells.set_cut_from_state_store(0, leader, false);
     std::thread::sleep(EARLIER_TERM / 2);
     cells.kill_controller(0, earlier);
     cells.start_controller(0, earlier);
@@ -352,7 +352,7 @@
         let mut cells = Cells::start(group, &[plan(2, 0), plan(4, 60)]);
         cells.submit(0, &job_of(MANY_TASKS));
         wait_until_done_on_both_sides(&cells);
-        cells.lend_nothing(0);
+        cells.disable_lending(0);
         for controller in 0..2 {
             cells.terminate_controller(0, controller);
             cells.start_controller(0, controller);
--- a/tests/held_under_earlier_program.rs
+++ b/tests/held_under_earlier_program.rs
@@ -218,13 +218,13 @@
     hold_job(&cells, "free");
     change_leader(&mut cells, &program);
     let (done_before, rows_before) = (recorded(&cells).len(), rows(&cells, &["job/", "final/"]));
-    let (idle_from, idle_time) = (cells.state_load(0).0, Duration::from_secs(4));
+    let (idle_from, idle_time) = (cells.state_store_load(0).0, Duration::from_secs(4));
     std::thread::sleep(idle_time);
-    let idle_rate = (cells.state_load(0).0 - idle_from) as f64 / idle_time.as_secs_f64();
-    let (from, began) = (cells.state_load(0).0, Instant::now());
+    let idle_rate = (cells.state_store_load(0).0 - idle_from) as f64 / idle_time.as_secs_f64();
+    let (from, began) = (cells.state_store_load(0).0, Instant::now());
     let answers: Vec<u16> = (0..CANCELLATIONS).map(|_| cancel(&cells).0).collect();
     let time = began.elapsed().as_secs_f64();
-    let requests = (cells.state_load(0).0 - from) as f64 - idle_rate * time;
+    let requests = (cells.state_store_load(0).0 - from) as f64 - idle_rate * time;
     let each = requests / CANCELLATIONS as f64;
     println!(
         "cancellations {answers:?} in {time:.3} s, {each:.1} requests each; idle {idle_rate:.1} requests/s"
@@ -306,7 +306,8 @@
     hold_job(&cells, "free");
     let (last_token, marks) = (token(&cells), start_marks(&cells));
     let is_running_here = |(cell, _): &&(usize, (String, u64))| *cell == 0;
-    let running = cells.history.lock().expect("the history").present.keys().filter(is_running_here).count();
+    let running =
+        cells.history.lock().expect("the history").tasks_on_machines.keys().filter(is_running_here).count();
     println!("running when the leader ends: {running}");
     assert!(running > 0);
     for term in 0..2 {
@@ -316,7 +317,7 @@
     }
     let is_of_job = |task: &str| task.starts_with(&format!("{JOB}/"));
     let history = cells.history.lock().expect("the history");
-    let begun_late = history.begun.iter().filter(|(task, began)| {
+    let begun_late = history.started_attempts.iter().filter(|(task, began)| {
         is_of_job(task) && began.iter().any(|(cell, attempt)| *cell == 0 && attempt >> 24 > last_token)
     });
     let begun_late: Vec<&String> = begun_late.map(|(task, _)| task).collect();
@@ -352,9 +353,9 @@
     cells.write_rows(0, done.into_iter().map(|(key, row)| Change::put(key, row)).collect());
     change_leader(&mut cells, &program);
     println!("status {:?}", status(&cells));
-    let from = (cells.state_load(0), Instant::now());
+    let from = (cells.state_store_load(0), Instant::now());
     println!("other jobs took {:?}", time_other_jobs(&cells, "free", 100));
-    let load = cells.state_load(0);
+    let load = cells.state_store_load(0);
     let (requests, changes, time) = (load.0 - from.0 .0, load.1 - from.0 .1, from.1.elapsed().as_secs_f64());
     println!("requests {requests}, changes {changes} in {time:.1} s; status {:?}", status(&cells));
     assert_ne!(cells.stage(0, JOB), "done", "no end under the earlier version");
--- a/tests/measure_cells.rs
+++ b/tests/measure_cells.rs
@@ -13,15 +13,15 @@
 /// Tasks of the flood.
 const TASKS: u32 = 1000;
 
-fn plans(borrow_cpus: u32, has_block: bool) -> [CellPlan; 3] {
-    [2, 4, 4].map(|workers| CellPlan { workers, borrow_cpus, has_block, ..CellPlan::default() })
+fn plans(borrow_cpus: u32, has_cells_block: bool) -> [CellPlan; 3] {
+    [2, 4, 4].map(|workers| CellPlan { workers, borrow_cpus, has_cells_block, ..CellPlan::default() })
 }
 
 /// Floods the first cell and prints how long it takes and what it costs.
 fn drain(title: &str, group: u8, borrow_cpus: u32, cut: bool) {
     let cells = Cells::start(group, &plans(borrow_cpus, true));
-    cells.cut(0, 2, cut);
-    let before: Vec<(usize, usize)> = (0..3).map(|cell| cells.state_load(cell)).collect();
+    cells.set_partitioned(0, 2, cut);
+    let before: Vec<(usize, usize)> = (0..3).map(|cell| cells.state_store_load(cell)).collect();
     let begun = Instant::now();
     for number in 1..=5 {
         let mut job = json!(spec(number, TASKS / 5, "batch"));
@@ -34,13 +34,16 @@
     let took = begun.elapsed().as_secs_f64();
     let history = cells.history.lock().expect("the history");
     history.assert_each_finished_once(TASKS as usize);
-    let changes: Vec<usize> = (0..3).map(|cell| cells.state_load(cell).1 - before[cell].1).collect();
+    let changes: Vec<usize> = (0..3).map(|cell| cells.state_store_load(cell).1 - before[cell].1).collect();
     let messages: Vec<u64> = (0..3)
         .filter_map(|cell| cells.cells_status(cell))
         .map(|status| status.others.iter().map(|other| other.messages).sum())
         .collect();
     println!("{title}: messages sent by cell {messages:?}");
-    println!("{title}: {took:.1} s, finished by cell {:?}, changes by cell {changes:?}", history.tally(3));
+    println!(
+        "{title}: {took:.1} s, finished by cell {:?}, changes by cell {changes:?}",
+        history.finished_per_cell(3)
+    );
 }
 
 #[test]
@@ -54,11 +57,11 @@
 #[test]
 #[ignore = "a measurement, run by hand"]
 fn cost_of_an_idle_block() {
-    for (title, group, has_block) in [("without a block", 14, false), ("with a block", 15, true)] {
-        let cells = Cells::start(group, &plans(60, has_block));
-        let before = (cells.state_load(0), cells.processor_ticks(0));
+    for (title, group, has_cells_block) in [("without a block", 14, false), ("with a block", 15, true)] {
+        let cells = Cells::start(group, &plans(60, has_cells_block));
+        let before = (cells.state_store_load(0), cells.processor_ticks(0));
         std::thread::sleep(Duration::from_secs(20));
-        let (requests, changes) = cells.state_load(0);
+        let (requests, changes) = cells.state_store_load(0);
         let ticks = cells.processor_ticks(0) - before.1;
         println!(
             "{title}, 20 s idle: {} requests, {} changes, {ticks} ticks of processor time",
--- a/tests/one_id_in_two_cells.rs
+++ b/tests/one_id_in_two_cells.rs
@@ -10,7 +10,8 @@
 use milletlock::peer::{PeerMessage, PeerReply};
 use milletlock::wire::{Change, Txn};
 use milletlock_cells::{
-    BorrowedJob, HeldLoan, LoanAction, LoanItem, LoanNumber, LoanReport, LoanState, LoanSyncRequest, TaskSet,
+    BorrowedJob, BorrowedLoan, LoanAction, LoanItem, LoanNumber, LoanReport, LoanState, LoanSyncRequest,
+    TaskSet,
 };
 use serde_json::json;
 
@@ -20,7 +21,7 @@
 /// done tasks.
 fn write_records_of_both(world: &World) {
     let description = json!(spec(1, 40, "batch"));
-    let loans = vec![HeldLoan { number: LOAN, tasks: tasks("0-9") }];
+    let loans = vec![BorrowedLoan { number: LOAN, tasks: tasks("0-9") }];
     let borrowed = BorrowedJob { lender: "there".into(), description, loans };
     let then = vec![
         Change::put(format!("job/{JOB}"), json!(record(spec(1, 40, "batch")))),
@@ -48,7 +49,7 @@
     let PeerReply::Loans(reply) = reply else { panic!("no reports") };
     let reports: Vec<LoanReport> =
         reply.reports.iter().map(|report| report_from_proto(report).expect("a report")).collect();
-    let state = LoanState::Held { tasks: tasks("0-9"), done: TaskSet::new() };
+    let state = LoanState::Accepted { tasks: tasks("0-9"), done: TaskSet::new() };
     assert_eq!(reports, [LoanReport { number: LOAN, state }]);
 }
 
--- a/tests/three_cells.rs
+++ b/tests/three_cells.rs
@@ -57,7 +57,7 @@
 fn assert_gang_whole(cells: &Cells) {
     let history = cells.history.lock().expect("the history");
     let mut attempts: Vec<_> = (0..4)
-        .map(|n| history.begun[&format!("{}/{n}", id(50))].iter().copied().collect::<Vec<_>>())
+        .map(|n| history.started_attempts[&format!("{}/{n}", id(50))].iter().copied().collect::<Vec<_>>())
         .collect();
     attempts.dedup();
     assert_eq!(attempts.len(), 1, "all tasks of the gang have the same attempts: {attempts:?}");
@@ -78,7 +78,7 @@
     let told: Vec<usize> = [1, 2].map(for_first).to_vec();
     let history = cells.history.lock().expect("the history");
     history.assert_each_finished_once(tasks);
-    let tally = history.tally(3);
+    let tally = history.finished_per_cell(3);
     assert_eq!(tally.iter().sum::<usize>(), tasks);
     assert_eq!(told, [tally[1] - 10, tally[2]], "{tally:?}");
     assert!(told.iter().sum::<usize>() > 20, "tasks were lent: {tally:?}");
@@ -102,7 +102,7 @@
             .iter()
             .all(|guest| cells.cells_status(*guest).is_some_and(|status| !status.borrowed.is_empty()))
     });
-    cells.cut(0, 2, true);
+    cells.set_partitioned(0, 2, true);
     let leader = cells.leader(1).expect("a leader");
     cells.kill_controller(1, leader);
     until("the other controller leads", || cells.leader(1).is_some());
@@ -112,7 +112,7 @@
     cells.kill_controller(0, leader);
     until("the home has a leader again", || cells.leader(0).is_some());
     cells.start_controller(0, leader);
-    cells.cut(0, 2, false);
+    cells.set_partitioned(0, 2, false);
     wait_until_done(&cells);
     assert_gang_whole(&cells);
     assert_tally(&cells, tasks);
@@ -141,9 +141,9 @@
     until("the other cell holds tasks", || {
         cells.cells_status(1).is_some_and(|status| !status.borrowed.is_empty())
     });
-    cells.lose_cell(1);
+    cells.destroy_cell(1);
     until("the rest is done, and what is lent waits", || {
-        let present = cells.history.lock().expect("the history").present.len();
+        let present = cells.history.lock().expect("the history").tasks_on_machines.len();
         present == 0 && lent(&cells) > 0
     });
     assert!((1..=ARRAYS).any(|number| cells.stage(0, &id(number)) != "done"));
@@ -178,7 +178,7 @@
     });
     let same_id = cells.call(2, "POST", "/api/jobs", Some(&job(1, 1, "batch"))).0;
     assert_eq!(same_id, 503, "two jobs of one id could not be told apart on a worker");
-    cells.cut(0, 1, true);
+    cells.set_partitioned(0, 1, true);
     let cancel = || cells.call(0, "POST", &format!("/api/jobs/{}/withdraw", id(1)), Some(&json!({})));
     assert_eq!(cancel().0, 503);
     until("only the one behind the cut is left", || holders().iter().eq(["cell-1"]));
@@ -186,10 +186,10 @@
     assert_eq!(status, 503, "{reply}");
     let stage = cells.stage(0, &id(1));
     assert!(["queued", "running"].contains(&stage.as_str()), "{stage} before it is certain");
-    cells.cut(0, 1, false);
+    cells.set_partitioned(0, 1, false);
     until("it is confirmed", || cancel() == (200, json!({ "nameId": id(1), "stage": "cancelled" })));
     let confirmed = Instant::now();
-    let present = || cells.history.lock().expect("the history").present.len();
+    let present = || cells.history.lock().expect("the history").tasks_on_machines.len();
     until("all of it is gone", || present() == 0);
     assert!(confirmed.elapsed() < Duration::from_secs(CANCEL_S));
     assert_eq!(cells.stage(0, &id(1)), "cancelled");
