--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -55,7 +55,7 @@
     /// By team: the quota taken by this plan's starts outside the group in `blocked_by_quota`. It must be
     /// counted as used when tasks of that group start before the next plan.
     pub quota_of_other_starts: Vec<Resources>,
-    /// By machine type: whether tasks are waiting for which headroom on this type is reserved. Lower
+    /// By machine type: whether tasks that headroom on this type is reserved for are waiting. Lower
     /// priorities do not start on such machines until the next plan.
     pub contended_types: Vec<bool>,
     /// By team: whether the quota blocks a gang of the team. Quota that is released is left to that gang.
--- a/src/sched/plan_state.rs
+++ b/src/sched/plan_state.rs
@@ -31,7 +31,7 @@
     pub(super) reserved_at: Micros,
     /// By class: number of its tasks in each zone, including those that this plan starts.
     pub(super) tasks_by_zone: Vec<Vec<u32>>,
-    /// By machine type: whether tasks are waiting for which headroom on this type is reserved. Lower
+    /// By machine type: whether tasks that headroom on this type is reserved for are waiting. Lower
     /// priorities do not start on such machines now.
     pub(super) contended_types: Vec<bool>,
     /// By machine: whether this plan preempts tasks on it to make room for a class.
--- a/src/sched/preemption_rule.rs
+++ b/src/sched/preemption_rule.rs
@@ -15,8 +15,8 @@
 }
 
 /// Whether a task may be preempted for the class. A task within its team's fair share may not be preempted
-/// for a class that is not: it would go before the class in the queue, start again at once and be preempted
-/// again.
+/// for a class that exceeds its own team's fair share: the task goes before such a class in the queue, so it
+/// would start again at once and be preempted again.
 pub(super) fn may_preempt(task: &PlacedTask, class: &JobClass) -> bool {
     let respects_fair_share = class.within_fair_share || !task.within_fair_share;
     task.preemptible && task.priority < class.priority && respects_fair_share
--- a/tests/service_placement/reserved_headroom.rs
+++ b/tests/service_placement/reserved_headroom.rs
@@ -19,7 +19,8 @@
     MachineSnapshot { machine_type: 1, fetch_gb_per_s: 0.2, ..without_image(machine(8.0)) }
 }
 
-/// Guards against replicas, which do not end by themselves, on the last machines that large tasks fit on.
+/// Guards against replicas that take the last machines on which large tasks fit: replicas do not end by
+/// themselves.
 #[test]
 fn replicas_use_machines_with_headroom_only_while_a_large_task_still_fits() {
     let with_replicas = |replicas: usize| machine_with_tasks(machine(32.0), vec![replica(1.0); replicas]);
