--- a/tests/common/cells/history.rs
+++ b/tests/common/cells/history.rs
@@ -30,7 +30,7 @@
     /// When the first heartbeat of a cell's workers was accepted with a fencing token.
     pub first_accepted: BTreeMap<(usize, u64), Instant>,
     /// Tasks that are on a machine, with its name.
-    pub on_machines: BTreeMap<(usize, Attempt), String>,
+    pub on_machine: BTreeMap<(usize, Attempt), String>,
     /// Machines that are gone.
     pub removed_machines: BTreeSet<String>,
     /// Tasks that end before their time.
@@ -47,7 +47,7 @@
     /// A machine is gone, with all that is on it.
     pub fn remove_machine(&mut self, id: &str) {
         self.removed_machines.insert(id.to_string());
-        self.on_machines.retain(|_, machine| machine != id);
+        self.on_machine.retain(|_, machine| machine != id);
     }
 
     /// A task has exited with a result.
--- a/tests/common/cells/worker.rs
+++ b/tests/common/cells/worker.rs
@@ -83,7 +83,7 @@
         let mut history = lock(&self.history);
         history.killed_by_lease += self.ends.len();
         for attempt in std::mem::take(&mut self.ends).into_keys() {
-            history.on_machines.remove(&(self.cell, attempt));
+            history.on_machine.remove(&(self.cell, attempt));
         }
         true
     }
@@ -103,7 +103,7 @@
                 task.enter(TaskStage::Exited, Some(ExitReason::Done), now);
             }
             let mut history = lock(&self.history);
-            if history.on_machines.remove(&(self.cell, attempt.clone())).is_none() {
+            if history.on_machine.remove(&(self.cell, attempt.clone())).is_none() {
                 continue;
             }
             history.record_exit(&attempt.0, self.cell);
@@ -125,7 +125,7 @@
                     let key = (task.clone(), *attempt);
                     self.state.halt(task, *attempt);
                     self.ends.remove(&key);
-                    lock(&self.history).on_machines.remove(&(self.cell, key));
+                    lock(&self.history).on_machine.remove(&(self.cell, key));
                 }
                 WorkerCommand::Forget { task, attempt } => self.state.forget(task, *attempt),
             }
@@ -141,9 +141,9 @@
         self.state.tasks.insert(attempt.clone(), Task::new(TaskStage::Running, Micros::ZERO, now));
         self.ends.insert(attempt.clone(), Instant::now() + self.task_time);
         let mut history = lock(&self.history);
-        let elsewhere = history.on_machines.keys().any(|(_, there)| there.0 == attempt.0);
+        let elsewhere = history.on_machine.keys().any(|(_, there)| there.0 == attempt.0);
         assert!(!elsewhere, "{} starts while it is on another machine", attempt.0);
         history.started_attempts.entry(attempt.0.clone()).or_default().insert((self.cell, attempt.1));
-        history.on_machines.insert((self.cell, attempt), self.state.id.clone());
+        history.on_machine.insert((self.cell, attempt), self.state.id.clone());
     }
 }
--- a/tests/held_under_earlier_program.rs
+++ b/tests/held_under_earlier_program.rs
@@ -307,7 +307,7 @@
     let (last_token, marks) = (token(&cells), start_marks(&cells));
     let is_running_here = |(cell, _): &&(usize, (String, u64))| *cell == 0;
     let running =
-        cells.history.lock().expect("the history").on_machines.keys().filter(is_running_here).count();
+        cells.history.lock().expect("the history").on_machine.keys().filter(is_running_here).count();
     println!("running when the leader ends: {running}");
     assert!(running > 0);
     for term in 0..2 {
--- a/tests/three_cells.rs
+++ b/tests/three_cells.rs
@@ -143,7 +143,7 @@
     });
     cells.destroy_cell(1);
     until("the rest is done, and what is lent waits", || {
-        let present = cells.history.lock().expect("the history").on_machines.len();
+        let present = cells.history.lock().expect("the history").on_machine.len();
         present == 0 && lent(&cells) > 0
     });
     assert!((1..=ARRAYS).any(|number| cells.stage(0, &id(number)) != "done"));
@@ -189,7 +189,7 @@
     cells.set_partitioned(0, 1, false);
     until("it is confirmed", || cancel() == (200, json!({ "nameId": id(1), "stage": "cancelled" })));
     let confirmed = Instant::now();
-    let present = || cells.history.lock().expect("the history").on_machines.len();
+    let present = || cells.history.lock().expect("the history").on_machine.len();
     until("all of it is gone", || present() == 0);
     assert!(confirmed.elapsed() < Duration::from_secs(CANCEL_S));
     assert_eq!(cells.stage(0, &id(1)), "cancelled");
