--- a/src/loan_messages.rs
+++ b/src/loan_messages.rs
@@ -1,5 +1,5 @@
-//! Conversion of the messages about loans between cells to and from their protobuf form. What another
-//! cell sends is checked here: sizes, job ids, sets of tasks and enum values.
+//! Conversion of the messages between cells to and from their protobuf form. Received messages are checked
+//! for the number of loans, job ids, sets of tasks and enum values.
 
 use milletlock_cells::{
     CellSummary, LoanAction, LoanItem, LoanNumber, LoanOffer, LoanReport, LoanState, LoanSyncRequest,
@@ -9,58 +9,58 @@
 use crate::peer::proto;
 use crate::wire::is_job_id;
 
-/// Most loans in a message.
+/// The maximum number of loans in a message.
 pub const MAX_LOANS: usize = 256;
 
-/// Most characters of an invalid job id that an error repeats.
+/// The maximum number of characters of an invalid job id that are quoted in an error.
 const MAX_QUOTED_CHARS: usize = 40;
 
-/// Why a message about loans is refused.
+/// The reasons for which a message about loans is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum LoanMessageError {
-    /// A message for another cell.
-    #[error("it is for cell {to}, this is {own}")]
+    /// The message is addressed to another cell.
+    #[error("the message is for cell {to}, but this cell is {own}")]
     Misaddressed {
-        /// The cell that it is for.
+        /// Name of the cell to which the message is addressed.
         to: String,
-        /// This cell.
+        /// Name of this cell.
         own: String,
     },
-    /// A sender that the settings do not name.
-    #[error("no cell {0} is known here")]
+    /// The sender is not among the other cells in the operator's settings. The value is its name.
+    #[error("the settings contain no other cell with the name {0}")]
     UnknownCell(String),
-    /// More loans than a message may name; their number.
-    #[error("{0} loans in a message")]
+    /// The message lists more than [`MAX_LOANS`] loans. The value is their number.
+    #[error("the message lists {0} loans, at most {MAX_LOANS} are allowed")]
     TooManyLoans(usize),
-    /// A job id of an invalid form; its beginning.
-    #[error("`{0}` is no job")]
+    /// A job id is malformed. The value is its beginning.
+    #[error("`{0}` is not a valid job id")]
     InvalidJobId(String),
-    /// A set of tasks that cannot be read.
+    /// A set of tasks cannot be read.
     #[error("loan {loan}: {source}")]
     InvalidTasks {
         /// The loan's number.
         loan: u64,
-        /// What is wrong with the set.
+        /// The reason for which the set cannot be read.
         source: TaskSetError,
     },
-    /// An action that this version does not know.
-    #[error("loan {loan}: wish {value} is not known")]
+    /// The action for a loan is unknown to this version.
+    #[error("loan {loan}: unknown action {value}")]
     UnknownAction {
         /// The loan's number.
         loan: u64,
-        /// The value of the protobuf enum.
+        /// The value of the protobuf enum `LoanWish`.
         value: i32,
     },
-    /// A job description that is not JSON.
-    #[error("loan {loan}: the description is no JSON")]
+    /// A job description is not valid JSON.
+    #[error("loan {loan}: the job description is not valid JSON")]
     MalformedDescription {
         /// The loan's number.
         loan: u64,
     },
 }
 
-/// A request as it is sent. Loans beyond what a message may name are put beyond its horizon: otherwise
-/// they would count as closed.
+/// Converts a request for sending. The message lists the first [`MAX_LOANS`] loans. If loans are left out,
+/// the horizon is set below them; otherwise the borrower would treat them as closed.
 pub fn request_to_proto(request: &LoanSyncRequest) -> proto::LoanRequest {
     let first_left_out = request.loans.get(MAX_LOANS);
     let horizon = match first_left_out {
@@ -98,7 +98,10 @@
     }
 }
 
-/// Reads a received request.
+/// Converts a received request.
+///
+/// # Errors
+/// If the request has too many loans, or a loan in it is malformed.
 pub fn request_from_proto(request: &proto::LoanRequest) -> Result<LoanSyncRequest, LoanMessageError> {
     if request.loans.len() > MAX_LOANS {
         return Err(LoanMessageError::TooManyLoans(request.loans.len()));
@@ -147,7 +150,7 @@
     TaskSet::from_bytes(bytes).map_err(|source| LoanMessageError::InvalidTasks { loan, source })
 }
 
-/// A loan's report as it is sent.
+/// Converts a report on a loan for sending.
 pub fn report_to_proto(report: &LoanReport) -> proto::LoanReport {
     let number = report.number.0;
     match &report.state {
@@ -158,7 +161,10 @@
     }
 }
 
-/// Reads a received report on a loan.
+/// Converts a received report on a loan.
+///
+/// # Errors
+/// If a set of tasks is malformed.
 pub fn report_from_proto(report: &proto::LoanReport) -> Result<LoanReport, LoanMessageError> {
     let state = if report.closed {
         LoanState::Closed
@@ -171,7 +177,7 @@
     Ok(LoanReport { number: LoanNumber(report.number), state })
 }
 
-/// A summary as it is sent.
+/// Converts a summary for sending.
 pub fn summary_to_proto(summary: CellSummary) -> proto::CellSummary {
     proto::CellSummary {
         form: summary.format,
@@ -182,7 +188,7 @@
     }
 }
 
-/// Reads a received summary. Whether it can be acted on is for [`CellSummary::check`] to say.
+/// Converts a received summary. The caller checks it with [`CellSummary::check`] before it is used.
 pub fn summary_from_proto(summary: &proto::CellSummary) -> CellSummary {
     CellSummary {
         format: summary.form,
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! The gRPC client: connections to the other controllers.
+//! The gRPC client, which sends messages to the other controllers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -14,12 +14,13 @@
 use super::{Answer, Call, GrpcError, OutboundMessage, PeerError, PeerMessage, PeerReply};
 use crate::time::Micros;
 
-/// How long a connection to another controller may take to open.
+/// The time limit for opening a connection to another controller.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The connection to one controller, opened when the first message is sent and again after a failure.
+/// The connection to one controller. It is opened for the first message, and again after a failure.
 struct Connection {
     address: SocketAddr,
+    /// The channel for the next message, or `None` before the first message and after a failure.
     channel: RefCell<Option<Channel>>,
 }
 
@@ -28,7 +29,7 @@
         Rc::new(Connection { address, channel: RefCell::new(None) })
     }
 
-    /// The open channel, or a new one; none if the address cannot be used.
+    /// The current channel, or a new one if there is none. Returns `None` if the address is invalid.
     fn channel(&self) -> Option<Channel> {
         let mut channel = self.channel.borrow_mut();
         if channel.is_none() {
@@ -38,7 +39,7 @@
         channel.clone()
     }
 
-    /// Sends a message over a channel and hands over the reply.
+    /// Sends a message over a channel and passes the reply, or the error, to the waiting sender.
     async fn deliver(&self, channel: Channel, outbound: OutboundMessage) {
         let OutboundMessage { message, timeout, reply, .. } = outbound;
         let result = match tokio::time::timeout(timeout, send(channel, message)).await {
@@ -46,14 +47,16 @@
             Err(_) => Err(PeerError::TimedOut),
         };
         if result.is_err() {
-            // A network partition keeps a connection open in silence: the next message gets a new one.
+            // During a network partition, a connection can stay open although nothing arrives any more. The
+            // next message therefore opens a new connection.
             *self.channel.borrow_mut() = None;
         }
         let _ = reply.try_send(result);
     }
 }
 
-/// Sends messages as they come, each without waiting for the replies to the others.
+/// Sends the messages in the order in which they arrive in `to_send`, without waiting for replies in between.
+/// Returns when the sending half of `to_send` is dropped.
 pub(super) async fn send_all(members: Vec<SocketAddr>, mut to_send: mpsc::Receiver<OutboundMessage>) {
     let connections: Vec<Rc<Connection>> = members.into_iter().map(Connection::new).collect();
     let send_each = async move {
@@ -66,7 +69,7 @@
     tokio::task::LocalSet::new().run_until(send_each).await;
 }
 
-/// Calls the method for a message.
+/// Calls the gRPC method for a message and returns its reply.
 async fn send(channel: Channel, message: PeerMessage) -> Result<PeerReply, Status> {
     let mut client = PeerClient::new(channel);
     Ok(match message {
@@ -78,10 +81,10 @@
     })
 }
 
-/// Calls one controller once, for the command line: no runtime is left running.
+/// Sends a single request to a controller, for the command line. The runtime ends with the call.
 ///
 /// # Errors
-/// If the controller cannot be reached in time or refuses the call.
+/// If the runtime cannot be started, or if the controller cannot be reached in time or refuses the call.
 pub fn call_once(address: SocketAddr, call: Call, timeout: Micros) -> Result<Answer, GrpcError> {
     single_threaded_runtime()?.block_on(async {
         let endpoint = Endpoint::from_shared(format!("http://{address}"))?;
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,7 +1,7 @@
-//! gRPC between the controllers.
+//! The gRPC connections between controllers.
 //!
-//! `tonic` is asynchronous: it has one runtime on one thread, and channels lead to and from the
-//! blocking threads. Nothing else in the program is asynchronous.
+//! The library `tonic` is asynchronous. It runs in one runtime on one thread, which exchanges messages with
+//! the blocking threads through channels. Nothing else in the program is asynchronous.
 
 mod client;
 mod hub;
@@ -14,7 +14,7 @@
 pub use self::hub::{OutboundMessage, PeerHub, PendingReply, Transport};
 pub use self::server::InboundMessage;
 
-/// The messages and services, generated from `proto/peer.proto`.
+/// The messages and the service, generated from `proto/peer.proto`.
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 pub mod proto {
     tonic::include_proto!("milletlock.peer.v1");
@@ -27,47 +27,47 @@
 /// A message to another controller.
 #[derive(Clone, Debug)]
 pub enum PeerMessage {
-    /// Who leads, and task counts of jobs for status requests.
+    /// The current leader, and the task counts of jobs, from which the receiver answers status requests.
     Announce(Summary),
-    /// A job record was written, or the job has ended.
+    /// A job's record was written, or the job has ended.
     Notify(JobNews),
-    /// Jobs whose cancellation was confirmed.
+    /// Jobs whose cancellation has been confirmed.
     Cancelled(Cancellations),
-    /// A request for the other controller to answer.
+    /// A request of a user or operator that the other controller is to answer.
     Relay(Call),
-    /// Another cell's open loans.
+    /// The open loans of another cell to this cell.
     Lend(LoanRequest),
 }
 
-/// The reply to a message.
+/// The reply to a [`PeerMessage`].
 #[derive(Clone, Debug)]
 pub enum PeerReply {
-    /// To an announcement, news of a job or cancellations.
+    /// The reply to `Announce`, `Notify` and `Cancelled`.
     Ack(Ack),
-    /// To a relayed request.
+    /// The reply to `Relay`.
     Answer(Answer),
-    /// To another cell's loans.
+    /// The reply to `Lend`.
     Loans(LoanReply),
 }
 
-/// Why a message to another controller has no reply.
+/// The reasons why a message to another controller has no reply.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// Too many messages wait to be sent.
-    #[error("too many messages wait to be sent")]
+    /// The queue of messages to be sent is full.
+    #[error("too many messages are waiting to be sent")]
     Busy,
-    /// No reply came in time.
-    #[error("time-out")]
+    /// No reply arrived in time.
+    #[error("no reply within the time limit")]
     TimedOut,
-    /// The runtime that sends messages has ended.
-    #[error("the runtime is gone")]
+    /// The gRPC runtime, which sends the messages, has ended.
+    #[error("the gRPC runtime has ended")]
     Stopped,
-    /// The other controller cannot be reached, or refused.
+    /// The other controller cannot be reached or refused the message. The value is the reason.
     #[error("{0}")]
     Failed(String),
 }
 
-/// Why the gRPC runtime, or a single call with [`call_once`], failed.
+/// The reasons for which the gRPC runtime, or a single call with [`call_once`], failed.
 #[derive(Debug, thiserror::Error)]
 pub enum GrpcError {
     /// The runtime or its listener could not be set up.
--- a/src/peer/runtime.rs
+++ b/src/peer/runtime.rs
@@ -1,4 +1,4 @@
-//! The runtime that serves and sends messages, on one thread.
+//! The asynchronous runtime, which serves and sends messages on one thread.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::SyncSender;
@@ -13,17 +13,17 @@
 use super::server::PeerService;
 use super::{GrpcError, InboundMessage, OutboundMessage};
 
-/// Most messages that one controller may have under way to this one at a time.
+/// The maximum number of messages on one connection that are in progress at a time.
 const MAX_CONCURRENT_STREAMS: u32 = 64;
-/// How long a message from another controller may wait for its reply.
+/// The time within which a message from another controller must be answered.
 const INBOUND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A runtime that runs on the thread that blocks on it.
+/// Creates a runtime that runs on the thread that calls `block_on`.
 pub(super) fn single_threaded_runtime() -> std::io::Result<Runtime> {
     Builder::new_current_thread().enable_io().enable_time().build()
 }
 
-/// Serves and sends messages until either ends.
+/// Serves and sends messages until the server or the sending of messages ends.
 pub(super) fn run(
     listener: TcpListener,
     members: Vec<SocketAddr>,
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The gRPC service: receives messages from the other controllers.
+//! The gRPC service, which receives messages from other controllers.
 
 use std::sync::mpsc::{SyncSender, TrySendError};
 
@@ -9,38 +9,38 @@
 use super::proto::{Ack, Answer, Call, Cancellations, JobNews, LoanReply, LoanRequest, Summary};
 use super::{PeerMessage, PeerReply};
 
-/// A message from another controller, to be answered.
+/// A message from another controller that is to be answered.
 pub struct InboundMessage {
-    /// Its content.
+    /// The content of the message.
     pub message: PeerMessage,
     reply: oneshot::Sender<PeerReply>,
 }
 
 impl InboundMessage {
-    /// Sends the reply.
+    /// Sends the reply to the controller that sent the message.
     pub fn answer(self, reply: PeerReply) {
-        // The other side may have given up by now.
+        // Sending fails if the other controller no longer waits for the reply.
         let _ = self.reply.send(reply);
     }
 }
 
-/// Passes messages on to the blocking threads and returns their replies.
+/// The implementation of the service: passes messages to the blocking threads and returns their replies.
 pub(super) struct PeerService {
     pub(super) inbound: SyncSender<InboundMessage>,
 }
 
 impl PeerService {
-    /// Passes a message on and waits for its reply.
+    /// Passes a message to the blocking threads and waits for its reply.
     async fn reply(&self, message: PeerMessage) -> Result<PeerReply, Status> {
         let (reply, pending) = oneshot::channel();
         match self.inbound.try_send(InboundMessage { message, reply }) {
-            Ok(()) => pending.await.map_err(|_| Status::unavailable("not answered")),
-            Err(TrySendError::Full(_)) => Err(Status::resource_exhausted("busy")),
-            Err(TrySendError::Disconnected(_)) => Err(Status::unavailable("stopping")),
+            Ok(()) => pending.await.map_err(|_| Status::unavailable("the message was not answered")),
+            Err(TrySendError::Full(_)) => Err(Status::resource_exhausted("too many messages are waiting")),
+            Err(TrySendError::Disconnected(_)) => Err(Status::unavailable("the controller is stopping")),
         }
     }
 
-    /// The same for a message that is only acknowledged.
+    /// Passes on a message whose reply is an acknowledgement, and waits for it.
     async fn ack(&self, message: PeerMessage) -> Result<Response<Ack>, Status> {
         match self.reply(message).await? {
             PeerReply::Ack(ack) => Ok(Response::new(ack)),
@@ -49,9 +49,9 @@
     }
 }
 
-/// The status for a reply that belongs to another kind of message.
+/// The status for a reply whose kind does not match the message.
 fn wrong_reply() -> Status {
-    Status::internal("wrong answer")
+    Status::internal("the reply does not match the message")
 }
 
 #[tonic::async_trait]
