--- a/crates/cells/tests/random_worlds.rs
+++ b/crates/cells/tests/random_worlds.rs
@@ -1,22 +1,23 @@
-//! Random worlds over the ledgers: two to four cells, messages lost, duplicated, reordered and very late,
-//! leaders that crash between any two steps, transactions applied late or without an answer. Each task
-//! starts in one cell at most and finishes once, a confirmed cancellation starts nothing, and nothing is
-//! left or forgotten once the faults end.
+//! Random simulations of the ledgers of two to four cells. Messages are lost, duplicated, reordered or
+//! very late, leaders crash between any two steps, and transactions are applied late or have no answer.
+//!
+//! Each task must start in at most one cell and finish once. No task may start after its job's cancellation
+//! is confirmed. Once the faults end, all jobs must end, and all loans must be closed.
 
 mod world;
 
 use world::{Faults, World};
 
-/// What a number of worlds did altogether.
+/// Counts over a number of simulations.
 #[derive(Default)]
 struct Totals {
-    /// Tasks that finished at a borrower.
+    /// Number of tasks that finished at a borrower.
     finished_at_borrowers: usize,
-    /// Jobs that were cancelled.
+    /// Number of jobs whose cancellation was confirmed.
     cancelled: usize,
 }
 
-/// Runs one world for each seed, with these faults for so many steps.
+/// Runs one simulation for each seed, with these faults for `steps` steps and then without faults.
 fn run(faults: Faults, seeds: std::ops::Range<u64>, steps: u32) -> Totals {
     let mut totals = Totals::default();
     for seed in seeds {
@@ -25,8 +26,8 @@
         for _ in 0..steps {
             world.step();
         }
-        world.run_to_rest();
-        world.assert_tally();
+        world.run_until_all_jobs_end();
+        world.assert_each_finished_once();
         totals.finished_at_borrowers += world.finished_at_borrowers();
         totals.cancelled += world.cancelled();
     }
@@ -34,20 +35,20 @@
 }
 
 #[test]
-fn a_calm_world_finishes_each_task_once() {
+fn without_faults_each_task_finishes_once() {
     let totals = run(Faults::NONE, 0..100, 50);
     assert!(totals.finished_at_borrowers > 100, "tasks were lent");
 }
 
 #[test]
-fn lost_duplicated_and_late_messages_start_nothing_twice() {
+fn lost_duplicated_and_late_messages_start_no_task_twice() {
     let faults = Faults { lost: 300, duplicated: 300, crash: 0, unanswered: 0 };
     let totals = run(faults, 1000..1400, 120);
     assert!(totals.finished_at_borrowers > 100, "tasks were lent");
 }
 
 #[test]
-fn leaders_that_crash_and_transactions_applied_late_start_nothing_twice() {
+fn crashed_leaders_and_late_transactions_start_no_task_twice() {
     let faults = Faults { lost: 0, duplicated: 0, crash: 30, unanswered: 300 };
     let totals = run(faults, 2000..2400, 120);
     assert!(totals.finished_at_borrowers > 100, "tasks were lent");
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn all_faults_together_start_nothing_twice_and_forget_nothing() {
+fn all_faults_together_start_no_task_twice_and_lose_none() {
     let faults = Faults { lost: 200, duplicated: 200, crash: 20, unanswered: 200 };
     let totals = run(faults, 3000..3800, 150);
     assert!(totals.finished_at_borrowers > 100, "tasks were lent");
--- a/crates/cells/tests/stored_records.rs
+++ b/crates/cells/tests/stored_records.rs
@@ -1,11 +1,11 @@
-//! Stored records keep the names under which versions from 0.3 on write them, whatever the fields are
-//! called in the code.
+//! The field names in stored records of loans. Versions from 0.3 on read and write these names, so that they
+//! must not change when a field is renamed in the code.
 
 use milletlock_cells::{BorrowedJob, BorrowedLoan, Lending, Loan, LoanNumber, TaskSet};
 use serde_json::json;
 
 #[test]
-fn a_lenders_record_keeps_its_names() {
+fn a_lenders_record_keeps_its_field_names() {
     let loan = Loan { number: LoanNumber(9), borrower: "south".into(), tasks: TaskSet::span(0, 5) };
     let lending = Lending { loans: vec![loan], cancelling: true };
     let stored = json!({
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_borrowers_record_keeps_its_names() {
+fn a_borrowers_record_keeps_its_field_names() {
     let loan = BorrowedLoan { number: LoanNumber(9), tasks: TaskSet::span(3, 4) };
     let record =
         BorrowedJob { lender: "north".into(), description: json!({ "nameId": "wk-1" }), loans: vec![loan] };
--- a/crates/cells/tests/world/borrowing.rs
+++ b/crates/cells/tests/world/borrowing.rs
@@ -1,4 +1,5 @@
-//! The borrower's side: changes that a lender's message asks for, and the reply.
+//! The borrower's side of the simulation: applies the changes that follow from a lender's message, and
+//! replies.
 
 use milletlock_cells::{BorrowerChange, LoanSyncRequest};
 
@@ -7,13 +8,13 @@
 use super::store::{borrowed_done_key, borrowed_key, high_water_key, Record, Txn};
 use super::World;
 
-/// Most tasks that a cell borrows altogether.
+/// The maximum number of tasks that a cell borrows in total.
 const MAX_BORROWED: u32 = 40;
-/// Most changes for one message.
+/// The maximum number of changes that are made for one message.
 const MAX_CHANGES: usize = 100;
 
 impl World {
-    /// Makes the changes that a message asks for, and replies.
+    /// Writes the changes that follow from a message, and replies.
     pub fn handle_request(&mut self, at: usize, request: &LoanSyncRequest) {
         for _ in 0..MAX_CHANGES {
             let cell = &self.cells[at];
--- a/crates/cells/tests/world/cancellation.rs
+++ b/crates/cells/tests/world/cancellation.rs
@@ -1,4 +1,5 @@
-//! Cancellation: asked for by a user, recorded at once, confirmed once no loan is open.
+//! The cancellation of jobs in the simulation. A user requests it, the lender records the request, and
+//! the cancellation is confirmed once no loan is open.
 
 use milletlock_cells::Lending;
 use rand::Rng;
@@ -7,21 +8,21 @@
 use super::World;
 
 impl World {
-    /// A user asks for the cancellation of some job.
-    pub fn ask_cancellation(&mut self) {
+    /// Requests the cancellation of a random job, as a user.
+    pub fn request_cancellation(&mut self) {
         let jobs = self.job_ids();
         let job = &jobs[self.rng.random_range(0..jobs.len())];
         if let Some(job) = self.jobs.get_mut(job) {
-            job.cancel_asked = true;
+            job.cancel_requested = true;
         }
     }
 
-    /// Takes the next step of each cancellation: first the intent is recorded, then, without open loans,
-    /// the end.
+    /// Takes the next step of each requested cancellation: records the request or, once the request is
+    /// recorded and no loan is open, writes that the job is cancelled.
     pub fn confirm_cancellations(&mut self, at: usize) {
-        let is_asked = |job: &String| self.jobs[job].lender == at && self.jobs[job].cancel_asked;
-        let asked: Vec<String> = self.job_ids().into_iter().filter(is_asked).collect();
-        for job in asked {
+        let is_requested = |job: &String| self.jobs[job].lender == at && self.jobs[job].cancel_requested;
+        let requested: Vec<String> = self.job_ids().into_iter().filter(is_requested).collect();
+        for job in requested {
             if self.is_ended(&job) || self.cells[at].leader.is_unresolved(&lending_key(&job)) {
                 continue;
             }
@@ -35,7 +36,7 @@
         self.check_confirmed(at);
     }
 
-    /// Whether all tasks of a job are recorded as done, or the job as cancelled.
+    /// Whether all tasks of a job are recorded as done, or the job is recorded as cancelled.
     pub fn is_ended(&self, job: &str) -> bool {
         let store = &self.cells[self.jobs[job].lender].store;
         store.done(&done_key(job)).len() == self.jobs[job].tasks || store.contains(&cancelled_key(job))
@@ -49,7 +50,8 @@
         self.write(at, txn, None);
     }
 
-    /// What the state store has as cancelled may be confirmed to users: no cell holds anything of it.
+    /// Confirms the jobs that the state store records as cancelled, and asserts that no cell can still run
+    /// tasks of them.
     fn check_confirmed(&mut self, at: usize) {
         for job in self.job_ids() {
             let is_confirmed = self.cells[at].store.contains(&cancelled_key(&job));
@@ -58,17 +60,21 @@
             }
             self.cells[at].running.retain(|task| task.0 != job);
             self.cells[at].results.retain(|task| task.0 != job);
-            self.assert_held_nowhere(&job);
+            self.assert_not_borrowed(&job);
             self.confirmed_cancelled.insert(job);
         }
     }
 
-    fn assert_held_nowhere(&self, job: &str) {
+    fn assert_not_borrowed(&self, job: &str) {
         for cell in &self.cells {
-            let Some(Record::Borrowed(held)) = cell.store.get(&borrowed_key(job)) else { continue };
+            let Some(Record::Borrowed(borrowed)) = cell.store.get(&borrowed_key(job)) else { continue };
             let may_run = |number: &u32| !self.finished.contains_key(&(job.to_string(), *number));
-            let left: Vec<u32> = held.tasks().iter().filter(may_run).collect();
-            assert!(left.is_empty(), "{job} is confirmed as cancelled, {} may run {left:?}", cell.name);
+            let remaining: Vec<u32> = borrowed.tasks().iter().filter(may_run).collect();
+            assert!(
+                remaining.is_empty(),
+                "{job} is confirmed as cancelled, but {} may run {remaining:?}",
+                cell.name
+            );
         }
     }
 }
--- a/crates/cells/tests/world/execution.rs
+++ b/crates/cells/tests/world/execution.rs
@@ -1,4 +1,4 @@
-//! Tasks on machines: which may start, and how they start, finish and are recorded.
+//! The tasks on the simulated machines: which tasks may start, and how they start, finish and are recorded.
 
 use std::collections::BTreeSet;
 
@@ -9,16 +9,16 @@
 use super::{Task, World};
 
 impl World {
-    /// Stops tasks of a borrowed job that are not held any more.
-    pub fn stop_dropped(&mut self, at: usize, job: &str) {
+    /// Stops the tasks of a borrowed job that are not borrowed any more.
+    pub fn stop_unborrowed_tasks(&mut self, at: usize, job: &str) {
         if self.jobs[job].lender == at {
             return;
         }
         let cell = &mut self.cells[at];
-        let held = cell.leader.borrower.job(job).map(|record| record.tasks()).unwrap_or_default();
-        let may_stay = |task: &Task| task.0 != job || held.contains(task.1);
-        cell.running.retain(may_stay);
-        cell.results.retain(may_stay);
+        let borrowed = cell.leader.borrower.job(job).map(|record| record.tasks()).unwrap_or_default();
+        let may_remain = |task: &Task| task.0 != job || borrowed.contains(task.1);
+        cell.running.retain(may_remain);
+        cell.results.retain(may_remain);
     }
 
     fn is_cancelling(&self, at: usize, job: &str) -> bool {
@@ -30,7 +30,8 @@
         is_recorded || store.contains(&cancelled_key(job))
     }
 
-    /// Own tasks that may start or be lent: not done, not on a machine, not lent, and the job goes on.
+    /// The tasks of an own job that may start or be lent: they are not done, not on a machine, not lent and
+    /// not withheld, and the job is not being cancelled.
     pub fn startable_own(&self, at: usize, job: &str) -> Vec<u32> {
         let cell = &self.cells[at];
         if self.jobs[job].lender != at || self.is_cancelling(at, job) {
@@ -49,7 +50,7 @@
         (0..self.jobs[job].tasks).filter(is_free).collect()
     }
 
-    /// Borrowed tasks that may start.
+    /// The borrowed tasks of a job that may start.
     fn startable_borrowed(&self, at: usize, job: &str) -> Vec<u32> {
         let cell = &self.cells[at];
         let Some(record) = cell.leader.borrower.job(job) else { return Vec::new() };
@@ -57,7 +58,7 @@
         unstarted.iter().filter(|number| !cell.leader.is_withheld(job, *number)).collect()
     }
 
-    /// Starts tasks until the machines are full.
+    /// Starts tasks until the cell's machines are full.
     pub fn start_some(&mut self, at: usize) {
         for job in self.job_ids() {
             let startable = [self.startable_own(at, &job), self.startable_borrowed(at, &job)].concat();
@@ -73,26 +74,26 @@
     fn start(&mut self, at: usize, task: Task) {
         assert!(
             !self.confirmed_cancelled.contains(&task.0),
-            "{task:?} starts in cell {at} though its job is confirmed as cancelled"
+            "{task:?} starts in cell {at} although its job is confirmed as cancelled"
         );
         let before = self.started.insert(task.clone(), at);
-        assert_eq!(before, None, "{task:?} starts again, in cell {at}");
+        assert_eq!(before, None, "{task:?} starts a second time, in cell {at}");
         self.cells[at].running.insert(task);
     }
 
-    /// About half of the running tasks finish.
+    /// Finishes each running task with a probability of one half.
     pub fn finish_some(&mut self, at: usize) {
         let running: Vec<Task> = self.cells[at].running.iter().cloned().collect();
         for task in running {
             if self.chance(500) {
                 self.cells[at].running.remove(&task);
                 self.cells[at].results.insert(task.clone());
-                assert_eq!(self.finished.insert(task.clone(), at), None, "{task:?} finishes again");
+                assert_eq!(self.finished.insert(task.clone(), at), None, "{task:?} finishes a second time");
             }
         }
     }
 
-    /// Records results; the machines keep them until they are certainly recorded.
+    /// Records the results on the machines. The machines keep a result until it is certainly recorded.
     pub fn record_results(&mut self, at: usize) {
         let jobs: BTreeSet<String> = self.cells[at].results.iter().map(|(job, _)| job.clone()).collect();
         for job in jobs {
@@ -106,12 +107,12 @@
         }
     }
 
-    /// Adds tasks to those that a key records as done.
+    /// Adds tasks to the done tasks recorded under a key.
     pub fn record_done(&mut self, at: usize, job: &str, key: &str, new: &TaskSet) {
         let cell = &self.cells[at];
         let all = cell.store.done(key).union(new);
-        // Without the job's own record among the guards, a late copy could bring back what was dropped
-        // with it.
+        // The job's own record is guarded too. Otherwise a transaction that is applied late could recreate
+        // the done tasks after they were deleted together with the job's record.
         let job_key = if key == done_key(job) { lending_key(job) } else { borrowed_key(job) };
         let guards =
             vec![(key.to_string(), cell.store.version(key)), (job_key.clone(), cell.store.version(&job_key))];
--- a/crates/cells/tests/world/leader.rs
+++ b/crates/cells/tests/world/leader.rs
@@ -1,4 +1,4 @@
-//! A cell's leader: what it keeps in memory and loses in a crash.
+//! The leader of a simulated cell, with the state that it keeps in memory and loses in a crash.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,25 +6,25 @@
 
 use super::store::{Record, Store, Txn};
 
-/// What a leader knows.
+/// The state that a leader keeps in memory.
 pub struct Leader {
     pub term: u64,
     pub lender: LenderLedger,
     pub borrower: BorrowerLedger,
-    /// Versions of the records as this leader knows them.
+    /// The versions of the records that this leader has read, by key.
     versions: BTreeMap<String, u64>,
-    /// Tasks that a write in flight lends or gives back, by job.
+    /// Tasks that a write in flight lends or returns, by job. They must not start.
     pub withheld: BTreeMap<String, TaskSet>,
-    /// Writes without an answer: sent again until they have one.
+    /// Writes that have no answer yet. They are sent again until they have one.
     pub unresolved: Vec<(Txn, Option<BorrowerChange>)>,
-    /// Numbers of loans that are being written, by job.
-    pub lending: BTreeMap<String, LoanNumber>,
-    /// Loans that borrowers are known to hold.
+    /// The number of the loan whose write is in flight, by job.
+    pub loans_in_flight: BTreeMap<String, LoanNumber>,
+    /// Loans on which their borrower has reported. Their offers are not sent again.
     pub accepted: BTreeSet<LoanNumber>,
 }
 
 impl Leader {
-    /// A leader that has read the records.
+    /// Creates a leader that has read all records of a state store.
     pub fn rebuild(store: &Store) -> Leader {
         let mut leader = Leader {
             term: store.term,
@@ -33,14 +33,14 @@
             versions: BTreeMap::new(),
             withheld: BTreeMap::new(),
             unresolved: Vec::new(),
-            lending: BTreeMap::new(),
+            loans_in_flight: BTreeMap::new(),
             accepted: BTreeSet::new(),
         };
         store.keys().for_each(|key| leader.read(store, key));
         leader
     }
 
-    /// Reads a record.
+    /// Reads the record of a key and updates the ledgers.
     pub fn read(&mut self, store: &Store, key: &str) {
         let (kind, name) = key.split_once('/').expect("a key");
         self.versions.insert(key.to_string(), store.version(key));
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A guard of a key at the version that this leader knows.
+    /// The guard of a key with the version that this leader has read.
     pub fn guard(&self, key: String) -> (String, u64) {
         let version = self.versions.get(&key).copied().unwrap_or(0);
         (key, version)
--- a/crates/cells/tests/world/lending.rs
+++ b/crates/cells/tests/world/lending.rs
@@ -1,4 +1,4 @@
-//! The lender's side: loans are made, borrowers are told of them, and their replies are taken over.
+//! The lender's side of the simulation: makes loans, sends them to the borrowers and applies the replies.
 
 use milletlock_cells::{Lending, Loan, LoanAction, LoanNumber, LoanOffer, TaskSet};
 use rand::Rng;
@@ -8,11 +8,11 @@
 use super::store::{cancelled_key, done_key, lending_key, Record, Txn};
 use super::World;
 
-/// With fewer tasks that could start than this a job is not lent from.
+/// The minimum number of startable tasks of a job from which tasks are lent.
 const MIN_LENDABLE: usize = 3;
 
 impl World {
-    /// Lends some tasks that have not begun to some cell.
+    /// Lends some unstarted tasks of a random job to a random cell.
     pub fn lend(&mut self, at: usize) {
         let jobs = self.job_ids();
         let job = jobs[self.rng.random_range(0..jobs.len())].clone();
@@ -27,14 +27,14 @@
         let borrower = self.cells[borrower].name.clone();
         let leader = &mut self.cells[at].leader;
         let Some(number) = leader.lender.next_number() else { return };
-        // From before the write is sent, none of them may start here.
+        // The lender must stop starting these tasks before it sends the write.
         leader.withheld.insert(job.clone(), tasks.clone());
-        leader.lending.insert(job.clone(), number);
+        leader.loans_in_flight.insert(job.clone(), number);
         let lending = leader.lender.with_loan(&job, Loan { number, borrower, tasks });
         self.write_lending(at, &job, lending);
     }
 
-    /// Writes what a job's record says of loans.
+    /// Writes the loans in a job's record.
     pub fn write_lending(&mut self, at: usize, job: &str, lending: Lending) {
         let leader = &self.cells[at].leader;
         let key = lending_key(job);
@@ -44,7 +44,7 @@
         self.write(at, txn, None);
     }
 
-    /// Sends each other cell a message about all its loans.
+    /// Sends each other cell a message that lists all open loans to it.
     pub fn send_requests(&mut self, at: usize) {
         let action = if self.rng.random_range(0..4) == 0 { LoanAction::Recall } else { LoanAction::Run };
         for to in (0..self.cells.len()).filter(|to| *to != at).collect::<Vec<_>>() {
@@ -61,14 +61,14 @@
         }
     }
 
-    /// Takes over a borrower's reply.
+    /// Applies the reports in a borrower's reply.
     pub fn handle_reply(&mut self, at: usize, from: usize, reply: &Reply) {
         let borrower = self.cells[from].name.clone();
         for report in &reply.reports {
             let cell = &self.cells[at];
             let recorded = |job: &str| cell.store.done(&done_key(job));
             let change = cell.leader.lender.change_for_report(&borrower, report, recorded);
-            let Some(change) = change.expect("all reports are true") else { continue };
+            let Some(change) = change.expect("all reports agree with the ledger") else { continue };
             self.cells[at].leader.accepted.insert(report.number);
             if !change.done.is_empty() {
                 self.record_done(at, &change.job, &done_key(&change.job), &change.done);
--- a/crates/cells/tests/world/machines.rs
+++ b/crates/cells/tests/world/machines.rs
@@ -1,4 +1,4 @@
-//! The tasks of a cell's machines, as its borrower ledger asks for them.
+//! The view of a simulated cell's tasks that its borrower ledger needs.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
     running: &'a BTreeSet<Task>,
     results: &'a BTreeSet<Task>,
     store: &'a Store,
-    /// Tasks that may still be borrowed.
+    /// The number of further tasks that the cell can borrow.
     capacity: u32,
 }
 
--- a/crates/cells/tests/world/mod.rs
+++ b/crates/cells/tests/world/mod.rs
@@ -1,6 +1,7 @@
-//! A model of cells that lend to each other: durable records behind transactions that may be applied
-//! late, leaders that crash between any two steps, and messages that are lost, duplicated, reordered and
-//! late. The rules of loans are asserted at every step.
+//! A simulation of cells that lend tasks to each other. Transactions on stored records may be applied late,
+//! leaders may crash between any two steps, and messages may be lost, duplicated, reordered or late. Whenever
+//! a task starts or finishes, and whenever a cancellation is confirmed, the simulation asserts that this is
+//! allowed.
 
 mod borrowing;
 mod cancellation;
@@ -25,74 +26,76 @@
 /// A task: the job's id and the task's number.
 type Task = (String, u32);
 
-/// Tasks that the machines of the first cell run at a time; few, so that it lends.
+/// The number of tasks that the first cell can run at a time. It is small so that the cell lends tasks.
 const FIRST_CELL_SLOTS: usize = 2;
-/// Tasks that the machines of any other cell run at a time.
+/// The number of tasks that any other cell can run at a time.
 const OTHER_CELL_SLOTS: usize = 4;
 
-/// A job, known to the whole model.
+/// A job of the simulation.
 struct Job {
+    /// The number of its tasks.
     tasks: u32,
-    /// Index of the cell that accepted it.
+    /// Index of the cell to which the job was submitted.
     lender: usize,
-    /// Its user asked for its cancellation.
-    cancel_asked: bool,
+    /// Whether a user has requested the job's cancellation.
+    cancel_requested: bool,
 }
 
-/// A cell.
+/// A simulated cell.
 struct Cell {
     name: String,
     store: Store,
     leader: Leader,
-    /// What its machines run. It outlives the leader.
+    /// Tasks that run on the cell's machines. They keep running when the leader crashes.
     running: BTreeSet<Task>,
-    /// Results on machines that are not recorded yet.
+    /// Finished tasks whose results are still on the machines and not yet recorded.
     results: BTreeSet<Task>,
-    /// Tasks that its machines run at a time.
+    /// The number of tasks that the cell's machines can run at a time.
     slots: usize,
 }
 
-/// Probabilities of faults, in a thousand for each step.
+/// The probabilities of faults, per mille.
 #[derive(Clone, Copy)]
 pub struct Faults {
-    /// A message is lost.
+    /// The probability that a message is lost.
     pub lost: u32,
-    /// A message is delivered twice.
+    /// The probability that a message is delivered twice.
     pub duplicated: u32,
-    /// A leader crashes.
+    /// The probability that a leader crashes in a step.
     pub crash: u32,
-    /// A transaction has no answer.
+    /// The probability that a transaction has no answer.
     pub unanswered: u32,
 }
 
 impl Faults {
-    /// None at all.
+    /// No faults.
     pub const NONE: Faults = Faults { lost: 0, duplicated: 0, crash: 0, unanswered: 0 };
 }
 
-/// Some cells, their jobs, and the messages in flight.
+/// The state of a simulation: cells, jobs and messages in flight.
 pub struct World {
     cells: Vec<Cell>,
     jobs: BTreeMap<String, Job>,
     messages: Vec<Message>,
     rng: StdRng,
     faults: Faults,
-    /// Each task that ever started, with its cell.
+    /// The cell in which each task started, for every task that has ever started.
     started: BTreeMap<Task, usize>,
-    /// Each task that finished, with its cell.
+    /// The cell in which each task finished, for every finished task.
     finished: BTreeMap<Task, usize>,
+    /// Jobs whose cancellation has been confirmed.
     confirmed_cancelled: BTreeSet<String>,
 }
 
 impl World {
-    /// Cells with array jobs, most of them in the first.
+    /// Creates cells with random array jobs, most of which belong to the first cell.
     pub fn new(cells: usize, seed: u64, faults: Faults) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
         let cells: Vec<Cell> = (0..cells).map(new_cell).collect();
         let mut jobs = BTreeMap::new();
         for number in 0..rng.random_range(2..6) {
             let lender = if rng.random_range(0..4) > 0 { 0 } else { rng.random_range(0..cells.len()) };
-            let job = Job { tasks: rng.random_range(1..30), lender, cancel_asked: false };
+            let job = Job { tasks: rng.random_range(1..30), lender, cancel_requested: false };
             jobs.insert(format!("wk-{number}"), job);
         }
         World {
@@ -107,12 +110,12 @@
         }
     }
 
-    /// Whether an event of this probability happens now.
+    /// Draws whether an event of this probability happens.
     fn chance(&mut self, per_mille: u32) -> bool {
         self.rng.random_range(0..1000) < per_mille
     }
 
-    /// One event in each cell, then some deliveries.
+    /// Simulates one event in each cell and then delivers messages.
     pub fn step(&mut self) {
         for cell in 0..self.cells.len() {
             if self.chance(self.faults.crash) {
@@ -131,18 +134,18 @@
         }
         self.deliver();
         if self.faults.crash > 0 && self.chance(3) {
-            self.ask_cancellation();
+            self.request_cancellation();
         }
     }
 
-    /// The leader dies between two steps; the next one reads the records, hears all machines and stops
-    /// what it does not know.
+    /// Replaces a cell's leader. The new leader reads the records, receives the heartbeats of all machines
+    /// and stops the tasks that are not borrowed any more.
     fn crash(&mut self, at: usize) {
         let cell = &mut self.cells[at];
         cell.store.term += 1;
         cell.leader = Leader::rebuild(&cell.store);
         for job in self.job_ids() {
-            self.stop_dropped(at, &job);
+            self.stop_unborrowed_tasks(at, &job);
         }
     }
 
--- a/crates/cells/tests/world/store.rs
+++ b/crates/cells/tests/world/store.rs
@@ -1,4 +1,5 @@
-//! A cell's state store: versioned records, changed by guarded transactions only.
+//! The state store of a simulated cell. Its records have versions and change only by compare-and-swap
+//! transactions.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +8,20 @@
 /// A record in a cell's state store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// A job's loans, at its lender.
+    /// The loans of a job, at its lender.
     Lending(Lending),
     /// A borrowed job, at a borrower.
     Borrowed(BorrowedJob),
     /// A lender's high-water mark, at a borrower.
     HighWater(LoanNumber),
-    /// Tasks that are done, of an own or a borrowed job.
+    /// The done tasks of an own or borrowed job.
     Done(TaskSet),
-    /// The job was confirmed as cancelled.
+    /// Records that a job is cancelled.
     Cancelled,
 }
 
-/// A guarded transaction: applied if the term is the present one and all guarded keys have these
-/// versions.
+/// A compare-and-swap transaction. It is applied if its term is the current one and all guarded keys have
+/// the given versions.
 #[derive(Clone, Debug)]
 pub struct Txn {
     pub term: u64,
@@ -28,18 +29,18 @@
     pub writes: Vec<(String, Option<Record>)>,
 }
 
-/// A cell's state store.
+/// The state store of a simulated cell.
 #[derive(Default)]
 pub struct Store {
     pub term: u64,
     revision: u64,
     records: BTreeMap<String, (Record, u64)>,
-    /// Transactions that may still be applied.
-    pub late: Vec<Txn>,
+    /// Transactions that were sent without an answer and may still be applied.
+    pub unanswered: Vec<Txn>,
 }
 
 impl Store {
-    /// An empty store whose present leader has this term.
+    /// Creates an empty state store whose current leader has this term.
     pub fn new(term: u64) -> Store {
         Store { term, ..Store::default() }
     }
@@ -61,7 +62,7 @@
         self.records.keys()
     }
 
-    /// Applies a transaction if its guards hold; whether they did.
+    /// Applies a transaction if its guards hold. Returns whether they held.
     pub fn apply(&mut self, txn: &Txn) -> bool {
         let holds = |(key, version): &(String, u64)| self.version(key) == *version;
         if txn.term != self.term || !txn.guards.iter().all(holds) {
@@ -81,7 +82,7 @@
         true
     }
 
-    /// The tasks that a key records as done.
+    /// The done tasks recorded under a key.
     pub fn done(&self, key: &str) -> TaskSet {
         match self.get(key) {
             Some(Record::Done(tasks)) => tasks.clone(),
--- a/tests/common/cells/worker.rs
+++ b/tests/common/cells/worker.rs
@@ -50,11 +50,11 @@
                 changed = match response {
                     Ok(ClientResponse { status: 200, body }) => {
                         let reply: HeartbeatReply = serde_json::from_slice(&body).expect("a reply");
-                        self.record_heartbeat_reply(&heartbeat, Some(reply.fencing_token));
+                        self.record_reply(&heartbeat, Some(reply.fencing_token));
                         self.execute(&reply, sent, now())
                     }
                     Ok(ClientResponse { status: 421, .. }) => {
-                        self.record_heartbeat_reply(&heartbeat, None);
+                        self.record_reply(&heartbeat, None);
                         at = (at + 1) % controllers.len();
                         true
                     }
@@ -69,7 +69,7 @@
     }
 
     /// Notes how far the results that a heartbeat lists have come.
-    fn record_heartbeat_reply(&self, heartbeat: &Heartbeat, fencing_token: Option<u64>) {
+    fn record_reply(&self, heartbeat: &Heartbeat, fencing_token: Option<u64>) {
         let is_done = |task: &&TaskStatus| task.exit_reason == Some(ExitReason::Done);
         let done = heartbeat.tasks.iter().filter(is_done).map(|task| task.task.as_str());
         lock(&self.history).record_heartbeat_reply(self.cell, fencing_token, done);
