--- a/crates/cells/tests/world/mod.rs
+++ b/crates/cells/tests/world/mod.rs
@@ -139,7 +139,7 @@
     }
 
     /// Replaces a cell's leader. The new leader reads the records, receives the heartbeats of all machines
-    /// and stops the tasks that are not borrowed any more.
+    /// and stops the tasks of other cells' jobs that are not borrowed any more.
     fn crash(&mut self, at: usize) {
         let cell = &mut self.cells[at];
         cell.store.term += 1;
--- a/tests/common/cells/cloud.rs
+++ b/tests/common/cells/cloud.rs
@@ -1,4 +1,4 @@
-//! A cloud server that has just a cell's machines.
+//! A simulated cloud server.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,7 @@
 use super::history::History;
 use super::lock;
 
-/// A cloud that has just the cell's machines, and no more capacity.
+/// Starts a cloud server that lists the cell's machines and has no capacity for more. Returns its address.
 pub fn cloud(machines: Vec<String>, history: Arc<Mutex<History>>) -> SocketAddr {
     serve(move |r| match (r.method.as_str(), r.path.split('?').next().unwrap_or("")) {
         ("POST", "/rentals/return") => {
--- a/tests/common/cells/history.rs
+++ b/tests/common/cells/history.rs
@@ -1,4 +1,4 @@
-//! What the workers of all cells did, so that a test can check it afterwards.
+//! The record of everything that the workers of all cells did, which tests check afterwards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -7,58 +7,58 @@
 
 use super::super::worker::Attempt;
 
-/// A task's exit with a result, and how far the result came.
+/// A task's exit with a result, and how the controllers answered the heartbeats that list it.
 #[derive(Clone, Copy, Debug)]
 pub struct Exit {
     pub cell: usize,
     pub at: Instant,
-    /// When a leader first accepted a heartbeat that lists it, with the leader's fencing token.
+    /// The time when a leader first accepted a heartbeat that lists the exit, and the leader's fencing token.
     pub accepted: Option<(Instant, u64)>,
-    /// Whether a heartbeat that lists it was redirected by a controller that does not lead.
+    /// Whether a controller that does not lead redirected a heartbeat that lists the exit.
     pub was_redirected: bool,
 }
 
-/// What the workers of all cells did.
+/// The events at the workers of all cells.
 #[derive(Default)]
 pub struct History {
-    /// Each task that ever began, with the cells and attempts.
+    /// The cells and attempt numbers with which each task started, by task.
     pub started_attempts: BTreeMap<String, BTreeSet<(usize, u64)>>,
-    /// How often each task finished in which cell.
+    /// The cell of each exit with a result, by task.
     pub finished: BTreeMap<String, Vec<usize>>,
-    /// The exits with a result of each task.
+    /// The exits with a result, by task.
     pub exits: BTreeMap<String, Vec<Exit>>,
-    /// When the first heartbeat of a cell's workers was accepted with a fencing token.
+    /// The time when a heartbeat of a cell was first accepted by a leader, by cell and fencing token.
     pub first_accepted: BTreeMap<(usize, u64), Instant>,
-    /// Tasks that are on a machine, with its name.
+    /// The id of the machine on which each attempt is running, by cell and attempt.
     pub on_machine: BTreeMap<(usize, Attempt), String>,
-    /// Machines that are gone.
+    /// The ids of machines that were returned to the cloud or destroyed.
     pub removed_machines: BTreeSet<String>,
-    /// Tasks that end before their time.
+    /// Tasks that end at once instead of at the end of their run time.
     pub ended_early: BTreeSet<String>,
-    /// Machines that were asked for in vain.
+    /// The number of machines that were requested from the cloud, which provides none.
     pub scale_out_requests: u64,
-    /// The commands that workers executed, and when.
+    /// The commands that workers executed, with the times.
     pub commands: Vec<(Instant, WorkerCommand)>,
-    /// Tasks that were killed by the end of a worker's lease.
+    /// The number of tasks that were killed because their worker's lease expired.
     pub killed_by_lease: usize,
 }
 
 impl History {
-    /// A machine is gone, with all that is on it.
+    /// Removes a machine with all its tasks.
     pub fn remove_machine(&mut self, id: &str) {
         self.removed_machines.insert(id.to_string());
         self.on_machine.retain(|_, machine| machine != id);
     }
 
-    /// A task has exited with a result.
+    /// Records that a task has exited with a result.
     pub fn record_exit(&mut self, task: &str, cell: usize) {
         let exit = Exit { cell, at: Instant::now(), accepted: None, was_redirected: false };
         self.exits.entry(task.to_string()).or_default().push(exit);
         self.finished.entry(task.to_string()).or_default().push(cell);
     }
 
-    /// A heartbeat that lists these tasks as exited with a result was accepted by a leader with this fencing
-    /// token, or redirected (none).
+    /// Records that a heartbeat was accepted by a leader with this fencing token, or was redirected if there
+    /// is no token. The heartbeat lists the tasks `done` as exited with a result.
     pub fn record_heartbeat_reply<'a>(
         &mut self,
         cell: usize,
@@ -81,25 +81,25 @@
         }
     }
 
-    /// How many tasks finished in each cell.
+    /// The number of tasks that finished in each cell.
     pub fn finished_per_cell(&self, cells: usize) -> Vec<usize> {
         let of = |cell: usize| self.finished.values().flatten().filter(|at| **at == cell).count();
         (0..cells).map(of).collect()
     }
 
-    /// How many tasks of a job finished.
+    /// The number of tasks of a job that finished.
     pub fn finished_of(&self, job: &str) -> usize {
         self.finished.keys().filter(|task| task.starts_with(&format!("{job}/"))).count()
     }
 
-    /// Each task that was submitted finished once, in the only cell where it ever began.
+    /// Asserts that `tasks` tasks finished, each of them once, and that each task started in only one cell.
     pub fn assert_each_finished_once(&self, tasks: usize) {
         for (task, cells) in &self.finished {
             assert_eq!(cells.len(), 1, "{task} finished in cells {cells:?}");
         }
-        for (task, began) in &self.started_attempts {
-            let cells: BTreeSet<usize> = began.iter().map(|at| at.0).collect();
-            assert_eq!(cells.len(), 1, "{task} began in cells {cells:?}");
+        for (task, attempts) in &self.started_attempts {
+            let cells: BTreeSet<usize> = attempts.iter().map(|at| at.0).collect();
+            assert_eq!(cells.len(), 1, "{task} started in cells {cells:?}");
         }
         assert_eq!(self.finished.len(), tasks);
     }
--- a/tests/common/cells/link.rs
+++ b/tests/common/cells/link.rs
@@ -1,4 +1,5 @@
-//! Links between controllers of different cells that can be cut.
+//! Network links that a test can cut: between controllers of different cells, and from a controller to its
+//! state store.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,13 +7,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A link to a controller of another cell that can be cut.
+/// A TCP proxy to one address that can be cut.
 pub struct Link {
+    /// Whether the link is cut. Open connections are then closed at their next byte, and new ones at once.
     pub cut: Arc<AtomicBool>,
 }
 
 impl Link {
-    /// Listens at one address and carries all to another.
+    /// Starts a link that listens on the address `at` and forwards all connections to the address `to`.
     pub fn start(at: SocketAddr, to: SocketAddr) -> Link {
         let cut = Arc::new(AtomicBool::new(false));
         let listener = TcpListener::bind(at).expect("the link's address");
@@ -30,7 +32,7 @@
                     let (source, sink) = (source.try_clone(), sink.try_clone());
                     let is_cut = is_cut.clone();
                     if let (Ok(source), Ok(sink)) = (source, sink) {
-                        std::thread::spawn(move || carry(source, sink, &is_cut));
+                        std::thread::spawn(move || forward(source, sink, &is_cut));
                     }
                 }
             }
@@ -39,8 +41,8 @@
     }
 }
 
-/// Carries bytes until a side closes or the link is cut.
-fn carry(mut source: TcpStream, mut sink: TcpStream, is_cut: &AtomicBool) {
+/// Forwards bytes until one side closes the connection or the link is cut.
+fn forward(mut source: TcpStream, mut sink: TcpStream, is_cut: &AtomicBool) {
     let mut bytes = [0; 8192];
     while let Ok(count) = source.read(&mut bytes) {
         if count == 0 || is_cut.load(Ordering::Relaxed) || sink.write_all(&bytes[..count]).is_err() {
--- a/tests/common/cells/mod.rs
+++ b/tests/common/cells/mod.rs
@@ -1,5 +1,5 @@
-//! Cells of the real program on loopback: controllers as processes, between stand-ins for the state store,
-//! the cloud and the workers, and links between cells that can be cut.
+//! Cells on loopback addresses. The controllers run as processes of the real program. The state stores, the
+//! clouds and the workers are simulated in the test process. The links between cells can be cut.
 
 mod addresses;
 mod cloud;
@@ -35,51 +35,57 @@
 use self::worker::Worker;
 use super::worker::WorkerState;
 
-/// The workers' lease in these settings, in seconds.
+/// The duration of the workers' lease in these cells, in seconds.
 pub const LEASE_S: f64 = 4.0;
 
-/// Waits for a condition that is bound to come; the deadline only ends a broken run.
+/// Waits until a condition holds. Panics after 60 seconds, which only a faulty run reaches.
 pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + Duration::from_secs(60);
     while !condition() {
-        assert!(Instant::now() < deadline, "never: {what}");
+        assert!(Instant::now() < deadline, "condition not met in time: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Locks a mutex, whatever panicked with it.
+/// Locks a mutex, even if a thread has panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
 /// A cell.
 struct Cell {
+    /// The controllers' processes; `None` for those that do not run.
     controllers: Vec<Option<Child>>,
+    /// The addresses on which the controllers serve users and workers.
     users: Vec<SocketAddr>,
+    /// The addresses on which the controllers serve other controllers.
     internal: Vec<SocketAddr>,
+    /// The address of the state store.
     state: SocketAddr,
+    /// The number of requests to the state store.
     load: Arc<StateStoreLoad>,
-    /// Links of the controllers to the state store.
+    /// The links from each controller to the state store.
     store_links: Vec<Link>,
 }
 
-/// Cells that know each other.
+/// The cells of a test.
 pub struct Cells {
     cells: Vec<Cell>,
-    /// Links by the cell that asks and the cell that is asked.
+    /// The links to the controllers of other cells, by the index of the sending and of the receiving cell.
     links: BTreeMap<(usize, usize), Vec<Link>>,
-    /// What the workers did.
+    /// The events at the workers of all cells.
     pub history: Arc<Mutex<History>>,
     /// Whether the state stores drop replies.
     pub drops_replies: Arc<AtomicBool>,
-    /// Whether the state stores refuse everybody.
+    /// Whether the state stores refuse all requests.
     pub state_stores_unavailable: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
     folder: std::path::PathBuf,
 }
 
 impl Cells {
-    /// Starts cells; `group` tells the addresses of tests that run at once apart.
+    /// Starts cells with these plans. `group` must differ between tests that run at the same time in one
+    /// process, since it determines the addresses.
     pub fn start(group: u8, plans: &[CellPlan]) -> Cells {
         let addresses = Addresses::new(group);
         let folder = std::env::temp_dir().join(format!("milletlock-cells-{}-{group}", std::process::id()));
@@ -97,7 +103,7 @@
             cells.start_links(i, plans, &addresses);
             cells.start_cell(i, plan, plans.len(), &addresses);
         }
-        (0..plans.len()).for_each(|i| until("a cell is up", || cells.leader(i).is_some()));
+        (0..plans.len()).for_each(|i| until("a cell has a leader", || cells.leader(i).is_some()));
         cells
     }
 
@@ -152,18 +158,19 @@
         self.start_program_with_cells(cell, controller, Path::new(env!("CARGO_BIN_EXE_milletlock")));
     }
 
-    /// Starts another version's program that knows cells in a controller's place.
+    /// Starts a controller with the program of another version that supports cells.
     pub fn start_program_with_cells(&mut self, cell: usize, controller: usize, program: &Path) {
         let operator = self.folder.join(format!("{cell}.hcl"));
         self.start_program(cell, controller, program, &operator);
     }
 
-    /// Starts the program of a version without cells in a controller's place.
+    /// Starts a controller with the program of a version without support for cells.
     pub fn start_earlier_program(&mut self, cell: usize, controller: usize, program: &Path) {
         self.start_earlier_program_with(cell, controller, program, "leader_ttl_s = 1.0\n");
     }
 
-    /// The same with these operator's settings.
+    /// Starts a controller with the program of a version without support for cells, with these operator's
+    /// settings.
     pub fn start_earlier_program_with(
         &mut self,
         cell: usize,
@@ -193,19 +200,19 @@
         self.cells[cell].controllers[controller] = Some(child);
     }
 
-    /// A cell's controllers lend nothing any more from their next start on.
+    /// Disables lending in a cell's settings. Its controllers read them when they are next started.
     pub fn disable_lending(&self, cell: usize) {
         let file = self.folder.join(format!("{cell}.hcl"));
         let settings = std::fs::read_to_string(&file).expect("the settings");
         std::fs::write(&file, settings.replace("lend = [\"*\"]", "lend = []")).expect("written");
     }
 
-    /// What a controller's process has logged since it was last started.
+    /// The path of the log of a controller's process since its last start.
     pub fn log_file(&self, cell: usize, controller: usize) -> std::path::PathBuf {
         self.folder.join(format!("{cell}-{controller}.log"))
     }
 
-    /// Ends a controller's process at once.
+    /// Kills a controller's process.
     pub fn kill_controller(&mut self, cell: usize, controller: usize) {
         if let Some(mut child) = self.cells[cell].controllers[controller].take() {
             let _ = child.kill();
@@ -213,20 +220,20 @@
         }
     }
 
-    /// Asks a controller's process to end, with SIGTERM.
+    /// Sends SIGTERM to a controller's process.
     pub fn send_sigterm(&self, cell: usize, controller: usize) {
         let child = self.cells[cell].controllers[controller].as_ref().expect("a process");
         let sent = Command::new("kill").args(["-s", "TERM", &child.id().to_string()]).status();
         assert!(sent.is_ok_and(|status| status.success()), "the signal is sent");
     }
 
-    /// Waits for the end of a controller's process that was asked to end.
+    /// Waits until a controller's process, which has received SIGTERM, has ended.
     pub fn await_end(&mut self, cell: usize, controller: usize) {
         let mut child = self.cells[cell].controllers[controller].take().expect("a process");
         until("a controller ends", || child.try_wait().is_ok_and(|status| status.is_some()));
     }
 
-    /// Asks a controller's process to end and waits until it has.
+    /// Sends SIGTERM to a controller's process and waits until it has ended.
     pub fn terminate_controller(&mut self, cell: usize, controller: usize) {
         self.send_sigterm(cell, controller);
         self.await_end(cell, controller);
@@ -237,7 +244,7 @@
         self.cells[cell].store_links[controller].cut.store(is_cut, Ordering::Relaxed);
     }
 
-    /// A cell is gone, with its controllers and machines.
+    /// Kills all controllers of a cell and removes its machines that run tasks.
     pub fn destroy_cell(&mut self, cell: usize) {
         (0..self.cells[cell].controllers.len()).for_each(|c| self.kill_controller(cell, c));
         let mut history = lock(&self.history);
@@ -246,7 +253,7 @@
         machines.iter().for_each(|machine| history.remove_machine(machine));
     }
 
-    /// The address at which a cell's leader hears other controllers.
+    /// The address on which a cell's leader serves other controllers. Waits until the cell has a leader.
     pub fn leader_address(&self, cell: usize) -> String {
         let mut leader = None;
         until("a cell has a leader", || {
@@ -256,7 +263,7 @@
         self.cells[cell].internal[leader.expect("a leader")].to_string()
     }
 
-    /// Cuts two cells off from each other, or connects them again.
+    /// Cuts all links between two cells, or restores them.
     pub fn set_partitioned(&self, one: usize, other: usize, is_cut: bool) {
         for pair in [(one, other), (other, one)] {
             self.links[&pair].iter().for_each(|link| link.cut.store(is_cut, Ordering::Relaxed));
@@ -272,7 +279,7 @@
         serde_json::from_value(list["rows"].clone()).expect("rows")
     }
 
-    /// Writes to a cell's state store, past its controllers.
+    /// Writes to a cell's state store directly, without its controllers.
     pub fn write_rows(&self, cell: usize, then: Vec<Change>) {
         let body = serde_json::to_vec(&Txn { guards: Vec::new(), then }).expect("a transaction");
         let client = Client::new(self.cells[cell].state, 0);
@@ -280,13 +287,13 @@
         assert_eq!(response.expect("the state store").status, 200);
     }
 
-    /// What a cell's controllers have asked of their state store.
+    /// The numbers of requests and of changes that a cell's controllers have sent to their state store.
     pub fn state_store_load(&self, cell: usize) -> (usize, usize) {
         let load = &self.cells[cell].load;
         (load.requests.load(Ordering::Relaxed), load.changes.load(Ordering::Relaxed))
     }
 
-    /// Processor time in clock ticks that a cell's controllers have taken.
+    /// The processor time that a cell's controllers have used, in clock ticks.
     pub fn processor_ticks(&self, cell: usize) -> u64 {
         let ticks = |child: &Child| -> u64 {
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
@@ -296,12 +303,12 @@
         self.cells[cell].controllers.iter().flatten().map(ticks).sum()
     }
 
-    /// Has tasks end now, done.
+    /// Lets tasks end now with a result.
     pub fn end_tasks(&self, tasks: &[String]) {
         lock(&self.history).ended_early.extend(tasks.iter().cloned());
     }
 
-    /// What a controller says of itself.
+    /// The status that a controller returns, or `None` if the controller cannot be reached.
     pub fn status(&self, cell: usize, controller: usize) -> Option<Value> {
         self.cells[cell].controllers[controller].as_ref()?;
         let call = Call { method: "GET".into(), path: "/status".into(), body: Vec::new() };
@@ -310,19 +317,20 @@
         serde_json::from_slice(&response.body).ok()
     }
 
-    /// Which controller leads a cell.
+    /// The index of the controller that leads a cell, or `None` if there is none.
     pub fn leader(&self, cell: usize) -> Option<usize> {
         (0..self.cells[cell].controllers.len())
             .find(|c| self.status(cell, *c).is_some_and(|status| status["owner"].is_object()))
     }
 
-    /// What a cell's leader says of loans.
+    /// The part of a leader's status about other cells and loans.
     pub fn cells_status(&self, cell: usize) -> Option<CellsStatus> {
         let status = self.status(cell, self.leader(cell)?)?;
         serde_json::from_value(status["cells"].clone()).ok()
     }
 
-    /// Calls a cell's users' interface, at whichever controller replies.
+    /// Calls the user interface of a cell, at the first controller that replies. Returns the HTTP status and
+    /// the body, or status 0 if no controller replies.
     pub fn call(&self, cell: usize, method: &str, path: &str, body: Option<&Value>) -> (u16, Value) {
         let body = body.map(|body| body.to_string().into_bytes());
         for addr in &self.cells[cell].users {
@@ -334,12 +342,12 @@
         (0, Value::Null)
     }
 
-    /// Submits a job to a cell.
+    /// Submits a job to a cell. Waits until the job is accepted.
     pub fn submit(&self, cell: usize, job: &Value) {
         until("a job is accepted", || self.call(cell, "POST", "/api/jobs", Some(job)).0 / 100 == 2);
     }
 
-    /// A job's stage at its home.
+    /// The stage of a job, as returned by a cell.
     pub fn stage(&self, cell: usize, job: &str) -> String {
         let response = self.call(cell, "GET", &format!("/api/jobs/{job}"), None).1;
         response["stage"].as_str().unwrap_or("").to_string()
--- a/tests/common/cells/plan.rs
+++ b/tests/common/cells/plan.rs
@@ -1,4 +1,4 @@
-//! Settings of one cell, and the files that its controllers read.
+//! The settings of a cell, and the settings files that its controllers read.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 use super::addresses::Addresses;
 use super::LEASE_S;
 
-/// Controllers of each cell, unless its plan says otherwise.
+/// The default number of controllers of a cell.
 const CONTROLLERS: usize = 2;
 
-/// Settings of one cell.
+/// The settings of one cell.
 pub struct CellPlan {
-    /// Its number of workers, of four processors each.
+    /// The number of workers, each with four processors.
     pub workers: usize,
-    /// Processors' worth of tasks that it borrows.
+    /// The number of processors for which the cell borrows tasks.
     pub borrow_cpus: u32,
-    /// Whether its settings have a block of cells.
+    /// Whether the operator's settings contain a `cells` block.
     pub has_cells_block: bool,
-    /// How long its tasks run.
+    /// The run time of each task.
     pub task_time: Duration,
-    /// Its number of controllers.
+    /// The number of controllers.
     pub controllers: usize,
-    /// The duration of its leader's lease.
+    /// The duration of the leader's lease, in seconds.
     pub leader_ttl_s: f64,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl CellPlan {
-    /// The operator's settings of a cell among so many.
+    /// The operator's settings of the cell with the index `cell`, in a test with `cells` cells.
     pub fn operator_settings(&self, cell: usize, cells: usize, addresses: &Addresses) -> String {
         let mut others = String::new();
         for to in (0..cells).filter(|to| *to != cell) {
@@ -61,7 +61,8 @@
     }
 }
 
-/// The platform's settings of a controller of a cell with these addresses.
+/// The platform settings of a controller. The addresses are those of its cell's controllers, cloud and state
+/// store.
 pub fn platform_settings(
     controller: usize,
     users: &[SocketAddr],
--- a/tests/common/cells/state_store.rs
+++ b/tests/common/cells/state_store.rs
@@ -1,4 +1,4 @@
-//! The state store server of a cell, with leases that end.
+//! The simulated state store server of a cell, with leases that expire.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,20 +17,20 @@
 use super::super::store::Store;
 use super::lock;
 
-/// The state store of a cell, with leases that end.
+/// A simulated state store with leases that expire.
 #[derive(Default)]
 struct StateStore {
     store: Store,
-    /// Lease to its time to live, its end and its keys.
+    /// The time to live, the expiry and the keys of each lease, by lease id.
     leases: BTreeMap<u64, (Duration, Instant, Vec<String>)>,
 }
 
 impl StateStore {
-    /// Ends the leases that have run out, with their keys.
-    fn expire(&mut self) {
+    /// Deletes the leases that have expired, with their keys.
+    fn delete_expired(&mut self) {
         let now = Instant::now();
-        let ended: Vec<u64> = self.leases.iter().filter(|l| l.1 .1 < now).map(|l| *l.0).collect();
-        for lease in ended {
+        let expired: Vec<u64> = self.leases.iter().filter(|l| l.1 .1 < now).map(|l| *l.0).collect();
+        for lease in expired {
             let keys = self.leases.remove(&lease).map(|l| l.2).unwrap_or_default();
             for key in keys.into_iter().filter(|key| self.store.keys.remove(key).is_some()) {
                 self.store.revision += 1;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A key belongs to the lease that its latest put names, or to none.
+    /// Attaches the key of a change to the lease that the change names, and detaches it from any other lease.
     fn attach(&mut self, change: &Change) {
         self.leases.values_mut().for_each(|lease| lease.2.retain(|key| key != change.key()));
         if let Change::Put { put, lease: Some(lease), .. } = change {
@@ -84,18 +84,19 @@
     }
 }
 
-/// What the controllers of a cell asked of their state store.
+/// The numbers of requests and of changes that the controllers of a cell have sent to their state store.
 #[derive(Default)]
 pub struct StateStoreLoad {
     pub requests: AtomicUsize,
     pub changes: AtomicUsize,
 }
 
-/// Starts a state store server. While `drops_replies`, every fourth transaction has no reply: some are
-/// carried out, some are not.
+/// Starts a state store server. While `drops_replies` is set, every fourth transaction has no reply. Half of
+/// these transactions are executed, the others are not. While `is_unavailable` is set, all requests are
+/// refused.
 pub fn state_store_server(
     drops_replies: Arc<AtomicBool>,
-    is_out: Arc<AtomicBool>,
+    is_unavailable: Arc<AtomicBool>,
     load: Arc<StateStoreLoad>,
 ) -> SocketAddr {
     let (state, changed) = (Mutex::new(StateStore::default()), Condvar::new());
@@ -113,16 +114,16 @@
             while events(&state.store, prefix, from).is_empty() && Instant::now() < end {
                 let wait = Duration::from_millis(20);
                 state = changed.wait_timeout(state, wait).unwrap_or_else(|e| e.into_inner()).0;
-                state.expire();
+                state.delete_expired();
             }
         }
-        state.expire();
+        state.delete_expired();
         let drops = r.path == "/txn" && drops_replies.load(Ordering::Relaxed);
         let number = if drops { transactions.fetch_add(1, Ordering::Relaxed) } else { 1 };
         if number % 8 == 0 {
             return None;
         }
-        if is_out.load(Ordering::Relaxed) {
+        if is_unavailable.load(Ordering::Relaxed) {
             return Some(Response::error(503, "unavailable"));
         }
         let response = state.reply(&r);
--- a/tests/common/cells/worker.rs
+++ b/tests/common/cells/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that sends heartbeats to its cell's controllers in turn.
+//! A simulated worker that sends heartbeats to the controllers of its cell.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,23 +14,28 @@
 use super::history::History;
 use super::{lock, LEASE_S};
 
-/// How often a worker sends a heartbeat if nothing changes.
+/// The interval of heartbeats if nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How often a worker looks whether it has a reason to send a heartbeat.
+/// The interval at which a worker checks whether it must send a heartbeat.
 const WORKER_STEP: Duration = Duration::from_millis(40);
 
-/// A worker that sends heartbeats to its cell's controllers in turn until the test ends.
+/// A simulated worker. It sends heartbeats to one controller of its cell, and changes to the next controller
+/// if that one does not accept them.
 pub struct Worker {
+    /// Index of the worker's cell.
     pub cell: usize,
+    /// The worker's state according to the protocol.
     pub state: WorkerState,
+    /// The time when each running attempt ends.
     pub ends: BTreeMap<Attempt, Instant>,
+    /// The run time of each task.
     pub task_time: Duration,
     pub history: Arc<Mutex<History>>,
 }
 
 impl Worker {
-    /// Runs until the test ends or the machine is gone.
+    /// Runs until the test ends or the machine is removed.
     pub fn run(mut self, controllers: &[SocketAddr], stop: &AtomicBool) {
         let started = Instant::now();
         let lease = Micros::from_secs(LEASE_S);
@@ -68,14 +73,15 @@
         }
     }
 
-    /// Notes how far the results that a heartbeat lists have come.
+    /// Records whether a heartbeat, with the results that it lists, was accepted (with the leader's fencing
+    /// token) or redirected.
     fn record_reply(&self, heartbeat: &Heartbeat, fencing_token: Option<u64>) {
         let is_done = |task: &&TaskStatus| task.exit_reason == Some(ExitReason::Done);
         let done = heartbeat.tasks.iter().filter(is_done).map(|task| task.task.as_str());
         lock(&self.history).record_heartbeat_reply(self.cell, fencing_token, done);
     }
 
-    /// Kills all tasks if the lease has run out.
+    /// Kills all tasks if the worker's lease has expired. Returns whether it has.
     fn end_session(&mut self, lease: Micros, now: Steady) -> bool {
         if !self.state.end_session_after(lease, now) {
             return false;
@@ -88,7 +94,7 @@
         true
     }
 
-    /// Ends the tasks whose time is over; whether there are any.
+    /// Ends the tasks whose run time is over. Returns whether there are any.
     fn finish_tasks(&mut self, now: Steady) -> bool {
         let early = lock(&self.history).ended_early.clone();
         let ended: Vec<Attempt> = self
@@ -111,7 +117,7 @@
         !ended.is_empty()
     }
 
-    /// Executes the commands of a reply; whether anything changed.
+    /// Executes the commands of a reply. Returns whether any were executed.
     fn execute(&mut self, reply: &HeartbeatReply, sent: Steady, now: Steady) -> bool {
         if !self.state.accept_reply(reply.fencing_token, sent) {
             return false;
@@ -133,7 +139,7 @@
         !reply.commands.is_empty()
     }
 
-    /// Starts a task.
+    /// Starts an attempt of a task. Panics if another attempt of the task is on a machine.
     fn start(&mut self, attempt: Attempt, now: Steady) {
         if self.state.tasks.contains_key(&attempt) {
             return;
@@ -142,7 +148,7 @@
         self.ends.insert(attempt.clone(), Instant::now() + self.task_time);
         let mut history = lock(&self.history);
         let elsewhere = history.on_machine.keys().any(|(_, there)| there.0 == attempt.0);
-        assert!(!elsewhere, "{} starts while it is on another machine", attempt.0);
+        assert!(!elsewhere, "{} starts while another attempt of it runs", attempt.0);
         history.started_attempts.entry(attempt.0.clone()).or_default().insert((self.cell, attempt.1));
         history.on_machine.insert((self.cell, attempt), self.state.id.clone());
     }
--- a/tests/peer_messages.rs
+++ b/tests/peer_messages.rs
@@ -10,16 +10,16 @@
 use prost::Message as _;
 use tonic::{Code, Status};
 
-/// A field's bytes after its tag: a length and that many bytes.
+/// Encodes a length-delimited protobuf field: the tag, the length of the content and the content.
 fn field(tag: u8, content: &[u8]) -> Vec<u8> {
     let mut bytes = vec![tag, content.len() as u8];
     bytes.extend_from_slice(content);
     bytes
 }
 
-/// Guards against a number or a kind of a field that differs from production's.
+/// Guards against field numbers or wire types that differ from those of the version in production.
 #[test]
-fn messages_of_production_are_read_and_written_byte_for_byte() {
+fn messages_of_production_are_decoded_and_encoded_byte_for_byte() {
     let counts = [field(0x0a, b"wk-1"), vec![0x10, 3, 0x18, 2]].concat();
     let summary = [field(0x0a, b"c-1"), vec![0x10, 41], field(0x1a, &counts)].concat();
     let jobs = vec![JobCounts { id: "wk-1".into(), done: 3, running: 2 }];
@@ -53,7 +53,7 @@
     );
 }
 
-/// A summary as some other version might have it: fields of its own, the jobs left out.
+/// A summary of another version, which has additional fields and no jobs.
 #[derive(Clone, PartialEq, prost::Message)]
 struct OtherSummary {
     #[prost(string, tag = "1")]
@@ -70,9 +70,9 @@
     OtherSummary { leader: "c-1".into(), fencing_token, reason: "a reason".into(), nested: vec![] }
 }
 
-/// Guards against a message refused for what the other version adds or leaves out.
+/// Guards against refusing a message because another version adds or omits fields.
 #[test]
-fn unknown_and_missing_fields_do_no_harm() {
+fn messages_with_unknown_or_missing_fields_are_decoded() {
     let bytes = OtherSummary { nested: vec![other_summary(7)], ..other_summary(41) }.encode_to_vec();
     let expected = Summary { leader: "c-1".into(), token: 41, jobs: vec![], version: String::new() };
     assert_eq!(Summary::decode(&bytes[..]).expect("a summary"), expected);
@@ -83,7 +83,7 @@
     assert_eq!(Answer::decode(&[][..]).expect("a reply"), Answer::default());
 }
 
-/// Calls a method by its name, as a controller of another version would.
+/// Calls a gRPC method by its path, as a controller of another version does.
 async fn call_method(addr: SocketAddr, method: &'static str) -> Result<Ack, Status> {
     let endpoint = tonic::transport::Endpoint::from_shared(format!("http://{addr}")).expect("an address");
     let channel = endpoint.connect().await.expect("a connection");
@@ -91,8 +91,8 @@
     client.ready().await.expect("a connection");
     let path = tonic::codegen::http::uri::PathAndQuery::from_static(method);
     let codec = tonic_prost::ProstCodec::<OtherSummary, Ack>::default();
-    let answer = client.unary(tonic::Request::new(other_summary(41)), path, codec).await?;
-    Ok(answer.into_inner())
+    let response = client.unary(tonic::Request::new(other_summary(41)), path, codec).await?;
+    Ok(response.into_inner())
 }
 
 fn listener() -> (TcpListener, SocketAddr) {
@@ -106,27 +106,27 @@
     inbound.answer(PeerReply::Ack(Ack { token: fencing_token, version: String::new() }));
 }
 
-/// Guards against a method of another version that ends the service or passes for one that is known.
+/// Guards against an unknown method of another version that ends the service or is handled as a known method.
 #[test]
-fn an_unknown_method_returns_an_error_and_reaches_nobody() {
+fn an_unknown_method_returns_unimplemented_and_reaches_no_controller() {
     let (own, addr) = listener();
     let (_hub, messages) = PeerHub::start(own, vec![], &[]).expect("a service");
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build().expect("a runtime");
     let refused = runtime.block_on(call_method(addr, "/milletlock.peer.v1.Peer/Later"));
-    assert_eq!(refused.expect_err("no such method").code(), Code::Unimplemented);
-    assert!(messages.try_recv().is_err(), "it reached the controller");
+    assert_eq!(refused.expect_err("an unknown method is refused").code(), Code::Unimplemented);
+    assert!(messages.try_recv().is_err(), "the message reached the controller");
     let answering = std::thread::spawn(move || {
         answer_announcement(messages.recv_timeout(Duration::from_secs(10)).expect("a message"), 42);
     });
     let known = runtime.block_on(call_method(addr, "/milletlock.peer.v1.Peer/Announce"));
-    assert_eq!(known.expect("a reply"), Ack { token: 42, version: String::new() });
-    answering.join().expect("the message is an announcement");
+    assert_eq!(known.expect("an acknowledgement"), Ack { token: 42, version: String::new() });
+    answering.join().expect("the received message is an announcement");
 }
 
-/// Guards against a version that is told under another number, or not read.
+/// Guards against a wrong field number of the version in an acknowledgement.
 #[test]
-fn a_version_is_told_beside_what_production_reads() {
+fn an_acknowledgement_contains_the_version_after_the_token() {
     let ack = Ack { token: 41, version: "0.2.0".into() };
     let bytes = [vec![0x08, 41], field(0x12, b"0.2.0")].concat();
     assert_eq!(ack.encode_to_vec(), bytes);
