--- a/crates/cells/src/lender.rs
+++ b/crates/cells/src/lender.rs
@@ -50,7 +50,7 @@
 /// The caller first writes a change to the state store and then applies it with [`LenderLedger::load`].
 #[derive(Clone, Debug)]
 pub struct LenderLedger {
-    /// The loans of each job that has any, by job id.
+    /// The open loans and the cancellation request of each job that has any, by job id.
     jobs: BTreeMap<String, Lending>,
     /// The last number that was assigned.
     last_number: LoanNumber,
--- a/crates/cells/tests/world/borrowing.rs
+++ b/crates/cells/tests/world/borrowing.rs
@@ -15,9 +15,9 @@
 
 impl World {
     /// Writes the changes that follow from a message, and replies.
-    pub fn handle_request(&mut self, at: usize, request: &LoanSyncRequest) {
+    pub fn handle_request(&mut self, cell_index: usize, request: &LoanSyncRequest) {
         for _ in 0..MAX_CHANGES {
-            let cell = &self.cells[at];
+            let cell = &self.cells[cell_index];
             let borrowed: u32 = cell.leader.borrower.jobs().map(|(_, record)| record.tasks().len()).sum();
             let machines = Machines::of(cell, MAX_BORROWED.saturating_sub(borrowed));
             let Some(change) = cell.leader.borrower.next_change(request, &machines) else { break };
@@ -25,17 +25,17 @@
             if keys.iter().any(|key| cell.leader.is_unresolved(key)) {
                 break;
             }
-            self.write_change(at, keys, change);
+            self.write_change(cell_index, keys, change);
         }
         let to = self.cell_index(&request.from);
-        let cell = &self.cells[at];
+        let cell = &self.cells[cell_index];
         let done = |job: &str| cell.store.done(&borrowed_done_key(job));
         let reply = Reply { reports: cell.leader.borrower.reports(request, done) };
-        self.post(|| Message::Reply { to, from: at, reply: reply.clone() });
+        self.post(|| Message::Reply { to, from: cell_index, reply: reply.clone() });
     }
 
-    fn write_change(&mut self, at: usize, keys: [String; 2], change: BorrowerChange) {
-        let leader = &mut self.cells[at].leader;
+    fn write_change(&mut self, cell_index: usize, keys: [String; 2], change: BorrowerChange) {
+        let leader = &mut self.cells[cell_index].leader;
         leader.withheld.insert(change.job.clone(), change.withdrawn.clone());
         let guards = keys.iter().map(|key| leader.guard(key.clone())).collect();
         let [job_key, mark_key] = keys;
@@ -47,6 +47,6 @@
             writes.push((borrowed_done_key(&change.job), None));
         }
         let txn = Txn { term: leader.term, guards, writes };
-        self.write(at, txn, Some(change));
+        self.write(cell_index, txn, Some(change));
     }
 }
--- a/crates/cells/tests/world/cancellation.rs
+++ b/crates/cells/tests/world/cancellation.rs
@@ -19,21 +19,22 @@
 
     /// Takes the next step of each requested cancellation: records the request or, once the request is
     /// recorded and no loan is open, writes that the job is cancelled.
-    pub fn confirm_cancellations(&mut self, at: usize) {
-        let is_requested = |job: &String| self.jobs[job].lender == at && self.jobs[job].cancel_requested;
+    pub fn confirm_cancellations(&mut self, cell_index: usize) {
+        let is_requested =
+            |job: &String| self.jobs[job].lender == cell_index && self.jobs[job].cancel_requested;
         let requested: Vec<String> = self.job_ids().into_iter().filter(is_requested).collect();
         for job in requested {
-            if self.is_ended(&job) || self.cells[at].leader.is_unresolved(&lending_key(&job)) {
+            if self.is_ended(&job) || self.cells[cell_index].leader.is_unresolved(&lending_key(&job)) {
                 continue;
             }
-            let lending = self.cells[at].leader.lender.lending(&job).cloned().unwrap_or_default();
+            let lending = self.cells[cell_index].leader.lender.lending(&job).cloned().unwrap_or_default();
             if !lending.cancelling {
-                self.write_lending(at, &job, Lending { cancelling: true, ..lending });
+                self.write_lending(cell_index, &job, Lending { cancelling: true, ..lending });
             } else if lending.loans.is_empty() {
-                self.write_end(at, &job);
+                self.write_end(cell_index, &job);
             }
         }
-        self.check_confirmed(at);
+        self.check_confirmed(cell_index);
     }
 
     /// Whether all tasks of a job are recorded as done, or the job is recorded as cancelled.
@@ -42,24 +43,24 @@
         store.done(&done_key(job)).len() == self.jobs[job].tasks || store.contains(&cancelled_key(job))
     }
 
-    fn write_end(&mut self, at: usize, job: &str) {
-        let leader = &self.cells[at].leader;
+    fn write_end(&mut self, cell_index: usize, job: &str) {
+        let leader = &self.cells[cell_index].leader;
         let guards = vec![leader.guard(lending_key(job)), (cancelled_key(job), 0)];
         let writes = vec![(lending_key(job), None), (cancelled_key(job), Some(Record::Cancelled))];
         let txn = Txn { term: leader.term, guards, writes };
-        self.write(at, txn, None);
+        self.write(cell_index, txn, None);
     }
 
     /// Confirms the jobs that the state store records as cancelled, and asserts that no cell can still run
     /// tasks of them.
-    fn check_confirmed(&mut self, at: usize) {
+    fn check_confirmed(&mut self, cell_index: usize) {
         for job in self.job_ids() {
-            let is_confirmed = self.cells[at].store.contains(&cancelled_key(&job));
-            if self.jobs[&job].lender != at || !is_confirmed {
+            let is_confirmed = self.cells[cell_index].store.contains(&cancelled_key(&job));
+            if self.jobs[&job].lender != cell_index || !is_confirmed {
                 continue;
             }
-            self.cells[at].running.retain(|task| task.0 != job);
-            self.cells[at].results.retain(|task| task.0 != job);
+            self.cells[cell_index].running.retain(|task| task.0 != job);
+            self.cells[cell_index].results.retain(|task| task.0 != job);
             self.assert_not_borrowed(&job);
             self.confirmed_cancelled.insert(job);
         }
--- a/crates/cells/tests/world/mod.rs
+++ b/crates/cells/tests/world/mod.rs
@@ -140,12 +140,12 @@
 
     /// Replaces a cell's leader. The new leader reads the records, receives the heartbeats of all machines
     /// and stops the tasks of other cells' jobs that are not borrowed any more.
-    fn crash(&mut self, at: usize) {
-        let cell = &mut self.cells[at];
+    fn crash(&mut self, cell_index: usize) {
+        let cell = &mut self.cells[cell_index];
         cell.store.term += 1;
         cell.leader = Leader::rebuild(&cell.store);
         for job in self.job_ids() {
-            self.stop_unborrowed_tasks(at, &job);
+            self.stop_unborrowed_tasks(cell_index, &job);
         }
     }
 
--- a/tests/common/cells/history.rs
+++ b/tests/common/cells/history.rs
@@ -10,7 +10,9 @@
 /// A task's exit with a result, and how the controllers answered the heartbeats that list it.
 #[derive(Clone, Copy, Debug)]
 pub struct Exit {
+    /// Index of the cell in which the task ran.
     pub cell: usize,
+    /// The time of the exit.
     pub at: Instant,
     /// The time when a leader first accepted a heartbeat that lists the exit, and the leader's fencing token.
     pub accepted: Option<(Instant, u64)>,
@@ -98,7 +100,7 @@
             assert_eq!(cells.len(), 1, "{task} finished in cells {cells:?}");
         }
         for (task, attempts) in &self.started_attempts {
-            let cells: BTreeSet<usize> = attempts.iter().map(|at| at.0).collect();
+            let cells: BTreeSet<usize> = attempts.iter().map(|attempt| attempt.0).collect();
             assert_eq!(cells.len(), 1, "{task} started in cells {cells:?}");
         }
         assert_eq!(self.finished.len(), tasks);
--- a/tests/common/cells/worker.rs
+++ b/tests/common/cells/worker.rs
@@ -40,7 +40,7 @@
         let started = Instant::now();
         let lease = Micros::from_secs(LEASE_S);
         let now = || Steady(started.elapsed().as_micros() as i64);
-        let (mut at, mut sent_at, mut changed) = (0, Instant::now(), true);
+        let (mut controller, mut sent_at, mut changed) = (0, Instant::now(), true);
         while !stop.load(Ordering::Relaxed) && !lock(&self.history).removed_machines.contains(&self.state.id)
         {
             changed |= self.finish_tasks(now());
@@ -49,7 +49,7 @@
                 let heartbeat = self.state.heartbeat();
                 let body = serde_json::to_vec(&heartbeat).expect("a heartbeat");
                 sent_at = Instant::now();
-                let client = Client::new(controllers[at], 0);
+                let client = Client::new(controllers[controller], 0);
                 let sent = now();
                 let response = client.call("POST", "/checkin", Some(&body), Micros::from_secs(4.0));
                 changed = match response {
@@ -60,11 +60,11 @@
                     }
                     Ok(ClientResponse { status: 421, .. }) => {
                         self.record_reply(&heartbeat, None);
-                        at = (at + 1) % controllers.len();
+                        controller = (controller + 1) % controllers.len();
                         true
                     }
                     _ => {
-                        at = (at + 1) % controllers.len();
+                        controller = (controller + 1) % controllers.len();
                         true
                     }
                 };
@@ -147,8 +147,8 @@
         self.state.tasks.insert(attempt.clone(), Task::new(TaskStage::Running, Micros::ZERO, now));
         self.ends.insert(attempt.clone(), Instant::now() + self.task_time);
         let mut history = lock(&self.history);
-        let elsewhere = history.on_machine.keys().any(|(_, there)| there.0 == attempt.0);
-        assert!(!elsewhere, "{} starts while another attempt of it runs", attempt.0);
+        let is_running = history.on_machine.keys().any(|(_, other)| other.0 == attempt.0);
+        assert!(!is_running, "{} starts while another attempt of it runs", attempt.0);
         history.started_attempts.entry(attempt.0.clone()).or_default().insert((self.cell, attempt.1));
         history.on_machine.insert((self.cell, attempt), self.state.id.clone());
     }
