--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -67,7 +67,7 @@
     };
     // Written once, in the transaction that removed the live record.
     let ended = StoredFinal { record, revision: row.mod_revision };
-    backend.learn_final(id, ended);
+    backend.cache_final_record(id, ended);
     Ok(Some(ended))
 }
 
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -45,7 +45,7 @@
     /// A job's final record, if it is known to be written.
     fn known_final(&self, id: &str) -> Option<StoredFinal>;
     /// Remembers a final record read from the state store; final records never change.
-    fn learn_final(&self, id: &str, ended: StoredFinal);
+    fn cache_final_record(&self, id: &str, ended: StoredFinal);
     /// Logs that a record cannot be read, and lists it in the leader's status.
     fn note_unreadable(&self, key: &str, error: &dyn std::fmt::Display);
     /// Task counts of a live job, for display.
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -58,7 +58,7 @@
         self.lock().final_records.get(id)
     }
 
-    fn learn_final(&self, id: &str, ended: StoredFinal) {
+    fn cache_final_record(&self, id: &str, ended: StoredFinal) {
         self.lock().final_records.insert(id, ended);
     }
 
@@ -119,7 +119,7 @@
 impl Controller {
     /// Records a confirmed cancellation. If this controller leads, stops the job's remaining tasks.
     pub(super) fn apply_cancellation(&self, id: &str, cancelled: StoredFinal) {
-        self.learn_final(id, cancelled);
+        self.cache_final_record(id, cancelled);
         if let Some(leadership) = self.lock().leadership.as_mut() {
             leadership.fleet.apply_job_removal(id, cancelled.revision);
             self.wake.notify_all();
--- a/src/controller/writer.rs
+++ b/src/controller/writer.rs
@@ -143,7 +143,7 @@
         for (id, tasks) in finished {
             tracing::debug!(job = %id, "final record of finished job written");
             let record = FinalRecord { stage: Stage::Done, tasks };
-            self.learn_final(&id, StoredFinal { record, revision });
+            self.cache_final_record(&id, StoredFinal { record, revision });
         }
         true
     }
