--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -80,7 +80,7 @@
     error: &serde_json::Error,
 ) -> Result<(), StateStoreError> {
     if backend.state().get(&job_key(id), RequestPriority::User)?.is_none() {
-        backend.note_unreadable(key, error);
+        backend.report_unreadable_record(key, error);
     }
     Ok(())
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -47,7 +47,7 @@
     /// Remembers a final record read from the state store; final records never change.
     fn cache_final_record(&self, id: &str, ended: StoredFinal);
     /// Logs that a record cannot be read, and lists it in the leader's status.
-    fn note_unreadable(&self, key: &str, error: &dyn std::fmt::Display);
+    fn report_unreadable_record(&self, key: &str, error: &dyn std::fmt::Display);
     /// Task counts of a live job, for display.
     fn counts(&self, id: &str) -> JobProgress;
     /// The machine types, once known; until then no submission can be decided.
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -62,7 +62,7 @@
         self.lock().final_records.insert(id, ended);
     }
 
-    fn note_unreadable(&self, key: &str, error: &dyn Display) {
+    fn report_unreadable_record(&self, key: &str, error: &dyn Display) {
         match self.lock().leadership.as_mut() {
             Some(leadership) => leadership.fleet.mark_unreadable(UnreadableRecord::Other, key, error),
             None => tracing::error!(key, %error, "record unreadable"),
