--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::http::{status, Request, Response};
 use crate::wire::{
-    BorrowedStatus, CellsStatus, LentProgressStatus, LentStatus, OtherCellStatus, WrittenOff, WRITE_OFF_PATH,
+    BorrowedStatus, CellsStatus, LentProgressStatus, LentStatus, OtherCellStatus, WriteOffReply, WRITE_OFF_PATH,
 };
 
 impl Controller {
@@ -72,7 +72,7 @@
             };
             (leadership.term.fencing_token, unfinished_loans(&leadership.fleet, cell))
         };
-        let mut result = WrittenOff { cell: cell.to_string(), tasks: BTreeMap::new(), left: Vec::new() };
+        let mut result = WriteOffReply { cell: cell.to_string(), tasks: BTreeMap::new(), left: Vec::new() };
         for (job, tasks) in jobs {
             if self.write_off_job(fencing_token, cell, &job) {
                 result.tasks.insert(job, tasks);
--- a/src/wire/cells.rs
+++ b/src/wire/cells.rs
@@ -87,7 +87,7 @@
 
 /// Reply to an operator who writes off the tasks that a lost cell holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WrittenOff {
+pub struct WriteOffReply {
     /// Name of the cell.
     pub cell: String,
     /// Tasks that run here again, by job.
