--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -131,7 +131,7 @@
         let tasks = record.tasks();
         BorrowedStatus {
             job: job.clone(),
-            home: record.lender.clone(),
+            lender: record.lender.clone(),
             tasks: tasks.len(),
             done: tasks.intersection(&fleet.recorded_done_of_borrowed(job)).len(),
         }
@@ -145,7 +145,7 @@
     let closed = fleet.loans.lenders().map(|(cell, record)| (cell.clone(), record.finished));
     let mut finished: BTreeMap<String, u64> = closed.collect();
     for job in borrowed_status(fleet) {
-        *finished.entry(job.home).or_default() += u64::from(job.done);
+        *finished.entry(job.lender).or_default() += u64::from(job.done);
     }
     finished
 }
--- a/src/wire/cells.rs
+++ b/src/wire/cells.rs
@@ -47,7 +47,8 @@
     /// Id of the job.
     pub job: String,
     /// Name of the cell that lends them.
-    pub home: String,
+    #[serde(rename = "home")]
+    pub lender: String,
     /// Tasks held here.
     pub tasks: u32,
     /// Tasks of it that are done.
