--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -89,7 +89,7 @@
     /// # Errors
     ///
     /// After [`CloudError::Unknown`] the machines may have been returned.
-    pub fn return_machines(&self, machines: &[String]) -> Result<(), CloudError> {
+    pub fn scale_in(&self, machines: &[String]) -> Result<(), CloudError> {
         let names = MachineNames { machines: machines.to_vec() };
         self.post("/rentals/return", &names).map(|_| ())
     }
--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -97,7 +97,7 @@
             if !self.has_valid_lease(fencing_token) {
                 return;
             }
-            match self.cloud.return_machines(batch) {
+            match self.cloud.scale_in(batch) {
                 Ok(()) => {
                     if let Some(leadership) = self.lock().leadership_with(fencing_token) {
                         leadership.fleet.remove_scaled_in_machines(batch, self.now());
