--- a/src/cli.rs
+++ b/src/cli.rs
@@ -167,7 +167,7 @@
         Err(error) => return fail(EXIT_USAGE, error),
     };
     start_log();
-    if let Some(warning) = config.size_warning() {
+    if let Some(warning) = config.fleet_size_warning() {
         tracing::warn!("{warning}");
     }
     let stop = Arc::new(AtomicBool::new(false));
@@ -226,7 +226,7 @@
             cells.borrow_cpus
         );
     }
-    if let Some(warning) = config.size_warning() {
+    if let Some(warning) = config.fleet_size_warning() {
         println!("warning: {warning}");
     }
 }
--- a/src/config/fleet_size.rs
+++ b/src/config/fleet_size.rs
@@ -44,7 +44,7 @@
 
     /// One line that names the settings that are too small for [`TARGET_MACHINES`]; `None` if all are
     /// large enough.
-    pub fn size_warning(&self) -> Option<String> {
+    pub fn fleet_size_warning(&self) -> Option<String> {
         let too_small = self.settings_too_small_for(TARGET_MACHINES);
         let list = too_small.join(", ");
         (!too_small.is_empty())
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -92,7 +92,7 @@
         p["settings"]["state"] = state;
         p["settings"]["cloud"] = cloud;
         let platform = PlatformConfig::parse(&p.to_string(), "f.json").expect("settings");
-        Config { platform, operator: OperatorConfig::default() }.size_warning()
+        Config { platform, operator: OperatorConfig::default() }.fleet_size_warning()
     };
     let limits = json!({"cpu": 0.5, "ram_mb": 200.0, "max_sockets": 5_000});
     let state = json!({"rps": 150.0, "write_rps": 60.0, "value_kb": 8.0, "txn_ops": 12});
