--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -32,7 +32,7 @@
     }
     let record = JobRecord::new(spec, wall().0);
     let value = json!(record);
-    if value.to_string().len() > config.value_bytes() {
+    if value.to_string().len() > config.max_value_bytes() {
         let refusal = Response::error(status::BAD_REQUEST, "the description is too long");
         return known_or(backend, Some(&record.spec.id), refusal);
     }
--- a/src/config/fleet_size.rs
+++ b/src/config/fleet_size.rs
@@ -26,7 +26,7 @@
     fn settings_too_small_for(&self, machines: usize) -> Vec<String> {
         let settings = &self.platform.settings;
         let scale_out_requests = |requests_per_s: f64| requests_per_s * LEADER_SHARE * SCALE_OUT_S;
-        let records_per_value = (self.value_bytes() as f64 / MACHINE_RECORD_BYTES).floor();
+        let records_per_value = (self.max_value_bytes() as f64 / MACHINE_RECORD_BYTES).floor();
         let worker_share = 1.0 - 1.0 / RESERVED_CONNECTION_DIVISOR as f64;
         let capacities = [
             ("limits.max_sockets", self.connections_by_sockets() as f64 * worker_share),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -66,7 +66,7 @@
     }
 
     /// Largest value of the state store, in bytes, under both its present and its next limits.
-    pub fn value_bytes(&self) -> usize {
+    pub fn max_value_bytes(&self) -> usize {
         (self.platform.settings.state.min_value_kb() * 1024.0) as usize
     }
 
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -35,7 +35,7 @@
     /// reached. Does nothing if they do not fit a value.
     fn write_machine_types(&self, types: &[MachineType]) {
         let value = json!(types);
-        if value.to_string().len() > self.config.value_bytes() {
+        if value.to_string().len() > self.config.max_value_bytes() {
             return;
         }
         let txn = Txn {
--- a/src/controller/progress_keeper.rs
+++ b/src/controller/progress_keeper.rs
@@ -156,7 +156,7 @@
             let results = self.lock().reported_results.tasks_of(&job.id);
             match job.read_progress(&self.state, &start_marks) {
                 Ok(progress) => {
-                    let txns = progress.missing_copies(&results, self.config.value_bytes());
+                    let txns = progress.missing_copies(&results, self.config.max_value_bytes());
                     let written = txns.iter().filter(|txn| self.write_copy(&job, &results, txn)).count();
                     keeper.record_copy(&job, written == txns.len());
                 }
