--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -72,7 +72,7 @@
 
     /// Most puts and deletes in a transaction of the state store, under both its present and its next
     /// limits.
-    pub fn txn_ops(&self) -> usize {
+    pub fn max_txn_ops(&self) -> usize {
         self.platform.settings.state.min_txn_ops()
     }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -232,7 +232,7 @@
         let v = with(&["settings", "state", "next"], next);
         let platform = PlatformConfig::parse(&v.to_string(), "f.json").expect("settings");
         let c = Config { platform, operator: OperatorConfig::default() };
-        (c.max_value_bytes(), c.txn_ops(), c.platform.settings.state.next_rates())
+        (c.max_value_bytes(), c.max_txn_ops(), c.platform.settings.state.next_rates())
     };
     assert_eq!(of(json!(null)), (4096, 8, RateShares { requests: 1.0, writes: 1.0 }));
     assert_eq!(
