--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -10,7 +10,8 @@
 use crate::fleet::Fleet;
 use crate::http::{status, Request, Response};
 use crate::wire::{
-    BorrowedStatus, CellsStatus, LentProgressStatus, LentStatus, OtherCellStatus, WriteOffReply, WRITE_OFF_PATH,
+    BorrowedStatus, CellsStatus, LentProgressStatus, LentStatus, OtherCellStatus, WriteOffReply,
+    WRITE_OFF_PATH,
 };
 
 impl Controller {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -195,7 +195,10 @@
             within_fair_share: BTreeSet::new(),
             cached_team_use: Vec::new(),
             unacknowledged_machines: 0,
-            write_limits: WriteLimits { value_bytes: config.max_value_bytes(), txn_changes: config.max_txn_ops() },
+            write_limits: WriteLimits {
+                value_bytes: config.max_value_bytes(),
+                txn_changes: config.max_txn_ops(),
+            },
             jobs_revision: 0,
             ended_jobs: BTreeMap::new(),
             removed_machines: BTreeMap::new(),
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -64,7 +64,8 @@
 mod workers;
 
 pub use cells::{
-    BorrowedStatus, CellsStatus, LentProgressStatus, LentStatus, OtherCellStatus, WriteOffReply, WRITE_OFF_PATH,
+    BorrowedStatus, CellsStatus, LentProgressStatus, LentStatus, OtherCellStatus, WriteOffReply,
+    WRITE_OFF_PATH,
 };
 pub use cloud::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest};
 pub use jobs::{JobSpec, JobStage, JobStatus, Priority, Shape, Stage};
