--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellation of jobs.
+//! Cancels jobs at the request of users (`POST /api/jobs/ID/withdraw`).
 
 use super::lookup::{look_up, JobLookup};
 use super::responses::{no_such_job, record_unreadable, retry_later, stage_response, TRY_AGAIN};
@@ -9,10 +9,10 @@
 use crate::state::{RequestPriority, StateStoreError, TxnOutcome};
 use crate::wire::{is_job_id, Stage, Txn};
 
-/// How often a cancellation is tried within one request when the job's record changes meanwhile.
+/// Maximum number of attempts within one request, if the job's record changes between read and write.
 const CANCEL_ATTEMPTS: usize = 6;
 
-/// Cancels a job. Repeats the lookup when the job's record changed between the read and the write.
+/// Cancels a job. Looks the job up again if its record changed between the read and the write.
 pub(super) fn cancel(backend: &dyn JobsBackend, id: &str) -> Result<Response, StateStoreError> {
     if !is_job_id(id) {
         return Ok(no_such_job());
@@ -20,9 +20,9 @@
     for _ in 0..CANCEL_ATTEMPTS {
         let attempt = match look_up(backend, id)? {
             JobLookup::Unknown => Some(no_such_job()),
-            JobLookup::Stripped => Some(retry_later("the job's record is to be restored first")),
+            JobLookup::Stripped => Some(retry_later("the job's record must be restored by the leader first")),
             JobLookup::Unreadable => Some(record_unreadable()),
-            JobLookup::Final(known) => Some(confirm_final(backend, id, known)),
+            JobLookup::Final(known) => Some(confirm_ended(backend, id, known)),
             JobLookup::Live { record, mod_revision } if record.lending.loans.is_empty() => {
                 cancel_live(backend, id, &record, mod_revision)?
             }
@@ -35,17 +35,19 @@
     Ok(retry_later(TRY_AGAIN))
 }
 
-/// Answers a cancellation of a job that has ended.
-fn confirm_final(backend: &dyn JobsBackend, id: &str, known: StoredFinal) -> Response {
+/// The response to the cancellation of a job that has ended: its stage.
+fn confirm_ended(backend: &dyn JobsBackend, id: &str, known: StoredFinal) -> Response {
     if known.record.stage == Stage::Cancelled {
-        // The controller that wrote the record may have had no reply, and notified nobody.
+        // The controller that wrote the record may have received no reply from the state store, and in that
+        // case has not notified the other controllers.
         backend.cancellation_confirmed(id, known);
     }
     stage_response(id, known.record.stage)
 }
 
-/// Replaces a live job without loans by its cancelled final record. `None` if the record changed in
-/// between or the outcome is not known, so that the caller looks again.
+/// Cancels a live job without loans: replaces its record by a final record with the stage `cancelled`.
+/// Returns `None` if the record has changed since it was read, or if the outcome of the write is not known.
+/// The caller then looks the job up again.
 fn cancel_live(
     backend: &dyn JobsBackend,
     id: &str,
@@ -59,9 +61,9 @@
     Ok(Some(stage_response(id, Stage::Cancelled)))
 }
 
-/// Records that a job with loans is to be cancelled, if that is not recorded yet. From then on none of
-/// its tasks starts; it is cancelled once no other cell holds tasks of it. `None` as for
-/// [`cancel_live`].
+/// Marks the record of a job with loans as being cancelled, unless it is marked already. From then on none
+/// of the job's tasks starts. The leader ends the job once all its loans are closed, so the response asks
+/// the user to retry. Returns `None` in the same cases as [`cancel_live`].
 fn cancel_lent(
     backend: &dyn JobsBackend,
     mut record: JobRecord,
@@ -75,11 +77,11 @@
         let Some(revision) = commit(backend, &txn)? else { return Ok(None) };
         backend.job_written(&id, record, revision);
     }
-    Ok(Some(retry_later("other cells hold tasks of the job and are being told")))
+    Ok(Some(retry_later("the job is being cancelled; its loans to other cells are still open")))
 }
 
-/// Executes a transaction; returns its revision, or `None` if its guards failed (the leader wrote in
-/// between) or its outcome is not known.
+/// Executes a transaction and returns its revision. Returns `None` if a guard failed, because the leader has
+/// written the record since it was read, or if the outcome is not known.
 fn commit(backend: &dyn JobsBackend, txn: &Txn) -> Result<Option<u64>, StateStoreError> {
     match backend.state().txn(txn, RequestPriority::User) {
         Ok(TxnOutcome::Committed(revision)) => Ok(Some(revision)),
