--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -1,4 +1,4 @@
-//! The status of jobs: looks up what the state store holds of a job, and answers status requests.
+//! Looks up jobs in the state store and answers status requests (`GET /api/jobs/ID`).
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -12,27 +12,28 @@
 use crate::state::{RequestPriority, StateStoreError};
 use crate::wire::{is_job_id, JobStatus, Stage};
 
-/// What the state store holds of a job.
+/// The result of looking a job up in the state store.
 pub(super) enum JobLookup {
-    /// A live job: its record and the record's `mod_revision`.
+    /// A job that has not ended: its record and the record's `mod_revision`.
     Live { record: Box<JobRecord>, mod_revision: u64 },
-    /// A live job whose record 0.3.0 to 0.3.2 wrote back; the next leader of this version restores it.
+    /// A live job with a held record that 0.3.0 to 0.3.2 have rewritten without its field `held`. The next
+    /// leader of this version restores the record.
     Stripped,
     /// A live job whose record this version cannot read.
     Unreadable,
     /// A finished or cancelled job.
     Final(StoredFinal),
-    /// No job of that id was ever accepted.
+    /// No job with this id has ever been accepted.
     Unknown,
 }
 
-/// Looks a job up in the state store, unless its final record is known here.
+/// Looks a job up in the state store, unless this controller has cached its final record.
 pub(super) fn look_up(backend: &dyn JobsBackend, id: &str) -> Result<JobLookup, StateStoreError> {
     if let Some(known) = backend.known_final(id) {
         return Ok(JobLookup::Final(known));
     }
-    // The live record first: a job goes from one to the other in one transaction, so one of the
-    // two reads finds it.
+    // The live record is read before the final record. One transaction removes the first and writes the
+    // second, so one of the two reads finds the job.
     if let Some(row) = backend.state().get(&job_key(id), RequestPriority::User)? {
         let mod_revision = row.mod_revision;
         return Ok(match JobRecord::deserialize(&row.value) {
@@ -44,7 +45,8 @@
     Ok(read_final(backend, id)?.map_or(JobLookup::Unknown, JobLookup::Final))
 }
 
-/// Whether a record is one that 0.3.0 to 0.3.2 wrote back, and its placeholder has what they dropped.
+/// Whether a record is a held record that 0.3.0 to 0.3.2 have rewritten, and can be restored from the job's
+/// placeholder.
 fn can_be_restored(backend: &dyn JobsBackend, id: &str, record: Value) -> Result<bool, StateStoreError> {
     if !JobRecord::is_stripped(&record) {
         return Ok(false);
@@ -54,26 +56,28 @@
     Ok(placeholder.is_some_and(|placeholder| JobRecord::restore(record, placeholder).is_ok()))
 }
 
-/// Reads a job's final record, and remembers it; none if the job has not ended or was never accepted.
+/// Reads a job's final record and caches it. Returns `None` if the job has not ended or was never accepted.
 fn read_final(backend: &dyn JobsBackend, id: &str) -> Result<Option<StoredFinal>, StateStoreError> {
     let key = final_key(id);
     let Some(row) = backend.state().get(&key, RequestPriority::User)? else { return Ok(None) };
     let record: FinalRecord = match serde_json::from_value(row.value) {
         Ok(record) => record,
         Err(error) => {
-            note_no_final_record(backend, id, &key, &error)?;
+            report_undecodable_final_record(backend, id, &key, &error)?;
             return Err(StateStoreError::Malformed(error.to_string()));
         }
     };
-    // Written once, in the transaction that removed the live record.
+    // The transaction that removed the live record wrote this one, and nothing writes it again. Its
+    // `mod_revision` is therefore the revision at which the job ended.
     let ended = StoredFinal { record, revision: row.mod_revision };
     backend.cache_final_record(id, ended);
     Ok(Some(ended))
 }
 
-/// Notes that what stands under the key of a final record cannot be decoded, unless it is the placeholder of a live
-/// job, which has been accepted and lent since its record was looked for.
-fn note_no_final_record(
+/// Reports that the value under the key of a final record cannot be decoded. Reports nothing if the job is
+/// live: the value is then the placeholder of a job that was accepted and lent after its live record was
+/// looked up.
+fn report_undecodable_final_record(
     backend: &dyn JobsBackend,
     id: &str,
     key: &str,
@@ -85,20 +89,20 @@
     Ok(())
 }
 
-/// The status of a live job: its task counts.
+/// The status of a live job. It counts as running if any of its tasks runs, otherwise as queued.
 fn live_status(backend: &dyn JobsBackend, id: &str) -> JobStatus {
     let counts = backend.counts(id);
     let stage = if counts.running > 0 { Stage::Running } else { Stage::Queued };
     JobStatus { id: id.to_string(), stage, done: counts.done, running: counts.running }
 }
 
-/// The status of a job that has ended.
+/// The status of a job that has ended. A cancelled job is shown with no tasks done.
 fn final_status(id: &str, record: FinalRecord) -> JobStatus {
     let done = if record.stage == Stage::Done { record.tasks } else { 0 };
     JobStatus { id: id.to_string(), stage: record.stage, done, running: 0 }
 }
 
-/// The response with the status of a job as the state store holds it; none if there is no such job.
+/// The response with a job's status according to the state store; `None` if there is no such job.
 pub(super) fn stored_status(
     backend: &dyn JobsBackend,
     id: &str,
@@ -125,7 +129,7 @@
         Presence::Unreadable => return Ok(stored_status(backend, id)?.unwrap_or_else(record_unreadable)),
         Presence::Absent => {}
     }
-    // If it ever was a live job, the transaction that removed it wrote its final record.
+    // If the job was ever live, the transaction that removed its record also wrote its final record.
     Ok(match read_final(backend, id)? {
         Some(known) => Response::json(status::OK, &final_status(id, known.record)),
         None => no_such_job(),
