--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,13 +1,11 @@
 //! The users' interface (`/api/jobs`): submission, status and cancellation of jobs.
 //!
-//! Every response rests on a read of the state store begun after the request came, or on a final
-//! record known to be written; without one the response is 503, so that no controller ever gives a
-//! user an older state than one already given.
+//! Every response is based on a read of the state store that began after the request arrived, or on a
+//! final record that is known to be written. If neither is available, the response is 503. A user therefore
+//! never receives an older state of a job than an earlier response has shown, whichever controller answers.
 //!
-//! This module does not know the controller type: it asks for what it needs through
-//! [`JobsBackend`], which the controller implements. The dependency runs one way only, from the
-//! controller to this module, so the handlers can be read and tested without the controller's
-//! threads and lock.
+//! This module does not depend on the controller type. It uses the trait [`JobsBackend`], which the
+//! controller implements, so the handlers can be read and tested without the controller's threads and lock.
 
 mod cancellation;
 mod lookup;
@@ -22,56 +20,58 @@
 use crate::state::{StateStoreClient, StateStoreError};
 use crate::wire::MachineType;
 
-/// Path of the users' interface.
+/// Path prefix of the users' interface.
 const JOBS_PATH: &str = "/api/jobs";
 
-/// The final record of a job as it was read or written.
+/// The final record of a job, with the revision of the state store that wrote it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredFinal {
-    /// The record.
+    /// The job's last stage and its number of tasks.
     pub record: FinalRecord,
-    /// The revision at which it was written.
+    /// The revision of the transaction that wrote the record and ended the job.
     pub revision: u64,
 }
 
-/// What the users' interface needs of the controller that serves it.
+/// The services that the users' interface needs from the controller.
 pub trait JobsBackend {
-    /// The settings.
+    /// The settings of this controller.
     fn config(&self) -> &Config;
-    /// The client of the state store.
+    /// The client for requests to the state store.
     fn state(&self) -> &StateStoreClient;
     /// The ids of the live jobs, for status requests.
     fn live_jobs(&self) -> &LiveJobs;
-    /// A job's final record, if it is known to be written.
+    /// A job's final record, if this controller has cached it.
     fn known_final(&self, id: &str) -> Option<StoredFinal>;
-    /// Remembers a final record read from the state store; final records never change.
+    /// Caches a final record that was read from the state store. Final records never change.
     fn cache_final_record(&self, id: &str, ended: StoredFinal);
-    /// Logs that a record cannot be read, and lists it in the leader's status.
+    /// Logs that the record under a key cannot be read. If this controller leads, its status lists it as
+    /// unreadable.
     fn report_unreadable_record(&self, key: &str, error: &dyn std::fmt::Display);
-    /// Task counts of a live job, for display.
+    /// Numbers of done and running tasks of a live job, for display; they may lag behind.
     fn counts(&self, id: &str) -> JobProgress;
-    /// The machine types, once known; until then no submission can be decided.
+    /// The machine types of the catalog; `None` until they are known. Without them it cannot be decided
+    /// whether a new job can run.
     fn machine_types(&self) -> Option<Vec<MachineType>>;
-    /// Notifies the leader of a job record that this controller has written.
+    /// Passes a job record that this controller has written to the leader.
     fn job_written(&self, id: &str, record: JobRecord, revision: u64);
-    /// Makes a confirmed cancellation known to all controllers and stops what is left of the job.
+    /// Notifies all controllers of a cancellation that this controller confirms to a user, so that the leader
+    /// stops the job's remaining tasks.
     fn cancellation_confirmed(&self, id: &str, cancelled: StoredFinal);
-    /// Relays a request that this controller cannot answer to the others; none if none could
-    /// answer it.
+    /// Relays a request that this controller cannot answer to the other controllers, one after another.
+    /// Returns `None` if none of them can answer it.
     fn relay_to_any(&self, request: &Request) -> Option<Response>;
 }
 
-/// Where a request came from.
+/// The sender of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOrigin {
-    /// The HTTP server: a user or the load balancer, or a worker with its heartbeat.
+    /// A user, a worker or the load balancer, through the HTTP server.
     Http,
-    /// Another controller, which relayed it: it is not relayed again.
+    /// Another controller, which has relayed the request. The request is not relayed again.
     Peer,
 }
 
-/// Answers a user's request here, or relays it to another controller that can reach the state
-/// store.
+/// Answers a user's request, or relays it to another controller if the state store does not answer this one.
 pub fn handle(backend: &dyn JobsBackend, request: &Request, origin: RequestOrigin) -> Response {
     let error = match route(backend, request) {
         Ok(response) => return response,
@@ -84,10 +84,10 @@
         RequestOrigin::Peer => None,
     };
     relayed_response
-        .unwrap_or_else(|| responses::retry_later(&format!("the state service cannot be asked: {error}")))
+        .unwrap_or_else(|| responses::retry_later(&format!("the state store does not answer: {error}")))
 }
 
-/// Calls the handler for a request's path and method.
+/// Calls the handler for a request's path and method. Unknown paths and methods get 404 and 405.
 fn route(backend: &dyn JobsBackend, request: &Request) -> Result<Response, StateStoreError> {
     let path = request.path.split('?').next().unwrap_or("");
     let method = request.method.as_str();
