--- a/src/wire/jobs.rs
+++ b/src/wire/jobs.rs
@@ -1,58 +1,59 @@
-//! Messages between users and controllers: the description of a job, and replies about its status.
+//! Messages between users and controllers: the description of a job, and the replies about its status.
 
 use super::null_is_default;
 use serde::{Deserialize, Serialize};
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job depend on each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
     /// Independent tasks (a job array).
     #[serde(rename = "batch")]
     Array,
-    /// Tasks that run at the same time or not at all (gang scheduling).
+    /// Tasks of which either all run at the same time or none runs (gang scheduling).
     #[serde(rename = "gang")]
     Gang,
-    /// Tasks that run until the user cancels the job.
+    /// Replicas that run until the user cancels the job.
     #[serde(rename = "daemon")]
     Service,
 }
 
-/// Priority; a greater one goes first and may preempt a lower one.
+/// Priority of a job. Jobs of a higher priority start first and may preempt jobs of a lower one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Runs on resources that nothing else needs.
+    /// Uses only resources that no other job needs.
     Idle,
-    /// The default.
+    /// The usual priority.
     Normal,
-    /// Before normal jobs.
+    /// Goes before normal jobs.
     Urgent,
-    /// Before everything.
+    /// Goes before all other jobs.
     Critical,
 }
 
-/// A job as its user describes it. Records hold it in this form and are read without fields that an
-/// earlier version left out; a submission must name them, see [`JobSpec::parse`].
+/// A job as its user describes it. Job records contain this description too. Records that an earlier version
+/// wrote may lack some fields, so these have defaults here; a submission must contain them, see
+/// [`JobSpec::parse`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Unique id, chosen by the user.
+    /// Unique id, chosen by the user; see [`is_job_id`](super::is_job_id).
     #[serde(rename = "nameId")]
     pub id: String,
-    /// Class of jobs, for which the settings state service-level objectives.
+    /// Class of the job, such as `train`. The settings state service-level objectives by class.
     #[serde(rename = "grain", default, skip_serializing_if = "Option::is_none")]
     pub class: Option<String>,
-    /// Team whose guarantee and limit (quota) apply.
+    /// Name of the team whose guarantee and quota apply.
     #[serde(rename = "owner")]
     pub team: String,
-    /// Array, gang or service.
+    /// How the tasks depend on each other.
     pub shape: Shape,
-    /// Priority.
+    /// Priority of the job.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks, from 1 to [`MAX_TASKS`](super::MAX_TASKS).
     #[serde(rename = "kernels")]
     pub tasks: u32,
-    /// Processors that each task needs.
+    /// Processors that each task needs; may be a fraction.
     pub cpus: f64,
     /// Accelerator cards that each task needs.
     #[serde(rename = "cards", default)]
@@ -60,94 +61,94 @@
     /// Memory that each task needs, in GB.
     #[serde(rename = "ramGb", default)]
     pub memory_gb: f64,
-    /// Image that a machine must have before a task starts on it.
+    /// Name of the image that a machine must have fetched before a task starts on it.
     #[serde(rename = "seed", default, skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
     /// Size of the image in GB.
     #[serde(rename = "pullGb", default)]
     pub image_gb: f64,
-    /// Allowed machine types; none means any.
+    /// Names of the allowed machine types; `None` allows any.
     #[serde(rename = "breeds", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// Name of the only allowed zone; `None` allows any.
     #[serde(rename = "field", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "oneZone", default, deserialize_with = "null_is_default")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in the same zone.
     #[serde(default, deserialize_with = "null_is_default")]
     pub spread: bool,
-    /// The job may use spot instances.
+    /// Whether the tasks may run on spot instances.
     #[serde(rename = "gleanings", default, deserialize_with = "null_is_default")]
     pub spot: bool,
-    /// The user's estimate of a task's run time in seconds; 0 for a service.
+    /// The user's estimate of a task's run time in seconds. It may be 0 only for a service.
     #[serde(rename = "expectS", default, deserialize_with = "null_is_default")]
     pub estimate_s: f64,
-    /// Seconds of progress between checkpoints; 0: the task never saves one.
+    /// Seconds of run time between checkpoints; 0 if the tasks save none.
     #[serde(rename = "stashEveryS", default, deserialize_with = "null_is_default")]
     pub checkpoint_s: f64,
     /// Seconds that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "stashS", default, deserialize_with = "null_is_default")]
     pub save_s: f64,
-    /// Seconds from submission until it should be complete.
+    /// Seconds after the submission by which the job should be done; `None` without a deadline.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// Whether its tasks are independent of each other (a job array).
+    /// Whether the job is a job array: its tasks are independent of each other.
     pub fn is_array(&self) -> bool {
         self.shape == Shape::Array
     }
 
-    /// Whether all its tasks run at the same time or none does (gang scheduling).
+    /// Whether the job is a gang: either all its tasks run at the same time or none runs.
     pub fn is_gang(&self) -> bool {
         self.shape == Shape::Gang
     }
 
-    /// Whether its tasks run until it is cancelled.
+    /// Whether the job is a service: its tasks (replicas) run until it is cancelled.
     pub fn is_service(&self) -> bool {
         self.shape == Shape::Service
     }
 }
 
-/// The stage of a job as users see it.
+/// The stage of a job, as shown to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Stage {
-    /// No task runs.
+    /// The job has not ended, and none of its tasks runs.
     Queued,
-    /// Some task runs.
+    /// At least one task runs.
     Running,
     /// All tasks are done.
     Done,
-    /// Its user cancelled it.
+    /// A user has cancelled the job.
     Cancelled,
 }
 
 /// Reply to an accepted submission or a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStage {
-    /// The job.
+    /// Id of the job.
     #[serde(rename = "nameId")]
     pub id: String,
-    /// Its stage.
+    /// Stage of the job.
     pub stage: Stage,
 }
 
 /// Reply to a status request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// The job.
+    /// Id of the job.
     #[serde(rename = "nameId")]
     pub id: String,
-    /// Its stage.
+    /// Stage of the job.
     pub stage: Stage,
-    /// Tasks done.
+    /// Number of tasks that are done.
     #[serde(default)]
     pub done: u32,
-    /// Tasks running.
+    /// Number of tasks that are running.
     #[serde(default)]
     pub running: u32,
 }
