--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! The JSON messages of each interface, one module for each.
+//! The JSON messages of all interfaces of the program, one module for each interface.
 //!
-//! The protocols have names of their own for many things. They are mapped to the field's terms in this
-//! folder and nowhere else, by serde renames; the rest of the program uses only the terms on the right:
+//! The protocols use their own names for many concepts. The serde attributes in this folder map these names
+//! to the usual terms of cluster scheduling, and the rest of the program uses only these terms:
 //!
 //! | on the wire | in the code |
 //! | --- | --- |
@@ -11,10 +11,10 @@
 //! | `batch` | array, of independent tasks |
 //! | `blight` | exit reason |
 //! | `breed`, `breeds`, `sku` | machine type |
-//! | `cards` | accelerator cards (GPUs) |
+//! | `cards` | accelerator cards (GPUs), in the code `gpus` |
 //! | `daemon` | service |
 //! | `dueS` | deadline |
-//! | `expectS` | estimate of the run time |
+//! | `expectS` | the user's estimate of a task's run time |
 //! | `field`, `fields` | zone |
 //! | `flushing` | saving a checkpoint (task stage) |
 //! | `gathering` | waiting for the gang's other tasks (task stage) |
@@ -22,8 +22,8 @@
 //! | `grain` | class of a job |
 //! | `harvest` | revision of the state store |
 //! | `husk`, `husks` | machine |
-//! | `in_use` | present with another attempt (exit reason) |
-//! | `kept` | progress saved |
+//! | `in_use` | the machine has another attempt of the task (exit reason) |
+//! | `kept` | whether a checkpoint was saved |
 //! | `kernel`, `kernels` | task |
 //! | `localGb` | space for cached images |
 //! | `marketPrice` | spot price |
@@ -35,7 +35,7 @@
 //! | `owner` in a status | leader |
 //! | `part`, `parts` | shard |
 //! | `path` of a row or guard | key of the state store |
-//! | `plea` | id of a scale-out request (idempotent) |
+//! | `plea` | id of a scale-out request, which makes it idempotent |
 //! | `pullGb`, `pullGbPerS` | size of an image, rate at which it is fetched |
 //! | `ramGb` | memory in GB |
 //! | `rank` | priority |
@@ -45,7 +45,7 @@
 //! | `season` | agent epoch |
 //! | `seed` | image |
 //! | `sickle`, `token` | fencing token |
-//! | `sowing` | attempt |
+//! | `sowing` | number of the attempt to run a task |
 //! | `stamp` | revision of a key's latest change (`mod_revision`) |
 //! | `stashEveryS`, `stashS` | checkpoint interval, time to save a checkpoint |
 //! | `state_seen_s_ago` | age of the last contact with the state store |
@@ -53,7 +53,7 @@
 //! | `tally` | sequence number of a heartbeat |
 //! | `tenure` | lease |
 //! | `ttlMs` | time to live of a lease, in milliseconds |
-//! | `up` | healthy |
+//! | `up` | whether the controller is healthy |
 
 mod cells;
 mod cloud;
@@ -82,7 +82,7 @@
 
 use serde::Deserialize;
 
-/// Reads null as the type's default, as if the field were left out.
+/// Deserializes null as the type's default, like a field that is left out.
 fn null_is_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: serde::Deserializer<'de>,
