--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -7,42 +7,42 @@
 /// A key of the state store with its value.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Row {
-    /// The key.
+    /// Name of the key.
     #[serde(rename = "path")]
     pub key: String,
-    /// The value.
+    /// The key's value, any JSON.
     pub value: Value,
-    /// Revision of its latest change.
+    /// Revision of the key's latest change.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
 }
 
-/// A page of a list of keys.
+/// A page of the list of keys with a prefix.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RowPage {
-    /// The keys with their values, in order.
+    /// The keys with their values, in the order of the keys.
     pub rows: Vec<Row>,
-    /// Whether there is more.
+    /// Whether further pages follow.
     #[serde(default)]
     pub more: bool,
-    /// The store's revision.
+    /// Revision of the state store at which the page was read.
     #[serde(rename = "harvest")]
     pub revision: u64,
 }
 
-/// A condition on a key of a compare-and-swap transaction.
+/// A condition of a compare-and-swap transaction on one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Guard {
-    /// The key.
+    /// The key to which the condition applies.
     #[serde(rename = "path")]
     pub key: String,
-    /// The `mod_revision` that the key must have; 0: it must not exist.
+    /// The `mod_revision` that the key must have; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
 }
 
 impl Guard {
-    /// A guard that holds only while there is no such key.
+    /// A guard that fails if the key exists.
     pub fn must_not_exist(key: String) -> Guard {
         Guard { key, mod_revision: 0 }
     }
@@ -52,35 +52,35 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// Writes a key.
+    /// Creates or replaces a key.
     Put {
-        /// The key.
+        /// Name of the key.
         put: String,
-        /// The value.
+        /// The key's new value.
         value: Value,
-        /// The lease to which the key is attached; it is removed on lease expiry.
+        /// Id of the lease to which the key is attached; the state store removes the key on lease expiry.
         #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
     /// Removes a key.
     Drop {
-        /// The key.
+        /// Name of the key.
         drop: String,
     },
 }
 
 impl Change {
-    /// Writes a key without a lease.
+    /// A change that writes a key without a lease.
     pub fn put(key: impl Into<String>, value: Value) -> Change {
         Change::Put { put: key.into(), value, lease: None }
     }
 
-    /// Removes a key.
+    /// A change that removes a key.
     pub fn drop(key: impl Into<String>) -> Change {
         Change::Drop { drop: key.into() }
     }
 
-    /// The key that changes.
+    /// Name of the key that is changed.
     pub fn key(&self) -> &str {
         match self {
             Change::Put { put, .. } => put,
@@ -89,39 +89,39 @@
     }
 }
 
-/// A compare-and-swap transaction: executes all changes if all guards hold, and nothing otherwise.
+/// A compare-and-swap transaction. The state store executes all changes if all guards hold, otherwise none.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Txn {
-    /// The conditions.
+    /// The conditions; all must hold.
     pub guards: Vec<Guard>,
-    /// The changes.
+    /// The changes; their number is limited by the setting `txn_ops`.
     pub then: Vec<Change>,
 }
 
-/// A change seen by a watch.
+/// The change of one key, as returned by a watch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// The key written, if it was.
+    /// Name of the key if the change wrote it.
     #[serde(default)]
     pub put: Option<String>,
-    /// The key removed, if it was.
+    /// Name of the key if the change removed it.
     #[serde(default)]
     pub drop: Option<String>,
-    /// The value written.
+    /// The key's new value; null if the change removed the key.
     #[serde(default)]
     pub value: Value,
-    /// The revision of the change.
+    /// Revision of the change.
     #[serde(rename = "stamp", default)]
     pub mod_revision: u64,
 }
 
-/// The changes that a watch returns.
+/// Reply to a watch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WatchEvents {
-    /// The store's revision.
+    /// Revision of the state store up to which the changes are contained.
     #[serde(rename = "harvest")]
     pub revision: u64,
-    /// The changes, in any order.
+    /// The changes since the revision from which the watch began, in any order.
     #[serde(default)]
     pub events: Vec<WatchEvent>,
 }
@@ -129,7 +129,7 @@
 /// A request for a lease.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Milliseconds after which the lease expires unless it is renewed.
+    /// Time to live in milliseconds: the lease expires after this time unless it is renewed.
     #[serde(rename = "ttlMs")]
     pub ttl_ms: i64,
 }
@@ -137,7 +137,7 @@
 /// Reply to a request for a lease.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct LeaseGranted {
-    /// Id of the lease.
+    /// Id of the granted lease.
     #[serde(rename = "tenure")]
     pub lease: u64,
 }
@@ -145,12 +145,12 @@
 /// Reply to a transaction that was executed.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct TxnCommitted {
-    /// The revision of its changes.
+    /// Revision of the state store after the transaction, which is the `mod_revision` of all changed keys.
     #[serde(rename = "harvest")]
     pub revision: u64,
 }
 
-/// Reply to a transaction whose guards did not hold.
+/// Reply to a transaction that was not executed because guards failed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TxnConflict {
     /// The keys whose guards failed.
