--- a/src/wire/submissions.rs
+++ b/src/wire/submissions.rs
@@ -1,23 +1,24 @@
-//! Checks of submissions: which fields must be there, and what each may hold.
+//! Validation of submissions: which fields are required, and which values each field may have.
 
 use serde_json::Value;
 
 use super::JobSpec;
 
-/// Greatest amount of anything in a submission.
+/// Largest number in any field for resources, sizes and durations.
 const MAX_AMOUNT: f64 = 1e9;
-/// Most tasks in a job.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// Most machine types that a submission may name.
+/// Maximum number of machine types that a submission may name.
 const MAX_TYPES: usize = 32;
-/// Longest text in a submission, in bytes.
+/// Maximum length in bytes of names in a submission.
 const MAX_TEXT_BYTES: usize = 200;
-/// Longest reason given to a user, in characters, whatever they sent.
+/// Maximum length in characters of a parser's error message that is shown to a user. The message may quote
+/// values of any length from the submission.
 const MAX_REASON_CHARS: usize = 300;
-/// Most digits in a job id.
+/// Maximum number of digits in a job id.
 const MAX_ID_DIGITS: usize = 18;
 
-/// Fields that a submission must hold, by their names on the wire; all others may be null or left
+/// Fields that a submission must contain, by their names on the wire. All other fields may be null or left
 /// out.
 pub const REQUIRED_FIELDS: [&str; 17] = [
     "nameId",
@@ -38,23 +39,23 @@
     "stashEveryS",
     "stashS",
 ];
-/// Fields that serde would also take from an object whose key is the value.
+/// Fields of enum types. They must be strings: serde would also accept an object with the variant as its key.
 const STRING_FIELDS: [&str; 2] = ["shape", "rank"];
 
-/// Whether a string has the form of a job id.
+/// Whether a string has the form of a job id: `wk-` and 1 to 18 digits.
 pub fn is_job_id(text: &str) -> bool {
     text.strip_prefix("wk-").is_some_and(|digits| {
         (1..=MAX_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
     })
 }
 
-/// The job id that a submission names, if that much of a malformed one can be read.
+/// The job id in a submission, which may be malformed otherwise. Returns `None` if no id can be read.
 pub fn submitted_id(body: &[u8]) -> Option<String> {
     let submission: Value = serde_json::from_slice(body).ok()?;
     submission.get("nameId").and_then(Value::as_str).map(str::to_string)
 }
 
-/// Why a submission is malformed, in one line for the user.
+/// Why a submission is malformed, as one line of text for the user.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
     /// The body is not JSON.
@@ -66,12 +67,12 @@
     /// A field is missing or has a value that is not allowed.
     #[error("{field}: {reason}")]
     Field {
-        /// The field, by its name on the wire.
+        /// Name of the field on the wire.
         field: String,
-        /// What is wrong with it.
+        /// What is wrong with the field's value.
         reason: String,
     },
-    /// A field has a value of another type; the text names the field.
+    /// A field has a value of the wrong type. The text is the parser's message, which names the field.
     #[error("{0}")]
     WrongType(String),
 }
@@ -83,10 +84,10 @@
 }
 
 impl JobSpec {
-    /// Parses and checks a submission.
+    /// Parses and validates a submission.
     ///
     /// # Errors
-    /// The first fault found, in one line of bounded length for the user.
+    /// The first mistake found, as one line of bounded length for the user.
     pub fn parse(body: &[u8]) -> Result<JobSpec, SubmissionError> {
         let submission: Value =
             serde_json::from_slice(body).map_err(|e| SubmissionError::NotJson(e.to_string()))?;
@@ -97,8 +98,8 @@
         if let Some(name) = REQUIRED_FIELDS.iter().find(is_missing) {
             return Err(SubmissionError::field(name, "missing"));
         }
-        let is_no_string = |name: &&&str| !fields.get(**name).is_some_and(Value::is_string);
-        if let Some(name) = STRING_FIELDS.iter().find(is_no_string) {
+        let is_not_string = |name: &&&str| !fields.get(**name).is_some_and(Value::is_string);
+        if let Some(name) = STRING_FIELDS.iter().find(is_not_string) {
             return Err(SubmissionError::field(name, "must be a string"));
         }
         let spec: JobSpec = serde_path_to_error::deserialize(submission)
@@ -109,7 +110,7 @@
 
     fn check(&self) -> Result<(), SubmissionError> {
         if !is_job_id(&self.id) {
-            return Err(SubmissionError::field("nameId", "must be wk- and digits"));
+            return Err(SubmissionError::field("nameId", "must be wk- followed by 1 to 18 digits"));
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
             return Err(SubmissionError::field("kernels", format!("must be from 1 to {MAX_TASKS}")));
@@ -124,7 +125,7 @@
         check_amount("cards", self.gpus)?;
         check_amount("ramGb", self.memory_gb)?;
         if self.cpus == 0.0 && self.gpus == 0.0 && self.memory_gb == 0.0 {
-            return Err(SubmissionError::field("cpus", "a task must take something of its machine"));
+            return Err(SubmissionError::field("cpus", "cpus, cards and ramGb must not all be 0"));
         }
         check_amount("pullGb", self.image_gb)
     }
@@ -146,7 +147,10 @@
         }
         let Some(types) = &self.types else { return Ok(()) };
         if types.is_empty() || types.len() > MAX_TYPES {
-            return Err(SubmissionError::field("breeds", format!("must name 1 to {MAX_TYPES} types")));
+            return Err(SubmissionError::field(
+                "breeds",
+                format!("must name 1 to {MAX_TYPES} machine types"),
+            ));
         }
         types.iter().try_for_each(|name| check_text("breeds", name))
     }
@@ -156,19 +160,22 @@
     if value.is_finite() && (0.0..=MAX_AMOUNT).contains(&value) {
         Ok(())
     } else {
-        Err(SubmissionError::field(field, "out of range"))
+        Err(SubmissionError::field(field, "must be a number from 0 to 1e9"))
     }
 }
 
 fn check_text(field: &str, text: &str) -> Result<(), SubmissionError> {
     if text.is_empty() || text.len() > MAX_TEXT_BYTES || text.chars().any(char::is_control) {
-        Err(SubmissionError::field(field, format!("must be 1 to {MAX_TEXT_BYTES} bytes")))
+        Err(SubmissionError::field(
+            field,
+            format!("must be 1 to {MAX_TEXT_BYTES} bytes without control characters"),
+        ))
     } else {
         Ok(())
     }
 }
 
-/// A reason as one line of bounded length; parts of it may be the user's own text.
+/// Shortens a reason to [`MAX_REASON_CHARS`] and replaces control characters, as it may quote the submission.
 fn one_line(reason: &str) -> String {
     let printable = |c: char| if c.is_control() { ' ' } else { c };
     reason.chars().take(MAX_REASON_CHARS).map(printable).collect()
