--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,64 +1,64 @@
-//! Messages between workers and controllers: heartbeats, the replies to them, and direct commands.
+//! Messages between workers and controllers: heartbeats, the replies to heartbeats, and direct commands.
 
 use super::null_is_default;
 use serde::{Deserialize, Serialize};
 
-/// Path of the workers' heartbeats.
+/// Path at which a controller accepts the workers' heartbeats.
 pub const HEARTBEAT_PATH: &str = "/checkin";
-/// Path at which a worker takes direct commands.
+/// Path at which a worker accepts direct commands.
 pub const COMMANDS_PATH: &str = "/commands";
 
 /// The stage of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskStage {
-    /// Its image is being fetched.
+    /// The machine is fetching the task's image.
     #[serde(rename = "fetching")]
     Fetching,
-    /// Waits for the gang's other tasks.
+    /// The task waits for the other tasks of its gang to start.
     #[serde(rename = "gathering")]
     Waiting,
-    /// Running.
+    /// The task runs.
     #[serde(rename = "running")]
     Running,
-    /// Is being stopped and saves a checkpoint.
+    /// The task is being stopped and saves a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
-    /// Has exited.
+    /// The task has exited; see [`TaskStatus::exit_reason`].
     #[serde(rename = "exited")]
     Exited,
-    /// A stage of a later version; the task counts as being on the machine.
+    /// A stage that this version does not know. The task counts as being on the machine.
     #[serde(other)]
     Unknown,
 }
 
-/// Why a task ended.
+/// Why a task exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
-    /// Completed.
+    /// The task completed successfully.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by command.
+    /// A command of the controller stopped the task.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Another task of the gang was lost.
+    /// Another task of the same gang was lost.
     #[serde(rename = "mates_gone")]
     GangPeersLost,
-    /// The gang was not complete in time.
+    /// The other tasks of the gang did not start in time.
     #[serde(rename = "alone")]
     GangIncomplete,
-    /// Failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
-    /// Start refused: not enough free resources.
+    /// The worker refused the start because the machine lacks free resources.
     #[serde(rename = "no_room")]
     NoRoom,
-    /// Start refused: the task is on the machine with another attempt.
+    /// The worker refused the start because another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
     AttemptInUse,
-    /// Start refused: no such job or task.
+    /// The worker refused the start because it knows no such job or task.
     #[serde(rename = "unknown")]
     UnknownTask,
-    /// A reason of a later version.
+    /// A reason that this version does not know.
     #[serde(other)]
     Other,
 }
@@ -66,63 +66,64 @@
 /// The status of a task in a heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// Name of the task: job id and number, `wk-000412/3`.
+    /// Name of the task: job id and task number, such as `wk-000412/3`.
     #[serde(rename = "kernel")]
     pub task: String,
-    /// Number of the attempt.
+    /// Number of the attempt to run the task.
     #[serde(rename = "sowing")]
     pub attempt: u64,
-    /// Its stage.
+    /// Stage of the task.
     #[serde(rename = "stage")]
     pub stage: TaskStage,
-    /// Why it exited, if it did.
+    /// Why the task exited; none if it has not exited.
     #[serde(rename = "blight", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// Whether progress was saved.
+    /// Whether the task's progress was saved in a checkpoint; none if the worker does not say.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A worker's heartbeat, with the status of all its tasks.
+/// A worker's heartbeat, with the status of all tasks on its machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Name of the machine.
     #[serde(rename = "husk")]
     pub machine: String,
-    /// Address at which the worker takes direct commands, `ip:port`.
+    /// Address at which the worker accepts direct commands, `ip:port`.
     #[serde(rename = "addr", default)]
     pub address: String,
-    /// Name of its machine type.
+    /// Name of the machine's type.
     #[serde(rename = "breed", default)]
     pub machine_type: String,
-    /// Name of its zone.
+    /// Name of the machine's zone.
     #[serde(rename = "field", default)]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "gleanings", default, deserialize_with = "null_is_default")]
     pub spot: bool,
-    /// The worker's agent epoch: it increases each time its lease expires.
+    /// The worker's agent epoch, which increases each time the worker's lease expires.
     #[serde(rename = "season")]
     pub agent_epoch: u64,
-    /// Sequence number of the message within the agent epoch.
+    /// Sequence number of the heartbeat within the agent epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// Highest fencing token that the worker has seen.
     #[serde(rename = "sickle", default)]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes the spot instance, after a notice.
+    /// Seconds until the cloud reclaims the spot instance; none without an interruption notice.
     #[serde(rename = "reclaimS", default)]
     pub interruption_notice_s: Option<f64>,
-    /// All tasks on the machine, exited ones included until they are forgotten.
+    /// All tasks on the machine. Exited tasks are included until the controller sends
+    /// [`WorkerCommand::Forget`].
     #[serde(rename = "kernels", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker.
+/// A command of the leader to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum WorkerCommand {
-    /// Start a task.
+    /// Starts a task.
     #[serde(rename = "start")]
     Start {
         /// Name of the task.
@@ -132,7 +133,7 @@
         #[serde(rename = "sowing")]
         attempt: u64,
     },
-    /// Stop a task.
+    /// Stops a task.
     #[serde(rename = "halt")]
     Halt {
         /// Name of the task.
@@ -141,11 +142,11 @@
         /// Number of the attempt.
         #[serde(rename = "sowing")]
         attempt: u64,
-        /// Seconds that the task has to save a checkpoint.
+        /// Seconds that the worker gives the task to save a checkpoint before it ends the task.
         #[serde(rename = "graceS")]
         grace_s: f64,
     },
-    /// Remove an exited task from the heartbeats.
+    /// Removes an exited task from the worker's heartbeats.
     #[serde(rename = "forget")]
     Forget {
         /// Name of the task.
@@ -160,7 +161,7 @@
 /// Reply to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The leader's fencing token; workers drop a reply with a lower one than they have seen.
+    /// The leader's fencing token. A worker ignores a reply with a lower token than the highest it has seen.
     #[serde(rename = "sickle")]
     pub fencing_token: u64,
     /// The commands, to be executed in order.
@@ -168,13 +169,13 @@
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Commands sent straight to a worker.
+/// Commands that the leader sends to a worker without waiting for the worker's next heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DirectCommandRequest {
     /// The leader's fencing token.
     #[serde(rename = "sickle")]
     pub fencing_token: u64,
-    /// The agent epoch that is meant.
+    /// The worker's agent epoch for which the commands are meant.
     #[serde(rename = "season")]
     pub agent_epoch: u64,
     /// The commands, to be executed in order.
