--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Client of the cloud's interface: machine types, rentals and the machine list.
+//! Client of the cloud's interface: the catalog of machine types, scale-out, scale-in and the machine list.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -10,50 +10,51 @@
 use crate::time::{steady, Micros, Steady};
 use crate::wire::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest};
 
-/// Most machines in one rental request.
+/// Maximum number of machines in one scale-out request.
 pub const MAX_MACHINES_PER_SCALE_OUT: u32 = 50;
-/// Machines in one page of the list, the most that the cloud gives at once.
+/// Machines in one page of the machine list. This is the largest page that the cloud returns.
 pub const MACHINES_PER_LIST_PAGE: usize = 500;
 
-/// How long the cloud has to answer.
+/// Timeout of a call to the cloud.
 const CALL_TIMEOUT: Micros = Micros::from_millis(8000);
-/// Connections that are kept open between calls.
+/// Maximum number of connections that are kept open between calls.
 const MAX_IDLE_CONNECTIONS: usize = 2;
-/// What the cloud says in the body of a 503 if it has no machine of the type, zone and kind.
+/// Text in the body of a 503 response if the cloud has no machine of the requested type, zone and kind.
+/// The kind is spot or ordinary.
 const NO_CAPACITY_TEXT: &str = "no capacity";
-/// Stands for the status code where no connection could be made.
+/// Used in [`CloudError::NotExecuted`] in place of a status code if no connection could be made.
 const NO_STATUS: u16 = 0;
 
-/// Why a call to the cloud has no result.
+/// Why a call to the cloud failed.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum CloudError {
-    /// The cloud has no machine of this type, zone and kind.
-    #[error("no capacity")]
+    /// The cloud has no machine of the requested type, zone and kind (spot or ordinary).
+    #[error("the cloud has no capacity")]
     NoCapacity,
-    /// Not executed: an outage (status 503), the rate limit (429), or no connection (0).
-    #[error("not executed ({status})")]
+    /// The request was not executed: an outage (status 503), the rate limit (429), or no connection (0).
+    #[error("request not executed (status {status})")]
     NotExecuted {
-        /// The status code.
+        /// Status code of the response, or 0 if no connection could be made.
         status: u16,
     },
-    /// No answer: the request may have been executed, or may yet be.
-    #[error("unknown: {0}")]
+    /// There was no response. The request may have been executed, or may still be executed.
+    #[error("no response, outcome unknown: {0}")]
     Unknown(String),
-    /// The answer cannot be parsed, or the cloud could not parse the request.
-    #[error("malformed: {0}")]
+    /// The response cannot be parsed, or the cloud could not parse the request.
+    #[error("malformed request or response: {0}")]
     Malformed(String),
 }
 
-/// Client of the cloud's interface, at a limited rate. Calls block the thread.
+/// Client of the cloud's interface, with a rate limit. Calls block the calling thread.
 pub struct CloudClient {
     http: Client,
-    /// Least time between the starts of two requests.
+    /// Minimum time between the starts of two requests.
     request_interval: Micros,
     next_request_at: Mutex<Steady>,
 }
 
 impl CloudClient {
-    /// A client that sends at most `requests_per_s` requests a second.
+    /// Creates a client that starts at most `requests_per_s` requests per second.
     pub fn new(addr: SocketAddr, requests_per_s: f64) -> CloudClient {
         CloudClient {
             http: Client::new(addr, MAX_IDLE_CONNECTIONS),
@@ -62,39 +63,39 @@
         }
     }
 
-    /// The machine types with their current prices.
+    /// Fetches the machine types with their current prices.
     ///
     /// # Errors
     ///
-    /// [`CloudError`], as for all calls.
+    /// [`CloudError`] if the catalog could not be read.
     pub fn catalog(&self) -> Result<Vec<MachineType>, CloudError> {
         let catalog: Catalog = self.get("/catalog")?;
         Ok(catalog.types)
     }
 
-    /// Rents machines and returns their names, which may be fewer than asked for. The request is
-    /// idempotent: it may be repeated until it is answered.
+    /// Scales out and returns the names of the new machines, which may be fewer than requested. The request
+    /// is idempotent: it may be repeated until there is a response.
     ///
     /// # Errors
     ///
-    /// [`CloudError::NoCapacity`] if there is not a single machine; after [`CloudError::Unknown`]
-    /// the machines may have been rented.
+    /// [`CloudError::NoCapacity`] if the cloud has not a single such machine. After [`CloudError::Unknown`]
+    /// the machines may have been added.
     pub fn scale_out(&self, request: &ScaleOutRequest) -> Result<Vec<String>, CloudError> {
-        let rented: MachineNames = parse(&self.post("/rentals", request)?)?;
-        Ok(rented.machines)
+        let added: MachineNames = parse(&self.post("/rentals", request)?)?;
+        Ok(added.machines)
     }
 
-    /// Returns up to a hundred machines. Once it succeeds they are gone with all that ran on them.
+    /// Scales in: removes up to a hundred machines and ends all tasks that run on them.
     ///
     /// # Errors
     ///
-    /// After [`CloudError::Unknown`] the machines may have been returned.
+    /// After [`CloudError::Unknown`] the machines may have been removed.
     pub fn scale_in(&self, machines: &[String]) -> Result<(), CloudError> {
         let names = MachineNames { machines: machines.to_vec() };
         self.post("/rentals/return", &names).map(|_| ())
     }
 
-    /// The whole machine list, read page by page.
+    /// Fetches the whole machine list, page by page.
     ///
     /// # Errors
     ///
@@ -121,7 +122,7 @@
         self.call("POST", path, Some(&body))
     }
 
-    /// Waits for its turn, sends a request and returns the body of a successful response.
+    /// Waits for the rate limit, sends a request and returns the body of a successful response.
     fn call(&self, method: &str, path: &str, body: Option<&[u8]>) -> Result<Vec<u8>, CloudError> {
         self.wait_for_turn();
         match self.http.call(method, path, body, CALL_TIMEOUT) {
@@ -146,7 +147,7 @@
     }
 }
 
-/// The body of a successful response, or the error that another one stands for.
+/// Returns the body of a successful response, or the error for any other status code.
 fn successful_body(response: ClientResponse) -> Result<Vec<u8>, CloudError> {
     let ClientResponse { status: code, body } = response;
     let text = || String::from_utf8_lossy(&body);
