--- a/src/config/cells.rs
+++ b/src/config/cells.rs
@@ -1,5 +1,5 @@
-//! The operators' settings of cells (clusters that lend tasks to one another): which others there are,
-//! what is lent and what is borrowed.
+//! The operators' settings of cells (installations that lend tasks to one another): the other cells, and
+//! which tasks this cell lends and borrows.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,42 +10,45 @@
 use super::validation::require_not_negative;
 use super::ConfigError;
 
-/// Longest name of a cell, in bytes.
+/// Maximum length of a cell's name in bytes.
 const MAX_NAME_LENGTH: usize = 40;
-/// Stands for all classes in a list of classes.
+/// Matches every class in the lists `lend` and `borrow`, also jobs without a class.
 const ALL_CLASSES: &str = "*";
 
-/// Another cell.
+/// Another cell with which this cell exchanges loans.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OtherCell {
-    /// Its name.
+    /// Name of the other cell, the same as in its own settings.
     pub name: String,
-    /// Its controllers' addresses for other controllers.
+    /// Addresses at which the other cell's controllers listen for other controllers; at least one.
     pub controllers: Vec<SocketAddr>,
 }
 
-/// The `cells` block. Without it nothing is lent, borrowed, sent or written.
+/// The `cells` block. Without it this cell lends and borrows nothing, sends no messages to other cells and
+/// writes no records of loans.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CellsSettings {
-    /// This cell's name.
+    /// Name of this cell.
     pub name: String,
-    /// The other cells.
+    /// The other cells. Their names differ from each other and from this cell's name.
     pub others: Vec<OtherCell>,
-    /// Classes of job arrays that may be lent; `*` for all.
+    /// Classes of job arrays whose tasks may be lent; `*` means all classes.
     #[serde(default)]
     pub lend: Vec<String>,
-    /// Classes of job arrays that may be borrowed; `*` for all.
+    /// Classes of job arrays whose tasks may be borrowed; `*` means all classes.
     #[serde(default)]
     pub borrow: Vec<String>,
-    /// Most processors that borrowed tasks may use at a time; the rest is reserved for this cell's own tasks.
+    /// Maximum number of processors that borrowed tasks may use at a time. All other capacity is reserved for
+    /// this cell's own tasks.
     #[serde(default)]
     pub borrow_cpus: f64,
-    /// How long a job waits before any of its tasks are lent, in seconds.
+    /// Seconds that a job must have waited before any of its tasks are lent.
     #[serde(default = "default_lend_after_s")]
     pub lend_after_s: f64,
-    /// A script whose function `portion(view)` returns how many tasks to lend.
+    /// Lending script. Its function `portion(view)` returns how many tasks of a job to lend to a cell.
+    /// Without a script the built-in rule decides.
     #[serde(default)]
     pub script: Option<String>,
 }
@@ -54,28 +57,28 @@
     15.0
 }
 
-/// Whether a list of classes names a class, or all.
+/// Whether a list of classes contains a class or [`ALL_CLASSES`].
 fn lists_class(classes: &[String], class: Option<&String>) -> bool {
     classes.iter().any(|listed| listed == ALL_CLASSES || Some(listed) == class)
 }
 
 impl CellsSettings {
-    /// Whether job arrays of a class may be lent.
+    /// Whether tasks of job arrays of a class may be lent.
     pub fn lends(&self, class: Option<&String>) -> bool {
         lists_class(&self.lend, class)
     }
 
-    /// Whether job arrays of a class may be borrowed.
+    /// Whether tasks of job arrays of a class may be borrowed.
     pub fn borrows(&self, class: Option<&String>) -> bool {
         lists_class(&self.borrow, class)
     }
 
-    /// Another cell by name.
+    /// The settings of another cell; `None` if no other cell has this name.
     pub fn other(&self, name: &str) -> Option<&OtherCell> {
         self.others.iter().find(|cell| cell.name == name)
     }
 
-    /// Addresses of all other cells' controllers, in the order of the settings.
+    /// Addresses of the controllers of all other cells, in the order of the settings.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.others.iter().flat_map(|cell| cell.controllers.iter().copied()).collect()
     }
@@ -87,15 +90,15 @@
             let field_path = |field: &str| format!("cells.others[{i}].{field}");
             validate_name(&field_path("name"), &cell.name)?;
             if cell.name == self.name {
-                let reason = format!("{} is this cell's own name", cell.name);
+                let reason = format!("`{}` is the name of this cell itself", cell.name);
                 return Err(ConfigError::field(field_path("name"), reason));
             }
             if !names.insert(&cell.name) {
-                let reason = format!("two cells are called {}", cell.name);
+                let reason = format!("`{}` is the name of two cells", cell.name);
                 return Err(ConfigError::field(field_path("name"), reason));
             }
             if cell.controllers.is_empty() {
-                let reason = "must name at least one controller";
+                let reason = "must contain at least one address";
                 return Err(ConfigError::field(field_path("controllers"), reason));
             }
         }
