--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,38 +1,38 @@
-//! What can be wrong with the settings.
+//! Errors in the settings.
 
 use std::path::PathBuf;
 
-/// What is wrong with the settings, in one line.
+/// A mistake in the settings. Its text is one line that names the file or the field.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// A file could not be read.
     #[error("{}: cannot be read: {source}", .path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's reason.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A file has a syntax error, or a field that is unknown, missing or of another type.
+    /// A file has a syntax error, or a field that is unknown, missing or of the wrong type.
     #[error("{path}: {reason}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The parser's reason, with the field's name.
+        /// The parser's error message, which names the field.
         reason: String,
     },
-    /// A field's value cannot be used.
+    /// A field has a value that is not allowed.
     #[error("{field}: {reason}")]
     Field {
-        /// The field's path in the file, such as `settings.teams[1].name`.
+        /// Path of the field in the file, such as `settings.teams[1].name`.
         field: String,
-        /// What the value must be.
+        /// What the value must be, or why it is not allowed.
         reason: String,
     },
 }
 
 impl ConfigError {
-    /// An error of a field's value.
+    /// Creates the error of a field whose value is not allowed.
     pub(super) fn field(field: impl Into<String>, reason: impl Into<String>) -> ConfigError {
         ConfigError::Field { field: field.into(), reason: reason.into() }
     }
