--- a/src/config/fleet_size.rs
+++ b/src/config/fleet_size.rs
@@ -1,28 +1,29 @@
-//! Whether the settings carry a large fleet, as far as that can be computed before the fleet exists.
+//! Estimates from the settings alone whether they are sufficient for a large fleet. Without this check,
+//! settings that are too small would be noticed only when workers are refused.
 
 use super::server_limits::RESERVED_CONNECTION_DIVISOR;
 use super::Config;
 use crate::cloud::MAX_MACHINES_PER_SCALE_OUT;
 
-/// Number of machines that the service is made for. The program itself has no fixed limit below it.
+/// Number of machines for which the program is designed. The program has no fixed limit below this number.
 pub const TARGET_MACHINES: usize = 4_000;
 
-/// Processor time that a heartbeat takes, in seconds, with a margin for planning.
+/// Processor time per heartbeat in seconds, including a margin for the planner.
 const CPU_PER_HEARTBEAT_S: f64 = 0.000_1;
 /// Memory of a controller without machines, in MB.
 const BASE_RAM_MB: f64 = 16.0;
-/// Memory that each machine adds, in MB.
+/// Memory that a controller needs for each machine, in MB.
 const RAM_PER_MACHINE_MB: f64 = 0.012;
-/// Bytes of a machine's record, generously.
+/// Upper estimate of the size of a machine's record, in bytes.
 const MACHINE_RECORD_BYTES: f64 = 160.0;
-/// Seconds within which the whole fleet should be scaled out and its records be written.
+/// Seconds within which the leader should be able to scale out the whole fleet and write its records.
 const SCALE_OUT_S: f64 = 120.0;
-/// Part of the rates of the state store and of the cloud that the leader can use to scale out.
+/// Fraction of the rate limits of the state store and of the cloud that the leader can use for scale-out.
 const LEADER_SHARE: f64 = 0.5;
 
 impl Config {
-    /// The settings that are too small for a fleet of so many machines, each with the number of
-    /// machines that it carries.
+    /// The settings that are too small for a fleet of `machines` machines. Each is listed with the number of
+    /// machines for which it is sufficient.
     fn settings_too_small_for(&self, machines: usize) -> Vec<String> {
         let settings = &self.platform.settings;
         let scale_out_requests = |requests_per_s: f64| requests_per_s * LEADER_SHARE * SCALE_OUT_S;
@@ -42,12 +43,12 @@
             .collect()
     }
 
-    /// One line that names the settings that are too small for [`TARGET_MACHINES`]; `None` if all are
-    /// large enough.
+    /// A warning of one line that names the settings that are too small for [`TARGET_MACHINES`]; `None` if
+    /// all settings are large enough.
     pub fn fleet_size_warning(&self) -> Option<String> {
         let too_small = self.settings_too_small_for(TARGET_MACHINES);
         let list = too_small.join(", ");
         (!too_small.is_empty())
-            .then(|| format!("the settings do not carry {TARGET_MACHINES} machines: {list}"))
+            .then(|| format!("the settings are too small for {TARGET_MACHINES} machines: {list}"))
     }
 }
