--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! Settings: the platform's JSON file and the operators' own HCL file. Both are checked in full
-//! before anything starts; a mistake is reported in one line that names the field.
+//! Settings: the platform's JSON file and the operators' own HCL file. Both files are validated completely
+//! before the controller starts. A mistake is reported in one line that names the field.
 
 mod cells;
 mod error;
@@ -25,21 +25,21 @@
 pub use server_limits::{FENCING_TOKEN_THREADS, HALT_THREADS};
 pub use service_limits::{CloudLimits, NextStateStoreLimits, ProcessLimits, StateStoreLimits};
 
-/// All settings, checked.
+/// All settings, validated.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The platform's file.
+    /// The settings in the platform's file.
     pub platform: PlatformConfig,
-    /// The operators' file, or its defaults.
+    /// The settings in the operators' file, or their defaults.
     pub operator: OperatorConfig,
 }
 
 impl Config {
-    /// Reads and checks both files; without an operators' file its defaults hold.
+    /// Reads and validates both files. Without an operators' file its settings have their defaults.
     ///
     /// # Errors
     ///
-    /// The first mistake in either file.
+    /// The first mistake found in either file.
     pub fn load(platform: &Path, operator: Option<&Path>) -> Result<Config, ConfigError> {
         let platform = PlatformConfig::parse(&read_file(platform)?, &platform.display().to_string())?;
         let operator = match operator {
@@ -49,34 +49,34 @@
         Ok(Config { platform, operator })
     }
 
-    /// How many controllers there are, this one included.
+    /// Number of controllers in the settings, this one included.
     pub fn controller_count(&self) -> usize {
         self.platform.members.len() + 1
     }
 
-    /// How long a worker's lease on its tasks lasts.
+    /// How long a worker keeps its tasks running without a reply to a heartbeat.
     pub fn worker_lease(&self) -> Micros {
         Micros::from_secs(self.platform.settings.workers.lease_s)
     }
 
-    /// How old the leader's view of the state store may be while it renews workers' leases: with an
-    /// older one it might miss cancellations for too long.
+    /// Maximum age of the leader's view of the state store while it renews workers' leases. With an older
+    /// view the leader could miss a cancellation for longer than the platform allows (`cancel_s`).
     pub fn max_staleness(&self) -> Micros {
         self.platform.settings.workers.max_staleness()
     }
 
-    /// Largest value of the state store, in bytes, under both its present and its next limits.
+    /// Maximum size of a value in the state store, in bytes, under both its current and its next limits.
     pub fn max_value_bytes(&self) -> usize {
         (self.platform.settings.state.min_value_kb() * 1024.0) as usize
     }
 
-    /// Most puts and deletes in a transaction of the state store, under both its present and its next
-    /// limits.
+    /// Maximum number of puts and deletes in a transaction of the state store, under both its current and its
+    /// next limits.
     pub fn max_txn_ops(&self) -> usize {
         self.platform.settings.state.min_txn_ops()
     }
 
-    /// A team by name.
+    /// The settings of a team; `None` if no team has this name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.platform.settings.teams.iter().find(|team| team.name == name)
     }
