--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' own settings file (HCL). All settings have defaults; unknown ones are refused.
+//! The operators' own settings file (HCL). All settings have defaults. Unknown settings are an error.
 
 use std::ops::RangeInclusive;
 
@@ -8,49 +8,54 @@
 use super::validation::{require_not_negative, require_positive};
 use super::{CellsSettings, ConfigError};
 
-/// Bounds of `leader_ttl_s`, in seconds.
+/// Allowed values of `leader_ttl_s`, in seconds.
 const LEADER_TTL_S: RangeInclusive<f64> = 1.0..=60.0;
-/// Bounds of `max_threads`.
+/// Allowed values of `max_threads`.
 const THREADS: RangeInclusive<usize> = MIN_THREADS..=1900;
-/// Bounds of `history_per_key`.
+/// Allowed values of `history_per_key`.
 const HISTORY_PER_KEY: RangeInclusive<usize> = 10..=10_000;
 
-/// The operators' own settings, all with defaults.
+/// The operators' own settings.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OperatorConfig {
-    /// How long the leader's lease lasts, in seconds.
+    /// Time to live of the leader's lease in the state store, in seconds.
     pub leader_ttl_s: f64,
-    /// A machine without a heartbeat for this long after a failover is scaled in, in seconds; `None` for
-    /// the time by which its worker's lease has expired.
+    /// Seconds after a failover until a machine that has not sent a heartbeat is scaled in. `None` means the
+    /// time by which the lease of its worker has expired.
     pub fence_after_s: Option<f64>,
-    /// Drain time: scale out aims to have waiting job arrays done within it, in seconds.
+    /// Drain time in seconds. Scale-out adds enough machines to finish the waiting job arrays within this
+    /// time.
     pub drain_s: f64,
-    /// An idle machine is scaled in after this time, in seconds.
+    /// Seconds after which an idle machine is scaled in.
     pub idle_s: f64,
-    /// The same for machine types that jobs use whose objective leaves no time to boot a machine, if
-    /// there are more machines than those jobs kept busy.
+    /// Seconds after which an idle machine is scaled in, for machine types used by jobs whose service-level
+    /// objective leaves no time to boot a machine. It applies to machines beyond the number that these jobs
+    /// have kept busy.
     pub idle_protected_s: f64,
-    /// The same for machine types that jobs with deadlines used recently: by the time another machine
-    /// is up and has their images, much of what a deadline leaves is gone.
+    /// Seconds after which an idle machine is scaled in, for machine types that jobs with deadlines have used
+    /// recently. Booting another machine and fetching the images would take much of the time that a deadline
+    /// leaves.
     pub idle_deadline_s: f64,
-    /// A machine that is not up after this many times its nominal boot time is no longer
-    /// counted on, so that scale out may add another.
+    /// Multiple of the nominal boot time after which a machine that has not booted no longer counts as
+    /// expected capacity, so that scale-out may add another machine.
     pub slow_boot: f64,
-    /// Most connections of users and workers at once; 0 derives it from the platform's limits.
+    /// Maximum number of open connections of users and workers. With 0 the number is derived from the
+    /// platform's limits. 1 is not allowed.
     pub max_connections: usize,
-    /// Most threads of this process at once, those of the controller's duties included.
+    /// Maximum number of threads of this process, including those of the controller's own duties.
     pub max_threads: usize,
-    /// Machines of a large type that low-priority tasks leave free, if that is more than the widest recent
-    /// gang takes.
+    /// Minimum number of machines of a large type that low-priority tasks leave free. If the widest recent
+    /// gang needs more machines, that number counts instead.
     pub keep_clear: usize,
-    /// Finished jobs stored for each key of the run-time history.
+    /// Number of finished jobs that the run-time history stores for each of its keys.
     pub history_per_key: usize,
-    /// False switches the adjustment of stated run times off (for measuring).
+    /// Whether the users' run-time estimates are corrected by the history. Switched off only for
+    /// measurements.
     pub adjust: bool,
-    /// False switches reservations off (for measuring).
+    /// Whether the planner makes reservations. Switched off only for measurements.
     pub reserve: bool,
-    /// Lending to and borrowing from other cells; `None` switches both off.
+    /// Loans to and from other cells; `None` switches both off.
     pub cells: Option<CellsSettings>,
 }
 
@@ -76,7 +81,7 @@
 }
 
 impl OperatorConfig {
-    /// Parses and checks the operators' HCL; `path` is named in the errors.
+    /// Parses and validates the operators' HCL file. `path` is the file's name in error messages.
     ///
     /// # Errors
     ///
@@ -105,7 +110,8 @@
         require_not_negative("idle_deadline_s", self.idle_deadline_s)?;
         require_positive("slow_boot", self.slow_boot)?;
         require_in_range("max_threads", &self.max_threads, &THREADS)?;
-        // An eighth of the connections is for users alone; of a single one nothing would be left.
+        // An eighth of the connections, at least one, is reserved for users. A single connection could
+        // therefore not be shared between users and workers.
         if self.max_connections == 1 {
             return Err(ConfigError::field("max_connections", "must be 0 or at least 2"));
         }
