--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,5 +1,4 @@
-//! The platform's settings file (JSON). Fields that are not listed here are ignored: new ones may
-//! come.
+//! The platform's settings file (JSON). Unknown fields are ignored, because later platforms may add some.
 
 use std::net::SocketAddr;
 
@@ -9,29 +8,29 @@
 use super::ConfigError;
 use crate::time::Micros;
 
-/// The platform's settings file.
+/// The content of the platform's settings file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PlatformConfig {
-    /// This controller's label.
+    /// Label of this controller, unique among the controllers.
     pub label: String,
-    /// This controller's zone; empty if none is named.
+    /// Zone of this controller; empty if the file names none.
     #[serde(default)]
     pub location: String,
-    /// Where users, workers and health checks connect.
+    /// Address at which this controller listens for users, workers and health checks.
     pub serve_on: SocketAddr,
-    /// Where the other controllers connect.
+    /// Address at which this controller listens for other controllers.
     pub internal_addr: SocketAddr,
-    /// The other controllers.
+    /// The other controllers of this cell.
     #[serde(default)]
     pub members: Vec<Member>,
-    /// Addresses of the regional services.
+    /// Addresses of the services that this controller uses.
     pub services: RegionalServices,
-    /// Everything else.
+    /// The settings that are the same for all controllers, and this process's limits.
     pub settings: ClusterSettings,
 }
 
 impl PlatformConfig {
-    /// Parses and checks the platform's JSON; `path` is named in the errors.
+    /// Parses and validates the platform's JSON file. `path` is the file's name in error messages.
     ///
     /// # Errors
     ///
@@ -45,84 +44,85 @@
     }
 }
 
-/// Another controller.
+/// Another controller of this cell.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Member {
-    /// Its label.
+    /// Label of the controller.
     pub label: String,
-    /// Its zone; empty if none is named.
+    /// Zone of the controller; empty if the file names none.
     #[serde(default)]
     pub location: String,
-    /// Where it listens for the other controllers.
+    /// Address at which the controller listens for other controllers.
     pub addr: SocketAddr,
 }
 
-/// Addresses of the regional services.
+/// Addresses of the services outside this cell.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RegionalServices {
-    /// The cloud's interface.
+    /// Address of the cloud's interface.
     pub cloud: SocketAddr,
-    /// The state store.
+    /// Address of the state store.
     pub state: SocketAddr,
 }
 
 /// The `settings` object of the platform's file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ClusterSettings {
-    /// How many controllers the cluster has at first.
+    /// Number of controllers when the cluster starts.
     #[serde(default)]
     pub initial_size: usize,
-    /// The names of the zones.
+    /// Names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The teams with their quotas.
+    /// The teams with their guarantees and quotas; their names are unique.
     pub teams: Vec<Team>,
-    /// The service-level objectives.
+    /// The service-level objectives, by class of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Intervals and time-outs of the workers.
+    /// Intervals and timeouts of the workers.
     pub workers: WorkerTimings,
-    /// The state store's limits.
+    /// Limits of the state store.
     pub state: StateStoreLimits,
-    /// The cloud's limits.
+    /// Limits of the cloud's interface.
     pub cloud: CloudLimits,
-    /// This process's limits.
+    /// Limits of this process.
     pub limits: ProcessLimits,
-    /// How far the time of day may be off, in milliseconds.
+    /// Maximum error of a machine's time of day, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
 }
 
-/// A team's guaranteed and highest use; zero means none.
+/// A team with its guarantee and its quota.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Team {
-    /// The team's name.
+    /// Name of the team; not empty.
     pub name: String,
-    /// Guaranteed processors.
+    /// Number of processors that the team is guaranteed; 0 for no guarantee.
     #[serde(default)]
     pub cpus: f64,
-    /// Quota: most processors its tasks may use; 0 for no limit.
+    /// Quota: maximum number of processors that the team's tasks may use; 0 for no limit.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed accelerator cards.
+    /// Number of accelerator cards that the team is guaranteed; 0 for no guarantee.
     #[serde(default)]
     pub gpus: f64,
-    /// Quota: most cards its tasks may use; 0 for no limit.
+    /// Quota: maximum number of accelerator cards that the team's tasks may use; 0 for no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// What a service-level objective limits.
+/// The quantity that a service-level objective limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum ObjectiveKind {
-    /// The time until a job starts (`wait`).
+    /// The time from submission until the job starts (`wait` in the settings).
     Start,
-    /// The time until a job ends (`finished`).
+    /// The time from submission until the job ends (`finished` in the settings).
     End,
-    /// The time until a job ends, as a multiple of its own deadline (`deadline`).
+    /// The time from submission until the job ends, as a multiple of the job's own deadline (`deadline` in
+    /// the settings).
     Deadline,
-    /// A kind that this version does not know; the objective is ignored.
+    /// A kind that this version does not know. The objective is ignored.
     Unknown,
 }
 
@@ -140,15 +140,15 @@
 /// A service-level objective for a class of jobs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What it limits.
+    /// The quantity that the objective limits.
     pub kind: ObjectiveKind,
-    /// The class of jobs.
+    /// Class of jobs to which the objective applies.
     #[serde(default)]
     pub class: String,
-    /// Seconds, where the kind has them.
+    /// Limit in seconds, for the kinds `wait` and `finished`.
     #[serde(default)]
     pub within_s: f64,
-    /// For deadlines: a multiple of the job's own.
+    /// Limit as a multiple of the job's own deadline, for the kind `deadline`.
     #[serde(default = "default_deadline_multiple")]
     pub times: f64,
 }
@@ -157,30 +157,32 @@
     1.0
 }
 
-/// Intervals and time-outs that workers keep to.
+/// Intervals and timeouts of the workers, which the platform sets.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerTimings {
     /// Seconds between heartbeats.
     pub report_s: f64,
-    /// Seconds a worker keeps its tasks without an answer to a heartbeat.
+    /// Duration of a worker's lease in seconds: a worker without a reply to a heartbeat for this long ends
+    /// its tasks.
     pub lease_s: f64,
-    /// Seconds a gang's task waits for the others.
+    /// Seconds for which a task waits for the other tasks of its gang to start.
     pub gang_wait_s: f64,
-    /// Seconds within which the tasks of a gang notice that one is lost.
+    /// Seconds within which the tasks of a gang detect that one of them is lost.
     pub gang_peer_s: f64,
-    /// Seconds within which a cancelled job's tasks must be gone.
+    /// Seconds after a cancellation within which all tasks of the job must have ended.
     pub cancel_s: f64,
 }
 
 impl WorkerTimings {
-    /// Part of a span by this process's clock that has passed for certain: clocks drift.
+    /// Fraction of a time span measured by this process's clock that has certainly passed, because clocks may
+    /// drift.
     const ELAPSED_FOR_CERTAIN: f64 = 0.998;
-    /// Seconds that a worker may take to end its tasks.
+    /// Seconds that a worker may take to end its tasks after its lease has expired.
     const WORKER_REACTION_S: f64 = 2.0;
 
-    /// How old the leader's view of the state store may be while it renews workers' leases. The last
-    /// renewal and the lease must fall within `cancel_s` of the last fresh view, with clock drift and
-    /// the worker's own reaction time allowed for.
+    /// Maximum age of the leader's view of the state store while it renews workers' leases. A lease renewed
+    /// at this age must have expired, and the worker's tasks must have ended, within `cancel_s` of the time
+    /// of the view. Clock drift and the worker's reaction time are deducted.
     pub(super) fn max_staleness(&self) -> Micros {
         let span_s = self.cancel_s - self.lease_s;
         Micros::from_secs(span_s * Self::ELAPSED_FOR_CERTAIN - Self::WORKER_REACTION_S)
