--- a/src/config/platform_validation.rs
+++ b/src/config/platform_validation.rs
@@ -1,4 +1,4 @@
-//! Checks of the platform's settings. The first mistake found is reported.
+//! Validation of the platform's settings. The first mistake found is reported.
 
 use super::platform::{ClusterSettings, PlatformConfig, Team, WorkerTimings};
 use super::service_limits::{CloudLimits, NextStateStoreLimits, ProcessLimits, StateStoreLimits};
@@ -6,25 +6,26 @@
 use super::ConfigError;
 use crate::time::Micros;
 
-/// Longest label of a controller, in bytes.
+/// Maximum length of a controller's label in bytes.
 const MAX_LABEL_LENGTH: usize = 100;
-/// Workers send a heartbeat after up to so many times their interval.
+/// A worker's heartbeats may be up to this many times `report_s` apart.
 const MAX_HEARTBEAT_DELAY_FACTOR: f64 = 1.25;
-/// With a shorter bound on acting without the state store a leader would answer hardly any heartbeat,
-/// since its view of the store is never fresher than the interval of its reads.
+/// Minimum of [`WorkerTimings::max_staleness`]. With a lower maximum the leader could hardly answer any
+/// heartbeat, because it reads the state store only at intervals and its view ages in between.
 const MIN_MAX_STALENESS: Micros = Micros::from_millis(400);
-/// Smallest limit of a value, in KiB: a job's record with the longest names that are usual fits.
+/// Minimum of `value_kb`, in KiB. A job's record with names of the usual maximum length fits into such a
+/// value.
 const MIN_VALUE_KB: f64 = 1.0;
-/// Smallest limit of a transaction's puts and deletes: claiming leadership takes three at once.
+/// Minimum of `txn_ops`. A claim to leadership needs three puts and deletes in one transaction.
 const MIN_TXN_OPS: usize = 4;
-/// Smallest limit of open sockets.
+/// Minimum of `max_sockets`.
 const MIN_SOCKETS: usize = 16;
 
 impl PlatformConfig {
     pub(super) fn validate(&self) -> Result<(), ConfigError> {
         let has_bad_length = self.label.is_empty() || self.label.len() > MAX_LABEL_LENGTH;
         if has_bad_length || self.label.contains(['/', ' ']) {
-            let reason = format!("must be 1 to {MAX_LABEL_LENGTH} bytes with no slash or space");
+            let reason = format!("must be 1 to {MAX_LABEL_LENGTH} bytes without slashes and spaces");
             return Err(ConfigError::field("label", reason));
         }
         self.validate_members()?;
@@ -35,7 +36,7 @@
         for (i, member) in self.members.iter().enumerate() {
             let is_repeated = self.members[..i].iter().any(|other| other.label == member.label);
             if is_repeated || member.label == self.label {
-                let reason = format!("{} is there twice", member.label);
+                let reason = format!("`{}` is the label of two controllers", member.label);
                 return Err(ConfigError::field(format!("members[{i}].label"), reason));
             }
         }
@@ -57,7 +58,7 @@
         for (i, team) in self.teams.iter().enumerate() {
             let path = format!("settings.teams[{i}]");
             if self.teams[..i].iter().any(|other| other.name == team.name) {
-                let reason = format!("{} is there twice", team.name);
+                let reason = format!("`{}` is the name of two teams", team.name);
                 return Err(ConfigError::field(format!("{path}.name"), reason));
             }
             team.validate(&path)?;
@@ -86,14 +87,14 @@
         require_not_negative("settings.workers.gang_peer_s", self.gang_peer_s)?;
         require_positive("settings.workers.cancel_s", self.cancel_s)?;
         if self.report_s * MAX_HEARTBEAT_DELAY_FACTOR >= self.lease_s {
-            let reason = "must be well below lease_s: leases would run out";
+            let reason = "must be less than four fifths of lease_s, or leases expire between heartbeats";
             return Err(ConfigError::field("settings.workers.report_s", reason));
         }
         if self.cancel_s <= self.lease_s {
-            return Err(ConfigError::field("settings.workers.cancel_s", "must be above lease_s"));
+            return Err(ConfigError::field("settings.workers.cancel_s", "must be greater than lease_s"));
         }
         if self.max_staleness() < MIN_MAX_STALENESS {
-            let reason = "must be at least 2.5 s above lease_s: no report could be answered";
+            let reason = "must be at least 2.5 s above lease_s, or no heartbeat can be answered";
             return Err(ConfigError::field("settings.workers.cancel_s", reason));
         }
         Ok(())
@@ -119,7 +120,7 @@
     }
 }
 
-/// Checks that the records fit the values, and changes that belong together a transaction.
+/// Checks that a job's record fits into a value, and all changes that must be atomic into one transaction.
 fn validate_sizes(path: &str, value_kb: f64, txn_ops: usize) -> Result<(), ConfigError> {
     if value_kb < MIN_VALUE_KB {
         let reason = format!("must be at least {MIN_VALUE_KB}");
