--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -1,8 +1,8 @@
-//! Checks of values that several settings share.
+//! Validation of numbers, shared by several settings.
 
 use super::ConfigError;
 
-/// Refuses all but finite numbers above zero.
+/// Returns an error unless the value is finite and above zero.
 pub(super) fn require_positive(field: &str, value: f64) -> Result<(), ConfigError> {
     if value.is_finite() && value > 0.0 {
         Ok(())
@@ -11,7 +11,7 @@
     }
 }
 
-/// Refuses all but finite numbers of at least zero.
+/// Returns an error unless the value is finite and at least zero.
 pub(super) fn require_not_negative(field: &str, value: f64) -> Result<(), ConfigError> {
     if value.is_finite() && value >= 0.0 {
         Ok(())
