--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: runs a controller, or one of the commands for operators and users.
+//! The command line. Runs a controller, or one of the commands for operators and users.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -19,14 +19,14 @@
 use crate::time::Micros;
 use crate::wire::WRITE_OFF_PATH;
 
-/// Schedules jobs on rented machines.
+/// Schedules jobs on cloud machines.
 #[derive(Parser, Debug)]
 #[command(name = "milletlock", version, args_conflicts_with_subcommands = true)]
 struct Args {
     /// Run a controller with the platform's settings (JSON)
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operators' own settings (HCL); MILLETLOCK_OPERATOR names them too
+    /// The operators' own settings (HCL); the default is the file named by MILLETLOCK_OPERATOR, if it is set
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
     #[command(subcommand)]
@@ -35,7 +35,7 @@
 
 #[derive(Subcommand, Debug)]
 enum Command {
-    /// Check settings and say what they amount to
+    /// Validate the settings and print a summary of them
     Check {
         /// The platform's settings (JSON)
         #[arg(long, value_name = "FILE")]
@@ -44,35 +44,35 @@
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
     },
-    /// Show shards, machines, queue, reservation and A, for people on call
+    /// Show a controller's status for operators: shards, and on the leader machines, waiting jobs and reservation
     Status {
         /// A controller's address for the other controllers
         #[arg(long, value_name = "IP:PORT", default_value = "127.0.0.1:8081")]
         internal: SocketAddr,
-        /// Only what belongs to this team
+        /// Show only the jobs of this team
         #[arg(long)]
         team: Option<String>,
     },
-    /// Make an HTML page of the recoveries in a log that was written with LOG_FORMAT=json
+    /// Write an HTML report of the recoveries in a log that was written with LOG_FORMAT=json
     Report {
-        /// The log
+        /// The log file
         file: PathBuf,
-        /// Where to write the page
+        /// The HTML file to write
         #[arg(long, value_name = "FILE", default_value = "recovery.html")]
         output: PathBuf,
     },
-    /// Write off what a cell that is lost for good holds: it runs here again
+    /// Write off all loans to a cell that is lost for good; the lent tasks run in this cell again
     WriteOff {
         /// The lost cell's name
         cell: String,
-        /// The leading controller's address for the other controllers
+        /// The leader's address for the other controllers
         #[arg(long, value_name = "IP:PORT", default_value = "127.0.0.1:8081")]
         internal: SocketAddr,
-        /// The cell is lost for good; if it is not, its tasks may run twice
+        /// Confirm that the cell is lost for good; if it is not, the lent tasks may run twice
         #[arg(long)]
         lost_for_good: bool,
     },
-    /// Submit, show or cancel a job on a running service
+    /// Submit, show or cancel a job through a running controller
     Job {
         /// A controller's address for users
         #[arg(long, value_name = "IP:PORT", default_value = "127.0.0.1:8080")]
@@ -86,10 +86,10 @@
 enum JobCommand {
     /// Submit a job described in a JSON file
     Submit {
-        /// The file; - for standard input
+        /// The file, or - for standard input
         file: PathBuf,
     },
-    /// Show a job
+    /// Show the status of a job
     Show {
         /// The job's id
         id: String,
@@ -102,22 +102,23 @@
     },
 }
 
-/// Exit code for mistakes in arguments or settings.
+/// Exit code for mistakes in arguments, files or settings.
 const EXIT_USAGE: u8 = 2;
-/// Exit code for failures while running.
+/// Exit code for failures of a running controller or command.
 const EXIT_FAILURE: u8 = 1;
 
-/// How long a controller or the service has to answer a command.
+/// Timeout of a command's call to a controller.
 const CALL_TIMEOUT: Micros = Micros::from_millis(5_000);
-/// How long the leader has to write off what a lost cell holds.
+/// Timeout of a write-off, for which the leader writes to the state store for each job with loans to the
+/// cell.
 const WRITE_OFF_TIMEOUT: Micros = Micros::from_millis(30_000);
 
-/// Runs the program.
+/// Parses the command line and runs a controller or a command.
 pub fn main() -> ExitCode {
     let args = Args::parse();
     match (args.command, args.config) {
         (None, Some(config)) => run(&config, args.operator),
-        (None, None) => fail(EXIT_USAGE, "--config FILE is needed to run a controller; see --help"),
+        (None, None) => fail(EXIT_USAGE, "running a controller needs --config FILE; see --help"),
         (Some(Command::Check { config, operator }), _) => check(&config, operator),
         (Some(Command::Status { internal, team }), _) => status(internal, team),
         (Some(Command::Report { file, output }), _) => report(&file, &output),
@@ -128,26 +129,26 @@
     }
 }
 
-/// Prints why a command failed; returns its exit code.
+/// Prints why the program failed and returns its exit code.
 fn fail(code: u8, reason: impl std::fmt::Display) -> ExitCode {
     eprintln!("milletlock: {reason}");
     ExitCode::from(code)
 }
 
-/// Loads the settings; the operators' own are named by an argument or the environment.
+/// Loads the settings. The operators' file is named by an argument or by `MILLETLOCK_OPERATOR`.
 fn load_config(config: &Path, operator: Option<PathBuf>) -> Result<Config, ConfigError> {
     let operator = operator.or_else(|| std::env::var_os("MILLETLOCK_OPERATOR").map(PathBuf::from));
     Config::load(config, operator.as_deref())
 }
 
-/// Starts the log on standard error, at the level and in the form that the environment names.
+/// Starts logging to standard error, at the level in `LOG_LEVEL` and in the format in `LOG_FORMAT`.
 fn start_log() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
         Ok("info") => tracing::Level::INFO,
         _ => tracing::Level::WARN,
     };
-    // Whoever collects the log adds the time to each line.
+    // Lines carry no timestamps: the log collector adds them.
     let log = tracing_subscriber::fmt()
         .with_max_level(level)
         .with_writer(std::io::stderr)
@@ -160,7 +161,7 @@
     };
 }
 
-/// Runs a controller.
+/// Runs a controller until it is asked to end.
 fn run(config: &Path, operator: Option<PathBuf>) -> ExitCode {
     let config = match load_config(config, operator) {
         Ok(config) => config,
@@ -180,17 +181,19 @@
     }
 }
 
-/// Has the first signal to end set `stop`; the next one ends the process at once.
+/// Registers the signal handlers: the first SIGTERM or SIGINT sets `stop`, the second ends the process at
+/// once.
 fn stop_on_signals(stop: &Arc<AtomicBool>) -> std::io::Result<()> {
     for signal in [SIGTERM, SIGINT] {
-        // In this order: the action that is registered first runs first, and finds the flag not set yet.
+        // The order matters. Actions run in the order of registration, so that at the first signal the
+        // conditional shutdown finds the flag not yet set.
         flag::register_conditional_shutdown(signal, i32::from(EXIT_FAILURE), stop.clone())?;
         flag::register(signal, stop.clone())?;
     }
     Ok(())
 }
 
-/// Checks the settings.
+/// Validates the settings and prints a summary.
 fn check(config: &Path, operator: Option<PathBuf>) -> ExitCode {
     match load_config(config, operator) {
         Ok(config) => {
@@ -201,12 +204,12 @@
     }
 }
 
-/// Prints what the settings amount to.
+/// Prints the main figures that follow from the settings.
 fn print_summary(config: &Config) {
     let settings = &config.platform.settings;
     println!(
-        "ok: {} of {} controllers, {} teams, {} zones; renews workers for {:.1} s without the state service; \
-         room for {} connections, {} of them workers', on {} threads",
+        "ok: {} of {} controllers, {} teams, {} zones; renews workers' leases for {:.1} s without \
+         the state store; up to {} connections, {} of them for workers, and {} threads",
         config.platform.label,
         config.controller_count(),
         settings.teams.len(),
@@ -218,7 +221,7 @@
     );
     if let Some(cells) = &config.operator.cells {
         println!(
-            "cell {}: {} other cells, lends {:?}, borrows {:?} up to {} processors",
+            "cell {}: {} other cells, lends classes {:?}, borrows classes {:?} on up to {} processors",
             cells.name,
             cells.others.len(),
             cells.lend,
@@ -231,13 +234,13 @@
     }
 }
 
-/// Prints a controller's status.
+/// Prints a controller's status as JSON.
 fn status(internal: SocketAddr, team: Option<String>) -> ExitCode {
     let path = team.map_or(STATUS_PATH.to_string(), |team| format!("{STATUS_PATH}/{team}"));
     let call = Call { method: "GET".into(), path, body: Vec::new() };
     match peer::call_once(internal, call, CALL_TIMEOUT) {
-        Ok(answer) => {
-            let status: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+        Ok(response) => {
+            let status: serde_json::Value = serde_json::from_slice(&response.body).unwrap_or_default();
             println!("{status:#}");
             ExitCode::SUCCESS
         }
@@ -245,7 +248,7 @@
     }
 }
 
-/// Writes the page of the recoveries in a log.
+/// Writes an HTML report of the recoveries in a log.
 fn report(file: &Path, output: &Path) -> ExitCode {
     let log = match std::fs::read(file) {
         Ok(log) => log,
@@ -263,28 +266,28 @@
     ExitCode::SUCCESS
 }
 
-/// Writes off what a lost cell holds.
+/// Asks the leader to write off all loans to a lost cell.
 fn write_off(internal: SocketAddr, cell: &str, lost_for_good: bool) -> ExitCode {
     if !lost_for_good {
-        let reason = "tasks that the cell still runs would run twice, and their results count twice; \
-                      say --lost-for-good if none of its machines runs any more";
+        let reason = "lent tasks that the cell still runs would run twice, and their results count twice; \
+                      confirm with --lost-for-good that none of its machines runs any more";
         return fail(EXIT_USAGE, reason);
     }
     let call = Call { method: "POST".into(), path: format!("{WRITE_OFF_PATH}{cell}"), body: Vec::new() };
     match peer::call_once(internal, call, WRITE_OFF_TIMEOUT) {
-        Ok(answer) => {
-            println!("{}", String::from_utf8_lossy(&answer.body));
-            if answer.status == u32::from(http::status::OK) {
+        Ok(response) => {
+            println!("{}", String::from_utf8_lossy(&response.body));
+            if response.status == u32::from(http::status::OK) {
                 ExitCode::SUCCESS
             } else {
-                fail(EXIT_FAILURE, format!("the controller answered {}", answer.status))
+                fail(EXIT_FAILURE, format!("the controller answered with status {}", response.status))
             }
         }
         Err(error) => fail(EXIT_FAILURE, format!("{internal}: {error}")),
     }
 }
 
-/// Submits, shows or cancels a job.
+/// Submits, shows or cancels a job and prints the response.
 fn job(server: SocketAddr, action: JobCommand) -> ExitCode {
     let client = Client::new(server, 1);
     let call = |method: &str, path: &str, body: Option<&[u8]>| client.call(method, path, body, CALL_TIMEOUT);
@@ -302,7 +305,7 @@
             if status < 300 {
                 ExitCode::SUCCESS
             } else {
-                fail(EXIT_FAILURE, format!("the service answered {status}"))
+                fail(EXIT_FAILURE, format!("the controller answered with status {status}"))
             }
         }
         Err(error) => fail(EXIT_FAILURE, format!("{server}: {error}")),
