--- a/build.rs
+++ b/build.rs
@@ -1,5 +1,5 @@
-//! Generates the code of the gRPC protocol between controllers from `proto/peer.proto`. The parser is
-//! a Rust library: no `protoc` has to be installed.
+//! Generates the code of the gRPC protocol between controllers from `proto/peer.proto`. The `.proto` file is
+//! parsed by a Rust library, so that `protoc` need not be installed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/peer.proto");
