--- a/deploy/cells.hcl
+++ b/deploy/cells.hcl
@@ -1,28 +1,30 @@
-# Operators' settings of one cell of three. Given with --operator; each cell has a file of its own.
-# Without the block nothing is lent, borrowed, written or sent.
+# Example of the operators' settings of one of three cells. Each cell has its own file, given by --operator.
+# Without the cells block, the cell lends and borrows nothing, and sends no messages to other cells.
 cells {
   name = "north"
 
-  # The other cells, with the addresses at which their controllers hear other controllers.
+  # The other cells, with the addresses at which their controllers listen for other controllers.
   others = [
     { name = "south", controllers = ["10.2.0.1:8081", "10.2.0.2:8081", "10.2.0.3:8081"] },
     { name = "west", controllers = ["10.3.0.1:8081", "10.3.0.2:8081", "10.3.0.3:8081"] },
   ]
 
-  # Classes of arrays that may run elsewhere, and those that are taken on for others; "*" is all.
+  # Classes of job arrays that this cell lends to other cells and borrows from them; "*" means all classes.
   lend   = ["rating"]
   borrow = ["rating"]
 
-  # Processors' worth of borrowed tasks at a time. What is beyond is kept for own work.
+  # Maximum number of processors that borrowed tasks may use at a time. The other processors are reserved for
+  # this cell's own tasks.
   borrow_cpus = 64
 
-  # Nothing of a job is lent before it has waited this long, in seconds.
+  # Seconds that a job must have waited before any of its tasks are lent.
   lend_after_s = 15
 
-  # Optional: how many tasks of a job to lend to a cell now. It sees numbers only (docs/operating-cells.md).
+  # Optional script that returns how many tasks of a job to lend to a cell now. Its input is numbers only
+  # (docs/operating-cells.md).
   script = <<-EOT
     fn portion(view) {
-      // Short tasks are not worth the way.
+      // Tasks shorter than 5 s are not worth the cost of a loan.
       if view.task_s < 5.0 { return 0; }
       view.default_portion
     }
