--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,30 +1,33 @@
 //! milletlock: a cluster scheduler.
 //!
-//! A few controllers, one of them the leader, accept jobs, scale cloud machines out and in, and tell
-//! workers what to run. All that must outlive a process is kept in the platform's state store, a
-//! consensus-backed key-value store.
+//! A cell has a few controllers, one of which is the leader. All controllers accept jobs from users. The
+//! leader scales cloud machines out and in, and sends the workers on the machines commands to start and stop
+//! tasks. All state that must outlive a process is in the platform's state store, a consensus-backed
+//! key-value store.
 //!
 //! The modules by layer:
 //!
-//! * **Edge**, what is read and written outside the process. [`wire`] has the messages of every
-//!   interface and maps the protocols' names to the field's terms. [`http`] is the server and client,
-//!   [`peer`] the gRPC between controllers, [`loan_messages`] its messages about loans between cells,
-//!   [`cloud`] the client of the cloud. [`config`] reads the settings, [`cli`] the command line; [`api`]
-//!   is the users' interface, and [`report`] makes a page of the recoveries in a log. [`time`] tells
-//!   the steady clock from the time of day.
-//! * **State**, what is kept in the state store. [`state`] is its client, [`keys`] and [`records`] are
-//!   what is stored, [`job_changes`] how a live job's record is replaced or ended, [`packed_records`] and
-//!   [`task_ranges`] the compact forms, [`progress_copy`] the copies that outlast a version without loans.
-//!   [`live_jobs`] answers which jobs are live, [`store_contact`] whether a leader may still act, and
-//!   [`cancellation_notices`] holds what the other controllers have not acknowledged.
-//! * **Planner**, decisions without input or output. [`sched`] chooses the machine for each task (bin
-//!   packing, gang scheduling, quota, preemption), [`capacity`] what to scale out and in, and
-//!   [`history`] estimates run times.
-//! * **The leader's model** of jobs, tasks and machines. [`jobs`] holds one job, [`fleet`] all jobs and
-//!   machines, their reconciliation with heartbeats and what is to be written; [`direct_command`] is
-//!   what it sends straight to workers. [`leadership`] claims and rebuilds the model from the state
-//!   store after a failover, and writes it back.
-//! * **Controller**, the process. [`controller`] runs the threads that connect all of these.
+//! * **Edge**: the interfaces to users, workers, other controllers, the cloud and operators. [`wire`] defines
+//!   the JSON messages of every interface and maps the names in the protocols to the usual terms. [`http`]
+//!   has the HTTP server and client, [`peer`] the gRPC calls between controllers, [`loan_messages`] their
+//!   messages about loans between cells, and [`cloud`] the client of the cloud. [`config`] reads the settings
+//!   and [`cli`] the command line. [`api`] is the users' interface. [`report`] writes an HTML page about the
+//!   recoveries in a log. [`time`] has separate types for the monotonic clock and the time of day.
+//! * **State**: access to the state store. [`state`] is its client. [`keys`] and [`records`] define the keys
+//!   and values, [`packed_records`] and [`task_ranges`] their compact formats. [`job_changes`] builds the
+//!   transactions that replace or end a live job's record. [`progress_copy`] makes copies of the progress of
+//!   jobs with loans, which remain if a leader of a version without loans takes over. [`live_jobs`] tells
+//!   which jobs are live, and [`store_contact`] whether a leader has a recent enough view of the state store
+//!   to act. [`cancellation_notices`] has the cancellations that the other controllers have not yet
+//!   acknowledged.
+//! * **Planner**: decisions, without any input or output. [`sched`] chooses the machine for each task (bin
+//!   packing, gang scheduling, quotas, preemption), [`capacity`] decides which machines to scale out and in,
+//!   and [`history`] estimates run times.
+//! * **The leader's model** of jobs, tasks and machines. [`jobs`] models a single job. [`fleet`] has all jobs
+//!   and machines, reconciles them with heartbeats and collects the pending writes. [`direct_command`]
+//!   defines the commands that go to workers between heartbeats. [`leadership`] wins the election, rebuilds
+//!   the model from the state store after a failover, and composes the writes to the state store.
+//! * **Controller**: the process. [`controller`] runs the threads that connect all other modules.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
