--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The milletlock program; everything is in the library, see [`milletlock::cli`].
+//! Entry point of the `milletlock` program. All code is in the library; see [`milletlock::cli`].
 
 #![forbid(unsafe_code)]
 
