--- a/src/report/chart.rs
+++ b/src/report/chart.rs
@@ -6,16 +6,16 @@
 
 /// Width and height of a chart, in pixels.
 const CHART_SIZE: (u32, u32) = (760, 260);
-/// Colours of the lines, in turn.
+/// Colors of the lines. A chart with more lines uses them again from the first.
 const COLORS: [RGBColor; 3] = [RGBColor(30, 100, 200), RGBColor(200, 60, 40), RGBColor(60, 140, 60)];
-/// The vertical axis ends above the greatest value by this factor.
+/// The end of the vertical axis as a multiple of the largest value.
 const HEADROOM: f64 = 1.05;
-/// Least extent of either axis.
+/// Minimum extent of either axis, in the unit of the axis.
 const MIN_EXTENT: f64 = 1.0;
-/// Length of a line's sample in the legend, in pixels.
+/// Length in pixels of the line beside a name in the legend.
 const LEGEND_LINE_LENGTH: i32 = 16;
 
-/// A value at a moment.
+/// A point of a chart's line.
 #[derive(Clone, Copy)]
 pub(super) struct Point {
     /// Seconds since the failover.
@@ -23,14 +23,14 @@
     pub(super) value: f64,
 }
 
-/// A line of a chart.
+/// The data of one line of a chart.
 pub(super) struct Series {
-    /// The line's name in the legend.
+    /// Name of the line in the legend.
     pub(super) name: &'static str,
     pub(super) points: Vec<Point>,
 }
 
-/// The SVG of a chart with a line for each series.
+/// Renders a chart with one line for each series, as SVG.
 pub(super) fn render_chart(title: &str, series: &[Series]) -> Result<String, ReportError> {
     let mut svg = String::new();
     draw(&mut svg, title, series).map_err(|error| ReportError::Chart(error.to_string()))?;
@@ -49,7 +49,7 @@
         .x_label_area_size(28)
         .y_label_area_size(48)
         .build_cartesian_2d(0.0..end, 0.0..top)?;
-    chart.configure_mesh().x_desc("seconds since the takeover").draw()?;
+    chart.configure_mesh().x_desc("seconds since the failover").draw()?;
     for (series, &color) in series.iter().zip(COLORS.iter().cycle()) {
         let line = series.points.iter().map(|point| (point.after_s, point.value));
         chart
