--- a/src/report/log.rs
+++ b/src/report/log.rs
@@ -1,15 +1,15 @@
-//! Reads the progress of recoveries from a controller's log.
+//! Reads the progress of recoveries after failovers from a controller's log.
 
 use serde::Deserialize;
 
 use super::{page, ReportError};
 
-/// Most lines of a log that are read.
+/// Maximum number of lines that are read from a log.
 const MAX_LINES: usize = 5_000_000;
-/// The message of the events that are read.
+/// Message of the log lines that contain a sample of a recovery.
 const RECOVERY_EVENT: &str = "recovery";
 
-/// A line of a log, as far as it is read.
+/// A log line in JSON: its message and all other fields.
 #[derive(Debug, Deserialize)]
 struct LogLine {
     message: String,
@@ -17,7 +17,8 @@
     fields: serde_json::Value,
 }
 
-/// How far a recovery had come at a moment, with the field names of the log.
+/// The progress of a recovery at one time. The fields have the names of the log's fields, and all counts are
+/// totals since the failover.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct RecoverySample {
@@ -25,79 +26,80 @@
     pub token: u64,
     /// Seconds since the failover.
     pub after_s: f64,
-    /// Machines that earlier leaders left.
+    /// Machines that the leader took over from earlier leaders.
     pub machines: u64,
-    /// Those of them that had neither reported nor been given up.
+    /// Number of these machines that have not sent a heartbeat since the failover and do not count as lost.
     pub unheard: u64,
-    /// Those of them that were given up.
+    /// Number of these machines that count as lost.
     pub lost: u64,
-    /// Tasks that were found on a machine and agree with the records.
+    /// Tasks found on a machine in agreement with the records.
     pub adopted: u64,
-    /// Tasks done at their workers but not recorded.
+    /// Discrepancies: tasks that were done on their machine but not recorded as done.
     pub finished: u64,
-    /// Tasks of jobs that have ended.
+    /// Discrepancies: tasks on a machine whose job has ended.
     pub job_over: u64,
-    /// Tasks that were recorded as done before.
+    /// Discrepancies: tasks on a machine that were already recorded as done.
     pub done_before: u64,
-    /// Tasks on two machines.
+    /// Discrepancies: tasks that were on two machines.
     pub placed_twice: u64,
-    /// Tasks that ended without success.
+    /// Discrepancies: tasks that had exited without success.
     pub failed: u64,
-    /// Gangs of which tasks were missing.
+    /// Discrepancies: gangs of which some tasks were missing.
     pub partial_gang: u64,
-    /// Machines that were given up, as discrepancies.
+    /// Discrepancies: machines that were lost.
     pub machine_lost: u64,
-    /// Orders to start a task so far.
+    /// Commands to start a task.
     pub starts: u64,
-    /// Orders to stop a task so far.
+    /// Commands to stop a task.
     pub halts: u64,
-    /// Orders to drop an exited task from the reports so far.
+    /// Commands to remove an exited task from the heartbeats.
     pub forgets: u64,
-    /// Seconds from the failover until every machine had reported or was lost.
+    /// Seconds from the failover until each machine had sent a heartbeat or counted as lost; none until then.
     pub settled_s: Option<f64>,
 }
 
 /// The number of discrepancies of one kind.
 pub(super) struct DiscrepancyCount {
-    /// The kind, as the page calls it.
+    /// Name of the kind on the page.
     pub(super) label: &'static str,
     pub(super) count: u64,
 }
 
 impl RecoverySample {
-    /// The numbers of discrepancies, by kind.
+    /// The number of discrepancies of each kind.
     pub(super) fn discrepancies(&self) -> [DiscrepancyCount; 7] {
         [
             ("done, not recorded", self.finished),
-            ("of a job that is over", self.job_over),
-            ("done before", self.done_before),
+            ("job has ended", self.job_over),
+            ("already recorded as done", self.done_before),
             ("on two machines", self.placed_twice),
             ("ended without success", self.failed),
-            ("gangs in part", self.partial_gang),
-            ("machines given up", self.machine_lost),
+            ("incomplete gangs", self.partial_gang),
+            ("machines lost", self.machine_lost),
         ]
         .map(|(label, count)| DiscrepancyCount { label, count })
     }
 
-    /// The number of discrepancies of all kinds.
+    /// The total number of discrepancies.
     pub(super) fn total_discrepancies(&self) -> u64 {
         self.discrepancies().iter().map(|kind| kind.count).sum()
     }
 }
 
-/// The recoveries in a log, and what could not be read of it.
+/// The recoveries in a log, and how much of the log could not be read.
 #[derive(Debug, Default)]
 pub struct RecoveryLog {
-    /// The samples of each recovery, in the order of the log; none of them is empty.
+    /// The samples of each recovery, in the order of the log. Each recovery has at least one sample.
     pub recoveries: Vec<Vec<RecoverySample>>,
-    /// Number of lines that are not log lines in JSON, or whose fields cannot be read.
+    /// Number of lines that are not log lines in JSON, and of recovery events with fields that cannot be
+    /// read.
     unreadable: usize,
-    /// Whether the last line is cut off.
+    /// Whether the last line is incomplete.
     is_cut_off: bool,
 }
 
 impl RecoveryLog {
-    /// Reads a log in JSON lines. Lines that cannot be read are counted and left out.
+    /// Reads a log with one JSON object per line. Lines that cannot be read are counted and skipped.
     pub fn read(bytes: &[u8]) -> Result<RecoveryLog, ReportError> {
         let text = String::from_utf8_lossy(bytes);
         if text.trim().is_empty() {
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Adds a sample to the recovery of its fencing token, or begins a new one.
+    /// Adds a sample to the last recovery if it has the same fencing token, otherwise to a new recovery.
     fn add_sample(&mut self, sample: RecoverySample) {
         match self.recoveries.last_mut().filter(|samples| samples[0].token == sample.token) {
             Some(samples) => samples.push(sample),
@@ -142,7 +144,7 @@
         }
     }
 
-    /// What of the log is left out, as the end of a sentence; empty if nothing is.
+    /// Text that says which parts of the log were skipped, to be appended to a sentence; empty if none were.
     pub fn omissions(&self) -> String {
         let mut omissions = String::new();
         if self.unreadable > 0 {
@@ -154,7 +156,7 @@
         omissions
     }
 
-    /// The HTML page of all recoveries.
+    /// Renders the HTML page of all recoveries.
     pub fn page(&self) -> Result<String, ReportError> {
         page::render(&self.recoveries, &self.omissions())
     }
