--- a/src/report/mod.rs
+++ b/src/report/mod.rs
@@ -1,5 +1,5 @@
-//! The report that `milletlock report` makes of a log: how recoveries after failovers went, as one
-//! self-contained HTML page.
+//! The report of `milletlock report`: one self-contained HTML page about the recoveries after failovers in a
+//! log.
 
 mod chart;
 mod log;
@@ -7,19 +7,19 @@
 
 pub use log::{RecoveryLog, RecoverySample};
 
-/// Why no page can be made.
+/// Why no report can be made of a log.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// There is nothing in the file.
+    /// The file is empty or contains only whitespace.
     #[error("the log is empty")]
     Empty,
-    /// No line is a log line in JSON.
-    #[error("no line of it is a log line in JSON; write the log with LOG_FORMAT=json")]
+    /// No line of the file is a log line in JSON.
+    #[error("no line is a log line in JSON; write the log with LOG_FORMAT=json")]
     NotALog,
-    /// It is a log, but has no event of a recovery.
-    #[error("the log tells of no recovery; it needs LOG_LEVEL=info, and a takeover of machines")]
+    /// The log contains no recovery event.
+    #[error("the log contains no recovery event; it must be written with LOG_LEVEL=info")]
     NoRecovery,
-    /// A chart cannot be drawn; the reason.
+    /// A chart cannot be drawn, for the reason given.
     #[error("a chart cannot be drawn: {0}")]
     Chart(String),
 }
