--- a/src/report/page.rs
+++ b/src/report/page.rs
@@ -4,10 +4,10 @@
 use super::log::RecoverySample;
 use super::ReportError;
 
-/// Least seconds between two samples by which a rate is computed.
+/// Minimum number of seconds between two samples that is used to compute a rate, to avoid division by zero.
 const MIN_INTERVAL_S: f64 = 0.001;
 
-/// The page: one section for each recovery, and a note on what of the log is left out.
+/// Renders the page: one section for each recovery, and a note on the parts of the log that were skipped.
 pub(super) fn render(recoveries: &[Vec<RecoverySample>], omissions: &str) -> Result<String, ReportError> {
     let mut sections = String::new();
     for samples in recoveries {
@@ -21,15 +21,15 @@
     Ok(format!(
         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Recoveries</title>\n\
          <style>body{{font:15px sans-serif;margin:2em auto;max-width:800px}}td,th{{padding:2px 12px 2px 0;\
-         text-align:left}}.note{{color:#a00}}</style></head>\n<body><h1>Recoveries after takeovers</h1>\n\
+         text-align:left}}.note{{color:#a00}}</style></head>\n<body><h1>Recoveries after failovers</h1>\n\
          {note}{sections}</body></html>\n"
     ))
 }
 
-/// The section on one recovery: totals, two charts and the discrepancies by kind.
+/// Renders the section on one recovery: totals, two charts and the number of discrepancies by kind.
 fn render_section(samples: &[RecoverySample]) -> Result<String, ReportError> {
     let Some(last) = samples.last() else { return Ok(String::new()) };
-    let orders = render_orders_chart(samples)?;
+    let commands = render_commands_chart(samples)?;
     let machines = render_machines_chart(samples)?;
     let totals = render_totals(last);
     let rows: String = last
@@ -38,20 +38,20 @@
         .map(|kind| format!("<tr><td>{}</td><td>{}</td></tr>", kind.label, kind.count))
         .collect();
     Ok(format!(
-        "<h2>Token {}</h2>\n<p>{totals}</p>\n{orders}\n{machines}\n\
-         <table><tr><th>difference</th><th>number</th></tr>{rows}</table>\n",
+        "<h2>Token {}</h2>\n<p>{totals}</p>\n{commands}\n{machines}\n\
+         <table><tr><th>discrepancy</th><th>number</th></tr>{rows}</table>\n",
         last.token,
     ))
 }
 
-/// The totals of a recovery in one sentence.
+/// Renders the totals of a recovery as one sentence.
 fn render_totals(last: &RecoverySample) -> String {
     let settled = match last.settled_s {
-        Some(after_s) => format!("all machines were heard or given up after {after_s:.1} s"),
-        None => format!("{} machines were not heard at the end of the log", last.unheard),
+        Some(after_s) => format!("all machines had reported or were lost after {after_s:.1} s"),
+        None => format!("{} machines had not reported by the end of the log", last.unheard),
     };
     format!(
-        "{} machines, {settled}; {} tasks adopted, {} differences; {} starts, {} halts, {} forgets.",
+        "{} machines, {settled}; {} tasks adopted, {} discrepancies; {} starts, {} halts, {} forgets.",
         last.machines,
         last.adopted,
         last.total_discrepancies(),
@@ -61,13 +61,13 @@
     )
 }
 
-fn render_orders_chart(samples: &[RecoverySample]) -> Result<String, ReportError> {
+fn render_commands_chart(samples: &[RecoverySample]) -> Result<String, ReportError> {
     let rates = |name, count: fn(&RecoverySample) -> u64| Series {
         name,
         points: rates_per_second(&points_of(samples, count)),
     };
     render_chart(
-        "orders a second",
+        "commands per second",
         &[
             rates("starts", |sample| sample.starts),
             rates("halts", |sample| sample.halts),
@@ -77,30 +77,30 @@
 }
 
 fn render_machines_chart(samples: &[RecoverySample]) -> Result<String, ReportError> {
-    let heard = |sample: &RecoverySample| sample.machines.saturating_sub(sample.unheard);
+    let reported = |sample: &RecoverySample| sample.machines.saturating_sub(sample.unheard);
     render_chart(
-        "machines heard, differences found",
+        "machines that have reported, discrepancies found",
         &[
-            Series { name: "heard", points: points_of(samples, heard) },
-            Series { name: "differences", points: points_of(samples, RecoverySample::total_discrepancies) },
+            Series { name: "reported", points: points_of(samples, reported) },
+            Series { name: "discrepancies", points: points_of(samples, RecoverySample::total_discrepancies) },
         ],
     )
 }
 
-/// A figure of each sample over the time since the failover.
-fn points_of(samples: &[RecoverySample], figure: impl Fn(&RecoverySample) -> u64) -> Vec<Point> {
-    samples.iter().map(|sample| Point { after_s: sample.after_s, value: figure(sample) as f64 }).collect()
+/// The points of one line: a count of each sample over the time since the failover.
+fn points_of(samples: &[RecoverySample], count: impl Fn(&RecoverySample) -> u64) -> Vec<Point> {
+    samples.iter().map(|sample| Point { after_s: sample.after_s, value: count(sample) as f64 }).collect()
 }
 
-/// From running totals to the change per second since the point before.
+/// Converts running totals to rates: the change per second since the previous point.
 fn rates_per_second(totals: &[Point]) -> Vec<Point> {
-    let mut before = Point { after_s: 0.0, value: 0.0 };
+    let mut previous = Point { after_s: 0.0, value: 0.0 };
     let mut rates = Vec::with_capacity(totals.len());
     for &total in totals {
-        let seconds = (total.after_s - before.after_s).max(MIN_INTERVAL_S);
-        let value = (total.value - before.value).max(0.0) / seconds;
+        let seconds = (total.after_s - previous.after_s).max(MIN_INTERVAL_S);
+        let value = (total.value - previous.value).max(0.0) / seconds;
         rates.push(Point { after_s: total.after_s, value });
-        before = total;
+        previous = total;
     }
     rates
 }
