--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Shared by the tests: settings and builders here, models of the parts of a cluster in the modules.
+//! Code shared by the tests: settings and builders in this file, models of the parts of a cluster in its
+//! modules.
 #![allow(dead_code)]
 
 pub mod cells;
@@ -29,12 +30,13 @@
 use milletlock::wire::{ExitReason, Heartbeat, JobSpec, MachineType, TaskStage, TaskStatus};
 use serde_json::{json, Value};
 
-/// The workers' lease in these settings.
+/// Duration of a worker's lease in [`platform_json`].
 pub const LEASE: Micros = Micros(22_000_000);
-/// How many processors the team `tight` may have in these settings.
+/// Quota of processors of the team `tight` in [`platform_json`].
 pub const TIGHT_LIMIT: usize = 6;
 
-/// A platform's settings file, with one limited and one free team.
+/// A platform's settings file. The team `tight` has a quota, the team `free` has none. The file has an
+/// unknown field, which is to be ignored.
 pub fn platform_json() -> Value {
     json!({
         "label": "c-0", "location": "north", "serve_on": "127.0.0.1:0", "internal_addr": "127.0.0.1:0",
@@ -56,12 +58,12 @@
     })
 }
 
-/// Checked settings.
+/// Validated settings.
 pub fn config() -> Arc<Config> {
     config_with(|_| ())
 }
 
-/// Checked settings, with changes to the platform's `settings`.
+/// Validated settings, with changes to the platform's `settings`.
 pub fn config_with(change: impl FnOnce(&mut Value)) -> Arc<Config> {
     let mut file = platform_json();
     change(&mut file["settings"]);
@@ -69,8 +71,8 @@
     Arc::new(Config { platform, operator: OperatorConfig::default() })
 }
 
-/// Checked settings under which a value holds so many KiB and a transaction eight changes, and from some
-/// moment on, without notice, a value so many fewer KiB and a transaction four changes.
+/// Validated settings with lower next limits of the state store. A value may have `value_kb` KiB and a
+/// transaction eight changes at first, later `next_value_kb` KiB and four changes.
 pub fn config_with_falling_limits(value_kb: f64, next_value_kb: f64) -> Arc<Config> {
     let mut settings = platform_json();
     settings["settings"]["state"] = json!({
@@ -81,7 +83,7 @@
     Arc::new(Config { platform, operator: OperatorConfig::default() })
 }
 
-/// A small and a large machine type, in both zones.
+/// The machine types `small` (4 processors) and `large` (16 processors), both available in both zones.
 pub fn types() -> Vec<MachineType> {
     let ty = |name: &str, cpus: f64| MachineType {
         name: name.into(),
@@ -98,7 +100,8 @@
     vec![ty("small", 4.0), ty("large", 16.0)]
 }
 
-/// A job of one-processor tasks.
+/// The description of a job of the team `free` with tasks of one processor. `n` is the number in the job's
+/// id.
 pub fn spec(n: u32, tasks: u32, shape: &str) -> JobSpec {
     let v = json!({
         "nameId": format!("wk-{n:06}"), "grain": "any", "owner": "free", "shape": shape, "rank": "normal",
@@ -106,15 +109,16 @@
         "breeds": null, "field": null, "oneZone": false, "spread": false, "gleanings": true,
         "expectS": 20.0, "stashEveryS": 0.0, "stashS": 0.0, "dueS": null
     });
-    JobSpec::parse(v.to_string().as_bytes()).expect("a good description")
+    JobSpec::parse(v.to_string().as_bytes()).expect("a valid job description")
 }
 
-/// A job's record.
+/// The record of a job that was submitted at time 0.
 pub fn record(spec: JobSpec) -> JobRecord {
     JobRecord::new(spec, 0)
 }
 
-/// A heartbeat of a small machine in the north.
+/// A heartbeat of a machine of type `small` in zone `north`. Each task has its name, attempt, stage and exit
+/// reason.
 pub fn heartbeat(
     machine: &str,
     sequence: u64,
