--- a/tests/end_to_end/controller.rs
+++ b/tests/end_to_end/controller.rs
@@ -1,4 +1,4 @@
-//! A controller that runs on loopback, and the state store that it uses.
+//! Starts real controllers on loopback and the simulated state store that they use.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -19,13 +19,15 @@
 use crate::common::store::Store;
 use crate::common::{heartbeat, platform_json};
 
-/// The state store, as far as the controller uses it.
-pub fn state_store(unavailable: Arc<AtomicBool>) -> SocketAddr {
-    counted_state_store(unavailable, Arc::default())
+/// Starts a simulated state store with the requests that a controller uses. While `unavailable` is set, it
+/// answers every request with status 503. Returns its address.
+pub fn start_state_store(unavailable: Arc<AtomicBool>) -> SocketAddr {
+    start_counting_state_store(unavailable, Arc::default())
 }
 
-/// The same, counting the reads that reply at once.
-pub fn counted_state_store(unavailable: Arc<AtomicBool>, reads: Arc<AtomicUsize>) -> SocketAddr {
+/// Like [`start_state_store`], and counts in `reads` the reads that are answered at once, without waiting for
+/// a change.
+pub fn start_counting_state_store(unavailable: Arc<AtomicBool>, reads: Arc<AtomicUsize>) -> SocketAddr {
     let (store, changed) = (Mutex::new(Store::default()), Condvar::new());
     serve(move |r| {
         if r.method == "GET" && (r.path.starts_with("/keys/") || r.path.ends_with("blockMs=0")) {
@@ -56,38 +58,41 @@
     })
 }
 
-/// A controller in this process.
+/// A controller that runs in this process.
 pub struct RunningController {
+    /// Address for users and workers.
     pub addr: SocketAddr,
+    /// Address for other controllers.
     pub internal: SocketAddr,
+    /// While set, the state store answers every request with status 503.
     pub unavailable: Arc<AtomicBool>,
 }
 
-/// A controller with a state store of its own.
+/// Starts a controller with its own state store and waits until it is healthy.
 pub fn start_controller() -> RunningController {
     let unavailable = Arc::new(AtomicBool::new(false));
-    let state = state_store(unavailable.clone());
+    let state = start_state_store(unavailable.clone());
     start_controller_with(state, unavailable, |_| {})
 }
 
-/// A controller on a given state store, with settings changed.
+/// Starts a controller on a given state store with changed settings, and waits until it is healthy.
 pub fn start_controller_with(
     state: SocketAddr,
     unavailable: Arc<AtomicBool>,
     change: impl Fn(&mut Value),
 ) -> RunningController {
-    let s = start_controller_unready(state, unavailable, change);
-    until("the controller is up", || s.get("/up").0 == 200);
-    s
+    let controller = start_controller_unready(state, unavailable, change);
+    until("the controller is healthy", || controller.get("/up").0 == 200);
+    controller
 }
 
-/// The same without waiting until it is up.
+/// Like [`start_controller_with`], but does not wait until the controller is healthy.
 pub fn start_controller_unready(
     state: SocketAddr,
     unavailable: Arc<AtomicBool>,
     change: impl Fn(&mut Value),
 ) -> RunningController {
-    // Bound here and handed over, so that no other test can take the port in between.
+    // The ports are bound here, so that no other test can take them before the controller listens.
     let bind = || TcpListener::bind("127.0.0.1:0").expect("a port");
     let (users, others) = (bind(), bind());
     let at = |l: &TcpListener| l.local_addr().expect("an address");
@@ -101,17 +106,18 @@
     RunningController { addr, internal, unavailable }
 }
 
-/// Waits for a condition that is bound to come; the deadline only ends a broken run.
+/// Waits until a condition holds. Fails after 20 seconds, far longer than any condition takes.
 pub fn until(what: &str, mut f: impl FnMut() -> bool) {
     let deadline = Instant::now() + Duration::from_secs(20);
     while !f() {
-        assert!(Instant::now() < deadline, "never: {what}");
+        assert!(Instant::now() < deadline, "did not happen within 20 s: {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
 impl RunningController {
-    /// Sends a request as a user or worker; 0 if there is no response.
+    /// Sends a request as a user or worker. Returns the response's status and JSON body; the status is 0
+    /// without a response.
     pub fn call(&self, method: &str, path: &str, body: Option<&[u8]>) -> (u16, Value) {
         match Client::new(self.addr, 0).call(method, path, body, Micros::from_secs(10.0)) {
             Ok(response) => (response.status, serde_json::from_slice(&response.body).unwrap_or(Value::Null)),
@@ -119,7 +125,7 @@
         }
     }
 
-    /// Reads a path.
+    /// Sends a GET request.
     pub fn get(&self, path: &str) -> (u16, Value) {
         self.call("GET", path, None)
     }
@@ -129,7 +135,7 @@
         self.call("POST", "/api/jobs", Some(v.to_string().as_bytes()))
     }
 
-    /// Sends heartbeats of the only worker until there is a reply.
+    /// Sends a heartbeat of the only worker, and repeats it until there is a reply.
     pub fn send_heartbeat(
         &self,
         sequence: u64,
@@ -139,7 +145,7 @@
         let r = heartbeat("i-000001", sequence, fencing_token, tasks);
         let body = serde_json::to_vec(&r).expect("a heartbeat");
         let mut reply = None;
-        until("a heartbeat has a reply", || {
+        until("the heartbeat has a reply", || {
             let (status, v) = self.call("POST", "/checkin", Some(&body));
             reply = (status == 200).then(|| serde_json::from_value(v).expect("a reply"));
             reply.is_some()
