--- a/tests/end_to_end/jobs.rs
+++ b/tests/end_to_end/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs from their submission to their end, and what users are told of them.
+//! Jobs from their submission to their end, and the responses that users get.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -10,15 +10,15 @@
 use serde_json::{json, Value};
 
 use crate::common::spec;
-use crate::controller::{counted_state_store, start_controller, start_controller_with, until};
+use crate::controller::{start_controller, start_controller_with, start_counting_state_store, until};
 use crate::fields::{with_field, without_field};
 
 #[test]
-fn a_job_runs_to_its_end_and_an_outage_is_said_to_be_one() {
+fn a_job_runs_to_its_end_and_requests_in_an_outage_get_503() {
     let controller = start_controller();
     let job = json!(spec(1, 1, "batch"));
     assert_eq!(controller.submit(&job), (201, json!({ "nameId": "wk-000001", "stage": "queued" })));
-    // A repeat, whatever its body, is the known job.
+    // A repeated submission gets the status of the known job, whatever its body.
     let mut other = job.clone();
     other["kernels"] = json!(9);
     other["owner"] = json!("nobody");
@@ -41,20 +41,20 @@
     let mut started = None;
     until("the task is started", || {
         sequence += 1;
-        let r = controller.send_heartbeat(sequence, fencing_token, &[]);
-        fencing_token = r.fencing_token;
-        started = r.commands.iter().find_map(|o| match o {
+        let reply = controller.send_heartbeat(sequence, fencing_token, &[]);
+        fencing_token = reply.fencing_token;
+        started = reply.commands.iter().find_map(|command| match command {
             WorkerCommand::Start { task, attempt } => Some((task.clone(), *attempt)),
             _ => None,
         });
         started.is_some()
     });
-    let (task, attempt) = started.expect("a start");
+    let (task, attempt) = started.expect("a start command");
     controller.send_heartbeat(sequence + 1, fencing_token, &[(&task, attempt, TaskStage::Running, None)]);
     let v = controller.get("/api/jobs/wk-000001").1;
     assert_eq!((v["stage"].as_str(), v["running"].as_u64()), (Some("running"), Some(1)));
 
-    // People on call see it between controllers, users never.
+    // The status is served at the address for other controllers only, not to users.
     let call = Call { method: "GET".into(), path: "/status".into(), body: Vec::new() };
     let status = peer::call_once(controller.internal, call, Micros::from_secs(5.0)).expect("a status");
     let v: Value = serde_json::from_slice(&status.body).expect("JSON");
@@ -64,7 +64,7 @@
     controller.unavailable.store(true, Ordering::SeqCst);
     assert_eq!(controller.get("/api/jobs/wk-000001").0, 503);
     assert_eq!(controller.submit(&json!(spec(2, 1, "batch"))).0, 503);
-    // Workers are replied to all the same.
+    // Heartbeats are still answered during the outage.
     controller.send_heartbeat(sequence + 2, fencing_token, &[(&task, attempt, TaskStage::Running, None)]);
     controller.unavailable.store(false, Ordering::SeqCst);
 
@@ -88,11 +88,12 @@
     assert_eq!(controller.call("POST", "/api/jobs/wk-000009/withdraw", Some(b"{}")).0, 404);
 }
 
-/// Polls of a busy minute would take the whole share of the state store with a read for each.
+/// Guards against one read of the state store for each status request. The polls of a busy minute would then
+/// use up the controller's whole share of the state store's rate limits.
 #[test]
-fn polls_share_reads_and_never_lag_behind_what_a_user_was_told() {
+fn status_requests_share_reads_and_never_show_an_older_state_than_an_earlier_response() {
     let (unavailable, reads) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-    let state = counted_state_store(unavailable.clone(), reads.clone());
+    let state = start_counting_state_store(unavailable.clone(), reads.clone());
     let first = start_controller_with(state, unavailable.clone(), |_| {});
     let second = start_controller_with(state, unavailable, |p| p["label"] = json!("c-1"));
     for n in 1..=20 {
@@ -110,9 +111,9 @@
             });
         }
     });
-    let took = reads.load(Ordering::SeqCst) - before;
-    assert!(took < 100, "{took} reads for 400 polls");
-    // What one controller has said is known to the other at once, however short the time between.
+    let used = reads.load(Ordering::SeqCst) - before;
+    assert!(used < 100, "{used} reads for 400 status requests");
+    // A status request to one controller reflects a response of the other, however little time has passed.
     for n in 1..=20 {
         let (by, at) = if n % 2 == 0 { (&first, &second) } else { (&second, &first) };
         let path = format!("/api/jobs/{}", spec(n, 3, "batch").id);
