--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -1,5 +1,5 @@
-//! A whole controller on loopback, between stand-ins for the state store, the cloud and a worker: bad input
-//! of each kind, and a job from its submission to its end.
+//! Tests of whole controllers on loopback, with a simulated state store, cloud and worker: invalid input of
+//! each kind, jobs from their submission to their end, and outages.
 
 #[path = "../common/mod.rs"]
 mod common;
