--- a/tests/end_to_end/submissions.rs
+++ b/tests/end_to_end/submissions.rs
@@ -1,4 +1,4 @@
-//! What controllers accept and refuse.
+//! Which requests controllers accept and refuse.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,11 +13,11 @@
 use crate::common::servers::serve;
 use crate::common::spec;
 use crate::controller::{
-    start_controller, start_controller_unready, start_controller_with, state_store, until,
+    start_controller, start_controller_unready, start_controller_with, start_state_store, until,
 };
 use crate::fields::{with_field, without_field};
 
-/// Sends bytes that may be no request; what comes back.
+/// Sends bytes, which need not be a valid request, and returns the response as text.
 fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).expect("a connection");
     stream.write_all(bytes).expect("sent");
@@ -28,11 +28,11 @@
 }
 
 #[test]
-fn what_cannot_be_taken_is_refused_in_one_line() {
+fn invalid_requests_are_refused_with_an_error_of_one_line() {
     let controller = start_controller();
-    let good = json!(spec(1, 2, "batch"));
-    let with = |k: &str, v: Value| with_field(&good, k, v);
-    let without = |k: &str| without_field(&good, k);
+    let valid = json!(spec(1, 2, "batch"));
+    let with = |k: &str, v: Value| with_field(&valid, k, v);
+    let without = |k: &str| without_field(&valid, k);
     let cases = [
         (json!([1]), 400),
         (json!("x"), 400),
@@ -74,7 +74,7 @@
     let mut tight = with("owner", json!("tight"));
     tight["shape"] = json!("gang");
     tight["kernels"] = json!(7);
-    assert_eq!(controller.submit(&tight).0, 422, "a gang over its team's limit");
+    assert_eq!(controller.submit(&tight).0, 422, "a gang over its team's quota");
     assert_eq!(controller.call("POST", "/api/jobs", Some(b"{not json")).0, 400);
     assert_eq!(controller.get("/nowhere").0, 404);
     assert_eq!(controller.get("/api/jobs/wk-000404").0, 404);
@@ -85,41 +85,43 @@
     let huge = format!("POST /api/jobs HTTP/1.1\r\nContent-Length: {}\r\n\r\n", 70_000);
     assert!(
         send_raw(controller.addr, huge.as_bytes()).starts_with("HTTP/1.1 413"),
-        "refused before it is read"
+        "a body that is too long is refused before it is read"
     );
     assert!(send_raw(controller.addr, b"nonsense\r\n\r\n").starts_with("HTTP/1.1 400"));
-    // A connection that stops half-way costs only itself.
-    let mut half = TcpStream::connect(controller.addr).expect("a connection");
-    half.write_all(b"POST /api/jobs HTTP/1.1\r\nContent-Len").expect("sent");
+    // A connection that sends only part of a request does not affect other connections.
+    let mut incomplete = TcpStream::connect(controller.addr).expect("a connection");
+    incomplete.write_all(b"POST /api/jobs HTTP/1.1\r\nContent-Len").expect("sent");
     assert_eq!(controller.get("/up").0, 200);
 }
 
-/// Whether a job can run is not decided without the types, while a job accepted earlier stays accepted.
+/// Guards against deciding whether a new job can run before the machine types are known, and against refusing
+/// a repeat of an accepted submission in that time.
 #[test]
-fn without_machine_types_only_what_is_malformed_or_known_is_decided() {
+fn without_machine_types_only_malformed_and_repeated_submissions_are_decided() {
     let unavailable = Arc::new(AtomicBool::new(false));
-    let state = state_store(unavailable.clone());
+    let state = start_state_store(unavailable.clone());
     let first = start_controller_with(state, unavailable.clone(), |_| {});
     let known = json!(spec(1, 1, "batch"));
     assert_eq!(first.submit(&known).0, 201);
-    // Neither the cloud, where nobody listens, nor the state store tells the second one the types.
-    let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address");
-    let all_else = Client::new(state, 4);
+    // The second controller gets the machine types neither from the cloud, at whose address nothing listens,
+    // nor from the state store.
+    let unused_address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address");
+    let state_client = Client::new(state, 4);
     let without_types = serve(move |r| {
         if r.path == "/keys/catalog" {
             return Response::error(404, "no such key");
         }
         let body = (r.method == "POST").then_some(r.body.as_slice());
-        match all_else.call(&r.method, &r.path, body, Micros::from_secs(10.0)) {
+        match state_client.call(&r.method, &r.path, body, Micros::from_secs(10.0)) {
             Ok(ClientResponse { status, body }) => Response { status, body, retry_after: None },
             Err(e) => Response::error(503, &e.to_string()),
         }
     });
     let second = start_controller_unready(without_types, unavailable, |p| {
         p["label"] = json!("c-1");
-        p["services"]["cloud"] = json!(nobody);
+        p["services"]["cloud"] = json!(unused_address);
     });
-    until("it replies", || second.get("/up").0 == 503);
+    until("the second controller responds", || second.get("/up").0 == 503);
     let new = json!(spec(2, 1, "batch"));
     for undecided in
         [new.clone(), with_field(&new, "owner", json!("nobody")), with_field(&new, "cpus", json!(64.0))]
@@ -130,13 +132,13 @@
     for repeat in [known.clone(), without_field(&known, "spread"), with_field(&known, "cpus", json!(64.0))] {
         assert_eq!(second.submit(&repeat).0, 200, "{repeat}");
     }
-    assert_eq!(second.get("/up").0, 503, "it never learned them");
+    assert_eq!(second.get("/up").0, 503, "the second controller knows the machine types");
     assert_eq!(first.get("/api/jobs/wk-000002").0, 404);
 }
 
-/// The command line sends what its file holds and says what came of it.
+/// `milletlock job submit` sends the submission in its input and prints the response.
 #[test]
-fn the_command_line_submits_a_job() {
+fn the_submit_command_prints_the_response_and_fails_if_the_job_is_refused() {
     let controller = start_controller();
     let submit = |job: &Value| {
         let mut p = std::process::Command::new(env!("CARGO_BIN_EXE_milletlock"))
@@ -145,17 +147,17 @@
             .stdout(std::process::Stdio::piped())
             .stderr(std::process::Stdio::piped())
             .spawn()
-            .expect("the program");
-        let mut input = p.stdin.take().expect("its input");
+            .expect("the program starts");
+        let mut input = p.stdin.take().expect("the program's input");
         input.write_all(job.to_string().as_bytes()).expect("sent");
         drop(input);
-        let out = p.wait_with_output().expect("its end");
+        let out = p.wait_with_output().expect("the program ends");
         (out.status.code(), String::from_utf8_lossy(&out.stdout).into_owned())
     };
     let job = json!(spec(7, 1, "batch"));
-    let (code, said) = submit(&job);
-    assert!(code == Some(0) && said.contains("\"queued\""), "{code:?} {said}");
+    let (code, printed) = submit(&job);
+    assert!(code == Some(0) && printed.contains("\"queued\""), "{code:?} {printed}");
     assert_eq!(controller.get("/api/jobs/wk-000007").0, 200);
-    let (code, said) = submit(&without_field(&json!(spec(8, 1, "batch")), "grain"));
-    assert!(code == Some(1) && said.contains("grain: missing"), "{code:?} {said}");
+    let (code, printed) = submit(&without_field(&json!(spec(8, 1, "batch")), "grain"));
+    assert!(code == Some(1) && printed.contains("grain: missing"), "{code:?} {printed}");
 }
