--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -1,5 +1,5 @@
-//! Submissions: which fields must be there, what each may hold, and that records written by earlier
-//! versions are still read.
+//! Parsing and validation of submissions: which fields are required and which values they may have. Also
+//! checks that this version reads records written by earlier versions.
 
 mod common;
 
@@ -9,9 +9,11 @@
 use milletlock::wire::{JobSpec, Shape};
 use serde_json::{json, Value};
 
-/// Every field of a submission, written out here so that the program's own list is checked as well.
+/// Fields that may be null or left out, by their names on the wire. Together with [`REQUIRED`] these are all
+/// fields of a submission. They are listed here so that the tests also check the program's own list.
 const MAY_BE_NULL: [&str; 3] = ["breeds", "field", "dueS"];
-const MUST_BE_THERE: [&str; 17] = [
+/// Fields that a submission must contain, by their names on the wire.
+const REQUIRED: [&str; 17] = [
     "nameId",
     "grain",
     "owner",
@@ -30,8 +32,11 @@
     "stashEveryS",
     "stashS",
 ];
+/// Fields whose values are numbers of at least zero that may be fractions; `dueS`, which may be null, is not
+/// among them.
 const AMOUNTS: [&str; 7] = ["cpus", "cards", "ramGb", "pullGb", "expectS", "stashEveryS", "stashS"];
 
+/// A valid submission with all fields.
 fn full() -> Value {
     json!({
         "nameId": "wk-000412", "grain": "train", "owner": "vision", "shape": "gang", "rank": "urgent",
@@ -41,12 +46,14 @@
     })
 }
 
+/// A valid submission with one field changed.
 fn with(name: &str, v: Value) -> Value {
     let mut job = full();
     job[name] = v;
     job
 }
 
+/// A valid submission without one field.
 fn without(name: &str) -> Value {
     let mut job = full();
     job.as_object_mut().expect("an object").remove(name);
@@ -57,38 +64,39 @@
     JobSpec::parse(v.to_string().as_bytes()).map_err(|e| e.to_string())
 }
 
-/// The reason of a refusal: one line that names the field.
-fn refused(name: &str, v: &Value) -> String {
-    let why = parse(v).expect_err(&format!("taken: {v}"));
-    assert!(why.starts_with(name) && !why.contains('\n'), "{v}: {why:?}");
-    why
+/// Asserts that a submission is refused with a reason of one line that begins with the field's name. Returns
+/// the reason.
+fn refusal_reason(name: &str, v: &Value) -> String {
+    let reason = parse(v).expect_err(&format!("accepted: {v}"));
+    assert!(reason.starts_with(name) && !reason.contains('\n'), "{v}: {reason:?}");
+    reason
 }
 
 #[test]
 fn each_field_is_either_required_or_may_be_null() {
     let all: Vec<String> = full().as_object().expect("an object").keys().cloned().collect();
-    assert_eq!(all.len(), MAY_BE_NULL.len() + MUST_BE_THERE.len());
-    assert!(all.iter().all(|n| MAY_BE_NULL.contains(&n.as_str()) != MUST_BE_THERE.contains(&n.as_str())));
-    parse(&full()).expect("a good submission");
-    for name in MUST_BE_THERE {
-        assert_eq!(refused(name, &without(name)), format!("{name}: missing"));
-        assert_eq!(refused(name, &with(name, Value::Null)), format!("{name}: missing"));
+    assert_eq!(all.len(), MAY_BE_NULL.len() + REQUIRED.len());
+    assert!(all.iter().all(|n| MAY_BE_NULL.contains(&n.as_str()) != REQUIRED.contains(&n.as_str())));
+    parse(&full()).expect("a valid submission");
+    for name in REQUIRED {
+        assert_eq!(refusal_reason(name, &without(name)), format!("{name}: missing"));
+        assert_eq!(refusal_reason(name, &with(name, Value::Null)), format!("{name}: missing"));
     }
     for name in MAY_BE_NULL {
         let (left_out, null) = (parse(&without(name)), parse(&with(name, Value::Null)));
         assert_eq!(left_out, null);
         null.unwrap_or_else(|e| panic!("{name} may be null: {e}"));
     }
-    let mut least = full();
-    MAY_BE_NULL.iter().for_each(|n| drop(least.as_object_mut().and_then(|o| o.remove(*n))));
-    let least = parse(&least).expect("a submission without what may be null");
-    assert_eq!((least.types, least.zone, least.deadline_s), (None, None, None));
+    let mut minimal = full();
+    MAY_BE_NULL.iter().for_each(|n| drop(minimal.as_object_mut().and_then(|o| o.remove(*n))));
+    let minimal = parse(&minimal).expect("a submission without the fields that may be null");
+    assert_eq!((minimal.types, minimal.zone, minimal.deadline_s), (None, None, None));
 }
 
 #[test]
-fn no_field_takes_a_value_of_another_type() {
+fn a_value_of_the_wrong_type_is_refused_in_every_field() {
     let object = json!({ "a": 1 });
-    for name in MUST_BE_THERE.iter().chain(&MAY_BE_NULL) {
+    for name in REQUIRED.iter().chain(&MAY_BE_NULL) {
         let wrong = match *name {
             "oneZone" | "spread" | "gleanings" => vec![json!("true"), json!(1), json!([true])],
             "breeds" => vec![json!("large"), json!([1]), json!([null]), json!(true), json!([])],
@@ -100,36 +108,36 @@
             _ => vec![json!(7), json!(true), json!(["x"]), json!("")],
         };
         for v in wrong.into_iter().chain([object.clone()]) {
-            refused(name, &with(name, v));
+            refusal_reason(name, &with(name, v));
         }
     }
 }
 
 #[test]
-fn no_number_is_negative_or_without_end() {
+fn negative_infinite_and_out_of_range_numbers_are_refused() {
     for name in AMOUNTS.iter().chain(&["kernels", "dueS"]) {
-        refused(name, &with(name, json!(-1)));
-        refused(name, &with(name, json!(-0.5)));
-        for endless in ["1e999", "-1e999", "NaN", "Infinity", "-Infinity"] {
-            let text = with(name, json!("HERE")).to_string().replace("\"HERE\"", endless);
-            let why = JobSpec::parse(text.as_bytes()).expect_err(&text).to_string();
-            assert!(!why.is_empty() && !why.contains('\n'), "{why:?}");
+        refusal_reason(name, &with(name, json!(-1)));
+        refusal_reason(name, &with(name, json!(-0.5)));
+        for not_finite in ["1e999", "-1e999", "NaN", "Infinity", "-Infinity"] {
+            let text = with(name, json!("HERE")).to_string().replace("\"HERE\"", not_finite);
+            let reason = JobSpec::parse(text.as_bytes()).expect_err(&text).to_string();
+            assert!(!reason.is_empty() && !reason.contains('\n'), "{reason:?}");
         }
     }
     for tasks in [json!(0), json!(100_001), json!(4.5), json!(u64::MAX)] {
-        refused("kernels", &with("kernels", tasks));
+        refusal_reason("kernels", &with("kernels", tasks));
     }
     assert_eq!(parse(&with("kernels", json!(100_000))).expect("the most tasks").tasks, 100_000);
-    // Amounts may be written without a point.
+    // Numbers may be written without a decimal point.
     assert_eq!(parse(&with("cpus", json!(8))).expect("a whole number").cpus, 8.0);
 }
 
 #[test]
-fn only_a_service_may_be_without_an_estimate() {
+fn only_a_service_may_have_an_estimate_of_zero() {
     for shape in ["batch", "gang"] {
         let mut job = with("expectS", json!(0.0));
         job["shape"] = json!(shape);
-        refused("expectS", &job);
+        refusal_reason("expectS", &job);
     }
     for estimate in [0.0, 30.0] {
         let mut job = with("expectS", json!(estimate));
@@ -137,26 +145,27 @@
         let s = parse(&job).expect("a service");
         assert_eq!((s.shape, s.estimate_s), (Shape::Service, estimate));
         job["expectS"] = Value::Null;
-        refused("expectS", &job);
+        refusal_reason("expectS", &job);
     }
 }
 
 #[test]
-fn a_reason_is_one_short_line_whatever_was_sent() {
+fn a_refusal_reason_is_one_short_line_even_if_the_submission_is_long() {
     for name in ["shape", "rank"] {
-        let why = refused(name, &with(name, json!("\u{1}\n".repeat(15_000))));
-        assert!(why.chars().all(|c| !c.is_control()) && why.len() < 1000, "{} bytes", why.len());
+        let reason = refusal_reason(name, &with(name, json!("\u{1}\n".repeat(15_000))));
+        assert!(reason.chars().all(|c| !c.is_control()) && reason.len() < 1000, "{} bytes", reason.len());
     }
 }
 
-/// Records outlive the version that wrote them: an earlier one took submissions without these.
+/// Guards against job records becoming unreadable after an upgrade: earlier versions accepted submissions
+/// without some fields that are required now.
 #[test]
-fn a_record_without_fields_that_were_once_optional_is_still_read() {
+fn a_record_without_fields_that_were_once_optional_can_still_be_read() {
     let old = json!({
         "nameId": "wk-000412", "owner": "vision", "shape": "batch", "rank": "normal", "kernels": 16,
         "cpus": 1.0
     });
-    assert_eq!(refused("grain", &old), "grain: missing");
+    assert_eq!(refusal_reason("grain", &old), "grain: missing");
     let read = |spec: Value| -> JobRecord {
         let record = json!({ "spec": spec, "submitted_us": 5, "high": 2 });
         serde_json::from_value(record).expect("a record")
@@ -171,7 +180,7 @@
         null[name] = Value::Null;
         assert_eq!(read(null).spec, read(old.clone()).spec, "{name}");
     }
-    // What is written now is read back as it was.
+    // Records that this version writes are read back unchanged.
     let r = common::record(spec_of_full());
     assert_eq!(serde_json::from_value::<JobRecord>(json!(r)).expect("a record").spec, r.spec);
     assert_eq!(read(json!(spec(3, 1, "gang"))).spec, spec(3, 1, "gang"));
@@ -192,7 +201,7 @@
 }
 
 #[test]
-fn what_fits_no_machine_that_its_job_may_use_can_never_run() {
+fn a_job_whose_task_fits_no_machine_that_it_may_use_is_not_runnable() {
     let (cfg, mut types) = (config(), types());
     types[1].zones = vec!["north".into()];
     let check = |change: fn(&mut JobSpec)| {
@@ -205,7 +214,7 @@
     assert!(check(|s| s.cpus = 16.5).is_err());
     assert!(check(|s| s.memory_gb = 32.5).is_err());
     assert!(check(|s| s.gpus = 0.5).is_err());
-    // It fits a machine, but none of the allowed types or of the only allowed zone.
+    // The task fits a machine, but none of the allowed types or in the only allowed zone.
     assert!(check(|s| (s.cpus, s.types) = (16.0, Some(vec!["small".into()]))).is_err());
     assert!(check(|s| (s.cpus, s.zone) = (16.0, Some("south".into()))).is_err());
     assert_eq!(check(|s| (s.cpus, s.zone) = (16.0, Some("north".into()))), Ok(()));
@@ -213,12 +222,12 @@
     assert_eq!(check(|s| s.types = Some(vec!["unheard".into(), "small".into()])), Ok(()));
     assert!(check(|s| s.zone = Some("moon".into())).is_err());
     assert!(check(|s| s.team = "nobody".into()).is_err());
-    // The catalogue says nothing of what is to be had as an ordinary machine.
+    // The catalog does not say which types are available as ordinary machines, so this is not refused.
     assert_eq!(check(|s| s.spot = false), Ok(()));
 }
 
 #[test]
-fn gangs_and_services_need_all_their_tasks_within_the_teams_limit_and_arrays_one() {
+fn the_quota_must_allow_all_tasks_of_a_gang_or_service_and_one_task_of_an_array() {
     let (cfg, types) = (config(), types());
     let check = |shape: &str, tasks: u32, cpus: f64| {
         let mut s = spec(1, tasks, shape);
@@ -227,8 +236,8 @@
     };
     for shape in ["gang", "daemon"] {
         assert_eq!(check(shape, 6, 1.0), Ok(()), "{shape}");
-        assert!(check(shape, 7, 1.0).is_err_and(|why| why.to_string().contains("limit")), "{shape}");
+        assert!(check(shape, 7, 1.0).is_err_and(|reason| reason.to_string().contains("limit")), "{shape}");
     }
     assert_eq!(check("batch", 1000, 6.0), Ok(()));
-    assert!(check("batch", 1, 6.5).is_err_and(|why| why.to_string().contains("limit")));
+    assert!(check("batch", 1, 6.5).is_err_and(|reason| reason.to_string().contains("limit")));
 }
