--- a/deploy/cells.hcl
+++ b/deploy/cells.hcl
@@ -1,5 +1,6 @@
 # Example of the operators' settings of one of three cells. Each cell has its own file, given by --operator.
-# Without the cells block, the cell lends and borrows nothing, and sends no messages to other cells.
+# Without the cells block, the cell lends and borrows nothing, sends no messages to other cells and writes no
+# records of loans.
 cells {
   name = "north"
 
