--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -80,8 +80,8 @@
     Ok(Some(retry_later("the job is being cancelled; its loans to other cells are still open")))
 }
 
-/// Executes a transaction and returns its revision. Returns `None` if a guard failed, because the leader has
-/// written the record since it was read, or if the outcome is not known.
+/// Executes a transaction and returns its revision. Returns `None` if a guard failed, because the record has
+/// been written since it was read, usually by the leader. Also returns `None` if the outcome is not known.
 fn commit(backend: &dyn JobsBackend, txn: &Txn) -> Result<Option<u64>, StateStoreError> {
     match backend.state().txn(txn, RequestPriority::User) {
         Ok(TxnOutcome::Committed(revision)) => Ok(Some(revision)),
