--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -71,7 +71,8 @@
     Peer,
 }
 
-/// Answers a user's request, or relays it to another controller if the state store does not answer this one.
+/// Answers a user's request. If this controller gets no answer from the state store, relays the request to
+/// another controller.
 pub fn handle(backend: &dyn JobsBackend, request: &Request, origin: RequestOrigin) -> Response {
     let error = match route(backend, request) {
         Ok(response) => return response,
