--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -24,8 +24,7 @@
     /// Seconds after a failover until a machine that has not sent a heartbeat is scaled in. `None` means the
     /// time by which the lease of its worker has expired.
     pub fence_after_s: Option<f64>,
-    /// Drain time in seconds. Scale-out adds enough machines to finish the waiting job arrays within this
-    /// time.
+    /// Drain time in seconds: scale-out aims to finish the waiting job arrays within this time.
     pub drain_s: f64,
     /// Seconds after which an idle machine is scaled in.
     pub idle_s: f64,
@@ -110,8 +109,8 @@
         require_not_negative("idle_deadline_s", self.idle_deadline_s)?;
         require_positive("slow_boot", self.slow_boot)?;
         require_in_range("max_threads", &self.max_threads, &THREADS)?;
-        // An eighth of the connections, at least one, is reserved for users. A single connection could
-        // therefore not be shared between users and workers.
+        // An eighth of the connections is reserved for users. Of a single connection nothing would remain for
+        // workers.
         if self.max_connections == 1 {
             return Err(ConfigError::field("max_connections", "must be 0 or at least 2"));
         }
