--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -87,7 +87,7 @@
     pub cloud: CloudLimits,
     /// Limits of this process.
     pub limits: ProcessLimits,
-    /// Maximum error of a machine's time of day, in milliseconds.
+    /// Maximum error of the clock that tells the time of day, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
 }
