--- a/src/report/log.rs
+++ b/src/report/log.rs
@@ -17,8 +17,8 @@
     fields: serde_json::Value,
 }
 
-/// The progress of a recovery at one time. The fields have the names of the log's fields, and all counts are
-/// totals since the failover.
+/// The progress of a recovery at one time. The fields have the names of the log's fields. The counts of
+/// discrepancies and commands are totals since the failover.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct RecoverySample {
