--- a/src/report/mod.rs
+++ b/src/report/mod.rs
@@ -17,7 +17,7 @@
     #[error("no line is a log line in JSON; write the log with LOG_FORMAT=json")]
     NotALog,
     /// The log contains no recovery event.
-    #[error("the log contains no recovery event; it must be written with LOG_LEVEL=info")]
+    #[error("the log contains no recovery event; it needs LOG_LEVEL=info and a failover with machines")]
     NoRecovery,
     /// A chart cannot be drawn, for the reason given.
     #[error("a chart cannot be drawn: {0}")]
