--- a/src/wire/jobs.rs
+++ b/src/wire/jobs.rs
@@ -27,7 +27,7 @@
     Normal,
     /// Goes before normal jobs.
     Urgent,
-    /// Goes before all other jobs.
+    /// Goes before jobs of all other priorities.
     Critical,
 }
 
