--- a/tests/end_to_end/outages.rs
+++ b/tests/end_to_end/outages.rs
@@ -34,7 +34,8 @@
         first.send_heartbeat(1, 0, &[]).fencing_token + 1,
         second.send_heartbeat(2, 0, &[]).fencing_token
     );
-    // A heartbeat with the higher fencing token shows the first process that it no longer leads.
+    // A heartbeat with the higher fencing token shows the first process that it no longer leads. It never
+    // leads again.
     let with_newer_token = heartbeat("i-000001", 3, 2, &[]);
     let with_newer_token = serde_json::to_vec(&with_newer_token).expect("a heartbeat");
     assert_eq!(first.call("POST", "/checkin", Some(&with_newer_token)).0, 503);
