--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -127,7 +127,7 @@
     for tasks in [json!(0), json!(100_001), json!(4.5), json!(u64::MAX)] {
         refusal_reason("kernels", &with("kernels", tasks));
     }
-    assert_eq!(parse(&with("kernels", json!(100_000))).expect("the most tasks").tasks, 100_000);
+    assert_eq!(parse(&with("kernels", json!(100_000))).expect("the maximum number of tasks").tasks, 100_000);
     // Numbers may be written without a decimal point.
     assert_eq!(parse(&with("cpus", json!(8))).expect("a whole number").cpus, 8.0);
 }
