--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -29,7 +29,7 @@
 
 /// Looks a job up in the state store, unless this controller has cached its final record.
 pub(super) fn look_up(backend: &dyn JobsBackend, id: &str) -> Result<JobLookup, StateStoreError> {
-    if let Some(known) = backend.known_final(id) {
+    if let Some(known) = backend.cached_final_record(id) {
         return Ok(JobLookup::Final(known));
     }
     // The live record is read before the final record. One transaction removes the first and writes the
@@ -121,7 +121,7 @@
     if !is_job_id(id) {
         return Ok(no_such_job());
     }
-    if let Some(known) = backend.known_final(id) {
+    if let Some(known) = backend.cached_final_record(id) {
         return Ok(Response::json(status::OK, &final_status(id, known.record)));
     }
     match backend.live_jobs().presence(id, backend.state())? {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -41,7 +41,7 @@
     /// The ids of the live jobs, for status requests.
     fn live_jobs(&self) -> &LiveJobs;
     /// A job's final record, if this controller has cached it.
-    fn known_final(&self, id: &str) -> Option<StoredFinal>;
+    fn cached_final_record(&self, id: &str) -> Option<StoredFinal>;
     /// Caches a final record that was read from the state store. Final records never change.
     fn cache_final_record(&self, id: &str, ended: StoredFinal);
     /// Logs that the record under a key cannot be read. If this controller leads, its status lists it as
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -54,7 +54,7 @@
         None
     }
 
-    fn known_final(&self, id: &str) -> Option<StoredFinal> {
+    fn cached_final_record(&self, id: &str) -> Option<StoredFinal> {
         self.lock().final_records.get(id)
     }
 
