--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -75,7 +75,7 @@
         record.lending.cancelling = true;
         let txn = StoredJob { id: &id, mod_revision, placeholder_revision }.replace(&record);
         let Some(revision) = commit(backend, &txn)? else { return Ok(None) };
-        backend.job_written(&id, record, revision);
+        backend.announce_job_record(&id, record, revision);
     }
     Ok(Some(retry_later("the job is being cancelled; its loans to other cells are still open")))
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -53,7 +53,7 @@
     /// whether a new job can run.
     fn machine_types(&self) -> Option<Vec<MachineType>>;
     /// Passes a job record that this controller has written to the leader.
-    fn job_written(&self, id: &str, record: JobRecord, revision: u64);
+    fn announce_job_record(&self, id: &str, record: JobRecord, revision: u64);
     /// Notifies all controllers of a cancellation that this controller confirms to a user, so that the leader
     /// stops the job's remaining tasks.
     fn cancellation_confirmed(&self, id: &str, cancelled: StoredFinal);
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -81,7 +81,7 @@
     }
     match result? {
         TxnOutcome::Committed(revision) => {
-            backend.job_written(&id, record, revision);
+            backend.announce_job_record(&id, record, revision);
             Ok(Response::json(status::CREATED, &JobStage { id, stage: Stage::Queued }))
         }
         TxnOutcome::Conflict(_) => {
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    fn job_written(&self, id: &str, record: JobRecord, revision: u64) {
+    fn announce_job_record(&self, id: &str, record: JobRecord, revision: u64) {
         let leader = {
             let mut shared = self.lock();
             if let Some(leadership) = shared.leadership.as_mut() {
