--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -40,7 +40,7 @@
     if known.record.stage == Stage::Cancelled {
         // The controller that wrote the record may have received no reply from the state store, and in that
         // case has not notified the other controllers.
-        backend.cancellation_confirmed(id, known);
+        backend.announce_cancellation(id, known);
     }
     stage_response(id, known.record.stage)
 }
@@ -57,7 +57,7 @@
     let cancelled = FinalRecord { stage: Stage::Cancelled, tasks: record.spec.tasks };
     let txn = StoredJob::new(record, mod_revision).end(cancelled);
     let Some(revision) = commit(backend, &txn)? else { return Ok(None) };
-    backend.cancellation_confirmed(id, StoredFinal { record: cancelled, revision });
+    backend.announce_cancellation(id, StoredFinal { record: cancelled, revision });
     Ok(Some(stage_response(id, Stage::Cancelled)))
 }
 
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -56,7 +56,7 @@
     fn announce_job_record(&self, id: &str, record: JobRecord, revision: u64);
     /// Notifies all controllers of a cancellation that this controller confirms to a user, so that the leader
     /// stops the job's remaining tasks.
-    fn cancellation_confirmed(&self, id: &str, cancelled: StoredFinal);
+    fn announce_cancellation(&self, id: &str, cancelled: StoredFinal);
     /// Relays a request that this controller cannot answer to the other controllers, one after another.
     /// Returns `None` if none of them can answer it.
     fn relay_to_any(&self, request: &Request) -> Option<Response>;
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -103,7 +103,7 @@
 
     /// Called when this controller confirms to a user that a job is cancelled. Stops the job's tasks if this
     /// controller leads, and notifies all others, whichever of them leads.
-    fn cancellation_confirmed(&self, id: &str, cancelled: StoredFinal) {
+    fn announce_cancellation(&self, id: &str, cancelled: StoredFinal) {
         if self.peers.count() > 0 {
             let since = self.now();
             let StoredFinal { record, revision } = cancelled;
