--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::http::{status, Request, Response};
 use crate::wire::{
-    BorrowedStatus, CellsStatus, LentProgressStatus, LentStatus, OtherCellStatus, WriteOffReply,
+    BorrowedStatus, CellsStatus, LentLoanStatus, LentProgressStatus, OtherCellStatus, WriteOffReply,
     WRITE_OFF_PATH,
 };
 
@@ -110,10 +110,10 @@
 }
 
 /// The status of the open loans that this cell has made.
-fn lent_status(fleet: &Fleet) -> Vec<LentStatus> {
+fn lent_status(fleet: &Fleet) -> Vec<LentLoanStatus> {
     let of_job = |(job, lending): (&String, &Lending)| {
         let done = fleet.done_tasks(job);
-        let loan = |loan: &Loan| LentStatus {
+        let loan = |loan: &Loan| LentLoanStatus {
             job: job.clone(),
             cell: loan.borrower.clone(),
             number: loan.number.0,
--- a/src/wire/cells.rs
+++ b/src/wire/cells.rs
@@ -27,7 +27,7 @@
 
 /// An open loan of this cell to another cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LentStatus {
+pub struct LentLoanStatus {
     /// Id of the job.
     pub job: String,
     /// Name of the borrower.
@@ -64,7 +64,7 @@
     /// The other cells.
     pub others: Vec<OtherCellStatus>,
     /// Open loans to other cells.
-    pub lent: Vec<LentStatus>,
+    pub lent: Vec<LentLoanStatus>,
     /// Jobs of which this cell has borrowed tasks.
     pub borrowed: Vec<BorrowedStatus>,
     /// Number of task results of jobs with loans that workers have reported and that are not yet recorded.
