--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::http::{status, Request, Response};
 use crate::wire::{
-    BorrowedStatus, CellsStatus, LentLoanStatus, LentProgressStatus, OtherCellStatus, WriteOffReply,
+    BorrowedJobStatus, CellsStatus, LentLoanStatus, LentProgressStatus, OtherCellStatus, WriteOffReply,
     WRITE_OFF_PATH,
 };
 
@@ -127,10 +127,10 @@
 }
 
 /// The status of the jobs of which this cell has borrowed tasks.
-fn borrowed_status(fleet: &Fleet) -> Vec<BorrowedStatus> {
+fn borrowed_status(fleet: &Fleet) -> Vec<BorrowedJobStatus> {
     let of_job = |(job, record): (&String, &BorrowedJob)| {
         let tasks = record.tasks();
-        BorrowedStatus {
+        BorrowedJobStatus {
             job: job.clone(),
             lender: record.lender.clone(),
             tasks: tasks.len(),
--- a/src/wire/cells.rs
+++ b/src/wire/cells.rs
@@ -44,7 +44,7 @@
 
 /// A job of which this cell has borrowed tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BorrowedStatus {
+pub struct BorrowedJobStatus {
     /// Id of the job.
     pub job: String,
     /// Name of the lender.
@@ -66,7 +66,7 @@
     /// Open loans to other cells.
     pub lent: Vec<LentLoanStatus>,
     /// Jobs of which this cell has borrowed tasks.
-    pub borrowed: Vec<BorrowedStatus>,
+    pub borrowed: Vec<BorrowedJobStatus>,
     /// Number of task results of jobs with loans that workers have reported and that are not yet recorded.
     #[serde(default)]
     pub unrecorded_results: u32,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -64,7 +64,7 @@
 mod workers;
 
 pub use cells::{
-    BorrowedStatus, CellsStatus, LentLoanStatus, LentProgressStatus, OtherCellStatus, WriteOffReply,
+    BorrowedJobStatus, CellsStatus, LentLoanStatus, LentProgressStatus, OtherCellStatus, WriteOffReply,
     WRITE_OFF_PATH,
 };
 pub use cloud::{Catalog, ListedMachine, MachineList, MachineNames, MachineType, ScaleOutRequest};
