--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -91,7 +91,7 @@
 
 /// The status of a live job. It counts as running if any of its tasks runs, otherwise as queued.
 fn live_status(backend: &dyn JobsBackend, id: &str) -> JobStatus {
-    let counts = backend.counts(id);
+    let counts = backend.task_counts(id);
     let stage = if counts.running > 0 { Stage::Running } else { Stage::Queued };
     JobStatus { id: id.to_string(), stage, done: counts.done, running: counts.running }
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -48,7 +48,7 @@
     /// unreadable.
     fn report_unreadable_record(&self, key: &str, error: &dyn std::fmt::Display);
     /// Numbers of done and running tasks of a live job, for display; they may lag behind.
-    fn counts(&self, id: &str) -> JobProgress;
+    fn task_counts(&self, id: &str) -> JobProgress;
     /// The machine types of the catalog; `None` until they are known. Without them it cannot be decided
     /// whether a new job can run.
     fn machine_types(&self) -> Option<Vec<MachineType>>;
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -74,7 +74,7 @@
     }
 
     /// The fleet's counts if this controller leads, otherwise the counts that the leader announced.
-    fn counts(&self, id: &str) -> JobProgress {
+    fn task_counts(&self, id: &str) -> JobProgress {
         let shared = self.lock();
         match &shared.leadership {
             Some(leadership) => leadership.fleet.progress(id).unwrap_or_default(),
