--- a/src/controller/cells_status.rs
+++ b/src/controller/cells_status.rs
@@ -10,7 +10,8 @@
 use crate::fleet::Fleet;
 use crate::http::{status, Request, Response};
 use crate::wire::{
-    BorrowedStatus, CellsStatus, LentProgressStatus, LentStatus, OtherCellStatus, WrittenOff, WRITE_OFF_PATH,
+    BorrowedJobStatus, CellsStatus, LentLoanStatus, LentProgressStatus, OtherCellStatus, WriteOffReply,
+    WRITE_OFF_PATH,
 };
 
 impl Controller {
@@ -72,7 +73,7 @@
             };
             (leadership.term.fencing_token, unfinished_loans(&leadership.fleet, cell))
         };
-        let mut result = WrittenOff { cell: cell.to_string(), tasks: BTreeMap::new(), left: Vec::new() };
+        let mut result = WriteOffReply { cell: cell.to_string(), tasks: BTreeMap::new(), left: Vec::new() };
         for (job, tasks) in jobs {
             if self.write_off_job(fencing_token, cell, &job) {
                 result.tasks.insert(job, tasks);
@@ -109,10 +110,10 @@
 }
 
 /// The status of the open loans that this cell has made.
-fn lent_status(fleet: &Fleet) -> Vec<LentStatus> {
+fn lent_status(fleet: &Fleet) -> Vec<LentLoanStatus> {
     let of_job = |(job, lending): (&String, &Lending)| {
         let done = fleet.done_tasks(job);
-        let loan = |loan: &Loan| LentStatus {
+        let loan = |loan: &Loan| LentLoanStatus {
             job: job.clone(),
             cell: loan.borrower.clone(),
             number: loan.number.0,
@@ -126,12 +127,12 @@
 }
 
 /// The status of the jobs of which this cell has borrowed tasks.
-fn borrowed_status(fleet: &Fleet) -> Vec<BorrowedStatus> {
+fn borrowed_status(fleet: &Fleet) -> Vec<BorrowedJobStatus> {
     let of_job = |(job, record): (&String, &BorrowedJob)| {
         let tasks = record.tasks();
-        BorrowedStatus {
+        BorrowedJobStatus {
             job: job.clone(),
-            home: record.lender.clone(),
+            lender: record.lender.clone(),
             tasks: tasks.len(),
             done: tasks.intersection(&fleet.recorded_done_of_borrowed(job)).len(),
         }
@@ -145,7 +146,7 @@
     let closed = fleet.loans.lenders().map(|(cell, record)| (cell.clone(), record.finished));
     let mut finished: BTreeMap<String, u64> = closed.collect();
     for job in borrowed_status(fleet) {
-        *finished.entry(job.home).or_default() += u64::from(job.done);
+        *finished.entry(job.lender).or_default() += u64::from(job.done);
     }
     finished
 }
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -54,15 +54,15 @@
         None
     }
 
-    fn known_final(&self, id: &str) -> Option<StoredFinal> {
+    fn cached_final_record(&self, id: &str) -> Option<StoredFinal> {
         self.lock().final_records.get(id)
     }
 
-    fn learn_final(&self, id: &str, ended: StoredFinal) {
+    fn cache_final_record(&self, id: &str, ended: StoredFinal) {
         self.lock().final_records.insert(id, ended);
     }
 
-    fn note_unreadable(&self, key: &str, error: &dyn Display) {
+    fn report_unreadable_record(&self, key: &str, error: &dyn Display) {
         match self.lock().leadership.as_mut() {
             Some(leadership) => leadership.fleet.mark_unreadable(UnreadableRecord::Other, key, error),
             None => tracing::error!(key, %error, "record unreadable"),
@@ -74,7 +74,7 @@
     }
 
     /// The fleet's counts if this controller leads, otherwise the counts that the leader announced.
-    fn counts(&self, id: &str) -> JobProgress {
+    fn task_counts(&self, id: &str) -> JobProgress {
         let shared = self.lock();
         match &shared.leadership {
             Some(leadership) => leadership.fleet.progress(id).unwrap_or_default(),
@@ -82,7 +82,7 @@
         }
     }
 
-    fn job_written(&self, id: &str, record: JobRecord, revision: u64) {
+    fn announce_job_record(&self, id: &str, record: JobRecord, revision: u64) {
         let leader = {
             let mut shared = self.lock();
             if let Some(leadership) = shared.leadership.as_mut() {
@@ -103,7 +103,7 @@
 
     /// Called when this controller confirms to a user that a job is cancelled. Stops the job's tasks if this
     /// controller leads, and notifies all others, whichever of them leads.
-    fn cancellation_confirmed(&self, id: &str, cancelled: StoredFinal) {
+    fn announce_cancellation(&self, id: &str, cancelled: StoredFinal) {
         if self.peers.count() > 0 {
             let since = self.now();
             let StoredFinal { record, revision } = cancelled;
@@ -119,7 +119,7 @@
 impl Controller {
     /// Records a confirmed cancellation. If this controller leads, stops the job's remaining tasks.
     pub(super) fn apply_cancellation(&self, id: &str, cancelled: StoredFinal) {
-        self.learn_final(id, cancelled);
+        self.cache_final_record(id, cancelled);
         if let Some(leadership) = self.lock().leadership.as_mut() {
             leadership.fleet.apply_job_removal(id, cancelled.revision);
             self.wake.notify_all();
