--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -100,7 +100,11 @@
                 0 => {
                     let mut follower = world.follower();
                     world.earlier_version_leads();
-                    follower.hears_of_leader(if random.random_bool(0.5) { NO_VERSION } else { "0.3.0" });
+                    follower.receive_leader_announcement(if random.random_bool(0.5) {
+                        NO_VERSION
+                    } else {
+                        "0.3.0"
+                    });
                     note_heard(&mut heard, &machine, machine.held_results());
                     follower.heartbeat(&mut machine);
                     // Of a job whose record it can read, that version has nothing forgotten.
@@ -185,7 +189,7 @@
     world.earlier_version_leads();
     machine.lose_all();
     world.refuses_copies.store(false, Ordering::SeqCst);
-    leader.hears_of_leader(NO_VERSION);
+    leader.receive_leader_announcement(NO_VERSION);
     leader.keep_progress();
     world.earlier_version_leads();
     assert_none_runs_again(&world, &mut machine, &finished);
@@ -204,7 +208,7 @@
     world.remove_copies();
     let mark = production::marks_in(&world.store())[JOB];
     let mut follower = world.follower();
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     assert_eq!(world.copied_done(), world.recorded_done());
     let record = world.store().row(&format!("job/{JOB}")).expect("the job").value;
@@ -240,7 +244,7 @@
         assert!(matches!(outcome, TxnOutcome::Conflict(_)), "{outcome:?}");
     }
     let mut follower = world.follower();
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     let started: usize = machine.started.values().sum();
     let mut leader = world.leader();
@@ -277,7 +281,7 @@
     leader.begin_and_lend(&mut machine);
     raise_start_mark(&world);
     let mut follower = world.follower();
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     assert_eq!(world.copied_mark(), u64::from(TASKS));
     let revision = world.store().revision;
@@ -319,7 +323,7 @@
     leader.begin_and_lend(&mut machine);
     machine.finish_all();
     let mut follower = world.follower();
-    follower.hears_of_leader(env!("CARGO_PKG_VERSION"));
+    follower.receive_leader_announcement(env!("CARGO_PKG_VERSION"));
     follower.heartbeat(&mut machine);
     let revision = world.store().revision;
     follower.keep_progress();
--- a/tests/common/leader_without_copies.rs
+++ b/tests/common/leader_without_copies.rs
@@ -65,7 +65,7 @@
 pub fn follower_that_hears<'a>(world: &'a World, machine: &mut Machine) -> Leader<'a> {
     let mut follower = world.follower();
     world.earlier_version_leads();
-    follower.hears_of_leader(NO_VERSION);
+    follower.receive_leader_announcement(NO_VERSION);
     assert_ne!(follower.heartbeat(machine), 200, "a follower accepts no heartbeat");
     machine.lose_all();
     follower
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -400,7 +400,7 @@
 
 impl Leader<'_> {
     /// The leader that the records name announces itself, as a program of this version.
-    pub fn hears_of_leader(&self, version: &str) {
+    pub fn receive_leader_announcement(&self, version: &str) {
         let token = self.world.store().row(TERM_KEY).expect("a term").value["n"].as_u64().expect("a number");
         let summary = Summary { leader: "c-0".into(), token, version: version.into(), ..Summary::default() };
         self.controller.handle_peer_message(&PeerMessage::Announce(summary));
--- a/tests/held_jobs_before_0_3_3.rs
+++ b/tests/held_jobs_before_0_3_3.rs
@@ -154,7 +154,7 @@
     let machine = lent_job(&world);
     written_by_0_3_2(&world, Loans::Kept);
     let mut follower = world.follower();
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     let done: Vec<u32> = machine.started.keys().copied().collect();
     let text = common::production::ranges_text(&done.iter().copied().collect());
     let then = vec![Change::put(format!("done/{JOB}/0"), json!(text))];
--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -105,7 +105,7 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     world.leader().submit();
     let mut leader = world.follower();
-    leader.hears_of_leader("0.3.3");
+    leader.receive_leader_announcement("0.3.3");
     leader.fail_over();
     leader.lend_some(&mut machine);
 }
--- a/tests/progress_keeper.rs
+++ b/tests/progress_keeper.rs
@@ -50,12 +50,12 @@
     borrow_jobs(&world, 9);
     let mut follower = world.follower();
     assert_eq!(lent_progress(&follower), None, "before its first round a follower shows no numbers");
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     assert_eq!(lent_progress(&follower), Some((10, 2)), "one round copies the progress of eight jobs");
     follower.keep_progress();
     assert_eq!(lent_progress(&follower), Some((10, 0)));
-    follower.hears_of_leader("0.3.2");
+    follower.receive_leader_announcement("0.3.2");
     follower.keep_progress();
     assert_eq!(
         lent_progress(&follower),
@@ -72,7 +72,7 @@
     world.store().txn(&Txn { guards: Vec::new(), then: vec![unreadable] }).expect("written");
     world.leader();
     let mut follower = world.follower();
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     assert_eq!(lent_progress(&follower), Some((1, 1)));
 }
@@ -90,7 +90,7 @@
     let finished = machine.held_results();
     let mut follower = world.follower();
     world.earlier_version_leads();
-    follower.hears_of_leader(NO_VERSION);
+    follower.receive_leader_announcement(NO_VERSION);
     for index in 0..HEARTBEATS {
         let mut other = Machine::new("i-000002");
         let done =
--- a/tests/rows_of_0_3_0.rs
+++ b/tests/rows_of_0_3_0.rs
@@ -62,7 +62,7 @@
     let world = world_of_0_3_0();
     let mut follower = world.follower();
     world.elect_earlier();
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     assert_eq!(world.copied_done(), production::tasks_of_text("0-31"));
     assert!(kept_mark(&world) >= START_MARK);
