--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 
 use common::leader_without_copies::{
-    assert_none_runs_again, follower_that_hears, run_to_the_end, NO_VERSION,
+    assert_none_runs_again, follower_with_reported_results, run_to_the_end, NO_VERSION,
 };
 use common::lending_world::{Machine, World, JOB, SETTLED, TASKS};
 use common::worker::Task;
@@ -36,7 +36,7 @@
     leader.begin_and_lend(&mut machine);
     machine.finish_all();
     let finished = machine.held_results();
-    let mut follower = follower_that_hears(&world, &mut machine);
+    let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
     world.earlier_version_leads();
     assert_none_runs_again(&world, &mut machine, &finished);
@@ -50,7 +50,7 @@
     leader.begin_and_lend(&mut machine);
     machine.finish_all();
     let finished = machine.held_results();
-    let mut follower = follower_that_hears(&world, &mut machine);
+    let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.fail_over();
     follower.idle_step();
     let copied = world.copied_done();
@@ -74,7 +74,7 @@
     leader.steps(&mut machine, SETTLED);
     assert_eq!(machine.running(), BTreeSet::from([3]));
     machine.finish_all();
-    let mut follower = follower_that_hears(&world, &mut machine);
+    let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
     world.earlier_version_leads();
     let rows = world.store().rows("borrowed/done/wk-000005/");
@@ -162,7 +162,7 @@
     let finished = machine.held_results();
     let none = Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
     machine.state.tasks.insert((format!("{JOB}/{TASKS}"), 1), none);
-    let mut follower = follower_that_hears(&world, &mut machine);
+    let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
     assert!(world.copied_done().iter().all(|task| *task < TASKS), "{:?}", world.copied_done());
     follower.fail_over();
--- a/tests/common/leader_without_copies.rs
+++ b/tests/common/leader_without_copies.rs
@@ -62,7 +62,7 @@
 
 /// An earlier version takes the lead, the machine reports to a follower of this version first, and then has all its
 /// tasks halted and forgotten by that leader.
-pub fn follower_that_hears<'a>(world: &'a World, machine: &mut Machine) -> Leader<'a> {
+pub fn follower_with_reported_results<'a>(world: &'a World, machine: &mut Machine) -> Leader<'a> {
     let mut follower = world.follower();
     world.earlier_version_leads();
     follower.receive_leader_announcement(NO_VERSION);
--- a/tests/progress_keeper.rs
+++ b/tests/progress_keeper.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::leader_without_copies::{assert_none_runs_again, follower_that_hears, NO_VERSION};
+use common::leader_without_copies::{assert_none_runs_again, follower_with_reported_results, NO_VERSION};
 use common::lending_world::{Leader, Machine, World, SETTLED};
 use common::spec;
 use common::worker::Task;
@@ -122,7 +122,7 @@
             Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
         machine.state.tasks.insert((format!("{}/0", id(index)), 1), done);
     }
-    let mut follower = follower_that_hears(&world, &mut machine);
+    let mut follower = follower_with_reported_results(&world, &mut machine);
     let copied = || world.store().rows("borrowed/done/").len();
     let mut rounds = Vec::new();
     while copied() < JOBS && rounds.len() < JOBS {
