--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -82,7 +82,7 @@
     }
 
     /// It gives back, when it is next asked, what is not done there.
-    pub fn give_back_unfinished(&mut self) {
+    pub fn return_unfinished(&mut self) {
         self.gives_back = self.tasks().difference(&self.done);
     }
 
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -102,7 +102,7 @@
     assert!(mark > 0);
     world.earlier_version_leads();
     let mut leader = world.leader();
-    world.borrower().give_back_unfinished();
+    world.borrower().return_unfinished();
     world.borrower().is_full = true;
     for _ in 0..SETTLED {
         let row = world.store().row(&format!("job/{JOB}")).expect("the job");
--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -105,7 +105,7 @@
             leader.lend();
         }
         Step::CloseLastLoan => {
-            world.borrower().give_back_unfinished();
+            world.borrower().return_unfinished();
             leader.lend();
         }
         Step::WriteOff => {
--- a/tests/held_jobs.rs
+++ b/tests/held_jobs.rs
@@ -66,7 +66,7 @@
 /// The borrower gives all back and takes nothing more.
 fn close_loans(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     borrow_no_more(world, leader);
-    world.borrower().give_back_unfinished();
+    world.borrower().return_unfinished();
     for _ in 0..SETTLED {
         leader.lend();
         leader.steps(machine, 1);
