--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -127,14 +127,14 @@
                 3 => {
                     let mut borrower = world.borrower();
                     let free = borrower.tasks().difference(&borrower.done);
-                    borrower.gives_back = free.iter().filter(|_| random.random_bool(0.2)).collect();
+                    borrower.tasks_to_return = free.iter().filter(|_| random.random_bool(0.2)).collect();
                 }
                 _ => leader.steps(&mut machine, random.random_range(1..5)),
             }
             note_heard(&mut heard, &machine, machine.taken.clone());
             assert_not_started_since(&heard, &machine, seed);
         }
-        world.borrower().gives_back = TaskSet::new();
+        world.borrower().tasks_to_return = TaskSet::new();
         world.store().keys.remove(LEADER_KEY);
         run_to_the_end(&world, &mut world.leader(), &mut machine);
         assert_not_started_since(&heard, &machine, seed);
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -50,7 +50,7 @@
     /// Tasks that are done there.
     pub done: TaskSet,
     /// Tasks that it gives back as soon as it is told so by the test.
-    pub gives_back: TaskSet,
+    pub tasks_to_return: TaskSet,
     /// Whether it answers at all.
     pub is_cut_off: bool,
     /// Whether it says that it has no capacity, so that nothing more is lent to it.
@@ -72,7 +72,7 @@
             self.held.remove(&item.number);
         }
         if let Some(tasks) = self.held.get_mut(&item.number) {
-            *tasks = tasks.difference(&self.gives_back);
+            *tasks = tasks.difference(&self.tasks_to_return);
         }
         let state = match self.held.get(&item.number) {
             Some(tasks) => LoanState::Accepted { tasks: tasks.clone(), done: tasks.intersection(&self.done) },
@@ -83,7 +83,7 @@
 
     /// It gives back, when it is next asked, what is not done there.
     pub fn return_unfinished(&mut self) {
-        self.gives_back = self.tasks().difference(&self.done);
+        self.tasks_to_return = self.tasks().difference(&self.done);
     }
 
     /// All tasks that it holds.
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -131,7 +131,7 @@
     leader.lend_some(&mut machine);
     let lent = world.borrower().tasks();
     // All comes back and is begun here, but for the last task.
-    world.borrower().gives_back = lent.iter().take(lent.len() as usize - 1).collect();
+    world.borrower().tasks_to_return = lent.iter().take(lent.len() as usize - 1).collect();
     leader.lend();
     for _ in 0..TO_THE_END {
         machine.finish_all();
@@ -146,7 +146,7 @@
     // The machine cannot be asked; another one is there.
     let mut leader = world.leader();
     let mut other = Machine::new("i-000002");
-    world.borrower().gives_back = TaskSet::new();
+    world.borrower().tasks_to_return = TaskSet::new();
     for _ in 0..SETTLED {
         leader.step(&mut other);
         leader.lend();
@@ -256,7 +256,7 @@
     world.refuses_copies.store(true, Ordering::SeqCst);
     // One task stays lent.
     let held = world.borrower().tasks();
-    world.borrower().gives_back = held.iter().skip(1).collect();
+    world.borrower().tasks_to_return = held.iter().skip(1).collect();
     leader.lend();
     for _ in 0..TO_THE_END {
         machine.finish_all();
@@ -325,7 +325,7 @@
                 4 => {
                     let mut borrower = world.borrower();
                     let free = borrower.tasks().difference(&borrower.done);
-                    borrower.gives_back = free.iter().filter(|_| random.random_bool(0.2)).collect();
+                    borrower.tasks_to_return = free.iter().filter(|_| random.random_bool(0.2)).collect();
                 }
                 _ => leader.steps(&mut machine, random.random_range(1..5)),
             }
@@ -335,7 +335,7 @@
             let both: Vec<u32> = machine.running().into_iter().filter(|task| held.contains(*task)).collect();
             assert!(both.is_empty(), "seed {seed}: in both cells: {both:?}");
         }
-        world.borrower().gives_back = TaskSet::new();
+        world.borrower().tasks_to_return = TaskSet::new();
         run_to_the_end(&world, &mut leader, &mut machine);
         let again = started_again(&machine, &machine.taken);
         assert!(again.is_empty(), "seed {seed}: finished tasks start again: {again:?}");
--- a/tests/held_job_forms.rs
+++ b/tests/held_job_forms.rs
@@ -88,7 +88,7 @@
                 leader.steps(&mut machine, 2);
                 leader.lend();
                 let given_back = world.borrower().tasks().iter().take(2).collect();
-                world.borrower().gives_back = given_back;
+                world.borrower().tasks_to_return = given_back;
                 let before = world.job_row();
                 leader.lend();
                 assert_ne!(world.job_row(), before, "the loan was not settled");
@@ -124,7 +124,7 @@
         }
         most_lent.push(world.borrower().tasks().len());
         let given_back = world.borrower().tasks().iter().step_by(2).collect();
-        world.borrower().gives_back = given_back;
+        world.borrower().tasks_to_return = given_back;
         leader.lend();
         assert_values_fit(&world);
         play_to_the_end(&world, &mut leader, &mut machine);
--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -101,7 +101,7 @@
         Step::Lend => leader.lend(),
         Step::Settle => {
             let borrowed = world.borrower().tasks();
-            world.borrower().gives_back = borrowed.iter().take(2).collect();
+            world.borrower().tasks_to_return = borrowed.iter().take(2).collect();
             leader.lend();
         }
         Step::CloseLastLoan => {
--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -198,7 +198,7 @@
         let mut borrower = self.world.borrower();
         let free = borrower.tasks().difference(&borrower.done);
         let share = if self.random.random_bool(0.5) { 1.0 } else { 0.3 };
-        borrower.gives_back = free.iter().filter(|_| self.random.random_bool(share)).collect();
+        borrower.tasks_to_return = free.iter().filter(|_| self.random.random_bool(share)).collect();
     }
 
     /// A user cancels at a controller of either side.
@@ -278,7 +278,7 @@
         *self.world.faults() = StoreFaults::default();
         self.leading = Leading::This(Box::new(self.world.leader()));
         self.world.borrower().is_cut_off = false;
-        self.world.borrower().gives_back = TaskSet::new();
+        self.world.borrower().tasks_to_return = TaskSet::new();
         for _ in 0..TO_THE_END {
             self.finish(1.0);
             let held = self.world.borrower().tasks();
--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -43,7 +43,7 @@
     let mut leader = world.leader_beside("0.3.3");
     leader.lend();
     let lent = world.borrower().tasks();
-    world.borrower().gives_back = lent.iter().filter(|task| task % 2 == 0).collect();
+    world.borrower().tasks_to_return = lent.iter().filter(|task| task % 2 == 0).collect();
     (0..SETTLED).for_each(|_| leader.lend());
     let value = job_value(&world);
     let record: JobRecord = serde_json::from_value(value.clone()).expect("a record");
--- a/tests/lent_records.rs
+++ b/tests/lent_records.rs
@@ -215,7 +215,7 @@
         let mut leader = world.leader_beside(version);
         leader.steps(&mut machine, SETTLED);
         let borrowed = world.borrower().tasks();
-        world.borrower().gives_back = borrowed.iter().take(1).collect();
+        world.borrower().tasks_to_return = borrowed.iter().take(1).collect();
         (0..SETTLED).for_each(|_| leader.lend());
         let record = read(&world.job_row().expect("the job"));
         assert_eq!(record.lending.tasks().len(), borrowed.len() - 1, "{version}: one task has been returned");
