--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -35,7 +35,7 @@
     let mut leader = world.leader();
     leader.begin_and_lend(&mut machine);
     machine.finish_all();
-    let finished = machine.held_results();
+    let finished = machine.pending_results();
     let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
     world.earlier_version_leads();
@@ -49,7 +49,7 @@
     let mut leader = world.leader();
     leader.begin_and_lend(&mut machine);
     machine.finish_all();
-    let finished = machine.held_results();
+    let finished = machine.pending_results();
     let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.fail_over();
     follower.idle_step();
@@ -105,7 +105,7 @@
                     } else {
                         "0.3.0"
                     });
-                    note_heard(&mut heard, &machine, machine.held_results());
+                    note_heard(&mut heard, &machine, machine.pending_results());
                     follower.heartbeat(&mut machine);
                     // Of a job whose record it can read, that version has nothing forgotten.
                     let record = world.store().row(&format!("job/{JOB}")).expect("the job").value;
@@ -159,7 +159,7 @@
     let mut leader = world.leader();
     leader.begin_and_lend(&mut machine);
     machine.finish_all();
-    let finished = machine.held_results();
+    let finished = machine.pending_results();
     let none = Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
     machine.state.tasks.insert((format!("{JOB}/{TASKS}"), 1), none);
     let mut follower = follower_with_reported_results(&world, &mut machine);
@@ -182,7 +182,7 @@
     leader.steps(&mut machine, SETTLED);
     world.refuses_copies.store(true, Ordering::SeqCst);
     machine.finish_all();
-    let finished = machine.held_results();
+    let finished = machine.pending_results();
     assert!(!finished.is_empty());
     assert_eq!(leader.heartbeat(&mut machine), 200);
     leader.controller.write_once();
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -121,7 +121,7 @@
     }
 
     /// The task numbers whose result the worker holds.
-    pub fn held_results(&self) -> BTreeSet<u32> {
+    pub fn pending_results(&self) -> BTreeSet<u32> {
         let done = self.state.tasks.iter().filter(|(_, task)| task.why == Some(ExitReason::Done));
         done.map(|(attempt, _)| number_of(&attempt.0)).collect()
     }
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -195,7 +195,7 @@
         machine.finish_one();
         leader.heartbeat(&mut machine);
         leader.controller.write_once();
-        let reported = machine.held_results();
+        let reported = machine.pending_results();
         let copied = world.copied_done();
         assert!(copied.is_superset(&reported), "of {reported:?} just {copied:?} are recorded");
     }
@@ -214,7 +214,7 @@
     let mut leader = world.leader();
     leader.begin_and_lend(&mut machine);
     machine.finish_all();
-    let finished = machine.held_results();
+    let finished = machine.pending_results();
     assert_eq!(leader.heartbeat(&mut machine), 200);
     leader.controller.resign();
     let copied = world.copied_done();
--- a/tests/held_jobs.rs
+++ b/tests/held_jobs.rs
@@ -133,10 +133,10 @@
     earlier.steps(&mut machine, AT_REST);
     assert_eq!(machine.running(), running, "they run on");
     machine.finish_one();
-    let finished = machine.held_results();
+    let finished = machine.pending_results();
     earlier.steps(&mut machine, AT_REST);
     assert!(world.recorded_done().is_superset(&finished), "{finished:?} of {:?}", world.recorded_done());
-    assert!(machine.held_results().is_empty(), "the worker may forget what is recorded");
+    assert!(machine.pending_results().is_empty(), "the worker may forget what is recorded");
     let started = machine.started.clone();
     run_to_the_end(&world, &mut world.leader(), &mut machine);
     let again: Vec<&u32> = started.keys().filter(|task| machine.started[task] > started[task]).collect();
--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -184,7 +184,7 @@
                     machine.finish_one();
                 }
             }
-            self.ended_here.extend(machine.held_results());
+            self.ended_here.extend(machine.pending_results());
         }
     }
 
--- a/tests/progress_keeper.rs
+++ b/tests/progress_keeper.rs
@@ -87,7 +87,7 @@
     let mut leader = world.leader();
     leader.begin_and_lend(&mut machine);
     machine.finish_all();
-    let finished = machine.held_results();
+    let finished = machine.pending_results();
     let mut follower = world.follower();
     world.earlier_version_leads();
     follower.receive_leader_announcement(NO_VERSION);
