--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -110,7 +110,7 @@
                     // Of a job whose record it can read, that version has nothing forgotten.
                     let record = world.store().row(&format!("job/{JOB}")).expect("the job").value;
                     if serde_json::from_value::<production::JobRecord>(record).is_err() {
-                        machine.lose_all();
+                        machine.discard_all_tasks();
                     }
                     if random.random_bool(0.5) {
                         follower.keep_progress();
@@ -187,7 +187,7 @@
     assert_eq!(leader.heartbeat(&mut machine), 200);
     leader.controller.write_once();
     world.earlier_version_leads();
-    machine.lose_all();
+    machine.discard_all_tasks();
     world.refuses_copies.store(false, Ordering::SeqCst);
     leader.receive_leader_announcement(NO_VERSION);
     leader.keep_progress();
--- a/tests/common/leader_without_copies.rs
+++ b/tests/common/leader_without_copies.rs
@@ -67,6 +67,6 @@
     world.earlier_version_leads();
     follower.receive_leader_announcement(NO_VERSION);
     assert_ne!(follower.heartbeat(machine), 200, "a follower accepts no heartbeat");
-    machine.lose_all();
+    machine.discard_all_tasks();
     follower
 }
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -127,7 +127,7 @@
     }
 
     /// A leader that does not know the job has its tasks halted and forgotten, as the earlier version does.
-    pub fn lose_all(&mut self) {
+    pub fn discard_all_tasks(&mut self) {
         self.state.tasks.clear();
     }
 
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -199,7 +199,7 @@
         let copied = world.copied_done();
         assert!(copied.is_superset(&reported), "of {reported:?} just {copied:?} are recorded");
     }
-    machine.lose_all();
+    machine.discard_all_tasks();
     world.earlier_version_leads();
     let mut leader = world.leader();
     run_to_the_end(&world, &mut leader, &mut machine);
@@ -219,7 +219,7 @@
     leader.controller.resign();
     let copied = world.copied_done();
     assert!(!finished.is_empty() && copied.is_superset(&finished), "of {finished:?} just {copied:?}");
-    machine.lose_all();
+    machine.discard_all_tasks();
     world.earlier_version_leads();
     let mut leader = world.leader();
     run_to_the_end(&world, &mut leader, &mut machine);
--- a/tests/progress_keeper.rs
+++ b/tests/progress_keeper.rs
@@ -100,7 +100,7 @@
         follower.heartbeat(&mut other);
     }
     follower.heartbeat(&mut machine);
-    machine.lose_all();
+    machine.discard_all_tasks();
     follower.keep_progress();
     world.earlier_version_leads();
     assert_none_runs_again(&world, &mut machine, &finished);
