--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -464,13 +464,13 @@
     pub fn begin_and_lend(&mut self, machine: &mut Machine) {
         self.submit();
         self.steps(machine, SETTLED);
-        self.lend_some(machine);
+        self.lend_until_accepted(machine);
         self.steps(machine, SETTLED);
         assert!(machine.running().len() > 2, "{:?}", machine.running());
     }
 
     /// Sends messages between the cells until tasks are lent.
-    pub fn lend_some(&mut self, machine: &mut Machine) {
+    pub fn lend_until_accepted(&mut self, machine: &mut Machine) {
         for _ in 0..SETTLED {
             self.lend();
             if !self.world.borrower().tasks().is_empty() {
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -38,7 +38,7 @@
     leader.steps(machine, SETTLED);
     machine.finish_all();
     leader.steps(machine, 1);
-    leader.lend_some(machine);
+    leader.lend_until_accepted(machine);
     leader.steps(machine, SETTLED);
     machine.finish_all();
     leader.steps(machine, SETTLED);
@@ -128,7 +128,7 @@
     let mut leader = world.leader();
     leader.submit();
     leader.steps(&mut machine, SETTLED);
-    leader.lend_some(&mut machine);
+    leader.lend_until_accepted(&mut machine);
     let lent = world.borrower().tasks();
     // All comes back and is begun here, but for the last task.
     world.borrower().tasks_to_return = lent.iter().take(lent.len() as usize - 1).collect();
@@ -243,7 +243,7 @@
     }
     assert!(world.borrower().tasks().is_empty());
     world.refuses_copies.store(false, Ordering::SeqCst);
-    leader.lend_some(&mut machine);
+    leader.lend_until_accepted(&mut machine);
 }
 
 #[test]
@@ -252,7 +252,7 @@
     let mut leader = world.leader();
     leader.submit();
     leader.steps(&mut machine, SETTLED);
-    leader.lend_some(&mut machine);
+    leader.lend_until_accepted(&mut machine);
     world.refuses_copies.store(true, Ordering::SeqCst);
     // One task stays lent.
     let held = world.borrower().tasks();
--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -50,7 +50,7 @@
     leader.submit();
     leader.steps(&mut machine, SETTLED);
     if step != Step::Lend {
-        leader.lend_some(&mut machine);
+        leader.lend_until_accepted(&mut machine);
         leader.steps(&mut machine, SETTLED);
         machine.finish_one();
         leader.steps(&mut machine, SETTLED);
--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -96,7 +96,7 @@
         "a loan is made before the controllers have reported their versions"
     );
     leader.controller.announce_once();
-    leader.lend_some(&mut machine);
+    leader.lend_until_accepted(&mut machine);
 }
 
 /// Guards against lending that stops at a failover until the failed leader is available again.
@@ -107,5 +107,5 @@
     let mut leader = world.follower();
     leader.receive_leader_announcement("0.3.3");
     leader.fail_over();
-    leader.lend_some(&mut machine);
+    leader.lend_until_accepted(&mut machine);
 }
--- a/tests/lent_records.rs
+++ b/tests/lent_records.rs
@@ -247,7 +247,7 @@
     let mut leader = world.leader_beside("0.3.3");
     leader.submit();
     leader.steps(&mut machine, SETTLED);
-    leader.lend_some(&mut machine);
+    leader.lend_until_accepted(&mut machine);
 }
 
 /// Guards against a job record that versions before 0.3 still cannot read after the rollout of this version.
--- a/tests/unreadable_records.rs
+++ b/tests/unreadable_records.rs
@@ -257,7 +257,7 @@
     let mut leader = world.leader();
     leader.submit();
     leader.steps(&mut machine, SETTLED);
-    leader.lend_some(&mut machine);
+    leader.lend_until_accepted(&mut machine);
     let lent = world.borrower().tasks();
     put(&mut world.store(), &job_key(), json!({ "spec_of_a_later_version": {} }));
     let mut leader = world.leader();
@@ -361,7 +361,7 @@
     let mut leader = world.leader();
     leader.submit();
     leader.steps(&mut machine, SETTLED);
-    leader.lend_some(&mut machine);
+    leader.lend_until_accepted(&mut machine);
     let lent = world.borrower().tasks();
     let description = json!(spec(5, 10, "batch"));
     let held =
