--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -33,7 +33,7 @@
 fn results_that_a_follower_hears_outlast_an_earlier_leader() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
     let finished = machine.pending_results();
     let mut follower = follower_with_reported_results(&world, &mut machine);
@@ -47,7 +47,7 @@
 fn a_follower_that_leads_knows_the_results_that_it_heard() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
     let finished = machine.pending_results();
     let mut follower = follower_with_reported_results(&world, &mut machine);
@@ -92,7 +92,7 @@
         let mut random = StdRng::seed_from_u64(seed);
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         let mut leader = world.leader();
-        leader.begin_and_lend(&mut machine);
+        leader.submit_and_lend(&mut machine);
         // The tasks of which a result was heard, with how often they had started: some were halted before.
         let mut heard: BTreeMap<u32, usize> = BTreeMap::new();
         for _ in 0..30 {
@@ -157,7 +157,7 @@
 fn a_result_beyond_the_jobs_tasks_is_left_out() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
     let finished = machine.pending_results();
     let none = Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
@@ -176,7 +176,7 @@
 fn results_that_a_leader_could_not_write_outlast_an_earlier_one() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     let mut leader = world.follower();
     leader.fail_over();
     leader.steps(&mut machine, SETTLED);
@@ -200,7 +200,7 @@
 fn a_controller_beside_0_3_0_copies_what_that_leader_wrote() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
     leader.steps(&mut machine, SETTLED);
     let finished = machine.taken.clone();
@@ -223,7 +223,7 @@
 fn copies_of_a_job_that_ends_under_0_3_0_revive_nothing_and_go() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
     leader.steps(&mut machine, SETTLED);
     raise_start_mark(&world);
@@ -260,7 +260,7 @@
 fn a_late_copy_does_not_replace_a_newer_one() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     let client = world.state_client();
     let jobs = read_jobs_with_loans(&client, |error| panic!("{error}")).expect("jobs");
     let marks = read_start_marks(&client).expect("start marks");
@@ -278,7 +278,7 @@
 fn a_start_mark_that_0_3_0_raises_is_copied() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     raise_start_mark(&world);
     let mut follower = world.follower();
     follower.receive_leader_announcement("0.3.0");
@@ -294,7 +294,7 @@
 fn old_copies_beside_newer_rows_change_nothing() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
     leader.steps(&mut machine, SETTLED);
     let old: Vec<_> = world.store().rows("lent/");
@@ -320,7 +320,7 @@
 fn a_follower_of_this_version_leaves_the_copies_to_the_leader() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
     let mut follower = world.follower();
     follower.receive_leader_announcement(env!("CARGO_PKG_VERSION"));
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -461,7 +461,7 @@
     }
 
     /// A job is accepted, tasks of it are lent, and others run on the machine.
-    pub fn begin_and_lend(&mut self, machine: &mut Machine) {
+    pub fn submit_and_lend(&mut self, machine: &mut Machine) {
         self.submit();
         self.steps(machine, SETTLED);
         self.lend_until_accepted(machine);
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -188,7 +188,7 @@
 fn results_of_a_lent_job_are_recorded_as_they_are_reported() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     let running = machine.running();
     for _ in 0..running.len() {
         world.wait(BETWEEN_RESULTS);
@@ -212,7 +212,7 @@
 fn a_leader_that_resigns_first_records_the_results_of_lent_jobs() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
     let finished = machine.pending_results();
     assert_eq!(leader.heartbeat(&mut machine), 200);
--- a/tests/held_job_forms.rs
+++ b/tests/held_job_forms.rs
@@ -30,7 +30,7 @@
 fn lent_by_0_3_2() -> (World, Machine) {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_one();
     leader.steps(&mut machine, SETTLED);
     drop(leader);
@@ -139,7 +139,7 @@
 fn a_follower_answers_requests_for_a_job_whose_record_0_3_2_has_rewritten() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     drop(leader);
     world.store().rewrite_as_0_3_2(JOB, |_| ());
     let follower = world.follower();
--- a/tests/held_jobs.rs
+++ b/tests/held_jobs.rs
@@ -38,7 +38,7 @@
         leader.submit();
         leader.steps(&mut machine, SETTLED);
     } else {
-        leader.begin_and_lend(&mut machine);
+        leader.submit_and_lend(&mut machine);
     }
     machine.finish_all();
     leader.steps(&mut machine, SETTLED);
@@ -217,7 +217,7 @@
 fn all_but_one_recorded() -> (World, Machine) {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     borrow_no_more(&world, &mut leader);
     let held = world.borrower().tasks();
     for _ in 0..TO_THE_END {
--- a/tests/held_jobs_before_0_3_3.rs
+++ b/tests/held_jobs_before_0_3_3.rs
@@ -26,7 +26,7 @@
 fn lent_job(world: &World) -> Machine {
     let mut machine = Machine::new("i-000001");
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_one();
     leader.steps(&mut machine, SETTLED);
     world.borrower().is_full = true;
--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -22,7 +22,7 @@
 /// completely.
 fn lent_by_0_3_2_with_a_long_description(world: &World, machine: &mut Machine) {
     let mut leader = world.leader();
-    leader.begin_and_lend(machine);
+    leader.submit_and_lend(machine);
     world.borrower().is_full = true;
     leader.lend();
     let mut record: JobRecord = serde_json::from_value(job_value(world)).expect("a record");
--- a/tests/lent_records.rs
+++ b/tests/lent_records.rs
@@ -190,7 +190,7 @@
 /// Lends tasks of a job, and lets the borrower accept no further loans.
 fn lent_job(world: &World, machine: &mut Machine) {
     let mut leader = world.leader();
-    leader.begin_and_lend(machine);
+    leader.submit_and_lend(machine);
     world.borrower().is_full = true;
     leader.lend();
 }
--- a/tests/progress_keeper.rs
+++ b/tests/progress_keeper.rs
@@ -38,7 +38,7 @@
 fn the_status_counts_jobs_without_copies_until_all_have_copies() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
     leader.steps(&mut machine, SETTLED);
     assert_eq!(
@@ -85,7 +85,7 @@
     const HEARTBEATS: u32 = 20;
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
     let finished = machine.pending_results();
     let mut follower = world.follower();
--- a/tests/unreadable_records.rs
+++ b/tests/unreadable_records.rs
@@ -161,7 +161,7 @@
     for (key, row) in damaged {
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         let mut leader = world.leader();
-        leader.begin_and_lend(&mut machine);
+        leader.submit_and_lend(&mut machine);
         let lent = world.borrower().tasks();
         put(&mut world.store(), key, row.clone());
         put(&mut world.store(), "lent/done/wk-000009/1", json!("0-3"));
@@ -197,7 +197,7 @@
         put(&mut world.store(), "job/wk-000002", json!({ "spec_of_a_later_version": {} }));
         put(&mut world.store(), "done/wk-000002/0", json!("0-3"));
         let mut leader = world.leader();
-        leader.begin_and_lend(&mut machine);
+        leader.submit_and_lend(&mut machine);
         for _ in 0..60 {
             match random.random_range(0..6) {
                 0 => leader = world.leader(),
