--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 
 use common::leader_without_copies::{
-    assert_none_runs_again, follower_with_reported_results, run_to_the_end, NO_VERSION,
+    assert_none_runs_again, follower_with_reported_results, run_until_done, NO_VERSION,
 };
 use common::lending_world::{Machine, World, JOB, SETTLED, TASKS};
 use common::worker::Task;
@@ -136,7 +136,7 @@
         }
         world.borrower().tasks_to_return = TaskSet::new();
         world.store().keys.remove(LEADER_KEY);
-        run_to_the_end(&world, &mut world.leader(), &mut machine);
+        run_until_done(&world, &mut world.leader(), &mut machine);
         assert_not_started_since(&heard, &machine, seed);
     }
 }
--- a/tests/common/leader_without_copies.rs
+++ b/tests/common/leader_without_copies.rs
@@ -11,7 +11,7 @@
 pub const TO_THE_END: usize = 200;
 
 /// A leader of this version plays on until the job is done.
-pub fn run_to_the_end(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
+pub fn run_until_done(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     for _ in 0..TO_THE_END {
         finish_and_step(world, leader, machine);
         if leader.stage() == "done" {
@@ -55,7 +55,7 @@
 
 /// Plays on until the job is done; asserts that none of the tasks that had finished starts again.
 pub fn assert_none_runs_again(world: &World, machine: &mut Machine, finished: &BTreeSet<u32>) {
-    run_to_the_end(world, &mut world.leader(), machine);
+    run_until_done(world, &mut world.leader(), machine);
     let again: Vec<&u32> = finished.iter().filter(|task| machine.started[task] > 1).collect();
     assert!(again.is_empty(), "of {finished:?} started again: {again:?}");
 }
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -25,7 +25,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
 
-use common::leader_without_copies::{run_to_the_end, TO_THE_END};
+use common::leader_without_copies::{run_until_done, TO_THE_END};
 use common::lending_world::{Leader, Machine, World, JOB, SETTLED, TASKS};
 use common::{production, spec};
 
@@ -65,7 +65,7 @@
     world.earlier_version_leads();
     world.earlier_version_leads();
     let mut leader = world.leader();
-    run_to_the_end(&world, &mut leader, &mut machine);
+    run_until_done(&world, &mut leader, &mut machine);
     let again = started_again(&machine, &finished);
     assert!(again.is_empty(), "finished tasks start again: {again:?}");
     let here = |task: &u32| machine.started.contains_key(task);
@@ -81,7 +81,7 @@
     lent_and_done_on_both_sides(&world, &mut leader, &mut machine);
     world.earlier_version_leads();
     let mut leader = world.leader();
-    run_to_the_end(&world, &mut leader, &mut machine);
+    run_until_done(&world, &mut leader, &mut machine);
     leader.steps(&mut machine, SETTLED);
     let store = world.store();
     let left: Vec<&String> =
@@ -202,7 +202,7 @@
     machine.discard_all_tasks();
     world.earlier_version_leads();
     let mut leader = world.leader();
-    run_to_the_end(&world, &mut leader, &mut machine);
+    run_until_done(&world, &mut leader, &mut machine);
     let again = started_again(&machine, &running);
     assert!(again.is_empty(), "finished tasks start again: {again:?}");
 }
@@ -222,7 +222,7 @@
     machine.discard_all_tasks();
     world.earlier_version_leads();
     let mut leader = world.leader();
-    run_to_the_end(&world, &mut leader, &mut machine);
+    run_until_done(&world, &mut leader, &mut machine);
     let again = started_again(&machine, &finished);
     assert!(again.is_empty(), "finished tasks start again: {again:?}");
 }
@@ -336,7 +336,7 @@
             assert!(both.is_empty(), "seed {seed}: in both cells: {both:?}");
         }
         world.borrower().tasks_to_return = TaskSet::new();
-        run_to_the_end(&world, &mut leader, &mut machine);
+        run_until_done(&world, &mut leader, &mut machine);
         let again = started_again(&machine, &machine.taken);
         assert!(again.is_empty(), "seed {seed}: finished tasks start again: {again:?}");
     }
--- a/tests/held_jobs.rs
+++ b/tests/held_jobs.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use common::leader_without_copies::run_to_the_end;
+use common::leader_without_copies::run_until_done;
 use common::lending_world::{Leader, Machine, World, JOB, SETTLED};
 use common::production;
 use common::production_api::{read_final_record, CancelAnswer, Known, ProductionApi};
@@ -138,7 +138,7 @@
     assert!(world.recorded_done().is_superset(&finished), "{finished:?} of {:?}", world.recorded_done());
     assert!(machine.pending_results().is_empty(), "the worker may forget what is recorded");
     let started = machine.started.clone();
-    run_to_the_end(&world, &mut world.leader(), &mut machine);
+    run_until_done(&world, &mut world.leader(), &mut machine);
     let again: Vec<&u32> = started.keys().filter(|task| machine.started[task] > started[task]).collect();
     assert!(again.is_empty(), "started again: {again:?}");
 }
--- a/tests/held_jobs_before_0_3_3.rs
+++ b/tests/held_jobs_before_0_3_3.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::leader_without_copies::run_to_the_end;
+use common::leader_without_copies::run_until_done;
 use common::lending_world::{Machine, World, JOB, SETTLED, TASKS};
 use common::production_api::{CancelAnswer, ProductionApi};
 use common::production_leader::ProductionLeader;
@@ -64,7 +64,7 @@
         assert_eq!((&record[name], &record["submitted_us"]), (&user_spec, &submitted), "{loans:?}: {record}");
         assert_eq!(world.final_row(), None, "{loans:?}: the placeholder is gone");
         assert_eq!(leader.stage(), "running", "{loans:?}");
-        run_to_the_end(&world, &mut leader, &mut machine);
+        run_until_done(&world, &mut leader, &mut machine);
         let ended = json!({ "stage": "done", "tasks": TASKS });
         assert_eq!(world.final_row(), Some(ended), "{loans:?}");
         let twice: Vec<_> = machine.started.iter().filter(|(_, count)| **count > 1).collect();
@@ -110,7 +110,7 @@
     }
     assert_eq!(machine.started, started);
     assert!(world.recorded_done().len() > done.len(), "what exits is recorded");
-    run_to_the_end(&world, &mut world.leader(), &mut machine);
+    run_until_done(&world, &mut world.leader(), &mut machine);
     let twice: Vec<_> = machine.started.iter().filter(|(_, count)| **count > 1).collect();
     assert!(twice.is_empty(), "started more than once: {twice:?}");
 }
--- a/tests/unreadable_records.rs
+++ b/tests/unreadable_records.rs
@@ -50,7 +50,7 @@
 }
 
 /// Runs the job until it is done.
-fn run_to_the_end(leader: &mut Leader<'_>, machine: &mut Machine) {
+fn run_until_done(leader: &mut Leader<'_>, machine: &mut Machine) {
     for _ in 0..TO_THE_END {
         machine.finish_all();
         leader.step(machine);
@@ -100,7 +100,7 @@
         put(&mut world.store(), &job_key(), good);
         leader.steps(&mut machine, 2);
         let mut leader = world.leader();
-        run_to_the_end(&mut leader, &mut machine);
+        run_until_done(&mut leader, &mut machine);
         assert_each_started_once(&machine);
     }
 }
@@ -123,7 +123,7 @@
     leader.steps(&mut machine, SETTLED);
     assert_eq!(machine.started.values().sum::<usize>(), started, "a task of the blocked job is started");
     put(&mut world.store(), &job_key(), good);
-    run_to_the_end(&mut leader, &mut machine);
+    run_until_done(&mut leader, &mut machine);
     assert_each_started_once(&machine);
 }
 
@@ -146,7 +146,7 @@
         assert_eq!(unreadable(&leader)["keys"], json!([key]));
         put(&mut world.store(), &key, good);
         let mut leader = world.leader();
-        run_to_the_end(&mut leader, &mut machine);
+        run_until_done(&mut leader, &mut machine);
         assert_each_started_once(&machine);
     }
 }
@@ -349,7 +349,7 @@
     }
     let session = last_renewal + LEASE;
     assert!(waited >= session, "started again after {} s, before {} s", waited.secs(), session.secs());
-    run_to_the_end(&mut leader, &mut other);
+    run_until_done(&mut leader, &mut other);
     assert_eq!(value(&world, "machines/0"), json!([1]), "the unreadable value is changed");
 }
 
