--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -38,7 +38,7 @@
     let finished = machine.pending_results();
     let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     assert_none_runs_again(&world, &mut machine, &finished);
 }
 
@@ -76,7 +76,7 @@
     machine.finish_all();
     let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     let rows = world.store().rows("borrowed/done/wk-000005/");
     assert!(rows.iter().any(|row| row.value == json!("1-3")), "{rows:?}");
     let mut leader = world.leader();
@@ -99,7 +99,7 @@
             match random.random_range(0..5) {
                 0 => {
                     let mut follower = world.follower();
-                    world.earlier_version_leads();
+                    world.run_earlier_leader();
                     follower.receive_leader_announcement(if random.random_bool(0.5) {
                         NO_VERSION
                     } else {
@@ -186,12 +186,12 @@
     assert!(!finished.is_empty());
     assert_eq!(leader.heartbeat(&mut machine), 200);
     leader.controller.write_once();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     machine.discard_all_tasks();
     world.refuses_copies.store(false, Ordering::SeqCst);
     leader.receive_leader_announcement(NO_VERSION);
     leader.keep_progress();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     assert_none_runs_again(&world, &mut machine, &finished);
 }
 
@@ -214,7 +214,7 @@
     let record = world.store().row(&format!("job/{JOB}")).expect("the job").value;
     let stored = world.copied_mark().max(record["high"].as_u64().unwrap_or(0));
     assert!(stored >= u64::from(mark), "of the start mark {mark} {stored} is stored");
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     assert_none_runs_again(&world, &mut machine, &finished);
 }
 
--- a/tests/common/leader_without_copies.rs
+++ b/tests/common/leader_without_copies.rs
@@ -64,7 +64,7 @@
 /// tasks halted and forgotten by that leader.
 pub fn follower_with_reported_results<'a>(world: &'a World, machine: &mut Machine) -> Leader<'a> {
     let mut follower = world.follower();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     follower.receive_leader_announcement(NO_VERSION);
     assert_ne!(follower.heartbeat(machine), 200, "a follower accepts no heartbeat");
     machine.discard_all_tasks();
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -300,7 +300,7 @@
 
     /// A leader of the version in production, elected by its own transaction, writes all that it has to
     /// write. Its leader stands for one that was killed: nothing is told to the workers.
-    pub fn earlier_version_leads(&self) {
+    pub fn run_earlier_leader(&self) {
         let mut store = self.store();
         let (part, token) = earlier_election(&mut store);
         let mut leader = production::Owner::load(part, token, VALUE_BYTES, &store.rows(""));
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -62,8 +62,8 @@
     let at_borrower: BTreeSet<u32> = world.borrower().done.iter().collect();
     assert!(!finished.is_empty() && !at_borrower.is_empty(), "done on both sides");
     // Users' requests meanwhile, as the version in production answers them by the records.
-    world.earlier_version_leads();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
+    world.run_earlier_leader();
     let mut leader = world.leader();
     run_until_done(&world, &mut leader, &mut machine);
     let again = started_again(&machine, &finished);
@@ -79,7 +79,7 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     lent_and_done_on_both_sides(&world, &mut leader, &mut machine);
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     let mut leader = world.leader();
     run_until_done(&world, &mut leader, &mut machine);
     leader.steps(&mut machine, SETTLED);
@@ -100,7 +100,7 @@
     let highest = |world: &World| production::marks_in(&world.store()).get(JOB).copied().unwrap_or(0);
     let mark = highest(&world);
     assert!(mark > 0);
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     let mut leader = world.leader();
     world.borrower().return_unfinished();
     world.borrower().is_full = true;
@@ -142,7 +142,7 @@
     }
     let running = machine.running();
     assert!(running.iter().any(|task| lent.contains(*task)), "{running:?} of {lent}");
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     // The machine cannot be asked; another one is there.
     let mut leader = world.leader();
     let mut other = Machine::new("i-000002");
@@ -200,7 +200,7 @@
         assert!(copied.is_superset(&reported), "of {reported:?} just {copied:?} are recorded");
     }
     machine.discard_all_tasks();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     let mut leader = world.leader();
     run_until_done(&world, &mut leader, &mut machine);
     let again = started_again(&machine, &running);
@@ -220,7 +220,7 @@
     let copied = world.copied_done();
     assert!(!finished.is_empty() && copied.is_superset(&finished), "of {finished:?} just {copied:?}");
     machine.discard_all_tasks();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     let mut leader = world.leader();
     run_until_done(&world, &mut leader, &mut machine);
     let again = started_again(&machine, &finished);
@@ -276,14 +276,14 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     lent_and_done_on_both_sides(&world, &mut leader, &mut machine);
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     let mut leader = world.leader();
     world.borrower().is_cut_off = true;
     let again = leader.ask("POST", "/api/jobs", &json!(spec(1, TASKS, "batch")));
     assert_eq!(again.0, 200, "{again:?}");
     let cancel = format!("/api/jobs/{JOB}/withdraw");
     assert_eq!(leader.ask("POST", &cancel, &Value::Null).0, 503, "the borrower holds tasks");
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     leader.steps(&mut machine, 1);
     let mut leader = world.leader();
     assert_eq!(leader.ask("POST", &cancel, &Value::Null).0, 503, "the borrower still holds tasks");
@@ -311,7 +311,7 @@
         for _ in 0..60 {
             match random.random_range(0..6) {
                 0 => {
-                    (0..random.random_range(1..3)).for_each(|_| world.earlier_version_leads());
+                    (0..random.random_range(1..3)).for_each(|_| world.run_earlier_leader());
                     leader = world.leader();
                 }
                 1 => machine.finish_all(),
--- a/tests/progress_keeper.rs
+++ b/tests/progress_keeper.rs
@@ -89,7 +89,7 @@
     machine.finish_all();
     let finished = machine.pending_results();
     let mut follower = world.follower();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     follower.receive_leader_announcement(NO_VERSION);
     for index in 0..HEARTBEATS {
         let mut other = Machine::new("i-000002");
@@ -102,7 +102,7 @@
     follower.heartbeat(&mut machine);
     machine.discard_all_tasks();
     follower.keep_progress();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     assert_none_runs_again(&world, &mut machine, &finished);
 }
 
