--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -315,7 +315,7 @@
     }
 
     /// A leader of the version in production is elected; the shard's revision and the token.
-    pub fn elect_earlier(&self) -> (u64, u64) {
+    pub fn elect_earlier_leader(&self) -> (u64, u64) {
         earlier_election(&mut self.store())
     }
 
--- a/tests/common/production_leader.rs
+++ b/tests/common/production_leader.rs
@@ -93,7 +93,7 @@
 
     /// The same of one of the versions.
     pub fn elected_as(world: &'a World, version: Version) -> ProductionLeader<'a> {
-        let (part, token) = world.elect_earlier();
+        let (part, token) = world.elect_earlier_leader();
         let store = world.store();
         let mut rows = store.rows("");
         for row in rows.iter_mut().filter(|row| row.key.starts_with("job/")) {
--- a/tests/held_jobs_before_0_3_3.rs
+++ b/tests/held_jobs_before_0_3_3.rs
@@ -36,7 +36,7 @@
 
 /// A leader of 0.3.2 writes the job's record. With the loans closed, the borrower has given all back.
 fn written_by_0_3_2(world: &World, loans: Loans) {
-    world.elect_earlier();
+    world.elect_earlier_leader();
     let is_closed = loans == Loans::Closed;
     if is_closed {
         world.borrower().held.clear();
--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -75,7 +75,7 @@
     let mut leader = world.leader_beside("0.3.3");
     leader.submit();
     leader.steps(machine, SETTLED);
-    world.elect_earlier();
+    world.elect_earlier_leader();
     leader.steps(machine, SETTLED);
     leader.fail_over();
     leader
--- a/tests/rows_of_0_3_0.rs
+++ b/tests/rows_of_0_3_0.rs
@@ -61,7 +61,7 @@
 fn a_follower_of_this_version_copies_the_rows() {
     let world = world_of_0_3_0();
     let mut follower = world.follower();
-    world.elect_earlier();
+    world.elect_earlier_leader();
     follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     assert_eq!(world.copied_done(), production::tasks_of_text("0-31"));
