--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 
 use common::leader_without_copies::{
-    assert_none_runs_again, follower_with_reported_results, run_until_done, NO_VERSION,
+    assert_none_starts_again, follower_with_reported_results, run_until_done, NO_VERSION,
 };
 use common::lending_world::{Machine, World, JOB, SETTLED, TASKS};
 use common::worker::Task;
@@ -39,7 +39,7 @@
     let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
     world.run_earlier_leader();
-    assert_none_runs_again(&world, &mut machine, &finished);
+    assert_none_starts_again(&world, &mut machine, &finished);
 }
 
 /// Guards against the loss of what a follower has heard when it leads itself before it could write that.
@@ -192,7 +192,7 @@
     leader.receive_leader_announcement(NO_VERSION);
     leader.keep_progress();
     world.run_earlier_leader();
-    assert_none_runs_again(&world, &mut machine, &finished);
+    assert_none_starts_again(&world, &mut machine, &finished);
 }
 
 /// Guards against the loss of rows that 0.3.0 wrote without copies, when a version before loans leads next.
@@ -215,7 +215,7 @@
     let stored = world.copied_mark().max(record["high"].as_u64().unwrap_or(0));
     assert!(stored >= u64::from(mark), "of the start mark {mark} {stored} is stored");
     world.run_earlier_leader();
-    assert_none_runs_again(&world, &mut machine, &finished);
+    assert_none_starts_again(&world, &mut machine, &finished);
 }
 
 /// Guards against copies that would bring an ended job back, or stay behind it.
@@ -312,7 +312,7 @@
     next.steps(&mut machine, SETTLED);
     assert!(production::marks_in(&world.store())[JOB] >= mark);
     assert!(world.copied_done().is_superset(&finished));
-    assert_none_runs_again(&world, &mut machine, &finished);
+    assert_none_starts_again(&world, &mut machine, &finished);
 }
 
 /// Guards against a follower that writes beside a leader which keeps the copies itself.
--- a/tests/common/leader_without_copies.rs
+++ b/tests/common/leader_without_copies.rs
@@ -54,7 +54,7 @@
 }
 
 /// Plays on until the job is done; asserts that none of the tasks that had finished starts again.
-pub fn assert_none_runs_again(world: &World, machine: &mut Machine, finished: &BTreeSet<u32>) {
+pub fn assert_none_starts_again(world: &World, machine: &mut Machine, finished: &BTreeSet<u32>) {
     run_until_done(world, &mut world.leader(), machine);
     let again: Vec<&u32> = finished.iter().filter(|task| machine.started[task] > 1).collect();
     assert!(again.is_empty(), "of {finished:?} started again: {again:?}");
--- a/tests/progress_keeper.rs
+++ b/tests/progress_keeper.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::leader_without_copies::{assert_none_runs_again, follower_with_reported_results, NO_VERSION};
+use common::leader_without_copies::{assert_none_starts_again, follower_with_reported_results, NO_VERSION};
 use common::lending_world::{Leader, Machine, World, SETTLED};
 use common::spec;
 use common::worker::Task;
@@ -103,7 +103,7 @@
     machine.discard_all_tasks();
     follower.keep_progress();
     world.run_earlier_leader();
-    assert_none_runs_again(&world, &mut machine, &finished);
+    assert_none_starts_again(&world, &mut machine, &finished);
 }
 
 /// Guards against a fault in which a round read and wrote all jobs with reported results, and so used up the
