--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -9,7 +9,7 @@
 use common::leader_without_copies::{
     assert_none_starts_again, follower_with_reported_results, run_until_done, NO_VERSION,
 };
-use common::lending_world::{Machine, World, JOB, SETTLED, TASKS};
+use common::lending_world::{Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::worker::Task;
 use common::{production, spec};
 use milletlock::leadership::{read_jobs_with_loans, read_start_marks, LEADER_KEY};
@@ -71,7 +71,7 @@
     ];
     world.store().txn(&Txn { guards: Vec::new(), then }).expect("written");
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(machine.running(), BTreeSet::from([3]));
     machine.finish_all();
     let mut follower = follower_with_reported_results(&world, &mut machine);
@@ -80,7 +80,7 @@
     let rows = world.store().rows("borrowed/done/wk-000005/");
     assert!(rows.iter().any(|row| row.value == json!("1-3")), "{rows:?}");
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(machine.started[&3], 1, "it starts again");
 }
 
@@ -166,7 +166,7 @@
     follower.keep_progress();
     assert!(world.copied_done().iter().all(|task| *task < TASKS), "{:?}", world.copied_done());
     follower.fail_over();
-    follower.steps(&mut machine, SETTLED);
+    follower.steps(&mut machine, SETTLE_STEPS);
     let recorded = world.recorded_done();
     assert!(recorded.is_superset(&finished) && recorded.iter().all(|task| *task < TASKS), "{recorded:?}");
 }
@@ -179,7 +179,7 @@
     leader.submit_and_lend(&mut machine);
     let mut leader = world.follower();
     leader.fail_over();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     world.refuses_copies.store(true, Ordering::SeqCst);
     machine.finish_all();
     let finished = machine.pending_results();
@@ -202,7 +202,7 @@
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     let finished = machine.taken.clone();
     assert!(!finished.is_empty());
     world.remove_copies();
@@ -225,7 +225,7 @@
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     raise_start_mark(&world);
     let client = world.state_client();
     let jobs = read_jobs_with_loans(&client, |error| panic!("{error}")).expect("jobs");
@@ -248,7 +248,7 @@
     follower.keep_progress();
     let started: usize = machine.started.values().sum();
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(leader.stage(), "done");
     assert_eq!(machine.started.values().sum::<usize>(), started);
     let left: Vec<String> = world.store().rows("lent/").into_iter().map(|row| row.key).collect();
@@ -296,11 +296,11 @@
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     let old: Vec<_> = world.store().rows("lent/");
     for _ in 0..2 {
         machine.finish_all();
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
     }
     let finished = machine.taken.clone();
     let mark = production::marks_in(&world.store())[JOB];
@@ -309,7 +309,7 @@
     let txn = Txn { guards: Vec::new(), then };
     world.store().txn(&txn).expect("written");
     let mut next = world.leader();
-    next.steps(&mut machine, SETTLED);
+    next.steps(&mut machine, SETTLE_STEPS);
     assert!(production::marks_in(&world.store())[JOB] >= mark);
     assert!(world.copied_done().is_superset(&finished));
     assert_none_starts_again(&world, &mut machine, &finished);
--- a/tests/common/leader_without_copies.rs
+++ b/tests/common/leader_without_copies.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::lending_world::{Leader, Machine, World, JOB, SETTLED};
+use super::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS};
 
 /// What a version before 0.2 says of itself.
 pub const NO_VERSION: &str = "";
@@ -38,7 +38,7 @@
             break;
         }
     }
-    leader.steps(machine, 2 * SETTLED);
+    leader.steps(machine, 2 * SETTLE_STEPS);
     let store = world.store();
     let left: Vec<&String> = store.keys.keys().filter(|key| key.contains(JOB)).collect();
     assert_eq!(left, [&format!("final/{JOB}")], "{context}");
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -38,7 +38,7 @@
 /// Time that passes between two heartbeats.
 pub const STEP: Micros = Micros(500_000);
 /// Steps in which a start or a result goes through all its writes.
-pub const SETTLED: usize = 8;
+pub const SETTLE_STEPS: usize = 8;
 /// Bytes of a value of the state store in these settings.
 pub const VALUE_BYTES: usize = 4096;
 
@@ -463,15 +463,15 @@
     /// A job is accepted, tasks of it are lent, and others run on the machine.
     pub fn submit_and_lend(&mut self, machine: &mut Machine) {
         self.submit();
-        self.steps(machine, SETTLED);
+        self.steps(machine, SETTLE_STEPS);
         self.lend_until_accepted(machine);
-        self.steps(machine, SETTLED);
+        self.steps(machine, SETTLE_STEPS);
         assert!(machine.running().len() > 2, "{:?}", machine.running());
     }
 
     /// Sends messages between the cells until tasks are lent.
     pub fn lend_until_accepted(&mut self, machine: &mut Machine) {
-        for _ in 0..SETTLED {
+        for _ in 0..SETTLE_STEPS {
             self.lend();
             if !self.world.borrower().tasks().is_empty() {
                 return;
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -26,7 +26,7 @@
 use serde_json::{json, Value};
 
 use common::leader_without_copies::{run_until_done, TO_THE_END};
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED, TASKS};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::{production, spec};
 
 /// Time between two results of a machine, less than between two writes of results of other jobs.
@@ -35,18 +35,18 @@
 /// Four tasks are done at the lender, two at the borrower, and all of it is recorded. None runs.
 fn lent_and_done_on_both_sides(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     leader.submit();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
     machine.finish_all();
     leader.steps(machine, 1);
     leader.lend_until_accepted(machine);
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
     machine.finish_all();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
     let last: TaskSet = world.borrower().tasks().iter().skip(1).take(2).collect();
     assert_eq!(last.len(), 2, "tasks are lent");
     world.borrower().done = last;
     leader.lend();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
 }
 
 fn started_again(machine: &Machine, finished: &BTreeSet<u32>) -> BTreeSet<u32> {
@@ -82,7 +82,7 @@
     world.run_earlier_leader();
     let mut leader = world.leader();
     run_until_done(&world, &mut leader, &mut machine);
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     let store = world.store();
     let left: Vec<&String> =
         store.keys.keys().filter(|key| key.contains(JOB) && !key.starts_with("final/")).collect();
@@ -104,7 +104,7 @@
     let mut leader = world.leader();
     world.borrower().return_unfinished();
     world.borrower().is_full = true;
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         let row = world.store().row(&format!("job/{JOB}")).expect("the job");
         let read = serde_json::from_value::<production::JobRecord>(row.value);
         if let Ok(record) = read {
@@ -127,7 +127,7 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     leader.lend_until_accepted(&mut machine);
     let lent = world.borrower().tasks();
     // All comes back and is begun here, but for the last task.
@@ -147,7 +147,7 @@
     let mut leader = world.leader();
     let mut other = Machine::new("i-000002");
     world.borrower().tasks_to_return = TaskSet::new();
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.step(&mut other);
         leader.lend();
     }
@@ -164,21 +164,21 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     lent_and_done_on_both_sides(&world, &mut leader, &mut machine);
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     machine.finish_all();
     // The results are written, and the worker has not heard of it.
     leader.step(&mut machine);
-    (0..SETTLED).for_each(|_| leader.idle_step());
+    (0..SETTLE_STEPS).for_each(|_| leader.idle_step());
     let copies: Vec<String> = world.store().rows("lent/").into_iter().map(|row| row.key).collect();
     assert!(!copies.is_empty());
     copies.iter().for_each(|key| drop(world.store().keys.remove(key)));
     world.refuses_copies.store(true, Ordering::SeqCst);
     let taken = machine.taken.clone();
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(machine.taken, taken);
     world.refuses_copies.store(false, Ordering::SeqCst);
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert!(machine.taken.len() > taken.len(), "{:?}", machine.taken);
 }
 
@@ -232,12 +232,12 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert!(!world.recorded_done().is_empty());
     world.refuses_copies.store(true, Ordering::SeqCst);
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.lend();
         leader.step(&mut machine);
     }
@@ -251,7 +251,7 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     leader.lend_until_accepted(&mut machine);
     world.refuses_copies.store(true, Ordering::SeqCst);
     // One task stays lent.
@@ -289,7 +289,7 @@
     assert_eq!(leader.ask("POST", &cancel, &Value::Null).0, 503, "the borrower still holds tasks");
     world.borrower().is_cut_off = false;
     let started: usize = machine.started.values().sum();
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.lend();
         leader.step(&mut machine);
     }
--- a/tests/held_job_forms.rs
+++ b/tests/held_job_forms.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::leader_without_copies::run_until_ended;
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED, TASKS, VALUE_BYTES};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, TASKS, VALUE_BYTES};
 use common::production_leader::ProductionLeader;
 use common::spec;
 use serde_json::{json, Value};
@@ -32,7 +32,7 @@
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
     machine.finish_one();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     drop(leader);
     world.store().lend_as_0_3_2(JOB);
     (world, machine)
@@ -61,12 +61,12 @@
     let mut leader = world.leader();
     leader.steps(&mut machine, 1);
     leader.lend();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     let (done, running) = (world.recorded_done(), machine.running());
     assert!(!done.is_empty() && !running.is_empty());
     drop(leader);
     let mut earlier = ProductionLeader::elected(&world);
-    earlier.steps(&mut machine, SETTLED);
+    earlier.steps(&mut machine, SETTLE_STEPS);
     assert!(earlier.knows(JOB));
     assert_eq!((world.recorded_done(), machine.running()), (done, running));
     play_to_the_end(&world, &mut world.leader(), &mut machine);
@@ -116,8 +116,8 @@
         let mut job = json!(spec(1, TASKS, "batch"));
         job["breeds"] = type_names(types);
         assert_eq!(leader.ask("POST", "/api/jobs", &job).0, 201);
-        leader.steps(&mut machine, SETTLED);
-        for _ in 0..SETTLED {
+        leader.steps(&mut machine, SETTLE_STEPS);
+        for _ in 0..SETTLE_STEPS {
             leader.lend();
             leader.steps(&mut machine, 1);
             assert_values_fit(&world);
--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::leader_without_copies::{run_until_ended, TO_THE_END};
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED, TASKS};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::production_api::{read_final_record, CancelAnswer, ProductionApi};
 use common::production_leader::ProductionLeader;
 use common::store_faults::TxnFault;
@@ -48,12 +48,12 @@
     world.store().is_recording = true;
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     if step != Step::Lend {
         leader.lend_until_accepted(&mut machine);
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
         machine.finish_one();
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
         borrow_no_more(&world, &mut leader);
     }
     if step == Step::EndCancelled {
@@ -82,7 +82,7 @@
     world.borrower().done = borrowed;
     leader.lend();
     world.borrower().is_cut_off = true;
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
     machine.finish_all();
 }
 
@@ -222,7 +222,7 @@
                 if is_replaced {
                     leader = world.leader();
                 }
-                for _ in 0..SETTLED {
+                for _ in 0..SETTLE_STEPS {
                     leader.lend();
                     leader.step(&mut machine);
                 }
@@ -246,7 +246,7 @@
         world.store().rewrite_as_0_3_2(JOB, |lending| lending.loans.clear());
         world.faults().next = [fault].into();
         let mut leader = world.leader_without_cells();
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
         assert!(world.faults().next.is_empty(), "{context}: nothing was written");
         assert_consistent(&world, &context);
         play_to_the_end(&world, &mut leader, &mut machine, &context);
@@ -265,7 +265,7 @@
         let mut leader = leader_before(step, &world, &mut machine);
         world.store().txn(&Txn { guards: Vec::new(), then: vec![put()] }).expect("written");
         perform(step, &world, &mut leader, &mut machine);
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
         assert_eq!(world.final_row().as_ref(), Some(&ended), "{step:?}");
     }
     // The same holds for a job of which nothing is lent.
@@ -298,24 +298,24 @@
     let (started, running) = (machine.started.clone(), machine.running());
     assert!(!running.is_empty());
     let mut earlier = ProductionLeader::elected(&world);
-    earlier.steps(&mut machine, SETTLED);
+    earlier.steps(&mut machine, SETTLE_STEPS);
     let mut users = ProductionApi::default();
     assert_eq!(users.cancel(&mut world.store(), JOB), CancelAnswer::Refused);
     world.borrower().is_cut_off = true;
     assert_eq!(follower.cancel(), 503);
     assert_eq!(world.job_row().expect("live")["lending"]["cancelling"], true);
-    earlier.steps(&mut machine, SETTLED);
+    earlier.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(users.cancel(&mut world.store(), JOB), CancelAnswer::Refused);
     assert_eq!(machine.running(), running, "tasks stopped although no cancellation was confirmed");
     let mut leader = world.leader();
     world.borrower().is_cut_off = false;
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.lend();
         leader.step(&mut machine);
     }
     assert_eq!(leader.cancel(), 200);
     assert_eq!(world.final_row().expect("ended")["stage"], "cancelled");
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert!(machine.running().is_empty() && machine.started == started);
     assert_eq!(users.cancel(&mut world.store(), JOB), CancelAnswer::AlreadyOver("cancelled".into()));
 }
@@ -327,7 +327,7 @@
     let (world, mut machine) = world_before(Step::EndDone);
     assert!(has_loans(&world) && world.final_row().is_some());
     let mut leader = world.leader_without_cells();
-    leader.steps(&mut machine, 2 * SETTLED);
+    leader.steps(&mut machine, 2 * SETTLE_STEPS);
     assert_consistent(&world, "without the cells block");
     assert_eq!(world.final_row().expect("ended")["stage"], "done");
     let store = world.store();
--- a/tests/held_jobs.rs
+++ b/tests/held_jobs.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use common::leader_without_copies::run_until_done;
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS};
 use common::production;
 use common::production_api::{read_final_record, CancelAnswer, Known, ProductionApi};
 use common::production_leader::ProductionLeader;
@@ -16,7 +16,7 @@
 use serde_json::{json, Value};
 
 /// Rounds within which a leader of either version has done all that it does without further results.
-const AT_REST: usize = 2 * SETTLED;
+const AT_REST: usize = 2 * SETTLE_STEPS;
 /// Rounds within which a job whose tasks end at once has ended.
 const TO_THE_END: usize = 200;
 
@@ -36,12 +36,12 @@
     let mut leader = world.leader();
     if lending == Lending::Never {
         leader.submit();
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
     } else {
         leader.submit_and_lend(&mut machine);
     }
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     match lending {
         Lending::Never | Lending::Open => {}
         Lending::Cancelling => ask_to_cancel(&world, &leader),
@@ -67,7 +67,7 @@
 fn close_loans(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     borrow_no_more(world, leader);
     world.borrower().return_unfinished();
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.lend();
         leader.steps(machine, 1);
     }
@@ -201,7 +201,7 @@
     for lending in [Lending::Never, Lending::Closed] {
         let (world, mut machine) = job_with(lending);
         let mut earlier = ProductionLeader::elected(&world);
-        earlier.steps(&mut machine, SETTLED);
+        earlier.steps(&mut machine, SETTLE_STEPS);
         let mut users = ProductionApi::default();
         assert_eq!(users.cancel(&mut world.store(), JOB), CancelAnswer::Confirmed, "{lending:?}");
         earlier.steps(&mut machine, AT_REST);
@@ -233,7 +233,7 @@
     world.borrower().done = held;
     leader.lend();
     world.borrower().is_cut_off = true;
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(world.recorded_done().len(), 39);
     (world, machine)
 }
@@ -243,7 +243,7 @@
 fn all_tasks_done_while_a_loan_is_open_end_under_this_version() {
     let (world, mut machine) = all_but_one_recorded();
     let mut earlier = ProductionLeader::elected(&world);
-    earlier.steps(&mut machine, SETTLED);
+    earlier.steps(&mut machine, SETTLE_STEPS);
     machine.finish_all();
     let mut other = Machine::new("i-000002");
     for _ in 0..AT_REST {
@@ -280,7 +280,7 @@
 fn a_record_being_cancelled_without_loans_starts_and_ends_nothing_under_production() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     drop(leader);
     let mut cancelling = record(spec(1, 4, "batch"));
     cancelling.lending.cancelling = true;
@@ -302,7 +302,7 @@
     let (world, mut machine) = job_with(Lending::Cancelling);
     let mut leader = world.leader();
     world.borrower().is_cut_off = false;
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.lend();
         leader.step(&mut machine);
     }
--- a/tests/held_jobs_before_0_3_3.rs
+++ b/tests/held_jobs_before_0_3_3.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::leader_without_copies::run_until_done;
-use common::lending_world::{Machine, World, JOB, SETTLED, TASKS};
+use common::lending_world::{Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::production_api::{CancelAnswer, ProductionApi};
 use common::production_leader::ProductionLeader;
 use milletlock::wire::{Change, Txn};
@@ -28,7 +28,7 @@
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
     machine.finish_one();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     world.borrower().is_full = true;
     leader.lend();
     machine
@@ -89,7 +89,7 @@
         assert_eq!(leader.cancel(), 200, "{loans:?}");
         let ended = json!({ "stage": "cancelled", "tasks": TASKS });
         assert_eq!(world.final_row(), Some(ended), "{loans:?}");
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
         assert!(machine.running().is_empty(), "{loans:?}");
     }
 }
@@ -103,7 +103,7 @@
     let (started, done) = (machine.started.clone(), world.recorded_done());
     let mut earlier = ProductionLeader::elected(&world);
     let mut users = ProductionApi::default();
-    for _ in 0..2 * SETTLED {
+    for _ in 0..2 * SETTLE_STEPS {
         machine.finish_all();
         earlier.step(&mut machine);
         assert_eq!(users.cancel(&mut world.store(), JOB), CancelAnswer::Refused);
@@ -134,7 +134,7 @@
         let (record, started) = (world.job_row(), machine.started.clone());
         let done = world.recorded_done();
         let mut leader = world.leader();
-        for _ in 0..SETTLED {
+        for _ in 0..SETTLE_STEPS {
             leader.step(&mut machine);
             leader.lend();
         }
--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED, TASKS};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::production_api::{read_final_record, CancelAnswer, ProductionApi};
 use common::production_leader::{ProductionLeader, Version};
 use common::store_faults::StoreFaults;
@@ -291,7 +291,7 @@
                 break;
             }
         }
-        (0..2 * SETTLED).for_each(|_| self.step());
+        (0..2 * SETTLE_STEPS).for_each(|_| self.step());
         let store = self.world.store();
         let left: Vec<&String> = store.keys.keys().filter(|key| key.contains(JOB)).collect();
         assert_eq!(left, [&format!("final/{JOB}")], "seed {}", self.seed);
--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::lending_scenario::{lend, lending_scenario, wall};
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED, VALUE_BYTES};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, VALUE_BYTES};
 use common::spec;
 use milletlock::fleet::LoanWrite;
 use milletlock::leadership::mark_unreadable_finals;
@@ -44,7 +44,7 @@
     leader.lend();
     let lent = world.borrower().tasks();
     world.borrower().tasks_to_return = lent.iter().filter(|task| task % 2 == 0).collect();
-    (0..SETTLED).for_each(|_| leader.lend());
+    (0..SETTLE_STEPS).for_each(|_| leader.lend());
     let value = job_value(&world);
     let record: JobRecord = serde_json::from_value(value.clone()).expect("a record");
     assert!(record.lending.tasks().len() < lent.len(), "no tasks were returned");
@@ -74,9 +74,9 @@
 fn leader_elected_again<'a>(world: &'a World, machine: &mut Machine) -> Leader<'a> {
     let mut leader = world.leader_beside("0.3.3");
     leader.submit();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
     world.elect_earlier_leader();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
     leader.fail_over();
     leader
 }
@@ -87,7 +87,7 @@
 fn versions_reported_in_an_earlier_term_allow_no_loan() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = leader_elected_again(&world, &mut machine);
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.lend();
         leader.step(&mut machine);
     }
--- a/tests/lent_records.rs
+++ b/tests/lent_records.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::lending_scenario::tasks;
-use common::lending_world::{Machine, World, JOB, SETTLED, TASKS};
+use common::lending_world::{Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::production::{self, ranges_text};
 use common::production_api::read_final_record;
 use common::records_of_0_3_2::RecordOf0_3_2;
@@ -213,10 +213,10 @@
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         lent_by_0_3_2(&world, &mut machine);
         let mut leader = world.leader_beside(version);
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
         let borrowed = world.borrower().tasks();
         world.borrower().tasks_to_return = borrowed.iter().take(1).collect();
-        (0..SETTLED).for_each(|_| leader.lend());
+        (0..SETTLE_STEPS).for_each(|_| leader.lend());
         let record = read(&world.job_row().expect("the job"));
         assert_eq!(record.lending.tasks().len(), borrowed.len() - 1, "{version}: one task has been returned");
         assert!(is_hidden(&world), "{version}");
@@ -237,7 +237,7 @@
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         let mut leader = world.leader_beside(version);
         leader.submit();
-        for _ in 0..SETTLED {
+        for _ in 0..SETTLE_STEPS {
             leader.step(&mut machine);
             leader.lend();
         }
@@ -246,7 +246,7 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader_beside("0.3.3");
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     leader.lend_until_accepted(&mut machine);
 }
 
@@ -286,7 +286,7 @@
     large["spec_of_lent"]["breeds"] = json!(types);
     put(&world, &job_key(), large);
     let mut leader = world.leader_beside("0.3.3");
-    (0..SETTLED).for_each(|_| leader.lend());
+    (0..SETTLE_STEPS).for_each(|_| leader.lend());
     assert!(is_hidden(&world));
     assert_eq!(leader.status()["lent_progress"]["hidden_records"], 1);
 }
@@ -322,7 +322,7 @@
         let mut leader = world.leader();
         let other = json!(spec(2, 2, "batch"));
         assert_eq!(leader.ask("POST", "/api/jobs", &other).0, 201);
-        for _ in 0..2 * SETTLED {
+        for _ in 0..2 * SETTLE_STEPS {
             leader.step(&mut machine);
             machine.finish_all();
         }
--- a/tests/one_id_in_two_cells.rs
+++ b/tests/one_id_in_two_cells.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::lending_scenario::tasks;
-use common::lending_world::{Machine, World, JOB, SETTLED};
+use common::lending_world::{Machine, World, JOB, SETTLE_STEPS};
 use common::{record, spec};
 use milletlock::loan_messages::{report_from_proto, request_to_proto};
 use milletlock::peer::{PeerMessage, PeerReply};
@@ -62,6 +62,6 @@
     let then = vec![Change::put(key.clone(), json!("5-9"))];
     world.store().txn(&Txn { guards: Vec::new(), then }).expect("written");
     let mut leader = world.leader();
-    leader.steps(&mut Machine::new("i-000001"), SETTLED);
+    leader.steps(&mut Machine::new("i-000001"), SETTLE_STEPS);
     assert_eq!(world.store().row(&key).map(|row| row.value), Some(json!("5-9")));
 }
--- a/tests/progress_keeper.rs
+++ b/tests/progress_keeper.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::leader_without_copies::{assert_none_starts_again, follower_with_reported_results, NO_VERSION};
-use common::lending_world::{Leader, Machine, World, SETTLED};
+use common::lending_world::{Leader, Machine, World, SETTLE_STEPS};
 use common::spec;
 use common::worker::Task;
 use milletlock::time::{Micros, Steady};
@@ -40,7 +40,7 @@
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(
         lent_progress(&leader),
         Some((1, 0)),
--- a/tests/rows_of_0_3_0.rs
+++ b/tests/rows_of_0_3_0.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::lending_world::{Machine, World, JOB, SETTLED};
+use common::lending_world::{Machine, World, JOB, SETTLE_STEPS};
 use common::production;
 use common::production_leader::ProductionLeader;
 use milletlock::wire::{Change, Txn};
@@ -44,14 +44,14 @@
     let world = world_of_0_3_0();
     let mut machine = Machine::new("i-000001");
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     leader.lend();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     let done = production::tasks_of_text("0-31");
     assert!(world.copied_done().is_superset(&done), "{:?}", world.copied_done());
     assert!(kept_mark(&world) >= START_MARK);
     let mut earlier = ProductionLeader::elected(&world);
-    earlier.steps(&mut machine, SETTLED);
+    earlier.steps(&mut machine, SETTLE_STEPS);
     assert!(earlier.knows(JOB));
     assert!(world.recorded_done().is_superset(&done), "{:?}", world.recorded_done());
 }
--- a/tests/unreadable_history.rs
+++ b/tests/unreadable_history.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::leader_without_copies::TO_THE_END;
-use common::lending_world::{Machine, World, SETTLED};
+use common::lending_world::{Machine, World, SETTLE_STEPS};
 use milletlock::history::BUCKETS;
 use milletlock::wire::{Change, Txn};
 use serde_json::{json, Value};
@@ -32,6 +32,6 @@
         }
     }
     assert_eq!(leader.stage(), "done");
-    leader.steps(&mut machine, 2 * SETTLED);
+    leader.steps(&mut machine, 2 * SETTLE_STEPS);
     assert_eq!(history(&world), vec![later_value; BUCKETS as usize]);
 }
--- a/tests/unreadable_records.rs
+++ b/tests/unreadable_records.rs
@@ -10,7 +10,7 @@
 
 use std::sync::atomic::Ordering;
 
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED, STEP, TASKS};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, STEP, TASKS};
 use common::store::Store;
 use common::{config, record, spec, types, LEASE};
 use milletlock::fleet::{Fleet, PendingWrite};
@@ -43,9 +43,9 @@
 fn run_some_tasks(world: &World, machine: &mut Machine) {
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
     machine.finish_all();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
     assert!(machine.taken.len() >= 4 && !machine.running().is_empty(), "{:?}", machine.taken);
 }
 
@@ -89,12 +89,12 @@
         put(&mut world.store(), &job_key(), damaged);
         let mut leader = world.leader();
         let (running, taken) = (machine.running(), machine.taken.clone());
-        leader.steps(&mut machine, 3 * SETTLED);
+        leader.steps(&mut machine, 3 * SETTLE_STEPS);
         assert_unavailable(&leader);
         assert_eq!(unreadable(&leader)["keys"], json!([job_key()]));
         assert_eq!(machine.running(), running, "the job's tasks keep running");
         machine.finish_all();
-        leader.steps(&mut machine, 3 * SETTLED);
+        leader.steps(&mut machine, 3 * SETTLE_STEPS);
         assert_eq!(machine.taken, taken, "the worker keeps results that cannot be recorded");
         assert!(world.recorded_done().is_superset(&taken));
         put(&mut world.store(), &job_key(), good);
@@ -112,15 +112,15 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     run_some_tasks(&world, &mut machine);
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     let good = value(&world, &job_key());
     put(&mut world.store(), &job_key(), json!({ "spec": 5 }));
     machine.finish_all();
-    leader.steps(&mut machine, 3 * SETTLED);
+    leader.steps(&mut machine, 3 * SETTLE_STEPS);
     assert_unavailable(&leader);
     let started: usize = machine.started.values().sum();
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(machine.started.values().sum::<usize>(), started, "a task of the blocked job is started");
     put(&mut world.store(), &job_key(), good);
     run_until_done(&mut leader, &mut machine);
@@ -140,7 +140,7 @@
         put(&mut world.store(), &key, damaged.clone());
         let mut leader = world.leader();
         let started: usize = machine.started.values().sum();
-        leader.steps(&mut machine, 3 * SETTLED);
+        leader.steps(&mut machine, 3 * SETTLE_STEPS);
         assert_eq!(machine.started.values().sum::<usize>(), started, "{damaged}");
         assert_eq!(value(&world, &key), damaged, "the unreadable record is changed");
         assert_eq!(unreadable(&leader)["keys"], json!([key]));
@@ -171,7 +171,7 @@
         let started: usize = machine.started.values().sum();
         machine.finish_all();
         let mut leader = world.leader();
-        for _ in 0..SETTLED {
+        for _ in 0..SETTLE_STEPS {
             leader.lend();
             leader.step(&mut machine);
         }
@@ -243,9 +243,9 @@
         let running = machine.running();
         put(&mut world.store(), key, damaged.clone());
         let (mut leader, mut other) = (world.leader(), Machine::new("i-000002"));
-        leader.steps(&mut other, SETTLED);
+        leader.steps(&mut other, SETTLE_STEPS);
         assert!(other.running().is_disjoint(&running), "{:?} of {running:?}", other.running());
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
         assert_eq!(value(&world, key), damaged, "the unreadable value is changed");
     }
 }
@@ -256,12 +256,12 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     leader.lend_until_accepted(&mut machine);
     let lent = world.borrower().tasks();
     put(&mut world.store(), &job_key(), json!({ "spec_of_a_later_version": {} }));
     let mut leader = world.leader();
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.lend();
         leader.step(&mut machine);
     }
@@ -307,7 +307,7 @@
             reply.reports.iter().filter(|report| report.closed).map(|r| r.number).collect();
         assert!(closed.is_empty(), "{closed:?} of {job} and {lender}");
         let mut machine = Machine::new("i-000001");
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
         assert_eq!(value(&world, "borrowed/done/wk-000005/0"), json!("1-2"));
         assert_eq!(value(&world, "borrowed/lender/there"), lender);
         assert_eq!(value(&world, "borrowed/job/wk-000005"), job);
@@ -323,7 +323,7 @@
     let running = machine.running();
     put(&mut world.store(), "machines/0", json!([1]));
     let (mut leader, mut other) = (world.leader(), Machine::new("i-000002"));
-    leader.steps(&mut other, 3 * SETTLED);
+    leader.steps(&mut other, 3 * SETTLE_STEPS);
     assert!(other.running().is_disjoint(&running), "{:?} of {running:?}", other.running());
     assert_eq!(value(&world, "machines/0"), json!([1]), "the unreadable value is changed");
 }
@@ -360,7 +360,7 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     leader.lend_until_accepted(&mut machine);
     let lent = world.borrower().tasks();
     let description = json!(spec(5, 10, "batch"));
