--- a/tests/common/leader_without_copies.rs
+++ b/tests/common/leader_without_copies.rs
@@ -8,11 +8,11 @@
 pub const NO_VERSION: &str = "";
 
 /// Steps within which a job that can end has ended.
-pub const TO_THE_END: usize = 200;
+pub const MAX_STEPS: usize = 200;
 
 /// A leader of this version plays on until the job is done.
 pub fn run_until_done(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
-    for _ in 0..TO_THE_END {
+    for _ in 0..MAX_STEPS {
         finish_and_step(world, leader, machine);
         if leader.stage() == "done" {
             return;
@@ -31,7 +31,7 @@
     check: impl Fn(&World),
 ) {
     world.borrower().is_cut_off = false;
-    for _ in 0..TO_THE_END {
+    for _ in 0..MAX_STEPS {
         finish_and_step(world, leader, machine);
         check(world);
         if world.store().row(&format!("job/{JOB}")).is_none() {
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -25,7 +25,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
 
-use common::leader_without_copies::{run_until_done, TO_THE_END};
+use common::leader_without_copies::{run_until_done, MAX_STEPS};
 use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::{production, spec};
 
@@ -133,7 +133,7 @@
     // All comes back and is begun here, but for the last task.
     world.borrower().tasks_to_return = lent.iter().take(lent.len() as usize - 1).collect();
     leader.lend();
-    for _ in 0..TO_THE_END {
+    for _ in 0..MAX_STEPS {
         machine.finish_all();
         leader.step(&mut machine);
         if machine.running().iter().any(|task| lent.contains(*task)) {
@@ -258,7 +258,7 @@
     let held = world.borrower().tasks();
     world.borrower().tasks_to_return = held.iter().skip(1).collect();
     leader.lend();
-    for _ in 0..TO_THE_END {
+    for _ in 0..MAX_STEPS {
         machine.finish_all();
         leader.step(&mut machine);
     }
--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::leader_without_copies::{run_until_ended, TO_THE_END};
+use common::leader_without_copies::{run_until_ended, MAX_STEPS};
 use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::production_api::{read_final_record, CancelAnswer, ProductionApi};
 use common::production_leader::ProductionLeader;
@@ -71,7 +71,7 @@
 /// loan is still open.
 fn all_done_but_not_ended(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     let borrowed = world.borrower().tasks();
-    for _ in 0..TO_THE_END {
+    for _ in 0..MAX_STEPS {
         leader.step(machine);
         let recorded = world.recorded_done().len() as u32;
         if recorded + borrowed.len() + machine.running().len() as u32 == TASKS {
--- a/tests/held_jobs.rs
+++ b/tests/held_jobs.rs
@@ -18,7 +18,7 @@
 /// Rounds within which a leader of either version has done all that it does without further results.
 const AT_REST: usize = 2 * SETTLE_STEPS;
 /// Rounds within which a job whose tasks end at once has ended.
-const TO_THE_END: usize = 200;
+const MAX_STEPS: usize = 200;
 
 /// What the record of a job says of loans.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -179,7 +179,7 @@
         let before = progress(&world);
         let started = machine.started.len();
         let mut earlier = ProductionLeader::elected(&world);
-        for _ in 0..TO_THE_END {
+        for _ in 0..MAX_STEPS {
             machine.finish_all();
             earlier.step(&mut machine);
             if !is_live(&world) {
@@ -220,7 +220,7 @@
     leader.submit_and_lend(&mut machine);
     borrow_no_more(&world, &mut leader);
     let held = world.borrower().tasks();
-    for _ in 0..TO_THE_END {
+    for _ in 0..MAX_STEPS {
         if machine.running().len() == 1 && world.recorded_done().len() as u32 + held.len() + 1 == 40 {
             break;
         }
@@ -258,7 +258,7 @@
     let started = machine.started.clone();
     world.borrower().is_cut_off = false;
     let mut leader = world.leader();
-    for _ in 0..TO_THE_END {
+    for _ in 0..MAX_STEPS {
         leader.lend();
         leader.step(&mut machine);
         if !is_live(&world) {
--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -20,7 +20,7 @@
 /// Actions of a seed.
 const ACTIONS: usize = 90;
 /// Rounds within which a job whose tasks end at once has ended.
-const TO_THE_END: usize = 300;
+const MAX_STEPS: usize = 300;
 /// The share of the writes of the job's record that are lost, late or without an answer.
 const FAULTY_SHARE: f64 = 0.15;
 
@@ -279,7 +279,7 @@
         self.leading = Leading::This(Box::new(self.world.leader()));
         self.world.borrower().is_cut_off = false;
         self.world.borrower().tasks_to_return = TaskSet::new();
-        for _ in 0..TO_THE_END {
+        for _ in 0..MAX_STEPS {
             self.finish(1.0);
             let held = self.world.borrower().tasks();
             let done = self.world.borrower().done.union(&held);
--- a/tests/unreadable_history.rs
+++ b/tests/unreadable_history.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::leader_without_copies::TO_THE_END;
+use common::leader_without_copies::MAX_STEPS;
 use common::lending_world::{Machine, World, SETTLE_STEPS};
 use milletlock::history::BUCKETS;
 use milletlock::wire::{Change, Txn};
@@ -24,7 +24,7 @@
     world.store().txn(&Txn { guards: Vec::new(), then }).expect("written");
     let mut leader = world.leader();
     leader.submit();
-    for _ in 0..TO_THE_END {
+    for _ in 0..MAX_STEPS {
         leader.steps(&mut machine, 2);
         machine.finish_all();
         if leader.stage() == "done" {
