--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -131,7 +131,7 @@
                 }
                 _ => leader.steps(&mut machine, random.random_range(1..5)),
             }
-            note_heard(&mut heard, &machine, machine.taken.clone());
+            note_heard(&mut heard, &machine, machine.forgotten_results.clone());
             assert_not_started_since(&heard, &machine, seed);
         }
         world.borrower().tasks_to_return = TaskSet::new();
@@ -203,7 +203,7 @@
     leader.submit_and_lend(&mut machine);
     machine.finish_all();
     leader.steps(&mut machine, SETTLE_STEPS);
-    let finished = machine.taken.clone();
+    let finished = machine.forgotten_results.clone();
     assert!(!finished.is_empty());
     world.remove_copies();
     let mark = production::marks_in(&world.store())[JOB];
@@ -302,7 +302,7 @@
         machine.finish_all();
         leader.steps(&mut machine, SETTLE_STEPS);
     }
-    let finished = machine.taken.clone();
+    let finished = machine.forgotten_results.clone();
     let mark = production::marks_in(&world.store())[JOB];
     world.remove_copies();
     let then = old.into_iter().map(|row| Change::put(row.key, row.value)).collect();
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -98,13 +98,13 @@
     /// The task numbers that it has ever started, with how often.
     pub started: BTreeMap<u32, usize>,
     /// Task numbers whose result a leader of this version has taken: their tasks were forgotten.
-    pub taken: BTreeSet<u32>,
+    pub forgotten_results: BTreeSet<u32>,
 }
 
 impl Machine {
     pub fn new(id: &str) -> Machine {
         let state = WorkerState::new(id.to_string(), "north", Steady(0));
-        Machine { state, started: BTreeMap::new(), taken: BTreeSet::new() }
+        Machine { state, started: BTreeMap::new(), forgotten_results: BTreeSet::new() }
     }
 
     /// All that runs is done.
@@ -153,7 +153,7 @@
                 let key = (task.clone(), *attempt);
                 let is_done = |task: &Task| task.why == Some(ExitReason::Done);
                 if self.state.tasks.get(&key).is_some_and(is_done) {
-                    self.taken.insert(number_of(task));
+                    self.forgotten_results.insert(number_of(task));
                 }
                 self.state.forget(task, *attempt);
             }
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -58,7 +58,7 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     lent_and_done_on_both_sides(&world, &mut leader, &mut machine);
-    let finished = machine.taken.clone();
+    let finished = machine.forgotten_results.clone();
     let at_borrower: BTreeSet<u32> = world.borrower().done.iter().collect();
     assert!(!finished.is_empty() && !at_borrower.is_empty(), "done on both sides");
     // Users' requests meanwhile, as the version in production answers them by the records.
@@ -95,7 +95,7 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     lent_and_done_on_both_sides(&world, &mut leader, &mut machine);
-    let finished = machine.taken.clone();
+    let finished = machine.forgotten_results.clone();
     let at_borrower: BTreeSet<u32> = world.borrower().done.iter().collect();
     let highest = |world: &World| production::marks_in(&world.store()).get(JOB).copied().unwrap_or(0);
     let mark = highest(&world);
@@ -173,13 +173,13 @@
     assert!(!copies.is_empty());
     copies.iter().for_each(|key| drop(world.store().keys.remove(key)));
     world.refuses_copies.store(true, Ordering::SeqCst);
-    let taken = machine.taken.clone();
+    let taken = machine.forgotten_results.clone();
     let mut leader = world.leader();
     leader.steps(&mut machine, SETTLE_STEPS);
-    assert_eq!(machine.taken, taken);
+    assert_eq!(machine.forgotten_results, taken);
     world.refuses_copies.store(false, Ordering::SeqCst);
     leader.steps(&mut machine, SETTLE_STEPS);
-    assert!(machine.taken.len() > taken.len(), "{:?}", machine.taken);
+    assert!(machine.forgotten_results.len() > taken.len(), "{:?}", machine.forgotten_results);
 }
 
 /// Guards against results that waited for the next write when their leader was killed, and ran again after an
@@ -329,7 +329,7 @@
                 }
                 _ => leader.steps(&mut machine, random.random_range(1..5)),
             }
-            let again = started_again(&machine, &machine.taken);
+            let again = started_again(&machine, &machine.forgotten_results);
             assert!(again.is_empty(), "seed {seed}: finished tasks start again: {again:?}");
             let held = world.borrower().tasks();
             let both: Vec<u32> = machine.running().into_iter().filter(|task| held.contains(*task)).collect();
@@ -337,7 +337,7 @@
         }
         world.borrower().tasks_to_return = TaskSet::new();
         run_until_done(&world, &mut leader, &mut machine);
-        let again = started_again(&machine, &machine.taken);
+        let again = started_again(&machine, &machine.forgotten_results);
         assert!(again.is_empty(), "seed {seed}: finished tasks start again: {again:?}");
     }
 }
--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -117,7 +117,7 @@
 
     fn step_of_machine(&mut self, number: usize) {
         let machine = &mut self.machines[number];
-        let taken = machine.taken.clone();
+        let taken = machine.forgotten_results.clone();
         match &mut self.leading {
             Leading::This(leader) => leader.step(machine),
             Leading::Earlier(leader) => leader.step(machine),
@@ -126,7 +126,7 @@
         let forgets = self.is_led_by(Version::BeforeLoans) && self.is_hidden();
         let machine = &self.machines[number];
         if !forgets {
-            let newly_taken: BTreeSet<u32> = machine.taken.difference(&taken).copied().collect();
+            let newly_taken: BTreeSet<u32> = machine.forgotten_results.difference(&taken).copied().collect();
             let again: Vec<u32> = machine.running().intersection(&newly_taken).copied().collect();
             assert!(again.is_empty(), "seed {}: forgotten and started again: {again:?}", self.seed);
             self.finished.extend(newly_taken);
--- a/tests/unreadable_records.rs
+++ b/tests/unreadable_records.rs
@@ -46,7 +46,11 @@
     leader.steps(machine, SETTLE_STEPS);
     machine.finish_all();
     leader.steps(machine, SETTLE_STEPS);
-    assert!(machine.taken.len() >= 4 && !machine.running().is_empty(), "{:?}", machine.taken);
+    assert!(
+        machine.forgotten_results.len() >= 4 && !machine.running().is_empty(),
+        "{:?}",
+        machine.forgotten_results
+    );
 }
 
 /// Runs the job until it is done.
@@ -88,14 +92,14 @@
         let good = value(&world, &job_key());
         put(&mut world.store(), &job_key(), damaged);
         let mut leader = world.leader();
-        let (running, taken) = (machine.running(), machine.taken.clone());
+        let (running, taken) = (machine.running(), machine.forgotten_results.clone());
         leader.steps(&mut machine, 3 * SETTLE_STEPS);
         assert_unavailable(&leader);
         assert_eq!(unreadable(&leader)["keys"], json!([job_key()]));
         assert_eq!(machine.running(), running, "the job's tasks keep running");
         machine.finish_all();
         leader.steps(&mut machine, 3 * SETTLE_STEPS);
-        assert_eq!(machine.taken, taken, "the worker keeps results that cannot be recorded");
+        assert_eq!(machine.forgotten_results, taken, "the worker keeps results that cannot be recorded");
         assert!(world.recorded_done().is_superset(&taken));
         put(&mut world.store(), &job_key(), good);
         leader.steps(&mut machine, 2);
