--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -419,7 +419,7 @@
     }
 
     /// Sends a user's request; the status code and the body.
-    pub fn ask(&self, method: &str, path: &str, body: &Value) -> (u16, Value) {
+    pub fn user_request(&self, method: &str, path: &str, body: &Value) -> (u16, Value) {
         let body = body.to_string().into_bytes();
         let request = Request { method: method.into(), path: path.into(), body };
         let response = self.controller.answer(&request, RequestOrigin::Http);
@@ -441,16 +441,19 @@
     }
 
     pub fn submit(&self) {
-        assert_eq!(self.ask("POST", "/api/jobs", &json!(spec(1, TASKS, "batch"))).0, 201);
+        assert_eq!(self.user_request("POST", "/api/jobs", &json!(spec(1, TASKS, "batch"))).0, 201);
     }
 
     /// A user cancels the job; the status code.
     pub fn cancel(&self) -> u16 {
-        self.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0
+        self.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0
     }
 
     pub fn stage(&self) -> String {
-        self.ask("GET", &format!("/api/jobs/{JOB}"), &Value::Null).1["stage"].as_str().unwrap_or("").into()
+        self.user_request("GET", &format!("/api/jobs/{JOB}"), &Value::Null).1["stage"]
+            .as_str()
+            .unwrap_or("")
+            .into()
     }
 
     /// One round of messages between the cells.
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -279,14 +279,14 @@
     world.run_earlier_leader();
     let mut leader = world.leader();
     world.borrower().is_cut_off = true;
-    let again = leader.ask("POST", "/api/jobs", &json!(spec(1, TASKS, "batch")));
+    let again = leader.user_request("POST", "/api/jobs", &json!(spec(1, TASKS, "batch")));
     assert_eq!(again.0, 200, "{again:?}");
     let cancel = format!("/api/jobs/{JOB}/withdraw");
-    assert_eq!(leader.ask("POST", &cancel, &Value::Null).0, 503, "the borrower holds tasks");
+    assert_eq!(leader.user_request("POST", &cancel, &Value::Null).0, 503, "the borrower holds tasks");
     world.run_earlier_leader();
     leader.steps(&mut machine, 1);
     let mut leader = world.leader();
-    assert_eq!(leader.ask("POST", &cancel, &Value::Null).0, 503, "the borrower still holds tasks");
+    assert_eq!(leader.user_request("POST", &cancel, &Value::Null).0, 503, "the borrower still holds tasks");
     world.borrower().is_cut_off = false;
     let started: usize = machine.started.values().sum();
     for _ in 0..SETTLE_STEPS {
@@ -294,7 +294,7 @@
         leader.step(&mut machine);
     }
     assert!(world.borrower().tasks().is_empty());
-    let answer = leader.ask("POST", &cancel, &Value::Null);
+    let answer = leader.user_request("POST", &cancel, &Value::Null);
     assert_eq!((answer.0, &answer.1["stage"]), (200, &json!("cancelled")));
     assert_eq!(machine.started.values().sum::<usize>(), started, "nothing of it starts");
 }
--- a/tests/held_job_forms.rs
+++ b/tests/held_job_forms.rs
@@ -115,7 +115,7 @@
         let mut leader = world.leader();
         let mut job = json!(spec(1, TASKS, "batch"));
         job["breeds"] = type_names(types);
-        assert_eq!(leader.ask("POST", "/api/jobs", &job).0, 201);
+        assert_eq!(leader.user_request("POST", "/api/jobs", &job).0, 201);
         leader.steps(&mut machine, SETTLE_STEPS);
         for _ in 0..SETTLE_STEPS {
             leader.lend();
@@ -143,8 +143,8 @@
     drop(leader);
     world.store().rewrite_as_0_3_2(JOB, |_| ());
     let follower = world.follower();
-    let status = follower.ask("GET", &format!("/api/jobs/{JOB}"), &Value::Null);
+    let status = follower.user_request("GET", &format!("/api/jobs/{JOB}"), &Value::Null);
     assert_eq!((status.0, &status.1["stage"]), (200, &json!("queued")), "a status request");
-    let again = follower.ask("POST", "/api/jobs", &json!(spec(1, TASKS, "batch")));
+    let again = follower.user_request("POST", "/api/jobs", &json!(spec(1, TASKS, "batch")));
     assert_eq!(again.0, 200, "a repeated submission: {again:?}");
 }
--- a/tests/held_jobs.rs
+++ b/tests/held_jobs.rs
@@ -54,7 +54,7 @@
 /// A user asks to cancel while the borrower does not answer.
 fn ask_to_cancel(world: &World, leader: &Leader<'_>) {
     world.borrower().is_cut_off = true;
-    assert_eq!(leader.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
+    assert_eq!(leader.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
 }
 
 /// The borrower holds all that is lent to it, and takes nothing more.
--- a/tests/held_jobs_before_0_3_3.rs
+++ b/tests/held_jobs_before_0_3_3.rs
@@ -139,7 +139,11 @@
             leader.lend();
         }
         assert_eq!(leader.cancel(), 503, "{placeholder:?}");
-        assert_eq!(leader.ask("GET", &format!("/api/jobs/{JOB}"), &Value::Null).0, 503, "{placeholder:?}");
+        assert_eq!(
+            leader.user_request("GET", &format!("/api/jobs/{JOB}"), &Value::Null).0,
+            503,
+            "{placeholder:?}"
+        );
         assert_eq!(world.job_row(), record, "{placeholder:?}");
         assert_eq!(world.final_row(), placeholder);
         assert_eq!((machine.started, world.recorded_done()), (started, done), "{placeholder:?}");
--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -208,7 +208,8 @@
             self.users.cancel(&mut self.world.store(), JOB) == CancelAnswer::Confirmed
         } else {
             let follower = self.world.follower();
-            let (status, body) = follower.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null);
+            let (status, body) =
+                follower.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null);
             status == 200 && body["stage"] == "cancelled"
         };
         if is_confirmed && !self.is_cancellation_confirmed {
--- a/tests/lent_records.rs
+++ b/tests/lent_records.rs
@@ -222,7 +222,7 @@
         assert!(is_hidden(&world), "{version}");
         assert_eq!(world.final_row(), None, "{version}");
         assert_eq!(leader.status()["lent_progress"]["hidden_records"], 1, "{version}");
-        let cancelled = leader.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null);
+        let cancelled = leader.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null);
         assert_eq!(cancelled.0, 503, "{version}: the borrower still has tasks");
         assert!(is_hidden(&world) && world.final_row().is_none(), "{version}: cancelling");
         leader.lend();
@@ -299,9 +299,9 @@
     put(&world, &final_key(), json!({ "held": true }));
     let leader = world.leader();
     let submission = json!(spec(1, 4, "batch"));
-    assert_eq!(leader.ask("POST", "/api/jobs", &submission).0, 503);
-    assert_eq!(leader.ask("GET", &format!("/api/jobs/{JOB}"), &Value::Null).0, 503);
-    assert_eq!(leader.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
+    assert_eq!(leader.user_request("POST", "/api/jobs", &submission).0, 503);
+    assert_eq!(leader.user_request("GET", &format!("/api/jobs/{JOB}"), &Value::Null).0, 503);
+    assert_eq!(leader.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
     assert_eq!(leader.status()["owner"]["unreadable"], json!({ "count": 1, "keys": [final_key()] }));
     assert_eq!(world.final_row(), Some(json!({ "held": true })));
     assert_eq!(world.job_row(), None);
@@ -321,7 +321,7 @@
         put(&world, &format!("done/{JOB}/0"), json!(ranges_text(&(0..40).collect())));
         let mut leader = world.leader();
         let other = json!(spec(2, 2, "batch"));
-        assert_eq!(leader.ask("POST", "/api/jobs", &other).0, 201);
+        assert_eq!(leader.user_request("POST", "/api/jobs", &other).0, 201);
         for _ in 0..2 * SETTLE_STEPS {
             leader.step(&mut machine);
             machine.finish_all();
@@ -332,7 +332,7 @@
         assert_eq!(world.final_row(), unexpected, "the value under the final key has changed");
         let keys = leader.status()["owner"]["unreadable"]["keys"].clone();
         assert_eq!(keys, json!([final_key()]), "{unexpected:?}");
-        assert_eq!(leader.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
+        assert_eq!(leader.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
     }
 }
 
@@ -346,6 +346,6 @@
         submission[field] = Value::Null;
     }
     submission["breeds"] = json!([]);
-    assert_eq!(leader.ask("POST", "/api/jobs", &submission).0, 400);
+    assert_eq!(leader.user_request("POST", "/api/jobs", &submission).0, 400);
     assert_eq!(world.job_row(), None);
 }
--- a/tests/unreadable_records.rs
+++ b/tests/unreadable_records.rs
@@ -78,9 +78,9 @@
 /// Checks that users get status 503 for requests about the job, neither 404 nor a stage.
 fn assert_unavailable(leader: &Leader<'_>) {
     let path = format!("/api/jobs/{JOB}");
-    assert_eq!(leader.ask("GET", &path, &Value::Null).0, 503);
-    assert_eq!(leader.ask("POST", &format!("{path}/withdraw"), &Value::Null).0, 503);
-    assert_eq!(leader.ask("POST", "/api/jobs", &json!(spec(1, TASKS, "batch"))).0, 503);
+    assert_eq!(leader.user_request("GET", &path, &Value::Null).0, 503);
+    assert_eq!(leader.user_request("POST", &format!("{path}/withdraw"), &Value::Null).0, 503);
+    assert_eq!(leader.user_request("POST", "/api/jobs", &json!(spec(1, TASKS, "batch"))).0, 503);
 }
 
 /// A new leader finds the job's record unreadable. The record is repaired while this leader is active.
@@ -221,7 +221,7 @@
             let both: Vec<u32> = machine.running().into_iter().filter(|task| lent.contains(*task)).collect();
             assert!(both.is_empty(), "seed {seed}: tasks in both cells: {both:?}");
         }
-        assert_eq!(leader.ask("GET", "/api/jobs/wk-000002", &Value::Null).0, 503, "seed {seed}");
+        assert_eq!(leader.user_request("GET", "/api/jobs/wk-000002", &Value::Null).0, 503, "seed {seed}");
         assert_eq!(value(&world, "done/wk-000002/0"), json!("0-3"), "seed {seed}");
         world.refuses_copies.store(false, Ordering::SeqCst);
         world.borrower().is_cut_off = false;
@@ -380,7 +380,7 @@
     assert_eq!(value(&world, "borrowed/done/wk-000005/0"), json!("1-2"));
     let done = world.store().rows("borrowed/done/wk-000005/");
     assert!(done.iter().any(|row| row.value == json!("1-3")), "the borrowed task is not done: {done:?}");
-    let response = leader.ask("POST", "/api/jobs", &json!(spec(5, 10, "batch")));
+    let response = leader.user_request("POST", "/api/jobs", &json!(spec(5, 10, "batch")));
     assert_eq!(response.0, 503, "the id of the job is in use: {response:?}");
     let mut leader = world.leader();
     for _ in 0..TO_THE_END {
