--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -46,7 +46,7 @@
 #[derive(Default)]
 pub struct Borrower {
     /// The tasks that it holds, by loan.
-    pub held: BTreeMap<LoanNumber, TaskSet>,
+    pub loans: BTreeMap<LoanNumber, TaskSet>,
     /// Tasks that are done there.
     pub done: TaskSet,
     /// Tasks that it gives back as soon as it is told so by the test.
@@ -60,21 +60,21 @@
 impl Borrower {
     fn on_request(&mut self, request: &LoanSyncRequest) -> Vec<LoanReport> {
         let is_named = |number: &LoanNumber| request.loans.iter().any(|item| item.number == *number);
-        self.held.retain(|number, _| *number > request.horizon || is_named(number));
+        self.loans.retain(|number, _| *number > request.horizon || is_named(number));
         request.loans.iter().map(|item| self.on_item(item)).collect()
     }
 
     fn on_item(&mut self, item: &LoanItem) -> LoanReport {
         if item.offer.is_some() && item.action == LoanAction::Run {
-            self.held.entry(item.number).or_insert_with(|| item.tasks.clone());
+            self.loans.entry(item.number).or_insert_with(|| item.tasks.clone());
         }
         if item.action == LoanAction::Cancel {
-            self.held.remove(&item.number);
+            self.loans.remove(&item.number);
         }
-        if let Some(tasks) = self.held.get_mut(&item.number) {
+        if let Some(tasks) = self.loans.get_mut(&item.number) {
             *tasks = tasks.difference(&self.tasks_to_return);
         }
-        let state = match self.held.get(&item.number) {
+        let state = match self.loans.get(&item.number) {
             Some(tasks) => LoanState::Accepted { tasks: tasks.clone(), done: tasks.intersection(&self.done) },
             None => LoanState::Closed,
         };
@@ -88,7 +88,7 @@
 
     /// All tasks that it holds.
     pub fn tasks(&self) -> TaskSet {
-        TaskSet::union_of(self.held.values())
+        TaskSet::union_of(self.loans.values())
     }
 }
 
--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -210,7 +210,7 @@
                     format!("{fault:?}, loans closed: {closes_loans}, leader replaced: {is_replaced}");
                 let (world, mut machine) = world_before(Step::Settle);
                 if closes_loans {
-                    world.borrower().held.clear();
+                    world.borrower().loans.clear();
                 }
                 world.store().rewrite_as_0_3_2(JOB, |lending| {
                     lending.loans.retain(|_| !closes_loans);
@@ -242,7 +242,7 @@
     for fault in FAULTS {
         let context = format!("{fault:?}");
         let (world, mut machine) = world_before(Step::Settle);
-        world.borrower().held.clear();
+        world.borrower().loans.clear();
         world.store().rewrite_as_0_3_2(JOB, |lending| lending.loans.clear());
         world.faults().next = [fault].into();
         let mut leader = world.leader_without_cells();
--- a/tests/held_jobs_before_0_3_3.rs
+++ b/tests/held_jobs_before_0_3_3.rs
@@ -39,7 +39,7 @@
     world.elect_earlier_leader();
     let is_closed = loans == Loans::Closed;
     if is_closed {
-        world.borrower().held.clear();
+        world.borrower().loans.clear();
     }
     world.store().rewrite_as_0_3_2(JOB, |lending| {
         if is_closed {
--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -168,7 +168,7 @@
         self.world.store().rewrite_as_0_3_2(JOB, |lending| {
             for loan in &mut lending.loans {
                 // One of which the borrower has not heard stays open.
-                if let Some(held) = borrower.held.get(&loan.number) {
+                if let Some(held) = borrower.loans.get(&loan.number) {
                     loan.tasks = held.clone();
                 }
             }
