--- a/tests/common/leader_without_copies.rs
+++ b/tests/common/leader_without_copies.rs
@@ -1,16 +1,16 @@
-//! What happens to a lent job when a leader that keeps no copies of its progress leads for a while.
+//! Helpers of tests in which a leader that keeps no copies of lent jobs' progress leads for a while.
 
 use std::collections::BTreeSet;
 
 use super::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS};
 
-/// What a version before 0.2 says of itself.
+/// The version in the announcements of a controller before 0.2: those announcements have none.
 pub const NO_VERSION: &str = "";
 
-/// Steps within which a job that can end has ended.
+/// Maximum number of steps until a job that can end has ended.
 pub const MAX_STEPS: usize = 200;
 
-/// A leader of this version plays on until the job is done.
+/// Runs a leader of this version, and completes all running tasks, until the job is done.
 pub fn run_until_done(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     for _ in 0..MAX_STEPS {
         finish_and_step(world, leader, machine);
@@ -21,8 +21,8 @@
     panic!("the job is not done");
 }
 
-/// A leader of this version plays on until the job has no record any more; `check` is called after each step.
-/// Nothing but the final record is left of the job.
+/// Runs a leader of this version until the job's live record is removed, and calls `check` after each step.
+/// Then asserts that only the final record of the job is left.
 pub fn run_until_ended(
     world: &World,
     leader: &mut Leader<'_>,
@@ -40,28 +40,28 @@
     }
     leader.steps(machine, 2 * SETTLE_STEPS);
     let store = world.store();
-    let left: Vec<&String> = store.keys.keys().filter(|key| key.contains(JOB)).collect();
-    assert_eq!(left, [&format!("final/{JOB}")], "{context}");
+    let remaining: Vec<&String> = store.keys.keys().filter(|key| key.contains(JOB)).collect();
+    assert_eq!(remaining, [&format!("final/{JOB}")], "{context}");
 }
 
-/// All that runs in either cell ends, and the leader hears of it.
+/// Completes all running tasks of both cells, and reports them to the leader.
 fn finish_and_step(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     machine.finish_all();
-    let held = world.borrower().tasks();
-    world.borrower().done = held;
+    let borrowed = world.borrower().tasks();
+    world.borrower().done = borrowed;
     leader.lend();
     leader.step(machine);
 }
 
-/// Plays on until the job is done; asserts that none of the tasks that had finished starts again.
+/// Runs a leader of this version until the job is done; asserts that no task of `finished` starts again.
 pub fn assert_none_starts_again(world: &World, machine: &mut Machine, finished: &BTreeSet<u32>) {
     run_until_done(world, &mut world.leader(), machine);
     let again: Vec<&u32> = finished.iter().filter(|task| machine.started[task] > 1).collect();
-    assert!(again.is_empty(), "of {finished:?} started again: {again:?}");
+    assert!(again.is_empty(), "finished tasks {again:?} started again, of {finished:?}");
 }
 
-/// An earlier version takes the lead, the machine reports to a follower of this version first, and then has all its
-/// tasks halted and forgotten by that leader.
+/// Elects a leader of an earlier version beside a follower of this version, which is returned. The machine
+/// first sends its heartbeat to the follower; then the leader halts and forgets all tasks of the machine.
 pub fn follower_with_reported_results<'a>(world: &'a World, machine: &mut Machine) -> Leader<'a> {
     let mut follower = world.follower();
     world.run_earlier_leader();
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -1,6 +1,6 @@
-//! A cell that lends tasks, between stand-ins: its state store, one machine at a time, and the cell that
-//! borrows. Controllers of this version lead it by real elections; a model of the earlier version leads it in
-//! between.
+//! A cell that lends tasks. Its state store, its machines and the borrower are simulated. Its controllers are
+//! real ones of this version, which the state store elects; between their terms, models of earlier versions
+//! can lead the cell.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -31,39 +31,42 @@
     "cells {\n name = \"here\"\n others = [{ name = \"there\", controllers = [\"127.0.0.1:1\"] }]\n \
                      lend = [\"any\"]\n borrow = [\"any\"]\n borrow_cpus = 20\n lend_after_s = 0\n}\n";
 
-/// The only job.
+/// Id of the only job.
 pub const JOB: &str = "wk-000001";
-/// Its tasks.
+/// The number of the job's tasks.
 pub const TASKS: u32 = 40;
-/// Time that passes between two heartbeats.
+/// Time between two heartbeats of a machine.
 pub const STEP: Micros = Micros(500_000);
-/// Steps in which a start or a result goes through all its writes.
+/// Number of steps within which all writes that a start or a result causes are stored.
 pub const SETTLE_STEPS: usize = 8;
-/// Bytes of a value of the state store in these settings.
+/// Maximum size in bytes of a value in the state store, by the settings of these tests.
 pub const VALUE_BYTES: usize = 4096;
 
-/// The cell that borrows: it takes on what it is offered.
+/// The simulated borrower. It accepts each loan that it is offered.
 #[derive(Default)]
 pub struct Borrower {
-    /// The tasks that it holds, by loan.
+    /// The borrowed tasks of each accepted loan.
     pub loans: BTreeMap<LoanNumber, TaskSet>,
-    /// Tasks that are done there.
+    /// Tasks that the borrower has completed.
     pub done: TaskSet,
-    /// Tasks that it gives back as soon as it is told so by the test.
+    /// Tasks that the borrower returns when it handles the next request. Set by the test.
     pub tasks_to_return: TaskSet,
-    /// Whether it answers at all.
+    /// Whether the borrower leaves all requests unanswered.
     pub is_cut_off: bool,
-    /// Whether it says that it has no capacity, so that nothing more is lent to it.
+    /// Whether the borrower reports no spare CPUs, so that the lender offers no further loans.
     pub is_full: bool,
 }
 
 impl Borrower {
+    /// Handles a request of the lender: drops the loans up to `horizon` that the request does not list, and
+    /// reports on each loan that it lists.
     fn on_request(&mut self, request: &LoanSyncRequest) -> Vec<LoanReport> {
         let is_named = |number: &LoanNumber| request.loans.iter().any(|item| item.number == *number);
         self.loans.retain(|number, _| *number > request.horizon || is_named(number));
         request.loans.iter().map(|item| self.on_item(item)).collect()
     }
 
+    /// Applies what the lender requests for one loan; returns the report on the loan.
     fn on_item(&mut self, item: &LoanItem) -> LoanReport {
         if item.offer.is_some() && item.action == LoanAction::Run {
             self.loans.entry(item.number).or_insert_with(|| item.tasks.clone());
@@ -81,62 +84,65 @@
         LoanReport { number: item.number, state }
     }
 
-    /// It gives back, when it is next asked, what is not done there.
+    /// Makes the borrower return all unfinished tasks when it handles the next request.
     pub fn return_unfinished(&mut self) {
         self.tasks_to_return = self.tasks().difference(&self.done);
     }
 
-    /// All tasks that it holds.
+    /// All borrowed tasks, finished ones included.
     pub fn tasks(&self) -> TaskSet {
         TaskSet::union_of(self.loans.values())
     }
 }
 
-/// A machine of the lending cell.
+/// A simulated machine of the lender.
 pub struct Machine {
     pub state: WorkerState,
-    /// The task numbers that it has ever started, with how often.
+    /// How often each task has started on this machine, by task number.
     pub started: BTreeMap<u32, usize>,
-    /// Task numbers whose result a leader of this version has taken: their tasks were forgotten.
+    /// Numbers of the completed tasks that a leader has had this machine forget. Tasks that
+    /// `discard_all_tasks` removes are not included.
     pub forgotten_results: BTreeSet<u32>,
 }
 
 impl Machine {
+    /// A machine without tasks.
     pub fn new(id: &str) -> Machine {
         let state = WorkerState::new(id.to_string(), "north", Steady(0));
         Machine { state, started: BTreeMap::new(), forgotten_results: BTreeSet::new() }
     }
 
-    /// All that runs is done.
+    /// Completes all running tasks.
     pub fn finish_all(&mut self) {
         for task in self.state.tasks.values_mut().filter(|task| task.stage == TaskStage::Running) {
             task.enter(TaskStage::Exited, Some(ExitReason::Done), Steady(0));
         }
     }
 
-    /// One that runs is done.
+    /// Completes one running task.
     pub fn finish_one(&mut self) {
         let running = self.state.tasks.values_mut().find(|task| task.stage == TaskStage::Running);
-        running.expect("a task that runs").enter(TaskStage::Exited, Some(ExitReason::Done), Steady(0));
+        running.expect("a running task").enter(TaskStage::Exited, Some(ExitReason::Done), Steady(0));
     }
 
-    /// The task numbers whose result the worker holds.
+    /// Numbers of the completed tasks that the worker still lists in its heartbeats.
     pub fn pending_results(&self) -> BTreeSet<u32> {
         let done = self.state.tasks.iter().filter(|(_, task)| task.why == Some(ExitReason::Done));
         done.map(|(attempt, _)| number_of(&attempt.0)).collect()
     }
 
-    /// A leader that does not know the job has its tasks halted and forgotten, as the earlier version does.
+    /// Removes all tasks, running ones included, as an earlier version halts and forgets the tasks of a job
+    /// whose record it cannot read.
     pub fn discard_all_tasks(&mut self) {
         self.state.tasks.clear();
     }
 
-    /// The task numbers that run.
+    /// Numbers of the running tasks.
     pub fn running(&self) -> BTreeSet<u32> {
         self.state.executing().map(|attempt| number_of(&attempt.0)).collect()
     }
 
-    /// Carries out a command of a leader of either version.
+    /// Executes a command of a leader of any version.
     pub fn execute(&mut self, command: &WorkerCommand) {
         match command {
             WorkerCommand::Start { task, attempt } => {
@@ -161,23 +167,25 @@
     }
 }
 
+/// The number of a task within its job.
 fn number_of(task: &str) -> u32 {
     milletlock::jobs::split_task(task).expect("a task").1
 }
 
-/// The cell.
+/// The lender with its state store, its simulated cloud, the borrower and the clock.
 pub struct World {
     store: Arc<Mutex<Store>>,
     state: SocketAddr,
     cloud: SocketAddr,
     clock: Arc<AtomicI64>,
     borrower: Arc<Mutex<Borrower>>,
-    /// Whether the state store refuses what writes copies of lent jobs' progress.
+    /// Whether the state store refuses each transaction that writes a copy of lent jobs' progress (`lent/`).
     pub refuses_copies: Arc<AtomicBool>,
     faults: Arc<Mutex<StoreFaults>>,
 }
 
 impl World {
+    /// A cell with an empty state store, which no controller leads.
     pub fn new() -> World {
         let store: Arc<Mutex<Store>> = Arc::default();
         let served = store.clone();
@@ -213,7 +221,7 @@
         }
     }
 
-    /// What becomes of writes of the job's record.
+    /// Faults of the transactions that write a job's live or final record.
     pub fn faults(&self) -> MutexGuard<'_, StoreFaults> {
         self.faults.lock().expect("the faults")
     }
@@ -226,17 +234,17 @@
         self.borrower.lock().expect("the borrower")
     }
 
-    /// A controller of this version, elected and with everything read back.
+    /// Elects a controller of this version as the leader; it has read all records of the state store.
     pub fn leader(&self) -> Leader<'_> {
         self.leader_with(CELLS)
     }
 
-    /// The same without a `cells` block.
+    /// Like `leader`, but the controller's settings have no `cells` block.
     pub fn leader_without_cells(&self) -> Leader<'_> {
         self.leader_with("")
     }
 
-    /// The same beside another controller, which reports a version.
+    /// Like `leader`, but with a second controller, which reports `version`.
     pub fn leader_beside(&self, version: &'static str) -> Leader<'_> {
         let leader = self.controller("c-0", CELLS, Some(version));
         leader.controller.maintain_leadership_once(Micros::from_secs(3.0));
@@ -250,12 +258,12 @@
         leader
     }
 
-    /// A controller of this version that stands in no election.
+    /// A controller of this version that takes part in no election until its `fail_over` is called.
     pub fn follower(&self) -> Leader<'_> {
         self.controller("c-1", CELLS, Some(""))
     }
 
-    /// A controller, beside another one if that has a version.
+    /// A controller of this version. With `beside`, there is a second controller, which reports that version.
     fn controller(&self, label: &str, operator: &str, beside: Option<&'static str>) -> Leader<'_> {
         let mut settings = platform_json();
         settings["label"] = json!(label);
@@ -292,14 +300,14 @@
         Leader { world: self, controller, policy, keeper: ProgressKeeper::default() }
     }
 
-    /// The state store as controllers reach it.
+    /// A client of the state store, with rates that no test reaches.
     pub fn state_client(&self) -> StateStoreClient {
         let rates = AllowedRates { requests_per_s: 1000.0, writes_per_s: 1000.0 };
         StateStoreClient::new(self.state, rates, RateShares { requests: 1.0, writes: 1.0 })
     }
 
-    /// A leader of the version in production, elected by its own transaction, writes all that it has to
-    /// write. Its leader stands for one that was killed: nothing is told to the workers.
+    /// Elects a leader of the version in production and lets it write until it has nothing left to write. The
+    /// leader sends no commands to workers, like a leader that is killed before the next heartbeat.
     pub fn run_earlier_leader(&self) {
         let mut store = self.store();
         let (part, token) = earlier_election(&mut store);
@@ -311,53 +319,55 @@
                 Err(failed) => leader.refused(&failed),
             }
         }
-        panic!("it writes without end");
+        panic!("the leader still has something to write after 1000 transactions");
     }
 
-    /// A leader of the version in production is elected; the shard's revision and the token.
+    /// Elects a leader of the version in production; returns the revision of the shard's record and the
+    /// fencing token.
     pub fn elect_earlier_leader(&self) -> (u64, u64) {
         earlier_election(&mut self.store())
     }
 
-    /// Time passes in which nobody does anything.
+    /// Advances the clock; nothing else happens in that time.
     pub fn wait(&self, time: Micros) {
         self.clock.fetch_add(time.0, Ordering::SeqCst);
     }
 
-    /// The job's record as it is stored.
+    /// The job's stored record.
     pub fn job_row(&self) -> Option<Value> {
         self.store().row(&format!("job/{JOB}")).map(|row| row.value)
     }
 
-    /// What stands under the key of the job's final record.
+    /// The value stored under the key of the job's final record.
     pub fn final_row(&self) -> Option<Value> {
         self.store().row(&format!("final/{JOB}")).map(|row| row.value)
     }
 
-    /// The copy of the job's start mark.
+    /// The copy of the job's start mark; 0 if there is none.
     pub fn copied_mark(&self) -> u64 {
         let row = self.store().row(&format!("lent/marks/{JOB}"));
         row.and_then(|row| row.value.as_u64()).unwrap_or(0)
     }
 
-    /// Removes all copies: 0.3.0 writes none.
+    /// Removes all copies of progress, as 0.3.0 writes none.
     pub fn remove_copies(&self) {
         self.store().keys.retain(|key, _| !key.starts_with("lent/"));
     }
 
-    /// The tasks of the job that are copied as done.
+    /// The tasks of the job that the copies list as done.
     pub fn copied_done(&self) -> BTreeSet<u32> {
         let rows = self.store().rows(&format!("lent/done/{JOB}/"));
         rows.iter().flat_map(|row| production::tasks_of_text(row.value.as_str().expect("a text"))).collect()
     }
 
-    /// The tasks of the job whose done ranges the version in production reads.
+    /// The tasks of the job in the done ranges that the version in production reads.
     pub fn recorded_done(&self) -> BTreeSet<u32> {
         production::done_in(&self.store(), JOB)
     }
 }
 
-/// The election of the version in production; the shard's revision and the token.
+/// Writes the election of a leader of the version in production; returns the revision of the shard's record
+/// and the fencing token.
 fn earlier_election(store: &mut Store) -> (u64, u64) {
     let token = store.row(TERM_KEY).map_or(0, |row| row.value["n"].as_u64().expect("a number")) + 1;
     let owner = json!({ "label": "c-0", "incarnation": token, "token": token, "lease": 1 });
@@ -372,6 +382,7 @@
     (store.txn(&Txn { guards, then }).expect("elected"), token)
 }
 
+/// A borrower's reply with reports on loans and a summary of its spare capacity.
 fn loan_reply(spare_cpus: f64, reports: &[LoanReport]) -> LoanReply {
     let summary = proto::CellSummary {
         form: 1,
@@ -390,7 +401,7 @@
     }
 }
 
-/// A controller of this version, which leads unless it was made as a follower.
+/// A controller of this version. It leads unless `World::follower` made it.
 pub struct Leader<'a> {
     world: &'a World,
     pub controller: Arc<Controller>,
@@ -399,26 +410,26 @@
 }
 
 impl Leader<'_> {
-    /// The leader that the records name announces itself, as a program of this version.
+    /// Delivers an announcement of the leader that the stored records name, with `version` as its version.
     pub fn receive_leader_announcement(&self, version: &str) {
         let token = self.world.store().row(TERM_KEY).expect("a term").value["n"].as_u64().expect("a number");
         let summary = Summary { leader: "c-0".into(), token, version: version.into(), ..Summary::default() };
         self.controller.handle_peer_message(&PeerMessage::Announce(summary));
     }
 
-    /// It stands in an election after the leader's lease has run out.
+    /// Lets the current leader's lease expire, and has this controller take part in the election.
     pub fn fail_over(&self) {
         self.world.store().keys.remove(LEADER_KEY);
         self.controller.maintain_leadership_once(Micros::from_secs(3.0));
     }
 
-    /// One round of keeping the progress of lent jobs beside an earlier leader.
+    /// Runs one round in which a follower copies the progress of lent jobs beside an earlier leader.
     pub fn keep_progress(&mut self) {
         self.world.wait(Micros::from_secs(2.0));
         self.controller.keep_progress_once(&mut self.keeper);
     }
 
-    /// Sends a user's request; the status code and the body.
+    /// Sends a user's request; returns the status code and the body of the response.
     pub fn user_request(&self, method: &str, path: &str, body: &Value) -> (u16, Value) {
         let body = body.to_string().into_bytes();
         let request = Request { method: method.into(), path: path.into(), body };
@@ -426,29 +437,31 @@
         (response.status, serde_json::from_slice(&response.body).unwrap_or(Value::Null))
     }
 
-    /// What operators see of it.
+    /// The status that operators see.
     pub fn status(&self) -> Value {
         let request = Request { method: "GET".into(), path: "/status".into(), body: Vec::new() };
         let response = self.controller.answer(&request, RequestOrigin::Peer);
         serde_json::from_slice(&response.body).expect("a status")
     }
 
-    /// An operator has the loans of the other cell written off; the status code.
+    /// Sends an operator's request to write off the loans of the borrower; returns the status code.
     pub fn write_off(&self) -> u16 {
         let request =
             Request { method: "POST".into(), path: "/cells/write-off/there".into(), body: Vec::new() };
         self.controller.answer(&request, RequestOrigin::Peer).status
     }
 
+    /// Submits the job.
     pub fn submit(&self) {
         assert_eq!(self.user_request("POST", "/api/jobs", &json!(spec(1, TASKS, "batch"))).0, 201);
     }
 
-    /// A user cancels the job; the status code.
+    /// Sends a user's request to cancel the job; returns the status code.
     pub fn cancel(&self) -> u16 {
         self.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0
     }
 
+    /// The job's stage as users see it; empty if the response has none.
     pub fn stage(&self) -> String {
         self.user_request("GET", &format!("/api/jobs/{JOB}"), &Value::Null).1["stage"]
             .as_str()
@@ -456,14 +469,14 @@
             .into()
     }
 
-    /// One round of messages between the cells.
+    /// Exchanges one round of messages between the cells.
     pub fn lend(&mut self) {
         if let Some(policy) = &mut self.policy {
             self.controller.lend_once(policy);
         }
     }
 
-    /// A job is accepted, tasks of it are lent, and others run on the machine.
+    /// Submits the job, lends some of its tasks, and starts others on the machine.
     pub fn submit_and_lend(&mut self, machine: &mut Machine) {
         self.submit();
         self.steps(machine, SETTLE_STEPS);
@@ -472,7 +485,7 @@
         assert!(machine.running().len() > 2, "{:?}", machine.running());
     }
 
-    /// Sends messages between the cells until tasks are lent.
+    /// Exchanges messages between the cells until the borrower has accepted tasks.
     pub fn lend_until_accepted(&mut self, machine: &mut Machine) {
         for _ in 0..SETTLE_STEPS {
             self.lend();
@@ -481,16 +494,16 @@
             }
             self.step(machine);
         }
-        panic!("nothing is lent");
+        panic!("no tasks are lent");
     }
 
-    /// Half a second: a machine's heartbeat with its reply, and the controller's duties.
+    /// Runs one step of `STEP`: a machine's heartbeat with its reply, and the controller's periodic work.
     pub fn step(&mut self, machine: &mut Machine) {
         self.heartbeat(machine);
         self.idle_step();
     }
 
-    /// A machine's heartbeat with its reply; the answer's status code.
+    /// Sends a machine's heartbeat and applies the reply; returns the status code of the response.
     pub fn heartbeat(&mut self, machine: &mut Machine) -> u16 {
         let message = machine.state.heartbeat();
         let body = serde_json::to_vec(&message).expect("a heartbeat");
@@ -503,7 +516,7 @@
         response.status
     }
 
-    /// Half a second without a heartbeat.
+    /// Runs one step of `STEP` without a heartbeat.
     pub fn idle_step(&mut self) {
         self.world.wait(STEP);
         self.controller.maintain_leadership_once(Micros::from_secs(3.0));
@@ -512,6 +525,7 @@
         self.controller.write_once();
     }
 
+    /// Runs `count` steps.
     pub fn steps(&mut self, machine: &mut Machine, count: usize) {
         (0..count).for_each(|_| self.step(machine));
     }
--- a/tests/common/records_of_0_3_2.rs
+++ b/tests/common/records_of_0_3_2.rs
@@ -1,4 +1,4 @@
-//! The record of a job as 0.3.0 to 0.3.2 read and write it (`JobRecord`, src/records.rs there).
+//! The record of a job as versions 0.3.0 to 0.3.2 read and write it (`JobRecord` in their src/records.rs).
 
 use milletlock::records::{JobRecord, LentForm};
 use milletlock::wire::{Change, Guard, JobSpec, Txn};
@@ -8,7 +8,7 @@
 
 use super::store::Store;
 
-/// The record. Fields that it does not name are dropped when it is written back.
+/// The record. Like those versions, it drops all other fields when the record is written back.
 #[derive(Debug, Deserialize)]
 pub struct RecordOf0_3_2 {
     #[serde(alias = "spec_of_lent")]
@@ -21,7 +21,7 @@
 }
 
 impl RecordOf0_3_2 {
-    /// The record as it is written.
+    /// The record in the form in which it is stored.
     fn encode(&self) -> Value {
         let mut value = json!({ "submitted_us": self.submitted_us, "high": self.start_mark });
         if self.lending.is_empty() {
@@ -35,8 +35,8 @@
 }
 
 impl Store {
-    /// The record of a job with loans as this version wrote it becomes the one that 0.3.2 would have written in its
-    /// place.
+    /// Replaces the record of a job with loans, which this version wrote, by the record that 0.3.2 would have
+    /// written.
     pub fn lend_as_0_3_2(&mut self, id: &str) {
         let key = format!("job/{id}");
         let mut record: JobRecord =
@@ -46,7 +46,7 @@
         self.txn(&Txn { guards: Vec::new(), then: vec![Change::put(key, json!(record))] }).expect("written");
     }
 
-    /// A leader of 0.3.2 writes a job's record back with other loans.
+    /// Applies `change` to the loans of a job, and writes the record back as a leader of 0.3.2 does.
     pub fn rewrite_as_0_3_2(&mut self, id: &str, change: impl FnOnce(&mut Lending)) {
         let key = format!("job/{id}");
         let row = self.row(&key).expect("the job");
