--- a/tests/held_jobs.rs
+++ b/tests/held_jobs.rs
@@ -1,5 +1,5 @@
-//! A job with loans under a leader of the version in production: nothing of it is lost, and nothing of it starts, is
-//! cancelled or ends there. The records are those that leaders of this version write.
+//! A job with loans, stored by a leader of this version, under a leader of the version in production. That
+//! leader must keep the job's record and progress, start none of its tasks, and neither cancel nor end it.
 
 mod common;
 
@@ -15,22 +15,26 @@
 use milletlock::wire::{Change, Row, Txn};
 use serde_json::{json, Value};
 
-/// Rounds within which a leader of either version has done all that it does without further results.
-const AT_REST: usize = 2 * SETTLE_STEPS;
-/// Rounds within which a job whose tasks end at once has ended.
+/// Number of steps after which a leader of either version changes nothing more unless a task exits.
+const STEPS_TO_REST: usize = 2 * SETTLE_STEPS;
+/// Maximum number of steps until a job has ended whose tasks finish at each step.
 const MAX_STEPS: usize = 200;
 
-/// What the record of a job says of loans.
+/// The loans in the record of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Lending {
+    /// No task was ever lent.
     Never,
+    /// A loan is open.
     Open,
+    /// A loan is open and the job is being cancelled.
     Cancelling,
+    /// All loans were returned.
     Closed,
 }
 
-/// A job in one of the states, brought there by a leader of this version that has gone since. Some of its tasks are
-/// done and recorded, some run.
+/// A cell whose job has these loans, as a leader of this version left it that no longer runs. Some tasks of
+/// the job are recorded as done, and some run.
 fn job_with(lending: Lending) -> (World, Machine) {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
@@ -44,28 +48,28 @@
     leader.steps(&mut machine, SETTLE_STEPS);
     match lending {
         Lending::Never | Lending::Open => {}
-        Lending::Cancelling => ask_to_cancel(&world, &leader),
+        Lending::Cancelling => request_cancellation(&world, &leader),
         Lending::Closed => close_loans(&world, &mut leader, &mut machine),
     }
     drop(leader);
     (world, machine)
 }
 
-/// A user asks to cancel while the borrower does not answer.
-fn ask_to_cancel(world: &World, leader: &Leader<'_>) {
+/// A user cancels the job while the borrower does not answer.
+fn request_cancellation(world: &World, leader: &Leader<'_>) {
     world.borrower().is_cut_off = true;
     assert_eq!(leader.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
 }
 
-/// The borrower holds all that is lent to it, and takes nothing more.
-fn borrow_no_more(world: &World, leader: &mut Leader<'_>) {
+/// The borrower reports that it is full. It keeps the borrowed tasks, and no further ones are lent to it.
+fn fill_borrower(world: &World, leader: &mut Leader<'_>) {
     world.borrower().is_full = true;
     leader.lend();
 }
 
-/// The borrower gives all back and takes nothing more.
+/// The borrower returns all unfinished tasks, and no further ones are lent to it.
 fn close_loans(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
-    borrow_no_more(world, leader);
+    fill_borrower(world, leader);
     world.borrower().return_unfinished();
     for _ in 0..SETTLE_STEPS {
         leader.lend();
@@ -75,77 +79,83 @@
     assert!(record.get("lending").is_none(), "{record}");
 }
 
-/// What a leader that counts the job among those that have ended takes away.
+/// The progress of the job that a leader removes if it takes the job for an ended one.
 #[derive(Debug, PartialEq)]
 struct Progress {
+    /// The tasks recorded as done.
     done: BTreeSet<u32>,
-    mark: u32,
+    start_mark: u32,
 }
 
+/// The stored progress of the job.
 fn progress(world: &World) -> Progress {
     let marks = production::marks_in(&world.store());
     let job = world.store().row(&format!("job/{JOB}")).expect("the job").value;
     let in_record = job["high"].as_u64().unwrap_or(0) as u32;
-    Progress { done: world.recorded_done(), mark: marks.get(JOB).copied().unwrap_or(0).max(in_record) }
+    Progress { done: world.recorded_done(), start_mark: marks.get(JOB).copied().unwrap_or(0).max(in_record) }
 }
 
-/// How the job has ended, if it has; what is no final record is none.
-fn end_of(world: &World) -> Option<String> {
+/// The stage in the job's final record; `None` if there is none, or only the placeholder of a held job.
+fn final_stage(world: &World) -> Option<String> {
     let row = world.store().row(&format!("final/{JOB}"))?;
     Some(read_final_record(&row.value)?.stage)
 }
 
+/// Whether the job has a live record.
 fn is_live(world: &World) -> bool {
     world.store().row(&format!("job/{JOB}")).is_some()
 }
 
-/// Under `final/` there is a final record of a job that has ended, and nothing else.
+/// Asserts that the job has a final record with this stage, and no other record.
 fn assert_ended(world: &World, stage: &str) {
-    assert_eq!(end_of(world).as_deref(), Some(stage));
+    assert_eq!(final_stage(world).as_deref(), Some(stage));
     let store = world.store();
-    let left: Vec<&String> =
+    let remaining: Vec<&String> =
         store.keys.keys().filter(|key| key.contains(JOB) && !key.starts_with("final/")).collect();
-    assert!(left.is_empty(), "{left:?}");
+    assert!(remaining.is_empty(), "{remaining:?}");
 }
 
-/// Guards against progress that a leader of the version in production takes for that of an ended job.
+/// Guards against a leader of the version in production that takes the job's progress for that of an ended
+/// job, and removes it.
 #[test]
-fn production_leaves_the_progress_of_a_job_with_loans_as_it_is() {
+fn a_production_leader_leaves_the_progress_of_a_job_with_loans_unchanged() {
     for lending in [Lending::Open, Lending::Cancelling] {
         let (world, mut machine) = job_with(lending);
         let before = progress(&world);
-        assert!(!before.done.is_empty() && before.mark > 0, "{lending:?}: {before:?}");
+        assert!(!before.done.is_empty() && before.start_mark > 0, "{lending:?}: {before:?}");
         let mut earlier = ProductionLeader::elected(&world);
-        earlier.steps(&mut machine, AT_REST);
-        assert!(earlier.knows(JOB), "{lending:?}: it cannot read the job");
+        earlier.steps(&mut machine, STEPS_TO_REST);
+        assert!(earlier.knows(JOB), "{lending:?}: the leader cannot read the job");
         assert!(earlier.done(JOB).is_superset(&before.done), "{lending:?}: {:?}", earlier.done(JOB));
         assert_eq!(progress(&world), before, "{lending:?}");
     }
 }
 
-/// Guards against halted tasks, and results that nobody records, while the version in production leads.
+/// Guards against a leader of the version in production that halts the running tasks of a job with loans, or
+/// does not record their results.
 #[test]
-fn production_adopts_the_running_tasks_of_a_job_with_loans() {
+fn a_production_leader_adopts_the_running_tasks_of_a_job_with_loans() {
     let (world, mut machine) = job_with(Lending::Open);
     let running = machine.running();
     assert!(running.len() > 1, "{running:?}");
     let mut earlier = ProductionLeader::elected(&world);
-    earlier.steps(&mut machine, AT_REST);
-    assert_eq!(machine.running(), running, "they run on");
+    earlier.steps(&mut machine, STEPS_TO_REST);
+    assert_eq!(machine.running(), running, "running tasks were halted");
     machine.finish_one();
     let finished = machine.pending_results();
-    earlier.steps(&mut machine, AT_REST);
+    earlier.steps(&mut machine, STEPS_TO_REST);
     assert!(world.recorded_done().is_superset(&finished), "{finished:?} of {:?}", world.recorded_done());
-    assert!(machine.pending_results().is_empty(), "the worker may forget what is recorded");
+    assert!(machine.pending_results().is_empty(), "the worker was not told to forget recorded results");
     let started = machine.started.clone();
     run_until_done(&world, &mut world.leader(), &mut machine);
     let again: Vec<&u32> = started.keys().filter(|task| machine.started[task] > started[task]).collect();
     assert!(again.is_empty(), "started again: {again:?}");
 }
 
-/// Guards against tasks in both cells, and against ends and confirmed cancellations that the borrower has not heard of.
+/// Guards against tasks that run in both cells, and against a job that ends or is confirmed as cancelled
+/// while the borrower still runs tasks of it.
 #[test]
-fn production_starts_cancels_and_ends_nothing_of_a_job_with_loans() {
+fn a_production_leader_neither_starts_nor_cancels_nor_ends_a_job_with_loans() {
     for lending in [Lending::Open, Lending::Cancelling] {
         let (world, mut machine) = job_with(lending);
         let (started, record) = (machine.started.clone(), world.store().row(&format!("job/{JOB}")));
@@ -153,7 +163,7 @@
         assert_eq!(users.cancel(&mut world.store(), JOB), CancelAnswer::Refused, "{lending:?}");
         let mut earlier = ProductionLeader::elected(&world);
         let mut idle = Machine::new("i-000002");
-        for _ in 0..AT_REST {
+        for _ in 0..STEPS_TO_REST {
             earlier.step(&mut machine);
             earlier.step(&mut idle);
             machine.finish_all();
@@ -165,15 +175,15 @@
         assert!(idle.started.is_empty(), "{lending:?}: {:?}", idle.started);
         let record_now = world.store().row(&format!("job/{JOB}"));
         let version = |row: &Option<Row>| row.as_ref().map(|row| row.mod_revision);
-        assert_eq!(version(&record_now), version(&record), "{lending:?}: its record is written");
-        assert_eq!(end_of(&world), None, "{lending:?}");
+        assert_eq!(version(&record_now), version(&record), "{lending:?}: the job's record was rewritten");
+        assert_eq!(final_stage(&world), None, "{lending:?}");
         assert!(earlier.leads);
     }
 }
 
-/// Guards against a job that the version in production holds back although nothing of it is lent.
+/// Guards against a job without open loans that the version in production does not run.
 #[test]
-fn production_starts_and_ends_a_job_of_which_nothing_is_lent() {
+fn a_production_leader_runs_and_ends_a_job_without_open_loans() {
     for lending in [Lending::Never, Lending::Closed] {
         let (world, mut machine) = job_with(lending);
         let before = progress(&world);
@@ -186,42 +196,43 @@
                 break;
             }
         }
-        assert!(machine.started.len() > started, "{lending:?}: nothing starts");
+        assert!(machine.started.len() > started, "{lending:?}: no task starts");
         let again: Vec<&u32> =
             before.done.iter().filter(|task| machine.started.get(task) > Some(&1)).collect();
         assert!(again.is_empty(), "{lending:?}: started again: {again:?}");
-        assert_eq!(end_of(&world).as_deref(), Some("done"), "{lending:?}");
+        assert_eq!(final_stage(&world).as_deref(), Some("done"), "{lending:?}");
         assert!(earlier.refused.is_empty(), "{lending:?}: {:?}", earlier.refused);
     }
 }
 
-/// Guards against a placeholder that stays behind and has each cancellation refused.
+/// Guards against a placeholder that remains under the key of the final record after the loans are closed:
+/// with it, the version in production refuses each cancellation.
 #[test]
-fn production_cancels_a_job_of_which_nothing_is_lent() {
+fn a_production_controller_cancels_a_job_without_open_loans() {
     for lending in [Lending::Never, Lending::Closed] {
         let (world, mut machine) = job_with(lending);
         let mut earlier = ProductionLeader::elected(&world);
         earlier.steps(&mut machine, SETTLE_STEPS);
         let mut users = ProductionApi::default();
         assert_eq!(users.cancel(&mut world.store(), JOB), CancelAnswer::Confirmed, "{lending:?}");
-        earlier.steps(&mut machine, AT_REST);
+        earlier.steps(&mut machine, STEPS_TO_REST);
         assert!(machine.running().is_empty(), "{lending:?}: {:?}", machine.running());
-        assert_eq!(end_of(&world).as_deref(), Some("cancelled"), "{lending:?}");
+        assert_eq!(final_stage(&world).as_deref(), Some("cancelled"), "{lending:?}");
         let again = users.cancel(&mut world.store(), JOB);
         assert_eq!(again, CancelAnswer::AlreadyOver("cancelled".into()), "{lending:?}");
     }
 }
 
-/// All tasks are done while a loan is open: those of the borrower are recorded, and it does not hear that they are.
-/// The last one in the lender's cell runs.
+/// A cell in which all tasks but one are recorded as done. The last task runs at the lender. A loan is still
+/// open, since the borrower is cut off after the results of its tasks are recorded.
 fn all_but_one_recorded() -> (World, Machine) {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
-    borrow_no_more(&world, &mut leader);
-    let held = world.borrower().tasks();
+    fill_borrower(&world, &mut leader);
+    let borrowed = world.borrower().tasks();
     for _ in 0..MAX_STEPS {
-        if machine.running().len() == 1 && world.recorded_done().len() as u32 + held.len() + 1 == 40 {
+        if machine.running().len() == 1 && world.recorded_done().len() as u32 + borrowed.len() + 1 == 40 {
             break;
         }
         if machine.running().len() > 1 {
@@ -229,8 +240,8 @@
         }
         leader.step(&mut machine);
     }
-    assert_eq!(machine.running().len(), 1, "the others are done");
-    world.borrower().done = held;
+    assert_eq!(machine.running().len(), 1, "all tasks but one are done");
+    world.borrower().done = borrowed;
     leader.lend();
     world.borrower().is_cut_off = true;
     leader.steps(&mut machine, SETTLE_STEPS);
@@ -238,23 +249,27 @@
     (world, machine)
 }
 
-/// Guards against an end that the version in production writes, or that is refused and holds up its other writes.
+/// Guards against a production leader that ends the job itself, or whose refused end of the job blocks its
+/// other writes.
 #[test]
-fn all_tasks_done_while_a_loan_is_open_end_under_this_version() {
+fn a_job_with_an_open_loan_and_all_tasks_done_ends_only_under_this_version() {
     let (world, mut machine) = all_but_one_recorded();
     let mut earlier = ProductionLeader::elected(&world);
     earlier.steps(&mut machine, SETTLE_STEPS);
     machine.finish_all();
     let mut other = Machine::new("i-000002");
-    for _ in 0..AT_REST {
+    for _ in 0..STEPS_TO_REST {
         earlier.step(&mut machine);
         earlier.step(&mut other);
         let of_job: Vec<_> = earlier.refused.iter().flat_map(|txn| changes_of(txn, JOB)).collect();
-        assert!(earlier.refused.is_empty(), "refused, with {of_job:?}");
+        assert!(
+            earlier.refused.is_empty(),
+            "transactions are refused, with these changes of the job: {of_job:?}"
+        );
     }
     assert_eq!(world.recorded_done().len(), 40, "the last result is recorded");
-    assert!(is_live(&world) && end_of(&world).is_none(), "it is ended by the earlier version");
-    assert!(production::machines_in(&world.store()).contains("i-000002"), "other writes are held up");
+    assert!(is_live(&world) && final_stage(&world).is_none(), "the earlier version ended the job");
+    assert!(production::machines_in(&world.store()).contains("i-000002"), "other writes are blocked");
     let started = machine.started.clone();
     world.borrower().is_cut_off = false;
     let mut leader = world.leader();
@@ -265,7 +280,7 @@
             break;
         }
     }
-    leader.steps(&mut machine, AT_REST);
+    leader.steps(&mut machine, STEPS_TO_REST);
     assert_eq!(machine.started, started);
     assert_ended(&world, "done");
     assert_eq!(
@@ -274,10 +289,11 @@
     );
 }
 
-/// A job that is being cancelled with no open loan ends in the same write; should such a record ever be stored, the
-/// version in production starts and ends nothing of it.
+/// No record with `cancelling` set and without loans should be stored, as a cancelled job ends in the write
+/// that closes its last loan. If there is such a record, a production leader must neither start nor end the
+/// job.
 #[test]
-fn a_record_being_cancelled_without_loans_starts_and_ends_nothing_under_production() {
+fn a_production_leader_neither_starts_nor_ends_a_job_being_cancelled_without_loans() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.steps(&mut machine, SETTLE_STEPS);
@@ -291,14 +307,14 @@
     ];
     world.store().txn(&Txn { guards: Vec::new(), then }).expect("written");
     let mut earlier = ProductionLeader::elected(&world);
-    earlier.steps(&mut machine, AT_REST);
+    earlier.steps(&mut machine, STEPS_TO_REST);
     assert!(machine.started.is_empty(), "{:?}", machine.started);
-    assert!(is_live(&world) && end_of(&world).is_none());
+    assert!(is_live(&world) && final_stage(&world).is_none());
 }
 
-/// Guards against a job that stays although its cancellation has nothing to wait for.
+/// Guards against a job that remains in cancellation after its last loan is closed.
 #[test]
-fn no_record_says_that_a_job_is_being_cancelled_with_no_loan_open() {
+fn a_job_being_cancelled_ends_in_the_write_that_closes_its_last_loan() {
     let (world, mut machine) = job_with(Lending::Cancelling);
     let mut leader = world.leader();
     world.borrower().is_cut_off = false;
@@ -310,6 +326,6 @@
     let store = world.store();
     let records = store.log.iter().filter(|(_, key, _)| *key == format!("job/{JOB}"));
     let lending = records.filter_map(|(_, _, value)| value.as_ref()?.get("lending"));
-    let is_over = |lending: &&Value| lending["cancelling"] == true && lending["loans"] == json!([]);
-    assert_eq!(lending.filter(is_over).count(), 0);
+    let has_no_loan = |lending: &&Value| lending["cancelling"] == true && lending["loans"] == json!([]);
+    assert_eq!(lending.filter(has_no_loan).count(), 0);
 }
--- a/tests/held_jobs_before_0_3_3.rs
+++ b/tests/held_jobs_before_0_3_3.rs
@@ -1,5 +1,7 @@
-//! Held jobs under leaders of 0.3.0 to 0.3.2, which know loans and read the description for versions before 0.3: they
-//! keep the job and its loans, and drop the job's own fields whenever they write its record.
+//! Held job records under leaders of 0.3.0 to 0.3.2. Those versions know loans, but read the description that
+//! is stored for versions before 0.3. When they write the record, they keep the loans and drop the fields
+//! that hold the user's description. A leader of this version must restore the record, or treat it as
+//! unreadable.
 
 mod common;
 
@@ -11,18 +13,20 @@
 use milletlock_cells::Lending;
 use serde_json::{json, Value};
 
-/// What 0.3.2 makes of the loans before it writes the record.
+/// The loans in the record that 0.3.2 writes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Loans {
     Kept,
     Closed,
 }
 
+/// The key of the job's final record.
 fn final_key() -> String {
     format!("final/{JOB}")
 }
 
-/// A job with an open loan; some of its tasks are done, some run.
+/// Leaves a job with an open loan in the cell. Some of its tasks are done and some run on the returned
+/// machine.
 fn lent_job(world: &World) -> Machine {
     let mut machine = Machine::new("i-000001");
     let mut leader = world.leader();
@@ -34,8 +38,9 @@
     machine
 }
 
-/// A leader of 0.3.2 writes the job's record. With the loans closed, the borrower has given all back.
-fn written_by_0_3_2(world: &World, loans: Loans) {
+/// A leader of 0.3.2 writes the job's record. With `Loans::Closed`, the borrower has returned all tasks
+/// before.
+fn rewrite_record(world: &World, loans: Loans) {
     world.elect_earlier_leader();
     let is_closed = loans == Loans::Closed;
     if is_closed {
@@ -48,21 +53,21 @@
     });
 }
 
-/// Guards against a job that goes on with the description for versions before 0.3, or waits for ever.
+/// Guards against a job that continues with the description for versions before 0.3, or waits forever.
 #[test]
-fn a_held_record_that_0_3_2_wrote_back_is_restored() {
+fn a_held_record_rewritten_by_0_3_2_is_restored() {
     for loans in [Loans::Kept, Loans::Closed] {
         let world = World::new();
         let mut machine = lent_job(&world);
         let user_spec = json!(common::spec(1, TASKS, "batch"));
         let submitted = world.job_row().expect("the job")["held"]["submitted_us"].clone();
-        written_by_0_3_2(&world, loans);
+        rewrite_record(&world, loans);
         let mut leader = world.leader();
         leader.steps(&mut machine, 1);
         let record = world.job_row().expect("the job");
         let name = if loans == Loans::Kept { "spec_of_lent" } else { "spec" };
         assert_eq!((&record[name], &record["submitted_us"]), (&user_spec, &submitted), "{loans:?}: {record}");
-        assert_eq!(world.final_row(), None, "{loans:?}: the placeholder is gone");
+        assert_eq!(world.final_row(), None, "{loans:?}: the placeholder was not removed");
         assert_eq!(leader.stage(), "running", "{loans:?}");
         run_until_done(&world, &mut leader, &mut machine);
         let ended = json!({ "stage": "done", "tasks": TASKS });
@@ -72,15 +77,16 @@
     }
 }
 
-/// Guards against a job that can't be cancelled, or is cancelled with a wrong number of tasks, after 0.3.2 has led.
+/// Guards against a job that cannot be cancelled after 0.3.2 has led, or whose final record has a wrong
+/// number of tasks.
 #[test]
 fn a_restored_job_can_be_cancelled() {
     for loans in [Loans::Kept, Loans::Closed] {
         let world = World::new();
         let mut machine = lent_job(&world);
-        written_by_0_3_2(&world, loans);
+        rewrite_record(&world, loans);
         let follower = world.follower();
-        assert_eq!(follower.cancel(), 503, "{loans:?}: nobody has restored the record");
+        assert_eq!(follower.cancel(), 503, "{loans:?}: cancelled before a leader restored the record");
         let mut leader = world.leader();
         leader.steps(&mut machine, 1);
         leader.cancel();
@@ -94,12 +100,13 @@
     }
 }
 
-/// Guards against a version before 0.3 that starts, cancels or ends a job whose loans 0.3.2 has closed.
+/// Guards against a version before 0.3 that starts, cancels or ends a job whose loans 0.3.2 has closed. The
+/// record still has the description for versions before 0.3, until a leader of this version restores it.
 #[test]
-fn production_holds_a_job_of_which_0_3_2_has_closed_the_loans() {
+fn a_production_leader_does_not_run_a_held_job_whose_loans_0_3_2_closed() {
     let world = World::new();
     let mut machine = lent_job(&world);
-    written_by_0_3_2(&world, Loans::Closed);
+    rewrite_record(&world, Loans::Closed);
     let (started, done) = (machine.started.clone(), world.recorded_done());
     let mut earlier = ProductionLeader::elected(&world);
     let mut users = ProductionApi::default();
@@ -109,21 +116,22 @@
         assert_eq!(users.cancel(&mut world.store(), JOB), CancelAnswer::Refused);
     }
     assert_eq!(machine.started, started);
-    assert!(world.recorded_done().len() > done.len(), "what exits is recorded");
+    assert!(world.recorded_done().len() > done.len(), "no result of the running tasks was recorded");
     run_until_done(&world, &mut world.leader(), &mut machine);
     let twice: Vec<_> = machine.started.iter().filter(|(_, count)| **count > 1).collect();
     assert!(twice.is_empty(), "started more than once: {twice:?}");
 }
 
-/// Guards against a start on a guess where the job's own fields are lost.
+/// Guards against a leader that runs a job after the stored fields that hold its description were lost:
+/// without a matching placeholder the record cannot be restored.
 #[test]
-fn a_record_that_cannot_be_restored_is_unreadable_and_kept() {
+fn a_held_record_without_a_matching_placeholder_is_unreadable_and_kept() {
     for placeholder in
         [None, Some(json!({ "held": true })), Some(json!({ "held": { "kernels": TASKS - 1 } }))]
     {
         let world = World::new();
         let mut machine = lent_job(&world);
-        written_by_0_3_2(&world, Loans::Kept);
+        rewrite_record(&world, Loans::Kept);
         match &placeholder {
             None => drop(world.store().keys.remove(&final_key())),
             Some(value) => {
@@ -147,16 +155,17 @@
         assert_eq!(world.job_row(), record, "{placeholder:?}");
         assert_eq!(world.final_row(), placeholder);
         assert_eq!((machine.started, world.recorded_done()), (started, done), "{placeholder:?}");
-        assert!(!world.borrower().tasks().is_empty(), "{placeholder:?}: the loan is open");
+        assert!(!world.borrower().tasks().is_empty(), "{placeholder:?}: the loan was closed");
     }
 }
 
-/// Guards against copies that a controller of this version does not make beside 0.3.0, which has written the record.
+/// Guards against a follower of this version that makes no copies of a held job's progress after 0.3.0 has
+/// written the job's record.
 #[test]
-fn a_follower_copies_what_0_3_0_records_of_a_held_job() {
+fn a_follower_copies_the_progress_that_0_3_0_records_of_a_held_job() {
     let world = World::new();
     let machine = lent_job(&world);
-    written_by_0_3_2(&world, Loans::Kept);
+    rewrite_record(&world, Loans::Kept);
     let mut follower = world.follower();
     follower.receive_leader_announcement("0.3.0");
     let done: Vec<u32> = machine.started.keys().copied().collect();
