--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -7,9 +7,9 @@
 use std::sync::atomic::Ordering;
 
 use common::leader_without_copies::{
-    assert_none_runs_again, follower_that_hears, run_to_the_end, NO_VERSION,
+    assert_none_starts_again, follower_with_reported_results, run_until_done, NO_VERSION,
 };
-use common::lending_world::{Machine, World, JOB, SETTLED, TASKS};
+use common::lending_world::{Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::worker::Task;
 use common::{production, spec};
 use milletlock::leadership::{read_jobs_with_loans, read_start_marks, LEADER_KEY};
@@ -33,13 +33,13 @@
 fn results_that_a_follower_hears_outlast_an_earlier_leader() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    let finished = machine.held_results();
-    let mut follower = follower_that_hears(&world, &mut machine);
+    let finished = machine.pending_results();
+    let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
-    world.earlier_version_leads();
-    assert_none_runs_again(&world, &mut machine, &finished);
+    world.run_earlier_leader();
+    assert_none_starts_again(&world, &mut machine, &finished);
 }
 
 /// Guards against the loss of what a follower has heard when it leads itself before it could write that.
@@ -47,10 +47,10 @@
 fn a_follower_that_leads_knows_the_results_that_it_heard() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    let finished = machine.held_results();
-    let mut follower = follower_that_hears(&world, &mut machine);
+    let finished = machine.pending_results();
+    let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.fail_over();
     follower.idle_step();
     let copied = world.copied_done();
@@ -71,16 +71,16 @@
     ];
     world.store().txn(&Txn { guards: Vec::new(), then }).expect("written");
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(machine.running(), BTreeSet::from([3]));
     machine.finish_all();
-    let mut follower = follower_that_hears(&world, &mut machine);
+    let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     let rows = world.store().rows("borrowed/done/wk-000005/");
     assert!(rows.iter().any(|row| row.value == json!("1-3")), "{rows:?}");
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(machine.started[&3], 1, "it starts again");
 }
 
@@ -92,21 +92,25 @@
         let mut random = StdRng::seed_from_u64(seed);
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         let mut leader = world.leader();
-        leader.begin_and_lend(&mut machine);
+        leader.submit_and_lend(&mut machine);
         // The tasks of which a result was heard, with how often they had started: some were halted before.
         let mut heard: BTreeMap<u32, usize> = BTreeMap::new();
         for _ in 0..30 {
             match random.random_range(0..5) {
                 0 => {
                     let mut follower = world.follower();
-                    world.earlier_version_leads();
-                    follower.hears_of_leader(if random.random_bool(0.5) { NO_VERSION } else { "0.3.0" });
-                    note_heard(&mut heard, &machine, machine.held_results());
+                    world.run_earlier_leader();
+                    follower.receive_leader_announcement(if random.random_bool(0.5) {
+                        NO_VERSION
+                    } else {
+                        "0.3.0"
+                    });
+                    note_heard(&mut heard, &machine, machine.pending_results());
                     follower.heartbeat(&mut machine);
                     // Of a job whose record it can read, that version has nothing forgotten.
                     let record = world.store().row(&format!("job/{JOB}")).expect("the job").value;
                     if serde_json::from_value::<production::JobRecord>(record).is_err() {
-                        machine.lose_all();
+                        machine.discard_all_tasks();
                     }
                     if random.random_bool(0.5) {
                         follower.keep_progress();
@@ -123,16 +127,16 @@
                 3 => {
                     let mut borrower = world.borrower();
                     let free = borrower.tasks().difference(&borrower.done);
-                    borrower.gives_back = free.iter().filter(|_| random.random_bool(0.2)).collect();
+                    borrower.tasks_to_return = free.iter().filter(|_| random.random_bool(0.2)).collect();
                 }
                 _ => leader.steps(&mut machine, random.random_range(1..5)),
             }
-            note_heard(&mut heard, &machine, machine.taken.clone());
+            note_heard(&mut heard, &machine, machine.forgotten_results.clone());
             assert_not_started_since(&heard, &machine, seed);
         }
-        world.borrower().gives_back = TaskSet::new();
+        world.borrower().tasks_to_return = TaskSet::new();
         world.store().keys.remove(LEADER_KEY);
-        run_to_the_end(&world, &mut world.leader(), &mut machine);
+        run_until_done(&world, &mut world.leader(), &mut machine);
         assert_not_started_since(&heard, &machine, seed);
     }
 }
@@ -153,16 +157,16 @@
 fn a_result_beyond_the_jobs_tasks_is_left_out() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    let finished = machine.held_results();
+    let finished = machine.pending_results();
     let none = Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
     machine.state.tasks.insert((format!("{JOB}/{TASKS}"), 1), none);
-    let mut follower = follower_that_hears(&world, &mut machine);
+    let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
     assert!(world.copied_done().iter().all(|task| *task < TASKS), "{:?}", world.copied_done());
     follower.fail_over();
-    follower.steps(&mut machine, SETTLED);
+    follower.steps(&mut machine, SETTLE_STEPS);
     let recorded = world.recorded_done();
     assert!(recorded.is_superset(&finished) && recorded.iter().all(|task| *task < TASKS), "{recorded:?}");
 }
@@ -172,23 +176,23 @@
 fn results_that_a_leader_could_not_write_outlast_an_earlier_one() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     let mut leader = world.follower();
     leader.fail_over();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     world.refuses_copies.store(true, Ordering::SeqCst);
     machine.finish_all();
-    let finished = machine.held_results();
+    let finished = machine.pending_results();
     assert!(!finished.is_empty());
     assert_eq!(leader.heartbeat(&mut machine), 200);
     leader.controller.write_once();
-    world.earlier_version_leads();
-    machine.lose_all();
+    world.run_earlier_leader();
+    machine.discard_all_tasks();
     world.refuses_copies.store(false, Ordering::SeqCst);
-    leader.hears_of_leader(NO_VERSION);
+    leader.receive_leader_announcement(NO_VERSION);
     leader.keep_progress();
-    world.earlier_version_leads();
-    assert_none_runs_again(&world, &mut machine, &finished);
+    world.run_earlier_leader();
+    assert_none_starts_again(&world, &mut machine, &finished);
 }
 
 /// Guards against the loss of rows that 0.3.0 wrote without copies, when a version before loans leads next.
@@ -196,22 +200,22 @@
 fn a_controller_beside_0_3_0_copies_what_that_leader_wrote() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
-    let finished = machine.taken.clone();
+    leader.steps(&mut machine, SETTLE_STEPS);
+    let finished = machine.forgotten_results.clone();
     assert!(!finished.is_empty());
     world.remove_copies();
     let mark = production::marks_in(&world.store())[JOB];
     let mut follower = world.follower();
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     assert_eq!(world.copied_done(), world.recorded_done());
     let record = world.store().row(&format!("job/{JOB}")).expect("the job").value;
     let stored = world.copied_mark().max(record["high"].as_u64().unwrap_or(0));
     assert!(stored >= u64::from(mark), "of the start mark {mark} {stored} is stored");
-    world.earlier_version_leads();
-    assert_none_runs_again(&world, &mut machine, &finished);
+    world.run_earlier_leader();
+    assert_none_starts_again(&world, &mut machine, &finished);
 }
 
 /// Guards against copies that would bring an ended job back, or stay behind it.
@@ -219,9 +223,9 @@
 fn copies_of_a_job_that_ends_under_0_3_0_revive_nothing_and_go() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     raise_start_mark(&world);
     let client = world.state_client();
     let jobs = read_jobs_with_loans(&client, |error| panic!("{error}")).expect("jobs");
@@ -240,11 +244,11 @@
         assert!(matches!(outcome, TxnOutcome::Conflict(_)), "{outcome:?}");
     }
     let mut follower = world.follower();
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     let started: usize = machine.started.values().sum();
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(leader.stage(), "done");
     assert_eq!(machine.started.values().sum::<usize>(), started);
     let left: Vec<String> = world.store().rows("lent/").into_iter().map(|row| row.key).collect();
@@ -256,7 +260,7 @@
 fn a_late_copy_does_not_replace_a_newer_one() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     let client = world.state_client();
     let jobs = read_jobs_with_loans(&client, |error| panic!("{error}")).expect("jobs");
     let marks = read_start_marks(&client).expect("start marks");
@@ -274,10 +278,10 @@
 fn a_start_mark_that_0_3_0_raises_is_copied() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     raise_start_mark(&world);
     let mut follower = world.follower();
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     assert_eq!(world.copied_mark(), u64::from(TASKS));
     let revision = world.store().revision;
@@ -290,25 +294,25 @@
 fn old_copies_beside_newer_rows_change_nothing() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     let old: Vec<_> = world.store().rows("lent/");
     for _ in 0..2 {
         machine.finish_all();
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
     }
-    let finished = machine.taken.clone();
+    let finished = machine.forgotten_results.clone();
     let mark = production::marks_in(&world.store())[JOB];
     world.remove_copies();
     let then = old.into_iter().map(|row| Change::put(row.key, row.value)).collect();
     let txn = Txn { guards: Vec::new(), then };
     world.store().txn(&txn).expect("written");
     let mut next = world.leader();
-    next.steps(&mut machine, SETTLED);
+    next.steps(&mut machine, SETTLE_STEPS);
     assert!(production::marks_in(&world.store())[JOB] >= mark);
     assert!(world.copied_done().is_superset(&finished));
-    assert_none_runs_again(&world, &mut machine, &finished);
+    assert_none_starts_again(&world, &mut machine, &finished);
 }
 
 /// Guards against a follower that writes beside a leader which keeps the copies itself.
@@ -316,10 +320,10 @@
 fn a_follower_of_this_version_leaves_the_copies_to_the_leader() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
     let mut follower = world.follower();
-    follower.hears_of_leader(env!("CARGO_PKG_VERSION"));
+    follower.receive_leader_announcement(env!("CARGO_PKG_VERSION"));
     follower.heartbeat(&mut machine);
     let revision = world.store().revision;
     follower.keep_progress();
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -25,8 +25,8 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
 
-use common::leader_without_copies::{run_to_the_end, TO_THE_END};
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED, TASKS};
+use common::leader_without_copies::{run_until_done, MAX_STEPS};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::{production, spec};
 
 /// Time between two results of a machine, less than between two writes of results of other jobs.
@@ -35,18 +35,18 @@
 /// Four tasks are done at the lender, two at the borrower, and all of it is recorded. None runs.
 fn lent_and_done_on_both_sides(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     leader.submit();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
     machine.finish_all();
     leader.steps(machine, 1);
-    leader.lend_some(machine);
-    leader.steps(machine, SETTLED);
+    leader.lend_until_accepted(machine);
+    leader.steps(machine, SETTLE_STEPS);
     machine.finish_all();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
     let last: TaskSet = world.borrower().tasks().iter().skip(1).take(2).collect();
     assert_eq!(last.len(), 2, "tasks are lent");
     world.borrower().done = last;
     leader.lend();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
 }
 
 fn started_again(machine: &Machine, finished: &BTreeSet<u32>) -> BTreeSet<u32> {
@@ -58,14 +58,14 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     lent_and_done_on_both_sides(&world, &mut leader, &mut machine);
-    let finished = machine.taken.clone();
+    let finished = machine.forgotten_results.clone();
     let at_borrower: BTreeSet<u32> = world.borrower().done.iter().collect();
     assert!(!finished.is_empty() && !at_borrower.is_empty(), "done on both sides");
     // Users' requests meanwhile, as the version in production answers them by the records.
-    world.earlier_version_leads();
-    world.earlier_version_leads();
+    world.run_earlier_leader();
+    world.run_earlier_leader();
     let mut leader = world.leader();
-    run_to_the_end(&world, &mut leader, &mut machine);
+    run_until_done(&world, &mut leader, &mut machine);
     let again = started_again(&machine, &finished);
     assert!(again.is_empty(), "finished tasks start again: {again:?}");
     let here = |task: &u32| machine.started.contains_key(task);
@@ -79,10 +79,10 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     lent_and_done_on_both_sides(&world, &mut leader, &mut machine);
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     let mut leader = world.leader();
-    run_to_the_end(&world, &mut leader, &mut machine);
-    leader.steps(&mut machine, SETTLED);
+    run_until_done(&world, &mut leader, &mut machine);
+    leader.steps(&mut machine, SETTLE_STEPS);
     let store = world.store();
     let left: Vec<&String> =
         store.keys.keys().filter(|key| key.contains(JOB) && !key.starts_with("final/")).collect();
@@ -95,16 +95,16 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     lent_and_done_on_both_sides(&world, &mut leader, &mut machine);
-    let finished = machine.taken.clone();
+    let finished = machine.forgotten_results.clone();
     let at_borrower: BTreeSet<u32> = world.borrower().done.iter().collect();
     let highest = |world: &World| production::marks_in(&world.store()).get(JOB).copied().unwrap_or(0);
     let mark = highest(&world);
     assert!(mark > 0);
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     let mut leader = world.leader();
-    world.borrower().give_back_unfinished();
+    world.borrower().return_unfinished();
     world.borrower().is_full = true;
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         let row = world.store().row(&format!("job/{JOB}")).expect("the job");
         let read = serde_json::from_value::<production::JobRecord>(row.value);
         if let Ok(record) = read {
@@ -127,13 +127,13 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
-    leader.lend_some(&mut machine);
+    leader.steps(&mut machine, SETTLE_STEPS);
+    leader.lend_until_accepted(&mut machine);
     let lent = world.borrower().tasks();
     // All comes back and is begun here, but for the last task.
-    world.borrower().gives_back = lent.iter().take(lent.len() as usize - 1).collect();
+    world.borrower().tasks_to_return = lent.iter().take(lent.len() as usize - 1).collect();
     leader.lend();
-    for _ in 0..TO_THE_END {
+    for _ in 0..MAX_STEPS {
         machine.finish_all();
         leader.step(&mut machine);
         if machine.running().iter().any(|task| lent.contains(*task)) {
@@ -142,12 +142,12 @@
     }
     let running = machine.running();
     assert!(running.iter().any(|task| lent.contains(*task)), "{running:?} of {lent}");
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     // The machine cannot be asked; another one is there.
     let mut leader = world.leader();
     let mut other = Machine::new("i-000002");
-    world.borrower().gives_back = TaskSet::new();
-    for _ in 0..SETTLED {
+    world.borrower().tasks_to_return = TaskSet::new();
+    for _ in 0..SETTLE_STEPS {
         leader.step(&mut other);
         leader.lend();
     }
@@ -164,22 +164,22 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     lent_and_done_on_both_sides(&world, &mut leader, &mut machine);
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     machine.finish_all();
     // The results are written, and the worker has not heard of it.
     leader.step(&mut machine);
-    (0..SETTLED).for_each(|_| leader.idle_step());
+    (0..SETTLE_STEPS).for_each(|_| leader.idle_step());
     let copies: Vec<String> = world.store().rows("lent/").into_iter().map(|row| row.key).collect();
     assert!(!copies.is_empty());
     copies.iter().for_each(|key| drop(world.store().keys.remove(key)));
     world.refuses_copies.store(true, Ordering::SeqCst);
-    let taken = machine.taken.clone();
+    let taken = machine.forgotten_results.clone();
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
-    assert_eq!(machine.taken, taken);
+    leader.steps(&mut machine, SETTLE_STEPS);
+    assert_eq!(machine.forgotten_results, taken);
     world.refuses_copies.store(false, Ordering::SeqCst);
-    leader.steps(&mut machine, SETTLED);
-    assert!(machine.taken.len() > taken.len(), "{:?}", machine.taken);
+    leader.steps(&mut machine, SETTLE_STEPS);
+    assert!(machine.forgotten_results.len() > taken.len(), "{:?}", machine.forgotten_results);
 }
 
 /// Guards against results that waited for the next write when their leader was killed, and ran again after an
@@ -188,21 +188,21 @@
 fn results_of_a_lent_job_are_recorded_as_they_are_reported() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     let running = machine.running();
     for _ in 0..running.len() {
         world.wait(BETWEEN_RESULTS);
         machine.finish_one();
         leader.heartbeat(&mut machine);
         leader.controller.write_once();
-        let reported = machine.held_results();
+        let reported = machine.pending_results();
         let copied = world.copied_done();
         assert!(copied.is_superset(&reported), "of {reported:?} just {copied:?} are recorded");
     }
-    machine.lose_all();
-    world.earlier_version_leads();
+    machine.discard_all_tasks();
+    world.run_earlier_leader();
     let mut leader = world.leader();
-    run_to_the_end(&world, &mut leader, &mut machine);
+    run_until_done(&world, &mut leader, &mut machine);
     let again = started_again(&machine, &running);
     assert!(again.is_empty(), "finished tasks start again: {again:?}");
 }
@@ -212,17 +212,17 @@
 fn a_leader_that_resigns_first_records_the_results_of_lent_jobs() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    let finished = machine.held_results();
+    let finished = machine.pending_results();
     assert_eq!(leader.heartbeat(&mut machine), 200);
     leader.controller.resign();
     let copied = world.copied_done();
     assert!(!finished.is_empty() && copied.is_superset(&finished), "of {finished:?} just {copied:?}");
-    machine.lose_all();
-    world.earlier_version_leads();
+    machine.discard_all_tasks();
+    world.run_earlier_leader();
     let mut leader = world.leader();
-    run_to_the_end(&world, &mut leader, &mut machine);
+    run_until_done(&world, &mut leader, &mut machine);
     let again = started_again(&machine, &finished);
     assert!(again.is_empty(), "finished tasks start again: {again:?}");
 }
@@ -232,18 +232,18 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert!(!world.recorded_done().is_empty());
     world.refuses_copies.store(true, Ordering::SeqCst);
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.lend();
         leader.step(&mut machine);
     }
     assert!(world.borrower().tasks().is_empty());
     world.refuses_copies.store(false, Ordering::SeqCst);
-    leader.lend_some(&mut machine);
+    leader.lend_until_accepted(&mut machine);
 }
 
 #[test]
@@ -251,14 +251,14 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
-    leader.lend_some(&mut machine);
+    leader.steps(&mut machine, SETTLE_STEPS);
+    leader.lend_until_accepted(&mut machine);
     world.refuses_copies.store(true, Ordering::SeqCst);
     // One task stays lent.
     let held = world.borrower().tasks();
-    world.borrower().gives_back = held.iter().skip(1).collect();
+    world.borrower().tasks_to_return = held.iter().skip(1).collect();
     leader.lend();
-    for _ in 0..TO_THE_END {
+    for _ in 0..MAX_STEPS {
         machine.finish_all();
         leader.step(&mut machine);
     }
@@ -276,25 +276,25 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     lent_and_done_on_both_sides(&world, &mut leader, &mut machine);
-    world.earlier_version_leads();
+    world.run_earlier_leader();
     let mut leader = world.leader();
     world.borrower().is_cut_off = true;
-    let again = leader.ask("POST", "/api/jobs", &json!(spec(1, TASKS, "batch")));
+    let again = leader.user_request("POST", "/api/jobs", &json!(spec(1, TASKS, "batch")));
     assert_eq!(again.0, 200, "{again:?}");
     let cancel = format!("/api/jobs/{JOB}/withdraw");
-    assert_eq!(leader.ask("POST", &cancel, &Value::Null).0, 503, "the borrower holds tasks");
-    world.earlier_version_leads();
+    assert_eq!(leader.user_request("POST", &cancel, &Value::Null).0, 503, "the borrower holds tasks");
+    world.run_earlier_leader();
     leader.steps(&mut machine, 1);
     let mut leader = world.leader();
-    assert_eq!(leader.ask("POST", &cancel, &Value::Null).0, 503, "the borrower still holds tasks");
+    assert_eq!(leader.user_request("POST", &cancel, &Value::Null).0, 503, "the borrower still holds tasks");
     world.borrower().is_cut_off = false;
     let started: usize = machine.started.values().sum();
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.lend();
         leader.step(&mut machine);
     }
     assert!(world.borrower().tasks().is_empty());
-    let answer = leader.ask("POST", &cancel, &Value::Null);
+    let answer = leader.user_request("POST", &cancel, &Value::Null);
     assert_eq!((answer.0, &answer.1["stage"]), (200, &json!("cancelled")));
     assert_eq!(machine.started.values().sum::<usize>(), started, "nothing of it starts");
 }
@@ -311,7 +311,7 @@
         for _ in 0..60 {
             match random.random_range(0..6) {
                 0 => {
-                    (0..random.random_range(1..3)).for_each(|_| world.earlier_version_leads());
+                    (0..random.random_range(1..3)).for_each(|_| world.run_earlier_leader());
                     leader = world.leader();
                 }
                 1 => machine.finish_all(),
@@ -325,19 +325,19 @@
                 4 => {
                     let mut borrower = world.borrower();
                     let free = borrower.tasks().difference(&borrower.done);
-                    borrower.gives_back = free.iter().filter(|_| random.random_bool(0.2)).collect();
+                    borrower.tasks_to_return = free.iter().filter(|_| random.random_bool(0.2)).collect();
                 }
                 _ => leader.steps(&mut machine, random.random_range(1..5)),
             }
-            let again = started_again(&machine, &machine.taken);
+            let again = started_again(&machine, &machine.forgotten_results);
             assert!(again.is_empty(), "seed {seed}: finished tasks start again: {again:?}");
             let held = world.borrower().tasks();
             let both: Vec<u32> = machine.running().into_iter().filter(|task| held.contains(*task)).collect();
             assert!(both.is_empty(), "seed {seed}: in both cells: {both:?}");
         }
-        world.borrower().gives_back = TaskSet::new();
-        run_to_the_end(&world, &mut leader, &mut machine);
-        let again = started_again(&machine, &machine.taken);
+        world.borrower().tasks_to_return = TaskSet::new();
+        run_until_done(&world, &mut leader, &mut machine);
+        let again = started_again(&machine, &machine.forgotten_results);
         assert!(again.is_empty(), "seed {seed}: finished tasks start again: {again:?}");
     }
 }
--- a/tests/held_job_forms.rs
+++ b/tests/held_job_forms.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::leader_without_copies::run_until_ended;
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED, TASKS, VALUE_BYTES};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, TASKS, VALUE_BYTES};
 use common::production_leader::ProductionLeader;
 use common::spec;
 use serde_json::{json, Value};
@@ -30,9 +30,9 @@
 fn lent_by_0_3_2() -> (World, Machine) {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_one();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     drop(leader);
     world.store().lend_as_0_3_2(JOB);
     (world, machine)
@@ -61,12 +61,12 @@
     let mut leader = world.leader();
     leader.steps(&mut machine, 1);
     leader.lend();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     let (done, running) = (world.recorded_done(), machine.running());
     assert!(!done.is_empty() && !running.is_empty());
     drop(leader);
     let mut earlier = ProductionLeader::elected(&world);
-    earlier.steps(&mut machine, SETTLED);
+    earlier.steps(&mut machine, SETTLE_STEPS);
     assert!(earlier.knows(JOB));
     assert_eq!((world.recorded_done(), machine.running()), (done, running));
     play_to_the_end(&world, &mut world.leader(), &mut machine);
@@ -88,7 +88,7 @@
                 leader.steps(&mut machine, 2);
                 leader.lend();
                 let given_back = world.borrower().tasks().iter().take(2).collect();
-                world.borrower().gives_back = given_back;
+                world.borrower().tasks_to_return = given_back;
                 let before = world.job_row();
                 leader.lend();
                 assert_ne!(world.job_row(), before, "the loan was not settled");
@@ -115,16 +115,16 @@
         let mut leader = world.leader();
         let mut job = json!(spec(1, TASKS, "batch"));
         job["breeds"] = type_names(types);
-        assert_eq!(leader.ask("POST", "/api/jobs", &job).0, 201);
-        leader.steps(&mut machine, SETTLED);
-        for _ in 0..SETTLED {
+        assert_eq!(leader.user_request("POST", "/api/jobs", &job).0, 201);
+        leader.steps(&mut machine, SETTLE_STEPS);
+        for _ in 0..SETTLE_STEPS {
             leader.lend();
             leader.steps(&mut machine, 1);
             assert_values_fit(&world);
         }
         most_lent.push(world.borrower().tasks().len());
         let given_back = world.borrower().tasks().iter().step_by(2).collect();
-        world.borrower().gives_back = given_back;
+        world.borrower().tasks_to_return = given_back;
         leader.lend();
         assert_values_fit(&world);
         play_to_the_end(&world, &mut leader, &mut machine);
@@ -139,12 +139,12 @@
 fn a_follower_answers_requests_for_a_job_whose_record_0_3_2_has_rewritten() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     drop(leader);
     world.store().rewrite_as_0_3_2(JOB, |_| ());
     let follower = world.follower();
-    let status = follower.ask("GET", &format!("/api/jobs/{JOB}"), &Value::Null);
+    let status = follower.user_request("GET", &format!("/api/jobs/{JOB}"), &Value::Null);
     assert_eq!((status.0, &status.1["stage"]), (200, &json!("queued")), "a status request");
-    let again = follower.ask("POST", "/api/jobs", &json!(spec(1, TASKS, "batch")));
+    let again = follower.user_request("POST", "/api/jobs", &json!(spec(1, TASKS, "batch")));
     assert_eq!(again.0, 200, "a repeated submission: {again:?}");
 }
--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED, TASKS};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::production_api::{read_final_record, CancelAnswer, ProductionApi};
 use common::production_leader::{ProductionLeader, Version};
 use common::store_faults::StoreFaults;
@@ -20,7 +20,7 @@
 /// Actions of a seed.
 const ACTIONS: usize = 90;
 /// Rounds within which a job whose tasks end at once has ended.
-const TO_THE_END: usize = 300;
+const MAX_STEPS: usize = 300;
 /// The share of the writes of the job's record that are lost, late or without an answer.
 const FAULTY_SHARE: f64 = 0.15;
 
@@ -117,7 +117,7 @@
 
     fn step_of_machine(&mut self, number: usize) {
         let machine = &mut self.machines[number];
-        let taken = machine.taken.clone();
+        let taken = machine.forgotten_results.clone();
         match &mut self.leading {
             Leading::This(leader) => leader.step(machine),
             Leading::Earlier(leader) => leader.step(machine),
@@ -126,7 +126,7 @@
         let forgets = self.is_led_by(Version::BeforeLoans) && self.is_hidden();
         let machine = &self.machines[number];
         if !forgets {
-            let newly_taken: BTreeSet<u32> = machine.taken.difference(&taken).copied().collect();
+            let newly_taken: BTreeSet<u32> = machine.forgotten_results.difference(&taken).copied().collect();
             let again: Vec<u32> = machine.running().intersection(&newly_taken).copied().collect();
             assert!(again.is_empty(), "seed {}: forgotten and started again: {again:?}", self.seed);
             self.finished.extend(newly_taken);
@@ -168,7 +168,7 @@
         self.world.store().rewrite_as_0_3_2(JOB, |lending| {
             for loan in &mut lending.loans {
                 // One of which the borrower has not heard stays open.
-                if let Some(held) = borrower.held.get(&loan.number) {
+                if let Some(held) = borrower.loans.get(&loan.number) {
                     loan.tasks = held.clone();
                 }
             }
@@ -184,7 +184,7 @@
                     machine.finish_one();
                 }
             }
-            self.ended_here.extend(machine.held_results());
+            self.ended_here.extend(machine.pending_results());
         }
     }
 
@@ -198,7 +198,7 @@
         let mut borrower = self.world.borrower();
         let free = borrower.tasks().difference(&borrower.done);
         let share = if self.random.random_bool(0.5) { 1.0 } else { 0.3 };
-        borrower.gives_back = free.iter().filter(|_| self.random.random_bool(share)).collect();
+        borrower.tasks_to_return = free.iter().filter(|_| self.random.random_bool(share)).collect();
     }
 
     /// A user cancels at a controller of either side.
@@ -208,7 +208,8 @@
             self.users.cancel(&mut self.world.store(), JOB) == CancelAnswer::Confirmed
         } else {
             let follower = self.world.follower();
-            let (status, body) = follower.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null);
+            let (status, body) =
+                follower.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null);
             status == 200 && body["stage"] == "cancelled"
         };
         if is_confirmed && !self.is_cancellation_confirmed {
@@ -278,8 +279,8 @@
         *self.world.faults() = StoreFaults::default();
         self.leading = Leading::This(Box::new(self.world.leader()));
         self.world.borrower().is_cut_off = false;
-        self.world.borrower().gives_back = TaskSet::new();
-        for _ in 0..TO_THE_END {
+        self.world.borrower().tasks_to_return = TaskSet::new();
+        for _ in 0..MAX_STEPS {
             self.finish(1.0);
             let held = self.world.borrower().tasks();
             let done = self.world.borrower().done.union(&held);
@@ -291,7 +292,7 @@
                 break;
             }
         }
-        (0..2 * SETTLED).for_each(|_| self.step());
+        (0..2 * SETTLE_STEPS).for_each(|_| self.step());
         let store = self.world.store();
         let left: Vec<&String> = store.keys.keys().filter(|key| key.contains(JOB)).collect();
         assert_eq!(left, [&format!("final/{JOB}")], "seed {}", self.seed);
--- a/tests/held_record_bounds.rs
+++ b/tests/held_record_bounds.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::lending_scenario::{lend, lending_scenario, wall};
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED, VALUE_BYTES};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, VALUE_BYTES};
 use common::spec;
 use milletlock::fleet::LoanWrite;
 use milletlock::leadership::mark_unreadable_finals;
@@ -22,7 +22,7 @@
 /// completely.
 fn lent_by_0_3_2_with_a_long_description(world: &World, machine: &mut Machine) {
     let mut leader = world.leader();
-    leader.begin_and_lend(machine);
+    leader.submit_and_lend(machine);
     world.borrower().is_full = true;
     leader.lend();
     let mut record: JobRecord = serde_json::from_value(job_value(world)).expect("a record");
@@ -43,8 +43,8 @@
     let mut leader = world.leader_beside("0.3.3");
     leader.lend();
     let lent = world.borrower().tasks();
-    world.borrower().gives_back = lent.iter().filter(|task| task % 2 == 0).collect();
-    (0..SETTLED).for_each(|_| leader.lend());
+    world.borrower().tasks_to_return = lent.iter().filter(|task| task % 2 == 0).collect();
+    (0..SETTLE_STEPS).for_each(|_| leader.lend());
     let value = job_value(&world);
     let record: JobRecord = serde_json::from_value(value.clone()).expect("a record");
     assert!(record.lending.tasks().len() < lent.len(), "no tasks were returned");
@@ -74,9 +74,9 @@
 fn leader_elected_again<'a>(world: &'a World, machine: &mut Machine) -> Leader<'a> {
     let mut leader = world.leader_beside("0.3.3");
     leader.submit();
-    leader.steps(machine, SETTLED);
-    world.elect_earlier();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
+    world.elect_earlier_leader();
+    leader.steps(machine, SETTLE_STEPS);
     leader.fail_over();
     leader
 }
@@ -87,7 +87,7 @@
 fn versions_reported_in_an_earlier_term_allow_no_loan() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = leader_elected_again(&world, &mut machine);
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.lend();
         leader.step(&mut machine);
     }
@@ -96,7 +96,7 @@
         "a loan is made before the controllers have reported their versions"
     );
     leader.controller.announce_once();
-    leader.lend_some(&mut machine);
+    leader.lend_until_accepted(&mut machine);
 }
 
 /// Guards against lending that stops at a failover until the failed leader is available again.
@@ -105,7 +105,7 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     world.leader().submit();
     let mut leader = world.follower();
-    leader.hears_of_leader("0.3.3");
+    leader.receive_leader_announcement("0.3.3");
     leader.fail_over();
-    leader.lend_some(&mut machine);
+    leader.lend_until_accepted(&mut machine);
 }
--- a/tests/lent_records.rs
+++ b/tests/lent_records.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::lending_scenario::tasks;
-use common::lending_world::{Machine, World, JOB, SETTLED, TASKS};
+use common::lending_world::{Machine, World, JOB, SETTLE_STEPS, TASKS};
 use common::production::{self, ranges_text};
 use common::production_api::read_final_record;
 use common::records_of_0_3_2::RecordOf0_3_2;
@@ -190,7 +190,7 @@
 /// Lends tasks of a job, and lets the borrower accept no further loans.
 fn lent_job(world: &World, machine: &mut Machine) {
     let mut leader = world.leader();
-    leader.begin_and_lend(machine);
+    leader.submit_and_lend(machine);
     world.borrower().is_full = true;
     leader.lend();
 }
@@ -213,16 +213,16 @@
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         lent_by_0_3_2(&world, &mut machine);
         let mut leader = world.leader_beside(version);
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
         let borrowed = world.borrower().tasks();
-        world.borrower().gives_back = borrowed.iter().take(1).collect();
-        (0..SETTLED).for_each(|_| leader.lend());
+        world.borrower().tasks_to_return = borrowed.iter().take(1).collect();
+        (0..SETTLE_STEPS).for_each(|_| leader.lend());
         let record = read(&world.job_row().expect("the job"));
         assert_eq!(record.lending.tasks().len(), borrowed.len() - 1, "{version}: one task has been returned");
         assert!(is_hidden(&world), "{version}");
         assert_eq!(world.final_row(), None, "{version}");
         assert_eq!(leader.status()["lent_progress"]["hidden_records"], 1, "{version}");
-        let cancelled = leader.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null);
+        let cancelled = leader.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null);
         assert_eq!(cancelled.0, 503, "{version}: the borrower still has tasks");
         assert!(is_hidden(&world) && world.final_row().is_none(), "{version}: cancelling");
         leader.lend();
@@ -237,7 +237,7 @@
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         let mut leader = world.leader_beside(version);
         leader.submit();
-        for _ in 0..SETTLED {
+        for _ in 0..SETTLE_STEPS {
             leader.step(&mut machine);
             leader.lend();
         }
@@ -246,8 +246,8 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader_beside("0.3.3");
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
-    leader.lend_some(&mut machine);
+    leader.steps(&mut machine, SETTLE_STEPS);
+    leader.lend_until_accepted(&mut machine);
 }
 
 /// Guards against a job record that versions before 0.3 still cannot read after the rollout of this version.
@@ -286,7 +286,7 @@
     large["spec_of_lent"]["breeds"] = json!(types);
     put(&world, &job_key(), large);
     let mut leader = world.leader_beside("0.3.3");
-    (0..SETTLED).for_each(|_| leader.lend());
+    (0..SETTLE_STEPS).for_each(|_| leader.lend());
     assert!(is_hidden(&world));
     assert_eq!(leader.status()["lent_progress"]["hidden_records"], 1);
 }
@@ -299,9 +299,9 @@
     put(&world, &final_key(), json!({ "held": true }));
     let leader = world.leader();
     let submission = json!(spec(1, 4, "batch"));
-    assert_eq!(leader.ask("POST", "/api/jobs", &submission).0, 503);
-    assert_eq!(leader.ask("GET", &format!("/api/jobs/{JOB}"), &Value::Null).0, 503);
-    assert_eq!(leader.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
+    assert_eq!(leader.user_request("POST", "/api/jobs", &submission).0, 503);
+    assert_eq!(leader.user_request("GET", &format!("/api/jobs/{JOB}"), &Value::Null).0, 503);
+    assert_eq!(leader.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
     assert_eq!(leader.status()["owner"]["unreadable"], json!({ "count": 1, "keys": [final_key()] }));
     assert_eq!(world.final_row(), Some(json!({ "held": true })));
     assert_eq!(world.job_row(), None);
@@ -321,8 +321,8 @@
         put(&world, &format!("done/{JOB}/0"), json!(ranges_text(&(0..40).collect())));
         let mut leader = world.leader();
         let other = json!(spec(2, 2, "batch"));
-        assert_eq!(leader.ask("POST", "/api/jobs", &other).0, 201);
-        for _ in 0..2 * SETTLED {
+        assert_eq!(leader.user_request("POST", "/api/jobs", &other).0, 201);
+        for _ in 0..2 * SETTLE_STEPS {
             leader.step(&mut machine);
             machine.finish_all();
         }
@@ -332,7 +332,7 @@
         assert_eq!(world.final_row(), unexpected, "the value under the final key has changed");
         let keys = leader.status()["owner"]["unreadable"]["keys"].clone();
         assert_eq!(keys, json!([final_key()]), "{unexpected:?}");
-        assert_eq!(leader.ask("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
+        assert_eq!(leader.user_request("POST", &format!("/api/jobs/{JOB}/withdraw"), &Value::Null).0, 503);
     }
 }
 
@@ -346,6 +346,6 @@
         submission[field] = Value::Null;
     }
     submission["breeds"] = json!([]);
-    assert_eq!(leader.ask("POST", "/api/jobs", &submission).0, 400);
+    assert_eq!(leader.user_request("POST", "/api/jobs", &submission).0, 400);
     assert_eq!(world.job_row(), None);
 }
--- a/tests/progress_keeper.rs
+++ b/tests/progress_keeper.rs
@@ -4,8 +4,8 @@
 
 mod common;
 
-use common::leader_without_copies::{assert_none_runs_again, follower_that_hears, NO_VERSION};
-use common::lending_world::{Leader, Machine, World, SETTLED};
+use common::leader_without_copies::{assert_none_starts_again, follower_with_reported_results, NO_VERSION};
+use common::lending_world::{Leader, Machine, World, SETTLE_STEPS};
 use common::spec;
 use common::worker::Task;
 use milletlock::time::{Micros, Steady};
@@ -38,9 +38,9 @@
 fn the_status_counts_jobs_without_copies_until_all_have_copies() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(
         lent_progress(&leader),
         Some((1, 0)),
@@ -50,12 +50,12 @@
     borrow_jobs(&world, 9);
     let mut follower = world.follower();
     assert_eq!(lent_progress(&follower), None, "before its first round a follower shows no numbers");
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     assert_eq!(lent_progress(&follower), Some((10, 2)), "one round copies the progress of eight jobs");
     follower.keep_progress();
     assert_eq!(lent_progress(&follower), Some((10, 0)));
-    follower.hears_of_leader("0.3.2");
+    follower.receive_leader_announcement("0.3.2");
     follower.keep_progress();
     assert_eq!(
         lent_progress(&follower),
@@ -72,7 +72,7 @@
     world.store().txn(&Txn { guards: Vec::new(), then: vec![unreadable] }).expect("written");
     world.leader();
     let mut follower = world.follower();
-    follower.hears_of_leader("0.3.0");
+    follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     assert_eq!(lent_progress(&follower), Some((1, 1)));
 }
@@ -85,12 +85,12 @@
     const HEARTBEATS: u32 = 20;
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
-    leader.begin_and_lend(&mut machine);
+    leader.submit_and_lend(&mut machine);
     machine.finish_all();
-    let finished = machine.held_results();
+    let finished = machine.pending_results();
     let mut follower = world.follower();
-    world.earlier_version_leads();
-    follower.hears_of_leader(NO_VERSION);
+    world.run_earlier_leader();
+    follower.receive_leader_announcement(NO_VERSION);
     for index in 0..HEARTBEATS {
         let mut other = Machine::new("i-000002");
         let done =
@@ -100,10 +100,10 @@
         follower.heartbeat(&mut other);
     }
     follower.heartbeat(&mut machine);
-    machine.lose_all();
+    machine.discard_all_tasks();
     follower.keep_progress();
-    world.earlier_version_leads();
-    assert_none_runs_again(&world, &mut machine, &finished);
+    world.run_earlier_leader();
+    assert_none_starts_again(&world, &mut machine, &finished);
 }
 
 /// Guards against a fault in which a round read and wrote all jobs with reported results, and so used up the
@@ -122,7 +122,7 @@
             Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
         machine.state.tasks.insert((format!("{}/0", id(index)), 1), done);
     }
-    let mut follower = follower_that_hears(&world, &mut machine);
+    let mut follower = follower_with_reported_results(&world, &mut machine);
     let copied = || world.store().rows("borrowed/done/").len();
     let mut rounds = Vec::new();
     while copied() < JOBS && rounds.len() < JOBS {
--- a/tests/unreadable_records.rs
+++ b/tests/unreadable_records.rs
@@ -10,7 +10,7 @@
 
 use std::sync::atomic::Ordering;
 
-use common::lending_world::{Leader, Machine, World, JOB, SETTLED, STEP, TASKS};
+use common::lending_world::{Leader, Machine, World, JOB, SETTLE_STEPS, STEP, TASKS};
 use common::store::Store;
 use common::{config, record, spec, types, LEASE};
 use milletlock::fleet::{Fleet, PendingWrite};
@@ -43,14 +43,18 @@
 fn run_some_tasks(world: &World, machine: &mut Machine) {
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(machine, SETTLED);
+    leader.steps(machine, SETTLE_STEPS);
     machine.finish_all();
-    leader.steps(machine, SETTLED);
-    assert!(machine.taken.len() >= 4 && !machine.running().is_empty(), "{:?}", machine.taken);
+    leader.steps(machine, SETTLE_STEPS);
+    assert!(
+        machine.forgotten_results.len() >= 4 && !machine.running().is_empty(),
+        "{:?}",
+        machine.forgotten_results
+    );
 }
 
 /// Runs the job until it is done.
-fn run_to_the_end(leader: &mut Leader<'_>, machine: &mut Machine) {
+fn run_until_done(leader: &mut Leader<'_>, machine: &mut Machine) {
     for _ in 0..TO_THE_END {
         machine.finish_all();
         leader.step(machine);
@@ -74,9 +78,9 @@
 /// Checks that users get status 503 for requests about the job, neither 404 nor a stage.
 fn assert_unavailable(leader: &Leader<'_>) {
     let path = format!("/api/jobs/{JOB}");
-    assert_eq!(leader.ask("GET", &path, &Value::Null).0, 503);
-    assert_eq!(leader.ask("POST", &format!("{path}/withdraw"), &Value::Null).0, 503);
-    assert_eq!(leader.ask("POST", "/api/jobs", &json!(spec(1, TASKS, "batch"))).0, 503);
+    assert_eq!(leader.user_request("GET", &path, &Value::Null).0, 503);
+    assert_eq!(leader.user_request("POST", &format!("{path}/withdraw"), &Value::Null).0, 503);
+    assert_eq!(leader.user_request("POST", "/api/jobs", &json!(spec(1, TASKS, "batch"))).0, 503);
 }
 
 /// A new leader finds the job's record unreadable. The record is repaired while this leader is active.
@@ -88,19 +92,19 @@
         let good = value(&world, &job_key());
         put(&mut world.store(), &job_key(), damaged);
         let mut leader = world.leader();
-        let (running, taken) = (machine.running(), machine.taken.clone());
-        leader.steps(&mut machine, 3 * SETTLED);
+        let (running, taken) = (machine.running(), machine.forgotten_results.clone());
+        leader.steps(&mut machine, 3 * SETTLE_STEPS);
         assert_unavailable(&leader);
         assert_eq!(unreadable(&leader)["keys"], json!([job_key()]));
         assert_eq!(machine.running(), running, "the job's tasks keep running");
         machine.finish_all();
-        leader.steps(&mut machine, 3 * SETTLED);
-        assert_eq!(machine.taken, taken, "the worker keeps results that cannot be recorded");
+        leader.steps(&mut machine, 3 * SETTLE_STEPS);
+        assert_eq!(machine.forgotten_results, taken, "the worker keeps results that cannot be recorded");
         assert!(world.recorded_done().is_superset(&taken));
         put(&mut world.store(), &job_key(), good);
         leader.steps(&mut machine, 2);
         let mut leader = world.leader();
-        run_to_the_end(&mut leader, &mut machine);
+        run_until_done(&mut leader, &mut machine);
         assert_each_started_once(&machine);
     }
 }
@@ -112,18 +116,18 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     run_some_tasks(&world, &mut machine);
     let mut leader = world.leader();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     let good = value(&world, &job_key());
     put(&mut world.store(), &job_key(), json!({ "spec": 5 }));
     machine.finish_all();
-    leader.steps(&mut machine, 3 * SETTLED);
+    leader.steps(&mut machine, 3 * SETTLE_STEPS);
     assert_unavailable(&leader);
     let started: usize = machine.started.values().sum();
     machine.finish_all();
-    leader.steps(&mut machine, SETTLED);
+    leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(machine.started.values().sum::<usize>(), started, "a task of the blocked job is started");
     put(&mut world.store(), &job_key(), good);
-    run_to_the_end(&mut leader, &mut machine);
+    run_until_done(&mut leader, &mut machine);
     assert_each_started_once(&machine);
 }
 
@@ -140,13 +144,13 @@
         put(&mut world.store(), &key, damaged.clone());
         let mut leader = world.leader();
         let started: usize = machine.started.values().sum();
-        leader.steps(&mut machine, 3 * SETTLED);
+        leader.steps(&mut machine, 3 * SETTLE_STEPS);
         assert_eq!(machine.started.values().sum::<usize>(), started, "{damaged}");
         assert_eq!(value(&world, &key), damaged, "the unreadable record is changed");
         assert_eq!(unreadable(&leader)["keys"], json!([key]));
         put(&mut world.store(), &key, good);
         let mut leader = world.leader();
-        run_to_the_end(&mut leader, &mut machine);
+        run_until_done(&mut leader, &mut machine);
         assert_each_started_once(&machine);
     }
 }
@@ -161,7 +165,7 @@
     for (key, row) in damaged {
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         let mut leader = world.leader();
-        leader.begin_and_lend(&mut machine);
+        leader.submit_and_lend(&mut machine);
         let lent = world.borrower().tasks();
         put(&mut world.store(), key, row.clone());
         put(&mut world.store(), "lent/done/wk-000009/1", json!("0-3"));
@@ -171,7 +175,7 @@
         let started: usize = machine.started.values().sum();
         machine.finish_all();
         let mut leader = world.leader();
-        for _ in 0..SETTLED {
+        for _ in 0..SETTLE_STEPS {
             leader.lend();
             leader.step(&mut machine);
         }
@@ -197,7 +201,7 @@
         put(&mut world.store(), "job/wk-000002", json!({ "spec_of_a_later_version": {} }));
         put(&mut world.store(), "done/wk-000002/0", json!("0-3"));
         let mut leader = world.leader();
-        leader.begin_and_lend(&mut machine);
+        leader.submit_and_lend(&mut machine);
         for _ in 0..60 {
             match random.random_range(0..6) {
                 0 => leader = world.leader(),
@@ -217,7 +221,7 @@
             let both: Vec<u32> = machine.running().into_iter().filter(|task| lent.contains(*task)).collect();
             assert!(both.is_empty(), "seed {seed}: tasks in both cells: {both:?}");
         }
-        assert_eq!(leader.ask("GET", "/api/jobs/wk-000002", &Value::Null).0, 503, "seed {seed}");
+        assert_eq!(leader.user_request("GET", "/api/jobs/wk-000002", &Value::Null).0, 503, "seed {seed}");
         assert_eq!(value(&world, "done/wk-000002/0"), json!("0-3"), "seed {seed}");
         world.refuses_copies.store(false, Ordering::SeqCst);
         world.borrower().is_cut_off = false;
@@ -243,9 +247,9 @@
         let running = machine.running();
         put(&mut world.store(), key, damaged.clone());
         let (mut leader, mut other) = (world.leader(), Machine::new("i-000002"));
-        leader.steps(&mut other, SETTLED);
+        leader.steps(&mut other, SETTLE_STEPS);
         assert!(other.running().is_disjoint(&running), "{:?} of {running:?}", other.running());
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
         assert_eq!(value(&world, key), damaged, "the unreadable value is changed");
     }
 }
@@ -256,12 +260,12 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
-    leader.lend_some(&mut machine);
+    leader.steps(&mut machine, SETTLE_STEPS);
+    leader.lend_until_accepted(&mut machine);
     let lent = world.borrower().tasks();
     put(&mut world.store(), &job_key(), json!({ "spec_of_a_later_version": {} }));
     let mut leader = world.leader();
-    for _ in 0..SETTLED {
+    for _ in 0..SETTLE_STEPS {
         leader.lend();
         leader.step(&mut machine);
     }
@@ -307,7 +311,7 @@
             reply.reports.iter().filter(|report| report.closed).map(|r| r.number).collect();
         assert!(closed.is_empty(), "{closed:?} of {job} and {lender}");
         let mut machine = Machine::new("i-000001");
-        leader.steps(&mut machine, SETTLED);
+        leader.steps(&mut machine, SETTLE_STEPS);
         assert_eq!(value(&world, "borrowed/done/wk-000005/0"), json!("1-2"));
         assert_eq!(value(&world, "borrowed/lender/there"), lender);
         assert_eq!(value(&world, "borrowed/job/wk-000005"), job);
@@ -323,7 +327,7 @@
     let running = machine.running();
     put(&mut world.store(), "machines/0", json!([1]));
     let (mut leader, mut other) = (world.leader(), Machine::new("i-000002"));
-    leader.steps(&mut other, 3 * SETTLED);
+    leader.steps(&mut other, 3 * SETTLE_STEPS);
     assert!(other.running().is_disjoint(&running), "{:?} of {running:?}", other.running());
     assert_eq!(value(&world, "machines/0"), json!([1]), "the unreadable value is changed");
 }
@@ -349,7 +353,7 @@
     }
     let session = last_renewal + LEASE;
     assert!(waited >= session, "started again after {} s, before {} s", waited.secs(), session.secs());
-    run_to_the_end(&mut leader, &mut other);
+    run_until_done(&mut leader, &mut other);
     assert_eq!(value(&world, "machines/0"), json!([1]), "the unreadable value is changed");
 }
 
@@ -360,8 +364,8 @@
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit();
-    leader.steps(&mut machine, SETTLED);
-    leader.lend_some(&mut machine);
+    leader.steps(&mut machine, SETTLE_STEPS);
+    leader.lend_until_accepted(&mut machine);
     let lent = world.borrower().tasks();
     let description = json!(spec(5, 10, "batch"));
     let held =
@@ -376,7 +380,7 @@
     assert_eq!(value(&world, "borrowed/done/wk-000005/0"), json!("1-2"));
     let done = world.store().rows("borrowed/done/wk-000005/");
     assert!(done.iter().any(|row| row.value == json!("1-3")), "the borrowed task is not done: {done:?}");
-    let response = leader.ask("POST", "/api/jobs", &json!(spec(5, 10, "batch")));
+    let response = leader.user_request("POST", "/api/jobs", &json!(spec(5, 10, "batch")));
     assert_eq!(response.0, 503, "the id of the job is in use: {response:?}");
     let mut leader = world.leader();
     for _ in 0..TO_THE_END {
