--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -92,7 +92,7 @@
     pub recovery: RecoveryTracker,
     /// Run times of past jobs, from which the run times of new jobs are estimated.
     pub history: History,
-    /// The latest plan. Scale-out and the log use its unmet tasks and its reservation.
+    /// The latest plan. Scale-out and the log use its unplaced tasks and its reservation.
     pub plan: Plan,
     /// Whether something changed since the latest plan. If so, `replan` makes a new one as soon as the
     /// minimum interval between plans has passed.
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -85,9 +85,9 @@
                 *planned = (*planned).max(Some(sched::start_delay(class, &snapshot.machines[start.machine])));
             }
         }
-        let unmet =
+        let unplaced =
             plan.unplaced.iter().filter(|(class, _)| snapshot.classes[*class].replica_machines.is_some());
-        waiting.extend(unmet.map(|(class, _)| (*class, None)));
+        waiting.extend(unplaced.map(|(class, _)| (*class, None)));
         let services = waiting.into_iter();
         self.waiting_services = services.map(|(class, planned)| WaitingService { class, planned }).collect();
     }
--- a/src/fleet/starts.rs
+++ b/src/fleet/starts.rs
@@ -119,9 +119,9 @@
         let Some(machine) = self.backfill_candidate(id, now) else { return };
         let team_uses = self.current_team_uses();
         let classes = &self.planned_snapshot.classes;
-        let gang_waits = self.plan.unplaced.iter().any(|unmet| {
-            let class = &classes[unmet.0];
-            unmet.1 > 0 && class.gang && sched::may_use(class, &machine)
+        let gang_waits = self.plan.unplaced.iter().any(|unplaced| {
+            let class = &classes[unplaced.0];
+            unplaced.1 > 0 && class.gang && sched::may_use(class, &machine)
         });
         let mut backfill = IncrementalBackfill {
             snapshot: &self.planned_snapshot,
--- a/src/fleet/wait_reasons.rs
+++ b/src/fleet/wait_reasons.rs
@@ -73,7 +73,7 @@
     /// The jobs that the plan was made for.
     planned: BTreeSet<&'a JobId>,
     /// The number of tasks for which the plan found no capacity, by job.
-    unmet: BTreeMap<&'a JobId, u32>,
+    unplaced: BTreeMap<&'a JobId, u32>,
     /// The machines with free capacity.
     free_machines: Vec<FreeMachine<'a>>,
 }
@@ -145,13 +145,13 @@
         for assigned in self.assigned_starts.values().flatten() {
             *starting.entry(&assigned.job).or_default() += assigned.count;
         }
-        let unmet = self.plan.unplaced.iter();
-        let unmet = unmet.filter_map(|(class, tasks)| Some((self.planned_jobs.get(*class)?, *tasks)));
+        let unplaced = self.plan.unplaced.iter();
+        let unplaced = unplaced.filter_map(|(class, tasks)| Some((self.planned_jobs.get(*class)?, *tasks)));
         let usable = self.machines.values().filter(|machine| machine.is_usable(now));
         PlanView {
             starting,
             planned: self.planned_jobs.iter().collect(),
-            unmet: unmet.collect(),
+            unplaced: unplaced.collect(),
             free_machines: usable.filter_map(|machine| self.free_machine(machine)).collect(),
         }
     }
@@ -186,7 +186,7 @@
         }
         let startable = self.startable_tasks(job, now).min(waiting);
         let starting = plan.starting.get(&job.id).copied().unwrap_or(0).min(startable);
-        let unmet = plan.unmet.get(&job.id).copied().unwrap_or(0).min(startable - starting);
+        let unplaced = plan.unplaced.get(&job.id).copied().unwrap_or(0).min(startable - starting);
         let without_capacity = if self.has_capacity_for(job, plan) {
             WaitReason::ReservedCapacity
         } else {
@@ -197,8 +197,8 @@
         let counts = [
             (WaitReason::UnacknowledgedMachines, waiting - startable),
             (WaitReason::Starting, starting),
-            (without_capacity, unmet),
-            (beyond_quota, startable - starting - unmet),
+            (without_capacity, unplaced),
+            (beyond_quota, startable - starting - unplaced),
         ];
         counts.into_iter().filter(|(_, tasks)| *tasks > 0).collect()
     }
--- a/tests/planner/incremental_backfill.rs
+++ b/tests/planner/incremental_backfill.rs
@@ -29,7 +29,7 @@
         let machine = MachineSnapshot { images: vec![CACHED_IMAGE], ..empty_machine(4.0) };
         let snapshot = Snapshot { zone_count: 1, classes: self.classes, ..Snapshot::default() };
         let queue = queue_order(&snapshot.classes).into_iter();
-        let mut unmet: Vec<TasksOfClass> =
+        let mut unplaced: Vec<TasksOfClass> =
             queue.map(|class| (class, snapshot.classes[class].startable_tasks)).collect();
         IncrementalBackfill {
             snapshot: &snapshot,
@@ -39,7 +39,7 @@
             machine: &machine,
             gang_waits: self.gang_waits,
         }
-        .starts(&mut unmet)
+        .starts(&mut unplaced)
     }
 }
 
