--- a/src/fleet/scaling.rs
+++ b/src/fleet/scaling.rs
@@ -72,9 +72,10 @@
         let mut offers: Vec<MachineOffer> = self.refused_offers.keys().copied().collect();
         for zone in (0..self.catalog.zones.len()).filter(|zone| self.is_partitioned(*zone, now)) {
             let types = 0..self.catalog.types.len();
-            offers.extend(
-                types.flat_map(|ty| [false, true].map(|spot| MachineOffer { type_index: ty, zone, spot })),
-            );
+            offers
+                .extend(types.flat_map(|type_index| {
+                    [false, true].map(|spot| MachineOffer { type_index, zone, spot })
+                }));
         }
         offers
     }
