--- a/crates/recovery/src/tracker.rs
+++ b/crates/recovery/src/tracker.rs
@@ -16,7 +16,7 @@
     NotReported,
     /// The machine has reported with this leader's fencing token.
     Reported,
-    /// The machine did not report before it was gone or its lease had certainly expired.
+    /// The machine ended, or its lease has certainly expired, before it reported.
     Lost,
 }
 
@@ -86,9 +86,9 @@
         self.machines.get(machine).copied()
     }
 
-    /// Whether some machines have not reported and may still be expected to: `after`, the time since the
-    /// failover, is less than `window`. Decisions that depend on the use of these machines, and that can
-    /// wait, should be made only when this is false.
+    /// Whether reports of some machines are still awaited: not all machines have reported, and `after`, the
+    /// time since the failover, is less than `window`. Decisions that depend on what runs on these machines,
+    /// and that can wait, should be made only when this is false.
     pub fn is_awaiting_reports(&self, after: Duration, window: Duration) -> bool {
         self.not_reported > 0 && after < window
     }
--- a/src/capacity/arrays.rs
+++ b/src/capacity/arrays.rs
@@ -62,7 +62,7 @@
                 continue;
             }
             let cpus = class.need.cpus.max(MIN_COUNTED_CPUS) * f64::from(unplaced);
-            // For a whole day, most estimates may be too low; then capacity seems sufficient although jobs
+            // Most estimates may be too low for a whole day, so that capacity seems sufficient although jobs
             // wait. Therefore the work of arrays that have waited long counts for more.
             let wait_weight = (class.waited.secs() / (drain_s * LONG_WAIT_FRACTION)).max(1.0);
             let cpu_seconds = cpus * class.adjusted_runtime.secs() * wait_weight;
--- a/src/fleet/headroom.rs
+++ b/src/fleet/headroom.rs
@@ -62,8 +62,9 @@
     }
 
     /// By machine type: the headroom that jobs of lower priorities leave free, if any. The headroom is for
-    /// the largest recent task of a higher priority that takes a whole machine of the type and does not fit
-    /// a smaller type.
+    /// the tasks of a recent job above the lowest priority of which one task takes a whole machine of the
+    /// type and may not use a smaller type. If there are several such jobs, it is for the job of the highest
+    /// priority, and among these for the one with the largest tasks.
     pub(super) fn reserved_headroom(&self) -> Vec<Option<ReservedHeadroom>> {
         (0..self.catalog.types.len()).map(|type_index| self.headroom_on_type(type_index)).collect()
     }
--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -3,7 +3,8 @@
 //! A worker stops its tasks when its lease expires. Once this leader knows for certain that a machine's lease
 //! has expired, no task is running there any more, and the tasks may start elsewhere. A machine that stays
 //! silent for some time after that is scaled in. A machine on which an earlier leader may have started tasks
-//! is *unacknowledged* until it has acknowledged this leader's fencing token.
+//! is *unacknowledged* until it has acknowledged this leader's fencing token; to scale in such a machine after
+//! a failover is to *fence* it.
 
 use super::{Fleet, Machine, SLOWER_CLOCK_FACTOR};
 use crate::jobs::MachineId;
@@ -156,8 +157,8 @@
         machine.scaling_in = true;
     }
 
-    /// Marks a machine for scale in that has replied to a direct command, and so should have sent a heartbeat
-    /// soon afterwards, but has sent none for too long.
+    /// Marks a machine for scale in that has shown this leader's fencing token in its reply to a direct
+    /// command, and so should have sent a heartbeat soon afterwards, but has sent none for too long.
     fn scale_in_without_heartbeat(&self, machine: &mut Machine) {
         if self.now - machine.known_since > self.lease + PARTITION_GRACE {
             tracing::info!(machine = %machine.id, reason = "no heartbeat", "scale in");
--- a/src/fleet/lending.rs
+++ b/src/fleet/lending.rs
@@ -219,9 +219,9 @@
         Some(write)
     }
 
-    /// Begins at most `count` writes that store job records in the held form that were read in the hidden
-    /// form. Records that might not fit a value, depending on how their loans are split, stay in the hidden
-    /// form.
+    /// Begins writes, at most `count`, that change job records from the hidden form to the held form
+    /// ([`LentForm`]). Records that might not fit a value, depending on how their loans are split, stay in
+    /// the hidden form.
     pub fn begin_held_form_rewrites(&mut self, count: usize) -> Vec<LoanWrite> {
         let hidden = self.loans.lent.iter().filter(|(_, lent)| lent.record.lent_form == LentForm::Hidden);
         let writes =
--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -88,8 +88,8 @@
     pub(super) lending_in_flight: BTreeMap<JobId, TaskSet>,
     /// Borrowed jobs with a loan write in flight, each with the tasks that are withheld because of the write.
     pub(super) returning_in_flight: BTreeMap<JobId, TaskSet>,
-    /// The revisions of leftover placeholders, by job. Versions 0.3.0 to 0.3.2 write a held job record back
-    /// in another form and leave its placeholder in the state store.
+    /// The revisions of leftover placeholders, by job. Versions 0.3.0 to 0.3.2 rewrite a job record that is
+    /// in the held form without the field `held`, and leave its placeholder in the state store.
     pub(super) leftover_placeholders: BTreeMap<JobId, u64>,
     /// Loan writes whose outcome is unknown. They are sent again until the outcome is known.
     unresolved: Vec<LoanWrite>,
--- a/src/fleet/replica_moves.rs
+++ b/src/fleet/replica_moves.rs
@@ -43,9 +43,9 @@
         moves
     }
 
-    /// A machine that can take over a replica: besides the capacity that is reserved for other replicas, it
-    /// has the capacity, it has the image in its cache, and no replica of the same service is or will be
-    /// there.
+    /// A machine that can take over a replica. It must have the replica's image in its cache and enough free
+    /// capacity that is not reserved for other replicas. No replica of the same service may be on the
+    /// machine or about to move there.
     fn replacement(&self, job: &Job, reservations: &ReplicaReservations, now: Steady) -> Option<MachineId> {
         let spec = &job.spec;
         let types = self.allowed_types(spec);
--- a/src/history.rs
+++ b/src/history.rs
@@ -87,7 +87,7 @@
     pub key: EstimateKey,
     /// A, from `MIN_FACTOR` to 1.
     pub factor: f64,
-    /// Number of finished jobs kept for the key, including those that ended before `WINDOW`.
+    /// Number of finished jobs kept for the key, including those that ended longer than `WINDOW` ago.
     pub jobs: usize,
 }
 
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -79,7 +79,7 @@
 /// The number up to which consecutive failures are counted.
 const MAX_COUNTED_FAILURES: u32 = 1000;
 
-/// The minimum number of tasks that a start mark is written ahead of the starts that need it.
+/// The minimum number of tasks by which a start mark is written ahead of the starts that need it.
 const MIN_MARK_AHEAD: u32 = 16;
 
 /// The state of a live job, or of an ended one some of whose tasks may still be running.
--- a/tests/safety/leases.rs
+++ b/tests/safety/leases.rs
@@ -145,8 +145,10 @@
     assert!(config.max_staleness().secs() > 0.0);
 }
 
-/// Recent reads and recent renewals of the lease each allow a leader to act, for a limited time. The next
-/// leader relies on this limit for the last reply of this leader.
+/// A leader may act only for a limited time after its last read and after its last renewal of the lease,
+/// whichever is earlier. Renewals count because the next leader relies on this limit for the last reply of
+/// this leader, even if this leader has read all cancellations. Reads count because only they show
+/// cancellations, even if the lease is renewed.
 #[test]
 fn a_leader_may_act_only_for_a_limited_time_after_reads_and_renewals() {
     let bound = Micros::from_secs(10.0);
--- a/tests/services/backoff.rs
+++ b/tests/services/backoff.rs
@@ -1,4 +1,5 @@
-//! Backoff of services whose replicas fail.
+//! Backoff of services whose replicas fail. Such a service is still retried, and other services and jobs still
+//! run.
 
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::ExitReason;
