--- a/src/fleet/planner_input.rs
+++ b/src/fleet/planner_input.rs
@@ -153,7 +153,7 @@
         let widest = inputs.widest.of_shape(spec.shape);
         JobClass {
             priority: spec.priority,
-            aged_priority: raised_priority(spec, waited, inputs.widest.gang),
+            aged_priority: aged_priority(spec, waited, inputs.widest.gang),
             team: self.team_settings(&spec.team).map_or(usize::MAX, |(index, _)| index),
             within_fair_share: self.within_fair_share.contains(&job.id),
             startable_tasks: self.startable_tasks(job, inputs.now),
@@ -211,7 +211,7 @@
 
 /// The priority with which the planner queues a gang that has waited longer than it yields to other jobs;
 /// `None` for all other jobs.
-fn raised_priority(spec: &JobSpec, waited: Micros, widest_gang: u32) -> Option<Priority> {
+fn aged_priority(spec: &JobSpec, waited: Micros, widest_gang: u32) -> Option<Priority> {
     let has_waited_long = spec.is_gang() && waited.secs() > Fleet::max_yield_s(spec, widest_gang);
     has_waited_long.then_some(Priority::Urgent)
 }
