--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -151,11 +151,11 @@
     }
 
     /// Whether more jobs like the given recent ones are expected. None are expected if no such job has been
-    /// submitted for much longer than the usual interval and for more than `min_lull_s` seconds.
+    /// submitted for much longer than the usual interval and for more than `min_gap_s` seconds.
     pub(super) fn expects_more_jobs<'a, I>(
         &self,
         recent: impl Fn() -> I,
-        min_lull_s: f64,
+        min_gap_s: f64,
         now: Steady,
     ) -> bool
     where
@@ -163,7 +163,7 @@
     {
         let Some(last) = recent().map(|job| job.submitted_at).max() else { return false };
         let usual_interval_s = arrival_span_s(recent(), now) / recent().count() as f64;
-        (now - last).secs() <= (MISSED_ARRIVALS * usual_interval_s).max(min_lull_s)
+        (now - last).secs() <= (MISSED_ARRIVALS * usual_interval_s).max(min_gap_s)
     }
 
     /// Seconds that the slowest machine type takes to boot. If machines were removed after a shorter pause in
