--- a/src/fleet/lease_expiry.rs
+++ b/src/fleet/lease_expiry.rs
@@ -3,8 +3,8 @@
 //! A worker stops its tasks when its lease expires. Once this leader knows for certain that a machine's lease
 //! has expired, no task is running there any more, and the tasks may start elsewhere. A machine that stays
 //! silent for some time after that is scaled in. A machine on which an earlier leader may have started tasks
-//! is *unacknowledged* until it has acknowledged this leader's fencing token; to scale in such a machine after
-//! a failover is to *fence* it.
+//! is *unacknowledged* until it has acknowledged this leader's fencing token. Scaling in such a machine after
+//! a failover is called *fencing*.
 
 use super::{Fleet, Machine, SLOWER_CLOCK_FACTOR};
 use crate::jobs::MachineId;
--- a/src/fleet/objectives.rs
+++ b/src/fleet/objectives.rs
@@ -64,9 +64,10 @@
 
     /// How many of its class's objectives a job has missed, by its age or by the time at which it would end
     /// if it started now. Jobs that can still meet more of their objectives go first. A missed objective
-    /// therefore counts only for a limited time, so that no job starves or seems forgotten: an objective on the end counts until
-    /// five times its limit, an objective on the start until `max_yield_s`, which is shorter for wider jobs.
-    /// For a gang that has not started by then no missed objective counts.
+    /// therefore counts only for a limited time, so that no job starves or seems forgotten: an objective on
+    /// the end counts until five times its limit, an objective on the start until `max_yield_s`, which is
+    /// shorter for wider jobs because they take longer to find machines. For a gang that has not started by
+    /// then no missed objective counts.
     pub(super) fn missed_objectives(&self, job: &Job, waited: Micros, adjusted: Micros, widest: u32) -> u8 {
         let spec = &job.spec;
         if spec.is_service() {
--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -152,12 +152,7 @@
 
     /// Whether more jobs like the given recent ones are expected. None are expected if no such job has been
     /// submitted for much longer than the usual interval and for more than `min_gap_s` seconds.
-    pub(super) fn expects_more_jobs<'a, I>(
-        &self,
-        recent: impl Fn() -> I,
-        min_gap_s: f64,
-        now: Steady,
-    ) -> bool
+    pub(super) fn expects_more_jobs<'a, I>(&self, recent: impl Fn() -> I, min_gap_s: f64, now: Steady) -> bool
     where
         I: Iterator<Item = &'a RecentJob>,
     {
--- a/tests/services/backoff.rs
+++ b/tests/services/backoff.rs
@@ -1,5 +1,4 @@
-//! Backoff of services whose replicas fail. Such a service is still retried, and other services and jobs still
-//! run.
+//! Backoff of services whose replicas fail. Such a service is still retried, and other jobs still run.
 
 use milletlock::time::{Micros, Steady};
 use milletlock::wire::ExitReason;
