--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -100,9 +100,9 @@
 /// A container image in a machine's cache.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CachedImage {
-    /// The image's number.
+    /// Index of the image in the catalog.
     pub image: u32,
-    /// Its size in GB.
+    /// Size of the image in GB.
     pub size_gb: f64,
 }
 
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -20,7 +20,7 @@
     StartMarks(u32),
     /// The copy of a lent job's start mark, before tasks that the mark allows are started.
     LentStartMark(JobId),
-    /// The chunk of this number of a job's done ranges, with its copy if one is kept.
+    /// The chunk with this number of a job's done ranges, with its copy if one is kept.
     Done(JobId, u32),
     /// The value in this slot of packed records, if records were only removed from it since it was written.
     Compaction(PackKind, u32),
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -50,7 +50,7 @@
     pub type_name: String,
     /// Name of the zone.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
     /// Whether the machine can be used, and if not, why.
     pub state: MachineState,
