--- a/src/fleet/borrow_admission.rs
+++ b/src/fleet/borrow_admission.rs
@@ -63,7 +63,7 @@
     /// Parses the description of the job in an offer.
     fn parse(item: &LoanItem, offer: &LoanOffer) -> Result<JobSpec, BorrowRefusal> {
         let spec = JobSpec::parse(offer.description.to_string().as_bytes())
-            .map_err(|e| BorrowRefusal::MalformedDescription(e.to_string()))?;
+            .map_err(|error| BorrowRefusal::MalformedDescription(error.to_string()))?;
         if spec.id != item.job || spec.tasks != offer.job_tasks {
             return Err(BorrowRefusal::MalformedDescription("the job differs from its description".into()));
         }
