--- a/src/fleet/gang_placement.rs
+++ b/src/fleet/gang_placement.rs
@@ -21,7 +21,7 @@
     pub(super) fn end_unstartable_gang_attempts(&mut self, now: Steady) {
         let max_wait = Micros::from_secs(self.config.platform.settings.workers.gang_wait_s);
         let max_unsent = self.heartbeat_interval().scale(MAX_UNSENT_INTERVALS);
-        let mut broken = Vec::new();
+        let mut attempts_to_stop = Vec::new();
         for job in self.jobs.values_mut() {
             let Some(gang) = &job.gang else { continue };
             let lost_place = has_lost_place(gang, &self.machines, now);
@@ -34,11 +34,11 @@
                 let waited_too_long =
                     has_unsent && gang.first_start_at.is_some_and(|since| now - since > max_wait);
                 if (lost_place && !gang.started.is_empty()) || waited_too_long {
-                    broken.push((job.id.clone(), gang.attempt));
+                    attempts_to_stop.push((job.id.clone(), gang.attempt));
                 }
             }
         }
-        for (job, attempt) in broken {
+        for (job, attempt) in attempts_to_stop {
             self.stop_gang_attempt(&job, attempt);
         }
     }
