--- a/src/fleet/machine_snapshots.rs
+++ b/src/fleet/machine_snapshots.rs
@@ -30,7 +30,8 @@
 /// Time that is added to the remaining run time of a task that may still be fetching its image, in seconds.
 const IMAGE_FETCH_TIME_S: f64 = 5.0;
 
-/// A task is expected to run on for at least this share of its stated run time, also when it has exceeded it.
+/// A task is expected to run on for at least this share of its stated run time, even if it has run for longer
+/// than stated.
 const OVERRUN_REMAINING_SHARE: f64 = 0.1;
 
 /// Minimum time that any task is expected to run on, in seconds.
@@ -162,7 +163,7 @@
     }
 
     /// Expected remaining run time of a task, from its stated run time. At least a tenth of the stated run
-    /// time is expected to remain, also when the task has exceeded it, and at least a second.
+    /// time is expected to remain, even if the task has run for longer, and at least a second.
     pub(super) fn remaining_run_time(&self, task: &TaskEntry, spec: Option<&JobSpec>, now: Steady) -> Micros {
         let stated = spec.map_or(Micros::from_secs(UNKNOWN_RUN_TIME_S), stated_run_time);
         let may_fetch = matches!(task.stage, None | Some(TaskStage::Fetching | TaskStage::Waiting));
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -128,9 +128,9 @@
         self.write_limits.txn_changes
     }
 
-    /// Halves the limits on values and transactions after the state store rejected a write as too large. Its
-    /// limits are then smaller than any that were announced. With the smaller limits, no write is sent again
-    /// unchanged.
+    /// Halves the limits on values and transactions after the state store rejected a write as too large. The
+    /// store then accepts less than the smallest limits that were announced. Since the limits are halved, no
+    /// write is sent again unchanged.
     pub fn reduce_write_limits(&mut self) {
         let limits = &mut self.write_limits;
         limits.value_bytes = (limits.value_bytes / 2).max(MIN_VALUE_BYTES);
--- a/src/sched/snapshot.rs
+++ b/src/sched/snapshot.rs
@@ -25,7 +25,8 @@
     pub remaining: Micros,
     /// Work that is lost if the task is preempted now, in processor time (zero for jobs that checkpoint).
     pub lost_work: Micros,
-    /// Whether the task may be preempted: it is running and not being stopped already.
+    /// Whether the task may be preempted: it is not being stopped already, and its job is known and is not a
+    /// gang of several tasks.
     pub preemptible: bool,
     /// Whether the task is being preempted or cancelled already.
     pub stopping: bool,
