--- a/src/fleet/loans.rs
+++ b/src/fleet/loans.rs
@@ -305,8 +305,7 @@
     }
 
     /// Records the revision of the placeholder from which a job's record was restored. Versions 0.3.0 to
-    /// 0.3.2 had written the record back without some fields of the job's own description, which the
-    /// placeholder still contains.
+    /// 0.3.2 had rewritten the record without the field `held`, whose values the placeholder still contains.
     pub fn record_leftover_placeholder(&mut self, id: JobId, revision: u64) {
         self.loans.leftover_placeholders.insert(id, revision);
     }
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -158,9 +158,10 @@
     pub interruption_at: Option<Steady>,
     /// Whether the machine is marked for scale in or is being scaled in.
     pub scaling_in: bool,
-    /// Whether the machine was in a list of the cloud.
+    /// Whether the cloud has listed the machine since this leader has known of it.
     pub listed: bool,
-    /// Whether the machine was missing from a later list of the cloud, or was listed as failed.
+    /// Whether the machine was missing from a list of the cloud although it had been listed before, or was
+    /// listed as failed; `false` again once it is listed as usual or a heartbeat of it is answered.
     pub missing: bool,
     /// Whether the machine's lease has expired by this leader's clock, with no heartbeat answered since.
     pub lease_expired: bool,
--- a/src/fleet/objectives.rs
+++ b/src/fleet/objectives.rs
@@ -55,8 +55,8 @@
         on_start.map(|objective| objective.within_s).reduce(f64::min)
     }
 
-    /// Seconds after which a job no longer yields to other jobs. The limit is lower the wider the job is,
-    /// compared with the `widest` tasks of any job of its shape.
+    /// Seconds after which a job no longer yields to other jobs. The more tasks the job has, compared with
+    /// `widest`, the largest number of tasks of any job of its shape, the lower the limit is.
     pub(super) fn max_yield_s(spec: &JobSpec, widest: u32) -> f64 {
         let width = f64::from(spec.tasks) / f64::from(widest.max(spec.tasks).max(1));
         MAX_YIELD_S - (MAX_YIELD_S - MAX_YIELD_OF_WIDEST_S) * width
--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -19,7 +19,7 @@
 /// The minimum time span, in seconds, over which the arrival rate is computed.
 const MIN_SPAN_S: f64 = 60.0;
 
-/// The maximum run time of a task that counts, in seconds. Longer tasks do not need more machines kept ready.
+/// The run time, in seconds, up to which a task counts. Longer tasks do not need more machines kept ready.
 const MAX_TASK_S: f64 = 3600.0;
 
 /// The maximum size in bytes of a stored recent job without the names of its machine types.
