--- a/tests/services/preemption.rs
+++ b/tests/services/preemption.rs
@@ -31,7 +31,7 @@
 
 /// A cluster in which the tasks of an array use up their team's quota of 6 processors, and in which the team
 /// has just submitted a service of a higher priority.
-fn service_of_a_team_at_its_limit() -> SimulatedCluster {
+fn service_of_a_team_at_its_quota() -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(&["a", "b"]);
     cluster.submit(JobSpec { team: "tight".into(), ..array(2, 6) });
     cluster.run_until(ARRAY, 6, secs(10.0));
@@ -44,7 +44,7 @@
 /// Guards against a service that waits behind tasks of lower priority of its own team.
 #[test]
 fn a_service_preempts_tasks_of_lower_priority_of_its_own_team_at_its_quota() {
-    let mut cluster = service_of_a_team_at_its_limit();
+    let mut cluster = service_of_a_team_at_its_quota();
     cluster.run_until(SERVICE, 2, HEARTBEAT_INTERVAL.scale(2.0) + STEP);
     assert_eq!(cluster.running_tasks(ARRAY).len(), 4);
 }
@@ -53,6 +53,6 @@
 /// team.
 #[test]
 fn preemptions_within_a_teams_quota_are_sent_by_direct_command() {
-    let mut cluster = service_of_a_team_at_its_limit();
+    let mut cluster = service_of_a_team_at_its_quota();
     assert_eq!(halts(&cluster.deliver_commands()).len(), 2);
 }
