--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -60,7 +60,7 @@
         if !may_use(class, machine) || lacks_awaited_image(class, machine) {
             return None;
         }
-        let mut free = free_without_stopping(machine, self.free[machine_index]);
+        let mut free = free_once_stopped(machine, self.free[machine_index]);
         let counted_cpus = class.need.cpus.max(MIN_COUNTED_CPUS);
         let mut lost_work = Micros::from_secs(fetch_seconds(class, machine) * counted_cpus);
         let mut victims = Vec::new();
@@ -80,7 +80,7 @@
 }
 
 /// What is free on the machine once the tasks that are being stopped have ended.
-fn free_without_stopping(machine: &MachineSnapshot, free: Resources) -> Resources {
+fn free_once_stopped(machine: &MachineSnapshot, free: Resources) -> Resources {
     let stopping = machine.placed.iter().filter(|task| task.stopping);
     stopping.fold(free, |free, task| free.plus(&task.need, 1))
 }
