--- a/src/fleet/reconciliation.rs
+++ b/src/fleet/reconciliation.rs
@@ -176,9 +176,9 @@
     /// Determines from a machine's next heartbeat whether the last reply was delivered, and counts
     /// undelivered replies. A machine whose heartbeats arrive while the replies to it are lost would be
     /// assigned the same tasks again and again without ever running them. Therefore nothing is placed on it
-    /// during pauses that get longer each time, and it is scaled in if the replies stay
-    /// undelivered. `listed` are the tasks in the heartbeat; `lost_lease` says whether the worker's lease
-    /// expired since the heartbeat before.
+    /// during pauses that get longer each time, and it is scaled in if the replies stay undelivered. `listed`
+    /// are the tasks in the heartbeat; `lost_lease` says whether the worker's lease expired since the
+    /// heartbeat before.
     pub(super) fn record_reply_delivery(
         &mut self,
         id: &MachineId,
--- a/src/history.rs
+++ b/src/history.rs
@@ -152,8 +152,8 @@
         }
     }
 
-    /// Marks a bucket whose stored value cannot be read. Such a bucket is never written, so that its value is
-    /// not overwritten.
+    /// Marks a bucket as unreadable, since its stored value cannot be read. Such a bucket is never written, so
+    /// that the value is not overwritten.
     pub fn mark_unreadable(&mut self, bucket: u32) {
         self.unreadable.insert(bucket);
     }
