--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -100,7 +100,8 @@
     /// The factor by which the stated run time is multiplied to get the expected run time.
     #[serde(rename = "a")]
     pub factor: f64,
-    /// The number of past jobs that the factor is computed from.
+    /// The number of past jobs that are kept for this stated run time. Only jobs that ended within the
+    /// history's window count for the factor.
     pub jobs: usize,
 }
 
@@ -114,7 +115,8 @@
     pub machines: Vec<MachineView>,
     /// The jobs, the oldest first; only the team's own jobs in a team's view.
     pub jobs: Vec<JobView>,
-    /// The job that capacity is reserved for, and the seconds until the capacity is free.
+    /// The job that capacity is reserved for, and the seconds until the capacity is free. `None` if there is
+    /// no reservation, and in a team's view if the job is another team's.
     pub reservation: Option<(String, f64)>,
     /// Run-time factors by team and stated run time.
     pub factors: Vec<FactorView>,
