--- a/src/fleet/wait_reasons.rs
+++ b/src/fleet/wait_reasons.rs
@@ -72,7 +72,7 @@
     starting: BTreeMap<&'a JobId, u32>,
     /// The jobs that the plan was made for.
     planned: BTreeSet<&'a JobId>,
-    /// The number of tasks for which the plan found no capacity, by job.
+    /// The number of tasks in `Plan::unplaced`, by job.
     unplaced: BTreeMap<&'a JobId, u32>,
     /// The machines with free capacity.
     free_machines: Vec<FreeMachine<'a>>,
--- a/src/sched/headroom.rs
+++ b/src/sched/headroom.rs
@@ -6,7 +6,7 @@
 
 /// By machine: the resources that lower priorities may still take without using the headroom reserved there;
 /// `None` where no headroom is kept free. Headroom is kept free on the first `Snapshot::headroom_machines`
-/// machines of each type that have room for a task of the headroom's size now and no interruption notice.
+/// machines of each type that fit a task of the headroom's size now and have no interruption notice.
 pub(super) fn free_beside_headroom(snapshot: &Snapshot) -> Vec<Option<Resources>> {
     let mut machines_of_type = vec![0usize; snapshot.reserved_headroom.len()];
     let free_beside = |machine: &MachineSnapshot| {
--- a/src/sched/plan_state.rs
+++ b/src/sched/plan_state.rs
@@ -34,7 +34,7 @@
     /// By machine type: whether tasks that headroom on this type is reserved for are waiting. Lower
     /// priorities do not start on such machines now.
     pub(super) contended_types: Vec<bool>,
-    /// By machine: whether this plan preempts tasks on it to make room for a class.
+    /// By machine: whether this plan preempts tasks on it to free capacity for a class.
     pub(super) has_preemptions: Vec<bool>,
     /// Tasks that this plan preempts for replicas.
     pub(super) preempted_for_replicas: BTreeSet<PlacedTaskIndex>,
--- a/src/sched/preemption.rs
+++ b/src/sched/preemption.rs
@@ -27,7 +27,7 @@
 
 impl PlanState<'_> {
     /// The tasks to preempt so that the class can start, chosen where the least work is lost. Empty if
-    /// preemption does not make enough room.
+    /// preemption does not free enough capacity.
     pub(super) fn preempt(&mut self, class_index: usize) -> Vec<PlacedTaskIndex> {
         let class = &self.snapshot.classes[class_index];
         let machine_count = self.snapshot.machines.len();
