--- a/src/fleet/objectives.rs
+++ b/src/fleet/objectives.rs
@@ -55,8 +55,8 @@
         on_start.map(|objective| objective.within_s).reduce(f64::min)
     }
 
-    /// Seconds after which a job no longer yields to other jobs. The limit is lower the wider the job is,
-    /// compared with the `widest` tasks of any job of its shape.
+    /// Seconds after which a job no longer yields to other jobs. The more tasks the job has, compared with
+    /// `widest`, the largest number of tasks of any job of its shape, the lower the limit is.
     pub(super) fn max_yield_s(spec: &JobSpec, widest: u32) -> f64 {
         let width = f64::from(spec.tasks) / f64::from(widest.max(spec.tasks).max(1));
         MAX_YIELD_S - (MAX_YIELD_S - MAX_YIELD_OF_WIDEST_S) * width
@@ -64,9 +64,10 @@
 
     /// How many of its class's objectives a job has missed, by its age or by the time at which it would end
     /// if it started now. Jobs that can still meet more of their objectives go first. A missed objective
-    /// therefore counts only for a limited time, so that no job starves: an objective on the end counts until
-    /// five times its limit, an objective on the start until `max_yield_s`, which is shorter for wider jobs.
-    /// For a gang that has not started by then no missed objective counts.
+    /// therefore counts only for a limited time, so that no job starves or seems forgotten: an objective on
+    /// the end counts until five times its limit, an objective on the start until `max_yield_s`, which is
+    /// shorter for wider jobs because they take longer to find machines. For a gang that has not started by
+    /// then no missed objective counts.
     pub(super) fn missed_objectives(&self, job: &Job, waited: Micros, adjusted: Micros, widest: u32) -> u8 {
         let spec = &job.spec;
         if spec.is_service() {
--- a/src/fleet/recent_jobs.rs
+++ b/src/fleet/recent_jobs.rs
@@ -19,7 +19,7 @@
 /// The minimum time span, in seconds, over which the arrival rate is computed.
 const MIN_SPAN_S: f64 = 60.0;
 
-/// The maximum run time of a task that counts, in seconds. Longer tasks do not need more machines kept ready.
+/// The run time, in seconds, up to which a task counts. Longer tasks do not need more machines kept ready.
 const MAX_TASK_S: f64 = 3600.0;
 
 /// The maximum size in bytes of a stored recent job without the names of its machine types.
@@ -151,19 +151,14 @@
     }
 
     /// Whether more jobs like the given recent ones are expected. None are expected if no such job has been
-    /// submitted for much longer than the usual interval and for more than `min_lull_s` seconds.
-    pub(super) fn expects_more_jobs<'a, I>(
-        &self,
-        recent: impl Fn() -> I,
-        min_lull_s: f64,
-        now: Steady,
-    ) -> bool
+    /// submitted for much longer than the usual interval and for more than `min_gap_s` seconds.
+    pub(super) fn expects_more_jobs<'a, I>(&self, recent: impl Fn() -> I, min_gap_s: f64, now: Steady) -> bool
     where
         I: Iterator<Item = &'a RecentJob>,
     {
         let Some(last) = recent().map(|job| job.submitted_at).max() else { return false };
         let usual_interval_s = arrival_span_s(recent(), now) / recent().count() as f64;
-        (now - last).secs() <= (MISSED_ARRIVALS * usual_interval_s).max(min_lull_s)
+        (now - last).secs() <= (MISSED_ARRIVALS * usual_interval_s).max(min_gap_s)
     }
 
     /// Seconds that the slowest machine type takes to boot. If machines were removed after a shorter pause in
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -20,7 +20,7 @@
     StartMarks(u32),
     /// The copy of a lent job's start mark, before tasks that the mark allows are started.
     LentStartMark(JobId),
-    /// The chunk of this number of a job's done ranges, with its copy if one is kept.
+    /// The chunk with this number of a job's done ranges, with its copy if one is kept.
     Done(JobId, u32),
     /// The value in this slot of packed records, if records were only removed from it since it was written.
     Compaction(PackKind, u32),
@@ -128,9 +128,9 @@
         self.write_limits.txn_changes
     }
 
-    /// Halves the limits on values and transactions after the state store rejected a write as too large. Its
-    /// limits are then smaller than any that were announced. With the smaller limits, no write is sent again
-    /// unchanged.
+    /// Halves the limits on values and transactions after the state store rejected a write as too large. The
+    /// store then accepts less than the smallest limits that were announced. Since the limits are halved, no
+    /// write is sent again unchanged.
     pub fn reduce_write_limits(&mut self) {
         let limits = &mut self.write_limits;
         limits.value_bytes = (limits.value_bytes / 2).max(MIN_VALUE_BYTES);
