--- a/src/controller/progress_keeper.rs
+++ b/src/controller/progress_keeper.rs
@@ -61,7 +61,8 @@
     }
 
     /// The jobs that the next round reads: first jobs with reported results, then others, and at least one of
-    /// the others if there are any. Both groups take turns.
+    /// the others if there are any. Within each group, the jobs take turns, so that a round reads those that
+    /// have not been read for the longest time.
     fn next_jobs(&mut self, jobs: Vec<JobWithLoans>, reported: &BTreeSet<String>) -> Vec<JobWithLoans> {
         let (with_results, others): (Vec<_>, Vec<_>) =
             jobs.into_iter().partition(|job| reported.contains(&*job.id));
@@ -73,7 +74,8 @@
     }
 }
 
-/// Lets jobs take turns, in the order of their ids.
+/// Lets jobs take turns: the next jobs are those whose ids follow the id of the job that was taken last.
+/// After the last id the order begins again with the first one.
 #[derive(Debug, Default)]
 struct Rotation {
     /// The id of the job that was taken last.
