--- a/src/controller/loan_writes.rs
+++ b/src/controller/loan_writes.rs
@@ -33,8 +33,8 @@
     }
 
     /// Writes the restored records of held jobs. Versions 0.3.0 to 0.3.2 had written these records back
-    /// without their placeholders. The restored records are written in the form of those versions, which all
-    /// controllers of this cell read.
+    /// without the field `held`. The restored records are written in the form of those versions, which all
+    /// controllers of this cell read ([`crate::records::LentForm::Hidden`]).
     pub(super) fn write_restored_records(&self) {
         let (fencing_token, writes) = match self.lock().leadership.as_mut() {
             Some(leadership) => (leadership.term.fencing_token, leadership.fleet.begin_record_restores()),
