--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -25,8 +25,9 @@
 const MICROS_PER_MILLI: i64 = 1000;
 
 impl Controller {
-    /// How long to wait between the end of the leader's lease and an election. The delay is partly random;
-    /// if several controllers stand at once, the guards of the election's transaction let only one win.
+    /// How long to wait between the end of the leader's lease and an election. The delay is partly random, so
+    /// that usually one controller stands a little earlier than the others. If several stand at once, the
+    /// guards of the election's transaction let only one win.
     /// A controller that was started recently waits less: in a rolling restart the others are still to be
     /// restarted, and each of them would soon lose the leadership again.
     pub(super) fn election_delay(&self) -> Micros {
