--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -21,7 +21,8 @@
 const IDLE_INTERVAL: Micros = Micros::from_millis(1_000);
 /// How long this controller waits for another cell's answer.
 const CELL_TIMEOUT: Micros = Micros::from_millis(900);
-/// Backlog of this cell in seconds, below which it recalls loans whose tasks it can soon run itself.
+/// Backlog of this cell, in seconds, below which it recalls the loans whose tasks it could soon finish
+/// itself.
 const RECALL_BACKLOG_S: f64 = 0.5;
 /// Largest number of open loans with one cell: half of the loans that a message may list.
 const MAX_OPEN_LOANS: usize = MAX_LOANS / 2;
@@ -251,8 +252,8 @@
     open.len() >= MAX_OPEN_LOANS || open.iter().any(|(job, loan)| loans.offer(job, loan.number).is_some())
 }
 
-/// The action for a loan: it is recalled once this cell has hardly any backlog and can run the loan's tasks
-/// soon.
+/// The action for a loan: it is recalled once this cell's backlog is below [`RECALL_BACKLOG_S`] and this cell
+/// could soon finish the loan's tasks itself.
 fn recall_or_run(fleet: &Fleet, job: &str, loan: &Loan, backlog_s: f64) -> LoanAction {
     if backlog_s < RECALL_BACKLOG_S && fleet.could_finish_soon(job, &loan.tasks) {
         LoanAction::Recall
