--- a/src/controller/announce.rs
+++ b/src/controller/announce.rs
@@ -77,7 +77,7 @@
         None
     }
 
-    /// Records the version that another controller of this cell reports.
+    /// Records the version that another controller of this cell reports, and logs it if it has changed.
     fn record_peer_version(&self, peer: usize, version: String) {
         let Some(member) = self.config.platform.members.get(peer) else { return };
         self.lock().update_peer_version(&member.label, version);
--- a/src/controller/shared_state.rs
+++ b/src/controller/shared_state.rs
@@ -76,7 +76,8 @@
         self.leadership.as_mut().filter(|leadership| leadership.term.fencing_token == fencing_token)
     }
 
-    /// Records the version that another controller reports, empty if it reports none, and logs changes.
+    /// Records the version that another controller reports, and logs it if it has changed. The text is empty
+    /// if the controller reports no version; [`UNREPORTED_VERSION`] is then recorded.
     pub(super) fn update_peer_version(&mut self, label: &str, version: String) {
         let version = if version.is_empty() { UNREPORTED_VERSION.to_string() } else { version };
         if self.peer_versions.get(label) != Some(&version) {
