--- a/src/controller/versions.rs
+++ b/src/controller/versions.rs
@@ -1,7 +1,7 @@
 //! Versions of this program that controllers report to each other, and the features that depend on them.
 
-/// The first version that keeps copies of the progress of lent jobs, so that a leader of a version without
-/// loans does not lose it.
+/// The first version that keeps copies of the progress of lent jobs. Without them a leader of a version
+/// without loans would lose this progress.
 const FIRST_VERSION_WITH_COPIES: ReleaseVersion = ReleaseVersion { major: 0, minor: 3, patch: 1 };
 
 /// The first version that reads records in the held form ([`crate::records::LentForm::Held`]).
