--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -26,8 +26,7 @@
     watches: Client,
     budget: Mutex<RateBudget>,
     budget_changed: Condvar,
-    /// When the first of the calls failed that have not been answered since; `None` if the last call was
-    /// answered.
+    /// When the first call failed after the last answered call; `None` if the last call was answered.
     unreachable_since: Mutex<Option<Steady>>,
 }
 
