--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -35,7 +35,8 @@
 ///
 /// # Errors
 /// As any read from the state store. A record that cannot be decoded is no error: it is logged, marked as
-/// unreadable in the fleet and not loaded.
+/// unreadable in the fleet and not loaded. Only a single machine's record is loaded nevertheless, as an empty
+/// record.
 pub fn rebuild(
     state: &StateStoreClient,
     config: Arc<Config>,
