--- a/src/leadership/loan_records.rs
+++ b/src/leadership/loan_records.rs
@@ -179,7 +179,7 @@
     pub row: Option<Row>,
 }
 
-/// Reads back the records that guard a write of loans, after the write met a conflict.
+/// Reads back the records by whose revisions a write of loans is guarded, after the write met a conflict.
 ///
 /// # Errors
 /// As any read from the state store; the first error ends the read.
