--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -196,7 +196,7 @@
     /// Rewrites hidden records of lent jobs ([`crate::records::LentForm::Hidden`]), as 0.3.0 to 0.3.2 wrote
     /// them, so that they have the held form. Versions before 0.3 can then read the records.
     fn rewrite_hidden_records(&self, fencing_token: u64) {
-        for write in self.begin_holds(fencing_token) {
+        for write in self.begin_held_form_rewrites(fencing_token) {
             let job = write.job().to_string();
             if self.write_loan(fencing_token, write) == LoanOutcome::Written {
                 tracing::info!(%job, "record of lent job rewritten for versions before 0.3");
@@ -206,7 +206,7 @@
 
     /// The writes of [`Controller::rewrite_hidden_records`]; none if some controller of this cell cannot read
     /// records in the held form.
-    fn begin_holds(&self, fencing_token: u64) -> Vec<LoanWrite> {
+    fn begin_held_form_rewrites(&self, fencing_token: u64) -> Vec<LoanWrite> {
         let mut shared = self.lock();
         let all_controllers_read_held_records = self.all_controllers_read_held_records(&shared);
         let Some(leadership) = shared.leadership_with(fencing_token) else { return Vec::new() };
