--- a/src/controller/scaling.rs
+++ b/src/controller/scaling.rs
@@ -150,7 +150,9 @@
         let leadership = shared.leadership_with(fencing_token)?;
         let mut requests = Vec::new();
         for ScaleOutItem { offer, count } in leadership.fleet.decide_scaling(self.now(), wall()) {
-            let Some(ty) = leadership.fleet.types().get(offer.type_index).map(|ty| ty.name.clone()) else {
+            let Some(type_name) =
+                leadership.fleet.types().get(offer.type_index).map(|machine_type| machine_type.name.clone())
+            else {
                 continue;
             };
             let zone = leadership.fleet.zone_name(offer.zone).to_string();
@@ -160,7 +162,7 @@
                 remaining -= count;
                 let request = ScaleOutRequest {
                     request: String::new(),
-                    machine_type: ty.clone(),
+                    machine_type: type_name.clone(),
                     zone: zone.clone(),
                     spot: offer.spot,
                     count,
