--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -105,10 +105,10 @@
     /// controller leads, and notifies all others, whichever of them leads.
     fn cancellation_confirmed(&self, id: &str, cancelled: StoredFinal) {
         if self.peers.count() > 0 {
-            let since = self.now();
+            let confirmed_at = self.now();
             let StoredFinal { record, revision } = cancelled;
             let cancellation =
-                Cancellation { id: id.to_string(), tasks: record.tasks, revision, confirmed_at: since };
+                Cancellation { id: id.to_string(), tasks: record.tasks, revision, confirmed_at };
             lock_ignoring_poison(&self.notices).add(&cancellation);
             self.notices_added.notify_one();
         }
