--- a/tests/cancellation_in_outage/main.rs
+++ b/tests/cancellation_in_outage/main.rs
@@ -23,8 +23,8 @@
 
 use crate::common::spec;
 
-/// Combination 4: a job is cancelled while the state store refuses only the leader, and the state store is
-/// unavailable to all shortly afterwards.
+/// Combination 4: a job is cancelled while the state store refuses only the leader. The state store is
+/// unavailable to all controllers 1.5 s later.
 #[test]
 fn a_leader_without_the_store_halts_tasks_at_once_when_another_controller_notifies_it() {
     let mut simulation = Simulation::new();
@@ -105,6 +105,7 @@
     );
 }
 
+/// A leader that restarts replies to no heartbeat until it has read the records again.
 #[test]
 fn tasks_end_in_time_when_the_refused_leader_restarts() {
     let mut simulation = Simulation::with_an_unannounced_cancellation(&[0]);
