--- a/tests/failover/faults.rs
+++ b/tests/failover/faults.rs
@@ -25,7 +25,7 @@
     /// Share of transactions without a reply that are executed 2 to 12 s late. Such transactions occur in
     /// alternate periods of 30 s.
     pub late_writes: f64,
-    /// Share of heartbeats of which a copy arrives later, up to three leases later.
+    /// Share of heartbeats of which a copy arrives as well, up to three leases later.
     pub duplicate_heartbeats: f64,
     /// Share of heartbeats that arrive only after a later leader was elected.
     pub delayed_heartbeats: f64,
--- a/tests/failover/simulation/machines.rs
+++ b/tests/failover/simulation/machines.rs
@@ -70,8 +70,8 @@
         self.cancel_on_faulty_machine(None);
         self.faults_occurred += 1;
         if self.chance(self.faults.store_outage) {
-            // Jobs are cancelled after the leader has lost the state store and before it is unavailable to
-            // all.
+            // Jobs are cancelled after the leader has lost the state store and before the state store becomes
+            // unavailable to all.
             let now = self.now;
             let cancel_retries: Vec<String> = self.cancel_retries.keys().cloned().collect();
             cancel_retries.into_iter().for_each(|id| {
