--- a/src/controller/heard_results.rs
+++ b/src/controller/heard_results.rs
@@ -25,9 +25,9 @@
     order: u64,
 }
 
-/// Results of tasks by job, bounded in number and in time. Beyond the bounds, the jobs whose results were
-/// last reported the longest time ago are dropped. A task that is done stays done, so a result is never
-/// wrong, however late it is used.
+/// Results of tasks by job, bounded in number and in time. If a bound is exceeded, the results of whole jobs
+/// are dropped, beginning with the job whose last report is the oldest. A task that is done stays done, so a
+/// result is never wrong, however late it is used.
 #[derive(Debug, Default)]
 pub(super) struct ReportedResults {
     jobs: BTreeMap<String, JobResults>,
