--- a/src/leadership/restored_records.rs
+++ b/src/leadership/restored_records.rs
@@ -13,7 +13,7 @@
 
 /// A placeholder that was not rewritten together with the record of its job, so that the two have different
 /// revisions.
-pub(super) struct RetainedPlaceholder {
+pub(super) struct LeftoverPlaceholder {
     /// The job's id.
     pub(super) job: JobId,
     /// The placeholder's `mod_revision`.
@@ -29,7 +29,7 @@
 pub(super) fn restore_records(
     state: &StateStoreClient,
     jobs: &mut [Row],
-) -> Result<Vec<RetainedPlaceholder>, StateStoreError> {
+) -> Result<Vec<LeftoverPlaceholder>, StateStoreError> {
     let mut retained = Vec::new();
     for row in jobs.iter_mut().filter(|row| JobRecord::is_stripped(&row.value)) {
         retained.extend(restore_record(state, row)?);
@@ -41,7 +41,7 @@
 fn restore_record(
     state: &StateStoreClient,
     row: &mut Row,
-) -> Result<Option<RetainedPlaceholder>, StateStoreError> {
+) -> Result<Option<LeftoverPlaceholder>, StateStoreError> {
     let Some(id) = row.key.strip_prefix(JOBS_PREFIX) else { return Ok(None) };
     let Some(placeholder) = state.get(&final_key(id), RequestPriority::Leadership)? else { return Ok(None) };
     let mod_revision = placeholder.mod_revision;
@@ -49,7 +49,7 @@
         return Ok(None);
     };
     let Ok(record) = JobRecord::restore(row.value.clone(), placeholder) else { return Ok(None) };
-    let retained = RetainedPlaceholder { job: id.into(), mod_revision };
+    let retained = LeftoverPlaceholder { job: id.into(), mod_revision };
     row.value = json!(record);
     Ok(Some(retained))
 }
