--- a/src/leadership/rebuild.rs
+++ b/src/leadership/rebuild.rs
@@ -46,7 +46,7 @@
 ) -> Result<Fleet, StateStoreError> {
     let mut fleet = Fleet::new(config, types, fencing_token, now);
     let KeyList { rows: mut jobs, revision } = state.list(JOBS_PREFIX)?;
-    let retained_placeholders = restored_records::restore_records(state, &mut jobs)?;
+    let leftover_placeholders = restored_records::restore_records(state, &mut jobs)?;
     let machines = state.list(ALL_MACHINES_PREFIX)?.rows;
     let start_marks = state.list(&format!("{START_MARKS_PREFIX}/"))?.rows;
     let done = state.list(DONE_PREFIX)?.rows;
@@ -58,7 +58,7 @@
     // Jobs are loaded before the records that belong to them.
     let rows = [recent, jobs, borrowed, machines, start_marks, done, lent, history].concat();
     load_records(&mut fleet, rows, now, wall());
-    for placeholder in retained_placeholders {
+    for placeholder in leftover_placeholders {
         tracing::info!(job = %placeholder.job, "record of held job restored");
         fleet.record_leftover_placeholder(placeholder.job, placeholder.mod_revision);
     }
--- a/src/leadership/restored_records.rs
+++ b/src/leadership/restored_records.rs
@@ -30,11 +30,11 @@
     state: &StateStoreClient,
     jobs: &mut [Row],
 ) -> Result<Vec<LeftoverPlaceholder>, StateStoreError> {
-    let mut retained = Vec::new();
+    let mut leftover = Vec::new();
     for row in jobs.iter_mut().filter(|row| JobRecord::is_stripped(&row.value)) {
-        retained.extend(restore_record(state, row)?);
+        leftover.extend(restore_record(state, row)?);
     }
-    Ok(retained)
+    Ok(leftover)
 }
 
 /// Restores the record in `row` from its placeholder; `None` if that is not possible.
@@ -49,7 +49,7 @@
         return Ok(None);
     };
     let Ok(record) = JobRecord::restore(row.value.clone(), placeholder) else { return Ok(None) };
-    let retained = LeftoverPlaceholder { job: id.into(), mod_revision };
+    let leftover = LeftoverPlaceholder { job: id.into(), mod_revision };
     row.value = json!(record);
-    Ok(Some(retained))
+    Ok(Some(leftover))
 }
