--- a/tests/common/worker.rs
+++ b/tests/common/worker.rs
@@ -37,7 +37,7 @@
 pub struct WorkerState {
     pub id: String,
     pub addr: String,
-    pub ty: String,
+    pub machine_type: String,
     pub zone: &'static str,
     pub spot: bool,
     /// The number of its session, which ends with its lease.
@@ -57,7 +57,7 @@
         WorkerState {
             id,
             addr: "127.0.0.1:9".into(),
-            ty: "small".into(),
+            machine_type: "small".into(),
             zone,
             spot: false,
             agent_epoch: 1,
@@ -74,7 +74,7 @@
         Heartbeat {
             machine: self.id.clone(),
             address: self.addr.clone(),
-            machine_type: self.ty.clone(),
+            machine_type: self.machine_type.clone(),
             zone: self.zone.into(),
             spot: self.spot,
             agent_epoch: self.agent_epoch,
--- a/tests/failover/simulation/machines.rs
+++ b/tests/failover/simulation/machines.rs
@@ -91,7 +91,7 @@
             let list = self.workers.iter().map(|worker| ListedMachine {
                 id: worker.state.id.clone(),
                 address: Some("127.0.0.1:9".into()),
-                machine_type: worker.state.ty.clone(),
+                machine_type: worker.state.machine_type.clone(),
                 zone: worker.state.zone.into(),
                 spot: worker.state.spot,
                 stage: "running".into(),
--- a/tests/failover/simulation/mod.rs
+++ b/tests/failover/simulation/mod.rs
@@ -209,7 +209,7 @@
         let id = format!("i-{:06}", self.next_machine);
         let ty_name = self.types[ty].name.clone();
         self.workers.push(Worker {
-            state: WorkerState { ty: ty_name, spot, ..WorkerState::new(id, zone, self.now) },
+            state: WorkerState { machine_type: ty_name, spot, ..WorkerState::new(id, zone, self.now) },
             ty,
             lease,
             due: self.now,
