--- a/tests/failover/simulation/invariants.rs
+++ b/tests/failover/simulation/invariants.rs
@@ -132,7 +132,7 @@
         let fits =
             |w: &&Worker| (s.spot || !w.state.spot) && s.zone.as_deref().is_none_or(|z| z == w.state.zone);
         let capacity: usize =
-            of().filter(fits).map(|w| (self.types[w.ty].cpus as usize).saturating_sub(live(w))).sum();
+            of().filter(fits).map(|w| (self.types[w.type_index].cpus as usize).saturating_sub(live(w))).sum();
         let placed_here = of().flat_map(|w| &w.state.tasks);
         let placed_here =
             placed_here.filter(|(k, t)| job_of(&k.0) == id && t.stage != TaskStage::Exited).count();
--- a/tests/failover/simulation/machines.rs
+++ b/tests/failover/simulation/machines.rs
@@ -118,7 +118,7 @@
         if self.chance(self.faults.machine_lost) {
             let worker_index = self.rng.random_range(0..self.workers.len());
             let worker = self.workers.remove(worker_index);
-            self.add_machine(worker.ty, worker.state.zone, worker.state.spot);
+            self.add_machine(worker.type_index, worker.state.zone, worker.state.spot);
         }
         if self.faults.cloud_unavailable
             && self.leaders.iter().any(|leader| self.now < leader.store_lost_until)
@@ -140,11 +140,11 @@
                 .workers
                 .iter()
                 .filter(|worker| ids.contains(&worker.state.id))
-                .map(|worker| (worker.ty, worker.state.zone, worker.state.spot))
+                .map(|worker| (worker.type_index, worker.state.zone, worker.state.spot))
                 .collect();
             self.workers.retain(|worker| !ids.contains(&worker.state.id));
-            for (ty, zone, spot) in gone {
-                self.add_machine(ty, zone, spot);
+            for (type_index, zone, spot) in gone {
+                self.add_machine(type_index, zone, spot);
             }
             if !self.chance(0.2) {
                 let now = self.now;
--- a/tests/failover/simulation/mod.rs
+++ b/tests/failover/simulation/mod.rs
@@ -38,7 +38,7 @@
 struct Worker {
     state: WorkerState,
     /// The index of its machine type in the list of types.
-    ty: usize,
+    type_index: usize,
     /// The duration of its lease, as its own clock measures it.
     lease: Micros,
     /// When its next heartbeat is due.
@@ -203,14 +203,14 @@
     }
 
     /// Adds a machine whose clock runs a little too fast or too slow.
-    fn add_machine(&mut self, ty: usize, zone: &'static str, spot: bool) {
+    fn add_machine(&mut self, type_index: usize, zone: &'static str, spot: bool) {
         self.next_machine += 1;
         let lease = LEASE.scale(self.rng.random_range(0.9995..1.0005));
         let id = format!("i-{:06}", self.next_machine);
-        let ty_name = self.types[ty].name.clone();
+        let ty_name = self.types[type_index].name.clone();
         self.workers.push(Worker {
             state: WorkerState { machine_type: ty_name, spot, ..WorkerState::new(id, zone, self.now) },
-            ty,
+            type_index,
             lease,
             due: self.now,
             partitioned_until: Steady(0),
