--- a/tests/failover/simulation/mod.rs
+++ b/tests/failover/simulation/mod.rs
@@ -207,9 +207,9 @@
         self.next_machine += 1;
         let lease = LEASE.scale(self.rng.random_range(0.9995..1.0005));
         let id = format!("i-{:06}", self.next_machine);
-        let ty_name = self.types[type_index].name.clone();
+        let type_name = self.types[type_index].name.clone();
         self.workers.push(Worker {
-            state: WorkerState { machine_type: ty_name, spot, ..WorkerState::new(id, zone, self.now) },
+            state: WorkerState { machine_type: type_name, spot, ..WorkerState::new(id, zone, self.now) },
             type_index,
             lease,
             due: self.now,
