--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -129,12 +129,12 @@
 /// value under `final/` at all. A job that has ended has only a final record there. No late copy of an
 /// executed write of the job would be executed again.
 fn assert_consistent(world: &World, context: &str) {
-    let over = world.final_row();
-    let is_final = over.as_ref().is_some_and(|value| read_final_record(value).is_some());
+    let final_row = world.final_row();
+    let is_final = final_row.as_ref().is_some_and(|value| read_final_record(value).is_some());
     match world.job_row() {
-        Some(_) if has_loans(world) => assert!(!is_final, "{context}: {over:?}"),
-        Some(_) => assert_eq!(over, None, "{context}: without loans"),
-        None => assert!(over.is_none() || is_final, "{context}: {over:?} without a live job"),
+        Some(_) if has_loans(world) => assert!(!is_final, "{context}: {final_row:?}"),
+        Some(_) => assert_eq!(final_row, None, "{context}: without loans"),
+        None => assert!(final_row.is_none() || is_final, "{context}: {final_row:?} without a live job"),
     }
     let store = world.store();
     let of_job = |txn: &&&Txn| txn.then.iter().any(|change| change.key().contains(JOB));
