--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -144,7 +144,7 @@
 }
 
 /// Runs the cells until the job has ended, and asserts after each step that the records are consistent.
-fn play_to_the_end(world: &World, leader: &mut Leader<'_>, machine: &mut Machine, context: &str) {
+fn run_until_ended_with_checks(world: &World, leader: &mut Leader<'_>, machine: &mut Machine, context: &str) {
     run_until_ended(world, leader, machine, context, |world| assert_consistent(world, context));
 }
 
@@ -170,7 +170,7 @@
                 if is_replaced {
                     leader = world.leader();
                 }
-                play_to_the_end(&world, &mut leader, &mut machine, &context);
+                run_until_ended_with_checks(&world, &mut leader, &mut machine, &context);
                 assert_none_ran_twice(&machine, &context);
                 let is_cancelled = matches!(step, Step::Cancel | Step::EndCancelled);
                 let stage = world.final_row().expect("ended")["stage"].clone();
@@ -227,7 +227,7 @@
                     leader.step(&mut machine);
                 }
                 assert_consistent(&world, &context);
-                play_to_the_end(&world, &mut leader, &mut machine, &context);
+                run_until_ended_with_checks(&world, &mut leader, &mut machine, &context);
                 assert_none_ran_twice(&machine, &context);
                 assert_eq!(world.final_row().expect("ended")["stage"], "done", "{context}");
             }
@@ -249,7 +249,7 @@
         leader.steps(&mut machine, SETTLED);
         assert!(world.faults().next.is_empty(), "{context}: nothing was written");
         assert_consistent(&world, &context);
-        play_to_the_end(&world, &mut leader, &mut machine, &context);
+        run_until_ended_with_checks(&world, &mut leader, &mut machine, &context);
         assert_none_ran_twice(&machine, &context);
     }
 }
