--- a/tests/failover/simulation/invariants.rs
+++ b/tests/failover/simulation/invariants.rs
@@ -14,13 +14,16 @@
 impl Simulation {
     /// Checks the invariants for a task that has fetched its image and starts. Only tasks that are executing
     /// count.
-    pub(super) fn check_start(&self, w: usize, task: &str, id: &str) {
+    pub(super) fn check_start(&self, worker_index: usize, task: &str, id: &str) {
         let s = &self.specs[id];
         let on = |m: &Worker| m.state.executing().filter(|k| job_of(&k.0) == id).count() as u32;
-        let twice =
-            self.workers.iter().enumerate().any(|(i, m)| i != w && m.state.executing().any(|k| k.0 == task));
+        let twice = self
+            .workers
+            .iter()
+            .enumerate()
+            .any(|(i, m)| i != worker_index && m.state.executing().any(|k| k.0 == task));
         assert!(!twice, "ran_twice: {task}");
-        let m = &self.workers[w].state;
+        let m = &self.workers[worker_index].state;
         let other: u32 = self.workers.iter().filter(|o| o.state.zone != m.zone).map(on).sum();
         let same_zone: u32 = self.workers.iter().filter(|o| o.state.zone == m.zone).map(on).sum();
         assert_placement(s, m, task, same_zone, other);
