--- a/tests/failover/simulation/invariants.rs
+++ b/tests/failover/simulation/invariants.rs
@@ -15,7 +15,7 @@
     /// Checks the invariants for a task that has fetched its image and starts. Only tasks that are executing
     /// count.
     pub(super) fn check_start(&self, worker_index: usize, task: &str, id: &str) {
-        let s = &self.specs[id];
+        let spec = &self.specs[id];
         let on = |m: &Worker| m.state.executing().filter(|k| job_of(&k.0) == id).count() as u32;
         let twice = self
             .workers
@@ -26,8 +26,8 @@
         let m = &self.workers[worker_index].state;
         let other: u32 = self.workers.iter().filter(|o| o.state.zone != m.zone).map(on).sum();
         let same_zone: u32 = self.workers.iter().filter(|o| o.state.zone == m.zone).map(on).sum();
-        assert_placement(s, m, task, same_zone, other);
-        assert!(s.team != "tight" || self.used("tight") < TIGHT_LIMIT, "quota: {task}");
+        assert_placement(spec, m, task, same_zone, other);
+        assert!(spec.team != "tight" || self.used("tight") < TIGHT_LIMIT, "quota: {task}");
         assert!(
             self.cancelled.get(id).is_none_or(|at| self.now - *at < self.cancel),
             "ran_cancelled: {task}"
@@ -129,11 +129,12 @@
 
     /// For a job and a zone: how many more tasks the zone has capacity for, and how many are placed there.
     fn capacity_in_zone(&self, id: &str, zone: &str) -> (usize, usize) {
-        let s = &self.specs[id];
+        let spec = &self.specs[id];
         let of = || self.workers.iter().filter(|w| w.state.zone == zone);
         let live = |w: &Worker| w.state.tasks.values().filter(|t| t.stage != TaskStage::Exited).count();
-        let fits =
-            |w: &&Worker| (s.spot || !w.state.spot) && s.zone.as_deref().is_none_or(|z| z == w.state.zone);
+        let fits = |w: &&Worker| {
+            (spec.spot || !w.state.spot) && spec.zone.as_deref().is_none_or(|z| z == w.state.zone)
+        };
         let capacity: usize =
             of().filter(fits).map(|w| (self.types[w.type_index].cpus as usize).saturating_sub(live(w))).sum();
         let placed_here = of().flat_map(|w| &w.state.tasks);
