--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -21,7 +21,8 @@
 const IDLE_INTERVAL: Micros = Micros::from_millis(1_000);
 /// How long this controller waits for another cell's answer.
 const CELL_TIMEOUT: Micros = Micros::from_millis(900);
-/// Backlog of this cell in seconds, below which it recalls loans whose tasks it can soon run itself.
+/// Backlog of this cell, in seconds, below which it recalls the loans whose tasks it could soon finish
+/// itself.
 const RECALL_BACKLOG_S: f64 = 0.5;
 /// Largest number of open loans with one cell: half of the loans that a message may list.
 const MAX_OPEN_LOANS: usize = MAX_LOANS / 2;
@@ -195,7 +196,7 @@
     /// Rewrites hidden records of lent jobs ([`crate::records::LentForm::Hidden`]), as 0.3.0 to 0.3.2 wrote
     /// them, so that they have the held form. Versions before 0.3 can then read the records.
     fn rewrite_hidden_records(&self, fencing_token: u64) {
-        for write in self.begin_holds(fencing_token) {
+        for write in self.begin_held_form_rewrites(fencing_token) {
             let job = write.job().to_string();
             if self.write_loan(fencing_token, write) == LoanOutcome::Written {
                 tracing::info!(%job, "record of lent job rewritten for versions before 0.3");
@@ -205,7 +206,7 @@
 
     /// The writes of [`Controller::rewrite_hidden_records`]; none if some controller of this cell cannot read
     /// records in the held form.
-    fn begin_holds(&self, fencing_token: u64) -> Vec<LoanWrite> {
+    fn begin_held_form_rewrites(&self, fencing_token: u64) -> Vec<LoanWrite> {
         let mut shared = self.lock();
         let all_controllers_read_held_records = self.all_controllers_read_held_records(&shared);
         let Some(leadership) = shared.leadership_with(fencing_token) else { return Vec::new() };
@@ -251,8 +252,8 @@
     open.len() >= MAX_OPEN_LOANS || open.iter().any(|(job, loan)| loans.offer(job, loan.number).is_some())
 }
 
-/// The action for a loan: it is recalled once this cell has hardly any backlog and can run the loan's tasks
-/// soon.
+/// The action for a loan: it is recalled once this cell's backlog is below [`RECALL_BACKLOG_S`] and this cell
+/// could soon finish the loan's tasks itself.
 fn recall_or_run(fleet: &Fleet, job: &str, loan: &Loan, backlog_s: f64) -> LoanAction {
     if backlog_s < RECALL_BACKLOG_S && fleet.could_finish_soon(job, &loan.tasks) {
         LoanAction::Recall
--- a/tests/failover/simulation/machines.rs
+++ b/tests/failover/simulation/machines.rs
@@ -70,8 +70,8 @@
         self.cancel_on_faulty_machine(None);
         self.faults_occurred += 1;
         if self.chance(self.faults.store_outage) {
-            // Jobs are cancelled after the leader has lost the state store and before it is unavailable to
-            // all.
+            // Jobs are cancelled after the leader has lost the state store and before the state store becomes
+            // unavailable to all.
             let now = self.now;
             let cancel_retries: Vec<String> = self.cancel_retries.keys().cloned().collect();
             cancel_retries.into_iter().for_each(|id| {
@@ -91,7 +91,7 @@
             let list = self.workers.iter().map(|worker| ListedMachine {
                 id: worker.state.id.clone(),
                 address: Some("127.0.0.1:9".into()),
-                machine_type: worker.state.ty.clone(),
+                machine_type: worker.state.machine_type.clone(),
                 zone: worker.state.zone.into(),
                 spot: worker.state.spot,
                 stage: "running".into(),
@@ -118,7 +118,7 @@
         if self.chance(self.faults.machine_lost) {
             let worker_index = self.rng.random_range(0..self.workers.len());
             let worker = self.workers.remove(worker_index);
-            self.add_machine(worker.ty, worker.state.zone, worker.state.spot);
+            self.add_machine(worker.type_index, worker.state.zone, worker.state.spot);
         }
         if self.faults.cloud_unavailable
             && self.leaders.iter().any(|leader| self.now < leader.store_lost_until)
@@ -140,11 +140,11 @@
                 .workers
                 .iter()
                 .filter(|worker| ids.contains(&worker.state.id))
-                .map(|worker| (worker.ty, worker.state.zone, worker.state.spot))
+                .map(|worker| (worker.type_index, worker.state.zone, worker.state.spot))
                 .collect();
             self.workers.retain(|worker| !ids.contains(&worker.state.id));
-            for (ty, zone, spot) in gone {
-                self.add_machine(ty, zone, spot);
+            for (type_index, zone, spot) in gone {
+                self.add_machine(type_index, zone, spot);
             }
             if !self.chance(0.2) {
                 let now = self.now;
