--- a/tests/failover/simulation/heartbeats.rs
+++ b/tests/failover/simulation/heartbeats.rs
@@ -177,12 +177,8 @@
     /// Workers execute the direct commands that have arrived.
     fn execute_commands(&mut self) {
         for command in std::mem::take(&mut self.commands) {
-            let Some(worker_index) =
-                self.workers.iter().position(|worker| worker.state.id == command.machine)
-            else {
-                continue;
-            };
-            let worker = &mut self.workers[worker_index];
+            let Some(w) = self.workers.iter().position(|w| w.state.id == command.machine) else { continue };
+            let worker = &mut self.workers[w];
             if self.now < command.at || self.now < worker.frozen_until || self.now < worker.partitioned_until
             {
                 // The command is delivered once the machine resumes or its partition ends.
--- a/tests/failover/simulation/invariants.rs
+++ b/tests/failover/simulation/invariants.rs
@@ -129,12 +129,11 @@
 
     /// For a job and a zone: how many more tasks the zone has capacity for, and how many are placed there.
     fn capacity_in_zone(&self, id: &str, zone: &str) -> (usize, usize) {
-        let spec = &self.specs[id];
+        let s = &self.specs[id];
         let of = || self.workers.iter().filter(|w| w.state.zone == zone);
         let live = |w: &Worker| w.state.tasks.values().filter(|t| t.stage != TaskStage::Exited).count();
-        let fits = |w: &&Worker| {
-            (spec.spot || !w.state.spot) && spec.zone.as_deref().is_none_or(|z| z == w.state.zone)
-        };
+        let fits =
+            |w: &&Worker| (s.spot || !w.state.spot) && s.zone.as_deref().is_none_or(|z| z == w.state.zone);
         let capacity: usize =
             of().filter(fits).map(|w| (self.types[w.type_index].cpus as usize).saturating_sub(live(w))).sum();
         let placed_here = of().flat_map(|w| &w.state.tasks);
