--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -52,7 +52,8 @@
     /// The machine types of the catalog; `None` until they are known. Without them it cannot be decided
     /// whether a new job can run.
     fn machine_types(&self) -> Option<Vec<MachineType>>;
-    /// Passes a job record that this controller has written to the leader.
+    /// Notifies the leader of a job record that this controller has written. If this controller leads,
+    /// updates its own model.
     fn announce_job_record(&self, id: &str, record: JobRecord, revision: u64);
     /// Notifies all controllers of a cancellation that this controller confirms to a user, so that the leader
     /// stops the job's remaining tasks.
