--- a/crates/cells/tests/random_worlds.rs
+++ b/crates/cells/tests/random_worlds.rs
@@ -6,7 +6,7 @@
 
 mod world;
 
-use world::{Faults, World};
+use world::{Faults, Simulation};
 
 /// Counts over a number of simulations.
 #[derive(Default)]
@@ -22,14 +22,14 @@
     let mut totals = Totals::default();
     for seed in seeds {
         let cells = 2 + (seed % 3) as usize;
-        let mut world = World::new(cells, seed, faults);
+        let mut simulation = Simulation::new(cells, seed, faults);
         for _ in 0..steps {
-            world.step();
+            simulation.step();
         }
-        world.run_until_all_jobs_end();
-        world.assert_each_finished_once();
-        totals.finished_at_borrowers += world.finished_at_borrowers();
-        totals.cancelled += world.cancelled();
+        simulation.run_until_all_jobs_end();
+        simulation.assert_each_finished_once();
+        totals.finished_at_borrowers += simulation.finished_at_borrowers();
+        totals.cancelled += simulation.cancelled();
     }
     totals
 }
--- a/crates/cells/tests/world/borrowing.rs
+++ b/crates/cells/tests/world/borrowing.rs
@@ -6,14 +6,14 @@
 use super::machines::Machines;
 use super::messages::{Message, Reply};
 use super::store::{borrowed_done_key, borrowed_key, high_water_key, Record, Txn};
-use super::World;
+use super::Simulation;
 
 /// The maximum number of tasks that a cell borrows in total.
 const MAX_BORROWED: u32 = 40;
 /// The maximum number of changes that are made for one message.
 const MAX_CHANGES: usize = 100;
 
-impl World {
+impl Simulation {
     /// Writes the changes that follow from a message, and replies.
     pub fn handle_request(&mut self, cell_index: usize, request: &LoanSyncRequest) {
         for _ in 0..MAX_CHANGES {
--- a/crates/cells/tests/world/cancellation.rs
+++ b/crates/cells/tests/world/cancellation.rs
@@ -5,9 +5,9 @@
 use rand::Rng;
 
 use super::store::{borrowed_key, cancelled_key, done_key, lending_key, Record, Txn};
-use super::World;
+use super::Simulation;
 
-impl World {
+impl Simulation {
     /// Requests the cancellation of a random job, as a user.
     pub fn request_cancellation(&mut self) {
         let jobs = self.job_ids();
--- a/crates/cells/tests/world/checks.rs
+++ b/crates/cells/tests/world/checks.rs
@@ -1,11 +1,11 @@
 //! Checks at the end of a simulation: all jobs end once there are no more faults, and no task was lost.
 
-use super::{Cell, Faults, World};
+use super::{Cell, Faults, Simulation};
 
 /// The number of steps without faults within which all jobs must end.
 const MAX_STEPS_WITHOUT_FAULTS: usize = 4_000;
 
-impl World {
+impl Simulation {
     /// Disables the faults and runs until all jobs have ended and all loans are closed.
     pub fn run_until_all_jobs_end(&mut self) {
         self.faults = Faults::NONE;
--- a/crates/cells/tests/world/execution.rs
+++ b/crates/cells/tests/world/execution.rs
@@ -6,9 +6,9 @@
 
 use super::machines::Machines;
 use super::store::{borrowed_done_key, borrowed_key, cancelled_key, done_key, lending_key, Record, Txn};
-use super::{Task, World};
+use super::{Simulation, Task};
 
-impl World {
+impl Simulation {
     /// Stops the tasks of a borrowed job that are not borrowed any more.
     pub fn stop_unborrowed_tasks(&mut self, cell_index: usize, job: &str) {
         if self.jobs[job].lender == cell_index {
--- a/crates/cells/tests/world/lending.rs
+++ b/crates/cells/tests/world/lending.rs
@@ -6,12 +6,12 @@
 
 use super::messages::{Message, Reply};
 use super::store::{cancelled_key, done_key, lending_key, Record, Txn};
-use super::World;
+use super::Simulation;
 
 /// The minimum number of startable tasks of a job from which tasks are lent.
 const MIN_LENDABLE: usize = 3;
 
-impl World {
+impl Simulation {
     /// Lends some unstarted tasks of a random job to a random cell.
     pub fn lend(&mut self, cell_index: usize) {
         let jobs = self.job_ids();
--- a/crates/cells/tests/world/messages.rs
+++ b/crates/cells/tests/world/messages.rs
@@ -3,7 +3,7 @@
 use milletlock_cells::{LoanReport, LoanSyncRequest};
 use rand::Rng;
 
-use super::World;
+use super::Simulation;
 
 /// The number of messages that one step delivers while there are faults.
 const DELIVERIES_WITH_FAULTS: usize = 2;
@@ -22,7 +22,7 @@
     Reply { to: usize, from: usize, reply: Reply },
 }
 
-impl World {
+impl Simulation {
     /// Sends a message. It may be lost or duplicated.
     pub fn post(&mut self, message: impl Fn() -> Message) {
         if self.chance(self.faults.lost) {
--- a/crates/cells/tests/world/mod.rs
+++ b/crates/cells/tests/world/mod.rs
@@ -73,7 +73,7 @@
 }
 
 /// The state of a simulation: cells, jobs and messages in flight.
-pub struct World {
+pub struct Simulation {
     cells: Vec<Cell>,
     jobs: BTreeMap<String, Job>,
     messages: Vec<Message>,
@@ -87,9 +87,9 @@
     confirmed_cancelled: BTreeSet<String>,
 }
 
-impl World {
+impl Simulation {
     /// Creates cells with random array jobs, most of which belong to the first cell.
-    pub fn new(cells: usize, seed: u64, faults: Faults) -> World {
+    pub fn new(cells: usize, seed: u64, faults: Faults) -> Simulation {
         let mut rng = StdRng::seed_from_u64(seed);
         let cells: Vec<Cell> = (0..cells).map(new_cell).collect();
         let mut jobs = BTreeMap::new();
@@ -98,7 +98,7 @@
             let job = Job { tasks: rng.random_range(1..30), lender, cancel_requested: false };
             jobs.insert(format!("wk-{number}"), job);
         }
-        World {
+        Simulation {
             cells,
             jobs,
             messages: Vec::new(),
--- a/crates/cells/tests/world/transactions.rs
+++ b/crates/cells/tests/world/transactions.rs
@@ -5,9 +5,9 @@
 use rand::Rng;
 
 use super::store::Txn;
-use super::{Cell, World};
+use super::{Cell, Simulation};
 
-impl World {
+impl Simulation {
     /// Applies, with some probability, a transaction that had no answer.
     pub fn apply_late(&mut self, cell_index: usize) {
         if !self.cells[cell_index].store.unanswered.is_empty() && self.chance(200) {
--- a/src/loan_messages.rs
+++ b/src/loan_messages.rs
@@ -59,11 +59,11 @@
     },
 }
 
-/// Converts a request for sending. The message lists the first [`MAX_LOANS`] loans. If loans are left out,
+/// Converts a request for sending. The message lists the first [`MAX_LOANS`] loans. If loans are omitted,
 /// the horizon is set below them; otherwise the borrower would treat them as closed.
 pub fn request_to_proto(request: &LoanSyncRequest) -> proto::LoanRequest {
-    let first_left_out = request.loans.get(MAX_LOANS);
-    let horizon = match first_left_out {
+    let first_omitted = request.loans.get(MAX_LOANS);
+    let horizon = match first_omitted {
         Some(loan) => request.horizon.min(loan.number.previous()),
         None => request.horizon,
     };
--- a/tests/common/cells/mod.rs
+++ b/tests/common/cells/mod.rs
@@ -38,7 +38,7 @@
 /// The duration of the workers' lease in these cells, in seconds.
 pub const LEASE_S: f64 = 4.0;
 
-/// Waits until a condition holds. Panics after 60 seconds, which only a faulty run reaches.
+/// Waits until a condition holds. Panics after 60 seconds; only a faulty run takes that long.
 pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + Duration::from_secs(60);
     while !condition() {
--- a/tests/peer_messages.rs
+++ b/tests/peer_messages.rs
@@ -124,7 +124,7 @@
     answering.join().expect("the received message is an announcement");
 }
 
-/// Guards against a wrong field number of the version in an acknowledgement.
+/// Guards against a version that is encoded under another field number or is not decoded.
 #[test]
 fn an_acknowledgement_contains_the_version_after_the_token() {
     let ack = Ack { token: 41, version: "0.2.0".into() };
--- a/tests/three_cells.rs
+++ b/tests/three_cells.rs
@@ -124,7 +124,7 @@
     assert_finished_per_cell(&cells, tasks);
 }
 
-/// A transaction without a reply may or may not have been executed.
+/// A transaction without a reply may have been executed, may still be executed later, or neither.
 #[test]
 fn lost_replies_of_the_state_stores_lose_and_repeat_no_task() {
     let cells = Cells::start(4, &plans());
