--- a/tests/rows_of_0_3_0.rs
+++ b/tests/rows_of_0_3_0.rs
@@ -1,5 +1,6 @@
-//! The rows that the real program of the last commit of 0.3.0 left of a job with loans: what a controller of this
-//! version makes of them, leading or following, before a leader of a version before 0.3 comes.
+//! Tests with the rows of a job with loans that the real program of the last commit of 0.3.0 left in the
+//! state store. A leader or a follower of this version must secure the job's progress before a version before
+//! 0.3 leads, since that version removes the progress of a job whose record it cannot read.
 
 mod common;
 
@@ -9,7 +10,7 @@
 use milletlock::wire::{Change, Txn};
 use serde_json::Value;
 
-/// The rows as that program sent them, with sorted keys.
+/// The rows as the program of 0.3.0 wrote them, with sorted keys.
 const ROWS: [(&str, &str); 3] = [
     (
         "job/wk-000001",
@@ -18,9 +19,10 @@
     ("done/wk-000001/4161536", r#""0-31""#),
     ("marks/0", r#"{"wk-000001":44}"#),
 ];
-/// The start mark in these rows.
+/// The start mark in `ROWS`.
 const START_MARK: u64 = 44;
 
+/// A cell whose state store has `ROWS`.
 fn world_of_0_3_0() -> World {
     let world = World::new();
     let put = |(key, text): &(&str, &str)| {
@@ -32,15 +34,17 @@
     world
 }
 
-/// The start mark that outlasts a leader of a version before 0.3.
-fn kept_mark(world: &World) -> u64 {
+/// The start mark that remains after a leader of a version before 0.3: the higher one of its copy and of the
+/// mark in the job's record.
+fn lasting_start_mark(world: &World) -> u64 {
     let record = world.store().row(&format!("job/{JOB}")).expect("the job").value;
     world.copied_mark().max(record["high"].as_u64().unwrap_or(0))
 }
 
-/// Guards against rows that a version before 0.3 removes although a leader of this version had them.
+/// Guards against progress that a version before 0.3 removes although a leader of this version led in
+/// between.
 #[test]
-fn a_leader_of_this_version_has_a_version_before_0_3_find_the_job() {
+fn a_version_before_0_3_reads_the_job_after_a_leader_of_this_version() {
     let world = world_of_0_3_0();
     let mut machine = Machine::new("i-000001");
     let mut leader = world.leader();
@@ -49,21 +53,22 @@
     leader.steps(&mut machine, SETTLE_STEPS);
     let done = production::tasks_of_text("0-31");
     assert!(world.copied_done().is_superset(&done), "{:?}", world.copied_done());
-    assert!(kept_mark(&world) >= START_MARK);
+    assert!(lasting_start_mark(&world) >= START_MARK);
     let mut earlier = ProductionLeader::elected(&world);
     earlier.steps(&mut machine, SETTLE_STEPS);
     assert!(earlier.knows(JOB));
     assert!(world.recorded_done().is_superset(&done), "{:?}", world.recorded_done());
 }
 
-/// Guards against rows that a version before 0.3 removes although a controller of this version was beside 0.3.0.
+/// Guards against progress that a version before 0.3 removes although a controller of this version followed
+/// the leader of 0.3.0.
 #[test]
-fn a_follower_of_this_version_copies_the_rows() {
+fn a_follower_of_this_version_copies_the_progress_that_0_3_0_wrote() {
     let world = world_of_0_3_0();
     let mut follower = world.follower();
     world.elect_earlier_leader();
     follower.receive_leader_announcement("0.3.0");
     follower.keep_progress();
     assert_eq!(world.copied_done(), production::tasks_of_text("0-31"));
-    assert!(kept_mark(&world) >= START_MARK);
+    assert!(lasting_start_mark(&world) >= START_MARK);
 }
