--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -1,5 +1,7 @@
-//! A controller of this version beside a leader that keeps no copies of lent jobs' progress: of a version before
-//! loans, or of 0.3.0. Elections, records and the follower's transactions are real.
+//! A follower of this version beside a leader that keeps no copies of lent jobs' progress: a leader of a
+//! version before 0.3, or of 0.3.0. The follower must copy that progress, and the results that workers report
+//! to it, before they are lost. The elections, the records and the follower's transactions are those of the
+//! real program.
 
 mod common;
 
@@ -21,16 +23,16 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-/// The start mark rises as under a leader that keeps no copies.
+/// Raises the job's start mark without a copy, as a leader does that keeps no copies.
 fn raise_start_mark(world: &World) {
     let raised = Change::put("marks/0".to_string(), json!({ JOB: TASKS }));
     world.store().txn(&Txn { guards: Vec::new(), then: vec![raised] }).expect("written");
 }
 
-/// Guards against the loss of results that workers reported to a follower after their leader was killed, before
-/// an earlier version that led had them forgotten.
+/// Guards against the loss of results that a worker reported to a follower, after their leader was killed and
+/// before a leader of an earlier version had them forgotten.
 #[test]
-fn results_that_a_follower_hears_outlast_an_earlier_leader() {
+fn results_reported_to_a_follower_are_not_lost_under_an_earlier_leader() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
@@ -42,9 +44,10 @@
     assert_none_starts_again(&world, &mut machine, &finished);
 }
 
-/// Guards against the loss of what a follower has heard when it leads itself before it could write that.
+/// Guards against the loss of results reported to a follower that becomes the leader before it has written
+/// them.
 #[test]
-fn a_follower_that_leads_knows_the_results_that_it_heard() {
+fn a_follower_that_becomes_leader_writes_the_results_reported_to_it() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
@@ -54,18 +57,19 @@
     follower.fail_over();
     follower.idle_step();
     let copied = world.copied_done();
-    assert!(copied.is_superset(&finished), "of {finished:?} just {copied:?} are recorded");
+    assert!(copied.is_superset(&finished), "finished {finished:?}, but only {copied:?} are copied");
 }
 
-/// Guards against the loss of a borrowed task's result: an earlier version halts and forgets those tasks as well.
+/// Guards against the loss of a borrowed task's result: an earlier version halts and forgets borrowed tasks
+/// as well.
 #[test]
-fn results_of_borrowed_tasks_that_a_follower_hears_outlast_an_earlier_leader() {
+fn results_of_borrowed_tasks_reported_to_a_follower_are_not_lost_under_an_earlier_leader() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
-    let held = json!({
+    let borrowed = json!({
         "home": "there", "description": spec(5, 10, "batch"), "loans": [{ "number": 5, "tasks": "1-3" }]
     });
     let then = vec![
-        Change::put("borrowed/job/wk-000005".to_string(), held),
+        Change::put("borrowed/job/wk-000005".to_string(), borrowed),
         Change::put("borrowed/done/wk-000005/0".to_string(), json!("1-2")),
         Change::put("borrowed/lender/there".to_string(), json!({ "high_water": 5, "finished": 0 })),
     ];
@@ -81,20 +85,22 @@
     assert!(rows.iter().any(|row| row.value == json!("1-3")), "{rows:?}");
     let mut leader = world.leader();
     leader.steps(&mut machine, SETTLE_STEPS);
-    assert_eq!(machine.started[&3], 1, "it starts again");
+    assert_eq!(machine.started[&3], 1, "the finished borrowed task started again");
 }
 
-/// Both versions lead in turn while a follower of this version is alive. What a controller of this version has
-/// heard of, with time for one write, never starts again, whichever leader follows.
+/// Both versions lead in turn while a follower of this version runs. A task whose result was reported to a
+/// controller of this version, which then had time for one write, must not start again under any later
+/// leader.
 #[test]
-fn what_any_controller_has_heard_outlasts_any_changes_between_the_versions() {
+fn no_result_reported_to_any_controller_is_lost_in_random_changes_between_the_versions() {
     for seed in 0..24 {
         let mut random = StdRng::seed_from_u64(seed);
         let (world, mut machine) = (World::new(), Machine::new("i-000001"));
         let mut leader = world.leader();
         leader.submit_and_lend(&mut machine);
-        // The tasks of which a result was heard, with how often they had started: some were halted before.
-        let mut heard: BTreeMap<u32, usize> = BTreeMap::new();
+        // The tasks whose result was reported, each with the number of its starts by then. That number may be
+        // above one, as an attempt may have been halted before.
+        let mut reported: BTreeMap<u32, usize> = BTreeMap::new();
         for _ in 0..30 {
             match random.random_range(0..5) {
                 0 => {
@@ -105,9 +111,9 @@
                     } else {
                         "0.3.0"
                     });
-                    note_heard(&mut heard, &machine, machine.pending_results());
+                    record_results(&mut reported, &machine, machine.pending_results());
                     follower.heartbeat(&mut machine);
-                    // Of a job whose record it can read, that version has nothing forgotten.
+                    // The earlier version has no unrecorded result forgotten if it can read the job's record.
                     let record = world.store().row(&format!("job/{JOB}")).expect("the job").value;
                     if serde_json::from_value::<production::JobRecord>(record).is_err() {
                         machine.discard_all_tasks();
@@ -116,7 +122,8 @@
                         follower.keep_progress();
                         leader = world.leader();
                     } else {
-                        // It has time for one write; a process that ends before that takes what it heard along.
+                        // The new leader has time for one write. If its process ended before, the reported
+                        // results would be lost.
                         follower.fail_over();
                         follower.idle_step();
                         leader = follower;
@@ -126,42 +133,47 @@
                 2 => leader.lend(),
                 3 => {
                     let mut borrower = world.borrower();
-                    let free = borrower.tasks().difference(&borrower.done);
-                    borrower.tasks_to_return = free.iter().filter(|_| random.random_bool(0.2)).collect();
+                    let unfinished = borrower.tasks().difference(&borrower.done);
+                    borrower.tasks_to_return =
+                        unfinished.iter().filter(|_| random.random_bool(0.2)).collect();
                 }
                 _ => leader.steps(&mut machine, random.random_range(1..5)),
             }
-            note_heard(&mut heard, &machine, machine.forgotten_results.clone());
-            assert_not_started_since(&heard, &machine, seed);
+            record_results(&mut reported, &machine, machine.forgotten_results.clone());
+            assert_not_started_since(&reported, &machine, seed);
         }
         world.borrower().tasks_to_return = TaskSet::new();
         world.store().keys.remove(LEADER_KEY);
         run_until_done(&world, &mut world.leader(), &mut machine);
-        assert_not_started_since(&heard, &machine, seed);
+        assert_not_started_since(&reported, &machine, seed);
     }
 }
 
-fn note_heard(heard: &mut BTreeMap<u32, usize>, machine: &Machine, tasks: BTreeSet<u32>) {
+/// Records reported results, each with the number of the task's starts so far.
+fn record_results(reported: &mut BTreeMap<u32, usize>, machine: &Machine, tasks: BTreeSet<u32>) {
     for task in tasks {
-        heard.entry(task).or_insert(machine.started[&task]);
+        reported.entry(task).or_insert(machine.started[&task]);
     }
 }
 
-fn assert_not_started_since(heard: &BTreeMap<u32, usize>, machine: &Machine, seed: u64) {
-    let again: Vec<_> = heard.iter().filter(|(task, times)| machine.started[task] > **times).collect();
+/// Asserts that no task has started after its result was reported.
+fn assert_not_started_since(reported: &BTreeMap<u32, usize>, machine: &Machine, seed: u64) {
+    let again: Vec<_> = reported.iter().filter(|(task, times)| machine.started[task] > **times).collect();
     assert!(again.is_empty(), "seed {seed}: started again: {again:?}");
 }
 
-/// Guards against done ranges that no version can read, since a worker lists a task that the job has not.
+/// Guards against unreadable done ranges after a worker has reported a task number that the job does not
+/// have.
 #[test]
-fn a_result_beyond_the_jobs_tasks_is_left_out() {
+fn a_result_with_a_task_number_beyond_the_jobs_tasks_is_ignored() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
     machine.finish_all();
     let finished = machine.pending_results();
-    let none = Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
-    machine.state.tasks.insert((format!("{JOB}/{TASKS}"), 1), none);
+    let beyond =
+        Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
+    machine.state.tasks.insert((format!("{JOB}/{TASKS}"), 1), beyond);
     let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
     assert!(world.copied_done().iter().all(|task| *task < TASKS), "{:?}", world.copied_done());
@@ -171,9 +183,10 @@
     assert!(recorded.is_superset(&finished) && recorded.iter().all(|task| *task < TASKS), "{recorded:?}");
 }
 
-/// Guards against the loss of results that a leader had accepted while the state store refused its writes.
+/// Guards against the loss of results that a leader had accepted while the state store refused its writes,
+/// when an earlier version leads next.
 #[test]
-fn results_that_a_leader_could_not_write_outlast_an_earlier_one() {
+fn results_that_a_leader_could_not_write_are_not_lost_under_an_earlier_leader() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
@@ -195,9 +208,9 @@
     assert_none_starts_again(&world, &mut machine, &finished);
 }
 
-/// Guards against the loss of rows that 0.3.0 wrote without copies, when a version before loans leads next.
+/// Guards against the loss of progress that 0.3.0 wrote without copies, when a version before 0.3 leads next.
 #[test]
-fn a_controller_beside_0_3_0_copies_what_that_leader_wrote() {
+fn a_follower_beside_0_3_0_copies_the_progress_that_the_leader_wrote() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
@@ -213,14 +226,15 @@
     assert_eq!(world.copied_done(), world.recorded_done());
     let record = world.store().row(&format!("job/{JOB}")).expect("the job").value;
     let stored = world.copied_mark().max(record["high"].as_u64().unwrap_or(0));
-    assert!(stored >= u64::from(mark), "of the start mark {mark} {stored} is stored");
+    assert!(stored >= u64::from(mark), "the start mark is {mark}, but its copy is {stored}");
     world.run_earlier_leader();
     assert_none_starts_again(&world, &mut machine, &finished);
 }
 
-/// Guards against copies that would bring an ended job back, or stay behind it.
+/// Guards against copies that are written after their job has ended and make it live again, or are never
+/// removed.
 #[test]
-fn copies_of_a_job_that_ends_under_0_3_0_revive_nothing_and_go() {
+fn late_copies_of_a_job_that_ended_under_0_3_0_are_refused_and_older_ones_removed() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
@@ -233,8 +247,8 @@
     let progress = jobs[0].read_progress(&client, &marks).expect("its progress");
     let all = TaskSet::span(0, TASKS);
     let late = progress.missing_copies(&all, 4096);
-    assert_eq!(late.len(), 2, "done ranges and the start mark");
-    // The end as 0.3.0 writes it.
+    assert_eq!(late.len(), 2, "expected a copy of the done ranges and one of the start mark");
+    // 0.3.0 ends the job without removing its copies.
     world.store().keys.retain(|key, _| !key.starts_with("job/") && !key.starts_with("done/"));
     let ended = json!({ "stage": "done", "tasks": TASKS });
     let end = Txn { guards: Vec::new(), then: vec![Change::put(format!("final/{JOB}"), ended)] };
@@ -251,11 +265,11 @@
     leader.steps(&mut machine, SETTLE_STEPS);
     assert_eq!(leader.stage(), "done");
     assert_eq!(machine.started.values().sum::<usize>(), started);
-    let left: Vec<String> = world.store().rows("lent/").into_iter().map(|row| row.key).collect();
-    assert!(left.is_empty(), "{left:?}");
+    let remaining: Vec<String> = world.store().rows("lent/").into_iter().map(|row| row.key).collect();
+    assert!(remaining.is_empty(), "{remaining:?}");
 }
 
-/// Guards against an older copy that is carried out late, after a newer one.
+/// Guards against the write of an older copy that is executed after the write of a newer one.
 #[test]
 fn a_late_copy_does_not_replace_a_newer_one() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
@@ -265,7 +279,7 @@
     let jobs = read_jobs_with_loans(&client, |error| panic!("{error}")).expect("jobs");
     let marks = read_start_marks(&client).expect("start marks");
     let progress = jobs[0].read_progress(&client, &marks).expect("its progress");
-    let copies = |heard: &str| progress.missing_copies(&TaskSet::parse(heard).expect("tasks"), 4096);
+    let copies = |reported: &str| progress.missing_copies(&TaskSet::parse(reported).expect("tasks"), 4096);
     let (older, newer) = (copies("0-1"), copies("0-3"));
     let mut outcomes = newer.iter().chain(&older).map(|txn| client.txn(txn, RequestPriority::Background));
     assert!(matches!(outcomes.next(), Some(Ok(TxnOutcome::Committed(_)))));
@@ -273,7 +287,7 @@
     assert!(world.copied_done().is_superset(&(0..4).collect()));
 }
 
-/// Guards against a start mark that 0.3.0 raises and a version before loans then removes.
+/// Guards against the loss of a start mark that 0.3.0 raises and a version before 0.3 then removes.
 #[test]
 fn a_start_mark_that_0_3_0_raises_is_copied() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
@@ -286,12 +300,13 @@
     assert_eq!(world.copied_mark(), u64::from(TASKS));
     let revision = world.store().revision;
     follower.keep_progress();
-    assert_eq!(world.store().revision, revision, "what is copied is not written again");
+    assert_eq!(world.store().revision, revision, "a complete copy was written again");
 }
 
-/// Copies that are older than the rows beside them take nothing away, nor do they lower a start mark.
+/// Copies that are older than the done ranges and start marks that other leaders wrote must not remove
+/// results or lower a start mark.
 #[test]
-fn old_copies_beside_newer_rows_change_nothing() {
+fn copies_older_than_the_other_rows_change_nothing() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
     let mut leader = world.leader();
     leader.submit_and_lend(&mut machine);
@@ -315,7 +330,7 @@
     assert_none_starts_again(&world, &mut machine, &finished);
 }
 
-/// Guards against a follower that writes beside a leader which keeps the copies itself.
+/// Guards against a follower that writes copies although the leader keeps them itself.
 #[test]
 fn a_follower_of_this_version_leaves_the_copies_to_the_leader() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
