--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! A change of version: the version in production and this one fail over to each other on the same
-//! records, while the state store's limits may fall.
+//! Change of version: leaders of the version in production and of this version read and write the same
+//! records, while the state store's limits may be reduced.
 
 mod common;
 
@@ -19,15 +19,15 @@
 use milletlock::wire::{Change, Row, Stage, Txn};
 use serde_json::{json, Value};
 
-/// When this version becomes leader.
+/// The time at which a controller of this version becomes the leader.
 const NOW: Steady = Steady(1_000_000_000);
-/// Long enough after a failover for all that waits to be written.
+/// A time so long after a failover that all pending writes are due.
 const LATER: Steady = Steady(NOW.0 + 20_000_000);
 /// The time of day at [`NOW`].
 const WALL: Wall = Wall(1_790_000_000_000_000);
-/// Bytes of a value once the limits of `config_with_falling_limits(4.0, 1.0)` have fallen.
+/// Maximum size in bytes of a value once the limits of `config_with_falling_limits(4.0, 1.0)` are reduced.
 const SMALL_VALUE: usize = 1024;
-/// Changes of a transaction once they have.
+/// Maximum number of changes of a transaction once the limits are reduced.
 const SMALL_TXN: usize = 4;
 
 /// A row of the state store.
@@ -35,12 +35,12 @@
     Row { key: key.into(), value, mod_revision }
 }
 
-/// Settings whose limits fall without notice.
+/// Settings in which reduced limits of the state store are announced, without the time of the change.
 fn falling_limits() -> Arc<Config> {
     config_with_falling_limits(4.0, 1.0)
 }
 
-/// A job's record, byte for byte of production's form.
+/// A job's record in exactly the form in which the version in production writes it.
 fn production_job(number: u32, tasks: u32) -> Value {
     json!({
         "spec": {
@@ -53,7 +53,7 @@
     })
 }
 
-/// What production leaves behind: one of every kind of record.
+/// Rows that the version in production left in the state store, with every kind of record.
 fn production_rows() -> Vec<Row> {
     let past: Vec<Value> = (0..10).map(|n| json!({"end_s": 1_789_000_000 + n, "ratio": 0.6})).collect();
     let bucket = EstimateKey { team: "free".into(), stated: Micros(20_000_000) }.bucket();
@@ -97,22 +97,21 @@
     fleet
 }
 
-/// What a leader would write now, in its transactions.
+/// The transactions that a leader would send at `now`.
 fn pending_batches(fleet: &mut Fleet, shard_revision: u64, now: Steady) -> Vec<Batch> {
     let pending = fleet.pending_writes(now, Micros::ZERO, chunk_tasks(fleet.max_value_bytes()));
     let max_changes = fleet.max_txn_changes();
     leadership::compose_batches(fleet, shard_revision, pending, max_changes, now, WALL)
 }
 
-/// The store has applied a batch of writes.
+/// Informs the fleet that the state store has executed a batch at a revision.
 fn acknowledge(fleet: &mut Fleet, batch: &Batch, revision: u64, now: Steady) {
     for composed in &batch.writes {
         fleet.write_applied(&composed.write, revision, &composed.contents, now);
     }
 }
 
-/// Everything a leader writes until nothing waits, each transaction applied and acknowledged. The store
-/// has `shard_revision/0` already.
+/// Executes a leader's transactions until none is pending; returns them. `SHARD_KEY` must already be stored.
 fn write_all(fleet: &mut Fleet, store: &mut Store) -> Vec<Txn> {
     let mut all = Vec::new();
     for round in 0..2000_i64 {
@@ -131,17 +130,17 @@
             all.push(batch.txn);
         }
     }
-    panic!("it writes without end");
+    panic!("the leader still has pending writes after 2000 rounds");
 }
 
-/// A state store with these rows.
+/// A state store that contains the rows.
 fn store_of(rows: Vec<Row>) -> Store {
     let revision = rows.iter().map(|row| row.mod_revision).max().unwrap_or(0);
     let keys = rows.into_iter().map(|row| (row.key, (row.value, row.mod_revision))).collect();
     Store { keys, revision, ..Store::default() }
 }
 
-/// What transactions put.
+/// The keys and values that the transactions put.
 fn puts(txns: &[Txn]) -> impl Iterator<Item = (&str, &Value)> {
     txns.iter().flat_map(|txn| &txn.then).filter_map(|change| match change {
         Change::Put { put, value, .. } => Some((put.as_str(), value)),
@@ -149,15 +148,15 @@
     })
 }
 
-/// A machine sends its first heartbeat.
+/// Delivers the first heartbeat of a machine.
 fn enroll(fleet: &mut Fleet, id: &str, now: Steady) {
     let outcome = fleet.apply_heartbeat(&heartbeat(id, 1, 0, &[]), now, WALL);
     assert!(matches!(outcome, HeartbeatOutcome::Reply(_)), "{id} has no reply: {outcome:?}");
 }
 
-/// Guards against a record of production that this version would not know, or take for another.
+/// Guards against a record of the version in production that this version ignores or misreads.
 #[test]
-fn every_record_of_production_is_loaded() {
+fn every_record_of_the_version_in_production_is_loaded() {
     let mut fleet = load_fleet(production_rows());
     let job = &fleet.jobs["wk-000001"];
     assert_eq!((job.spec.tasks, job.mod_revision, job.submitted), (2500, 11, Wall(1_789_999_990_000_000)));
@@ -177,7 +176,7 @@
             (machine.address.as_str(), machine.type_name.as_str(), machine.spot),
             (address, type_name, spot)
         );
-        assert!(machine.registered && machine.inherited && !machine.acknowledged, "tasks may be on {id}");
+        assert!(machine.registered && machine.inherited && !machine.acknowledged, "{id} may run tasks");
     }
     assert_eq!(
         fleet.history.factor(&EstimateKey { team: "free".into(), stated: Micros(20_000_000) }, WALL),
@@ -185,13 +184,13 @@
     );
     let recent = fleet.recent_job_records(NOW, WALL, 4000);
     assert!(recent.iter().any(|job| job.extra_machines == 3 && job.types == ["large"]), "{recent:?}");
-    // The list of recent jobs has been added to; nothing else is written for a failover alone.
+    // A failover alone causes no write but that of the list of recent jobs.
     let written = pending_batches(&mut fleet, 19, LATER);
     assert!(written
         .iter()
         .flat_map(|batch| &batch.writes)
         .all(|composed| composed.write == PendingWrite::RecentJobs));
-    // The others are read by themselves.
+    // Other records are not loaded into the fleet, but read one at a time.
     let value_of = |key: &str| production_rows().into_iter().find(|row| row.key == key).expect("a row").value;
     let leader: LeaderRecord = serde_json::from_value(value_of("leader")).expect("a leader");
     assert_eq!(
@@ -202,10 +201,10 @@
     assert_eq!(final_record, FinalRecord { stage: Stage::Done, tasks: 3 });
 }
 
-/// Guards against chunks of another size being rewritten under production's numbers, which would drop
-/// tasks, and against chunks that stay for ever.
+/// Guards against the loss of done tasks when this version, whose chunks have another size, reuses the chunk
+/// numbers of the version in production. Also guards against chunks that are never removed.
 #[test]
-fn done_chunks_of_production_stay_as_they_are_until_the_jobs_end() {
+fn done_chunks_of_the_version_in_production_are_kept_until_the_job_ends() {
     let mut store = store_of(production_rows());
     let mut fleet = load_fleet(production_rows());
     let job = fleet.jobs.get_mut("wk-000001").expect("the job");
@@ -221,9 +220,9 @@
         assert_eq!(store.keys[key], (json!(text), mod_revision));
     }
     let job = &fleet.jobs["wk-000001"];
-    let there = production::done_in(&store, "wk-000001");
-    assert_eq!(there, job.done.iter().collect());
-    // Its end drops all of them, in as many transactions as it takes.
+    let stored = production::done_in(&store, "wk-000001");
+    assert_eq!(stored, job.done.iter().collect());
+    // The end of the job removes all chunks, in several transactions if one has not enough room.
     let job = fleet.jobs.get_mut("wk-000001").expect("the job");
     (0..2500).for_each(|task| {
         job.done.insert(task);
@@ -233,7 +232,7 @@
     assert!(written.iter().all(|txn| txn.then.len() <= SMALL_TXN));
     assert!(store.row("job/wk-000001").is_none() && store.row("final/wk-000001").is_some());
     assert_eq!(store.rows("done/").len(), 0);
-    // A leader that never knew the job removes what is left as well.
+    // A leader that finds done ranges without a job record removes them as well.
     let mut rows = production_rows();
     rows.retain(|row| row.key != "job/wk-000001");
     let mut store = store_of(rows.clone());
@@ -241,12 +240,12 @@
     assert_eq!(store.rows("done/").len(), 0);
 }
 
-/// A value in the form of a type; it must have that form.
+/// Parses a value as `T`; panics with the key if it cannot be parsed.
 fn parses<T: serde::de::DeserializeOwned>(key: &str, value: &Value) -> T {
     serde_json::from_value(value.clone()).unwrap_or_else(|error| panic!("{key}: {error}: {value}"))
 }
 
-/// Reads a value as production does, and the fields of its own with nothing else among them.
+/// Asserts that the version in production can read a value, and knows all fields of a machine's record.
 fn check_production_reads(key: &str, value: &Value) {
     let parts: Vec<&str> = key.split('/').collect();
     let number = |text: &str| text.parse::<u32>().unwrap_or_else(|error| panic!("{key}: {error}"));
@@ -273,13 +272,13 @@
         }
         ["recent"] => assert!(!parses::<Vec<production::DemandRecord>>(key, value).is_empty()),
         ["final", _] => assert_eq!(parses::<production::FinalRecord>(key, value).stage, "done"),
-        _ => panic!("production knows no {key}"),
+        _ => panic!("the version in production does not know the key {key}"),
     }
 }
 
-/// Guards against records that production could not read, and writes that the coming limits refuse.
+/// Guards against records that production cannot read, and writes that exceed the announced limits.
 #[test]
-fn production_reads_whatever_this_version_writes_within_the_coming_limits() {
+fn all_records_of_this_version_are_readable_in_production_and_within_the_announced_limits() {
     let mut store = store_of(vec![row(SHARD_KEY, 1, json!({}))]);
     let mut fleet = load_fleet(Vec::new());
     for number in 0..1000 {
@@ -297,7 +296,7 @@
         (0..job.spec.tasks).step_by(every).for_each(|task| {
             job.done.insert(task);
         });
-        // Jobs that are not written here are guarded by their version: they have to be there.
+        // Transactions on a job are guarded by the revision of its record, so the record must be stored.
         store.keys.insert(format!("job/{id}"), (json!({}), job.mod_revision));
     }
     for sample in 0..200 {
@@ -316,15 +315,15 @@
     assert!(written.iter().all(|txn| (1..=SMALL_TXN).contains(&txn.then.len())));
     assert!(written.iter().all(|txn| txn.guards[0].key == SHARD_KEY));
     for kind in ["machines/", "marks/", "done/", "hist/", "recent", "final/"] {
-        assert!(puts(&written).any(|(key, _)| key.starts_with(kind)), "no {kind} was written");
+        assert!(puts(&written).any(|(key, _)| key.starts_with(kind)), "no record under {kind} was written");
     }
     assert_eq!(production::machines_in(&store).len(), 1000);
-    assert_eq!(production::marks_in(&store).len(), 200, "the marks of the jobs that go on");
+    assert_eq!(production::marks_in(&store).len(), 200, "expected a start mark of each unfinished job only");
 }
 
-/// Guards against a mark lowered where two leaders left copies of it, whichever of them is read last.
+/// Guards against keeping the lower of two start marks of a job that two leaders stored, if it is read last.
 #[test]
-fn the_highest_copy_of_a_mark_is_the_one_that_stays() {
+fn the_highest_of_two_stored_start_marks_of_a_job_is_kept() {
     for (first, second) in [(200, 100), (100, 200)] {
         let rows = vec![
             row(SHARD_KEY, 1, json!({})),
@@ -347,7 +346,7 @@
     }
 }
 
-/// Guards against a leader's own earlier transaction, held up on the way, undoing its newer one.
+/// Guards against a delayed transaction of a leader that overwrites a newer one of the same leader.
 #[test]
 fn late_transactions_of_the_same_leader_are_refused() {
     let mut store = store_of(production_rows());
@@ -371,7 +370,7 @@
     finish(&mut fleet, 40..50);
     write_all(&mut fleet, &mut store);
     let before = store.keys.clone();
-    // What is written without a guard of its own may come late: it is only a hint.
+    // The list of recent jobs has no guard of its own and may be overwritten late, as it is only a hint.
     let is_guarded =
         |batch: &&Batch| batch.writes.iter().any(|composed| composed.write != PendingWrite::RecentJobs);
     for batch in late.iter().filter(is_guarded) {
@@ -380,7 +379,7 @@
     assert_eq!(store.keys, before);
 }
 
-/// Guards against losing what a later version has added to a machine's record.
+/// Guards against the loss of fields that a later version has added to a machine's record.
 #[test]
 fn unknown_fields_of_a_machine_are_written_back() {
     let later = json!({
