--- a/tests/upgrade_failovers/coverage.rs
+++ b/tests/upgrade_failovers/coverage.rs
@@ -1,16 +1,19 @@
-//! What the histories met, so that a test can check that they met enough.
+//! Counts of what the simulated histories cover, so that a test can assert that they cover enough.
 
 use std::ops::Add;
 
-/// What a history met, summed up over all of them.
+/// Counts for one history, or the sums for several histories.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Coverage {
+    /// Enrolled machines.
     pub machines: usize,
+    /// Live jobs with a stored start mark.
     pub jobs: usize,
+    /// Recorded done tasks of live jobs.
     pub done: usize,
-    /// Late transactions of leaders that had ended.
+    /// Transactions of former leaders that arrived late.
     pub late: usize,
-    /// Values above the small limit when the limits fell.
+    /// Values larger than the `SMALL` limit when the limits were reduced.
     pub oversized: usize,
 }
 
--- a/tests/upgrade_failovers/simulation/events.rs
+++ b/tests/upgrade_failovers/simulation/events.rs
@@ -1,4 +1,5 @@
-//! What happens beside the writes: late transactions, wishes of users, machines and tasks.
+//! Simulated events other than a leader's writes: late transactions, users' requests, machines and task
+//! results.
 
 use milletlock::fleet::{Fleet, HeartbeatOutcome};
 use milletlock::jobs::JobId;
@@ -12,23 +13,24 @@
 use crate::common::{heartbeat, spec};
 
 impl Simulation {
-    /// A transaction that was on its way arrives. One of a leader that ended must change nothing.
+    /// Delivers a late transaction. It must not be executed if a former leader sent it.
     pub fn deliver_late_transaction(&mut self) {
         if self.late.is_empty() {
             return;
         }
         let at = self.rng.random_range(0..self.late.len());
         let txn = self.late.remove(at);
-        let current = txn.guards.iter().any(|g| g.key == SHARD_KEY && g.mod_revision == self.shard_revision);
-        self.coverage.late += usize::from(!current);
+        let is_of_current_leader =
+            txn.guards.iter().any(|g| g.key == SHARD_KEY && g.mod_revision == self.shard_revision);
+        self.coverage.late += usize::from(!is_of_current_leader);
         let outcome = self.submit(&txn);
         assert!(
-            current || !matches!(outcome, TxnOutcome::Applied(_)),
-            "a late transaction was executed: {txn:?}"
+            is_of_current_leader || !matches!(outcome, TxnOutcome::Applied(_)),
+            "a late transaction of a former leader was executed: {txn:?}"
         );
     }
 
-    /// A user submits a job.
+    /// Submits a job.
     pub fn submit_job(&mut self) {
         self.jobs += 1;
         let tasks =
@@ -46,21 +48,23 @@
         }
     }
 
-    /// A user cancels a job; a leader of this version may hear of it later.
+    /// Cancels a job. A leader of this version is informed later, by `receive_cancellations`.
     pub fn cancel_job(&mut self) {
-        let Some(id) = self.some_job() else { return };
+        let Some(id) = self.random_job() else { return };
         let key = format!("job/{id}");
         let guard = Guard { key: key.clone(), mod_revision: self.store.mod_revision(&key) };
-        let over = json!({ "stage": "cancelled", "tasks": 1 });
-        let revision =
-            self.must_apply(vec![guard], vec![Change::drop(key), Change::put(format!("final/{id}"), over)]);
+        let final_record = json!({ "stage": "cancelled", "tasks": 1 });
+        let revision = self.must_apply(
+            vec![guard],
+            vec![Change::drop(key), Change::put(format!("final/{id}"), final_record)],
+        );
         match &mut self.leader {
             SimulatedLeader::Production(leader) => leader.job_over(&id),
             SimulatedLeader::Current(_) => self.cancellations.push((id, revision)),
         }
     }
 
-    /// The leader hears of the cancellations.
+    /// Informs the leader of the cancellations.
     fn receive_cancellations(&mut self) {
         let cancellations = std::mem::take(&mut self.cancellations);
         if let SimulatedLeader::Current(fleet) = &mut self.leader {
@@ -68,14 +72,14 @@
         }
     }
 
-    /// A job that is not over.
-    fn some_job(&mut self) -> Option<String> {
+    /// Id of a random live job; `None` if there is none.
+    fn random_job(&mut self) -> Option<String> {
         let jobs = || self.store.keys.keys().filter_map(|key| key.strip_prefix("job/"));
         let at = self.rng.random_range(0..jobs().count().max(1));
         jobs().nth(at).map(String::from)
     }
 
-    /// A machine sends its first heartbeat.
+    /// Delivers the first heartbeat of a new machine.
     pub fn enroll_machine(&mut self) {
         self.machines += 1;
         let id = format!("i-{:05}", self.machines);
@@ -89,7 +93,7 @@
         }
     }
 
-    /// A machine that was enrolled is returned.
+    /// Returns a random enrolled machine to the cloud.
     pub fn return_machine(&mut self) {
         let at = self.rng.random_range(0..self.model.enrolled.len().max(1));
         let Some(id) = self.model.enrolled.iter().nth(at).cloned() else { return };
@@ -101,9 +105,9 @@
         }
     }
 
-    /// More tasks of a job are to be started than before.
+    /// Lets the leader want a higher start mark for a random job.
     pub fn raise_mark(&mut self) {
-        let Some(id) = self.some_job() else { return };
+        let Some(id) = self.random_job() else { return };
         let mark = self.rng.random_range(1..3000);
         match &mut self.leader {
             SimulatedLeader::Production(leader) => leader.raise(&id, mark),
@@ -115,9 +119,9 @@
         }
     }
 
-    /// Some tasks of a job are done, now and then all of them.
+    /// Completes some tasks of a random job, sometimes all of them.
     pub fn finish_tasks(&mut self) {
-        let Some(id) = self.some_job() else { return };
+        let Some(id) = self.random_job() else { return };
         let all = self.chance(0.15);
         let from = if all { 0 } else { self.rng.random_range(0..2500) };
         let count = if all { 3000 } else { self.rng.random_range(1..300) };
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Something happens: work for the leader, a user's wish, or a late transaction.
+    /// Runs a random event.
     pub fn next_event(&mut self) {
         match self.rng.random_range(0..14) {
             0..=3 => (0..8).for_each(|_| self.enroll_machine()),
@@ -144,7 +148,7 @@
     }
 }
 
-/// Tasks of a job are done.
+/// Marks tasks of a job as done in a fleet of this version.
 fn finish_in_fleet(fleet: &mut Fleet, id: &JobId, tasks: impl Iterator<Item = u32>) {
     let Some(job) = fleet.jobs.get_mut(id) else { return };
     for task in tasks.filter(|&task| task < job.spec.tasks).collect::<Vec<_>>() {
--- a/tests/upgrade_failovers/simulation/mod.rs
+++ b/tests/upgrade_failovers/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Leaders of the version in production and of this one, their state store and what happens to them.
+//! Simulation of a state store with successive leaders of the version in production and of this version.
 
 mod events;
 mod writes;
@@ -20,20 +20,22 @@
 use crate::coverage::Coverage;
 use crate::model::Model;
 
-/// What the state store takes.
+/// The limits of the state store.
 #[derive(Clone, Copy)]
 pub struct StoreLimits {
+    /// Maximum size of a value in bytes.
     pub value_bytes: usize,
+    /// Maximum number of changes of a transaction.
     pub txn_ops: usize,
 }
 
-/// The limits at the beginning.
+/// The limits at the start of a simulation.
 pub const LARGE: StoreLimits = StoreLimits { value_bytes: 4096, txn_ops: 8 };
 
-/// The limits after they have fallen.
+/// The reduced limits.
 pub const SMALL: StoreLimits = StoreLimits { value_bytes: 1024, txn_ops: 4 };
 
-/// The time of day when a simulation begins.
+/// The wall-clock time of the simulation's time zero.
 const WALL: Wall = Wall(1_790_000_000_000_000);
 
 /// A version of the program.
@@ -43,7 +45,7 @@
     Current,
 }
 
-/// The leader, of one of the versions.
+/// The current leader: a model of the version in production, or the fleet of this version.
 pub enum SimulatedLeader {
     Production(Box<production::Owner>),
     Current(Box<Fleet>),
@@ -52,39 +54,45 @@
 /// The state store's reply to a transaction.
 #[derive(Debug)]
 enum TxnOutcome {
+    /// The transaction was executed at this revision.
     Applied(u64),
-    /// These keys have changed.
+    /// The guards of these keys failed.
     Refused(Vec<String>),
+    /// A value or the transaction exceeds the limits.
     TooLarge,
 }
 
-/// A state store with one leader after another.
+/// A state store, its current leader, and the model that checks the stored records.
 pub struct Simulation {
     pub rng: StdRng,
     pub store: Store,
     pub limits: StoreLimits,
     pub cfg: Arc<Config>,
-    /// The limit that this version's leaders were told of, within which all their values must be.
+    /// The announced limits. All transactions of this version's leaders must stay within them.
     pub announced: StoreLimits,
     pub leader: SimulatedLeader,
+    /// The revision of the shard's record that the current leader wrote.
     pub shard_revision: u64,
     pub fencing_token: u64,
     pub now: Steady,
     pub model: Model,
-    /// Transactions of leaders that ended, and of this one, that are still on their way.
+    /// Delayed transactions of the current and of former leaders.
     pub late: Vec<Txn>,
-    /// Ends of jobs that the leader has not heard of, with their revisions.
+    /// Cancelled jobs of which the leader is not informed yet, with the revisions of the cancellations.
     pub cancellations: Vec<(String, u64)>,
+    /// Number of machines so far.
     pub machines: u32,
+    /// Number of submitted jobs so far.
     pub jobs: u32,
-    /// Share of this version's transactions that it gets no reply to.
+    /// Fraction of this version's transactions that get no reply.
     pub lost_replies: f64,
+    /// Number of this version's transactions that exceeded the limits.
     pub rejected: u32,
     pub coverage: Coverage,
 }
 
 impl Simulation {
-    /// Large limits and a leader of the production version.
+    /// An empty state store with the `LARGE` limits and a leader of the version in production.
     pub fn new(seed: u64, cfg: Arc<Config>, announced: StoreLimits) -> Simulation {
         let mut simulation = Simulation {
             rng: StdRng::seed_from_u64(seed),
@@ -114,17 +122,17 @@
         simulation
     }
 
-    /// Whether an event of some probability occurs now.
+    /// Returns `true` with probability `p`.
     pub fn chance(&mut self, p: f64) -> bool {
         self.rng.random_bool(p)
     }
 
-    /// The time of day.
+    /// The current wall-clock time.
     fn wall(&self) -> Wall {
         Wall(WALL.0 + self.now.0)
     }
 
-    /// What the state store does with a transaction. The model checks what it left.
+    /// Submits a transaction to the state store, and checks the stored records if it was executed.
     fn submit(&mut self, txn: &Txn) -> TxnOutcome {
         let too_large = |c: &Change| match c {
             Change::Put { value, .. } => value.to_string().len() > self.limits.value_bytes,
@@ -142,7 +150,8 @@
         }
     }
 
-    /// A transaction of a user or of a claim, which is never refused.
+    /// Executes a transaction that must not be refused: a user's request or an election. Returns its
+    /// revision.
     fn must_apply(&mut self, guards: Vec<Guard>, then: Vec<Change>) -> u64 {
         match self.submit(&Txn { guards, then }) {
             TxnOutcome::Applied(revision) => revision,
@@ -150,7 +159,7 @@
         }
     }
 
-    /// The leader ends at once and another becomes leader.
+    /// Replaces the leader by a new one of the given version.
     pub fn fail_over(&mut self, version: Version) {
         self.fencing_token += 1;
         self.cancellations.clear();
@@ -176,10 +185,10 @@
         };
     }
 
-    /// The leader ends with some of what it had composed on its way: one may still be executed before the
-    /// next leader's claim, the others arrive late.
+    /// Ends the leader while its transactions are in transit. The first one may still be executed before the
+    /// next leader is elected; the others arrive late.
     pub fn crash(&mut self) {
-        let mut on_their_way: Vec<Txn> = match &mut self.leader {
+        let mut in_transit: Vec<Txn> = match &mut self.leader {
             SimulatedLeader::Production(leader) => leader.next_write().into_iter().collect(),
             SimulatedLeader::Current(fleet) => {
                 let chunk = chunk_tasks(fleet.max_value_bytes());
@@ -191,37 +200,41 @@
                 batches.into_iter().map(|b| b.txn).collect()
             }
         };
-        if !on_their_way.is_empty() && self.chance(0.4) {
-            let first = on_their_way.remove(0);
+        if !in_transit.is_empty() && self.chance(0.4) {
+            let first = in_transit.remove(0);
             self.submit(&first);
         }
-        self.late.extend(on_their_way);
+        self.late.extend(in_transit);
     }
 
-    /// A leader of this version tidies up; nothing may be left above the limit or of jobs that are over.
+    /// Lets a leader of this version write all it has to. Asserts that no value exceeds the `SMALL` limit and
+    /// that no progress of ended jobs remains.
     pub fn finish(&mut self) {
         self.lost_replies = 0.0;
         self.fail_over(Version::Current);
-        self.write_to_rest();
+        self.write_all();
         while !self.late.is_empty() {
             self.deliver_late_transaction();
         }
         for prefix in ["machines/", "marks/"] {
             for row in self.store.rows(prefix) {
                 let bytes = row.value.to_string().len();
-                assert!(bytes <= SMALL.value_bytes, "{} is left with {bytes} bytes", row.key);
+                assert!(bytes <= SMALL.value_bytes, "{} still has {bytes} bytes", row.key);
             }
         }
         let live = |id: &str| self.store.keys.contains_key(&format!("job/{id}"));
         for row in self.store.rows("done/") {
             let id = row.key.split('/').nth(1).expect("a job's id");
-            assert!(live(id), "{} is left of a job that is over", row.key);
+            assert!(live(id), "{} remains after its job has ended", row.key);
         }
-        assert!(production::marks_in(&self.store).keys().all(|id| live(id)), "marks of jobs that are over");
+        assert!(
+            production::marks_in(&self.store).keys().all(|id| live(id)),
+            "start marks of ended jobs remain"
+        );
     }
 }
 
-/// A record from its JSON form.
+/// Parses a record.
 fn parse<T: serde::de::DeserializeOwned>(value: Value) -> T {
     serde_json::from_value(value).expect("a record")
 }
--- a/tests/upgrade_failovers/simulation/writes.rs
+++ b/tests/upgrade_failovers/simulation/writes.rs
@@ -1,4 +1,4 @@
-//! How leaders of both versions write their records.
+//! The writes of the leaders of both versions.
 
 use milletlock::leadership::{self, Batch, SHARD_KEY};
 use milletlock::task_ranges::chunk_tasks;
@@ -7,31 +7,34 @@
 
 use super::{SimulatedLeader, Simulation, TxnOutcome};
 
-/// Rounds of writing after which a leader with nothing new to write must have come to rest.
-const ROUNDS_TO_REST: u32 = 2000;
+/// Maximum number of rounds until a leader has written everything, if no events occur.
+const MAX_WRITE_ROUNDS: u32 = 2000;
 
-/// More transactions than a leader composes at once.
-const TRANSACTIONS_OF_A_ROUND: usize = 100;
+/// Maximum number of transactions of a round, larger than the number that a leader composes at once.
+const MAX_TRANSACTIONS_PER_ROUND: usize = 100;
 
 impl Simulation {
-    /// The leader writes at most so many transactions of what waits; how many it did.
-    pub fn write_records(&mut self, most: usize) -> usize {
+    /// Submits up to `max_transactions` pending transactions of the leader; returns how many of them let the
+    /// round continue.
+    pub fn write_records(&mut self, max_transactions: usize) -> usize {
         self.now = self.now + Micros(4_000_000);
         let (now, wall) = (self.now, self.wall());
         match &mut self.leader {
-            SimulatedLeader::Production(_) => (0..most).take_while(|_| self.write_production()).count(),
+            SimulatedLeader::Production(_) => {
+                (0..max_transactions).take_while(|_| self.write_production()).count()
+            }
             SimulatedLeader::Current(fleet) => {
                 let chunk = chunk_tasks(fleet.max_value_bytes());
                 let pending = fleet.pending_writes(now, Micros::ZERO, chunk);
                 let ops = fleet.max_txn_changes();
                 let batches =
                     leadership::compose_batches(fleet, self.shard_revision, pending, ops, now, wall);
-                batches.iter().take(most).take_while(|b| self.write_batch(b)).count()
+                batches.iter().take(max_transactions).take_while(|b| self.write_batch(b)).count()
             }
         }
     }
 
-    /// One transaction of the production version's leader; false if nothing waits.
+    /// Submits one transaction of a leader of the version in production; returns `false` if none is pending.
     fn write_production(&mut self) -> bool {
         let SimulatedLeader::Production(leader) = &mut self.leader else { return false };
         let Some(txn) = leader.next_write() else { return false };
@@ -40,12 +43,13 @@
         match outcome {
             TxnOutcome::Applied(revision) => leader.written(revision),
             TxnOutcome::Refused(failed) => leader.refused(&failed),
-            TxnOutcome::TooLarge => panic!("production's own value is too large: {txn:?}"),
+            TxnOutcome::TooLarge => panic!("a value of the version in production is too large: {txn:?}"),
         }
         true
     }
 
-    /// One transaction of this version's leader, as its writer handles the reply; false if the round ends.
+    /// Submits one transaction of a leader of this version, and handles the reply as the leader's writer
+    /// does. Returns `false` if the round ends.
     fn write_batch(&mut self, batch: &Batch) -> bool {
         for change in &batch.txn.then {
             if let Change::Put { put, value, .. } = change {
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Reads keys back, as the leader of this version does.
+    /// Updates a leader of this version from the stored values of keys, as it does after a conflict.
     fn read_back<'a>(&mut self, keys: impl Iterator<Item = &'a String>) {
         let SimulatedLeader::Current(fleet) = &mut self.leader else { return };
         for key in keys.filter(|key| *key != SHARD_KEY) {
@@ -94,22 +98,22 @@
         }
     }
 
-    /// Writes until nothing waits.
-    pub fn write_to_rest(&mut self) {
-        for _ in 0..ROUNDS_TO_REST {
+    /// Submits the leader's transactions until none is pending.
+    pub fn write_all(&mut self) {
+        for _ in 0..MAX_WRITE_ROUNDS {
             let rejected = self.rejected;
-            if self.write_records(TRANSACTIONS_OF_A_ROUND) == 0
+            if self.write_records(MAX_TRANSACTIONS_PER_ROUND) == 0
                 && self.rejected == rejected
-                && self.is_at_rest()
+                && self.has_written_all()
             {
                 return;
             }
         }
-        panic!("the leader writes without end");
+        panic!("the leader still has pending writes after the maximum number of rounds");
     }
 
-    /// Whether nothing waits to be written.
-    fn is_at_rest(&mut self) -> bool {
+    /// Whether the leader has no pending writes.
+    fn has_written_all(&mut self) -> bool {
         match &mut self.leader {
             SimulatedLeader::Production(leader) => leader.next_write().is_none(),
             SimulatedLeader::Current(fleet) => {
