--- a/tests/common/production.rs
+++ b/tests/common/production.rs
@@ -1,6 +1,7 @@
-//! The version in production as the tests need it: the records in the form in which it reads and
-//! writes them, and a plain model of its owner. Nothing here uses the present code's own records, so
-//! that a change of them shows.
+//! A model of the version in production: its records, in the form in which it reads and writes them, and the
+//! part of its leader (there called the owner of a part) that reads and writes them. The model does not use
+//! the record types of this version, so that tests detect a change of their stored form. Line numbers are
+//! those of that version's sources.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +12,7 @@
 
 use super::store::Store;
 
-/// A live job, under `job/<id>`.
+/// The record of a live job, under `job/<id>`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobRecord {
     pub spec: Value,
@@ -24,14 +25,14 @@
     *n == 0
 }
 
-/// A job that is over, under `final/<id>`.
+/// The final record of an ended job, under `final/<id>`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinalRecord {
     pub stage: String,
     pub tasks: u32,
 }
 
-/// A machine, many to a value, under `machines/<slot>`.
+/// The record of a machine. Values under `machines/<slot>` contain several of them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
     #[serde(rename = "p", alias = "part", default)]
@@ -48,7 +49,7 @@
     pub spot: bool,
 }
 
-/// A recent job, in the list under `recent`.
+/// The record of a recent job, in the list under `recent`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DemandRecord {
     pub at_us: i64,
@@ -65,14 +66,15 @@
     pub spot: bool,
 }
 
-/// A finished job, in the history.
+/// A finished job in the history: its end and the ratio of its actual to its stated run time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FinishedJob {
     pub end_s: i64,
     pub ratio: f64,
 }
 
-/// Past jobs of a team and stated run time, many to a value, under `hist/<bucket>`.
+/// The finished jobs of a team with the same stated run time. Values under `hist/<bucket>` contain several of
+/// these records.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HistoryRecord {
     pub team: String,
@@ -80,15 +82,15 @@
     pub past: Vec<FinishedJob>,
 }
 
-/// Bytes of a value that the production version leaves free.
+/// Number of bytes that the version in production leaves free in a value.
 const SLACK: usize = 64;
 
-/// Tasks in a chunk of done ranges, as the production version counts them.
+/// Number of tasks in a chunk of done ranges of the version in production.
 pub fn chunk_tasks(value_bytes: usize) -> u32 {
     ((value_bytes / 4).saturating_sub(8)).max(64) as u32
 }
 
-/// Text of a set of tasks: `0-4,7`.
+/// The stored text of a set of tasks, such as `0-4,7`.
 pub fn ranges_text(tasks: &BTreeSet<u32>) -> String {
     let mut runs: Vec<(u32, u32)> = Vec::new();
     for &task in tasks {
@@ -101,7 +103,7 @@
     runs.iter().map(one).collect::<Vec<_>>().join(",")
 }
 
-/// Tasks of a text.
+/// The set of tasks in a stored text.
 pub fn tasks_of_text(text: &str) -> BTreeSet<u32> {
     let bounds = |part: &str| -> (u32, u32) {
         let (a, b) = part.split_once('-').unwrap_or((part, part));
@@ -113,13 +115,13 @@
         .collect()
 }
 
-/// All machines that are in some value.
+/// Ids of all machines with a record.
 pub fn machines_in(store: &Store) -> BTreeSet<String> {
     let rows = store.rows("machines/");
     rows.iter().flat_map(|r| r.value.as_object().expect("machines").keys().cloned()).collect()
 }
 
-/// The highest mark of each job in any value.
+/// The highest stored start mark of each job.
 pub fn marks_in(store: &Store) -> BTreeMap<String, u32> {
     let mut highest = BTreeMap::new();
     for row in store.rows("marks/") {
@@ -131,22 +133,25 @@
     highest
 }
 
-/// The done tasks of a job in all its chunks, of either version.
+/// The done tasks of a job in all its chunks, whichever version wrote them.
 pub fn done_in(store: &Store, id: &str) -> BTreeSet<u32> {
     let rows = store.rows(&format!("done/{id}/"));
     rows.iter().flat_map(|r| tasks_of_text(r.value.as_str().expect("a text"))).collect()
 }
 
+/// A stored value with several records.
 struct Slot<T> {
     mod_revision: u64,
     items: BTreeMap<String, T>,
-    /// Sizes of the items, and of the brackets.
+    /// Sum of the items' sizes and the brackets, in bytes.
     bytes: usize,
+    /// Whether the items have changed since the value was written.
     dirty: bool,
 }
 
-/// Records packed into slots as the production version does.
+/// Records packed into slots, as the version in production packs them.
 struct Packs<T> {
+    /// Maximum size of a slot in bytes.
     limit: usize,
     slots: Vec<Slot<T>>,
     slot_of: BTreeMap<String, usize>,
@@ -170,7 +175,7 @@
     fn load(&mut self, slot: usize, mod_revision: u64, value: Value) {
         self.grow_to(slot + 1);
         let items: BTreeMap<String, T> = serde_json::from_value(value).expect("a value of production's form");
-        // A record that is in several values belongs to the last that is read.
+        // A record that is in several values counts as part of the value that is read last.
         self.slot_of.extend(items.keys().map(|id| (id.clone(), slot)));
         let bytes = 2 + items.iter().map(|(id, item)| Self::size(id, item)).sum::<usize>();
         self.slots[slot] = Slot { mod_revision, items, bytes, dirty: false };
@@ -201,7 +206,7 @@
         self.slot_of.get(id).and_then(|&slot| self.slots[slot].items.get(id))
     }
 
-    /// A slot as read back (`learn`, src/packs.rs:127).
+    /// Takes over the revision of a slot that was read back after a conflict (`learn`, src/packs.rs:127).
     fn learn(&mut self, slot: &str, mod_revision: u64) {
         let number = slot.parse::<usize>().ok();
         if let Some(slot) = number.and_then(|number| self.slots.get_mut(number)) {
@@ -209,18 +214,21 @@
         }
     }
 
-    /// Numbers of the slots that are to be written.
+    /// Numbers of the slots with unwritten changes.
     fn dirty(&self) -> impl Iterator<Item = usize> + '_ {
         self.slots.iter().enumerate().filter(|(_, slot)| slot.dirty).map(|(number, _)| number)
     }
 }
 
+/// A live job as the leader knows it.
 pub(super) struct Job {
     pub(super) mod_revision: u64,
     pub(super) tasks: u32,
+    /// The start mark, written or not.
     pub(super) mark: u32,
     pub(super) done: BTreeSet<u32>,
     pub(super) done_written: BTreeSet<u32>,
+    /// The revision of each stored chunk of done ranges, by chunk number.
     pub(super) chunks: BTreeMap<u32, u64>,
 }
 
@@ -231,37 +239,48 @@
     }
 }
 
-/// What a transaction of the production version's owner writes.
+/// The record that a write of the version in production concerns.
 #[derive(Clone)]
 pub(super) enum Written {
+    /// The slot of machines with this number.
     Machines(usize),
+    /// The slot of start marks with this number.
     Marks(usize),
+    /// A chunk of a job's done ranges.
     Done(String, u32),
+    /// The end of a job.
     Final(String),
+    /// The removal of the done ranges under this key, whose job is not known.
     Orphan(String),
 }
 
-/// A write that waits, with what it guards.
+/// A pending write with its guards and changes.
 pub(super) struct PendingWrite {
     pub(super) written: Written,
     pub(super) guards: Vec<Guard>,
     pub(super) then: Vec<Change>,
 }
 
-/// A plain model of the production version's owner: how it takes records over and writes them.
+/// A model of the owner of a part in the version in production: how it reads records after its election and
+/// writes them.
 pub struct Owner {
+    /// The revision of the part's record (`part/0`) that the owner wrote at its election.
     pub(super) part: u64,
+    /// The fencing token.
     pub(super) token: u64,
+    /// Number of tasks in a chunk of done ranges.
     chunk: u32,
     pub(super) jobs: BTreeMap<String, Job>,
     machines: Packs<MachineRecord>,
     marks: Packs<u32>,
+    /// Keys of stored done ranges of unknown jobs, with their revisions.
     pub(super) orphans: BTreeMap<String, u64>,
+    /// The write of the latest transaction of `next_write`, until its outcome is known.
     writing: Option<Written>,
 }
 
 impl Owner {
-    /// Takes over from the rows of the state service, read in the order of the keys.
+    /// Creates an owner that has read the rows of the state store, in the order of their keys.
     pub fn load(part: u64, token: u64, value_bytes: usize, rows: &[Row]) -> Owner {
         let mut owner = Owner {
             part,
@@ -273,9 +292,9 @@
             orphans: BTreeMap::new(),
             writing: None,
         };
-        // Jobs are known before what belongs to them.
+        // All jobs are read before the records that refer to them.
         for row in rows.iter().filter(|r| r.key.starts_with("job/")) {
-            // One that it cannot read it logs and leaves out.
+            // That version logs and skips a record that it cannot read.
             if let Ok(record) = serde_json::from_value::<JobRecord>(row.value.clone()) {
                 owner.job_put(&record, row.mod_revision);
             }
@@ -307,7 +326,7 @@
     }
 
     fn load_marks(&mut self, slot: usize, row: &Row) {
-        // One that it cannot read it logs and leaves out (`load`, src/cluster.rs:183).
+        // That version logs and skips a value that it cannot read (`load`, src/cluster.rs:183).
         let Ok(marks) = serde_json::from_value::<BTreeMap<String, u32>>(row.value.clone()) else { return };
         for (id, mark) in &marks {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -318,8 +337,8 @@
     }
 
     fn load_done(&mut self, id: &str, chunk: &str, row: &Row) {
-        // Its form is looked at before its job: a value that is no text, or a chunk that is no number, stays as
-        // it is, with a job or without (`load`, src/cluster.rs:187).
+        // The form is checked before the job is looked up: a value that is not a text, or whose chunk is not
+        // a number, is left unchanged even if its job is unknown (`load`, src/cluster.rs:187).
         let (Ok(chunk), Some(text)) = (chunk.parse::<u32>(), row.value.as_str()) else { return };
         let Some(job) = self.jobs.get_mut(id) else {
             self.orphans.insert(row.key.clone(), row.mod_revision);
@@ -331,7 +350,7 @@
         job.chunks.insert(chunk, row.mod_revision);
     }
 
-    /// Learns of a job.
+    /// Adds a job.
     pub fn job_put(&mut self, record: &JobRecord, mod_revision: u64) {
         let id = record.spec["nameId"].as_str().expect("an id").to_string();
         let tasks = record.spec["kernels"].as_u64().expect("a number") as u32;
@@ -339,7 +358,7 @@
         self.jobs.insert(id, Job { mod_revision, tasks, mark: record.high, done, done_written, chunks });
     }
 
-    /// A job's record is gone.
+    /// Removes a job whose live record no longer exists; its stored done ranges become orphans.
     pub fn job_over(&mut self, id: &str) {
         if let Some(job) = self.jobs.remove(id) {
             let orphan = |(chunk, mod_revision): (u32, u64)| (format!("done/{id}/{chunk}"), mod_revision);
@@ -348,23 +367,23 @@
         self.marks.remove(id);
     }
 
-    /// The machines' records.
+    /// All machine records with their ids.
     pub(super) fn machine_records(&self) -> impl Iterator<Item = (&String, &MachineRecord)> {
         self.machines.slots.iter().flat_map(|slot| &slot.items)
     }
 
-    /// Whether a machine's record is written.
+    /// Whether the machine's record is stored.
     pub(super) fn has_enrolled(&self, id: &str) -> bool {
         self.machines.slot_of.get(id).is_some_and(|&slot| !self.machines.slots[slot].dirty)
     }
 
-    /// The start mark of a job as it is written.
+    /// The stored start mark of a job; 0 if it has unwritten changes or none is stored.
     pub(super) fn written_mark(&self, id: &str) -> u32 {
         let slot = self.marks.slot_of.get(id).map(|&slot| &self.marks.slots[slot]);
         slot.filter(|slot| !slot.dirty).and_then(|slot| slot.items.get(id).copied()).unwrap_or(0)
     }
 
-    /// Learns how a key stands after a conflict (`learn`, src/cluster.rs:322).
+    /// Takes over the stored value of a key after a conflict (`learn`, src/cluster.rs:322).
     pub(super) fn read_back(&mut self, key: &str, row: Option<&Row>) {
         let mod_revision = row.map_or(0, |row| row.mod_revision);
         let parts: Vec<&str> = key.split('/').collect();
@@ -389,7 +408,7 @@
         }
     }
 
-    /// Enrols a machine.
+    /// Adds a machine record, to be written.
     pub fn enrol(&mut self, id: &str) {
         let addr = "127.0.0.1:9".into();
         let (ty, zone) = ("small".into(), "north".into());
@@ -397,12 +416,12 @@
         self.machines.put(id, record);
     }
 
-    /// A machine was returned to the cloud.
+    /// Removes the record of a machine that was returned to the cloud.
     pub fn returned(&mut self, id: &str) {
         self.machines.remove(id);
     }
 
-    /// Raises a job's mark.
+    /// Raises a job's start mark, to be written.
     pub fn raise(&mut self, id: &str, mark: u32) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| mark > job.mark) else { return };
         job.mark = mark;
@@ -411,14 +430,14 @@
         }
     }
 
-    /// A task of a job is done.
+    /// Marks a task of a job as done, to be recorded.
     pub fn done(&mut self, id: &str, task: u32) {
         if let Some(job) = self.jobs.get_mut(id).filter(|job| task < job.tasks) {
             job.done.insert(task);
         }
     }
 
-    /// The next transaction that is to be written, if any.
+    /// The next transaction to write, if any. Its outcome is to be reported by `written` or `refused`.
     pub fn next_write(&mut self) -> Option<Txn> {
         let PendingWrite { written, guards, then } = self.pending().into_iter().next()?;
         self.writing = Some(written);
@@ -426,13 +445,13 @@
         Some(Txn { guards: [vec![part], guards].concat(), then })
     }
 
-    /// All that waits to be written, the most urgent first (`Fleet::pending`, src/fleet.rs:2116).
+    /// All pending writes, the most urgent ones first (`Fleet::pending`, src/fleet.rs:2116).
     pub(super) fn pending(&self) -> Vec<PendingWrite> {
         let complete = self.jobs.iter().filter(|(_, job)| job.is_complete());
         let finals = complete.map(|(id, job)| self.compose_final(id, job));
         let machines = self.machines.dirty().map(|number| self.compose_machines(number));
         let marks = self.marks.dirty().map(|number| self.compose_marks(number));
-        // A job of which all tasks are done has its end written, and no done ranges.
+        // For a job whose tasks are all done, the end is written and no done ranges.
         let unfinished = self.jobs.iter().filter(|(_, job)| !job.is_complete());
         let done = unfinished.flat_map(|(id, job)| {
             let chunks: BTreeSet<u32> =
@@ -488,14 +507,14 @@
         PendingWrite { written: Written::Orphan(key.into()), guards, then }
     }
 
-    /// The latest transaction was executed at a revision.
+    /// Applies the latest transaction of `next_write`, which was executed at a revision.
     pub fn written(&mut self, revision: u64) {
         if let Some(written) = self.writing.take() {
             self.apply_written(written, revision);
         }
     }
 
-    /// A write was executed at a revision (`Fleet::written`, src/fleet.rs:2150).
+    /// Applies a write that was executed at a revision (`Fleet::written`, src/fleet.rs:2150).
     pub(super) fn apply_written(&mut self, written: Written, revision: u64) {
         match written {
             Written::Machines(number) => {
@@ -521,8 +540,9 @@
         job.chunks.insert(chunk, revision);
     }
 
-    /// The latest transaction was refused since these keys have changed: only the chunks of a job that
-    /// is over can have gone in the meantime.
+    /// Handles the refusal of the latest transaction of `next_write`; `failed` are the keys that have
+    /// changed. In the tests only done ranges of ended jobs can have been removed in the meantime, so no
+    /// other key is read back.
     pub fn refused(&mut self, failed: &[String]) {
         self.writing = None;
         failed.iter().for_each(|key| {
--- a/tests/common/production_api.rs
+++ b/tests/common/production_api.rs
@@ -1,5 +1,5 @@
-//! What a controller of the version in production answers users, leader or follower, by the records as they stand.
-//! Line numbers are of that version's sources.
+//! A model of the user interface of a controller of the version in production, leader or follower: its
+//! answers depend only on the stored records. Line numbers are those of that version's sources.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use super::production::{FinalRecord, JobRecord};
 use super::store::Store;
 
-/// How often a cancellation is tried within one request (src/api.rs:198).
+/// Maximum number of attempts to cancel a job within one request (src/api.rs:198).
 const CANCEL_ATTEMPTS: usize = 6;
 
-/// A job's description, with the fields without which it is not read (src/wire.rs:38).
+/// A job's description. A description that lacks a field without a default cannot be read (src/wire.rs:38).
 #[derive(Clone, Debug, Deserialize)]
 pub struct JobDescription {
     #[serde(rename = "nameId")]
@@ -45,7 +45,7 @@
     pub estimate_s: Option<f64>,
 }
 
-/// Forms of a job (src/wire.rs).
+/// The shape of a job (src/wire.rs).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
@@ -56,7 +56,7 @@
     Service,
 }
 
-/// Priorities (src/wire.rs).
+/// The priority of a job (src/wire.rs).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Rank {
@@ -66,14 +66,15 @@
     Critical,
 }
 
-/// A live job's record as that version reads it (`JobRecord`, src/jobs.rs); none if it cannot.
+/// Reads a live job's record as that version does (`JobRecord`, src/jobs.rs); `None` if that version cannot
+/// read it.
 pub fn read_job(value: &Value) -> Option<(JobRecord, JobDescription)> {
     let record: JobRecord = serde_json::from_value(value.clone()).ok()?;
     let description = serde_json::from_value(record.spec.clone()).ok()?;
     Some((record, description))
 }
 
-/// What is known of a job (`Known`, src/api.rs:44).
+/// The result of looking up a job (`Known`, src/api.rs:44).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Known {
     Live { tasks: u32, mod_revision: u64 },
@@ -81,32 +82,32 @@
     Never,
 }
 
-/// A record does not decode: the request is answered 503 (`StateError::Malformed`, src/api.rs:59).
+/// A record cannot be decoded, so the request gets status 503 (`StateError::Malformed`, src/api.rs:59).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// The answer to a cancellation.
+/// The response to a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CancelAnswer {
-    /// 200 `cancelled`, by its own transaction.
+    /// Status 200 with stage `cancelled`: this request's transaction was executed.
     Confirmed,
-    /// 503.
+    /// Status 503.
     Refused,
-    /// 404.
+    /// Status 404.
     Unknown,
-    /// 200 with the stage at which the job had ended before.
+    /// Status 200 with the stage in which the job had ended before.
     AlreadyOver(String),
 }
 
-/// A controller of that version, as far as users' requests go.
+/// A controller of that version, reduced to users' requests.
 #[derive(Default)]
 pub struct ProductionApi {
-    /// Final records that it has decoded, which it never reads again (`learn_final`, src/node.rs:499).
+    /// The decoded final records. The controller never reads them again (`learn_final`, src/node.rs:499).
     finals: BTreeMap<String, FinalRecord>,
 }
 
 impl ProductionApi {
-    /// Looks a job up: the live record first, the final one only without a live one (src/api.rs:50).
+    /// Looks up a job: the live record first, and the final one only if there is no live one (src/api.rs:50).
     pub fn look_up(&mut self, store: &Store, id: &str) -> Result<Known, Malformed> {
         if let Some(known) = self.finals.get(id) {
             return Ok(Known::Over(known.clone()));
@@ -118,7 +119,7 @@
         Ok(self.read_final(store, id)?.map_or(Known::Never, Known::Over))
     }
 
-    /// A final record, remembered for ever once it decodes (`read_final`, src/api.rs:64).
+    /// Reads a final record, which is cached permanently once it is decoded (`read_final`, src/api.rs:64).
     fn read_final(&mut self, store: &Store, id: &str) -> Result<Option<FinalRecord>, Malformed> {
         let Some(row) = store.row(&format!("final/{id}")) else { return Ok(None) };
         let record = read_final_record(&row.value).ok_or(Malformed)?;
@@ -126,7 +127,8 @@
         Ok(Some(record))
     }
 
-    /// The answer to a status request: by the names of the live records, not their values (`show`, src/api.rs:132).
+    /// Answers a status request. A job is live if its live record exists, even if the record cannot be
+    /// decoded (`show`, src/api.rs:132).
     pub fn status(&mut self, store: &Store, id: &str) -> Result<Known, Malformed> {
         if let Some(known) = self.finals.get(id) {
             return Ok(Known::Over(known.clone()));
@@ -138,7 +140,7 @@
         Ok(self.read_final(store, id)?.map_or(Known::Never, Known::Over))
     }
 
-    /// A user's cancellation (`withdraw`, src/api.rs:198).
+    /// Handles a user's cancellation (`withdraw`, src/api.rs:198).
     pub fn cancel(&mut self, store: &mut Store, id: &str) -> CancelAnswer {
         for _ in 0..CANCEL_ATTEMPTS {
             match self.look_up(store, id) {
@@ -159,8 +161,8 @@
 }
 
 impl Store {
-    /// What a controller of that version writes for a cancellation, by the job's live record as it stands; none: it
-    /// cannot read that.
+    /// The transaction with which a controller of that version cancels a job, by the job's stored live
+    /// record; `None` if that version cannot read the record.
     pub fn production_cancellation(&self, id: &str) -> Option<Txn> {
         let row = self.row(&format!("job/{id}"))?;
         let (_, JobDescription { tasks, .. }) = read_job(&row.value)?;
@@ -168,7 +170,7 @@
     }
 }
 
-/// The transaction of a cancellation (src/api.rs:215).
+/// Composes the transaction that cancels a job (src/api.rs:215).
 fn cancellation(id: &str, mod_revision: u64, over: &FinalRecord) -> Txn {
     let (live, ended) = (format!("job/{id}"), format!("final/{id}"));
     let guards =
@@ -176,7 +178,8 @@
     Txn { guards, then: vec![Change::drop(live), Change::put(ended, json!(over))] }
 }
 
-/// A final record as that version reads it: its stage is one that it knows (src/jobs.rs, `FinalRecord`).
+/// Reads a final record as that version does; `None` if its stage is unknown to that version (`FinalRecord`,
+/// src/jobs.rs).
 pub fn read_final_record(value: &Value) -> Option<FinalRecord> {
     let record: FinalRecord = serde_json::from_value(value.clone()).ok()?;
     ["queued", "running", "done", "cancelled"].contains(&record.stage.as_str()).then_some(record)
--- a/tests/common/production_leader.rs
+++ b/tests/common/production_leader.rs
@@ -1,6 +1,7 @@
-//! A leader of the version in production at work: what it reads, starts, halts, forgets, records and ends. How it takes
-//! records over is in `production`, what it writes in `production_writes`. It starts at once whatever passes the real
-//! one's checks, where that plans first. Line numbers are of its sources.
+//! A model of a leader of the version in production: how it reads records, has tasks started, halted and
+//! forgotten, records results and ends jobs. `production` models how it reads records after its election,
+//! `production_writes` how it writes. The real leader plans before it starts tasks; the model directly starts
+//! each task that passes the real leader's checks. Line numbers are those of that version's sources.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,25 +14,28 @@
 use super::production_api::{read_job, JobDescription};
 use super::types;
 
-/// Tasks that a start mark is written ahead (`start_some`, src/fleet.rs:1234).
+/// Number of tasks by which a start mark is written in advance (`start_some`, src/fleet.rs:1234).
 const MARK_AHEAD: u32 = 16;
-/// Bits of an attempt's number below the token (`next_attempt`, src/fleet.rs:1286).
+/// Number of low bits of an attempt number that count attempts; the fencing token is above them
+/// (`next_attempt`, src/fleet.rs:1286).
 const COUNTER_BITS: u32 = 24;
 
-/// Whose leader it is.
+/// The version of the modelled leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
     /// The version in production, and any before 0.3.
     BeforeLoans,
-    /// 0.3.0, as far as the form of the records goes: it reads both names of a description. It records what exits
-    /// of a held job, without copies; of other jobs with loans it does nothing here.
+    /// 0.3.0, modelled only as far as the form of the records matters: it reads the description under both
+    /// names. It records the results of a held job without copies. The model does nothing with other jobs that
+    /// have loans.
     WithoutCopies,
-    /// 0.3.1 and 0.3.2: the same names; of jobs with loans it does nothing here.
+    /// 0.3.1 and 0.3.2, which read the description under the same names. The model does nothing with jobs that
+    /// have loans.
     WithCopies,
 }
 
 impl Version {
-    /// A live job's record as the version reads it.
+    /// Reads a live job's record as this version of the leader does; `None` if it cannot read it.
     pub(super) fn read_job(self, value: &Value) -> Option<(JobRecord, JobDescription)> {
         let mut value = value.clone();
         if self != Version::BeforeLoans && value.get("spec_of_lent").is_some() {
@@ -41,12 +45,12 @@
     }
 }
 
-/// A job as it knows it.
+/// A live job as the leader knows it.
 pub(super) struct KnownJob {
     description: JobDescription,
-    /// Tasks below it may be started: written (`Job::high`, src/jobs.rs:277).
+    /// The stored start mark. Tasks below it may be started (`Job::high`, src/jobs.rs:277).
     pub(super) mark: u32,
-    /// The mark as it found it (`Job::inherited`).
+    /// The start mark that the leader found when it read the job (`Job::inherited`).
     inherited: u32,
 }
 
@@ -54,44 +58,47 @@
 pub(super) struct Entry {
     ended: Option<ExitReason>,
     is_halted: bool,
+    /// Whether the leader knows the task's job.
     is_known: bool,
 }
 
-/// A machine as it knows it (`Machine`, src/fleet.rs:53).
+/// A machine as the leader knows it (`Machine`, src/fleet.rs:53).
 pub(super) struct KnownMachine {
     machine_type: String,
     zone: String,
     spot: bool,
+    /// Whether the machine has sent a heartbeat with the leader's fencing token.
     is_heard: bool,
+    /// Whether the machine's record is stored.
     pub(super) is_enrolled: bool,
     tasks: BTreeMap<(String, u32, u64), Entry>,
 }
 
-/// The leader.
+/// The modelled leader.
 pub struct ProductionLeader<'a> {
     pub version: Version,
-    /// Jobs that it cannot read, and of which it touches nothing.
+    /// Jobs with loans that the model of 0.3 does not handle. While there are any, the leader does nothing.
     untouched: BTreeSet<String>,
     pub(super) world: &'a World,
     pub(super) owner: Owner,
     pub(super) jobs: BTreeMap<String, KnownJob>,
     pub(super) machines: BTreeMap<String, KnownMachine>,
-    /// Up to here it has seen all changes of jobs.
+    /// The revision up to which the leader has read all changes of jobs.
     read_to: u64,
     counter: u64,
-    /// Whether it still leads as far as it knows.
+    /// Whether the leader still leads, as far as it knows.
     pub leads: bool,
-    /// Transactions of its latest round that were refused.
+    /// The transactions of the latest round that were refused.
     pub refused: Vec<Txn>,
 }
 
 impl<'a> ProductionLeader<'a> {
-    /// Elected by its own transaction, with all records taken over (`rebuild`, src/cluster.rs:134).
+    /// Elects a leader of a version before 0.3, which has read all records (`rebuild`, src/cluster.rs:134).
     pub fn elected(world: &'a World) -> ProductionLeader<'a> {
         ProductionLeader::elected_as(world, Version::BeforeLoans)
     }
 
-    /// The same of one of the versions.
+    /// Like `elected`, but for a leader of the given version.
     pub fn elected_as(world: &'a World, version: Version) -> ProductionLeader<'a> {
         let (part, token) = world.elect_earlier_leader();
         let store = world.store();
@@ -144,23 +151,24 @@
         leader
     }
 
+    /// Adds a job that the owner has read.
     fn learn_description(&mut self, description: JobDescription) {
         let id = description.id.clone();
         let mark = self.owner.jobs[&id].mark;
         self.jobs.insert(id, KnownJob { description, mark, inherited: mark });
     }
 
-    /// Whether it knows the job.
+    /// Whether the leader knows the job.
     pub fn knows(&self, id: &str) -> bool {
         self.jobs.contains_key(id)
     }
 
-    /// The tasks of a job that it counts as done.
+    /// The tasks of a job that the leader counts as done.
     pub fn done(&self, id: &str) -> BTreeSet<u32> {
         self.owner.jobs.get(id).map(|job| job.done.clone()).unwrap_or_default()
     }
 
-    /// One round of all that it does: the machine's heartbeat, the watch of the jobs, its writes.
+    /// Runs one round: the machine's heartbeat, the watch of the jobs, and the writes.
     pub fn step(&mut self, machine: &mut Machine) {
         self.world.wait(super::lending_world::STEP);
         if !self.untouched.is_empty() {
@@ -171,12 +179,12 @@
         self.write_once();
     }
 
-    /// So many rounds.
+    /// Runs `count` rounds.
     pub fn steps(&mut self, machine: &mut Machine, count: usize) {
         (0..count).for_each(|_| self.step(machine));
     }
 
-    /// Takes in changes of jobs (`take_change`, src/node.rs:1336).
+    /// Applies changes of job records (`take_change`, src/node.rs:1336).
     pub fn watch(&mut self) {
         let store = self.world.store();
         let changes: Vec<_> = store.changes_since(self.read_to).to_vec();
@@ -191,8 +199,8 @@
         }
     }
 
-    /// A new or changed record. Of one that it knows it takes the version and the mark, not the description
-    /// (`job_put`, src/fleet.rs:532).
+    /// Applies a new or changed job record. Of a known job, the revision and the start mark are updated, but
+    /// not the description (`job_put`, src/fleet.rs:532).
     pub(super) fn learn_job(&mut self, value: &Value, revision: u64) {
         let Some((record, description)) = self.version.read_job(value) else { return };
         let Some(known) = self.owner.jobs.get_mut(&description.id) else {
@@ -208,7 +216,7 @@
         }
     }
 
-    /// A job's record is gone: its tasks are halted (`job_over`, src/fleet.rs:707).
+    /// Removes a job whose live record no longer exists, and halts its tasks (`job_over`, src/fleet.rs:707).
     pub(super) fn job_over(&mut self, id: &str) {
         self.owner.job_over(id);
         self.jobs.remove(id);
@@ -221,13 +229,15 @@
         }
     }
 
-    /// A heartbeat and its reply, if it gives one (`check_in`, src/fleet.rs:837).
+    /// Handles a machine's heartbeat and executes the commands of the reply; returns whether there is a reply
+    /// (`check_in`, src/fleet.rs:837).
     pub fn heartbeat(&mut self, machine: &mut Machine) -> bool {
         let message = machine.state.heartbeat();
         if message.fencing_token > self.owner.token {
             self.leads = false;
         }
-        // Nothing is started on a machine without a record.
+        // No leader starts tasks on a machine without a record, so such a machine with tasks belongs to
+        // another leader.
         let is_late = !self.machines.contains_key(&message.machine) && !message.tasks.is_empty();
         if !self.leads || is_late {
             return false;
@@ -239,6 +249,7 @@
         true
     }
 
+    /// Applies the machine's description and tasks from a heartbeat.
     fn take_heartbeat(&mut self, message: &Heartbeat) {
         let id = &message.machine;
         if !self.machines.contains_key(id) {
@@ -257,7 +268,7 @@
             let (job, number) = milletlock::jobs::split_task(task).expect("a task");
             (job.to_string(), number, attempt)
         };
-        // What is not listed is not there (`take_report`, src/fleet.rs:921).
+        // A task that the heartbeat does not list is not on the machine (`take_report`, src/fleet.rs:921).
         let listed: BTreeSet<_> = message.tasks.iter().map(|task| key(&task.task, task.attempt)).collect();
         machine.tasks.retain(|key, _| listed.contains(key));
         for task in &message.tasks {
@@ -266,7 +277,7 @@
             let entry =
                 machine.tasks.entry(key.clone()).or_insert(Entry { ended: None, is_halted: false, is_known });
             entry.is_known = is_known;
-            // The job is over, or was never known (`take_task`, src/fleet.rs:1049).
+            // The job has ended, or the leader has never known it (`take_task`, src/fleet.rs:1049).
             entry.is_halted |= !is_known;
             if task.stage == TaskStage::Exited && entry.ended.is_none() {
                 let reason = task.exit_reason.unwrap_or(ExitReason::Other);
@@ -278,7 +289,7 @@
         }
     }
 
-    /// What it answers a machine (`orders`, src/fleet.rs:1130).
+    /// Composes the commands for a machine (`orders`, src/fleet.rs:1130).
     fn commands(&mut self, id: &str) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         for ((job, number, attempt), entry) in &self.machines[id].tasks {
@@ -299,7 +310,8 @@
         commands
     }
 
-    /// Starts what may start of a job, and asks for a start mark for the rest (`start_some`, src/fleet.rs:1228).
+    /// Starts the tasks of a job that may start on the machine. If the start mark does not allow the next
+    /// one, raises the mark, to be written (`start_some`, src/fleet.rs:1228).
     fn start_some(&mut self, job: &str, id: &str) -> Vec<WorkerCommand> {
         let waiting: Vec<u32> =
             self.waiting(job).into_iter().filter(|task| self.may_start(job, *task, id)).collect();
@@ -324,7 +336,7 @@
         commands
     }
 
-    /// Tasks of a job that are neither done nor anywhere.
+    /// The tasks of a job that are neither done nor on a machine.
     fn waiting(&self, id: &str) -> Vec<u32> {
         let job = &self.owner.jobs[id];
         let is_live = |task: &u32| {
@@ -334,25 +346,26 @@
         (0..job.tasks).filter(|task| !job.done.contains(task) && !is_live(task)).collect()
     }
 
-    /// Whether a waiting task of a job may start on a machine, but for its start mark and the room there
-    /// (`may_start`, src/fleet.rs:1292).
+    /// Whether a waiting task of a job may start on a machine. The start mark and the machine's free CPUs are
+    /// not considered (`may_start`, src/fleet.rs:1292).
     pub fn may_start(&self, job: &str, number: u32, id: &str) -> bool {
         let (Some(known), Some(machine)) = (self.jobs.get(job), self.machines.get(id)) else { return false };
         let description = &known.description;
-        // A task of a job that is not known takes an unknown share (`unknown_use`, src/fleet.rs:157).
+        // A task of an unknown job uses an unknown part of the machine (`unknown_use`, src/fleet.rs:157).
         let has_unknown = machine.tasks.values().any(|entry| entry.ended.is_none() && !entry.is_known);
         let is_usable = machine.is_heard && machine.is_enrolled && !has_unknown;
-        // While some machine is silent, only what cannot be on it (`startable_blind`, src/fleet.rs:1331).
+        // A task that may already run on a machine that has not reported must not start (`startable_blind`,
+        // src/fleet.rs:1331).
         let is_visible = number >= known.inherited || !self.is_hidden(description);
         is_usable && is_visible && allows(description, machine)
     }
 
-    /// Whether started tasks of a job may be on a machine that is not heard (`hidden`, src/fleet.rs:812).
+    /// Whether started tasks of a job may be on a machine that has not reported (`hidden`, src/fleet.rs:812).
     fn is_hidden(&self, description: &JobDescription) -> bool {
         self.machines.values().any(|machine| !machine.is_heard && allows(description, machine))
     }
 
-    /// Whether a machine has room for one more task of a job.
+    /// Whether a machine has enough free CPUs for one more task of a job.
     fn has_room(&self, job: &str, id: &str) -> bool {
         let machine = &self.machines[id];
         let live = machine.tasks.iter().filter(|(_, entry)| entry.ended.is_none());
@@ -364,8 +377,8 @@
     }
 }
 
-/// Whether a job's description lets its tasks run on a machine (`allowed_types`, src/fleet.rs:2382, and the checks of
-/// zone and kind in `may_start`).
+/// Whether a job's description allows its tasks on a machine (`allowed_types`, src/fleet.rs:2382, and the
+/// checks of the zone and of spot instances in `may_start`).
 fn allows(description: &JobDescription, machine: &KnownMachine) -> bool {
     let fits =
         types().iter().any(|known| known.name == machine.machine_type && known.cpus >= description.cpus);
--- a/tests/common/production_writes.rs
+++ b/tests/common/production_writes.rs
@@ -1,16 +1,17 @@
-//! How a leader of the version in production writes: what shares a transaction, and what a refusal holds up. Line
-//! numbers are of that version's sources.
+//! A model of the writes of a leader of the version in production: which changes share a transaction, and
+//! which other writes a refused one delays. Line numbers are those of that version's sources.
 
 use milletlock::wire::{Change, Guard, Txn};
 
 use super::production::{PendingWrite, Written};
 use super::production_leader::ProductionLeader;
 
-/// Changes in a transaction, and transactions in a round (`batches`, src/cluster.rs:226).
+/// Maximum number of changes in a transaction, and of transactions in a round (`batches`,
+/// src/cluster.rs:226).
 const MAX_CHANGES: usize = 8;
 const MAX_BATCHES: usize = 4;
 
-/// A transaction and what it writes (`Batch`, src/cluster.rs:370).
+/// A transaction and the records that it writes (`Batch`, src/cluster.rs:370).
 struct Batch {
     is_urgent: bool,
     txn: Txn,
@@ -18,9 +19,9 @@
 }
 
 impl ProductionLeader<'_> {
-    /// Writes what waits, in transactions as that version composes them (`write_once`, src/node.rs:1104). Returns
-    /// whether all went through; what is refused is read back, and holds up what comes after it in its own
-    /// transaction only.
+    /// Sends the pending writes, in transactions as that version composes them (`write_once`,
+    /// src/node.rs:1104). Returns whether all were executed. The keys that a refused transaction names are
+    /// read back; a refusal delays only the writes in the same transaction.
     pub fn write_once(&mut self) -> bool {
         self.refused.clear();
         for batch in self.batches() {
@@ -40,8 +41,9 @@
         self.refused.is_empty()
     }
 
-    /// What somebody waits for never shares a transaction with what can wait, and else as much as fits goes into
-    /// one: a write that is refused holds up all that it shares it with (`batches`, src/cluster.rs:226).
+    /// Packs the pending writes into transactions, as many into each one as fit (`batches`,
+    /// src/cluster.rs:226). Urgent writes, for which users or workers wait, never share a transaction with
+    /// other writes: a refused write also delays the others of its transaction.
     fn batches(&self) -> Vec<Batch> {
         let mut batches: Vec<Batch> = Vec::new();
         for PendingWrite { written, guards, then } in self.owner.pending() {
@@ -72,7 +74,7 @@
         batches
     }
 
-    /// A write was executed (`written`, src/fleet.rs:2150).
+    /// Applies a write that was executed (`written`, src/fleet.rs:2150).
     fn written(&mut self, written: Written, revision: u64) {
         self.owner.apply_written(written.clone(), revision);
         match written {
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Learns how a key stands after a conflict (`learn`, src/cluster.rs:322): nothing of a final record.
+    /// Takes over the stored value of a key after a conflict (`learn`, src/cluster.rs:322). Final records are
+    /// ignored.
     fn read_back(&mut self, key: &str) {
         let row = self.world.store().row(key);
         if let Some(id) = key.strip_prefix("job/") {
