--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -27,6 +27,7 @@
 use super::worker::{Attempt, Task, WorkerState};
 use super::{platform_json, production, spec};
 
+/// The `cells` settings of the lender. The lender is named `here`, the borrower `there`.
 const CELLS: &str =
     "cells {\n name = \"here\"\n others = [{ name = \"there\", controllers = [\"127.0.0.1:1\"] }]\n \
                      lend = [\"any\"]\n borrow = [\"any\"]\n borrow_cpus = 20\n lend_after_s = 0\n}\n";
--- a/tests/common/production_leader.rs
+++ b/tests/common/production_leader.rs
@@ -26,11 +26,11 @@
     /// The version in production, and any before 0.3.
     BeforeLoans,
     /// 0.3.0, modelled only as far as the form of the records matters: it reads the description under both
-    /// names. It records the results of a held job without copies. The model does nothing with other jobs that
-    /// have loans.
+    /// names. It records the results of a held job without copies. The model does nothing with other jobs
+    /// that have loans.
     WithoutCopies,
-    /// 0.3.1 and 0.3.2, which read the description under the same names. The model does nothing with jobs that
-    /// have loans.
+    /// 0.3.1 and 0.3.2, which read the description under the same names. The model does nothing with jobs
+    /// that have loans.
     WithCopies,
 }
 
@@ -236,8 +236,8 @@
         if message.fencing_token > self.owner.token {
             self.leads = false;
         }
-        // No leader starts tasks on a machine without a record, so such a machine with tasks belongs to
-        // another leader.
+        // No leader starts tasks on a machine without a record, so an unknown machine with tasks must have
+        // been registered by another leader.
         let is_late = !self.machines.contains_key(&message.machine) && !message.tasks.is_empty();
         if !self.leads || is_late {
             return false;
--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -2,10 +2,11 @@
 //!
 //! The failure: a version before 0.3 that cannot read the record of a job with loans takes the job for an
 //! ended one. It removes the job's `done/<id>/<chunk>` rows and its entries in `marks/<slot>`, since a row in
-//! itself does not say that its job is live. The next leader of this version then finds a job without
-//! finished tasks and without a start mark: finished tasks run again, and a task that still runs on an
-//! unreachable machine is started or lent a second time. This version therefore keeps copies of the progress
-//! under keys that earlier versions do not read.
+//! itself does not say that its job is live (`Fleet::inherit_done` and `Fleet::inherit_marks`, src/fleet.rs
+//! of that version). The next leader of this version then finds a job without finished tasks and without a
+//! start mark: finished tasks run again, and a task that still runs on an unreachable machine is started or
+//! lent a second time. This version therefore keeps copies of the progress under keys that earlier versions
+//! do not read.
 
 mod common;
 
--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -39,8 +39,8 @@
     users: ProductionApi,
     random: StdRng,
     seed: u64,
-    /// Tasks that must not start again: their results were recorded, or a leader that must record results
-    /// before it has them forgotten had them forgotten.
+    /// Tasks that must not start again: their results were recorded, or were forgotten on the command of a
+    /// leader that first records results.
     finished: BTreeSet<u32>,
     /// How often each task had started by the previous `check`, by task number.
     started: BTreeMap<u32, usize>,
@@ -101,8 +101,8 @@
     fn elect(&mut self, version: Version) {
         if version == Version::BeforeLoans && self.is_hidden() {
             // A version before 0.3 removes the done ranges of a job whose record it cannot read. Such a
-            // record was written by 0.3.0 to 0.3.2, so this version had no chance to copy the done ranges.
-            // Only copied results remain.
+            // record was written by 0.3.0 to 0.3.2. Results that have no copy are lost, which no write of this
+            // version can prevent.
             let copied = self.world.copied_done();
             self.finished.retain(|task| copied.contains(task));
         }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -190,7 +190,7 @@
         .iter()
         .flat_map(|batch| &batch.writes)
         .all(|composed| composed.write == PendingWrite::RecentJobs));
-    // Other records are not loaded into the fleet, but read one at a time.
+    // Other records are not loaded into the fleet; they are read separately.
     let value_of = |key: &str| production_rows().into_iter().find(|row| row.key == key).expect("a row").value;
     let leader: LeaderRecord = serde_json::from_value(value_of("leader")).expect("a leader");
     assert_eq!(
--- a/tests/upgrade_failovers/main.rs
+++ b/tests/upgrade_failovers/main.rs
@@ -105,8 +105,8 @@
             let current = step > limits_fall_at || simulation.chance(0.5);
             simulation.fail_over(if current { Version::Current } else { Version::Production });
         } else if simulation.chance(0.5) {
-            let max_transactions = simulation.rng.random_range(1..5);
-            simulation.write_records(max_transactions);
+            let max_txns = simulation.rng.random_range(1..5);
+            simulation.write_records(max_txns);
         } else {
             simulation.next_event();
         }
--- a/tests/upgrade_failovers/simulation/writes.rs
+++ b/tests/upgrade_failovers/simulation/writes.rs
@@ -14,22 +14,20 @@
 const MAX_TRANSACTIONS_PER_ROUND: usize = 100;
 
 impl Simulation {
-    /// Submits up to `max_transactions` pending transactions of the leader; returns how many of them let the
+    /// Submits up to `max_txns` pending transactions of the leader; returns how many of them let the
     /// round continue.
-    pub fn write_records(&mut self, max_transactions: usize) -> usize {
+    pub fn write_records(&mut self, max_txns: usize) -> usize {
         self.now = self.now + Micros(4_000_000);
         let (now, wall) = (self.now, self.wall());
         match &mut self.leader {
-            SimulatedLeader::Production(_) => {
-                (0..max_transactions).take_while(|_| self.write_production()).count()
-            }
+            SimulatedLeader::Production(_) => (0..max_txns).take_while(|_| self.write_production()).count(),
             SimulatedLeader::Current(fleet) => {
                 let chunk = chunk_tasks(fleet.max_value_bytes());
                 let pending = fleet.pending_writes(now, Micros::ZERO, chunk);
                 let ops = fleet.max_txn_changes();
                 let batches =
                     leadership::compose_batches(fleet, self.shard_revision, pending, ops, now, wall);
-                batches.iter().take(max_transactions).take_while(|b| self.write_batch(b)).count()
+                batches.iter().take(max_txns).take_while(|b| self.write_batch(b)).count()
             }
         }
     }
