--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -101,7 +101,7 @@
     fn elect(&mut self, version: Version) {
         if version == Version::BeforeLoans && self.is_hidden() {
             // A version before 0.3 removes the done ranges of a job whose record it cannot read. Such a
-            // record was written by 0.3.0 to 0.3.2. Results that have no copy are lost, which no write of this
+            // record was written by 0.3.0 to 0.3.2. Results without a copy are lost, which no write of this
             // version can prevent.
             let copied = self.world.copied_done();
             self.finished.retain(|task| copied.contains(task));
