--- a/tests/clean_stop.rs
+++ b/tests/clean_stop.rs
@@ -59,7 +59,7 @@
     until("tasks are lent", has_loans);
     let running = || -> Vec<String> {
         let history = cells.history.lock().expect("the history");
-        let present = history.on_machine.keys().filter(|(cell, _)| *cell == 0);
+        let present = history.running.keys().filter(|(cell, _)| *cell == 0);
         present.map(|(_, attempt)| attempt.0.clone()).collect()
     };
     until("all machines are fully used", || running().len() == 8);
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -62,7 +62,7 @@
     }
 
     fn present(&self) -> usize {
-        self.cells.history.lock().expect("the history").on_machine.len()
+        self.cells.history.lock().expect("the history").running.len()
     }
 
     /// Ends all controllers, has something happen, and starts them again after a while.
@@ -160,7 +160,7 @@
 /// The workers' tasks with their machines.
 fn tasks_of(cells: &Cells) -> BTreeMap<String, Vec<String>> {
     let mut by_machine: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    for ((_, attempt), machine) in &cells.history.lock().expect("the history").on_machine {
+    for ((_, attempt), machine) in &cells.history.lock().expect("the history").running {
         by_machine.entry(machine.clone()).or_default().push(attempt.0.clone());
     }
     by_machine
@@ -206,7 +206,7 @@
     let mut blackout = Blackout::prepare(32, 40);
     blackout.run(LONG_OUTAGE, |cells| {
         assert!(LONG_OUTAGE.as_secs_f64() > LEASE_S);
-        until("all leases have run out", || cells.history.lock().expect("the history").on_machine.is_empty());
+        until("all leases have run out", || cells.history.lock().expect("the history").running.is_empty());
     });
     blackout.wait_until_full();
     let lost = blackout.workers * TASKS_PER_WORKER;
@@ -246,7 +246,7 @@
     assert!(commands.starts + commands.halts + commands.forgets <= 2 * differences, "{commands:?}");
     blackout.assert_told(ended, lost / TASKS_PER_WORKER);
     let history = blackout.cells.history.lock().expect("the history");
-    assert!(history.on_machine.keys().all(|(_, attempt)| !attempt.0.starts_with(&format!("{cancelled}/"))));
+    assert!(history.running.keys().all(|(_, attempt)| !attempt.0.starts_with(&format!("{cancelled}/"))));
     assert!(history.finished.values().all(|cells| cells.len() == 1), "no task finishes twice");
 }
 
--- a/tests/common/cells/history.rs
+++ b/tests/common/cells/history.rs
@@ -32,7 +32,7 @@
     /// The time when a heartbeat of a cell was first accepted by a leader, by cell and fencing token.
     pub first_accepted: BTreeMap<(usize, u64), Instant>,
     /// The id of the machine on which each attempt is running, by cell and attempt.
-    pub on_machine: BTreeMap<(usize, Attempt), String>,
+    pub running: BTreeMap<(usize, Attempt), String>,
     /// The ids of machines that were returned to the cloud or destroyed.
     pub removed_machines: BTreeSet<String>,
     /// Tasks that end at once instead of at the end of their run time.
@@ -49,7 +49,7 @@
     /// Removes a machine with all its tasks.
     pub fn remove_machine(&mut self, id: &str) {
         self.removed_machines.insert(id.to_string());
-        self.on_machine.retain(|_, machine| machine != id);
+        self.running.retain(|_, machine| machine != id);
     }
 
     /// Records that a task has exited with a result.
--- a/tests/common/cells/mod.rs
+++ b/tests/common/cells/mod.rs
@@ -248,7 +248,7 @@
     pub fn destroy_cell(&mut self, cell: usize) {
         (0..self.cells[cell].controllers.len()).for_each(|c| self.kill_controller(cell, c));
         let mut history = lock(&self.history);
-        let of_cell = history.on_machine.iter().filter(|(key, _)| key.0 == cell);
+        let of_cell = history.running.iter().filter(|(key, _)| key.0 == cell);
         let machines: BTreeSet<String> = of_cell.map(|(_, machine)| machine.clone()).collect();
         machines.iter().for_each(|machine| history.remove_machine(machine));
     }
--- a/tests/common/cells/worker.rs
+++ b/tests/common/cells/worker.rs
@@ -89,7 +89,7 @@
         let mut history = lock(&self.history);
         history.killed_by_lease += self.ends.len();
         for attempt in std::mem::take(&mut self.ends).into_keys() {
-            history.on_machine.remove(&(self.cell, attempt));
+            history.running.remove(&(self.cell, attempt));
         }
         true
     }
@@ -109,7 +109,7 @@
                 task.enter(TaskStage::Exited, Some(ExitReason::Done), now);
             }
             let mut history = lock(&self.history);
-            if history.on_machine.remove(&(self.cell, attempt.clone())).is_none() {
+            if history.running.remove(&(self.cell, attempt.clone())).is_none() {
                 continue;
             }
             history.record_exit(&attempt.0, self.cell);
@@ -131,7 +131,7 @@
                     let key = (task.clone(), *attempt);
                     self.state.halt(task, *attempt);
                     self.ends.remove(&key);
-                    lock(&self.history).on_machine.remove(&(self.cell, key));
+                    lock(&self.history).running.remove(&(self.cell, key));
                 }
                 WorkerCommand::Forget { task, attempt } => self.state.forget(task, *attempt),
             }
@@ -147,9 +147,9 @@
         self.state.tasks.insert(attempt.clone(), Task::new(TaskStage::Running, Micros::ZERO, now));
         self.ends.insert(attempt.clone(), Instant::now() + self.task_time);
         let mut history = lock(&self.history);
-        let is_running = history.on_machine.keys().any(|(_, other)| other.0 == attempt.0);
+        let is_running = history.running.keys().any(|(_, other)| other.0 == attempt.0);
         assert!(!is_running, "{} starts while another attempt of it runs", attempt.0);
         history.started_attempts.entry(attempt.0.clone()).or_default().insert((self.cell, attempt.1));
-        history.on_machine.insert((self.cell, attempt), self.state.id.clone());
+        history.running.insert((self.cell, attempt), self.state.id.clone());
     }
 }
--- a/tests/held_under_earlier_program.rs
+++ b/tests/held_under_earlier_program.rs
@@ -306,8 +306,7 @@
     hold_job(&cells, "free");
     let (last_token, marks) = (token(&cells), start_marks(&cells));
     let is_running_here = |(cell, _): &&(usize, (String, u64))| *cell == 0;
-    let running =
-        cells.history.lock().expect("the history").on_machine.keys().filter(is_running_here).count();
+    let running = cells.history.lock().expect("the history").running.keys().filter(is_running_here).count();
     println!("running when the leader ends: {running}");
     assert!(running > 0);
     for term in 0..2 {
--- a/tests/three_cells.rs
+++ b/tests/three_cells.rs
@@ -149,7 +149,7 @@
     });
     cells.destroy_cell(1);
     until("the other tasks are done, and the lent tasks wait", || {
-        let task_count = cells.history.lock().expect("the history").on_machine.len();
+        let task_count = cells.history.lock().expect("the history").running.len();
         task_count == 0 && lent(&cells) > 0
     });
     assert!((1..=ARRAYS).any(|number| cells.stage(0, &id(number)) != "done"));
@@ -201,7 +201,7 @@
     cells.set_partitioned(0, 1, false);
     until("the job is cancelled", || cancel() == (200, json!({ "nameId": id(1), "stage": "cancelled" })));
     let confirmed = Instant::now();
-    let task_count = || cells.history.lock().expect("the history").on_machine.len();
+    let task_count = || cells.history.lock().expect("the history").running.len();
     until("no machine has tasks of the job", || task_count() == 0);
     assert!(confirmed.elapsed() < Duration::from_secs(CANCEL_S));
     assert_eq!(cells.stage(0, &id(1)), "cancelled");
