--- a/tests/faulty_machines.rs
+++ b/tests/faulty_machines.rs
@@ -15,8 +15,8 @@
 fn ended(scenario: &mut Scenario, machine: &str, job: &str, count: usize, why: ExitReason) -> Heartbeat {
     scenario.sequence += 1;
     let mut left = count;
-    let running = scenario.tasks(machine);
-    let tasks: Vec<_> = running
+    let on_machine = scenario.tasks(machine);
+    let tasks: Vec<_> = on_machine
         .iter()
         .map(|(task, attempt)| {
             if left > 0 && task.starts_with(job) {
--- a/tests/safety/starts.rs
+++ b/tests/safety/starts.rs
@@ -244,10 +244,10 @@
     }
     assert_eq!(running.len(), TIGHT_LIMIT);
     let machine = running[0].0;
-    let running: Vec<&(String, u64)> =
+    let on_machine: Vec<&(String, u64)> =
         running.iter().filter(|(n, _)| *n == machine).map(|(_, t)| t).collect();
     let report = |sequence: u64, stage: TaskStage, reason: Option<ExitReason>| {
-        let listed: Vec<_> = running.iter().map(|(task, n)| (task.as_str(), *n, stage, reason)).collect();
+        let listed: Vec<_> = on_machine.iter().map(|(task, n)| (task.as_str(), *n, stage, reason)).collect();
         heartbeat(&id(machine), sequence, 7, &listed)
     };
     reply_commands(&mut fleet, 2.0, &report(3, TaskStage::Running, None));
@@ -256,7 +256,7 @@
     fleet.tick(at(3.0), wall(3.0));
     write_all(&mut fleet, 3.0);
     let again = starts(&reply_commands(&mut fleet, 3.1, &heartbeat(&id(machine), 5, 7, &[])));
-    assert_eq!(again.len(), running.len(), "as many tasks start as have ended");
+    assert_eq!(again.len(), on_machine.len(), "as many tasks start as have ended");
     let elsewhere = (machine + 1) % MACHINES;
     let beyond = starts(&reply_commands(&mut fleet, 3.2, &heartbeat(&id(elsewhere), 5, 7, &[])));
     assert!(beyond.is_empty(), "the quota is used up: {beyond:?}");
--- a/tests/withheld_writes.rs
+++ b/tests/withheld_writes.rs
@@ -35,10 +35,10 @@
     acknowledge(&mut scenario.fleet, scenario.now, &is_withheld);
     let mut highest = None;
     for id in scenario.machines.clone() {
-        let running = scenario.tasks(&id);
-        let numbers = running.iter().filter_map(|(task, _)| task.rsplit_once('/')?.1.parse::<u32>().ok());
+        let on_machine = scenario.tasks(&id);
+        let numbers = on_machine.iter().filter_map(|(task, _)| task.rsplit_once('/')?.1.parse::<u32>().ok());
         highest = highest.max(numbers.max());
-        let done: Vec<_> = running
+        let done: Vec<_> = on_machine
             .iter()
             .map(|(task, attempt)| (task.as_str(), *attempt, TaskStage::Exited, Some(ExitReason::Done)))
             .collect();
