--- a/tests/common/servers.rs
+++ b/tests/common/servers.rs
@@ -11,7 +11,7 @@
 
 /// Serves requests on a port of its own until the test ends; one without a reply has its
 /// connection closed.
-pub fn serve_some(f: impl Fn(Request) -> Option<Response> + Send + Sync + 'static) -> SocketAddr {
+pub fn serve_or_disconnect(f: impl Fn(Request) -> Option<Response> + Send + Sync + 'static) -> SocketAddr {
     let l = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = l.local_addr().expect("an address");
     let limits = ServerLimits {
@@ -31,7 +31,7 @@
 
 /// The same, with a reply to all.
 pub fn serve(f: impl Fn(Request) -> Response + Send + Sync + 'static) -> SocketAddr {
-    serve_some(move |r| Some(f(r)))
+    serve_or_disconnect(move |r| Some(f(r)))
 }
 
 /// A cloud with the usual types, no machines and no capacity.
