--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -160,7 +160,8 @@
     leader.submit_and_lend(&mut machine);
     machine.finish_all();
     let finished = machine.pending_results();
-    let none = Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
+    let none =
+        Task { exit_reason: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
     machine.state.tasks.insert((format!("{JOB}/{TASKS}"), 1), none);
     let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -127,7 +127,7 @@
 
     /// Numbers of the completed tasks that the worker still lists in its heartbeats.
     pub fn pending_results(&self) -> BTreeSet<u32> {
-        let done = self.state.tasks.iter().filter(|(_, task)| task.why == Some(ExitReason::Done));
+        let done = self.state.tasks.iter().filter(|(_, task)| task.exit_reason == Some(ExitReason::Done));
         done.map(|(attempt, _)| number_of(&attempt.0)).collect()
     }
 
@@ -157,7 +157,7 @@
             }
             WorkerCommand::Forget { task, attempt } => {
                 let key = (task.clone(), *attempt);
-                let is_done = |task: &Task| task.why == Some(ExitReason::Done);
+                let is_done = |task: &Task| task.exit_reason == Some(ExitReason::Done);
                 if self.state.tasks.get(&key).is_some_and(is_done) {
                     self.forgotten_results.insert(number_of(task));
                 }
--- a/tests/common/worker.rs
+++ b/tests/common/worker.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Task {
     pub stage: TaskStage,
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     /// How long it has still to run.
     pub left: Micros,
     /// When it entered its stage.
@@ -24,12 +24,12 @@
 impl Task {
     /// A task that has just arrived.
     pub fn new(stage: TaskStage, left: Micros, now: Steady) -> Task {
-        Task { stage, why: None, left, since: now }
+        Task { stage, exit_reason: None, left, since: now }
     }
 
     /// Enters another stage.
-    pub fn enter(&mut self, stage: TaskStage, why: Option<ExitReason>, now: Steady) {
-        (self.stage, self.why, self.since) = (stage, why, now);
+    pub fn enter(&mut self, stage: TaskStage, exit_reason: Option<ExitReason>, now: Steady) {
+        (self.stage, self.exit_reason, self.since) = (stage, exit_reason, now);
     }
 }
 
@@ -120,7 +120,7 @@
     pub fn halt(&mut self, task: &str, attempt: u64) -> bool {
         match self.tasks.get_mut(&(task.to_string(), attempt)) {
             Some(t) if t.stage != TaskStage::Exited => {
-                (t.stage, t.why) = (TaskStage::Exited, Some(ExitReason::Stopped));
+                (t.stage, t.exit_reason) = (TaskStage::Exited, Some(ExitReason::Stopped));
                 true
             }
             _ => false,
@@ -154,7 +154,7 @@
         task: attempt.0.clone(),
         attempt: attempt.1,
         stage: task.stage,
-        exit_reason: task.why,
+        exit_reason: task.exit_reason,
         saved: None,
     }
 }
--- a/tests/fault_combinations/late_messages.rs
+++ b/tests/fault_combinations/late_messages.rs
@@ -32,7 +32,7 @@
     let w = scenario.worker(&place);
     let key = w.state.placed().find(|k| k.0.starts_with(&b)).cloned().expect("its task");
     let t = w.state.tasks.get_mut(&key).expect("its task");
-    (t.stage, t.why) = (TaskStage::Exited, Some(ExitReason::Error));
+    (t.stage, t.exit_reason) = (TaskStage::Exited, Some(ExitReason::Error));
     scenario.run(8.0);
     assert_eq!((scenario.started(&b), scenario.placed(&b)), (2, 1));
     let late = |scenario: &mut Scenario| {
--- a/tests/progress_keeper.rs
+++ b/tests/progress_keeper.rs
@@ -93,8 +93,10 @@
     follower.receive_leader_announcement(NO_VERSION);
     for index in 0..HEARTBEATS {
         let mut other = Machine::new("i-000002");
-        let done =
-            || Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
+        let done = || Task {
+            exit_reason: Some(ExitReason::Done),
+            ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0))
+        };
         other.state.tasks =
             (0..RESULTS).map(|task| ((format!("wk-9000{index:02}/{task}"), 1), done())).collect();
         follower.heartbeat(&mut other);
@@ -118,8 +120,10 @@
     borrow_jobs(&world, JOBS);
     let mut machine = Machine::new("i-000001");
     for index in 0..JOBS {
-        let done =
-            Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
+        let done = Task {
+            exit_reason: Some(ExitReason::Done),
+            ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0))
+        };
         machine.state.tasks.insert((format!("{}/0", id(index)), 1), done);
     }
     let mut follower = follower_with_reported_results(&world, &mut machine);
