--- a/tests/common/worker.rs
+++ b/tests/common/worker.rs
@@ -16,15 +16,15 @@
     pub stage: TaskStage,
     pub exit_reason: Option<ExitReason>,
     /// How long it has still to run.
-    pub left: Micros,
+    pub remaining: Micros,
     /// When it entered its stage.
     pub since: Steady,
 }
 
 impl Task {
     /// A task that has just arrived.
-    pub fn new(stage: TaskStage, left: Micros, now: Steady) -> Task {
-        Task { stage, exit_reason: None, left, since: now }
+    pub fn new(stage: TaskStage, remaining: Micros, now: Steady) -> Task {
+        Task { stage, exit_reason: None, remaining, since: now }
     }
 
     /// Enters another stage.
--- a/tests/failover/simulation/tasks.rs
+++ b/tests/failover/simulation/tasks.rs
@@ -103,9 +103,9 @@
             }
             self.enter(worker_index, &attempt, TaskStage::Running, None);
         }
-        let left = task.left - STEP;
+        let left = task.remaining - STEP;
         if let Some(task) = self.workers[worker_index].state.tasks.get_mut(&attempt) {
-            task.left = left;
+            task.remaining = left;
         }
         if left.0 > 0 && !(gang && self.finished.contains(&attempt.0)) {
             return;
--- a/tests/fault_combinations/scenario/tasks.rs
+++ b/tests/fault_combinations/scenario/tasks.rs
@@ -78,8 +78,8 @@
     /// A running task goes on for a step; its end if its run time is over.
     fn advance(&mut self, w: usize, k: &Attempt, job: &JobSpec) -> Option<(TaskStage, Option<ExitReason>)> {
         let t = self.workers[w].state.tasks.get_mut(k).expect("this task");
-        t.left = t.left - Micros::from_secs(STEP);
-        if t.left > Micros::ZERO {
+        t.remaining = t.remaining - Micros::from_secs(STEP);
+        if t.remaining > Micros::ZERO {
             return None;
         }
         if job.shape == Shape::Gang {
