--- a/tests/fault_combinations/cancellations.rs
+++ b/tests/fault_combinations/cancellations.rs
@@ -39,25 +39,31 @@
                 assert!(scenario.cancel(&a));
                 let r = scenario.store.txn(&leader_batch.txn);
                 assert!(r.as_ref().is_err_and(|k| k.contains(&job_key(&a))), "{r:?}");
-                assert!(!scenario.learn_result(0, &leader_batch, Some(r)));
+                assert!(!scenario.apply_transaction_result(0, &leader_batch, Some(r)));
             }
             Race::LeaderFirst => {
                 let r = scenario.store.txn(&leader_batch.txn);
-                assert!(scenario.learn_result(0, &leader_batch, Some(r)));
+                assert!(scenario.apply_transaction_result(0, &leader_batch, Some(r)));
                 assert!(scenario.store.txn(&user_transaction).is_err());
             }
             Race::NoReplyThenUser => {
-                assert!(!scenario.learn_result(0, &leader_batch, None), "it is read back, and is live");
+                assert!(
+                    !scenario.apply_transaction_result(0, &leader_batch, None),
+                    "it is read back, and is live"
+                );
                 assert!(scenario.fleet().jobs.contains_key(a.as_str()));
                 assert!(scenario.cancel(&a));
                 assert!(scenario.store.txn(&leader_batch.txn).is_err());
                 let again = scenario.batches(0, chunk_tasks(4096)).remove(0);
                 let r = scenario.store.txn(&again.txn);
-                assert!(r.is_err() && !scenario.learn_result(0, &again, Some(r)));
+                assert!(r.is_err() && !scenario.apply_transaction_result(0, &again, Some(r)));
             }
             Race::NoReplyButWritten => {
                 assert!(scenario.store.txn(&leader_batch.txn).is_ok());
-                assert!(!scenario.learn_result(0, &leader_batch, None), "it is read back, and is gone");
+                assert!(
+                    !scenario.apply_transaction_result(0, &leader_batch, None),
+                    "it is read back, and is gone"
+                );
                 assert!(scenario.store.txn(&user_transaction).is_err());
             }
         }
--- a/tests/fault_combinations/scenario/leaders.rs
+++ b/tests/fault_combinations/scenario/leaders.rs
@@ -102,7 +102,7 @@
             } else {
                 Some(self.store.txn(&b.txn))
             };
-            if !self.learn_result(i, &b, applied) {
+            if !self.apply_transaction_result(i, &b, applied) {
                 break;
             }
         }
@@ -114,7 +114,7 @@
     }
 
     /// A leader learns how its transaction went (none: no reply), and reads back what it must.
-    pub fn learn_result(
+    pub fn apply_transaction_result(
         &mut self,
         leader: usize,
         b: &Batch,
