--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client: blocking calls with a deadline, over connections that are kept alive.
+//! The client: blocking calls with a timeout, over connections that are kept open for later calls.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,18 +8,19 @@
 use super::response_parser::{parse_response, ParseError, ParsedResponse};
 use crate::time::{steady, Micros, Steady};
 
-/// Largest response that is read, in bytes. It has to hold a watch of the state store, which has no
-/// limit of its own.
+/// Maximum size of a response, in bytes. The response to a watch of the state store has to fit; the state
+/// store itself does not limit its size.
 const MAX_RESPONSE: usize = 32 * 1024 * 1024;
-/// Age in seconds from which an idle connection is not used again: the server may be closing it.
+/// Idle time in seconds after which a connection is not used again, because the server may be closing it.
 const MAX_IDLE_S: f64 = 20.0;
-/// Shortest time-out given to the system, which takes zero for none at all.
+/// Minimum timeout of a socket operation. A timeout of zero is not usable: the operating system takes it as
+/// no timeout, and the standard library therefore refuses it.
 const MIN_SOCKET_TIMEOUT: Duration = Duration::from_millis(1);
-/// Bytes of a request's head, with room to spare.
+/// Memory that is reserved for a request's head, in bytes. The head is usually shorter.
 const HEAD_CAPACITY: usize = 128;
-/// Bytes that are set aside for a response at first.
+/// Memory that is reserved for a response at first, in bytes. It grows if the response is larger.
 const RESPONSE_CAPACITY: usize = 1024;
-/// Bytes that a single read takes at the most.
+/// Maximum number of bytes per read.
 const READ_CHUNK: usize = 8192;
 
 /// The response to a request.
@@ -27,29 +28,30 @@
 pub struct ClientResponse {
     /// Status code.
     pub status: u16,
-    /// Body; empty if there is none.
+    /// Body; empty if the response has none.
     pub body: Vec<u8>,
 }
 
-/// Why a request has no response.
+/// Why a call has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Nothing was sent: the connection could not be made.
+    /// The connection could not be established, so nothing was sent.
     #[error("cannot connect: {0}")]
     NotSent(String),
-    /// The request may have been executed, or may yet be.
-    #[error("no answer: {0}")]
+    /// The request was sent, at least in part, but there was no complete response. The server may have
+    /// executed the request, or may still execute it.
+    #[error("no response: {0}")]
     NoAnswer(String),
 }
 
-/// Why a request that was sent, at least in part, has no response.
+/// Why a request that was sent, at least in part, has no complete response.
 #[derive(Debug, thiserror::Error)]
 enum ExchangeError {
-    #[error("time-out")]
+    #[error("timed out before the response was complete")]
     TimedOut,
-    #[error("closed")]
+    #[error("connection closed before the response was complete")]
     Closed,
-    #[error("response too long")]
+    #[error("response exceeds 32 MiB")]
     ResponseTooLong,
     #[error(transparent)]
     Io(#[from] std::io::Error),
@@ -63,13 +65,13 @@
     }
 }
 
-/// An open connection that no request uses at present.
+/// An open connection that no call is using.
 struct IdleConnection {
     stream: TcpStream,
     since: Steady,
 }
 
-/// A client for one address that keeps a few connections open.
+/// A client for one server address. It keeps idle connections open for later calls.
 pub struct Client {
     addr: SocketAddr,
     idle: Mutex<Vec<IdleConnection>>,
@@ -77,17 +79,17 @@
 }
 
 impl Client {
-    /// A client that keeps up to `max_idle` idle connections.
+    /// Creates a client that keeps at most `max_idle` idle connections open.
     pub fn new(addr: SocketAddr, max_idle: usize) -> Client {
         Client { addr, idle: Mutex::new(Vec::new()), max_idle }
     }
 
-    /// Sends a request, with a JSON body if there is one, and waits for the response.
+    /// Sends a request, with a JSON body if `body` is given, and waits for the response.
     ///
     /// # Errors
     ///
-    /// [`CallError::NotSent`] if no connection could be made, [`CallError::NoAnswer`] if there was no
-    /// whole response before the time-out.
+    /// Returns [`CallError::NotSent`] if no connection could be established, and [`CallError::NoAnswer`] if
+    /// there was no complete response before the timeout.
     pub fn call(
         &self,
         method: &str,
@@ -99,8 +101,8 @@
         let request = self.encode_request(method, path, body);
         if let Some(stream) = self.take_idle() {
             match self.exchange(stream, &request, deadline) {
-                // The server may have closed the idle connection in the meantime. Only a read can be
-                // sent again without the risk that it is executed twice.
+                // The server may have closed the idle connection in the meantime. Only a GET request can be
+                // sent again, because it changes nothing if the server executes it twice.
                 Err(_) if method == "GET" && deadline > steady() => {}
                 result => return Ok(result?),
             }
@@ -111,7 +113,7 @@
 
     fn encode_request(&self, method: &str, path: &str, body: Option<&[u8]>) -> Vec<u8> {
         let mut request = Vec::with_capacity(HEAD_CAPACITY + body.map_or(0, <[u8]>::len));
-        // Writing to memory does not fail.
+        // Writing to a vector does not fail.
         let _ = write!(request, "{method} {path} HTTP/1.1\r\nHost: {}\r\n", self.addr);
         if let Some(body) = body {
             let length = body.len();
@@ -122,7 +124,8 @@
         request
     }
 
-    /// Takes the idle connection that was used last, unless it is too old.
+    /// Removes and returns the idle connection that was used last. Closes connections that have been idle for
+    /// too long, and returns `None` if there is no other.
     fn take_idle(&self) -> Option<TcpStream> {
         let mut idle = self.idle.lock().ok()?;
         while let Some(connection) = idle.pop() {
@@ -133,7 +136,7 @@
         None
     }
 
-    /// Keeps a connection for later requests, or closes it if enough are kept.
+    /// Keeps a connection open for later calls, or closes it if `max_idle` connections are already idle.
     fn keep_idle(&self, stream: TcpStream) {
         if let Ok(mut idle) = self.idle.lock() {
             if idle.len() < self.max_idle {
@@ -149,7 +152,8 @@
         Ok(stream)
     }
 
-    /// Sends a request over a connection and reads the response.
+    /// Sends a request over a connection and reads the response. Keeps the connection unless the server
+    /// closes it.
     fn exchange(
         &self,
         mut stream: TcpStream,
@@ -191,7 +195,7 @@
     }
 }
 
-/// The time that remains until a deadline, as a time-out for the system.
+/// Converts the time that remains until a deadline to the timeout of a socket operation.
 fn socket_timeout(remaining: Micros) -> Duration {
     remaining.to_duration().max(MIN_SOCKET_TIMEOUT)
 }
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! One open connection of the server, and the counters of open connections.
+//! An open connection of the server, and counters of open connections.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -14,38 +14,38 @@
 use super::{Request, Response};
 use crate::time::{steady, Micros, Steady};
 
-/// How long a connection that has sent a request before may stay idle.
+/// Maximum time between two requests on a connection. The connection is closed after it.
 const KEEP_ALIVE_TIMEOUT: Micros = Micros(90_000_000);
-/// How long a new connection may take until its first request.
+/// Maximum time until a new connection sends its first request.
 const FIRST_REQUEST_TIMEOUT: Micros = Micros(30_000_000);
-/// How long a request may take from its first byte to its last.
+/// Maximum time between the arrival of a request's first byte and of its last.
 const REQUEST_READ_TIMEOUT: Micros = Micros(10_000_000);
-/// Time-out of a single read. Reads are made only when data is ready, so this bounds the wait after
-/// a spurious readiness event.
+/// Timeout of a single read. The server reads only after a readiness event, so this timeout only bounds the
+/// wait after a spurious event.
 const SOCKET_READ_TIMEOUT: Duration = Duration::from_millis(20);
-/// Time-out of a single write.
+/// Timeout of a single write.
 const SOCKET_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes that a single read takes at the most.
+/// Maximum number of bytes per read.
 const READ_CHUNK: usize = 16 * 1024;
 
-/// Number of open connections of one kind.
+/// Number of open connections of one kind. Clones share the count.
 #[derive(Clone, Default)]
 pub(super) struct ConnectionCounter(Arc<AtomicUsize>);
 
 impl ConnectionCounter {
-    /// Counts one more connection until the guard is dropped.
+    /// Adds one connection to the count until the returned guard is dropped.
     pub(super) fn add(&self) -> ConnectionCountGuard {
         self.0.fetch_add(1, Ordering::Relaxed);
         ConnectionCountGuard(self.clone())
     }
 
-    /// The connections that are open now.
+    /// Returns the current number of open connections.
     pub(super) fn count(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Counts an open connection until it is dropped.
+/// Keeps one connection in a [`ConnectionCounter`]. Dropping the guard removes the connection from the count.
 pub(super) struct ConnectionCountGuard(ConnectionCounter);
 
 impl Drop for ConnectionCountGuard {
@@ -54,29 +54,30 @@
     }
 }
 
-/// An open connection with the bytes that were read and not yet used.
+/// An open connection, with the received bytes that do not belong to a parsed request yet.
 pub(super) struct Connection {
     stream: TcpStream,
-    /// Its name in the poll loop.
+    /// Identifies the connection in the poll loop.
     token: Token,
-    /// Whether the poll loop knows the socket already.
+    /// Whether the socket has been registered with the poll loop.
     registered: bool,
-    /// Guard of the count of background connections, if it is one of them.
+    /// Keeps the connection in the count of background connections. `None` if the connection carries no
+    /// background requests.
     pub(super) background_guard: Option<ConnectionCountGuard>,
     buffer: Vec<u8>,
     idle_since: Steady,
-    /// When the first bytes of the request that is being read came.
+    /// When a read first left a request incomplete. Cleared when the response to this request has been sent.
     request_started: Option<Steady>,
-    /// Close after the response.
+    /// Whether to close the connection after the next response.
     close: bool,
-    /// `100 Continue` was sent for the request that is being read.
+    /// Whether `100 Continue` was sent for the request that is being read.
     continue_sent: bool,
     has_sent_request: bool,
     _open_guard: ConnectionCountGuard,
 }
 
 impl Connection {
-    /// Prepares an accepted socket.
+    /// Creates a connection from an accepted socket and sets the socket's options.
     pub(super) fn new(
         stream: TcpStream,
         token: Token,
@@ -100,16 +101,16 @@
         })
     }
 
-    /// Its name in the poll loop.
+    /// Returns the token that identifies the connection in the poll loop.
     pub(super) fn token(&self) -> Token {
         self.token
     }
 
-    /// Has the poll loop report when data can be read.
+    /// Registers the socket with the poll loop, which then reports when data can be read.
     pub(super) fn register(&mut self, registry: &Registry) -> std::io::Result<()> {
         let descriptor = self.stream.as_raw_fd();
         let was_registered = std::mem::replace(&mut self.registered, true);
-        // Events are edge-triggered; registering again reports data that came in the meantime.
+        // Events are edge-triggered. Registering again reports data that has arrived since the last event.
         if was_registered {
             registry.reregister(&mut SourceFd(&descriptor), self.token, Interest::READABLE)
         } else {
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Reads what has arrived, unless bytes of a next request are in the buffer already. False if
-    /// the peer has closed the connection or it has failed.
+    /// Reads the data that has arrived, unless the buffer already contains bytes of the next request.
+    /// Returns false if the peer has closed the connection or the connection has failed.
     pub(super) fn fill_buffer(&mut self) -> bool {
         let has_next_request = self.has_buffered_data() && self.request_started.is_none();
         has_next_request || self.read_available()
@@ -140,12 +141,12 @@
         }
     }
 
-    /// Whether bytes were read that no request has used yet.
+    /// Returns whether the buffer contains bytes that do not belong to a parsed request yet.
     pub(super) fn has_buffered_data(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Takes the next request out of the buffer; `None` if it is not complete yet.
+    /// Removes the next request from the buffer and returns it, or `None` if it is not complete yet.
     pub(super) fn take_request(&mut self) -> Result<Option<Request>, RequestError> {
         let request = self.parse_request()?;
         if request.is_some() {
@@ -162,7 +163,7 @@
         if self.buffer.len() < total_length {
             if head.expects_continue && !self.continue_sent {
                 self.continue_sent = true;
-                // If this fails the next read shows that the peer is gone.
+                // A failed write is ignored: the next read detects that the connection is closed.
                 let _ = self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
             }
             return Ok(None);
@@ -174,7 +175,7 @@
         Ok(Some(Request { method: head.method, path: head.path, body }))
     }
 
-    /// Sends the response to a request. False if the connection is to be closed.
+    /// Sends the response to a request. Returns false if the caller has to close the connection.
     pub(super) fn respond(&mut self, response: &Response) -> bool {
         let sent = self.stream.write_all(&response.encode(self.close)).is_ok();
         if !sent || self.close {
@@ -182,7 +183,7 @@
         }
         self.request_started = None;
         if !self.has_buffered_data() {
-            // Gives back what a large request took: most connections are idle most of the time.
+            // Frees the memory of a large request, because most connections are idle most of the time.
             self.buffer = Vec::new();
         }
         true
@@ -190,16 +191,16 @@
 
     /// Sends a last response and closes the connection.
     pub(super) fn respond_and_close(mut self, response: &Response) {
-        // The connection is closed whether or not the peer could be told why.
+        // A failed write is ignored: the connection is closed in any case.
         let _ = self.stream.write_all(&response.encode(true));
     }
 
-    /// Restarts the idle time-out.
+    /// Restarts the idle timeout.
     pub(super) fn mark_idle(&mut self) {
         self.idle_since = steady();
     }
 
-    /// Whether it has been idle for too long, or its request takes too long to arrive.
+    /// Returns whether the connection has been idle for too long, or its request takes too long to arrive.
     pub(super) fn has_timed_out(&self, now: Steady) -> bool {
         match self.request_started {
             Some(started) => now - started >= REQUEST_READ_TIMEOUT,
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -1,20 +1,20 @@
-//! Requests and responses as handlers see them, and how a response is encoded.
+//! The server's requests and responses, and the encoding of a response.
 
 use std::io::Write;
 
 use super::status;
 
-/// Bytes of a response's status line and headers, with room to spare.
+/// Memory that is reserved for a response's status line and headers, in bytes. They are usually shorter.
 const HEAD_CAPACITY: usize = 160;
 
-/// A request as a handler sees it.
+/// A request, as it is passed to the handler.
 #[derive(Debug)]
 pub struct Request {
-    /// Method, in upper case as sent.
+    /// Method, as the client sent it; usually in upper case.
     pub method: String,
     /// Path with its query string.
     pub path: String,
-    /// Body; empty if there is none.
+    /// Body; empty if the request has none.
     pub body: Vec<u8>,
 }
 
@@ -23,34 +23,35 @@
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// Body, as JSON.
+    /// Body, encoded as JSON.
     pub body: Vec<u8>,
-    /// Seconds for the `Retry-After` header; `None` leaves the header out.
+    /// Value of the `Retry-After` header in seconds. With `None`, the header is left out.
     pub retry_after: Option<u32>,
 }
 
 impl Response {
-    /// A response with a JSON body.
+    /// Creates a response with a JSON body, which is `{}` if the value cannot be encoded.
     pub fn json<T: serde::Serialize>(status: u16, body: &T) -> Response {
         let body = serde_json::to_vec(body).unwrap_or_else(|_| b"{}".to_vec());
         Response { status, body, retry_after: None }
     }
 
-    /// An error response, `{"error": reason}`, with the reason on one line.
+    /// Creates an error response with the body `{"error": reason}`. Line breaks in the reason become spaces.
     pub fn error(status: u16, reason: &str) -> Response {
         Response::json(status, &serde_json::json!({ "error": reason.replace('\n', " ") }))
     }
 
-    /// The same response with a `Retry-After` header of so many seconds.
+    /// Adds a `Retry-After` header with this number of seconds.
     pub fn with_retry_after(mut self, seconds: u32) -> Response {
         self.retry_after = Some(seconds);
         self
     }
 
-    /// The response as it goes over the wire; with `Connection: close` if the server closes next.
+    /// Encodes the response as it is sent. With `close`, it has the header `Connection: close`, because the
+    /// server closes the connection next.
     pub(super) fn encode(&self, close: bool) -> Vec<u8> {
         let mut out = Vec::with_capacity(HEAD_CAPACITY + self.body.len());
-        // Writing to memory does not fail.
+        // Writing to a vector does not fail.
         let _ = write!(
             out,
             "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 over blocking sockets: a server with a bounded thread pool and a client that keeps its
-//! connections alive. Heads are parsed by `httparse`.
+//! HTTP/1.1 over blocking sockets: a server with a bounded thread pool, and a client that keeps its
+//! connections open for later requests. The `httparse` crate parses the heads of requests and responses.
 
 mod client;
 mod connection;
@@ -21,18 +21,18 @@
 pub use service::{RequestClass, ServerLimits, Service};
 pub use thread_pool::{Reply, READER_THREADS};
 
-/// Largest request body that the server accepts, in bytes.
+/// Maximum size of a request body that the server accepts, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
-/// Most headers in a request or a response.
+/// Maximum number of headers in a request or a response.
 const MAX_HEADERS: usize = 48;
 
-/// A header's value as text without surrounding blanks; empty if it is not UTF-8.
+/// Returns a header's value without surrounding whitespace, or an empty string if it is not valid UTF-8.
 fn header_text<'a>(header: &httparse::Header<'a>) -> &'a str {
     std::str::from_utf8(header.value).unwrap_or("").trim()
 }
 
-/// Locks a mutex even if a thread panicked while it held it: a panic in a handler must not end the
-/// other threads.
+/// Locks a mutex, even if a thread has panicked while it had the lock. A panic in a request handler must
+/// not make the server's other threads panic as well.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
--- a/src/http/request_parser.rs
+++ b/src/http/request_parser.rs
@@ -2,23 +2,23 @@
 
 use super::{header_text, status, Response, MAX_BODY, MAX_HEADERS};
 
-/// Largest request head, in bytes.
+/// Maximum size of a request head, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
 
-/// Why a request is refused before a handler sees it.
+/// Why the server refuses a request without calling the handler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
-    #[error("request head too long")]
+    #[error("request head exceeds 16 KiB")]
     HeadTooLong,
-    #[error("too many headers")]
+    #[error("request has more than 48 headers")]
     TooManyHeaders,
-    #[error("not HTTP")]
+    #[error("request head is not valid HTTP/1.1")]
     NotHttp,
-    #[error("bad Content-Length")]
+    #[error("Content-Length is not a valid number of bytes")]
     BadContentLength,
-    #[error("Transfer-Encoding is not taken")]
+    #[error("Transfer-Encoding is not supported, send Content-Length instead")]
     TransferEncoding,
-    #[error("body over 64 KiB")]
+    #[error("request body exceeds 64 KiB")]
     BodyTooLarge,
 }
 
@@ -34,29 +34,29 @@
         }
     }
 
-    /// What the client is told.
+    /// Returns the error response for the client.
     pub(super) fn response(self) -> Response {
         Response::error(self.status(), &self.to_string())
     }
 }
 
-/// A request's head: its request line and the headers that the server acts on.
+/// The head of a request: the request line and the headers that the server uses.
 #[derive(Debug)]
 pub(super) struct RequestHead {
     pub method: String,
     pub path: String,
-    /// Bytes of the head itself, up to the first byte of the body.
+    /// Length of the head in bytes, including the empty line before the body.
     pub head_length: usize,
-    /// `Content-Length`, in bytes.
+    /// Length of the body in bytes, from `Content-Length`; 0 without this header.
     pub body_length: usize,
-    /// The client wants the connection closed after the response.
+    /// Whether the client asks to close the connection after the response.
     pub close: bool,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
 impl RequestHead {
-    /// Parses the head at the start of a buffer; `None` if it is not complete yet.
+    /// Parses the head at the start of a buffer. Returns `None` if the head is not complete yet.
     pub(super) fn parse(buffer: &[u8]) -> Result<Option<RequestHead>, RequestError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
@@ -74,14 +74,14 @@
             path: parsed.path.unwrap_or("").to_string(),
             head_length,
             body_length: 0,
-            // HTTP/1.0 has no persistent connections.
+            // Version 0 is HTTP/1.0, whose connections are not persistent.
             close: parsed.version == Some(0),
             expects_continue: false,
         };
         for header in parsed.headers.iter() {
             head.apply_header(header)?;
         }
-        // Refused before the body is read: an oversized one never takes memory.
+        // Checked before the body is read, so that a body above the limit uses no memory.
         if head.body_length > MAX_BODY {
             return Err(RequestError::BodyTooLarge);
         }
--- a/src/http/response_parser.rs
+++ b/src/http/response_parser.rs
@@ -1,30 +1,30 @@
-//! Parsing of responses, with a length or in chunks.
+//! Parsing of responses whose body has a `Content-Length` or is chunked.
 
 use super::{header_text, ClientResponse, MAX_HEADERS};
 
-/// Bytes of the line break after each chunk.
+/// Length of the line break after each chunk, in bytes.
 const CHUNK_END: usize = 2;
 
-/// Why a response cannot be read.
+/// Why a response cannot be parsed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ParseError {
     #[error(transparent)]
     Head(#[from] httparse::Error),
-    #[error("bad Content-Length")]
+    #[error("Content-Length of the response is not a valid number of bytes")]
     ContentLength,
-    #[error("bad chunk")]
+    #[error("chunked body of the response has an invalid chunk size")]
     Chunk,
 }
 
-/// A response, and what becomes of its connection.
+/// A response, and whether its connection can be used again.
 #[derive(Debug)]
 pub(super) struct ParsedResponse {
     pub response: ClientResponse,
-    /// The server closes the connection after this response.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
 }
 
-/// The headers that tell where a response ends, and whether the connection stays open.
+/// The values of the headers that determine where a response ends and whether the connection stays open.
 #[derive(Default)]
 struct Framing {
     content_length: usize,
@@ -32,7 +32,7 @@
     close: bool,
 }
 
-/// Parses the response at the start of a buffer; `None` if it is not complete yet.
+/// Parses the response at the start of a buffer. Returns `None` if the response is not complete yet.
 pub(super) fn parse_response(buffer: &[u8]) -> Result<Option<ParsedResponse>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
@@ -67,7 +67,7 @@
     Ok(framing)
 }
 
-/// Decodes a chunked body; `None` if its last chunk is not there yet.
+/// Decodes a chunked body. Returns `None` if its last chunk has not arrived yet.
 fn decode_chunks(mut rest: &[u8]) -> Result<Option<Vec<u8>>, ParseError> {
     let mut body = Vec::new();
     loop {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,10 +1,11 @@
-//! The server's poll loop. One thread waits until any of the open connections has data; a bounded
-//! pool of others reads it and handles the requests. So an idle connection costs a socket and no
-//! thread: one controller may have to serve every worker, and the platform bounds a process's
-//! threads well below that.
+//! The server's poll loop. One thread waits until any open connection has data to read. A bounded pool of
+//! other threads reads the data and handles the requests. An idle connection therefore needs a socket but
+//! no thread. This matters because one controller may have to serve every worker, and the platform limits
+//! the number of threads of a process to far fewer than there are workers.
 //!
-//! Requests are divided into classes with connections and threads of their own, so that a storm of
-//! workers after a network partition neither fails health checks nor shuts users out.
+//! Requests are divided into classes, each with its own limits on connections and threads. When many
+//! workers reconnect at once after a network partition, health checks still succeed and users' requests
+//! are still served.
 
 use std::io::ErrorKind;
 use std::net::TcpListener;
@@ -21,22 +22,24 @@
 use super::thread_pool::ThreadPool;
 use crate::time::{steady, Micros};
 
-/// The listener's name in the poll loop; connections have the numbers above it.
+/// Token of the listening socket in the poll loop. Connections have the tokens above it.
 const LISTENER: Token = Token(0);
-/// Readiness events taken at once.
+/// Maximum number of readiness events that one poll returns.
 const EVENT_CAPACITY: usize = 256;
-/// Longest wait for events, so that `stop` and time-outs are noticed.
+/// Maximum duration of one poll. It bounds the delay until `stop` and connection timeouts are noticed.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The same while connections could not be accepted for want of sockets.
+/// Maximum duration of one poll after accepting a connection has failed, most likely because the process
+/// has no sockets left. Accepting is tried again after each poll.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// How often connections are checked for time-outs.
+/// Minimum interval between two checks for connections that have timed out.
 const TIMEOUT_CHECK_INTERVAL: Micros = Micros::from_millis(5000);
 
 /// Serves connections until `stop` is set.
 ///
 /// # Errors
 ///
-/// If the listener cannot be polled; single connections that fail are closed.
+/// Returns an error if the listening socket cannot be polled. A failure of a single connection only closes
+/// that connection.
 pub fn serve(
     listener: TcpListener,
     limits: ServerLimits,
@@ -73,13 +76,14 @@
     Ok(())
 }
 
-/// Accepts connections and hands them to the pool.
+/// Accepts connections and passes them to the thread pool.
 struct Acceptor {
     listener: TcpListener,
     max_connections: usize,
     open_connections: ConnectionCounter,
     last_token: Token,
-    /// The last accept failed, most likely for want of sockets: to be tried again soon.
+    /// Whether the last accept failed, most likely because the process has no sockets left. It is tried
+    /// again after [`ACCEPT_RETRY_INTERVAL`].
     out_of_sockets: bool,
     pool: Arc<ThreadPool>,
 }
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Accepts all connections that wait; those above the limit are closed.
+    /// Accepts all pending connections. Connections above the limit are closed at once.
     fn accept_all(&mut self) {
         loop {
             let stream = match self.listener.accept() {
--- a/src/http/service.rs
+++ b/src/http/service.rs
@@ -1,37 +1,39 @@
-//! What the server serves: the handler, the classes of requests and the limits of each.
+//! What the caller of the server provides: the request handler, the classification of requests and
+//! the limits.
 
 use std::sync::Arc;
 
 use super::{Reply, Request};
 
-/// The class of a request: which connections and threads it may use.
+/// The class of a request, which determines the connections and threads that the request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestClass {
-    /// Health checks: handled at once by the thread that reads them.
+    /// A health check. The thread that reads it also handles it, without queueing.
     HealthCheck,
-    /// Users' requests: refused with `Retry-After` when too many wait.
+    /// A user's request. It is refused with `Retry-After` if too many interactive requests are queued.
     Interactive,
-    /// Workers' heartbeats: many, queued without being refused, and sent again by the worker.
+    /// A worker's heartbeat. There are many of them; they are queued without a limit on the queue's length.
+    /// The worker sends a heartbeat again if it gets no response.
     Background,
 }
 
-/// How many connections may be open, and how many requests be handled, at once.
+/// Limits on the number of open connections and on the number of requests handled at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Most connections in all; those above are closed as they come.
+    /// Maximum number of open connections. Further connections are closed as soon as they are accepted.
     pub connections: usize,
-    /// Most of these connections that carry background requests.
+    /// Maximum number of these connections that may carry background requests.
     pub background_connections: usize,
-    /// Threads that handle interactive requests.
+    /// Maximum number of threads that handle interactive requests at the same time.
     pub interactive_threads: usize,
-    /// Threads that handle background requests.
+    /// Maximum number of threads that handle background requests at the same time.
     pub background_threads: usize,
 }
 
-/// What the server calls for each request.
+/// The functions that the server calls for each request.
 #[derive(Clone)]
 pub struct Service {
-    /// Tells the class of a request.
+    /// Returns the class of a request.
     pub classify: fn(&Request) -> RequestClass,
     /// Handles a request. The reply may be sent later and from another thread.
     pub handler: Arc<dyn Fn(Request, Reply) + Send + Sync>,
--- a/src/http/status.rs
+++ b/src/http/status.rs
@@ -2,30 +2,30 @@
 
 /// Success.
 pub const OK: u16 = 200;
-/// Success: something was created.
+/// Success: the request created a resource.
 pub const CREATED: u16 = 201;
-/// The body cannot be decoded, or holds what is not allowed.
+/// The body cannot be decoded, or contains a value that is not allowed.
 pub const BAD_REQUEST: u16 = 400;
-/// The path names nothing that is known.
+/// There is no resource at this path.
 pub const NOT_FOUND: u16 = 404;
-/// The path takes another method.
+/// The resource at this path does not support the request's method.
 pub const METHOD_NOT_ALLOWED: u16 = 405;
-/// The request does not fit the present state: a guard of a transaction does not hold, or a command
-/// is for another agent epoch.
+/// The request conflicts with the current state: a guard of a transaction does not match, or a command is
+/// for another agent epoch.
 pub const CONFLICT: u16 = 409;
-/// No longer there: the state store has compacted the revision away.
+/// The state store no longer has the requested revision, because it has compacted its history.
 pub const GONE: u16 = 410;
 /// The body is too large.
 pub const CONTENT_TOO_LARGE: u16 = 413;
-/// The request belongs to another controller: the leader.
+/// Only the leader can handle the request, and this controller is not the leader.
 pub const MISDIRECTED_REQUEST: u16 = 421;
-/// The body can be decoded, but what it describes can never be done.
+/// The body can be decoded, but its content can never be carried out, such as a job that no machine can run.
 pub const UNPROCESSABLE_CONTENT: u16 = 422;
-/// Over a rate limit.
+/// The client has exceeded a rate limit.
 pub const TOO_MANY_REQUESTS: u16 = 429;
 /// The headers are too long or too many.
 pub const REQUEST_HEADER_FIELDS_TOO_LARGE: u16 = 431;
-/// The request uses a part of HTTP that is not served.
+/// The request uses a feature of HTTP that the server does not support.
 pub const NOT_IMPLEMENTED: u16 = 501;
-/// Not now, or not here: the request is to be sent again.
+/// The server cannot handle the request now. The client should send it again later or to another controller.
 pub const SERVICE_UNAVAILABLE: u16 = 503;
--- a/src/http/thread_pool.rs
+++ b/src/http/thread_pool.rs
@@ -1,5 +1,5 @@
-//! The server's threads: they read the connections that have data and handle the requests, by
-//! blocking calls with a deadline. Threads are started on demand up to a bound.
+//! The server's threads. They read from the connections that have data and handle the requests, with
+//! blocking calls that have a timeout. Threads are started on demand, up to a limit.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -14,28 +14,29 @@
 use super::{lock, status, Request, Response};
 use crate::time::{steady, Micros};
 
-/// Threads beside those of the request classes: they read requests and answer health checks
-/// whatever the others are busy with.
+/// Number of threads in addition to the threads of the request classes. With them, requests are read and
+/// health checks are handled even if all threads of the request classes are busy.
 pub const READER_THREADS: usize = 4;
-/// Requests that waited longer than this for a thread are dropped: the client has given up.
+/// Maximum time that a request waits for a thread. After that it is dropped, as its client has given up.
 const QUEUE_TIMEOUT: Micros = Micros(4_000_000);
-/// Threads that stay although there is nothing to do.
+/// Number of threads that are kept even if they have no work.
 const MIN_THREADS: usize = 4;
-/// A thread above `MIN_THREADS` ends after so long without work.
+/// If there are more than [`MIN_THREADS`] threads, a thread ends after this time without work.
 const IDLE_THREAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Stack of a thread, in bytes.
+/// Stack size of a thread, in bytes.
 const THREAD_STACK: usize = 256 * 1024;
-/// `Retry-After` of a request that is refused because too many wait, in seconds.
+/// `Retry-After` of a request that is refused because too many requests are queued, in seconds.
 const OVERLOAD_RETRY_AFTER_S: u32 = 1;
 
-/// Answers one request, from any thread. Dropped without a response it closes the connection.
+/// Sends the response to one request, from any thread. Dropping it without a response closes the connection.
 pub struct Reply {
     connection: Connection,
     pool: Arc<ThreadPool>,
 }
 
 impl Reply {
-    /// Sends the response. The connection then waits for its next request.
+    /// Sends the response. Afterwards the connection waits for its next request, or is closed if the client
+    /// asked for that or the response could not be sent.
     pub fn send(self, response: &Response) {
         let Reply { mut connection, pool } = self;
         if !connection.respond(response) {
@@ -49,7 +50,7 @@
     }
 }
 
-/// The server's threads and what they share.
+/// The server's threads and the state that they share.
 pub(super) struct ThreadPool {
     limits: ServerLimits,
     service: Service,
@@ -61,7 +62,7 @@
 }
 
 impl ThreadPool {
-    /// A pool without threads. Connections wait in the poll loop of the registry.
+    /// Creates a pool without threads. Waiting connections are registered with `registry`.
     pub(super) fn new(
         limits: ServerLimits,
         service: Service,
@@ -79,19 +80,20 @@
         }
     }
 
-    /// Has a thread read a connection that has data.
+    /// Queues a connection that has data, to be read by one of the threads.
     pub(super) fn push_readable(self: &Arc<Self>, connection: Connection) {
         let mut queue = lock(&self.queue);
         queue.push_readable(connection);
         self.wake_thread(queue);
     }
 
-    /// Wakes all idle threads, so that they notice that the server stops.
+    /// Wakes all idle threads, so that they notice that the server is stopping.
     pub(super) fn wake_all(&self) {
         self.work_available.notify_all();
     }
 
-    /// Has a thread look at the readable connections: a new one if the others are too few.
+    /// Makes sure that a thread reads the readable connections. Starts another thread if there are too few,
+    /// and otherwise wakes an idle one.
     fn wake_thread(self: &Arc<Self>, mut queue: MutexGuard<'_, WorkQueue>) {
         if queue.needs_thread() {
             queue.threads += 1;
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Starts a thread that is counted already.
+    /// Starts a thread. The caller has already added it to `WorkQueue::threads`.
     fn start_thread(self: &Arc<Self>) {
         let pool = self.clone();
         let started = std::thread::Builder::new()
@@ -111,13 +113,14 @@
             .stack_size(THREAD_STACK)
             .spawn(move || pool.run_thread());
         if let Err(e) = started {
-            // The threads that exist do its share.
-            tracing::info!(error = %e, "no thread more to answer");
+            // The existing threads do the work instead.
+            tracing::info!(error = %e, "cannot start another HTTP server thread");
             lock(&self.queue).threads -= 1;
         }
     }
 
-    /// One thread: works until the server stops, or until it is one too many.
+    /// Main loop of a thread. It ends when the server stops, or when the thread has been idle for
+    /// [`IDLE_THREAD_TIMEOUT`] and there are more than [`MIN_THREADS`] threads.
     fn run_thread(self: Arc<Self>) {
         let mut queue = lock(&self.queue);
         let mut timed_out = false;
@@ -145,7 +148,8 @@
         queue.threads -= 1;
     }
 
-    /// Handles a request for which a thread of its class is taken, and gives that thread back.
+    /// Handles a request that is already counted in its class's busy threads, and then removes it from that
+    /// count.
     fn handle(self: &Arc<Self>, pending: PendingRequest) {
         let class = pending.class;
         if steady() - pending.received_at < QUEUE_TIMEOUT {
@@ -159,7 +163,7 @@
         (self.service.handler)(request, reply);
     }
 
-    /// Reads a connection that has data, and admits its request if that is complete.
+    /// Reads from a connection that has data, and passes on the request if it is complete.
     fn read(self: &Arc<Self>, mut connection: Connection) {
         if !connection.fill_buffer() {
             return;
@@ -174,8 +178,8 @@
         }
     }
 
-    /// Handles a request now if it is a health check or a thread of its class is free; else queues
-    /// or refuses it.
+    /// Handles a request on this thread if it is a health check, or if its class has fewer busy threads than
+    /// its limit. Otherwise queues or refuses the request.
     fn receive(self: &Arc<Self>, request: Request, connection: Connection) {
         let class = (self.service.classify)(&request);
         if class == RequestClass::HealthCheck {
@@ -186,22 +190,23 @@
         let mut queue = lock(&self.queue);
         match queue.admit(pending) {
             Admission::Handle(pending) => {
-                // The handler may block this thread: another one has to look at what is readable.
+                // The handler may block this thread, so another thread has to read the readable connections.
                 self.wake_thread(queue);
                 self.handle(pending);
             }
             Admission::Queued => {}
             Admission::Refused(pending) => {
                 drop(queue);
-                let response = Response::error(status::SERVICE_UNAVAILABLE, "too many requests at once");
+                let response = Response::error(status::SERVICE_UNAVAILABLE, "too many requests are waiting");
                 let reply = Reply { connection: pending.connection, pool: self.clone() };
                 reply.send(&response.with_retry_after(OVERLOAD_RETRY_AFTER_S));
             }
         }
     }
 
-    /// Counts a connection as one of its request's class. If there are too many background
-    /// connections it is refused and closed.
+    /// Adds the connection to the count of background connections, or removes it from the count, depending
+    /// on the class of its latest request. If there are too many background connections, sends an error
+    /// response, closes the connection and returns `None`.
     fn count_connection(&self, mut connection: Connection, class: RequestClass) -> Option<Connection> {
         if class != RequestClass::Background {
             connection.background_guard = None;
@@ -210,7 +215,7 @@
         if connection.background_guard.is_none() {
             let guard = self.background_connections.add();
             if self.background_connections.count() > self.limits.background_connections {
-                connection.respond_and_close(&Response::error(503, "no room for more workers"));
+                connection.respond_and_close(&Response::error(503, "too many connections from workers"));
                 return None;
             }
             connection.background_guard = Some(guard);
--- a/src/http/work_queue.rs
+++ b/src/http/work_queue.rs
@@ -1,5 +1,5 @@
-//! What the server's threads have to do next: requests that wait for a thread of their class, and
-//! connections that have data to read.
+//! The work of the server's threads: requests that wait for a thread of their class, and connections that
+//! have data to read.
 
 use std::collections::VecDeque;
 
@@ -9,10 +9,10 @@
 use super::Request;
 use crate::time::Steady;
 
-/// Readable connections for each free thread above which another thread is started.
+/// Maximum number of readable connections per free thread. Above it, another thread is started.
 const MAX_READABLE_PER_FREE_THREAD: usize = 4;
 
-/// A request that waits for a thread, or is being handled by one.
+/// A request that waits for a thread or is being handled by a thread.
 pub(super) struct PendingRequest {
     pub(super) request: Request,
     pub(super) connection: Connection,
@@ -20,25 +20,25 @@
     pub(super) received_at: Steady,
 }
 
-/// What a thread does next.
+/// The next piece of work for a thread.
 pub(super) enum WorkItem {
-    /// Read a connection that has data.
+    /// Read from a connection that has data.
     Read(Connection),
-    /// Handle a request; a thread of its class is taken already.
+    /// Handle a request. It is already counted in its class's busy threads.
     Handle(PendingRequest),
 }
 
-/// What becomes of a request for now.
+/// The result of admitting a request.
 pub(super) enum Admission {
-    /// A thread of its class is taken: it is to be handled now.
+    /// The caller has to handle the request now. It is already counted in its class's busy threads.
     Handle(PendingRequest),
-    /// It waits for a thread.
+    /// The request waits in the queue for a thread.
     Queued,
-    /// Too many wait already.
+    /// The request is refused, because too many requests of its class are queued.
     Refused(PendingRequest),
 }
 
-/// The threads of one class of requests, and the requests that wait for one.
+/// The number of busy threads of one request class, and the requests that wait for a thread.
 struct ClassQueue {
     pending: VecDeque<PendingRequest>,
     max_pending: usize,
@@ -51,7 +51,8 @@
         ClassQueue { pending: VecDeque::new(), max_pending, busy_threads: 0, max_threads }
     }
 
-    /// Takes a thread for a new request, or queues the request.
+    /// Counts a thread as busy for a new request if the class has a free one. Otherwise queues the request,
+    /// or refuses it if the queue is full.
     fn admit(&mut self, request: PendingRequest) -> Admission {
         if self.busy_threads < self.max_threads {
             self.busy_threads += 1;
@@ -64,7 +65,8 @@
         Admission::Queued
     }
 
-    /// Takes a thread for the request that has waited longest, if both are there.
+    /// Removes the request that has waited longest from the queue and counts a thread as busy for it. Returns
+    /// `None` if the queue is empty or all threads of the class are busy.
     fn start_next(&mut self) -> Option<PendingRequest> {
         if self.busy_threads >= self.max_threads {
             return None;
@@ -75,7 +77,7 @@
     }
 }
 
-/// All work of the server's threads, with the number of threads.
+/// The queued work of the server's threads, and the number of threads.
 pub(super) struct WorkQueue {
     readable: VecDeque<Connection>,
     interactive: ClassQueue,
@@ -86,10 +88,11 @@
 }
 
 impl WorkQueue {
-    /// An empty queue without threads.
+    /// Creates an empty queue. The number of threads is 0.
     pub(super) fn new(limits: &ServerLimits) -> WorkQueue {
         let interactive_threads = limits.interactive_threads;
-        // Users are told at once when to retry. Workers' requests are bounded by their connections.
+        // Interactive requests above the limit are refused at once with `Retry-After`. The background queue
+        // needs no limit, because the number of background connections is limited.
         let interactive = ClassQueue::new(interactive_threads, interactive_threads);
         let background = ClassQueue::new(limits.background_threads, usize::MAX);
         WorkQueue {
@@ -107,13 +110,13 @@
         self.readable.push_back(connection);
     }
 
-    /// Whether connections wait to be read.
+    /// Returns whether there are connections to read from.
     pub(super) fn has_readable(&self) -> bool {
         !self.readable.is_empty()
     }
 
-    /// Takes the next work. Users come first, and workers' requests only after the connections that
-    /// can be read, among which may be a health check.
+    /// Removes the next piece of work from the queue. Interactive requests come first. Background requests
+    /// come after the readable connections, because one of those may have received a health check.
     pub(super) fn next(&mut self) -> Option<WorkItem> {
         if let Some(request) = self.interactive.start_next() {
             return Some(WorkItem::Handle(request));
@@ -124,19 +127,19 @@
         self.background.start_next().map(WorkItem::Handle)
     }
 
-    /// Takes a thread of its class for a request, or queues or refuses it.
+    /// Decides whether to handle a new request now, to queue it or to refuse it.
     pub(super) fn admit(&mut self, request: PendingRequest) -> Admission {
         self.class_queue(request.class).admit(request)
     }
 
-    /// Gives the thread back that handled a request of a class.
+    /// Counts the thread that has handled a request of this class as free again.
     pub(super) fn finish(&mut self, class: RequestClass) {
         self.class_queue(class).busy_threads -= 1;
     }
 
-    /// Whether the readable connections call for one more thread. Threads that handle requests may
-    /// be blocked and are not counted on; the others come to what is readable in time, and as all
-    /// share one core a thread for each connection would gain nothing.
+    /// Returns whether another thread is needed to read the readable connections. Threads that handle
+    /// requests may be blocked, so they do not count as free. A free thread reads several connections in
+    /// turn: all threads share one core, so a thread for each connection would not be faster.
     pub(super) fn needs_thread(&self) -> bool {
         let busy_threads = self.interactive.busy_threads + self.background.busy_threads;
         let free_threads = self.threads.saturating_sub(busy_threads);
@@ -146,7 +149,7 @@
     fn class_queue(&mut self, class: RequestClass) -> &mut ClassQueue {
         match class {
             RequestClass::Background => &mut self.background,
-            // Health checks are handled by the thread that reads them and never come here.
+            // Health checks are never queued: the thread that reads them handles them.
             RequestClass::Interactive | RequestClass::HealthCheck => &mut self.interactive,
         }
     }
