--- a/tests/http_client.rs
+++ b/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client: how it reads responses, whole or in parts.
+//! The HTTP client reads responses with a length and chunked responses, and rejects truncated ones.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,39 +6,41 @@
 use milletlock::http::{CallError, Client, ClientResponse};
 use milletlock::time::Micros;
 
-const PLAIN: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
-const CHUNKS: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n";
+/// A response with a `Content-Length`.
+const WITH_LENGTH: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
+/// The same response as a chunked one.
+const CHUNKED: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n";
 
-/// Reads a request without a body; false once the connection is closed.
-fn request(s: &mut TcpStream) -> bool {
-    let (mut seen, mut byte) = (Vec::new(), [0u8]);
-    while !seen.ends_with(b"\r\n\r\n") {
-        match s.read(&mut byte) {
-            Ok(1) => seen.push(byte[0]),
+/// Reads a request without a body. Returns false if the connection was closed.
+fn read_request(stream: &mut TcpStream) -> bool {
+    let (mut received, mut byte) = (Vec::new(), [0u8]);
+    while !received.ends_with(b"\r\n\r\n") {
+        match stream.read(&mut byte) {
+            Ok(1) => received.push(byte[0]),
             _ => return false,
         }
     }
     true
 }
 
-/// Takes one connection and replies to each request on it with the next of the responses, written part
-/// by part; then it closes the connection and takes no other.
-fn server(responses: Vec<Vec<Vec<u8>>>) -> SocketAddr {
-    let l = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = l.local_addr().expect("an address");
+/// Starts a server that accepts a single connection. It replies to each request with the next of
+/// `responses`, written part by part, and then closes the connection.
+fn start_server(responses: Vec<Vec<Vec<u8>>>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let addr = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
-        let (mut s, _) = l.accept().expect("a connection");
-        drop(l);
-        s.set_nodelay(true).expect("no delay");
+        let (mut stream, _) = listener.accept().expect("a connection");
+        drop(listener);
+        stream.set_nodelay(true).expect("no delay");
         for parts in responses {
-            if !request(&mut s) {
+            if !read_request(&mut stream) {
                 return;
             }
             for (i, part) in parts.iter().enumerate() {
                 if i > 0 {
                     std::thread::yield_now();
                 }
-                s.write_all(part).expect("sent");
+                stream.write_all(part).expect("sent");
             }
         }
     });
@@ -50,28 +52,30 @@
 }
 
 #[test]
-fn responses_are_read_by_length_and_by_chunks() {
-    let cut = |whole: &[u8], less: usize| {
-        let (a, b) = whole.split_at(whole.len() - less);
-        vec![a.to_vec(), b.to_vec()]
+fn responses_with_a_length_or_chunked_are_read_whole_and_in_parts() {
+    let split = |whole: &[u8], tail_length: usize| {
+        let (head, tail) = whole.split_at(whole.len() - tail_length);
+        vec![head.to_vec(), tail.to_vec()]
     };
-    let responses = vec![vec![PLAIN.to_vec()], cut(PLAIN, 1), vec![CHUNKS.to_vec()], cut(CHUNKS, 3)];
-    let n = responses.len();
-    let client = Client::new(server(responses), 1);
-    // All on one connection, the only one that is taken: none of them asks to close it.
-    for _ in 0..n {
+    let responses =
+        vec![vec![WITH_LENGTH.to_vec()], split(WITH_LENGTH, 1), vec![CHUNKED.to_vec()], split(CHUNKED, 3)];
+    let count = responses.len();
+    let client = Client::new(start_server(responses), 1);
+    // The server accepts only one connection, so the client must use it for all requests. It may do so,
+    // because no response asks to close it.
+    for _ in 0..count {
         assert_eq!(get(&client).expect("a reply"), ClientResponse { status: 200, body: b"{}".to_vec() });
     }
 }
 
 #[test]
 fn a_truncated_response_is_not_accepted() {
-    for whole in [PLAIN, CHUNKS] {
+    for whole in [WITH_LENGTH, CHUNKED] {
         for end in 0..whole.len() {
-            let client = Client::new(server(vec![vec![whole[..end].to_vec()]]), 1);
+            let client = Client::new(start_server(vec![vec![whole[..end].to_vec()]]), 1);
             match get(&client) {
                 Err(CallError::NoAnswer(_)) => {}
-                r => panic!("{end} bytes: {r:?}"),
+                result => panic!("the first {end} bytes of a response must be an error: {result:?}"),
             }
         }
     }
