--- a/tests/cancellation_in_outage/simulation.rs
+++ b/tests/cancellation_in_outage/simulation.rs
@@ -13,7 +13,7 @@
 use milletlock::wire::HeartbeatReply;
 use serde_json::{json, Value};
 
-use crate::common::servers::{recording_cloud, serve_or_disconnect};
+use crate::common::servers::{recording_cloud, serve_opt};
 use crate::common::{platform_json, spec, LEASE};
 use crate::state_store::StateStoreServer;
 use crate::worker::Worker;
@@ -70,15 +70,13 @@
         let store: Arc<Mutex<StateStoreServer>> = Arc::default();
         let port = |controller: usize| {
             let (store, clock) = (store.clone(), clock.clone());
-            serve_or_disconnect(move |request| {
-                lock(&store).reply(controller, &request, clock.load(Ordering::SeqCst))
-            })
+            serve_opt(move |request| lock(&store).reply(controller, &request, clock.load(Ordering::SeqCst)))
         };
         let ports = vec![port(0), port(1), port(2)];
         let now = clock.load(Ordering::SeqCst);
         let worker = Arc::new(Mutex::new(Worker::new("i-000001", now)));
         let (w, c) = (worker.clone(), clock.clone());
-        let addr = serve_or_disconnect(move |r| lock(&w).command(&r, c.load(Ordering::SeqCst)));
+        let addr = serve_opt(move |r| lock(&w).command(&r, c.load(Ordering::SeqCst)));
         lock(&worker).state.addr = addr.to_string();
         let returned: Arc<Mutex<Vec<String>>> = Arc::default();
         let mut simulation = Simulation {
--- a/tests/common/cells/state_store.rs
+++ b/tests/common/cells/state_store.rs
@@ -10,7 +10,7 @@
 use milletlock::wire::Change;
 use serde_json::{json, Value};
 
-use super::super::servers::serve_or_disconnect;
+use super::super::servers::serve_opt;
 use super::super::state_store_server::{
     events, parameter, read_response, transaction, transaction_response, watch_parameters,
 };
@@ -101,7 +101,7 @@
 ) -> SocketAddr {
     let (state, changed) = (Mutex::new(StateStore::default()), Condvar::new());
     let transactions = AtomicUsize::new(0);
-    serve_or_disconnect(move |r| {
+    serve_opt(move |r| {
         load.requests.fetch_add(1, Ordering::Relaxed);
         if r.path == "/txn" {
             load.changes.fetch_add(transaction(&r).then.len(), Ordering::Relaxed);
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -20,7 +20,7 @@
 use milletlock_cells::{LoanAction, LoanItem, LoanNumber, LoanReport, LoanState, LoanSyncRequest, TaskSet};
 use serde_json::{json, Value};
 
-use super::servers::{cloud, serve_or_disconnect};
+use super::servers::{cloud, serve_opt};
 use super::state_store_server::{read_response, transaction, transaction_response};
 use super::store::Store;
 use super::store_faults::StoreFaults;
@@ -193,7 +193,7 @@
         let refuses = refuses_copies.clone();
         let faults: Arc<Mutex<StoreFaults>> = Arc::default();
         let served_faults = faults.clone();
-        let state = serve_or_disconnect(move |request| {
+        let state = serve_opt(move |request| {
             let mut store = served.lock().expect("the store");
             Some(match (request.method.as_str(), request.path.split('?').next().unwrap_or("")) {
                 ("POST", "/leases") => Response::json(200, &json!({ "tenure": 1 })),
--- a/tests/common/servers.rs
+++ b/tests/common/servers.rs
@@ -11,9 +11,7 @@
 
 /// Starts a server on a free port and returns its address. The server runs until the test process ends. If
 /// `handle` returns `None`, the server closes the connection without a response.
-pub fn serve_or_disconnect(
-    handle: impl Fn(Request) -> Option<Response> + Send + Sync + 'static,
-) -> SocketAddr {
+pub fn serve_opt(handle: impl Fn(Request) -> Option<Response> + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     let limits = ServerLimits {
@@ -31,9 +29,9 @@
     addr
 }
 
-/// Starts a server as [`serve_or_disconnect`] does, with a response to every request.
+/// Starts a server as [`serve_opt`] does, with a response to every request.
 pub fn serve(handle: impl Fn(Request) -> Response + Send + Sync + 'static) -> SocketAddr {
-    serve_or_disconnect(move |request| Some(handle(request)))
+    serve_opt(move |request| Some(handle(request)))
 }
 
 /// Starts a cloud that offers the machine types of [`types`], and has no machines and no capacity.
--- a/tests/leader_election.rs
+++ b/tests/leader_election.rs
@@ -4,7 +4,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use common::servers::serve_or_disconnect;
+use common::servers::serve_opt;
 use common::state_store_server::{read_response, transaction, transaction_response};
 use common::store::Store;
 use milletlock::http::Response;
@@ -32,7 +32,7 @@
     }
     let state_store: Arc<Mutex<FaultyStateStore>> = Arc::default();
     let served = state_store.clone();
-    let addr = serve_or_disconnect(move |request| {
+    let addr = serve_opt(move |request| {
         let served = &mut *served.lock().expect("the state store");
         Some(match (request.method.as_str(), request.path.as_str()) {
             ("POST", "/leases") => {
@@ -75,7 +75,7 @@
     let store: Arc<Mutex<Store>> = Arc::default();
     let known = leadership::FORMAT_VERSION;
     let served = store.clone();
-    let addr = serve_or_disconnect(move |request| {
+    let addr = serve_opt(move |request| {
         let mut store = served.lock().expect("the state store");
         Some(match (request.method.as_str(), request.path.as_str()) {
             ("POST", "/leases") => Response::json(200, &json!({ "tenure": 1 })),
--- a/tests/loan_writes.rs
+++ b/tests/loan_writes.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 use std::sync::{Arc, Mutex};
 
-use common::servers::{cloud, serve_or_disconnect};
+use common::servers::{cloud, serve_opt};
 use common::state_store_server::{read_response, transaction, transaction_response};
 use common::store::Store;
 use common::{heartbeat, platform_json, spec};
@@ -48,7 +48,7 @@
 
 /// Serves a state store. While `drops_loan_replies` is set, it executes writes of loans without a reply.
 fn state_store(store: Arc<Mutex<Store>>, drops_loan_replies: Arc<AtomicBool>) -> std::net::SocketAddr {
-    serve_or_disconnect(move |request| {
+    serve_opt(move |request| {
         let mut store = store.lock().expect("the state store");
         match (request.method.as_str(), request.path.split('?').next().unwrap_or("")) {
             ("POST", "/leases") => Some(Response::json(200, &json!({ "tenure": 1 }))),
