--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -172,7 +172,7 @@
     machine.finish_all();
     let finished = machine.pending_results();
     let beyond =
-        Task { why: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
+        Task { exit_reason: Some(ExitReason::Done), ..Task::new(TaskStage::Exited, Micros::ZERO, Steady(0)) };
     machine.state.tasks.insert((format!("{JOB}/{TASKS}"), 1), beyond);
     let mut follower = follower_with_reported_results(&world, &mut machine);
     follower.keep_progress();
--- a/tests/common/lending_world.rs
+++ b/tests/common/lending_world.rs
@@ -20,7 +20,7 @@
 use milletlock_cells::{LoanAction, LoanItem, LoanNumber, LoanReport, LoanState, LoanSyncRequest, TaskSet};
 use serde_json::{json, Value};
 
-use super::servers::{cloud, serve_some};
+use super::servers::{cloud, serve_opt};
 use super::state_store_server::{read_response, transaction, transaction_response};
 use super::store::Store;
 use super::store_faults::StoreFaults;
@@ -128,7 +128,7 @@
 
     /// Numbers of the completed tasks that the worker still lists in its heartbeats.
     pub fn pending_results(&self) -> BTreeSet<u32> {
-        let done = self.state.tasks.iter().filter(|(_, task)| task.why == Some(ExitReason::Done));
+        let done = self.state.tasks.iter().filter(|(_, task)| task.exit_reason == Some(ExitReason::Done));
         done.map(|(attempt, _)| number_of(&attempt.0)).collect()
     }
 
@@ -158,7 +158,7 @@
             }
             WorkerCommand::Forget { task, attempt } => {
                 let key = (task.clone(), *attempt);
-                let is_done = |task: &Task| task.why == Some(ExitReason::Done);
+                let is_done = |task: &Task| task.exit_reason == Some(ExitReason::Done);
                 if self.state.tasks.get(&key).is_some_and(is_done) {
                     self.forgotten_results.insert(number_of(task));
                 }
@@ -194,7 +194,7 @@
         let refuses = refuses_copies.clone();
         let faults: Arc<Mutex<StoreFaults>> = Arc::default();
         let served_faults = faults.clone();
-        let state = serve_some(move |request| {
+        let state = serve_opt(move |request| {
             let mut store = served.lock().expect("the store");
             Some(match (request.method.as_str(), request.path.split('?').next().unwrap_or("")) {
                 ("POST", "/leases") => Response::json(200, &json!({ "tenure": 1 })),
