--- a/src/config/fleet_size.rs
+++ b/src/config/fleet_size.rs
@@ -49,6 +49,6 @@
         let too_small = self.settings_too_small_for(TARGET_MACHINES);
         let list = too_small.join(", ");
         (!too_small.is_empty())
-            .then(|| format!("the settings are too small for {TARGET_MACHINES} machines: {list}"))
+            .then(|| format!("the settings do not carry {TARGET_MACHINES} machines: {list}"))
     }
 }
