--- a/src/cli.rs
+++ b/src/cli.rs
@@ -44,7 +44,7 @@
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
     },
-    /// Show a controller's status; the leader's status has the machines, the jobs and the reservation
+    /// Show a controller's status; the leader's has machines, jobs, the reservation and run-time factors
     Status {
         /// A controller's address for the other controllers
         #[arg(long, value_name = "IP:PORT", default_value = "127.0.0.1:8081")]
