--- a/tests/fault_combinations/failovers.rs
+++ b/tests/fault_combinations/failovers.rs
@@ -1,4 +1,4 @@
-//! Failovers together with other faults: combinations 1, 6, 12, 15, 16 and 18.
+//! Combinations 1, 6, 12, 15, 16 and 18: failovers together with other faults.
 
 use std::collections::BTreeSet;
 
@@ -11,9 +11,9 @@
 use crate::scenario::{Link, Scenario};
 use crate::tight;
 
-/// Combination 1: a team at its limit, a failover, machines that can't be asked, and a
-/// cancellation. Against starts beyond the limit beside what an unheard machine may run, what was
-/// told to halt and has not ended, and a return that the cloud has not replied to.
+/// Combination 1: a team that uses all of its quota, a failover, unacknowledged machines and a cancellation.
+/// Guards against starts beyond the quota that leave out one of these: tasks that an unacknowledged machine
+/// may run, halted tasks that have not ended, and tasks on a machine that the cloud has not yet taken back.
 #[test]
 fn a_team_stays_within_its_limit_across_a_failover_and_a_cancellation() {
     let mut scenario = Scenario::new();
@@ -27,8 +27,9 @@
     assert_eq!(scenario.placed(&a), 6, "half of them in each zone");
     let b = scenario.submit(tight(2, 6, "batch"), 200.0);
     scenario.run(6.0);
-    assert_eq!(scenario.started(&b), 0, "the team is at its limit");
-    // The south goes with the old leader; the north's machines with tasks do not hear the new one.
+    assert_eq!(scenario.started(&b), 0, "the team's quota must be used up");
+    // The south is partitioned together with the old leader. The machines with tasks in the north get no
+    // messages from the new leader.
     let north: Vec<String> = scenario.machines_of(&a).into_iter().filter(|m| m != "i-2").collect();
     scenario.partitioned_zone = Some("south");
     north.iter().for_each(|m| scenario.worker(m).link = Link::HeartbeatsOnly);
@@ -36,31 +37,39 @@
     scenario.fail_over(None);
     scenario.run(2.0);
     assert_eq!((scenario.fleet().unacknowledged_machines(), scenario.started(&b)), (1 + north.len(), 0));
-    // They are heard, and then do not hear that they are to halt.
+    // The machines in the north acknowledge the fencing token, and then do not get the halt commands.
     north.iter().for_each(|m| scenario.worker(m).link = Link::Up);
     scenario.run(4.0);
     assert_eq!(scenario.fleet().unacknowledged_machines(), 1);
     north.iter().for_each(|m| scenario.worker(m).link = Link::HeartbeatsOnly);
     assert!(scenario.cancel(&a));
     scenario.run(7.0);
-    assert_eq!((scenario.placed(&a), scenario.started(&b)), (6, 0), "cancelled tasks that run still count");
-    // In the south half of the job goes on, and the whole machine counts.
+    assert_eq!(
+        (scenario.placed(&a), scenario.started(&b)),
+        (6, 0),
+        "cancelled tasks that still run must count towards the quota"
+    );
+    // Half of the job still runs in the south, and the whole machine there counts towards the quota.
     north.iter().for_each(|m| scenario.worker(m).link = Link::Up);
     scenario.run(7.0);
     assert_eq!((scenario.placed(&a), scenario.placed(&b)), (3, 2));
     scenario.run(18.0);
     assert!(
         scenario.fleet().machines_to_scale_in().contains(&"i-2".to_string()),
-        "its return has no reply yet"
+        "the cloud must not have confirmed the return yet"
     );
     assert_eq!(
         (scenario.placed(&a), scenario.placed(&b)),
         (3, 2),
-        "a return without a reply has ended nothing"
+        "an unconfirmed return must not count as the end of the tasks"
     );
     scenario.run(6.0);
-    assert_eq!(scenario.placed(&b), 2, "44 s after the claim an earlier leader's reply may still count");
-    // Later none can, though the cloud has not replied.
+    assert_eq!(
+        scenario.placed(&b),
+        2,
+        "44 s after the failover, a reply of an earlier leader may still renew a lease"
+    );
+    // Later no such lease can be left, although the cloud has not confirmed the return.
     scenario.run(14.0);
     assert_eq!((scenario.placed(&a), scenario.placed(&b)), (0, 6));
     assert!(scenario.fleet().machines_to_scale_in().contains(&"i-2".to_string()));
@@ -70,8 +79,9 @@
     scenario.finish(300.0);
 }
 
-/// Combination 6: ten leaders in two minutes, some beside the one before, some after an outage of the
-/// state store. Against anything started twice, lost or left.
+/// Combination 6: ten failovers in two minutes. In some the earlier leader still runs, and some follow an
+/// outage of the state store. Guards against tasks that are started twice, and against jobs that are lost or
+/// never end.
 #[test]
 fn ten_leaders_in_two_minutes_start_nothing_twice_and_lose_nothing() {
     let mut scenario = Scenario::new();
@@ -88,7 +98,8 @@
             assert!(scenario.cancel(&gone));
         }
         if leader % 4 == 3 {
-            // It changes inside an outage; nothing can be claimed before its end.
+            // The leader ends during an outage of the state store. No other can be elected before the outage
+            // is over.
             scenario.store_up = false;
             scenario.run(3.0);
             scenario.end_leader(leader as usize);
@@ -96,7 +107,7 @@
             scenario.store_up = true;
             scenario.fail_over(None);
         } else if leader % 2 == 0 {
-            // The one before does not know yet.
+            // The earlier leader does not know yet that it has been replaced.
             scenario.fail_over(None);
             scenario.run(4.0);
         } else {
@@ -113,42 +124,43 @@
     assert_eq!((scenario.started(&long), scenario.started(&gang)), (2, 3));
 }
 
-/// Combination 12: controllers hand over and back, all end, and one returns within a second. Against
-/// late writes of its earlier life, and of the others, that change what is another's now.
+/// Combination 12: four leaders follow each other without a pause. Then all have ended, and one controller is
+/// restarted within a second. Guards against late writes of earlier leaders that change records which belong
+/// to the new leader.
 #[test]
 fn late_writes_of_earlier_leaders_fail_after_handovers_and_a_restart_within_a_second() {
     let mut scenario = Scenario::new();
     scenario.begin_with(&["north", "north", "south", "south", "north", "north", "south", "south"]);
     let mut ids = Vec::new();
-    for life in 0..4u32 {
-        // Its last write gets no reply and is carried out when others have followed.
-        ids.push(scenario.submit(spec(1 + life, 5 + life, "batch"), 30.0));
+    for number in 0..4u32 {
+        // The leader's last write gets no reply. It is applied after other leaders have followed.
+        ids.push(scenario.submit(spec(1 + number, 5 + number, "batch"), 30.0));
         scenario.run(4.0);
-        ids.push(scenario.submit(spec(11 + life, 1, "batch"), 20.0));
-        scenario.leaders[life as usize].lost_reply = Some((6.5, |_| true));
+        ids.push(scenario.submit(spec(11 + number, 1, "batch"), 20.0));
+        scenario.leaders[number as usize].lost_reply = Some((6.5, |_| true));
         for _ in 0..8 {
-            if scenario.leaders[life as usize].lost_reply.is_some() {
+            if scenario.leaders[number as usize].lost_reply.is_some() {
                 scenario.step();
             }
         }
-        assert!(scenario.leaders[life as usize].lost_reply.is_none(), "nothing was to be written");
-        if life < 3 {
-            // Handed over, with no pause.
-            scenario.end_leader(life as usize);
+        assert!(scenario.leaders[number as usize].lost_reply.is_none(), "the leader must have sent a write");
+        if number < 3 {
+            // The next leader follows without a pause.
+            scenario.end_leader(number as usize);
             scenario.fail_over(None);
         }
     }
-    // All have ended; the last is back at once and knows nothing.
+    // The last leader ends too. A new leader without any state follows after half a second.
     scenario.replace_leader(0.5);
     scenario.run(10.0);
     assert_eq!(scenario.late_results.len(), 4);
-    // Earlier lives learn from any worker that they are over.
+    // A heartbeat of any worker shows the earlier leaders that they have been replaced.
     let (fencing_token, now, t) =
         (scenario.fleet().fencing_token, at(scenario.seconds), wall(scenario.seconds));
     let newer = scenario.worker("i-1").state.heartbeat();
-    for o in &mut scenario.leaders[..4] {
+    for leader in &mut scenario.leaders[..4] {
         assert_eq!(
-            o.controller.fleet.apply_heartbeat(&newer, now, t),
+            leader.controller.fleet.apply_heartbeat(&newer, now, t),
             HeartbeatOutcome::Superseded(fencing_token)
         );
     }
@@ -165,8 +177,9 @@
     }
 }
 
-/// Combination 15: a leader ends while machines with long tasks are partitioned or without replies, for less
-/// than the lease and for longer. Against a second start while the first may run, and a wait without end.
+/// Combination 15: a leader ends while machines with long tasks are partitioned or get no replies, for less
+/// than the lease or for longer. Guards against starting a task again while it may still run, and against
+/// waiting for it for ever.
 #[test]
 fn tasks_on_unreachable_machines_start_again_only_after_the_lease_when_the_leader_ends() {
     for link in [Link::Down, Link::HeartbeatsOnly] {
@@ -178,10 +191,10 @@
             scenario.run(6.0);
             assert_eq!((scenario.placed(&a), scenario.placed(&gang)), (4, 2));
             let (first, second) = (scenario.machines_of(&a), scenario.machines_of(&gang));
-            let away: BTreeSet<&str> = first.iter().chain(&second).map(String::as_str).collect();
-            let away: Vec<&str> = away.into_iter().collect();
-            assert!(away.len() < 4, "one has room for what never ran");
-            scenario.link(&away, link);
+            let unreachable: BTreeSet<&str> = first.iter().chain(&second).map(String::as_str).collect();
+            let unreachable: Vec<&str> = unreachable.into_iter().collect();
+            assert!(unreachable.len() < 4, "one reachable machine must have free capacity");
+            scenario.link(&unreachable, link);
             scenario.replace_leader(2.0);
             let next = scenario.submit(spec(3, 2, "batch"), 5.0);
             scenario.run(long - 2.0);
@@ -196,7 +209,11 @@
                     (4, 2, 4, 2)
                 );
             }
-            assert_eq!(scenario.stage(&next), Some(Stage::Done), "{link:?}: what never ran waits for nobody");
+            assert_eq!(
+                scenario.stage(&next),
+                Some(Stage::Done),
+                "{link:?}: a job that never ran must not wait for the unreachable machines"
+            );
             (5..8).for_each(|n| scenario.add_machine(n, "north"));
             if !lost {
                 scenario.workers.iter_mut().for_each(|w| w.link = Link::Up);
@@ -208,13 +225,13 @@
     }
 }
 
-/// Combination 16: tasks of small jobs end far apart across a failover. Against a task that is
-/// run again though it is done, and a job called done, or never, because of what its earlier leader
-/// knew.
+/// Combination 16: tasks of small jobs end at different times, before and after a failover. Guards against
+/// running a done task again. Also guards against a job that becomes done too early, or never, because its
+/// earlier leader knew of other results than the new one.
 #[test]
 fn tasks_that_are_done_do_not_run_again_after_a_failover() {
-    // At 8 s the first ends are not written yet, at 22 s they are; at 50 s a second has ended too.
-    for change in [8.0, 22.0, 50.0] {
+    // At 8 s the first results are not written yet, at 22 s they are. At 50 s, further tasks are done.
+    for failover_at_s in [8.0, 22.0, 50.0] {
         let mut scenario = Scenario::new();
         scenario.begin_with(&["north", "south", "north"]);
         let ids: Vec<String> = (1..=3).map(|n| scenario.submit(spec(n, 2 + n % 2, "batch"), 90.0)).collect();
@@ -222,8 +239,8 @@
             scenario.run_times.insert(format!("{id}/{n}", n = n % 2), 3.0);
             scenario.run_times.insert(format!("{id}/2"), 40.0);
         }
-        scenario.run(change);
-        assert_eq!(scenario.store.rows("done/").is_empty(), change < 10.0);
+        scenario.run(failover_at_s);
+        assert_eq!(scenario.store.rows("done/").is_empty(), failover_at_s < 10.0);
         assert!(scenario.finished.len() >= 3);
         scenario.replace_leader(2.0);
         scenario.run(30.0);
@@ -231,7 +248,7 @@
         scenario.replace_leader(1.0);
         scenario.finish(90.0);
         for id in &ids {
-            assert_eq!(scenario.started(id), scenario.specs[id].tasks, "{id}, change at {change} s");
+            assert_eq!(scenario.started(id), scenario.specs[id].tasks, "{id}, failover at {failover_at_s} s");
         }
         scenario.run(5.0);
         assert!(
@@ -241,8 +258,8 @@
     }
 }
 
-/// Combination 18: all controllers are away for longer than the lease. Against waiting for tasks that
-/// have ended with their leases, and against an old heartbeat that says they run.
+/// Combination 18: all controllers are down for longer than the lease. Guards against waiting for tasks that
+/// ended with their leases, and against an old heartbeat that reports them as running.
 #[test]
 fn lost_tasks_run_again_after_all_controllers_were_down_for_longer_than_the_lease() {
     let mut scenario = Scenario::new();
@@ -255,9 +272,9 @@
     assert_eq!((scenario.placed(&a), scenario.placed(&gang), scenario.placed(&gone)), (5, 3, 2));
     assert!(scenario.cancel(&gone));
     scenario.end_leader(0);
-    let mut held = Vec::new();
+    let mut old_heartbeats = Vec::new();
     for n in 1..=3 {
-        held.push(scenario.worker(&format!("i-{n}")).state.heartbeat());
+        old_heartbeats.push(scenario.worker(&format!("i-{n}")).state.heartbeat());
     }
     scenario.run(40.0);
     assert!(scenario.workers.iter().all(|w| w.state.agent_epoch == 2 && w.state.tasks.is_empty()));
@@ -267,11 +284,11 @@
         (scenario.fleet().unacknowledged_machines(), scenario.placed(&gang), scenario.started(&gone)),
         (0, 3, 2)
     );
-    for r in &held {
+    for heartbeat in &old_heartbeats {
         let (now, t) = (at(scenario.seconds), wall(scenario.seconds));
-        assert_eq!(scenario.fleet().apply_heartbeat(r, now, t), HeartbeatOutcome::Refuse);
+        assert_eq!(scenario.fleet().apply_heartbeat(heartbeat, now, t), HeartbeatOutcome::Refuse);
     }
     scenario.finish(80.0);
-    // What was done and not written is lost with the session, and runs again.
+    // A result that was not written is lost with the worker's session, so its task runs again.
     assert_eq!((scenario.started(&a), scenario.started(&gang), scenario.started(&gone)), (12, 6, 2));
 }
--- a/tests/fault_combinations/main.rs
+++ b/tests/fault_combinations/main.rs
@@ -1,7 +1,7 @@
-//! Two faults at once: one scenario for each combination of faults in docs/safety.md, with the number of its
-//! table. Time is a number that the scenarios push on; nothing here is random.
+//! Two faults at the same time: one scenario for each combination of faults in the table of docs/safety.md.
+//! The numbers of combinations are those of the table. Time is simulated and nothing is random.
 //!
-//! Combinations 4, 10 and 17 take whole controllers: see `tests/cancellation_in_outage`.
+//! Combinations 4, 10 and 17 need complete controllers: see `tests/cancellation_in_outage`.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -17,7 +17,7 @@
 
 use crate::common::spec;
 
-/// A job of the team whose limit is six processors.
+/// The description of a job of the team `tight`, whose quota is six processors.
 fn tight(n: u32, tasks: u32, shape: &str) -> JobSpec {
     JobSpec { team: "tight".into(), ..spec(n, tasks, shape) }
 }
--- a/tests/fault_combinations/partitions.rs
+++ b/tests/fault_combinations/partitions.rs
@@ -1,4 +1,4 @@
-//! Zones and machines that are partitioned: combinations 7, 8 and 13.
+//! Combinations 7, 8 and 13: partitioned zones and machines.
 
 use milletlock::wire::{JobSpec, Stage};
 use serde_json::json;
@@ -7,9 +7,10 @@
 use crate::scenario::{Link, Scenario};
 use crate::tight;
 
-/// Combination 7: a zone with workers and a controller is partitioned for longer than the lease, and the
-/// leader inside may go on for long. Against a leader inside that takes the machines outside for
-/// ended while its follower renews their leases, and against cancelled tasks that go on inside.
+/// Combination 7: a zone with workers and the leader is partitioned for longer than the lease. The leader in
+/// the zone may reply to workers for long, because `cancel_s` is 80 s. Guards against the leader in the zone
+/// taking the machines outside for ended while the new leader renews their leases. Also guards against
+/// cancelled tasks that continue in the zone.
 #[test]
 fn a_zone_partitioned_for_longer_than_the_lease_starts_nothing_twice_and_ends_cancelled_tasks() {
     let mut scenario = Scenario::with(|settings| settings["workers"]["cancel_s"] = json!(80.0));
@@ -24,7 +25,7 @@
     let inside = scenario.submit(bound(2, 2, "south"), 120.0);
     let gone = scenario.submit(bound(3, 2, "south"), 300.0);
     scenario.run(4.0);
-    // The south is full when this one comes.
+    // The machines in the south are full when this job is submitted.
     let outside = scenario.submit(spec(4, 12, "batch"), 120.0);
     scenario.run(4.0);
     assert!(scenario
@@ -33,16 +34,19 @@
         .filter(|w| w.state.zone == "south")
         .all(|w| w.state.placed_of(&outside) == 0));
     scenario.run(8.0);
-    assert_eq!(scenario.stage(&filler), Some(Stage::Done), "the south has room again");
+    assert_eq!(scenario.stage(&filler), Some(Stage::Done), "the south must have free capacity again");
     assert_eq!((scenario.placed(&inside), scenario.placed(&gone), scenario.placed(&outside)), (2, 2, 12));
     scenario.partitioned_zone = Some("south");
     scenario.cloud_up = false;
-    // The leader inside can't see it.
+    // The leader in the partitioned zone does not see the cancellation.
     assert!(scenario.cancel(&gone));
     scenario.run(5.0);
     scenario.fail_over(None);
     scenario.run(40.0);
-    assert!(scenario.leaders[0].alive && scenario.may_reply(0), "it still replies inside");
+    assert!(
+        scenario.leaders[0].alive && scenario.may_reply(0),
+        "the earlier leader must still reply to workers in its zone"
+    );
     assert_eq!((scenario.placed(&inside), scenario.placed(&gone), scenario.placed(&outside)), (2, 2, 12));
     assert_eq!((scenario.started(&inside), scenario.started(&outside)), (2, 12));
     scenario.run(60.0);
@@ -55,8 +59,8 @@
     assert_eq!((scenario.started(&outside), scenario.started(&filler)), (12, 8));
 }
 
-/// Combination 8: jobs of one zone lose machines. Against the rest of the job starting in the other
-/// zone while tasks may still be where they were, and against a wait that never ends.
+/// Combination 8: jobs that must run in one zone lose machines. Guards against tasks of the job starting in
+/// the other zone while its other tasks may still run in the first, and against a job that waits for ever.
 #[test]
 fn jobs_of_one_zone_that_lose_machines_never_run_in_two_zones() {
     for shape in ["batch", "gang"] {
@@ -68,7 +72,7 @@
         scenario.add_machine(2, "south");
         scenario.add_machine(3, "south");
         scenario.run(6.0);
-        // An array that has tasks left when the machine is lost, and one that its field binds.
+        // One array still has waiting tasks when its machine is lost. Another one is bound to `north`.
         let rest = scenario.submit(JobSpec { one_zone: true, ..spec(2, 10, "batch") }, 20.0);
         scenario.run(6.0);
         scenario.add_machine(5, "north");
@@ -77,23 +81,31 @@
         assert_eq!(
             (scenario.placed(&rest), scenario.placed(&bound)),
             (8, 2),
-            "the other zone has room, and it may not go there"
+            "the rest must not start in the other zone, which has free capacity"
         );
         scenario.link(&["i-1", "i-2", "i-5"], Link::Down);
         scenario.run(16.0);
-        assert_eq!((scenario.started(&one), scenario.placed(&one)), (4, 4), "it may still be there");
+        assert_eq!(
+            (scenario.started(&one), scenario.placed(&one)),
+            (4, 4),
+            "tasks that may still run must not start again"
+        );
         scenario.run(30.0);
-        assert_eq!(scenario.placed(&one), 4, "it goes on in the other zone, whole");
+        assert_eq!(scenario.placed(&one), 4, "all tasks must run again in the other zone");
         assert!(scenario.machines_of(&one).iter().all(|m| m == "i-3"), "{:?}", scenario.machines_of(&one));
-        assert_eq!((scenario.started(&bound), scenario.placed(&bound)), (2, 0), "its zone has no machine");
+        assert_eq!(
+            (scenario.started(&bound), scenario.placed(&bound)),
+            (2, 0),
+            "the job's zone has no machine"
+        );
         scenario.add_machine(4, "north");
         scenario.finish(300.0);
         assert_eq!((scenario.started(&one), scenario.started(&bound)), (8, 4));
     }
 }
 
-/// Combination 8, for spread jobs: half of one is lost. Against its start beside the other half, and
-/// before the first is surely gone.
+/// Combination 8: a spread job loses the zone with half of its tasks. Guards against the lost half starting
+/// in the zone of the other half, and against it starting before its tasks have certainly ended.
 #[test]
 fn the_lost_half_of_a_spread_job_starts_again_only_once_it_is_surely_gone() {
     let mut scenario = Scenario::new();
@@ -105,7 +117,11 @@
     scenario.run(10.0);
     scenario.add_machine(4, "north");
     scenario.run(10.0);
-    assert_eq!(scenario.started(&spread), 6, "the lost half may still run, and the south has its half");
+    assert_eq!(
+        scenario.started(&spread),
+        6,
+        "the lost half may still run, and the south already has its share"
+    );
     scenario.run(12.0);
     assert_eq!((scenario.started(&spread), scenario.placed(&spread)), (9, 6));
     assert!(scenario.machines_of(&spread).contains(&"i-4".to_string()));
@@ -113,8 +129,8 @@
     assert_eq!(scenario.started(&spread), 9);
 }
 
-/// Combination 13: workers reach no controller, direct commands reach them. Against starting elsewhere
-/// what they run, and against waiting for them for ever.
+/// Combination 13: heartbeats of some workers reach no controller, but direct commands reach the workers.
+/// Guards against starting their tasks elsewhere while they run, and against waiting for them for ever.
 #[test]
 fn tasks_of_workers_reached_by_commands_only_start_elsewhere_only_after_the_lease() {
     for (heartbeats_lost_s, restarted) in [(14.0_f64, false), (200.0, true)] {
@@ -130,10 +146,17 @@
         let next = scenario.submit(tight(2, 2, "batch"), 10.0);
         let gang = scenario.submit(spec(3, 4, "gang"), 10.0);
         scenario.run(4.0);
-        assert_eq!(scenario.fleet().unacknowledged_machines(), 0, "heard by what the direct commands return");
+        assert_eq!(
+            scenario.fleet().unacknowledged_machines(),
+            0,
+            "the replies to direct commands must acknowledge the fencing token"
+        );
         scenario.run(9.0);
         assert_eq!((scenario.started(&a), scenario.placed(&a), scenario.started(&next)), (6, 6, 0));
-        assert!(scenario.started_at.contains_key(&gang), "what has room does not wait for them");
+        assert!(
+            scenario.started_at.contains_key(&gang),
+            "a gang that fits on other machines must not wait for these workers"
+        );
         scenario.run((heartbeats_lost_s - 14.0).min(60.0));
         scenario.add_machine(4, "north");
         scenario.add_machine(5, "north");
--- a/tests/fault_combinations/scenario/leaders.rs
+++ b/tests/fault_combinations/scenario/leaders.rs
@@ -1,4 +1,4 @@
-//! Leaders: they fail over, read changes, write records and return machines.
+//! The simulated leaders: failovers, reading changes, writing records and returning machines.
 
 use milletlock::fleet::Fleet;
 use milletlock::leadership::{self, Batch};
@@ -11,14 +11,15 @@
 use crate::common::store::take_due;
 
 impl Scenario {
-    /// The newest leader's view of the cluster.
+    /// Returns the newest leader's state of the cluster.
     pub fn fleet(&mut self) -> &mut Fleet {
         &mut self.leaders.last_mut().expect("a leader").controller.fleet
     }
 
-    /// Another controller claims everything and reads the records. The earlier one does not know.
+    /// Makes another controller the leader and lets it read the records. The earlier leader is not notified.
+    /// Returns the index of the new leader.
     pub fn fail_over(&mut self, zone: Option<&'static str>) -> usize {
-        assert!(self.store_up, "nobody can claim anything");
+        assert!(self.store_up, "a failover needs the state store");
         let controller = SimulatedController::claim(&mut self.store, &self.cfg, at(self.seconds));
         self.leaders.push(SimulatedLeader {
             controller,
@@ -30,31 +31,32 @@
         self.leaders.len() - 1
     }
 
-    /// The leader's process ends.
+    /// Ends a leader's process.
     pub fn end_leader(&mut self, leader: usize) {
         self.leaders[leader].alive = false;
     }
 
-    /// The leader ends and another becomes leader after a while.
+    /// Ends the newest leader, and makes another controller the leader `gap` seconds later.
     pub fn replace_leader(&mut self, gap: f64) -> usize {
         self.end_leader(self.leaders.len() - 1);
         self.run(gap);
         self.fail_over(None)
     }
 
-    /// Whether a leader lives and reaches the state store.
+    /// Returns whether a leader's process runs and reaches the state store.
     pub fn reaches_store(&self, leader: usize) -> bool {
         let o = &self.leaders[leader];
         self.store_up && o.alive && (self.partitioned_zone.is_none() || o.zone != self.partitioned_zone)
     }
 
-    /// A leader out of touch with the state store replies no longer than the bound.
+    /// Returns whether a leader may reply to workers: its process runs, and it has read from the state store
+    /// within [`Config::max_staleness`](milletlock::config::Config::max_staleness).
     pub fn may_reply(&self, leader: usize) -> bool {
         let o = &self.leaders[leader];
         o.alive && self.seconds - o.last_read < self.cfg.max_staleness().secs()
     }
 
-    /// Leaders that reach the state store read the changes of the jobs.
+    /// Lets each leader that reaches the state store read the changes of the jobs.
     pub fn read_changes(&mut self) {
         for i in 0..self.leaders.len() {
             if !self.reaches_store(i) {
@@ -66,14 +68,14 @@
         }
     }
 
-    /// All leaders write.
+    /// Lets all leaders write their pending records.
     pub fn write_records(&mut self) {
         for i in 0..self.leaders.len() {
             self.write_records_of(i);
         }
     }
 
-    /// A leader renews its lease and writes what is pending.
+    /// Lets a leader renew its lease and write its pending records.
     fn write_records_of(&mut self, i: usize) {
         let chunk = chunk_tasks(4096);
         if !self.leaders[i].alive {
@@ -89,7 +91,7 @@
             return;
         }
         if !holds_shard {
-            // The renewal of its lease is refused: it has been replaced.
+            // The state store refuses to renew the lease, because the leader has been replaced.
             self.end_leader(i);
             return;
         }
@@ -108,12 +110,14 @@
         }
     }
 
-    /// The transactions that a leader would write now.
+    /// Returns the transactions that a leader would write now.
     pub fn batches(&mut self, leader: usize, chunk: u32) -> Vec<Batch> {
         self.leaders[leader].controller.batches(Micros(12_000_000), chunk, at(self.seconds))
     }
 
-    /// A leader learns how its transaction went (none: no reply), and reads back what it must.
+    /// Passes the result of a transaction to its leader. `applied` is `None` if there was no reply. Returns
+    /// true if the transaction was applied. Otherwise the leader ends if it has been replaced, and else reads
+    /// back the records whose state it does not know.
     pub fn apply_transaction_result(
         &mut self,
         leader: usize,
@@ -130,7 +134,7 @@
         false
     }
 
-    /// The state store carries out the transactions that were delayed.
+    /// Applies the delayed transactions that are due to the state store.
     pub fn apply_late_transactions(&mut self) {
         for t in take_due(&mut self.late_transactions, at(self.seconds)) {
             let r = self.store.txn(&t);
@@ -138,7 +142,7 @@
         }
     }
 
-    /// Leaders that reach the cloud return machines.
+    /// Lets each leader that reaches the cloud return machines.
     pub fn return_machines(&mut self) {
         for i in 0..self.leaders.len() {
             let o = &self.leaders[i];
--- a/tests/fault_combinations/scenario/messages.rs
+++ b/tests/fault_combinations/scenario/messages.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, direct commands and their replies, as far as the links let them pass.
+//! Heartbeats, direct commands and their replies. The links of the workers determine which of them arrive.
 
 use milletlock::fleet::HeartbeatOutcome;
 use milletlock::time::Micros;
@@ -8,19 +8,19 @@
 use crate::common::clock::{at, wall};
 use crate::common::worker::{job_of, Task};
 
-/// Workers send a heartbeat this often.
+/// Interval between the heartbeats of a worker, in seconds.
 const HEARTBEAT_S: f64 = 3.0;
-/// Workers whose heartbeat was refused or lost send another one after this time.
+/// Time in seconds after which a worker sends another heartbeat if one was refused or reached no leader.
 const RETRY_S: f64 = 1.0;
 
 impl Scenario {
-    /// Whether a worker's messages pass to a leader, as far as the partition lets them.
+    /// Returns whether a leader runs and the partition lets messages from a zone reach it.
     pub fn is_connected(&self, zone: &str, leader: usize) -> bool {
         let o = &self.leaders[leader];
         o.alive && self.partitioned_zone.is_none_or(|z| (zone == z) == (o.zone == Some(z)))
     }
 
-    /// A worker takes a direct command that raises its fencing token; its heartbeat is what comes back.
+    /// Lets a worker execute a direct command with a fencing token. Returns the reply, which is a heartbeat.
     pub fn command(&mut self, worker: &str, fencing_token: u64, agent_epoch: u64) -> Heartbeat {
         let w = self.worker(worker);
         let before = w.state.fencing_token;
@@ -28,7 +28,7 @@
         w.state.heartbeat()
     }
 
-    /// Direct commands that bring the leaders' fencing tokens to machines that they have not heard.
+    /// Sends each leader's fencing token to its unacknowledged machines, by direct commands.
     pub fn send_token_commands(&mut self) {
         for i in 0..self.leaders.len() {
             if !self.leaders[i].alive {
@@ -51,15 +51,15 @@
         }
     }
 
-    /// Heartbeats of all workers, and the replies.
+    /// Sends the due heartbeats of all workers, and the replies to them.
     pub fn exchange_heartbeats(&mut self) {
         for w in 0..self.workers.len() {
             self.send_heartbeat(w);
         }
     }
 
-    /// A worker sends its heartbeat, if that is due, to the leader that it knows or to another that it
-    /// reaches.
+    /// Sends a worker's heartbeat if it is due. It goes to the leader of the worker's last heartbeat, or to
+    /// another leader if that one cannot be reached.
     fn send_heartbeat(&mut self, w: usize) {
         let (due, changed) = (self.workers[w].due, self.workers[w].changed);
         if self.seconds < due && !changed {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A worker executes the commands of a reply.
+    /// Lets a worker execute the commands of a reply.
     pub fn execute_commands(&mut self, w: usize, reply: &HeartbeatReply) {
         let (s, worker) = (self.seconds, &mut self.workers[w]);
         let before = worker.state.fencing_token;
@@ -102,18 +102,18 @@
             return;
         }
         worker.changed |= reply.fencing_token > before;
-        for o in &reply.commands {
+        for command in &reply.commands {
             let worker = &mut self.workers[w];
-            match o {
+            match command {
                 WorkerCommand::Start { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if worker.state.tasks.contains_key(&key) {
                         continue;
                     }
                     self.check_start(w, task);
-                    let left = self.run_times.get(task).or(self.run_times.get(job_of(task)));
-                    let left = *left.expect("a run time");
-                    let t = Task::new(TaskStage::Fetching, Micros::from_secs(left), at(s));
+                    let run_time = self.run_times.get(task).or(self.run_times.get(job_of(task)));
+                    let run_time = *run_time.expect("a run time");
+                    let t = Task::new(TaskStage::Fetching, Micros::from_secs(run_time), at(s));
                     self.workers[w].state.tasks.insert(key, t);
                     *self.starts.entry(task.clone()).or_insert(0) += 1;
                     self.started_at.entry(job_of(task).into()).or_insert(s);
--- a/tests/fault_combinations/scenario/mod.rs
+++ b/tests/fault_combinations/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated cluster without chance: state store, leaders and workers in steps of simulated time.
+//! A deterministic simulation of a cluster: the state store, leaders and workers, in steps of simulated time.
 //!
-//! A scenario says what fails; [`invariants`] checks the rules from outside at each step.
+//! A scenario determines which faults occur. The module [`invariants`] checks the cluster after each step.
 
 mod invariants;
 mod leaders;
@@ -21,81 +21,92 @@
 use crate::common::worker::{job_of, WorkerState};
 use crate::common::{config_with, record};
 
-/// How far each step moves the time, in seconds.
+/// Duration of a step, in seconds.
 pub const STEP: f64 = 0.5;
 
-/// What passes between a worker and the controllers.
+/// The messages that pass between a worker and the controllers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Link {
-    /// Everything.
+    /// All messages pass.
     Up,
-    /// Nothing.
+    /// No message passes.
     Down,
-    /// Direct commands and what they return; no heartbeat.
+    /// Direct commands and their replies pass, but no heartbeat.
     CommandsOnly,
-    /// Heartbeats; no reply and no direct command.
+    /// Heartbeats pass, but no reply to them and no direct command.
     HeartbeatsOnly,
 }
 
-/// A worker with all that is done to its messages.
+/// A worker, and the state of its connection to the controllers.
 pub struct Worker {
     pub state: WorkerState,
+    /// When the worker sends its next heartbeat, in seconds.
     pub due: f64,
-    /// The leader to which it sends heartbeats.
+    /// Index of the leader to which the worker sends heartbeats.
     pub leader: usize,
     pub link: Link,
-    /// Whether it sends a heartbeat at once.
+    /// Whether the worker's state has changed since its last heartbeat. If so, it sends one at once.
     pub changed: bool,
 }
 
-/// A kind of writes.
+/// Selects the pending writes of one kind.
 pub type WriteKind = fn(&PendingWrite) -> bool;
 
-/// A controller that has claimed everything.
+/// A controller that is or was the leader.
 pub struct SimulatedLeader {
     pub controller: SimulatedController,
     pub alive: bool,
-    /// Inside a zone that may be partitioned.
+    /// The zone that the leader is in, if a scenario partitions that zone.
     pub zone: Option<&'static str>,
-    /// When it last saw the jobs' changes.
+    /// When the leader last read the changes of the jobs, in seconds.
     pub last_read: f64,
-    /// The next transaction with such a write gets no reply and is carried out so much later.
+    /// The next transaction with a write of this kind gets no reply, and is applied after this delay in
+    /// seconds.
     pub lost_reply: Option<(f64, WriteKind)>,
 }
 
-/// A simulation of the state store, controllers and workers, which checks the rules from outside.
+/// A simulation of the state store, leaders and workers.
 pub struct Scenario {
     pub cfg: Arc<Config>,
-    /// Seconds since the beginning.
+    /// Seconds since the start of the simulation.
     pub seconds: f64,
     pub store: Store,
+    /// All leaders so far, the newest last.
     pub leaders: Vec<SimulatedLeader>,
     pub workers: Vec<Worker>,
+    /// The descriptions of all submitted jobs, by job.
     pub specs: BTreeMap<String, JobSpec>,
-    /// How long tasks run, by job or by task.
+    /// Run time of the tasks in seconds, by task or, for the other tasks, by job.
     pub run_times: BTreeMap<String, f64>,
-    /// The zone that is partitioned from all else.
+    /// The zone that is partitioned from the rest of the cluster.
     pub partitioned_zone: Option<&'static str>,
-    /// Whether the state store replies, and whether the cloud carries out returns.
+    /// Whether the state store is available.
     pub store_up: bool,
+    /// Whether the cloud is available, so that machines can be returned.
     pub cloud_up: bool,
+    /// Transactions that got no reply, with the time at which they are applied.
     pub late_transactions: Vec<(Steady, Txn)>,
-    /// How late transactions went: their revision, or the keys whose guards failed.
+    /// Results of the late transactions: the revision, or the keys whose guards did not match.
     pub late_results: Vec<Result<u64, Vec<String>>>,
+    /// Number of starts, by task.
     pub starts: BTreeMap<String, u32>,
+    /// When the first task of a job was started, in seconds, by job.
     pub started_at: BTreeMap<String, f64>,
+    /// The tasks that are done.
     pub finished: BTreeSet<String>,
+    /// When a cancellation was confirmed, in seconds, by job.
     pub cancelled: BTreeMap<String, f64>,
+    /// The first final stage that was seen, by job.
     pub finals: BTreeMap<String, Stage>,
 }
 
 impl Scenario {
-    /// With the usual settings.
+    /// Creates a scenario with the default test settings.
     pub fn new() -> Scenario {
         Scenario::with(|_| ())
     }
 
-    /// With other settings of the platform.
+    /// Creates a scenario with changes to the platform's settings.
     pub fn with(change: impl FnOnce(&mut serde_json::Value)) -> Scenario {
         Scenario {
             cfg: config_with(change),
@@ -118,7 +129,8 @@
         }
     }
 
-    /// A first leader and small machines, four processors each, all heard and enrolled.
+    /// Starts the first leader, and one small machine of four processors for each of `zones`. Runs until all
+    /// machines have acknowledged the leader's fencing token and are registered.
     pub fn begin_with(&mut self, zones: &[&'static str]) {
         self.fail_over(None);
         zones.iter().enumerate().for_each(|(n, z)| self.add_machine(n as u32 + 1, z));
@@ -126,7 +138,7 @@
         assert!(self.fleet().machines.values().all(|m| m.acknowledged && m.registered));
     }
 
-    /// A small machine is up.
+    /// Adds a small machine that has just started.
     pub fn add_machine(&mut self, n: u32, zone: &'static str) {
         self.workers.push(Worker {
             state: WorkerState::new(format!("i-{n}"), zone, at(self.seconds)),
@@ -137,28 +149,29 @@
         });
     }
 
-    /// The worker with an id.
+    /// Returns the worker with this ID.
     pub fn worker(&mut self, id: &str) -> &mut Worker {
         self.workers.iter_mut().find(|w| w.state.id == id).expect("a worker")
     }
 
-    /// Changes what passes to and from some workers.
+    /// Sets the link of some workers.
     pub fn link(&mut self, workers: &[&str], link: Link) {
         workers.iter().for_each(|w| self.worker(w).link = link);
     }
 
-    /// A user submits a job; its tasks run for a time, unless they have one of their own.
+    /// Submits a job as a user and returns its ID. The tasks run for `run_time` seconds, unless `run_times`
+    /// has another time for a task.
     pub fn submit(&mut self, s: JobSpec, run_time: f64) -> String {
         let mut r = record(s.clone());
         r.submitted_us = wall(self.seconds).0;
-        self.store.txn(&submission(&r)).expect("a new id");
+        self.store.txn(&submission(&r)).expect("a new ID");
         let id = s.id.clone();
         self.run_times.entry(id.clone()).or_insert(run_time);
         self.specs.insert(id.clone(), s);
         id
     }
 
-    /// Whether a user's cancellation was confirmed.
+    /// Cancels a job as a user. Returns whether the cancellation was confirmed.
     pub fn cancel(&mut self, id: &str) -> bool {
         let Some(txn) = self.store.cancellation(&self.specs[id]) else { return false };
         let written = self.store.txn(&txn).is_ok();
@@ -168,28 +181,28 @@
         written
     }
 
-    /// How a job ended, if it has.
+    /// Returns the final stage of a job, or `None` if the job has not ended.
     pub fn stage(&self, id: &str) -> Option<Stage> {
         self.store.final_stage(id)
     }
 
-    /// Tasks of a job that are on some machine.
+    /// Returns the number of tasks of a job that are on a machine and have not exited.
     pub fn placed(&self, id: &str) -> usize {
         self.workers.iter().map(|w| w.state.placed_of(id)).sum()
     }
 
-    /// Where a job's running tasks are.
+    /// Returns the machines that have tasks of a job that have not exited.
     pub fn machines_of(&self, id: &str) -> Vec<String> {
         let has = |w: &&Worker| w.state.placed_of(id) > 0;
         self.workers.iter().filter(has).map(|w| w.state.id.clone()).collect()
     }
 
-    /// How often tasks of a job were started, all together.
+    /// Returns the number of starts of all tasks of a job together.
     pub fn started(&self, id: &str) -> u32 {
         self.starts.iter().filter(|x| job_of(x.0) == id).map(|x| x.1).sum()
     }
 
-    /// Half a second passes for all.
+    /// Simulates one step of [`STEP`] seconds.
     pub fn step(&mut self) {
         self.seconds += STEP;
         if self.store_up {
@@ -204,18 +217,24 @@
         self.check_invariants();
     }
 
-    /// So many seconds pass.
+    /// Simulates this many seconds.
     pub fn run(&mut self, seconds: f64) {
         for _ in 0..(seconds / STEP).round() as usize {
             self.step();
         }
     }
 
-    /// Until all jobs are over, or too long.
+    /// Runs until all jobs have ended, and asserts their final stages. Panics if this takes longer than
+    /// `within` seconds.
     pub fn finish(&mut self, within: f64) {
         let until = self.seconds + within;
         while !self.store.rows("job/").is_empty() {
-            assert!(self.seconds < until, "left undone at {} s: {:?}", self.seconds, self.store.rows("job/"));
+            assert!(
+                self.seconds < until,
+                "jobs not ended at {} s: {:?}",
+                self.seconds,
+                self.store.rows("job/")
+            );
             self.step();
         }
         for id in self.specs.keys() {
--- a/tests/fault_combinations/scenario/tasks.rs
+++ b/tests/fault_combinations/scenario/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on the workers: they run for the times that the scenario gives.
+//! The tasks on the workers, which run for the times that the scenario sets.
 
 use milletlock::time::Micros;
 use milletlock::wire::{ExitReason, JobSpec, Shape, TaskStage};
@@ -8,15 +8,15 @@
 use crate::common::worker::{job_of, Attempt};
 use crate::common::LEASE;
 
-/// A task fetches its image for so long.
+/// Time that a task needs to fetch its image, in seconds.
 const FETCH_S: f64 = 1.0;
-/// A task of a gang waits so long for the others to arrive.
+/// Maximum time that a task of a gang waits for the other tasks, in seconds.
 const GANG_WAIT_S: f64 = 40.0;
 
 impl Scenario {
-    /// Sessions end and tasks go on. `tests/failover` models tasks otherwise on purpose: there they fail at
-    /// random and machines hang, while here all goes by the scenario's run times and a gang ends at once with
-    /// its first lost task.
+    /// Ends the sessions whose lease has expired, and runs all tasks for one step. `tests/failover` has a
+    /// different model of tasks on purpose. There, tasks fail at random and machines hang. Here, tasks run
+    /// for the times that the scenario sets, and a gang ends at once when its first task is lost.
     pub fn run_tasks(&mut self) {
         let now = at(self.seconds);
         for w in 0..self.workers.len() {
@@ -29,16 +29,17 @@
         }
     }
 
-    /// One step of a task.
+    /// Runs a task for one step.
     fn run_task(&mut self, w: usize, k: &Attempt) {
         let now = at(self.seconds);
-        let Some((stage, why)) = self.next_stage(w, k) else { return };
+        let Some((stage, exit_reason)) = self.next_stage(w, k) else { return };
         let worker = &mut self.workers[w];
         worker.changed = true;
-        worker.state.tasks.get_mut(k).expect("this task").enter(stage, why, now);
+        worker.state.tasks.get_mut(k).expect("this task").enter(stage, exit_reason, now);
     }
 
-    /// The stage that a task enters now, with the reason of its end; none: it stays in its stage.
+    /// Returns the stage that a task enters now, with the exit reason if it exits. Returns `None` if the task
+    /// stays in its stage.
     fn next_stage(&mut self, w: usize, k: &Attempt) -> Option<(TaskStage, Option<ExitReason>)> {
         let now = at(self.seconds);
         let job = self.specs[job_of(&k.0)].clone();
@@ -53,7 +54,7 @@
         let together =
             |run: &[TaskStage]| members.iter().filter(|m| run.contains(m)).count() as u32 == job.tasks;
         let t = self.workers[w].state.tasks[k].clone();
-        let (stage, why) = match t.stage {
+        let (stage, exit_reason) = match t.stage {
             TaskStage::Fetching if (now - t.since).secs() >= FETCH_S => {
                 (if gang { TaskStage::Waiting } else { TaskStage::Running }, None)
             }
@@ -72,10 +73,10 @@
             TaskStage::Running => return self.advance(w, k, &job),
             _ => return None,
         };
-        Some((stage, why))
+        Some((stage, exit_reason))
     }
 
-    /// A running task goes on for a step; its end if its run time is over.
+    /// Runs a running task for one step. Returns its end if its run time is over, and otherwise `None`.
     fn advance(&mut self, w: usize, k: &Attempt, job: &JobSpec) -> Option<(TaskStage, Option<ExitReason>)> {
         let t = self.workers[w].state.tasks.get_mut(k).expect("this task");
         t.remaining = t.remaining - Micros::from_secs(STEP);
@@ -83,7 +84,7 @@
             return None;
         }
         if job.shape == Shape::Gang {
-            // They complete together.
+            // All tasks of a gang finish together.
             (0..job.tasks).for_each(|n| {
                 self.finished.insert(format!("{}/{n}", job.id));
             });
