--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -1,6 +1,6 @@
-//! All controllers of a cell end and come back while its workers go on. The commands that workers get after
-//! that are counted from their side: about as many as there are real differences between what the workers
-//! have and what is recorded, however many workers there are.
+//! All controllers of a cell end and are started again while its workers continue to run. The tests count the
+//! commands that the workers receive afterwards. The number of commands must be close to the number of
+//! differences between the workers' tasks and the records in the state store, however many workers there are.
 
 mod common;
 
@@ -13,16 +13,16 @@
 use milletlock::wire::WorkerCommand;
 use serde_json::{json, Value};
 
-/// Processors of a worker, and so tasks that it runs at once.
+/// Number of processors of a worker, and therefore of tasks that it runs at the same time.
 const TASKS_PER_WORKER: usize = 4;
-/// How long the tasks of this test run: longer than it takes.
+/// Run time of the tasks. It is longer than a test.
 const LONG: Duration = Duration::from_secs(90);
-/// Less than a lease.
+/// Duration of an outage that is shorter than a lease.
 const SHORT_OUTAGE: Duration = Duration::from_millis(1_500);
-/// More than a lease and a heartbeat.
+/// Duration of an outage that is longer than a lease and a heartbeat interval together.
 const LONG_OUTAGE: Duration = Duration::from_millis(6_000);
 
-/// Commands that workers got after a moment, by kind.
+/// Numbers of commands that workers received, by kind.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Commands {
     starts: usize,
@@ -30,55 +30,58 @@
     forgets: usize,
 }
 
-/// A cell whose machines are full, and whose controllers are about to end.
-struct Blackout {
+/// A cell whose machines are full, and whose controllers a test stops and starts again.
+struct Cluster {
     cells: Cells,
     workers: usize,
     controllers: usize,
-    since: Instant,
+    /// When the controllers were last started again.
+    restarted_at: Instant,
 }
 
-impl Blackout {
-    /// Fills a cell with one array for each worker.
-    fn prepare(group: u8, workers: usize) -> Blackout {
-        Blackout::prepare_with(group, workers, 2)
+impl Cluster {
+    /// Starts a cell with two controllers and fills its machines with one job array for each worker.
+    fn prepare(group: u8, workers: usize) -> Cluster {
+        Cluster::prepare_with(group, workers, 2)
     }
 
-    /// The same with so many controllers.
-    fn prepare_with(group: u8, workers: usize, controllers: usize) -> Blackout {
+    /// Does the same as `prepare`, with this number of controllers.
+    fn prepare_with(group: u8, workers: usize, controllers: usize) -> Cluster {
         let plan =
             CellPlan { workers, has_cells_block: false, task_time: LONG, controllers, ..CellPlan::default() };
         let cells = Cells::start(group, &[plan]);
         for number in 1..=workers as u32 {
             cells.submit(0, &job(number, TASKS_PER_WORKER as u32));
         }
-        let blackout = Blackout { cells, workers, controllers, since: Instant::now() };
-        blackout.wait_until_full();
-        blackout
+        let cluster = Cluster { cells, workers, controllers, restarted_at: Instant::now() };
+        cluster.wait_until_full();
+        cluster
     }
 
     fn wait_until_full(&self) {
-        until("all machines are full", || self.present() == self.workers * TASKS_PER_WORKER);
+        until("all machines are full", || self.present_tasks() == self.workers * TASKS_PER_WORKER);
     }
 
-    fn present(&self) -> usize {
+    fn present_tasks(&self) -> usize {
         self.cells.history.lock().expect("the history").on_machine.len()
     }
 
-    /// Ends all controllers, has something happen, and starts them again after a while.
+    /// Stops all controllers, runs `meanwhile`, and starts the controllers again `outage` after the stop. If
+    /// the state store is unavailable, it becomes available one second later. Returns once there is a leader
+    /// and no machine is unavailable.
     fn run(&mut self, outage: Duration, meanwhile: impl FnOnce(&Cells)) {
         self.kill_all();
-        let begun = Instant::now();
+        let stopped_at = Instant::now();
         meanwhile(&self.cells);
-        std::thread::sleep(outage.saturating_sub(begun.elapsed()));
-        self.since = Instant::now();
+        std::thread::sleep(outage.saturating_sub(stopped_at.elapsed()));
+        self.restarted_at = Instant::now();
         self.start_all();
         if self.cells.state_stores_unavailable.load(Ordering::Relaxed) {
             std::thread::sleep(Duration::from_millis(1_000));
             self.cells.state_stores_unavailable.store(false, Ordering::Relaxed);
         }
-        until("somebody leads", || self.cells.leader(0).is_some());
-        until("all machines are heard or gone", || self.unheard() == 0);
+        until("a leader is elected", || self.cells.leader(0).is_some());
+        until("all machines have reported or are removed", || self.unavailable_machines() == 0);
     }
 
     fn kill_all(&mut self) {
@@ -89,15 +92,16 @@
         (0..self.controllers).for_each(|controller| self.cells.start_controller(0, controller));
     }
 
-    /// Machines that the leader has not heard.
-    fn unheard(&self) -> usize {
+    /// Returns the number of machines that have not reported to the leader, are silent or are being returned.
+    fn unavailable_machines(&self) -> usize {
         let status = self.cells.leader(0).and_then(|leader| self.cells.status(0, leader)).unwrap_or_default();
         let machines: Vec<Value> = status["owner"]["machines"].as_array().cloned().unwrap_or_default();
         machines.iter().filter(|m| ["unheard", "silent", "leaving"].iter().any(|s| m["state"] == *s)).count()
     }
 
-    /// The leader's status says what was found, and its log makes a page.
-    fn assert_told(&self, finished: usize, machines_lost: usize) {
+    /// Asserts the recovery figures in the leader's status, and that `milletlock report` makes a page of the
+    /// leader's log.
+    fn assert_recovery_reported(&self, finished: usize, machines_lost: usize) {
         let leader = self.cells.leader(0).expect("a leader");
         let recovery = &self.cells.status(0, leader).expect("a status")["owner"]["recovery"];
         let (machines, tasks) = (self.workers, self.workers * TASKS_PER_WORKER);
@@ -108,18 +112,19 @@
             "{recovery}"
         );
         assert_eq!(recovery["differences"]["finished"], finished, "{recovery}");
-        // All but what ended, went with machines, or was cancelled and may be halted by now.
+        // All tasks are adopted except those that ended, those that were lost with machines, and those of the
+        // cancelled job, which may be halted by now.
         let adopted = tasks - finished - (machines_lost + 1) * TASKS_PER_WORKER;
         assert_eq!(recovery["adopted"], adopted, "{recovery}");
         let page = self.cells.log_file(0, leader).with_extension("html");
-        let made = std::process::Command::new(env!("CARGO_BIN_EXE_milletlock"))
+        let report = std::process::Command::new(env!("CARGO_BIN_EXE_milletlock"))
             .arg("report")
             .arg(self.cells.log_file(0, leader))
             .arg("--output")
             .arg(&page)
             .output()
             .expect("the program");
-        assert!(made.status.success(), "{made:?}");
+        assert!(report.status.success(), "{report:?}");
         let page = std::fs::read_to_string(page).expect("a page");
         assert!(
             page.contains(&format!("{machines} machines, all machines had reported or were lost")),
@@ -127,11 +132,12 @@
         );
     }
 
-    /// The commands since the controllers were started again, once no more come for a while.
+    /// Waits until workers have received no command for two seconds. Returns the number of commands since the
+    /// controllers were started again.
     fn commands(&self) -> Commands {
         let count = || self.cells.history.lock().expect("the history").commands.len();
         let (mut seen, mut quiet_since) = (count(), Instant::now());
-        until("no more commands come", || {
+        until("no more commands arrive", || {
             if count() > seen {
                 (seen, quiet_since) = (count(), Instant::now());
             }
@@ -139,7 +145,7 @@
         });
         let mut commands = Commands::default();
         let history = self.cells.history.lock().expect("the history");
-        for (_, command) in history.commands.iter().filter(|(at, _)| *at > self.since) {
+        for (_, command) in history.commands.iter().filter(|(at, _)| *at > self.restarted_at) {
             match command {
                 WorkerCommand::Start { .. } => commands.starts += 1,
                 WorkerCommand::Halt { .. } => commands.halts += 1,
@@ -157,8 +163,8 @@
     job
 }
 
-/// The workers' tasks with their machines.
-fn tasks_of(cells: &Cells) -> BTreeMap<String, Vec<String>> {
+/// Returns the tasks of each machine.
+fn tasks_by_machine(cells: &Cells) -> BTreeMap<String, Vec<String>> {
     let mut by_machine: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for ((_, attempt), machine) in &cells.history.lock().expect("the history").on_machine {
         by_machine.entry(machine.clone()).or_default().push(attempt.0.clone());
@@ -167,63 +173,63 @@
 }
 
 #[test]
-fn without_a_difference_no_order_is_given() {
-    let mut blackout = Blackout::prepare(31, 40);
-    blackout.run(SHORT_OUTAGE, |_| ());
-    assert_eq!(blackout.commands(), Commands::default());
+fn workers_get_no_commands_if_there_are_no_differences() {
+    let mut cluster = Cluster::prepare(31, 40);
+    cluster.run(SHORT_OUTAGE, |_| ());
+    assert_eq!(cluster.commands(), Commands::default());
     assert_eq!(
-        blackout.cells.history.lock().expect("the history").scale_out_requests,
+        cluster.cells.history.lock().expect("the history").scale_out_requests,
         0,
-        "nothing is scaled out"
+        "no machine may be requested"
     );
 }
 
 #[test]
-fn one_controller_and_five_give_no_order_either() {
+fn workers_get_no_commands_with_one_controller_or_with_five() {
     for (group, controllers) in [(36, 1), (37, 5)] {
-        let mut blackout = Blackout::prepare_with(group, 10, controllers);
-        blackout.run(SHORT_OUTAGE, |_| ());
-        assert_eq!(blackout.commands(), Commands::default(), "{controllers} controllers");
+        let mut cluster = Cluster::prepare_with(group, 10, controllers);
+        cluster.run(SHORT_OUTAGE, |_| ());
+        assert_eq!(cluster.commands(), Commands::default(), "{controllers} controllers");
     }
 }
 
-/// The state store is down when the controllers come back, and they end once more.
+/// The state store is unavailable when the controllers are started again, and they are stopped once more.
 #[test]
-fn a_second_crash_while_the_state_store_is_down_repeats_nothing() {
-    let mut blackout = Blackout::prepare(38, 20);
-    blackout.kill_all();
-    blackout.cells.state_stores_unavailable.store(true, Ordering::Relaxed);
-    blackout.start_all();
+fn only_lost_tasks_start_again_after_a_second_crash_during_a_state_store_outage() {
+    let mut cluster = Cluster::prepare(38, 20);
+    cluster.kill_all();
+    cluster.cells.state_stores_unavailable.store(true, Ordering::Relaxed);
+    cluster.start_all();
     std::thread::sleep(Duration::from_millis(1_000));
-    blackout.run(Duration::from_millis(500), |_| ());
-    let lost = blackout.cells.history.lock().expect("the history").killed_by_lease;
-    blackout.wait_until_full();
-    assert_eq!(blackout.commands(), Commands { starts: lost, ..Commands::default() });
+    cluster.run(Duration::from_millis(500), |_| ());
+    let lost = cluster.cells.history.lock().expect("the history").killed_by_lease;
+    cluster.wait_until_full();
+    assert_eq!(cluster.commands(), Commands { starts: lost, ..Commands::default() });
 }
 
 #[test]
-fn after_more_than_a_lease_each_lost_task_starts_once() {
-    let mut blackout = Blackout::prepare(32, 40);
-    blackout.run(LONG_OUTAGE, |cells| {
+fn each_lost_task_starts_once_after_an_outage_longer_than_the_lease() {
+    let mut cluster = Cluster::prepare(32, 40);
+    cluster.run(LONG_OUTAGE, |cells| {
         assert!(LONG_OUTAGE.as_secs_f64() > LEASE_S);
         until("all leases have run out", || cells.history.lock().expect("the history").on_machine.is_empty());
     });
-    blackout.wait_until_full();
-    let lost = blackout.workers * TASKS_PER_WORKER;
-    assert_eq!(blackout.commands(), Commands { starts: lost, ..Commands::default() });
+    cluster.wait_until_full();
+    let lost = cluster.workers * TASKS_PER_WORKER;
+    assert_eq!(cluster.commands(), Commands { starts: lost, ..Commands::default() });
 }
 
-/// Tasks that end while nobody listens, machines that go, a cancellation that was just confirmed.
+/// During the outage tasks end and machines are removed. A cancellation was confirmed just before it.
 #[test]
-fn orders_are_about_as_many_as_differences() {
-    let mut blackout = Blackout::prepare(33, 40);
+fn workers_get_about_as_many_commands_as_there_are_differences() {
+    let mut cluster = Cluster::prepare(33, 40);
     let cancelled = spec(1, 1, "batch").id;
     let path = format!("/api/jobs/{cancelled}/withdraw");
-    let response = blackout.cells.call(0, "POST", &path, Some(&json!({})));
+    let response = cluster.cells.call(0, "POST", &path, Some(&json!({})));
     assert_eq!(response, (200, json!({ "nameId": cancelled, "stage": "cancelled" })));
     let (mut ended, mut lost) = (0, 0);
-    blackout.run(SHORT_OUTAGE, |cells| {
-        let mut machines = tasks_of(cells);
+    cluster.run(SHORT_OUTAGE, |cells| {
+        let mut machines = tasks_by_machine(cells);
         let is_cancelled = |task: &String| task.starts_with(&format!("{cancelled}/"));
         machines.retain(|_, tasks| !tasks.iter().any(is_cancelled));
         for (id, tasks) in machines.iter().take(2) {
@@ -235,34 +241,34 @@
             cells.end_tasks(tasks);
         }
     });
-    let left = (blackout.workers - 1) * TASKS_PER_WORKER - ended;
-    until("what was lost with machines runs again", || blackout.present() == left);
-    let commands = blackout.commands();
+    let left = (cluster.workers - 1) * TASKS_PER_WORKER - ended;
+    until("the tasks of the removed machines run again", || cluster.present_tasks() == left);
+    let commands = cluster.commands();
     let differences = ended + lost + TASKS_PER_WORKER;
-    // A command is repeated until a heartbeat shows its effect: at most once more for each.
+    // A command is repeated until a heartbeat shows its effect. Here each is repeated at most once.
     assert_eq!(commands.starts, lost, "{commands:?}");
     assert!(commands.halts <= 2 * TASKS_PER_WORKER, "{commands:?}, one job was cancelled");
     assert!(commands.forgets <= 2 * (ended + TASKS_PER_WORKER), "{commands:?}, {ended} tasks ended");
     assert!(commands.starts + commands.halts + commands.forgets <= 2 * differences, "{commands:?}");
-    blackout.assert_told(ended, lost / TASKS_PER_WORKER);
-    let history = blackout.cells.history.lock().expect("the history");
+    cluster.assert_recovery_reported(ended, lost / TASKS_PER_WORKER);
+    let history = cluster.cells.history.lock().expect("the history");
     assert!(history.on_machine.keys().all(|(_, attempt)| !attempt.0.starts_with(&format!("{cancelled}/"))));
-    assert!(history.finished.values().all(|cells| cells.len() == 1), "no task finishes twice");
+    assert!(history.finished.values().all(|cells| cells.len() == 1), "no task may finish twice");
 }
 
 #[test]
 #[ignore = "a measurement, run by hand"]
-fn orders_with_many_workers() {
+fn measure_commands_with_many_workers() {
     for (group, workers) in [(34, 200), (35, 1000), (39, 2000)] {
         for outage in [SHORT_OUTAGE, LONG_OUTAGE] {
-            let mut blackout = Blackout::prepare(group, workers);
-            let changes = blackout.cells.state_store_load(0).1;
-            blackout.run(outage, |_| ());
-            let heard = blackout.since.elapsed();
-            let commands = blackout.commands();
-            let changes = blackout.cells.state_store_load(0).1 - changes;
+            let mut cluster = Cluster::prepare(group, workers);
+            let changes = cluster.cells.state_store_load(0).1;
+            cluster.run(outage, |_| ());
+            let recovery = cluster.restarted_at.elapsed();
+            let commands = cluster.commands();
+            let changes = cluster.cells.state_store_load(0).1 - changes;
             println!(
-                "{workers} workers, away {outage:?}: heard after {heard:?}, {commands:?}, {changes} changes"
+                "{workers} workers, outage {outage:?}: recovery {recovery:?}, {commands:?}, {changes} changes"
             );
         }
     }
