--- a/crates/cells/src/borrower.rs
+++ b/crates/cells/src/borrower.rs
@@ -126,7 +126,7 @@
         self.delete_closed(request).or_else(|| {
             let mut items: Vec<&LoanItem> = request.loans.iter().collect();
             // Offers are decided on in ascending order: a decision raises the high-water mark, and an offer
-            // below the mark would not be considered.
+            // that is not yet decided on would count as refused once the mark is above its number.
             items.sort_by_key(|item| item.number);
             items.into_iter().find_map(|item| self.change_for_item(&request.from, item, local))
         })
--- a/crates/cells/src/lender.rs
+++ b/crates/cells/src/lender.rs
@@ -164,8 +164,8 @@
             offer: offer(job, loan.number),
         };
         let mut loans: Vec<LoanItem> = self.loans_with(to).map(item).collect();
-        // The borrower decides on offers in ascending order, since each decision raises its high-water
-        // mark and an offer below the mark would not be considered.
+        // The borrower's high-water mark rises with each offer that it decides on. An offer that is not yet
+        // decided on would count as refused once the mark is above its number.
         loans.sort_by_key(|item| item.number);
         LoanSyncRequest { from: from.into(), to: to.into(), term, horizon: self.horizon(), loans }
     }
--- a/crates/cells/src/policy.rs
+++ b/crates/cells/src/policy.rs
@@ -59,8 +59,9 @@
 }
 
 impl LendingInputs {
-    /// The number of tasks that the built-in policy lends: as many as the borrower has capacity for, but no
-    /// larger part of the lendable tasks than the part of the backlog that exceeds half the drain time.
+    /// The number of tasks that the built-in policy lends. It is the share of the lendable tasks that equals
+    /// the share of the backlog beyond half the drain time, limited by [`LendingInputs::bounded_task_count`].
+    /// It is 0 if the borrower is busy itself.
     pub fn default_task_count(&self) -> u32 {
         if self.borrower_backlog_s > BUSY_BORROWER_BACKLOG_S || self.backlog_s <= 0.0 {
             return 0;
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -16,8 +16,9 @@
 pub(super) enum JobLookup {
     /// A job that has not ended: its record and the record's `mod_revision`.
     Live { record: Box<JobRecord>, mod_revision: u64 },
-    /// A live job with a held record that 0.3.0 to 0.3.2 have rewritten without its field `held`. The next
-    /// leader of this version restores the record.
+    /// A live job whose record was stored in the form [`LentForm::Held`](crate::records::LentForm::Held),
+    /// and was then rewritten by 0.3.0 to 0.3.2 without its field `held`. The next leader of this version
+    /// restores the record.
     Stripped,
     /// A live job whose record this version cannot read.
     Unreadable,
@@ -45,8 +46,8 @@
     Ok(read_final(backend, id)?.map_or(JobLookup::Unknown, JobLookup::Final))
 }
 
-/// Whether a record is a held record that 0.3.0 to 0.3.2 have rewritten, and can be restored from the job's
-/// placeholder.
+/// Whether a record is one that 0.3.0 to 0.3.2 have rewritten without its field `held`, and can be restored
+/// from the job's placeholder.
 fn can_be_restored(backend: &dyn JobsBackend, id: &str, record: Value) -> Result<bool, StateStoreError> {
     if !JobRecord::is_stripped(&record) {
         return Ok(false);
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -72,8 +72,8 @@
     Peer,
 }
 
-/// Answers a user's request. If this controller gets no answer from the state store, relays the request to
-/// another controller.
+/// Answers a user's request. If the state store cannot be used from here, relays the request to another
+/// controller, which may be able to reach the state store.
 pub fn handle(backend: &dyn JobsBackend, request: &Request, origin: RequestOrigin) -> Response {
     let error = match route(backend, request) {
         Ok(response) => return response,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -44,12 +44,12 @@
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
     },
-    /// Show a controller's status; the leader's has machines, jobs, the reservation and run-time factors
+    /// Show a controller's shards and, from the leader, machines, jobs, reservation and run-time factors
     Status {
         /// A controller's address for the other controllers
         #[arg(long, value_name = "IP:PORT", default_value = "127.0.0.1:8081")]
         internal: SocketAddr,
-        /// Show only the jobs of this team
+        /// Show only this team's jobs, quotas, reservation and run-time factors
         #[arg(long)]
         team: Option<String>,
     },
--- a/src/report/page.rs
+++ b/src/report/page.rs
@@ -4,7 +4,8 @@
 use super::log::RecoverySample;
 use super::ReportError;
 
-/// Minimum number of seconds between two samples that is used to compute a rate, to avoid division by zero.
+/// Interval in seconds that a rate is computed with if two samples are closer together. It avoids a division
+/// by zero.
 const MIN_INTERVAL_S: f64 = 0.001;
 
 /// Renders the page: one section for each recovery, and a note on the parts of the log that were skipped.
--- a/src/wire/cells.rs
+++ b/src/wire/cells.rs
@@ -95,6 +95,6 @@
     pub cell: String,
     /// Number of tasks that are returned to this cell and run here again, by job id.
     pub tasks: BTreeMap<String, u32>,
-    /// Ids of jobs whose write-off could not be recorded. The operator should repeat the request for them.
+    /// Ids of jobs whose write-off could not be recorded. The operator should repeat the request.
     pub left: Vec<String>,
 }
