--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -21,6 +21,7 @@
 //! | `gleanings` | spot instance |
 //! | `grain` | class of a job |
 //! | `harvest` | revision of the state store |
+//! | `home` of a borrowed job | lender |
 //! | `husk`, `husks` | machine |
 //! | `in_use` | the machine has another attempt of the task (exit reason) |
 //! | `kept` | whether a checkpoint was saved |
