--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -86,7 +86,7 @@
         RequestOrigin::Peer => None,
     };
     relayed_response
-        .unwrap_or_else(|| responses::retry_later(&format!("the state store does not answer: {error}")))
+        .unwrap_or_else(|| responses::retry_later(&format!("the request to the state store failed: {error}")))
 }
 
 /// Calls the handler for a request's path and method. Unknown paths and methods get 404 and 405.
