--- a/tests/earlier_leader.rs
+++ b/tests/earlier_leader.rs
@@ -1,12 +1,17 @@
 //! A leader of the version in production leads a cell while a job of this cell has loans.
 //!
-//! The failure: a version before 0.3 that cannot read the record of a job with loans takes the job for an
-//! ended one. It removes the job's `done/<id>/<chunk>` rows and its entries in `marks/<slot>`, since a row in
-//! itself does not say that its job is live (`Fleet::inherit_done` and `Fleet::inherit_marks`, src/fleet.rs
-//! of that version). The next leader of this version then finds a job without finished tasks and without a
-//! start mark: finished tasks run again, and a task that still runs on an unreachable machine is started or
-//! lent a second time. This version therefore keeps copies of the progress under keys that earlier versions
-//! do not read.
+//! The failure: a version before 0.3 cannot read the record of a job with loans. It logs
+//! `a record cannot be read` with the job's key, starts none of the lent tasks, and takes the job for an
+//! ended one. It removes the job's `done/<id>/<chunk>` rows, one transaction each, and its entry in
+//! `marks/<slot>`, since a row in itself does not say that its job is live (`Fleet::inherit_done` and
+//! `Fleet::inherit_marks`, src/fleet.rs of that version). The next leader of this version then finds a job
+//! without finished tasks and without a start mark: finished tasks run again, and a task that still runs on
+//! an unreachable machine is started or lent a second time. This version therefore keeps copies of the
+//! progress under keys that earlier versions do not read.
+//!
+//! Without these copies the tests failed with `finished tasks start again: {0, 1, 2, 3, 4, 5, 6, 7}`,
+//! `{23, 24} lacks some of {0, 1, 2, 3, 4, 5, 6, 7}` (the done ranges that were left), and
+//! `tasks that may run on the silent machine are lent: [22, 23]`.
 
 mod common;
 
