--- a/tests/beside_earlier_leader.rs
+++ b/tests/beside_earlier_leader.rs
@@ -30,7 +30,7 @@
 }
 
 /// Guards against the loss of results that a worker reported to a follower, after their leader was killed and
-/// before a leader of an earlier version had them forgotten.
+/// before a leader of an earlier version told the worker to forget them.
 #[test]
 fn results_reported_to_a_follower_are_not_lost_under_an_earlier_leader() {
     let (world, mut machine) = (World::new(), Machine::new("i-000001"));
@@ -113,7 +113,8 @@
                     });
                     record_results(&mut reported, &machine, machine.pending_results());
                     follower.heartbeat(&mut machine);
-                    // The earlier version has no unrecorded result forgotten if it can read the job's record.
+                    // If the earlier version can read the job's record, it tells the worker to forget no
+                    // result that is not recorded.
                     let record = world.store().row(&format!("job/{JOB}")).expect("the job").value;
                     if serde_json::from_value::<production::JobRecord>(record).is_err() {
                         machine.discard_all_tasks();
--- a/tests/held_jobs_random.rs
+++ b/tests/held_jobs_random.rs
@@ -123,19 +123,20 @@
     /// Runs one step with a machine, and adds the results that the leader has it forget to `finished`.
     fn step_of_machine(&mut self, number: usize) {
         let machine = &mut self.machines[number];
-        let taken = machine.forgotten_results.clone();
+        let forgotten_before = machine.forgotten_results.clone();
         match &mut self.leader {
             CurrentLeader::This(leader) => leader.step(machine),
             CurrentLeader::Earlier(leader) => leader.step(machine),
         }
-        // A version before 0.3 has unrecorded results forgotten if it cannot read the job's record.
+        // If a version before 0.3 cannot read the job's record, it has workers forget unrecorded results.
         let forgets_unrecorded = self.is_led_by(Version::BeforeLoans) && self.is_hidden();
         let machine = &self.machines[number];
         if !forgets_unrecorded {
-            let newly_taken: BTreeSet<u32> = machine.forgotten_results.difference(&taken).copied().collect();
-            let again: Vec<u32> = machine.running().intersection(&newly_taken).copied().collect();
+            let newly_forgotten: BTreeSet<u32> =
+                machine.forgotten_results.difference(&forgotten_before).copied().collect();
+            let again: Vec<u32> = machine.running().intersection(&newly_forgotten).copied().collect();
             assert!(again.is_empty(), "seed {}: forgotten tasks run again: {again:?}", self.seed);
-            self.finished.extend(newly_taken);
+            self.finished.extend(newly_forgotten);
         }
     }
 
