--- a/tests/earlier_program.rs
+++ b/tests/earlier_program.rs
@@ -2,8 +2,9 @@
 //! this version. Results that were recorded or accepted must not be lost, so their tasks must not run again.
 //!
 //! These tests are run by hand. Build the commit that `deploy/service.toml` names in a separate worktree,
-//! then run `MILLETLOCK_EARLIER_PROGRAM=<its program> cargo test --test earlier_program -- --ignored
-//! --nocapture`. `MILLETLOCK_0_3_0_PROGRAM` is the program of the last commit of 0.3.0.
+//! then run
+//! `MILLETLOCK_EARLIER_PROGRAM=<its program> cargo test --test earlier_program -- --ignored --nocapture`.
+//! `MILLETLOCK_0_3_0_PROGRAM` is the program of the last commit of 0.3.0.
 //! `MILLETLOCK_SEEDS=1-5` selects the seeds, which decide when the leader ends (`1-2` by default).
 //! `MILLETLOCK_CASE` selects the cases whose name contains its value.
 
@@ -167,15 +168,14 @@
     case(LeaderEnd::CutFromStore, AT_ONCE, false),
 ];
 
-/// Counts of the tasks that ran again, by the state of their first result when the leader ended.
+/// Counts of the tasks that ran again, by how far their first result had come.
 #[derive(Debug, Default)]
 struct RanAgain {
     /// The result was recorded.
     recorded: usize,
     /// A leader of this version had accepted the result but not recorded it.
     accepted: usize,
-    /// The task had exited before the first heartbeat reply of a later leader, but the result was not
-    /// accepted.
+    /// The task exited before the first heartbeat reply of a later leader; no leader accepted it before that.
     unreported: usize,
     /// The task exited after that reply.
     late: usize,
