--- a/tests/held_under_earlier_program.rs
+++ b/tests/held_under_earlier_program.rs
@@ -34,6 +34,7 @@
 const OTHER_TASKS: u32 = 8;
 /// By how much a held job may delay other jobs: a heartbeat interval and a polling interval.
 const TOLERANCE: Duration = Duration::from_millis(1500);
+/// Number of cancellations that are requested one after the other.
 const CANCELLATIONS: usize = 10;
 /// Maximum number of state store requests for each refused cancellation, on average.
 const CANCELLATION_REQUESTS: f64 = 16.0;
@@ -269,7 +270,7 @@
     assert_eq!(value(&cells, &format!("final/{JOB}")), Some(json!({ "stage": "cancelled", "tasks": TASKS })));
 }
 
-/// How long small jobs of a team with a guaranteed share take while another team keeps the cell busy.
+/// How long small jobs of a guaranteed team take beside much work of another, with or without a held job.
 fn time_guaranteed_jobs(group: u8, has_held_job: bool, program: &Path) -> Duration {
     let mut cells = start_cells(group, 250, 1);
     if has_held_job {
@@ -325,7 +326,7 @@
     let exits = history.exits.iter().filter(|(_, exits)| exits[0].cell == 0);
     let exited: BTreeSet<u32> =
         exits.map(|(task, _)| milletlock::jobs::split_task(task).expect("a task").1).collect();
-    println!("started late {started_late:?}; halts {halts}; lease expiries {}", history.killed_by_lease);
+    println!("started late {started_late:?}; halts {halts}; killed by lease {}", history.killed_by_lease);
     assert!(started_late.is_empty() && halts == 0 && history.killed_by_lease == 0);
     drop(history);
     let unrecorded: Vec<u32> = exited.difference(&recorded_in_rows(&cells)).copied().collect();
