--- a/tests/three_cells.rs
+++ b/tests/three_cells.rs
@@ -1,6 +1,6 @@
-//! Three cells whose controllers run as processes on loopback addresses. The first cell receives more tasks
-//! than it can run in time. Every task must finish exactly once, in the only cell in which it ever started,
-//! and a gang must run in one cell, whatever happens to controllers and links.
+//! Three cells on loopback addresses, whose controllers are processes of the real program. The first cell
+//! receives more tasks than it can run in time. Every task must finish exactly once, in the only cell in
+//! which it ever started, and a gang must run in one cell, whatever happens to controllers and links.
 
 mod common;
 
