--- a/tests/held_job_writes.rs
+++ b/tests/held_job_writes.rs
@@ -37,7 +37,7 @@
 const FAULTS: [TxnFault; 3] = [TxnFault::AnswerLost, TxnFault::Lost, TxnFault::Late];
 
 /// Lets the borrower accept the loans that are open, and no further ones.
-fn borrow_no_more(world: &World, leader: &mut Leader<'_>) {
+fn fill_borrower(world: &World, leader: &mut Leader<'_>) {
     world.borrower().is_full = true;
     leader.lend();
 }
@@ -54,7 +54,7 @@
         leader.steps(&mut machine, SETTLE_STEPS);
         machine.finish_one();
         leader.steps(&mut machine, SETTLE_STEPS);
-        borrow_no_more(&world, &mut leader);
+        fill_borrower(&world, &mut leader);
     }
     if step == Step::EndCancelled {
         world.borrower().is_cut_off = true;
