--- a/tests/held_job_forms.rs
+++ b/tests/held_job_forms.rs
@@ -47,7 +47,7 @@
 
 /// Runs the cells until the job has ended, and asserts that only its final record is left and that no task
 /// was started twice.
-fn play_to_the_end(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
+fn run_until_ended_with_checks(world: &World, leader: &mut Leader<'_>, machine: &mut Machine) {
     run_until_ended(world, leader, machine, "", assert_values_fit);
     let twice: Vec<_> = machine.started.iter().filter(|(_, count)| **count > 1).collect();
     assert!(twice.is_empty(), "started more than once: {twice:?}");
@@ -69,7 +69,7 @@
     earlier.steps(&mut machine, SETTLE_STEPS);
     assert!(earlier.knows(JOB));
     assert_eq!((world.recorded_done(), machine.running()), (done, running));
-    play_to_the_end(&world, &mut world.leader(), &mut machine);
+    run_until_ended_with_checks(&world, &mut world.leader(), &mut machine);
 }
 
 /// Guards against transactions whose guards expect a placeholder, although 0.3.2 wrote none.
@@ -97,7 +97,7 @@
                     assert_eq!(leader.cancel(), 503);
                     assert_eq!(world.job_row().expect("live")["lending"]["cancelling"], true);
                 }
-                play_to_the_end(&world, &mut leader, &mut machine);
+                run_until_ended_with_checks(&world, &mut leader, &mut machine);
                 let stage = if is_cancelled { "cancelled" } else { "done" };
                 assert_eq!(world.final_row(), Some(json!({ "stage": stage, "tasks": TASKS })));
             }
@@ -127,7 +127,7 @@
         world.borrower().tasks_to_return = given_back;
         leader.lend();
         assert_values_fit(&world);
-        play_to_the_end(&world, &mut leader, &mut machine);
+        run_until_ended_with_checks(&world, &mut leader, &mut machine);
     }
     assert!(most_lent[0] > 0, "few types: {most_lent:?}");
     assert!(most_lent.contains(&0), "many types: {most_lent:?}");
