--- a/tests/earlier_program.rs
+++ b/tests/earlier_program.rs
@@ -65,9 +65,9 @@
 fn wait_for_results_of_both_cells(cells: &Cells) {
     until("some tasks are done in both cells", || {
         let history = cells.history.lock().expect("the history");
-        let tally = history.finished_per_cell(2);
+        let finished = history.finished_per_cell(2);
         drop(history);
-        tally[0] > 10 && tally[1] > 20 && tasks_in(cells, "done").len() > 20
+        finished[0] > 10 && finished[1] > 20 && tasks_in(cells, "done").len() > 20
     });
 }
 
