--- a/crates/cells/tests/world/lending.rs
+++ b/crates/cells/tests/world/lending.rs
@@ -8,7 +8,7 @@
 use super::store::{cancelled_key, done_key, lending_key, Record, Txn};
 use super::Simulation;
 
-/// The minimum number of startable tasks of a job from which tasks are lent.
+/// Tasks of a job are lent only if at least this many of its tasks may start.
 const MIN_LENDABLE: usize = 3;
 
 impl Simulation {
