--- a/tests/common/cells/addresses.rs
+++ b/tests/common/cells/addresses.rs
@@ -14,8 +14,8 @@
 }
 
 impl Addresses {
-    /// Creates the addresses of a test. `group` must differ between the tests of a process; the process id
-    /// distinguishes processes.
+    /// Creates the addresses of a test. `group` must differ between the tests of a process. Processes
+    /// are distinguished by their id modulo 200.
     pub fn new(group: u8) -> Addresses {
         Addresses { network: (std::process::id() % 200 + 20) as u8, group }
     }
