--- a/crates/cells/src/borrower.rs
+++ b/crates/cells/src/borrower.rs
@@ -1,4 +1,5 @@
-//! The borrower's side: which loans it holds, and what a lender's message changes.
+//! The borrower's side: the ledger of the loans that a cell has accepted, and the changes that follow from
+//! a lender's message.
 
 use std::collections::BTreeMap;
 
@@ -6,89 +7,98 @@
 use crate::message::{LoanAction, LoanItem, LoanOffer, LoanReport, LoanState, LoanSyncRequest};
 use crate::task_set::TaskSet;
 
-/// Why a borrower refuses a loan.
+/// The reasons for which a borrower refuses a loan.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BorrowRefusal {
-    /// This cell has a job of this id that it did not borrow from this lender.
-    #[error("a job of this id is known here already")]
+    /// This cell already has a job with this id, which it did not borrow from this lender.
+    #[error("this cell already has another job with this id")]
     JobIdInUse,
-    /// The loan names tasks that the job does not have, or none at all.
-    #[error("tasks that the job does not have")]
+    /// The loan lists no tasks, or tasks that the job does not have.
+    #[error("the loan lists no tasks, or tasks that the job does not have")]
     InvalidTasks,
-    /// Some of the tasks are held here already.
-    #[error("some of the tasks are held already")]
+    /// Some of the tasks are already borrowed, with another loan of the job.
+    #[error("some of the tasks are already borrowed")]
     TasksAlreadyBorrowed,
-    /// The job's description cannot be read; the reason.
-    #[error("the description cannot be read: {0}")]
+    /// The job's description is malformed. The value is the reason.
+    #[error("the job description cannot be read: {0}")]
     MalformedDescription(String),
-    /// The job's tasks depend on each other's placement, or the job never ends.
-    #[error("only arrays without rules over all their tasks are borrowed")]
+    /// The placement of a task depends on other tasks of the job, or the job never ends.
+    #[error("only job arrays without rules over all their tasks can be borrowed")]
     NotBorrowable,
-    /// The settings do not allow jobs of this class to be borrowed.
-    #[error("class {0} is not borrowed here")]
+    /// The operator's settings do not allow borrowing tasks of this job class.
+    #[error("this cell does not borrow tasks of class {0}")]
     ClassNotBorrowed(String),
-    /// No machine here can ever run the tasks; the reason.
-    #[error("it can never run here: {0}")]
+    /// This cell can never run the tasks. The value is the reason.
+    #[error("the tasks can never run in this cell: {0}")]
     NotRunnable(String),
-    /// There is no capacity for this many tasks.
-    #[error("no room for {0} tasks")]
+    /// This cell has no spare capacity for this number of tasks.
+    #[error("no spare capacity for {0} tasks")]
     NoCapacity(u32),
 }
 
-/// What a borrower's ledger needs to know of the tasks and machines of its cell.
+/// The view of its cell's tasks and machines that a borrower's ledger needs.
 pub trait LocalTasks {
-    /// Those of the tasks that have certainly not begun here, and will not if none is started from now
-    /// on.
+    /// The subset of the tasks that have certainly not started in this cell. They remain unstarted as long as
+    /// the cell starts none of them after this call.
     fn unstarted(&self, job: &str, tasks: &TaskSet) -> TaskSet;
 
-    /// Whether a loan may be taken on. The ledger has checked that its tasks are tasks of the job, and
-    /// that none is held here.
+    /// Checks whether a loan can be accepted. The ledger has already checked that its tasks are tasks of
+    /// the job and that none of them is borrowed.
+    ///
+    /// # Errors
+    /// The reason for which the loan is refused.
     fn admit(&self, item: &LoanItem, offer: &LoanOffer) -> Result<(), BorrowRefusal>;
 }
 
-/// A change of a borrower's records, to be written in one guarded transaction and then applied.
+/// A change of a borrower's records. The caller writes it in one compare-and-swap transaction and then
+/// applies it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BorrowerChange {
     /// Name of the lender's cell.
     pub lender: String,
     /// The job's id.
     pub job: String,
-    /// The job's record from now on; `None` if it has none any more.
+    /// The new record of the job, or `None` if the record is to be deleted.
     pub record: Option<BorrowedJob>,
-    /// The lender's high-water mark from now on, if it rises: no loan up to it is ever accepted again.
+    /// The new high-water mark of the lender's loans, if it rises. No loan up to this number is accepted
+    /// later.
     pub high_water: Option<LoanNumber>,
-    /// Tasks that are no longer held: none of them may start from before the write on.
+    /// Tasks that are no longer borrowed after the change. The caller must stop starting them before it
+    /// sends the write.
     pub withdrawn: TaskSet,
-    /// Why an offer is refused, if it is.
+    /// The reason for which the offer is refused, if it is.
     pub refusal: Option<BorrowRefusal>,
 }
 
-/// The outcome of deciding on a loan that is not held.
+/// The decision on an offered loan.
 enum Decision<'a> {
-    /// The loan is taken on.
+    /// The loan is accepted.
     Accept(&'a LoanOffer),
     /// The loan is refused.
     Refuse(BorrowRefusal),
-    /// The lender has withdrawn the loan before it was ever held.
+    /// The lender has recalled or cancelled the loan before the borrower accepted it.
     Withdrawn,
 }
 
-/// The loans that a cell holds, as recorded. A change is first made durable by the caller, then taken
-/// over: with [`BorrowerLedger::apply`], or record by record as they were read back.
+/// The loans that a cell has accepted, as they are stored.
+///
+/// The caller first writes a change to the state store. It then applies the change with
+/// [`BorrowerLedger::apply`], or reads the records back and loads each one.
 #[derive(Clone, Debug, Default)]
 pub struct BorrowerLedger {
+    /// The borrowed jobs, by id.
     jobs: BTreeMap<String, BorrowedJob>,
-    /// High-water marks, by the lender's name.
+    /// The high-water mark of each lender, by the name of its cell.
     high_water: BTreeMap<String, LoanNumber>,
 }
 
 impl BorrowerLedger {
-    /// Takes over the record of a borrowed job.
+    /// Sets a borrowed job to its stored record.
     pub fn load(&mut self, job: &str, record: BorrowedJob) {
         self.jobs.insert(job.to_string(), record);
     }
 
-    /// Takes over the high-water mark of a lender.
+    /// Raises the high-water mark of a lender to a stored one. A lower value changes nothing.
     pub fn load_high_water(&mut self, lender: &str, number: LoanNumber) {
         let mark = self.high_water.entry(lender.to_string()).or_default();
         *mark = number.max(*mark);
@@ -104,23 +114,25 @@
         self.jobs.iter()
     }
 
-    /// A lender's high-water mark: no loan up to it is accepted any more.
+    /// The high-water mark of a lender: the highest loan number that was decided on. No loan up to it is
+    /// accepted any more. It is 0 if no loan of this lender was decided on.
     pub fn high_water(&self, lender: &str) -> LoanNumber {
         self.high_water.get(lender).copied().unwrap_or_default()
     }
 
-    /// The first change that a lender's message asks for. `None`: the records agree with the message, and
-    /// the loans can be reported.
+    /// The next change that follows from a lender's message, or `None` if the records agree with the
+    /// message, so that the loans can be reported.
     pub fn next_change(&self, request: &LoanSyncRequest, local: &impl LocalTasks) -> Option<BorrowerChange> {
-        self.drop_closed(request).or_else(|| {
+        self.delete_closed(request).or_else(|| {
             let mut items: Vec<&LoanItem> = request.loans.iter().collect();
-            // A mark above an offer that is still to be decided on would refuse it.
+            // Offers are decided on in ascending order: a decision raises the high-water mark, and an offer
+            // below the mark would not be considered.
             items.sort_by_key(|item| item.number);
             items.into_iter().find_map(|item| self.change_for_item(&request.from, item, local))
         })
     }
 
-    /// Takes over a change that is durable.
+    /// Applies a change that has been written to the state store.
     pub fn apply(&mut self, change: &BorrowerChange) {
         match &change.record {
             Some(record) => self.load(&change.job, record.clone()),
@@ -131,18 +143,20 @@
         }
     }
 
-    /// The record of a job that was borrowed from a lender is gone.
+    /// Removes a job whose record was deleted. A job borrowed from another lender is left in place.
     pub fn remove(&mut self, lender: &str, job: &str) {
         if self.record_from(lender, job).is_some() {
             self.jobs.remove(job);
         }
     }
 
-    /// The states of the loans that a message names. `done` returns the tasks of a job that are recorded
-    /// as done here. A loan that is neither held nor known to be closed is left out.
+    /// Reports the states of the loans that a message lists, in its order. A loan that is neither accepted
+    /// nor known to be closed is left out.
+    ///
+    /// `done` returns the tasks of a job that are recorded as done in the borrower's state store.
     pub fn reports(&self, request: &LoanSyncRequest, done: impl Fn(&str) -> TaskSet) -> Vec<LoanReport> {
         let report = |item: &LoanItem| {
-            let state = match self.held_loan(&request.from, item) {
+            let state = match self.accepted_loan(&request.from, item) {
                 Some(loan) => LoanState::Accepted {
                     tasks: loan.tasks.clone(),
                     done: loan.tasks.intersection(&done(&item.job)),
@@ -160,21 +174,22 @@
         self.jobs.get(job).filter(|record| record.lender == lender)
     }
 
-    fn held_loan(&self, lender: &str, item: &LoanItem) -> Option<&BorrowedLoan> {
+    fn accepted_loan(&self, lender: &str, item: &LoanItem) -> Option<&BorrowedLoan> {
         let record = self.record_from(lender, &item.job)?;
         record.loans.iter().find(|loan| loan.number == item.number)
     }
 
-    /// Drops loans that their lender has closed. Only those up to the message's horizon: a late message
-    /// does not name loans that were made after it.
-    fn drop_closed(&self, request: &LoanSyncRequest) -> Option<BorrowerChange> {
+    /// The change that deletes loans which the lender has closed: loans up to the message's horizon that it
+    /// does not list. Loans beyond the horizon are kept, since they may have been made after a late message
+    /// was sent. A change concerns one job.
+    fn delete_closed(&self, request: &LoanSyncRequest) -> Option<BorrowerChange> {
         let is_open = |loan: &BorrowedLoan| {
             loan.number > request.horizon || request.loans.iter().any(|item| item.number == loan.number)
         };
         let mut from_lender = self.jobs.iter().filter(|(_, record)| record.lender == request.from);
         from_lender.find_map(|(job, record)| {
             let open: Vec<BorrowedLoan> = record.loans.iter().filter(|loan| is_open(loan)).cloned().collect();
-            (open.len() < record.loans.len()).then(|| change_to_loans(job, record, open))
+            (open.len() < record.loans.len()).then(|| replace_loans(job, record, open))
         })
     }
 
@@ -184,9 +199,9 @@
         item: &LoanItem,
         local: &impl LocalTasks,
     ) -> Option<BorrowerChange> {
-        match self.held_loan(lender, item) {
-            Some(loan) => self.change_held_loan(item, loan, local),
-            // Decided before and closed since: the same offer again, or a late copy of it.
+        match self.accepted_loan(lender, item) {
+            Some(loan) => self.change_accepted_loan(item, loan, local),
+            // This loan was decided on earlier and is closed: the message is a repeated or late offer.
             None if item.number <= self.high_water(lender) => None,
             None => {
                 let decision = self.decide(lender, item, local)?;
@@ -195,8 +210,8 @@
         }
     }
 
-    /// What a message changes about a loan that is held.
-    fn change_held_loan(
+    /// The change that the lender's action requires for an accepted loan.
+    fn change_accepted_loan(
         &self,
         item: &LoanItem,
         loan: &BorrowedLoan,
@@ -204,30 +219,30 @@
     ) -> Option<BorrowerChange> {
         match item.action {
             LoanAction::Run => None,
-            LoanAction::Recall => self.give_back(item, loan, local),
+            LoanAction::Recall => self.return_unstarted(item, loan, local),
             LoanAction::Cancel => {
                 let record = self.jobs.get(&item.job)?;
                 let others = record.loans.iter().filter(|other| other.number != item.number);
-                Some(change_to_loans(&item.job, record, others.cloned().collect()))
+                Some(replace_loans(&item.job, record, others.cloned().collect()))
             }
         }
     }
 
-    /// Decides on a loan that is not held; `None` if it comes without the job's description.
+    /// Decides on an offered loan, or returns `None` if the message does not contain the job's description.
     fn decide<'a>(&self, lender: &str, item: &'a LoanItem, local: &impl LocalTasks) -> Option<Decision<'a>> {
         if item.action != LoanAction::Run {
             return Some(Decision::Withdrawn);
         }
         let offer = item.offer.as_ref()?;
-        let verdict = self.check(lender, item, offer).and_then(|()| local.admit(item, offer));
+        let verdict = self.check_offer(lender, item, offer).and_then(|()| local.admit(item, offer));
         Some(match verdict {
             Ok(()) => Decision::Accept(offer),
             Err(refusal) => Decision::Refuse(refusal),
         })
     }
 
-    /// Checks of an offer that need no knowledge of machines and settings.
-    fn check(&self, lender: &str, item: &LoanItem, offer: &LoanOffer) -> Result<(), BorrowRefusal> {
+    /// Checks an offer as far as the ledger can, without knowledge of machines and settings.
+    fn check_offer(&self, lender: &str, item: &LoanItem, offer: &LoanOffer) -> Result<(), BorrowRefusal> {
         if item.tasks.max().is_none_or(|last| last >= offer.job_tasks) {
             return Err(BorrowRefusal::InvalidTasks);
         }
@@ -240,8 +255,8 @@
         }
     }
 
-    /// The durable decision on a loan: the record of what is accepted, and the mark by which it is never
-    /// decided on again.
+    /// The change that records a decision: the job's record with the loan, if it is accepted, and the
+    /// high-water mark, which prevents a second decision on the same loan.
     fn record_decision(&self, lender: &str, item: &LoanItem, decision: Decision<'_>) -> BorrowerChange {
         let mut change = BorrowerChange {
             lender: lender.to_string(),
@@ -266,35 +281,35 @@
         change
     }
 
-    /// Gives back the tasks of a loan that have not begun; `None` if all have.
-    fn give_back(
+    /// The change that returns the unstarted tasks of a loan to the lender, or `None` if all have started.
+    fn return_unstarted(
         &self,
         item: &LoanItem,
         loan: &BorrowedLoan,
         local: &impl LocalTasks,
     ) -> Option<BorrowerChange> {
-        let given_back = local.unstarted(&item.job, &loan.tasks).intersection(&loan.tasks);
-        if given_back.is_empty() {
+        let returned = local.unstarted(&item.job, &loan.tasks).intersection(&loan.tasks);
+        if returned.is_empty() {
             return None;
         }
         let record = self.jobs.get(&item.job)?;
         let mut loans = record.loans.clone();
         for loan in loans.iter_mut().filter(|loan| loan.number == item.number) {
-            loan.tasks = loan.tasks.difference(&given_back);
+            loan.tasks = loan.tasks.difference(&returned);
         }
         loans.retain(|loan| !loan.tasks.is_empty());
-        Some(change_to_loans(&item.job, record, loans))
+        Some(replace_loans(&item.job, record, loans))
     }
 }
 
-/// The change by which a job's record is left with these loans; without any the record is removed.
-fn change_to_loans(job: &str, record: &BorrowedJob, loans: Vec<BorrowedLoan>) -> BorrowerChange {
-    let left = BorrowedJob { loans, ..record.clone() };
-    let withdrawn = record.tasks().difference(&left.tasks());
+/// The change that replaces the loans in a job's record. The record is deleted if no loans remain.
+fn replace_loans(job: &str, record: &BorrowedJob, loans: Vec<BorrowedLoan>) -> BorrowerChange {
+    let remaining = BorrowedJob { loans, ..record.clone() };
+    let withdrawn = record.tasks().difference(&remaining.tasks());
     BorrowerChange {
         lender: record.lender.clone(),
         job: job.to_string(),
-        record: (!left.loans.is_empty()).then_some(left),
+        record: (!remaining.loans.is_empty()).then_some(remaining),
         high_water: None,
         withdrawn,
         refusal: None,
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -1,45 +1,46 @@
-//! The messages between two cells. Only a lender asks; its borrower replies. Every statement in a message
-//! stays true once it is true, so a late, duplicated or reordered message does no harm.
+//! The messages between two cells. The lender sends requests, and the borrower replies to them. Every
+//! statement in a message remains true once it is true, so late, duplicated and reordered messages do no
+//! harm.
 
 use crate::loan::LoanNumber;
 use crate::task_set::TaskSet;
 
-/// What a lender wants a borrower to do with a loan.
+/// The action that a lender requests from a borrower for a loan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoanAction {
-    /// Run its tasks.
+    /// Run the tasks of the loan.
     Run,
-    /// Give back the tasks that have not begun.
+    /// Return the tasks that have not started.
     Recall,
-    /// The job is cancelled: run none of its tasks any more.
+    /// Stop the tasks and start none of them any more, since the job is cancelled.
     Cancel,
 }
 
-/// The job that an offered loan belongs to.
+/// Describes the job of a loan that is offered to a borrower.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoanOffer {
-    /// The job's description.
+    /// The job's description in JSON.
     pub description: serde_json::Value,
-    /// Number of tasks of the whole job.
+    /// The number of tasks of the whole job.
     pub job_tasks: u32,
 }
 
-/// An open loan, as its lender describes it.
+/// An open loan in a lender's message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoanItem {
     /// The loan's number.
     pub number: LoanNumber,
     /// The job's id.
     pub job: String,
-    /// The tasks, as offered.
+    /// The tasks that the lender records as lent.
     pub tasks: TaskSet,
-    /// What the borrower is to do with them.
+    /// The action that the borrower is to take.
     pub action: LoanAction,
-    /// The job, until the borrower is known to hold the loan.
+    /// The loan's job. The lender sends it until it knows that the borrower has accepted the loan.
     pub offer: Option<LoanOffer>,
 }
 
-/// A lender's message: all loans that it has open with the borrower.
+/// A lender's message, which lists all its open loans to the borrower.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoanSyncRequest {
     /// Name of the lender's cell.
@@ -48,23 +49,23 @@
     pub to: String,
     /// The term of the lender's leader.
     pub term: u64,
-    /// Loans up to this number that are not listed are closed.
+    /// Loans up to this number that are not in `loans` are closed.
     pub horizon: LoanNumber,
-    /// The open loans.
+    /// The open loans to the borrower.
     pub loans: Vec<LoanItem>,
 }
 
-/// The state of a loan at the borrower.
+/// The state of a loan at the borrower, as recorded in its state store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LoanState {
-    /// The borrower holds these tasks; those that are done are recorded there.
+    /// The borrower has accepted the loan.
     Accepted {
-        /// Tasks that were not given back, done ones included.
+        /// The tasks that were not returned, including those that are done.
         tasks: TaskSet,
-        /// Tasks that are done.
+        /// The tasks that are recorded as done.
         done: TaskSet,
     },
-    /// The borrower holds none of its tasks and never will.
+    /// The borrower has none of the loan's tasks and will not accept the loan later.
     Closed,
 }
 
@@ -73,6 +74,6 @@
 pub struct LoanReport {
     /// The loan's number.
     pub number: LoanNumber,
-    /// Its state, as recorded durably.
+    /// The loan's state at the borrower.
     pub state: LoanState,
 }
--- a/crates/cells/src/policy.rs
+++ b/crates/cells/src/policy.rs
@@ -1,64 +1,66 @@
-//! The built-in policy: when a cell lends, and how many tasks.
+//! The built-in lending policy: when a cell lends tasks, and how many.
 
-/// Most tasks of one loan. Bounded, so that a borrower that is lost holds few, and so that the loan's
-/// record fits a value of the state service.
+/// The maximum number of tasks in one loan. The bound limits the tasks that are unavailable while a borrower
+/// is lost, and ensures that a loan's record fits into a value of the state store.
 pub const MAX_TASKS_PER_LOAN: u32 = 200;
 
-/// A borrower with more of its own work waiting than this gets no loans, in seconds.
+/// The largest backlog of its own arrays, in seconds, with which a borrower receives loans.
 const BUSY_BORROWER_BACKLOG_S: f64 = 1.0;
 
-/// Lending begins above the drain time and ends below this fraction of it.
+/// Lending starts when the backlog exceeds the drain time, and ends when it falls to this fraction of the
+/// drain time.
 const LENDING_END_FRACTION: f64 = 0.5;
 
-/// Least processors that a task is taken to need, so that a task without any does not divide by zero.
+/// The minimum number of processors that a task counts as. It prevents a division by zero for tasks that
+/// request no processors.
 const MIN_TASK_CPUS: f64 = 0.001;
 
-/// Whether a cell's backlog is large enough to lend from. It has hysteresis: a cell near the limit
-/// would otherwise lend and recall the same tasks over and over.
+/// Decides whether a cell's backlog is large enough to lend tasks. The threshold has hysteresis, because a
+/// cell near the limit would otherwise lend and recall the same tasks repeatedly.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BacklogThreshold {
     exceeded: bool,
 }
 
 impl BacklogThreshold {
-    /// Takes the present backlog and the drain time, both in seconds of work for all machines; returns
-    /// whether to lend.
+    /// Updates the threshold with the current backlog and the drain time, both in seconds of work for all
+    /// machines of the cell. Returns whether the cell lends.
     pub fn update(&mut self, backlog_s: f64, drain_s: f64) -> bool {
         let limit_s = if self.exceeded { drain_s * LENDING_END_FRACTION } else { drain_s };
         self.exceeded = backlog_s > limit_s;
         self.exceeded
     }
 
-    /// Whether the cell lends, as of the last update.
+    /// Whether the cell lends, according to the last update.
     pub fn is_exceeded(&self) -> bool {
         self.exceeded
     }
 }
 
-/// The figures from which the size of a loan is decided.
+/// The inputs of the decision on the number of tasks to lend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LendingInputs {
-    /// Seconds for which this cell's array backlog keeps its machines busy.
+    /// The backlog of this cell's arrays, in seconds for which it keeps the cell's machines busy.
     pub backlog_s: f64,
-    /// Seconds within which the backlog should drain.
+    /// The time in seconds within which the backlog should drain.
     pub drain_s: f64,
-    /// Number of the job's tasks that could be lent.
+    /// The number of tasks of the job that can be lent.
     pub lendable: u32,
-    /// Processors that one of them needs.
+    /// The number of processors that one task of the job requests.
     pub task_cpus: f64,
-    /// Seconds that one of them is stated to run.
+    /// The expected run time of one task of the job in seconds, as stated in the job's description.
     pub task_s: f64,
-    /// Seconds that the job has waited.
+    /// The time in seconds for which the job has waited.
     pub waited_s: f64,
-    /// Processors' worth of tasks that the borrower would take on.
+    /// The number of processors for which the borrower accepts tasks.
     pub borrower_spare_cpus: f64,
-    /// Seconds of the borrower's own backlog.
+    /// The backlog of the borrower's own arrays, in seconds.
     pub borrower_backlog_s: f64,
 }
 
 impl LendingInputs {
-    /// The built-in choice of how many tasks to lend: as many as the borrower has capacity for, but no
-    /// more than the part of the backlog that is over half the drain time.
+    /// The number of tasks that the built-in policy lends: as many as the borrower has capacity for, but no
+    /// larger part of the lendable tasks than the part of the backlog that exceeds half the drain time.
     pub fn default_task_count(&self) -> u32 {
         if self.borrower_backlog_s > BUSY_BORROWER_BACKLOG_S || self.backlog_s <= 0.0 {
             return 0;
@@ -68,14 +70,14 @@
         self.bounded_task_count(wanted)
     }
 
-    /// Reduces a wanted number of tasks to what can be lent, what the borrower has capacity for, and what
-    /// fits one loan. A number that is not finite lends nothing.
+    /// Limits a wanted number of tasks to the lendable tasks, the borrower's capacity and
+    /// [`MAX_TASKS_PER_LOAN`]. Returns 0 for a number that is negative or not finite.
     pub fn bounded_task_count(&self, wanted: f64) -> u32 {
         if !wanted.is_finite() {
             return 0;
         }
         let capacity = self.borrower_spare_cpus / self.task_cpus.max(MIN_TASK_CPUS);
-        let most = capacity.min(f64::from(self.lendable.min(MAX_TASKS_PER_LOAN)));
-        wanted.min(most).max(0.0).floor() as u32
+        let limit = capacity.min(f64::from(self.lendable.min(MAX_TASKS_PER_LOAN)));
+        wanted.min(limit).max(0.0).floor() as u32
     }
 }
--- a/crates/cells/src/script.rs
+++ b/crates/cells/src/script.rs
@@ -1,4 +1,4 @@
-//! An operator's own policy of how much to lend, as a script.
+//! Lending scripts, with which operators replace the built-in choice of the number of tasks to lend.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -6,60 +6,61 @@
 
 use crate::policy::LendingInputs;
 
-/// The function that a script has to define.
-const FUNCTION: &str = "portion";
-/// Operations that one call may execute.
+/// The name of the function that a script must define.
+const FUNCTION_NAME: &str = "portion";
+/// The maximum number of operations that one call may execute.
 const MAX_OPERATIONS: u64 = 20_000;
-/// Depth of nested calls.
+/// The maximum depth of nested calls.
 const MAX_CALL_LEVELS: usize = 16;
-/// Items of an array or map, and characters of a string, that a script may create.
+/// The maximum number of items of an array or map, and of bytes of a string, that a script may create.
 const MAX_SIZE: usize = 1_000;
 
-/// Why a script cannot be used.
+/// The reasons for which a script cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ScriptError {
-    /// It cannot be parsed.
-    #[error("the script cannot be read: {0}")]
+    /// The script cannot be parsed. The value is the parser's message.
+    #[error("the script cannot be parsed: {0}")]
     Syntax(String),
-    /// It defines no function of the expected name and arity.
-    #[error("the script defines no function `{FUNCTION}(view)`")]
+    /// The script defines no function with the expected name and number of parameters.
+    #[error("the script defines no function `{FUNCTION_NAME}(view)`")]
     NoFunction,
 }
 
-/// Why a call of a script gave no number.
+/// The reasons for which a call of a script returned no number.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
     #[error(transparent)]
     Evaluation(#[from] Box<EvalAltResult>),
-    #[error("it answers a {0}, not a number")]
+    #[error("the script returned a value of type {0}, not a number")]
     NotANumber(&'static str),
 }
 
-/// An operator's script. Its function `portion(view)` returns how many tasks to lend.
+/// An operator's lending script. Its function `portion(view)` returns the number of tasks to lend.
 ///
-/// The script sees numbers only, and both its operations and its memory are bounded. A call that fails
-/// or returns no number lends nothing.
+/// The script receives only numbers, and both its operations and its memory are bounded. If a call fails or
+/// does not return a number, nothing is lent.
 pub struct LendingScript {
     engine: Engine,
     program: AST,
+    /// Whether a failed call has been logged. Only the first failure is logged.
     failure_logged: AtomicBool,
 }
 
 impl LendingScript {
-    /// Parses a script and checks that it defines the function.
+    /// Parses a script and checks that it defines the function `portion(view)`.
     pub fn parse(text: &str) -> Result<LendingScript, ScriptError> {
         let engine = sandboxed_engine();
         let program = engine.compile(text).map_err(|error| ScriptError::Syntax(error.to_string()))?;
         let is_entry_point =
-            |function: rhai::ScriptFnMetadata| function.name == FUNCTION && function.params.len() == 1;
+            |function: rhai::ScriptFnMetadata| function.name == FUNCTION_NAME && function.params.len() == 1;
         if !program.iter_functions().any(is_entry_point) {
             return Err(ScriptError::NoFunction);
         }
         Ok(LendingScript { engine, program, failure_logged: AtomicBool::new(false) })
     }
 
-    /// How many tasks to lend, within the bounds that hold for every policy. A failure lends nothing and
-    /// is logged once.
+    /// The number of tasks to lend according to the script, limited as for the built-in policy. Returns 0 if
+    /// the call fails; only the first failure is logged.
     pub fn task_count(&self, inputs: &LendingInputs) -> u32 {
         match self.call(inputs) {
             Ok(wanted) => inputs.bounded_task_count(wanted),
@@ -74,8 +75,9 @@
 
     fn call(&self, inputs: &LendingInputs) -> Result<f64, CallError> {
         let arguments = (script_view(inputs),);
-        let answer: Dynamic = self.engine.call_fn(&mut Scope::new(), &self.program, FUNCTION, arguments)?;
-        let wanted = answer.as_float().or_else(|_| answer.as_int().map(|count| count as f64));
+        let result: Dynamic =
+            self.engine.call_fn(&mut Scope::new(), &self.program, FUNCTION_NAME, arguments)?;
+        let wanted = result.as_float().or_else(|_| result.as_int().map(|count| count as f64));
         wanted.map_err(CallError::NotANumber)
     }
 }
@@ -86,7 +88,7 @@
     }
 }
 
-/// An engine in which a script can neither run for long, use much memory nor print.
+/// Creates an engine that bounds the run time and memory of a script and discards its output.
 fn sandboxed_engine() -> Engine {
     let mut engine = Engine::new();
     engine.set_max_operations(MAX_OPERATIONS);
@@ -100,7 +102,7 @@
     engine
 }
 
-/// The inputs under the names that operators' scripts use; these are part of the settings' interface.
+/// The inputs under the names that operators' scripts use. The names are part of the public interface.
 fn script_view(inputs: &LendingInputs) -> Map {
     let numbers = [
         ("backlog_s", inputs.backlog_s),
--- a/crates/cells/src/task_set.rs
+++ b/crates/cells/src/task_set.rs
@@ -1,4 +1,4 @@
-//! Sets of task numbers, as compressed bitmaps.
+//! Sets of task numbers, stored as compressed bitmaps.
 
 use std::fmt;
 use std::ops::RangeInclusive;
@@ -6,24 +6,24 @@
 use roaring::RoaringBitmap;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Most tasks of a job; every task number is below it.
+/// The maximum number of tasks of a job. Every task number is below it.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// Why a set of task numbers cannot be read.
+/// The reasons for which a set of task numbers cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TaskSetError {
-    /// A part of the text is neither a number nor a range.
-    #[error("`{0}` is no number or range of tasks")]
+    /// A part of the text is neither a task number nor a range of task numbers.
+    #[error("`{0}` is neither a task number nor a range of task numbers")]
     Malformed(String),
-    /// A number that no task can have.
+    /// A task number is not below [`MAX_TASKS`].
     #[error("task number {0} is too large")]
     TooLarge(u32),
-    /// The bytes are not a serialized bitmap.
+    /// The bytes are not a serialized bitmap. The value is the decoder's message.
     #[error("not a bitmap: {0}")]
     NotABitmap(String),
 }
 
-/// A set of task numbers of one job. Records hold it as compact text (`0-4,7`), messages as the bytes of
+/// A set of task numbers of one job. Records contain it as compact text (`0-4,7`), messages as the bytes of
 /// a compressed bitmap in the portable Roaring format.
 #[derive(Clone, Default, PartialEq)]
 pub struct TaskSet(RoaringBitmap);
@@ -34,7 +34,7 @@
         TaskSet::default()
     }
 
-    /// All numbers from `first` up to but not including `end`.
+    /// The set of all numbers from `first` up to but not including `end`.
     pub fn span(first: u32, end: u32) -> TaskSet {
         let mut tasks = RoaringBitmap::new();
         tasks.insert_range(first..end);
@@ -46,7 +46,7 @@
         sets.into_iter().fold(TaskSet::new(), |all, tasks| all.union(tasks))
     }
 
-    /// Adds a task; false if it was in the set already.
+    /// Adds a task. Returns whether it was not in the set before.
     pub fn insert(&mut self, task: u32) -> bool {
         self.0.insert(task)
     }
@@ -56,7 +56,7 @@
         self.0.contains(task)
     }
 
-    /// Number of tasks in the set.
+    /// The number of tasks in the set.
     pub fn len(&self) -> u32 {
         u32::try_from(self.0.len()).unwrap_or(u32::MAX)
     }
@@ -101,7 +101,7 @@
         self.0.is_disjoint(&other.0)
     }
 
-    /// The bytes of the compressed bitmap.
+    /// The set as a compressed bitmap in the portable Roaring format.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.0.serialized_size());
         // Writing to memory does not fail.
@@ -109,7 +109,10 @@
         bytes
     }
 
-    /// Reads a set from its bytes. Refuses a task number that no job can have.
+    /// Reads a set from a compressed bitmap in the portable Roaring format.
+    ///
+    /// # Errors
+    /// If the bytes are not such a bitmap, or a number is not below [`MAX_TASKS`].
     pub fn from_bytes(bytes: &[u8]) -> Result<TaskSet, TaskSetError> {
         let tasks = RoaringBitmap::deserialize_from(bytes)
             .map_err(|error| TaskSetError::NotABitmap(error.to_string()))?;
@@ -119,7 +122,10 @@
         }
     }
 
-    /// Reads a set from its compact text. Refuses a task number that no job can have.
+    /// Reads a set from its compact text, such as `0-4,7`. The empty text is the empty set.
+    ///
+    /// # Errors
+    /// If the text is malformed, or a number is not below [`MAX_TASKS`].
     pub fn parse(text: &str) -> Result<TaskSet, TaskSetError> {
         let mut tasks = RoaringBitmap::new();
         for part in text.split(',').filter(|part| !part.is_empty()) {
@@ -129,7 +135,7 @@
     }
 }
 
-/// Reads one part of a compact text: a number or a range with both ends included.
+/// Reads one part of a compact text: a number, or a range that includes both ends.
 fn parse_range(part: &str) -> Result<RangeInclusive<u32>, TaskSetError> {
     let (first, last) = part.split_once('-').unwrap_or((part, part));
     let parse_number = |digits: &str| digits.parse().map_err(|_| TaskSetError::Malformed(part.into()));
